--- a/Makefile
+++ b/Makefile
@@ -2,12 +2,15 @@
 JOBS ?= $(shell nproc)
 SOURCES = $(shell git ls-files '*.cpp' '*.h')
 CONFIG ?= $(PROXY_CONFIG)
+# Checkouts in different folders share one compile cache.
+export CCACHE_BASEDIR = $(CURDIR)
+export CCACHE_NOHASHDIR = 1
 
 .PHONY: setup build test test-san measure lint format run clean
 
 # What the build, the tests and the measurements need; asks for nothing that is there already.
-PACKAGES = g++ make cmake clang-format clang-tidy libgtest-dev libspdlog-dev libcli11-dev nlohmann-json3-dev \
-  libboost-dev libpcg-cpp-dev librapidcheck-dev libmsgpack-cxx-dev libxxhash-dev libsqlite3-dev
+PACKAGES = g++ make cmake ccache clang-format clang-tidy libgtest-dev libspdlog-dev libcli11-dev nlohmann-json3-dev \
+  libboost-dev libpcg-cpp-dev librapidcheck-dev libmsgpack-cxx-dev libxxhash-dev libsqlite3-dev libexpected-dev
 setup:
 	@missing=$$(dpkg-query -W -f='$${db:Status-Abbrev} $${Package}\n' $(PACKAGES) 2>/dev/null | \
 	  awk '$$1 == "ii" {print $$2}' | sort > /tmp/lemoncroft-have.$$$$; \
