--- a/src/management/call.cpp
+++ b/src/admin/call.cpp
@@ -1,10 +1,10 @@
-#include "management/call.h"
+#include "admin/call.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-namespace lemoncroft::management {
+namespace lemoncroft::admin {
 namespace {
 
 struct Known {
@@ -58,4 +58,4 @@
   return line_.size() > kLineMost ? State::kTooLong : State::kLine;
 }
 
-}  // namespace lemoncroft::management
+}  // namespace lemoncroft::admin
--- a/src/management/call.h
+++ b/src/admin/call.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <variant>
 
-namespace lemoncroft::management {
+namespace lemoncroft::admin {
 
 constexpr std::size_t kLineMost = 256;  // bytes of a call, its end not counted
 
@@ -34,6 +34,6 @@
   std::string line_;
 };
 
-}  // namespace lemoncroft::management
+}  // namespace lemoncroft::admin
 
 #endif  // LEMONCROFT_MANAGEMENT_CALL_H_
--- a/src/management/listener.cpp
+++ b/src/admin/listener.cpp
@@ -1,4 +1,4 @@
-#include "management/listener.h"
+#include "admin/listener.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 
 #include "runtime/lingering_close.h"
 
-namespace lemoncroft::management {
+namespace lemoncroft::admin {
 
 using runtime::Io;
 using runtime::Now;
@@ -87,4 +87,4 @@
   co_return co_await after(known, std::move(reply));
 }
 
-}  // namespace lemoncroft::management
+}  // namespace lemoncroft::admin
--- a/src/management/listener.h
+++ b/src/admin/listener.h
@@ -11,10 +11,10 @@
 #include <memory>
 #include <string>
 
-#include "management/call.h"
+#include "admin/call.h"
 #include "runtime/socket.h"
 
-namespace lemoncroft::management {
+namespace lemoncroft::admin {
 
 struct Reply {
   bool yes = false;
@@ -53,6 +53,6 @@
   std::list<CallerPtr> callers_;  // by age
 };
 
-}  // namespace lemoncroft::management
+}  // namespace lemoncroft::admin
 
 #endif  // LEMONCROFT_MANAGEMENT_LISTENER_H_
--- a/src/waiting/forecast.cpp
+++ b/src/admission_queue/forecast.cpp
@@ -1,9 +1,9 @@
-#include "waiting/forecast.h"
+#include "admission_queue/forecast.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 namespace {
 
@@ -93,4 +93,4 @@
   return times_[i - 1] + (times_[i] - times_[i - 1]) * (tag - levels_[i - 1]) / rise;
 }
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
--- a/src/waiting/forecast.h
+++ b/src/admission_queue/forecast.h
@@ -10,9 +10,9 @@
 
 #include <vector>
 
-#include "waiting/types.h"
+#include "admission_queue/types.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 struct Flow {          // of one team
   double cores = 0;    // its budget: its weight among those that wait
@@ -34,6 +34,6 @@
   std::vector<double> times_, levels_;
 };
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_FORECAST_H_
--- a/src/waiting/ledger.cpp
+++ b/src/admission_queue/ledger.cpp
@@ -1,9 +1,9 @@
-#include "waiting/ledger.h"
+#include "admission_queue/ledger.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 namespace {
 // A team whose short requests are handed over apart may be ahead by at least this: a heavy request of its
@@ -76,4 +76,4 @@
   if (least < HUGE_VAL) line_ = least;
 }
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
--- a/src/waiting/ledger.h
+++ b/src/admission_queue/ledger.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "waiting/types.h"
+#include "admission_queue/types.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 class Ledger {
  public:
@@ -54,6 +54,6 @@
   double line_ = 0;
 };
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_LEDGER_H_
--- a/src/waiting/line.cpp
+++ b/src/admission_queue/line.cpp
@@ -1,10 +1,10 @@
-#include "waiting/line.h"
+#include "admission_queue/line.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 using namespace std::chrono_literals;
 
@@ -618,4 +618,4 @@
   return bytes;
 }
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
--- a/src/waiting/line.h
+++ b/src/admission_queue/line.h
@@ -20,15 +20,15 @@
 #include <utility>
 #include <vector>
 
-#include "waiting/forecast.h"
-#include "waiting/ledger.h"
-#include "waiting/pace.h"
-#include "waiting/running.h"
-#include "waiting/types.h"
-#include "waiting/wheel.h"
-#include "waiting/work_index.h"
+#include "admission_queue/forecast.h"
+#include "admission_queue/ledger.h"
+#include "admission_queue/pace.h"
+#include "admission_queue/running.h"
+#include "admission_queue/types.h"
+#include "admission_queue/wheel.h"
+#include "admission_queue/work_index.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 class Line {
  public:
@@ -182,6 +182,6 @@
   bool begun_ = false;
 };
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_LINE_H_
--- a/src/waiting/pace.cpp
+++ b/src/admission_queue/pace.cpp
@@ -1,9 +1,9 @@
-#include "waiting/pace.h"
+#include "admission_queue/pace.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 namespace {
 
@@ -73,4 +73,4 @@
   return std::max(Span::zero(), Scaled(told, std::exp(-kSpreadsLeast * spread_)) - kSlack);
 }
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
--- a/src/waiting/pace.h
+++ b/src/admission_queue/pace.h
@@ -2,9 +2,9 @@
 #ifndef LEMONCROFT_WAITING_PACE_H_
 #define LEMONCROFT_WAITING_PACE_H_
 
-#include "waiting/types.h"
+#include "admission_queue/types.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 // A rate over the last seconds, of amounts that come in lumps: exponentially weighted, by windows of time.
 class Rate {
@@ -53,6 +53,6 @@
   int learned_ = 0;
 };
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_PACE_H_
--- a/src/waiting/running.cpp
+++ b/src/admission_queue/running.cpp
@@ -1,8 +1,8 @@
-#include "waiting/running.h"
+#include "admission_queue/running.h"
 
 #include <algorithm>
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 namespace {
 constexpr double kOverrun = 1.5;       // times its estimate: expected to run on
@@ -67,4 +67,4 @@
   return FromSeconds(Seconds(now - a.since) * a.start.threads / stretch(a.start.priority));
 }
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
--- a/src/waiting/running.h
+++ b/src/admission_queue/running.h
@@ -13,10 +13,10 @@
 #include <utility>
 #include <vector>
 
-#include "waiting/ledger.h"
-#include "waiting/types.h"
+#include "admission_queue/ledger.h"
+#include "admission_queue/types.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 class Running {
  public:
@@ -78,6 +78,6 @@
   std::array<Speed, 4> speeds_;  // by priority
 };
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_RUNNING_H_
--- a/src/waiting/types.h
+++ b/src/admission_queue/types.h
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
@@ -95,6 +95,6 @@
 };
 using Decision = std::variant<Hand, Refuse, Tell, Say>;
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_TYPES_H_
--- a/src/waiting/wheel.h
+++ b/src/admission_queue/wheel.h
@@ -8,9 +8,9 @@
 #include <algorithm>
 #include <vector>
 
-#include "waiting/types.h"
+#include "admission_queue/types.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 class Wheel {
  public:
@@ -53,6 +53,6 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_WHEEL_H_
--- a/src/waiting/work_index.cpp
+++ b/src/admission_queue/work_index.cpp
@@ -1,9 +1,9 @@
-#include "waiting/work_index.h"
+#include "admission_queue/work_index.h"
 
 #include <algorithm>
 #include <cassert>
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 namespace {
 constexpr std::size_t kLeastPlaces = 16;
@@ -77,4 +77,4 @@
   return sum;
 }
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
--- a/src/waiting/work_index.h
+++ b/src/admission_queue/work_index.h
@@ -9,9 +9,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "waiting/types.h"
+#include "admission_queue/types.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 
 class WorkIndex {
  public:
@@ -51,6 +51,6 @@
   Work total_{};
 };
 
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_WAITING_WORK_INDEX_H_
--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -10,7 +10,7 @@
 #include "broker/authority.h"
 #include "broker/request.h"
 #include "lemoncroft/gateway.h"
-#include "telemetry/counters.h"
+#include "metrics/counters.h"
 
 namespace lemoncroft::backend {
 
@@ -43,8 +43,8 @@
 
 class Engines {
  public:
-  Engines(runtime::Loop& loop, const membership::Directory& directory, Pool::Limits limits,
-          runtime::Span connect_timeout, telemetry::Counters& counters)
+  Engines(runtime::Loop& loop, const discovery::Directory& directory, Pool::Limits limits,
+          runtime::Span connect_timeout, metrics::Counters& counters)
       : loop_(loop),
         directory_(directory),
         counters_(counters),
@@ -84,8 +84,8 @@
   runtime::Task<> Withdraw(Query& query);
 
   runtime::Loop& loop_;
-  const membership::Directory& directory_;
-  telemetry::Counters& counters_;
+  const discovery::Directory& directory_;
+  metrics::Counters& counters_;
   Pool pool_;
   runtime::Span connect_timeout_;
   broker::Authority* authority_ = nullptr;
--- a/src/backend/pool.cpp
+++ b/src/backend/pool.cpp
@@ -27,7 +27,7 @@
   connection_.reset();
 }
 
-void Pool::Fill(Lease& lease, const membership::Member& member, std::unique_ptr<http::Connection> connection,
+void Pool::Fill(Lease& lease, const discovery::Member& member, std::unique_ptr<http::Connection> connection,
                 bool reused) {
   lease.Return();
   lease.pool_ = this;
@@ -38,7 +38,7 @@
 }
 
 void Pool::Return(Lease& lease) {
-  const membership::Member* member = directory_.Find(lease.engine_);
+  const discovery::Member* member = directory_.Find(lease.engine_);
   if (member != nullptr && member->life == lease.life_ && lease.connection_->Reusable()) {
     idle_[lease.engine_].push_back({std::move(lease.connection_), runtime::Now()});
   } else {
@@ -64,7 +64,7 @@
 
 runtime::Task<Io> Pool::Acquire(EngineId engine, runtime::Time deadline, runtime::Cancellation* cancel,
                                 Lease& out, Want want) {
-  const membership::Member* member = directory_.Find(engine);
+  const discovery::Member* member = directory_.Find(engine);
   if (member == nullptr) co_return Io::kClosed;
   if (want == Want::kAny) {
     if (auto connection = TakeIdle(engine)) {
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 Broker::Broker(runtime::Loop& loop, const settings::InForce& site, std::uint64_t seed,
-               backend::Engines& engines, telemetry::Counters& counters, Limits limits)
+               backend::Engines& engines, metrics::Counters& counters, Limits limits)
     : loop_(loop),
       site_(site),
       engines_(engines),
@@ -38,9 +38,10 @@
       limits_(limits),
       host_(loop, site->module, seed, [this](const Action& action) { CarryOut(action); }) {}
 
-void Broker::PutLineAhead(waiting::Settings settings) {
-  line_ = std::make_unique<LineHost>(loop_, std::move(settings), site_->module.kinds,
-                                     [this](const waiting::Decision& decision) { CarryOut(decision); });
+void Broker::PutLineAhead(admission_queue::Settings settings) {
+  line_ =
+      std::make_unique<LineHost>(loop_, std::move(settings), site_->module.kinds,
+                                 [this](const admission_queue::Decision& decision) { CarryOut(decision); });
 }
 
 void Broker::Start() {
@@ -75,7 +76,7 @@
 }
 
 void Broker::Finish(const std::string& lane, AnswerSink& sink, const Answer& answer) {
-  using telemetry::End;
+  using metrics::End;
   counters_.Ended(lane, answer.verdict == Verdict::kServed    ? End::kOk
                         : answer.verdict == Verdict::kRefused ? End::kShed
                                                               : End::kError);
@@ -159,7 +160,7 @@
                          Finish(lane, *life->sink, {Verdict::kRefused, Advice(*life, refuse), {}});
                          return true;
                        },
-                       [&](const waiting::Hand&) {
+                       [&](const admission_queue::Hand&) {
                          host_.Post(Described(*life));
                          return false;
                        },
@@ -184,7 +185,7 @@
                          return served;
                        },
                        [&](const Abandoned&) {
-                         counters_.Ended(lane, telemetry::End::kWithdrawn);
+                         counters_.Ended(lane, metrics::End::kWithdrawn);
                          host_.Post(ClientGone{life->id});
                          return true;
                        },
@@ -358,14 +359,14 @@
              action);
 }
 
-void Broker::CarryOut(const waiting::Decision& decision) {
+void Broker::CarryOut(const admission_queue::Decision& decision) {
   std::visit(Overloaded{
-                 [&](const waiting::Hand& hand) { Deliver(hand.id, hand); },
-                 [&](const waiting::Refuse& refuse) { Deliver(refuse.id, TurnedAway{refuse.later}); },
-                 [&](const waiting::Tell& tell) {
+                 [&](const admission_queue::Hand& hand) { Deliver(hand.id, hand); },
+                 [&](const admission_queue::Refuse& refuse) { Deliver(refuse.id, TurnedAway{refuse.later}); },
+                 [&](const admission_queue::Tell& tell) {
                    Deliver(tell.id, Foretold{tell.estimate.wait, tell.estimate.most});
                  },
-                 [](const waiting::Say&) {},  // the host's own
+                 [](const admission_queue::Say&) {},  // the host's own
              },
              decision);
 }
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -19,10 +19,10 @@
 #include "broker/module_host.h"
 #include "broker/request.h"
 #include "lemoncroft/gateway.h"
+#include "metrics/counters.h"
 #include "runtime/loop.h"
 #include "settings/settings.h"
 #include "settings/succession.h"
-#include "telemetry/counters.h"
 
 namespace lemoncroft::broker {
 
@@ -34,11 +34,11 @@
   };
 
   Broker(runtime::Loop& loop, const settings::InForce& site, std::uint64_t seed, backend::Engines& engines,
-         telemetry::Counters& counters, Limits limits);
+         metrics::Counters& counters, Limits limits);
 
   // Puts a waiting line ahead of the module; before Start. Without one, requests go to the module as they
   // come.
-  void PutLineAhead(waiting::Settings settings);
+  void PutLineAhead(admission_queue::Settings settings);
   LineHost* line() { return line_.get(); }  // null without one
   // What allows acts under the rules; before Start. Null: all are allowed.
   void set_authority(Authority* authority) {
@@ -75,8 +75,8 @@
   struct TurnedAway {  // by the waiting line
     runtime::Span later{};
   };
-  using News = std::variant<Terms, Send, Cancel, Refuse, Fail, Ended, Abandoned, Overdue, waiting::Hand,
-                            TurnedAway, Foretold>;
+  using News = std::variant<Terms, Send, Cancel, Refuse, Fail, Ended, Abandoned, Overdue,
+                            admission_queue::Hand, TurnedAway, Foretold>;
 
   struct Running {
     EngineId engine = 0;
@@ -113,14 +113,14 @@
   runtime::Task<> RunProbe(EngineId engine);
 
   void CarryOut(const Action& action);
-  void CarryOut(const waiting::Decision& decision);
+  void CarryOut(const admission_queue::Decision& decision);
   void Deliver(RequestId id, News news);
   Event Described(const Life& life) const;
 
   runtime::Loop& loop_;
   const settings::InForce& site_;
   backend::Engines& engines_;
-  telemetry::Counters& counters_;
+  metrics::Counters& counters_;
   Limits limits_;
   ModuleHost host_;
   std::unique_ptr<LineHost> line_;
--- a/src/broker/line_host.cpp
+++ b/src/broker/line_host.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-void Tell(const waiting::Refuse& refuse) {
-  spdlog::debug("waiting: request number {} turned away: {}", refuse.id, waiting::Text(refuse.why));
+void Tell(const admission_queue::Refuse& refuse) {
+  spdlog::debug("waiting: request number {} turned away: {}", refuse.id, admission_queue::Text(refuse.why));
 }
 
 }  // namespace
 
 runtime::Task<> LineHost::Run() {
-  std::vector<waiting::Decision> decisions;
+  std::vector<admission_queue::Decision> decisions;
   for (;;) {
     while (line_.Due() > Now()) co_await runtime::Waiter(loop_, &work_, line_.Due());
     decisions.clear();
     line_.Step(Now(), decisions);
-    for (const waiting::Decision& decision : decisions) {
-      if (const auto* say = std::get_if<waiting::Say>(&decision))
+    for (const admission_queue::Decision& decision : decisions) {
+      if (const auto* say = std::get_if<admission_queue::Say>(&decision))
         spdlog::info("waiting: {}", say->text);
       else
         carry_out_(decision);
-      if (const auto* refuse = std::get_if<waiting::Refuse>(&decision)) Tell(*refuse);
+      if (const auto* refuse = std::get_if<admission_queue::Refuse>(&decision)) Tell(*refuse);
     }
     co_await loop_.NextTurn();  // whatever the line asks for, others have their turn
   }
@@ -48,7 +48,7 @@
   work_.Open();
 }
 
-void LineHost::Configure(waiting::Settings settings) {
+void LineHost::Configure(admission_queue::Settings settings) {
   settings_ = std::move(settings);
   if (proxies_) settings_.part = 1.0 / std::max(1, *proxies_);
   line_.Configure(settings_, Now());
@@ -60,9 +60,9 @@
   Configure(settings_);
 }
 
-waiting::Line::Taken LineHost::Take(const waiting::Ticket& ticket) {
+admission_queue::Line::Taken LineHost::Take(const admission_queue::Ticket& ticket) {
   work_.Open();
-  const waiting::Line::Taken taken = line_.Take(ticket, Now());
+  const admission_queue::Line::Taken taken = line_.Take(ticket, Now());
   if (taken.refused) Tell(*taken.refused);
   return taken;
 }
@@ -72,7 +72,7 @@
   work_.Open();
 }
 
-void LineHost::Ended(RequestId id, int attempt, waiting::Work told, bool ran) {
+void LineHost::Ended(RequestId id, int attempt, admission_queue::Work told, bool ran) {
   line_.Ended(id, attempt, told, ran, Now());
   work_.Open();
 }
@@ -82,7 +82,7 @@
   work_.Open();
 }
 
-runtime::Span LineHost::ComeBack(waiting::Team team, waiting::Klass klass) {
+runtime::Span LineHost::ComeBack(admission_queue::Team team, admission_queue::Klass klass) {
   return line_.ComeBack(team, klass, Now());
 }
 
--- a/src/broker/line_host.h
+++ b/src/broker/line_host.h
@@ -9,17 +9,17 @@
 #include <utility>
 #include <vector>
 
+#include "admission_queue/line.h"
 #include "lemoncroft/gateway.h"
 #include "runtime/loop.h"
-#include "waiting/line.h"
 
 namespace lemoncroft::broker {
 
 class LineHost {
  public:
   // `carry_out` is handed every decision but log lines, in order.
-  LineHost(runtime::Loop& loop, waiting::Settings settings, std::vector<KindSettings> kinds,
-           std::function<void(const waiting::Decision&)> carry_out)
+  LineHost(runtime::Loop& loop, admission_queue::Settings settings, std::vector<KindSettings> kinds,
+           std::function<void(const admission_queue::Decision&)> carry_out)
       : loop_(loop),
         settings_(settings),
         line_(std::move(settings)),
@@ -29,26 +29,26 @@
   runtime::Task<> Run();
   void TellList(const EngineList& list);
   void set_kinds(std::vector<KindSettings> kinds) { kinds_ = std::move(kinds); }
-  void Configure(waiting::Settings settings);
+  void Configure(admission_queue::Settings settings);
   // So many proxies share the fleet's budgets; before, what the settings told.
   void Divide(int proxies);
 
-  waiting::Line::Taken Take(const waiting::Ticket& ticket);
+  admission_queue::Line::Taken Take(const admission_queue::Ticket& ticket);
   void Sent(RequestId id, int attempt, int priority);
-  void Ended(RequestId id, int attempt, waiting::Work told, bool ran);
+  void Ended(RequestId id, int attempt, admission_queue::Work told, bool ran);
   void Done(RequestId id);
-  runtime::Span ComeBack(waiting::Team team, waiting::Klass klass);
-  waiting::Line::State Describe() { return line_.Describe(runtime::Now()); }
+  runtime::Span ComeBack(admission_queue::Team team, admission_queue::Klass klass);
+  admission_queue::Line::State Describe() { return line_.Describe(runtime::Now()); }
 
  private:
   double Cores() const;
 
   runtime::Loop& loop_;
-  waiting::Settings settings_;
+  admission_queue::Settings settings_;
   std::optional<int> proxies_;
-  waiting::Line line_;
+  admission_queue::Line line_;
   std::vector<KindSettings> kinds_;
-  std::function<void(const waiting::Decision&)> carry_out_;
+  std::function<void(const admission_queue::Decision&)> carry_out_;
   std::map<EngineId, double> ready_;  // cores of the engines that may be sent to
   runtime::Gate work_;
 };
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 using namespace std::chrono_literals;
+using gossip::Change;
+using gossip::Member;
+using gossip::Status;
 using nlohmann::ordered_json;
-using peers::Change;
-using peers::Member;
-using peers::Status;
 
 constexpr auto kStateBeat = 200ms;                        // of a file whose view has changed
 constexpr int kStateEvery = 5;                            // beats, where it has not
@@ -32,12 +32,12 @@
   return kNames[static_cast<std::size_t>(status)];
 }
 
-const char* NameOf(peers::Phase phase) {
+const char* NameOf(gossip::Phase phase) {
   constexpr const char* kNames[] = {"starting", "serving", "ending"};
   return kNames[static_cast<std::size_t>(phase)];
 }
 
-std::string Hex(peers::InstanceId id) { return fmt::format("{:016x}", id); }
+std::string Hex(gossip::InstanceId id) { return fmt::format("{:016x}", id); }
 
 // As the rig's history and a reader of several logs want it: one clock for all processes of a machine.
 std::int64_t MonotonicUs() {
@@ -58,7 +58,7 @@
   }
 }
 
-peerlink::Terms TermsOf(const op::FleetSettings& settings, const std::string& name) {
+peer_transport::Terms TermsOf(const operator_config::FleetSettings& settings, const std::string& name) {
   return {settings.name, name, settings.zone, settings.listen, settings.advertise, settings.view};
 }
 
@@ -92,37 +92,37 @@
 
 }  // namespace
 
-Fleet::Fleet(runtime::Loop& loop, const op::FleetSettings& settings, const std::string& name,
-             std::uint64_t seed, std::function<void(const peers::Standing&)> standing)
+Fleet::Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
+             std::uint64_t seed, std::function<void(const gossip::Standing&)> standing)
     : loop_(loop),
       settings_(settings),
       standing_(std::move(standing)),
-      link_(loop, TermsOf(settings, name), seed, [this](const peers::Event& event) { Heard(event); }) {}
+      link_(loop, TermsOf(settings, name), seed, [this](const gossip::Event& event) { Heard(event); }) {}
 
 void Fleet::Start() {
   link_.Start();
-  spdlog::info("fleet {}: listens on {}, id {}", settings_.name, peerlink::Text(link_.address()),
+  spdlog::info("fleet {}: listens on {}, id {}", settings_.name, peer_transport::Text(link_.address()),
                Hex(link_.view().roster().self()));
   loop_.Spawn(WriteState());
 }
 
 void Fleet::SetPhase(Operations::Phase phase) {
-  link_.SetPhase(phase == Operations::Phase::kServing  ? peers::Phase::kServing
-                 : phase == Operations::Phase::kEnding ? peers::Phase::kEnding
-                                                       : peers::Phase::kStarting);
+  link_.SetPhase(phase == Operations::Phase::kServing  ? gossip::Phase::kServing
+                 : phase == Operations::Phase::kEnding ? gossip::Phase::kEnding
+                                                       : gossip::Phase::kStarting);
   TellStanding();
 }
 
 void Fleet::TellStanding() {
   changed_ = true;
-  const peers::Standing now = link_.view().standing();
+  const gossip::Standing now = link_.view().standing();
   if (now == told_ || now.place < 0) return;
   told_ = now;
   standing_(now);
 }
 
-void Fleet::Heard(const peers::Event& event) {
-  const peers::Record& r = event.record;
+void Fleet::Heard(const gossip::Event& event) {
+  const gossip::Record& r = event.record;
   TellStanding();
   // Who may have been invented must not fill the log.
   const Member* about = link_.view().roster().Find(r.id);
@@ -137,16 +137,16 @@
   spdlog::log(
       LevelOf(event.change),
       "peers event={} name={} id={} generation={} incarnation={} phase={} address={} by={} mono_us={}",
-      peers::NameOf(event.change), r.name, Hex(r.id), r.generation, r.incarnation, NameOf(r.phase),
-      peerlink::Text(r.address), by == nullptr ? "-" : by->record.name, MonotonicUs());
+      gossip::NameOf(event.change), r.name, Hex(r.id), r.generation, r.incarnation, NameOf(r.phase),
+      peer_transport::Text(r.address), by == nullptr ? "-" : by->record.name, MonotonicUs());
   if (event.change == Change::kContested)
     spdlog::error("fleet: another process serves as {} too, at {}: one of the two has a wrong name", r.name,
-                  peerlink::Text(r.address));
+                  peer_transport::Text(r.address));
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> Fleet::Figures() const {
-  const peers::View& view = link_.view();
-  const peerlink::Figures& f = link_.figures();
+  const gossip::View& view = link_.view();
+  const peer_transport::Figures& f = link_.figures();
   std::uint64_t suspected = 0, faults = 0;
   for (const auto& [id, member] : view.roster().all()) suspected += member.status == Status::kSuspect;
   for (const std::uint64_t count : f.faults) faults += count;
@@ -169,8 +169,8 @@
 }
 
 std::string Fleet::StateText() const {
-  const peers::View& view = link_.view();
-  const peers::Roster& roster = view.roster();
+  const gossip::View& view = link_.view();
+  const gossip::Roster& roster = view.roster();
   const runtime::Time now = runtime::Now();
   const auto seconds = [now](runtime::Time since) {
     return std::chrono::duration<double>(now - since).count();
@@ -185,7 +185,7 @@
     return std::tie(a->record.name, a->record.generation, a->record.id) <
            std::tie(b->record.name, b->record.generation, b->record.id);
   });
-  const peers::Standing standing = view.standing();
+  const gossip::Standing standing = view.standing();
   ordered_json out = {{"proxy", roster.own().record.name},
                       {"fleet", settings_.name},
                       {"at_unix_ms", UnixMs()},
@@ -203,16 +203,16 @@
                       {"contested", view.contested()},
                       {"members", ordered_json::array()}};
   for (const Member* m : members) {
-    const peers::Record& r = m->record;
+    const gossip::Record& r = m->record;
     ordered_json by = ordered_json::array();
     if (m->status == Status::kSuspect) {
-      for (const peers::InstanceId id : m->accusers) {
+      for (const gossip::InstanceId id : m->accusers) {
         const Member* accuser = roster.Find(id);
         by.push_back(accuser == nullptr ? Hex(id) : accuser->record.name);
       }
     }
     ordered_json attributes = ordered_json::object();
-    for (const peers::Attribute& a : r.attributes) attributes[a.key] = a.value;
+    for (const gossip::Attribute& a : r.attributes) attributes[a.key] = a.value;
     const bool self = r.id == roster.self();
     out["members"].push_back({{"name", r.name},
                               {"id", Hex(r.id)},
@@ -222,7 +222,7 @@
                               {"generation", r.generation},
                               {"incarnation", r.incarnation},
                               {"zone", r.zone},
-                              {"address", peerlink::Text(r.address)},
+                              {"address", peer_transport::Text(r.address)},
                               {"proof_s", self       ? ordered_json(0.0)
                                           : m->proof ? ordered_json(seconds(*m->proof))
                                                      : ordered_json()},
--- a/src/cli/fleet.h
+++ b/src/cli/fleet.h
@@ -10,37 +10,37 @@
 #include <vector>
 
 #include "cli/operations.h"
-#include "limits/token_bucket.h"
-#include "operator/operator_file.h"
-#include "peerlink/link.h"
+#include "decision/limits/token_bucket.h"
+#include "operator_config/operator_file.h"
+#include "peer_transport/link.h"
 
 namespace lemoncroft::cli {
 
 class Fleet {
  public:
   // `standing`: called at each change of how many proxies serve and of this one's place among them.
-  Fleet(runtime::Loop& loop, const op::FleetSettings& settings, const std::string& name, std::uint64_t seed,
-        std::function<void(const peers::Standing&)> standing);
+  Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
+        std::uint64_t seed, std::function<void(const gossip::Standing&)> standing);
 
   void Start();
   void SetPhase(Operations::Phase phase);
   runtime::Task<> Leave() { return link_.Leave(); }
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
-  const op::FleetSettings& settings() const { return settings_; }
-  peerlink::Link& link() { return link_; }
-  const peers::View& view() const { return link_.view(); }
+  const operator_config::FleetSettings& settings() const { return settings_; }
+  peer_transport::Link& link() { return link_; }
+  const gossip::View& view() const { return link_.view(); }
 
  private:
-  void Heard(const peers::Event& event);
+  void Heard(const gossip::Event& event);
   void TellStanding();
   std::string StateText() const;
   runtime::Task<> WriteState();
 
   runtime::Loop& loop_;
-  op::FleetSettings settings_;
-  std::function<void(const peers::Standing&)> standing_;
-  peers::Standing told_;
-  peerlink::Link link_;
+  operator_config::FleetSettings settings_;
+  std::function<void(const gossip::Standing&)> standing_;
+  gossip::Standing told_;
+  peer_transport::Link link_;
   bool changed_ = true;          // since the file was written
   limits::TokenBucket hearsay_;  // log lines of members that gave no proof of life
   std::uint64_t unlogged_ = 0;
--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -4,10 +4,10 @@
 
 namespace lemoncroft::cli {
 
-using management::Call;
-using management::Reply;
-using management::Verb;
-using membership::Directory;
+using admin::Call;
+using admin::Reply;
+using admin::Verb;
+using discovery::Directory;
 using namespace std::chrono_literals;
 
 namespace {
@@ -53,8 +53,8 @@
 }
 
 void Operations::ShareMarks(const std::string& tmpdir, std::chrono::nanoseconds warm) {
-  marks_ = std::make_unique<handover::HandMarks>(tmpdir);
-  const auto age = std::chrono::duration_cast<handover::UnixTime::duration>(warm);
+  marks_ = std::make_unique<hot_restart::HandMarks>(tmpdir);
+  const auto age = std::chrono::duration_cast<hot_restart::UnixTime::duration>(warm);
   marks_->Sweep(std::chrono::system_clock::now() - age);
   TakeOver();
 }
--- a/src/cli/operations.h
+++ b/src/cli/operations.h
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
+#include "admin/listener.h"
 #include "broker/broker.h"
-#include "handover/hand_marks.h"
-#include "management/listener.h"
-#include "membership/directory.h"
-#include "telemetry/counters.h"
+#include "discovery/directory.h"
+#include "hot_restart/hand_marks.h"
+#include "metrics/counters.h"
 
 namespace lemoncroft::cli {
 
@@ -21,11 +21,11 @@
  public:
   enum class Phase { kStarting, kServing, kEnding };
 
-  Operations(runtime::Loop& loop, membership::Directory& directory, broker::Broker& broker,
-             const telemetry::Counters& counters, membership::Directory::Tell tell)
+  Operations(runtime::Loop& loop, discovery::Directory& directory, broker::Broker& broker,
+             const metrics::Counters& counters, discovery::Directory::Tell tell)
       : loop_(loop), directory_(directory), broker_(broker), counters_(counters), tell_(std::move(tell)) {}
 
-  management::Reply Answer(const management::Call& call);
+  admin::Reply Answer(const admin::Call& call);
   void set_phase(Phase phase) {
     phase_ = phase;
     if (on_phase) on_phase(phase);
@@ -49,16 +49,16 @@
   runtime::Task<> FollowMarks();
 
  private:
-  management::Reply ByHand(const management::Call& call);
+  admin::Reply ByHand(const admin::Call& call);
   void TakeOver();
 
   runtime::Loop& loop_;
-  membership::Directory& directory_;
+  discovery::Directory& directory_;
   broker::Broker& broker_;
-  const telemetry::Counters& counters_;
-  membership::Directory::Tell tell_;
-  std::unique_ptr<handover::HandMarks> marks_;  // null: not shared
-  std::set<std::string> unkept_;                // out by hand, but without a mark
+  const metrics::Counters& counters_;
+  discovery::Directory::Tell tell_;
+  std::unique_ptr<hot_restart::HandMarks> marks_;  // null: not shared
+  std::set<std::string> unkept_;                   // out by hand, but without a mark
   std::function<std::vector<std::pair<std::string, std::uint64_t>>()> more_;
   bool agreed_ = false;
   Phase phase_ = Phase::kStarting;
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -12,6 +12,7 @@
 #include <system_error>
 #include <utility>
 
+#include "admin/listener.h"
 #include "backend/engines.h"
 #include "broker/broker.h"
 #include "cli/fleet.h"
@@ -19,12 +20,11 @@
 #include "cli/rules.h"
 #include "cli/state.h"
 #include "cli/state_writer.h"
+#include "discovery/directory.h"
+#include "discovery/feed.h"
 #include "frontend/frame_server.h"
-#include "handover/census.h"
-#include "management/listener.h"
-#include "membership/directory.h"
-#include "membership/feed.h"
-#include "operator/operator_file.h"
+#include "hot_restart/census.h"
+#include "operator_config/operator_file.h"
 
 namespace lemoncroft::cli {
 namespace {
@@ -59,15 +59,15 @@
 }
 
 // What this proxy may hold, however many processes it is.
-handover::Whole WholeOf(const Config& config) {
+hot_restart::Whole WholeOf(const Config& config) {
   const std::size_t sockets = config.sockets > 0 ? config.sockets : kSocketsUntold;
-  const std::size_t operators = config.management ? management::Listener::kCallersMost + 1 : 0;
+  const std::size_t operators = config.management ? admin::Listener::kCallersMost + 1 : 0;
   return {sockets, sockets * 2 / 5, kOwnDescriptors + operators};  // clients hold a third; some reconnect
 }
 
 backend::Pool::Limits PoolLimits(const Config& config) {
   backend::Pool::Limits limits;
-  limits.connections = handover::Divide(WholeOf(config), {}, {}).engines;
+  limits.connections = hot_restart::Divide(WholeOf(config), {}, {}).engines;
   limits.idle = IdleFor(config.site);
   return limits;
 }
@@ -94,8 +94,9 @@
   return limits;
 }
 
-op::OperatorFile ReadOperator(const Paths& paths, const settings::Site& site) {
-  return paths.operator_file.empty() ? op::OperatorFile() : op::LoadOperatorFile(paths.operator_file, site);
+operator_config::OperatorFile ReadOperator(const Paths& paths, const settings::Site& site) {
+  return paths.operator_file.empty() ? operator_config::OperatorFile()
+                                     : operator_config::LoadOperatorFile(paths.operator_file, site);
 }
 
 sigset_t HandledSignals() {
@@ -135,15 +136,15 @@
   frontend::FrameServer& server;
   broker::Broker& broker;
   backend::Engines& engines;
-  membership::Directory& directory;
-  membership::Feed& feed;
-  telemetry::Counters& counters;
-  membership::Directory::Tell tell;
-  std::size_t most;                           // requests open, where the settings name no number
-  std::string state;                          // file; empty: none
-  const op::FleetSettings* fleet = nullptr;   // null: off
-  std::optional<waiting::Settings> own_line;  // as the operator's file has it; none: no waiting line
-  Rules* rules = nullptr;                     // null: off
+  discovery::Directory& directory;
+  discovery::Feed& feed;
+  metrics::Counters& counters;
+  discovery::Directory::Tell tell;
+  std::size_t most;                                       // requests open, where the settings name no number
+  std::string state;                                      // file; empty: none
+  const operator_config::FleetSettings* fleet = nullptr;  // null: off
+  std::optional<admission_queue::Settings> own_line;  // as the operator's file has it; none: no waiting line
+  Rules* rules = nullptr;                             // null: off
   bool tidying = false;
 };
 
@@ -160,13 +161,13 @@
 
 // Settings of this proxy's own, as the rules that the fleet agrees on change them.
 settings::Site UnderRules(const Running& running, const settings::Site& own) {
-  return running.rules == nullptr ? own : rules::Applied(running.rules->document(), own);
+  return running.rules == nullptr ? own : replicated_config::Applied(running.rules->document(), own);
 }
 
-void PutLineInForce(Running& running, const rules::Document* document) {
+void PutLineInForce(Running& running, const replicated_config::Document* document) {
   if (!running.own_line) return;
-  running.broker.line()->Configure(document == nullptr ? *running.own_line
-                                                       : rules::Applied(*document, *running.own_line));
+  running.broker.line()->Configure(
+      document == nullptr ? *running.own_line : replicated_config::Applied(*document, *running.own_line));
 }
 
 // A process is started with these for good.
@@ -194,7 +195,7 @@
     }
     settings::Succession succession =
         Succeed(*running.site, UnderRules(running, config.site), running.broker.used());
-    op::OperatorFile file = ReadOperator(paths, succession.site);
+    operator_config::OperatorFile file = ReadOperator(paths, succession.site);
     if (file.waiting.has_value() != (running.broker.line() != nullptr))
       throw ConfigError(paths.operator_file + ": waiting is switched on and off by a restart only");
     if (file.fleet.has_value() != (running.fleet != nullptr))
@@ -291,18 +292,18 @@
 }
 
 // Keeps to this process's share of the limits while there are others, and tells them what it holds.
-Task<> ShareLimits(runtime::Loop& loop, const handover::Census& census, const Operations& operations,
+Task<> ShareLimits(runtime::Loop& loop, const hot_restart::Census& census, const Operations& operations,
                    Running& running) {
-  const handover::Whole whole = WholeOf(running.config);
+  const hot_restart::Whole whole = WholeOf(running.config);
   std::size_t before = 0;
   int parts = 0;  // not told yet
   for (;; co_await loop.Sleep(kCensusBeat)) {
-    const handover::Holding own{static_cast<std::uint32_t>(running.server.connections()),
-                                static_cast<std::uint32_t>(running.engines.pool().open()),
-                                operations.phase() == Operations::Phase::kServing};
+    const hot_restart::Holding own{static_cast<std::uint32_t>(running.server.connections()),
+                                   static_cast<std::uint32_t>(running.engines.pool().open()),
+                                   operations.phase() == Operations::Phase::kServing};
     census.Tell(own);
-    const handover::Others others = census.Look();
-    const handover::Share share = Divide(whole, own, others);
+    const hot_restart::Others others = census.Look();
+    const hot_restart::Share share = Divide(whole, own, others);
     running.server.set_connections(share.clients);
     running.engines.pool().set_connections(share.engines);
     if (const int now = Parts(own, others); std::exchange(parts, now) != now) running.broker.TellBeside(now);
@@ -315,7 +316,7 @@
 
 // In place of another process: clients are let in once this one can serve as well as that one did. What the
 // configuration knows may be old, so the control feed is heard first, if it answers.
-Task<> StartInPlace(runtime::Loop& loop, const membership::Directory& directory, const membership::Feed& feed,
+Task<> StartInPlace(runtime::Loop& loop, const discovery::Directory& directory, const discovery::Feed& feed,
                     frontend::FrameServer& server, Operations& operations) {
   const Time until = Now() + kFeedFirst;
   const auto waits = [&] {
@@ -351,15 +352,15 @@
   runtime::Loop loop;
   Signals signals(loop);
   settings::InForce site(config.site);
-  membership::Directory directory(site);
+  discovery::Directory directory(site);
   // Another process may live beside this one at any time, and bytes can't be handed back at once.
   const std::size_t memory_mb = shared ? config.memory_mb / 2 : config.memory_mb;
-  telemetry::Counters counters;
+  metrics::Counters counters;
   for (const std::string& klass : site->classes) counters.Know(klass);
   backend::Engines engines(loop, directory, PoolLimits(config), broker::ToSpan(site->module.connect_timeout),
                            counters);
   engines.set_report_fields(site->report_fields);
-  op::OperatorFile file = ReadOperator(paths, *site);
+  operator_config::OperatorFile file = ReadOperator(paths, *site);
   const std::size_t most = file.waiting ? file.waiting->line.waiting : broker::Broker::Limits().requests;
   broker::Broker broker(loop, site, config.seed, engines, counters, RequestLimits(config, memory_mb, most));
   if (file.waiting) broker.PutLineAhead(file.waiting->line);
@@ -375,8 +376,8 @@
   };
   Operations operations(loop, directory, broker, counters, tell);
   const char* tmpdir = std::getenv("TMPDIR");
-  std::unique_ptr<handover::Census> census;
-  if (shared && tmpdir != nullptr) census = std::make_unique<handover::Census>(tmpdir);
+  std::unique_ptr<hot_restart::Census> census;
+  if (shared && tmpdir != nullptr) census = std::make_unique<hot_restart::Census>(tmpdir);
   if (shared && (tmpdir == nullptr || !census->counted()))
     spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
   if (shared && tmpdir != nullptr && !file.rules)  // else the fleet's rules tell of engines out by hand
@@ -388,7 +389,7 @@
   if (file.fleet) {
     fleet = std::make_unique<Fleet>(
         loop, *file.fleet, config.name, config.seed,
-        [&](const peers::Standing& standing) { broker.TellSiblings(standing.serving, standing.place); });
+        [&](const gossip::Standing& standing) { broker.TellSiblings(standing.serving, standing.place); });
     operations.on_phase = [&](Operations::Phase phase) { fleet->SetPhase(phase); };
     operations.AddFigures([&] {
       auto figures = fleet->Figures();
@@ -401,7 +402,7 @@
   }
   if (!directory.Apply(std::exchange(config.known, {}), tell))
     spdlog::warn("the configuration knows no list of engines");
-  membership::Feed feed(loop, directory, config.feed, tell, config.seed);
+  discovery::Feed feed(loop, directory, config.feed, tell, config.seed);
   Running running{config, site,     server, broker, engines, directory,
                   feed,   counters, tell,   most,   "",      file.fleet ? &fleet->settings() : nullptr,
                   {},     nullptr};
@@ -412,15 +413,15 @@
     loop.Spawn(WriteState(loop, running));
   }
   if (file.rules) {
-    const auto put_in_force = [&](const rules::Document& document) {
-      PutInForce(running, Succeed(*running.site, rules::Applied(document, running.config.site),
+    const auto put_in_force = [&](const replicated_config::Document& document) {
+      PutInForce(running, Succeed(*running.site, replicated_config::Applied(document, running.config.site),
                                   running.broker.used()));
       PutLineInForce(running, &document);
       loop.Spawn(Tidy(loop, running));
     };
     rules = std::make_unique<Rules>(loop, *fleet, *file.rules, config.name, directory, tell,
                                     Rules::Own{[&]() -> const settings::Site& { return running.config.site; },
-                                               [&]() -> const waiting::Settings* {
+                                               [&]() -> const admission_queue::Settings* {
                                                  return running.own_line ? &*running.own_line : nullptr;
                                                },
                                                put_in_force});
@@ -441,12 +442,12 @@
     server.Start();
     operations.set_phase(Operations::Phase::kServing);
   }
-  std::unique_ptr<management::Listener> operators;
+  std::unique_ptr<admin::Listener> operators;
   if (config.management) {
-    operators = std::make_unique<management::Listener>(
-        loop, *config.management, [&](const management::Call& call) { return operations.Answer(call); });
+    operators = std::make_unique<admin::Listener>(
+        loop, *config.management, [&](const admin::Call& call) { return operations.Answer(call); });
     if (rules != nullptr)
-      operators->after = [&](management::Call call, management::Reply reply) {
+      operators->after = [&](admin::Call call, admin::Reply reply) {
         return rules->ByHand(std::move(call), std::move(reply));
       };
     loop.Spawn(operators->Run());
--- a/src/cli/proxy.h
+++ b/src/cli/proxy.h
@@ -18,7 +18,8 @@
 };
 
 // Returns the exit code; `paths` tells where `config` was read, and may be read again. Throws
-// std::system_error where it cannot listen, op::OperatorError for an operator's file that is wrong.
+// std::system_error where it cannot listen, operator_config::OperatorError for an operator's file that is
+// wrong.
 int RunProxy(Config config, const Paths& paths);
 
 }  // namespace lemoncroft::cli
--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -8,15 +8,15 @@
 #include <random>
 #include <sstream>
 
-#include "agreement/codec.h"
 #include "cli/config.h"
 #include "cli/state.h"
+#include "raft/codec.h"
 
 namespace lemoncroft::cli {
 
 using nlohmann::ordered_json;
-using rules::Document;
-using rules::Version;
+using replicated_config::Document;
+using replicated_config::Version;
 using runtime::Now;
 using runtime::Span;
 using runtime::Task;
@@ -47,36 +47,35 @@
 
 // ---- A voter's store: records "store", "founders", "promise", "snapshot", and the log ----
 
-std::string FoundersText(const rules::Founders& founders) {
+std::string FoundersText(const replicated_config::Founders& founders) {
   std::string out;
   for (const auto& [name, store] : founders) out += name + " " + std::to_string(store) + "\n";
   return out;
 }
 
-rules::Founders ReadFounders(const std::string& text) {
-  rules::Founders founders;
+replicated_config::Founders ReadFounders(const std::string& text) {
+  replicated_config::Founders founders;
   std::istringstream in(text);
   std::string name;
   for (std::uint64_t store = 0; in >> name >> store;) founders[name] = store;
   return founders;
 }
 
-storage::Batch BatchOf(const agreement::Store& store) {
+storage::Batch BatchOf(const raft::Store& store) {
   storage::Batch batch;
-  batch.records.emplace_back("promise", agreement::Encode(store.promise));
+  batch.records.emplace_back("promise", raft::Encode(store.promise));
   if (store.whole) {
-    batch.records.emplace_back("snapshot", agreement::Encode(store.snapshot));
+    batch.records.emplace_back("snapshot", raft::Encode(store.snapshot));
     batch.cut_before = store.snapshot.index;
   }
   batch.cut_behind = store.whole ? store.snapshot.index : store.keep_to;
-  for (const agreement::Entry& entry : store.entries)
-    batch.log.emplace_back(entry.index, agreement::Encode(entry));
+  for (const raft::Entry& entry : store.entries) batch.log.emplace_back(entry.index, raft::Encode(entry));
   return batch;
 }
 
 // Nothing where it holds what is none of ours.
-std::optional<rules::Stored> StoredOf(const storage::Contents& contents) {
-  rules::Stored out;
+std::optional<replicated_config::Stored> StoredOf(const storage::Contents& contents) {
+  replicated_config::Stored out;
   const auto record = [&](const char* name) -> std::string {
     const auto it = contents.records.find(name);
     return it == contents.records.end() ? std::string() : it->second;
@@ -85,18 +84,18 @@
   std::from_chars(store.data(), store.data() + store.size(), out.store);
   out.founders = ReadFounders(record("founders"));
   if (!promise.empty()) {
-    const auto read = agreement::DecodePromise(promise);
+    const auto read = raft::DecodePromise(promise);
     if (!read) return std::nullopt;
     out.durable.promise = *read;
   }
   if (!snapshot.empty()) {
-    auto read = agreement::DecodeSnapshot(snapshot);
+    auto read = raft::DecodeSnapshot(snapshot);
     if (!read) return std::nullopt;
     out.durable.snapshot = std::move(*read);
   }
   for (const auto& [number, bytes] : contents.log) {
-    auto entry = agreement::DecodeEntry(bytes);
-    const agreement::Index before =
+    auto entry = raft::DecodeEntry(bytes);
+    const raft::Index before =
         out.durable.log.empty() ? out.durable.snapshot.index : out.durable.log.back().index;
     if (!entry || entry->index != number || number != before + 1) return std::nullopt;
     out.durable.log.push_back(std::move(*entry));
@@ -104,9 +103,9 @@
   return out;
 }
 
-ordered_json Json(const rules::Outcome& outcome) {
+ordered_json Json(const replicated_config::Outcome& outcome) {
   return {{"id", outcome.id},
-          {"verdict", rules::NameOf(outcome.verdict)},
+          {"verdict", replicated_config::NameOf(outcome.verdict)},
           {"version", outcome.version},
           {"why", outcome.why}};
 }
@@ -119,46 +118,48 @@
 
 }  // namespace
 
-rules::KeeperTerms Rules::TermsOf(const op::RulesSettings& settings, const std::string& name) {
-  rules::KeeperTerms terms;
+replicated_config::KeeperTerms Rules::TermsOf(const operator_config::RulesSettings& settings,
+                                              const std::string& name) {
+  replicated_config::KeeperTerms terms;
   terms.self = name;
   terms.first = settings.voters;
   terms.lease.lease = settings.lease;
   terms.lease.beat = settings.beat;
-  terms.format = rules::kFormat;
+  terms.format = replicated_config::kFormat;
   return terms;
 }
 
-rules::Keeper::Checks Rules::ChecksOf() {
-  rules::Keeper::Checks checks;
-  checks.check = [](const rules::Written* from, const std::string& text) -> std::string {
-    const auto to = rules::ReadDocument(text);
+replicated_config::Keeper::Checks Rules::ChecksOf() {
+  replicated_config::Keeper::Checks checks;
+  checks.check = [](const replicated_config::Written* from, const std::string& text) -> std::string {
+    const auto to = replicated_config::ReadDocument(text);
     if (const auto* wrong = std::get_if<std::string>(&to)) return *wrong;
     if (from == nullptr) return {};
-    const auto before = rules::ReadDocument(from->text);
+    const auto before = replicated_config::ReadDocument(from->text);
     const auto* good = std::get_if<Document>(&before);
-    return good == nullptr ? std::string() : rules::CheckSuccessor(*good, std::get<Document>(to));
+    return good == nullptr ? std::string() : replicated_config::CheckSuccessor(*good, std::get<Document>(to));
   };
   checks.carry = [this](const std::string& text) -> std::string {
-    const auto to = rules::ReadDocument(text);
+    const auto to = replicated_config::ReadDocument(text);
     if (const auto* wrong = std::get_if<std::string>(&to)) return *wrong;
-    return rules::WhyNot(std::get<Document>(to), own_.site(), own_.line());
+    return replicated_config::WhyNot(std::get<Document>(to), own_.site(), own_.line());
   };
   checks.format = [](const std::string& text) -> std::uint64_t {
-    const auto document = rules::ReadDocument(text);
+    const auto document = replicated_config::ReadDocument(text);
     const auto* good = std::get_if<Document>(&document);
     return good == nullptr ? 0 : good->format;
   };
   checks.lasts = [](const std::string& text) -> Span {
-    const auto document = rules::ReadDocument(text);
+    const auto document = replicated_config::ReadDocument(text);
     const auto* good = std::get_if<Document>(&document);
     return good == nullptr ? Span() : good->cut_off.lasts;
   };
   return checks;
 }
 
-Rules::Rules(runtime::Loop& loop, Fleet& fleet, const op::RulesSettings& settings, const std::string& name,
-             membership::Directory& directory, membership::Directory::Tell tell, Own own)
+Rules::Rules(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
+             const std::string& name, discovery::Directory& directory, discovery::Directory::Tell tell,
+             Own own)
     : loop_(loop),
       fleet_(fleet),
       settings_(settings),
@@ -174,9 +175,9 @@
   if (!settings.store.empty())
     worker_ = std::make_unique<storage::Worker>(
         loop, storage::Database::Terms{settings.store, fleet.settings().name + "/" + name});
-  fleet_.link().on_parcel = [this](const peerlink::Parcel& parcel) {
-    if (parcel.part != peerlink::Part::kRules) return;
-    if (const auto note = rules::DecodeNote(parcel.bytes)) {
+  fleet_.link().on_parcel = [this](const peer_transport::Parcel& parcel) {
+    if (parcel.part != peer_transport::Part::kRules) return;
+    if (const auto note = replicated_config::DecodeNote(parcel.bytes)) {
       keeper_.Receive(Now(), parcel.from, *note);
       Pump();
     }
@@ -215,17 +216,17 @@
 
 void Rules::Pump() {
   for (auto outputs = keeper_.Take(); !outputs.empty(); outputs = keeper_.Take())
-    for (const rules::KeeperOutput& output : outputs) CarryOut(output);
+    for (const replicated_config::KeeperOutput& output : outputs) CarryOut(output);
   if (keeper_.due() < planned_) sooner_.Open();
 }
 
 // The process of that name that has the store, where two live.
-const peers::Member* Rules::Reach(const agreement::Name& name) const {
-  const peers::Member* best = nullptr;
-  const auto rank = [](const peers::Member& m) {
+const gossip::Member* Rules::Reach(const raft::Name& name) const {
+  const gossip::Member* best = nullptr;
+  const auto rank = [](const gossip::Member& m) {
     const bool store = std::any_of(m.record.attributes.begin(), m.record.attributes.end(),
-                                   [](const peers::Attribute& a) { return a.key == kVoterKey; });
-    const bool lives = m.status == peers::Status::kAlive || m.status == peers::Status::kSuspect;
+                                   [](const gossip::Attribute& a) { return a.key == kVoterKey; });
+    const bool lives = m.status == gossip::Status::kAlive || m.status == gossip::Status::kSuspect;
     return std::tuple(lives, store, m.record.generation);
   };
   for (const auto& [id, member] : fleet_.view().roster().all())
@@ -233,24 +234,27 @@
   return best;
 }
 
-void Rules::CarryOut(const rules::KeeperOutput& output) {
-  if (const auto* post = std::get_if<rules::Post>(&output)) {
-    const auto* name = std::get_if<agreement::Name>(&post->to);
-    const peers::Member* to =
-        name != nullptr ? Reach(*name) : fleet_.view().roster().Find(std::get<rules::Instance>(post->to));
+void Rules::CarryOut(const replicated_config::KeeperOutput& output) {
+  if (const auto* post = std::get_if<replicated_config::Post>(&output)) {
+    const auto* name = std::get_if<raft::Name>(&post->to);
+    const gossip::Member* to =
+        name != nullptr ? Reach(*name)
+                        : fleet_.view().roster().Find(std::get<replicated_config::Instance>(post->to));
     if (to != nullptr)
-      fleet_.link().Post(to->record.address, peerlink::Part::kRules, rules::Encode(post->note));
-  } else if (const auto* keep = std::get_if<rules::Keep>(&output)) {
+      fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
+                         replicated_config::Encode(post->note));
+  } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
     Write(keep->store.number, BatchOf(keep->store));
-  } else if (const auto* founders = std::get_if<rules::KeepFounders>(&output)) {
+  } else if (const auto* founders = std::get_if<replicated_config::KeepFounders>(&output)) {
     storage::Batch batch;
     batch.records.emplace_back("founders", FoundersText(founders->founders));
     Write(kFoundersNumber, std::move(batch));
-  } else if (const auto* learnt = std::get_if<rules::Learnt>(&output)) {
-    const auto document = rules::ReadDocument(learnt->text);
+  } else if (const auto* learnt = std::get_if<replicated_config::Learnt>(&output)) {
+    const auto document = replicated_config::ReadDocument(learnt->text);
     const auto* wrong = std::get_if<std::string>(&document);
     const std::string why =
-        wrong != nullptr ? *wrong : rules::WhyNot(std::get<Document>(document), own_.site(), own_.line());
+        wrong != nullptr ? *wrong
+                         : replicated_config::WhyNot(std::get<Document>(document), own_.site(), own_.line());
     if (why.empty()) {
       spdlog::info("rules event=prepared version={} mono_us={}", learnt->version, MonoUs(Now()));
       keeper_.Prepared(Now(), learnt->version);
@@ -258,14 +262,14 @@
       spdlog::error("rules: this proxy can't carry version {}: {}", learnt->version, why);
       keeper_.CantCarry(learnt->version);
     }
-  } else if (const auto* in_force = std::get_if<rules::InForce>(&output)) {
+  } else if (const auto* in_force = std::get_if<replicated_config::InForce>(&output)) {
     PutInForce(in_force->version);
-  } else if (const auto* finished = std::get_if<rules::Finished>(&output)) {
+  } else if (const auto* finished = std::get_if<replicated_config::Finished>(&output)) {
     const auto it = waiting_.find(finished->outcome.id);
     if (it == waiting_.end()) return;
     it->second->finished = *finished;
     it->second->gate.Open();
-  } else if (const auto* say = std::get_if<rules::Say>(&output)) {
+  } else if (const auto* say = std::get_if<replicated_config::Say>(&output)) {
     spdlog::log(say->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", say->text,
                 MonoUs(Now()));
   }
@@ -311,7 +315,7 @@
 }
 
 void Rules::Opened(storage::Worker::Done& done) {
-  std::optional<rules::Stored> stored;
+  std::optional<replicated_config::Stored> stored;
   if (done.health == storage::Health::kDone) {
     stored = StoredOf(done.contents);
     if (!stored)
@@ -343,8 +347,8 @@
 
 void Rules::PutInForce(Version version) {
   const std::string* text = keeper_.Text(version);
-  const auto read =
-      text == nullptr ? std::variant<Document, std::string>(Document()) : rules::ReadDocument(*text);
+  const auto read = text == nullptr ? std::variant<Document, std::string>(Document())
+                                    : replicated_config::ReadDocument(*text);
   const auto* document = std::get_if<Document>(&read);
   if (document == nullptr || (text == nullptr && version > 0)) return;
   try {
@@ -377,12 +381,12 @@
 
 // Cut off: what the version itself lets go on, for the time that it says.
 bool Rules::Kept(const std::string& klass, EngineId engine) const {
-  const rules::CutOff& cut_off = document_.cut_off;
-  const rules::Holder& holder = keeper_.holder();
+  const replicated_config::CutOff& cut_off = document_.cut_off;
+  const replicated_config::Holder& holder = keeper_.holder();
   if (!cut_off.classes.contains(klass) || applied_ != holder.in_force() || holder.rates_apart()) return false;
   if (Now() >= holder.lease_ends() + cut_off.lasts) return false;
   if (engine == 0) return true;
-  const membership::Member* member = directory_.Find(engine);
+  const discovery::Member* member = directory_.Find(engine);
   return member != nullptr && cut_off.engines.contains(member->name);
 }
 
@@ -402,7 +406,7 @@
     return false;
   }
   ++(kept ? kept_acts_ : acts_);
-  const membership::Member* member = directory_.Find(engine);
+  const discovery::Member* member = directory_.Find(engine);
   spdlog::debug("rules act={} version={} class={} engine={} mono_us={}",
                 kept    ? "kept"
                 : again ? "again"
@@ -411,8 +415,8 @@
   return true;
 }
 
-std::string Rules::WhyNot(const settings::Site& site, const waiting::Settings* line) const {
-  return rules::WhyNot(document_, site, line);
+std::string Rules::WhyNot(const settings::Site& site, const admission_queue::Settings* line) const {
+  return replicated_config::WhyNot(document_, site, line);
 }
 
 // What the others are told of this proxy, and the log of its being cut off.
@@ -428,7 +432,7 @@
                   MonoUs(Now()));
     const std::string shown = std::to_string(applied_) + "/" + std::to_string(keeper_.holder().prepared()) +
                               (cut_off ? "/cut-off" : "");
-    const peers::Roster& roster = fleet_.view().roster();
+    const gossip::Roster& roster = fleet_.view().roster();
     if (tell_pace_.MayTell(Now(), shown != shown_, roster.living())) {
       shown_ = shown;
       fleet_.link().SetAttribute(kRulesKey, shown);
@@ -438,15 +442,15 @@
 }
 
 void Rules::SetPeers() {
-  std::vector<rules::Instance> others;
-  const peers::Roster& roster = fleet_.view().roster();
+  std::vector<replicated_config::Instance> others;
+  const gossip::Roster& roster = fleet_.view().roster();
   for (const auto& [id, member] : roster.all())
-    if (member.status == peers::Status::kAlive && id != roster.self()) others.push_back(id);
+    if (member.status == gossip::Status::kAlive && id != roster.self()) others.push_back(id);
   keeper_.SetPeers(std::move(others));
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> Rules::Figures() const {
-  const rules::Holder& holder = keeper_.holder();
+  const replicated_config::Holder& holder = keeper_.holder();
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(holder.lease_ends() - Now()).count();
   return {{"rules.version", applied_},
@@ -472,17 +476,18 @@
                      static_cast<std::uint32_t>(fleet_.view().roster().self() >> 32), ++ids_);
 }
 
-Task<rules::Finished> Rules::Await(std::string id) {
+Task<replicated_config::Finished> Rules::Await(std::string id) {
   const auto waiting = waiting_.at(id);
   while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->gate, runtime::kNever);
   waiting_.erase(id);
   co_return *waiting->finished;
 }
 
-Task<rules::Finished> Rules::Propose(rules::Change change, Span patience) {
+Task<replicated_config::Finished> Rules::Propose(replicated_config::Change change, Span patience) {
   std::string id = change.id;
   if (waiting_.size() >= kWaitingMost || waiting_.contains(id))
-    co_return rules::Finished{{id, rules::Verdict::kRefused, 0, "too many calls at once"}, {}};
+    co_return replicated_config::Finished{
+        {id, replicated_config::Verdict::kRefused, 0, "too many calls at once"}, {}};
   waiting_[id] = std::make_shared<Waiting>();
   keeper_.ProposeChange(Now(), change, Now() + patience);
   Pump();
@@ -492,7 +497,7 @@
 Document Rules::NewestDocument() const {
   const std::string* text = keeper_.Text(keeper_.holder().newest());
   if (text == nullptr) return {};
-  auto read = rules::ReadDocument(*text);
+  auto read = replicated_config::ReadDocument(*text);
   const auto* good = std::get_if<Document>(&read);
   return good == nullptr ? Document() : *good;
 }
@@ -519,19 +524,19 @@
       if (hand.out ? document.out.insert(engine).second : document.out.erase(engine) > 0)
         by += std::string(hand.out ? " exclude " : " include ") + engine;
     }
-    rules::Finished finished;
-    finished.outcome.verdict = rules::Verdict::kTaken;
+    replicated_config::Finished finished;
+    finished.outcome.verdict = replicated_config::Verdict::kTaken;
     finished.outcome.version = newest;
     if (document != before) {
-      rules::Change change;
+      replicated_config::Change change;
       change.id = DrawId();
       change.from = newest;
-      change.text = rules::WriteDocument(document);
-      change.by = by.substr(0, rules::kByMost);
+      change.text = replicated_config::WriteDocument(document);
+      change.by = by.substr(0, replicated_config::kByMost);
       change.at_unix_ms = UnixMs();
       finished = co_await Propose(std::move(change), kChangePatience);
     }
-    if (finished.outcome.verdict == rules::Verdict::kTaken) {
+    if (finished.outcome.verdict == replicated_config::Verdict::kTaken) {
       for (const auto& [engine, hand] : wanted) {
         const auto it = hands_.find(engine);
         if (it == hands_.end() || it->second.out != hand.out) continue;
@@ -541,15 +546,15 @@
       PutOut();
       continue;
     }
-    const bool refused = finished.outcome.verdict == rules::Verdict::kRefused;
+    const bool refused = finished.outcome.verdict == replicated_config::Verdict::kRefused;
     for (const auto& [engine, hand] : wanted)
       if (const auto it = hands_.find(engine); it != hands_.end()) it->second.why = finished.outcome.why;
     co_await loop_.Sleep(refused ? Span(kRefusedAgain) : Span(kReconcileAgain));
   }
 }
 
-Task<management::Reply> Rules::ByHand(management::Call call, management::Reply reply) {
-  using management::Verb;
+Task<admin::Reply> Rules::ByHand(admin::Call call, admin::Reply reply) {
+  using admin::Verb;
   if (!reply.yes || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
   hands_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
   hands_changed_.Open();
@@ -575,7 +580,7 @@
 // ---- Operators' calls ----
 
 std::string Rules::StatusText() const {
-  const rules::Holder& holder = keeper_.holder();
+  const replicated_config::Holder& holder = keeper_.holder();
   const Time now = Now();
   const auto ms = [](Span span) { return std::chrono::duration<double, std::milli>(span).count(); };
   ordered_json out = {{"proxy", name_},
@@ -595,7 +600,7 @@
                       {"asked_by_hand", ordered_json::object()},
                       {"proxies", ordered_json::array()}};
   for (const auto& [engine, hand] : hands_) out["asked_by_hand"][engine] = hand.out ? "exclude" : "include";
-  if (const agreement::Raft* raft = keeper_.raft()) {
+  if (const raft::Raft* raft = keeper_.raft()) {
     out["voters"] = raft->voters();
     out["term"] = raft->term();
     out["commit"] = raft->commit();
@@ -603,12 +608,12 @@
   }
   for (const auto& [id, member] : fleet_.view().roster().all()) {
     std::string told;
-    for (const peers::Attribute& a : member.record.attributes)
+    for (const gossip::Attribute& a : member.record.attributes)
       if (a.key == kRulesKey) told = a.value;
     const bool self = id == fleet_.view().roster().self();
     out["proxies"].push_back({{"name", member.record.name},
                               {"generation", member.record.generation},
-                              {"alive", member.status == peers::Status::kAlive},
+                              {"alive", member.status == gossip::Status::kAlive},
                               {"rules", self ? shown_ : told}});
   }
   return Dump(out);
@@ -617,11 +622,11 @@
 // What only voters have, asked of one.
 Task<std::string> Rules::Forward(std::string bytes) {
   for (const std::string& name : settings_.voters) {
-    const peers::Member* voter = Reach(name);
-    if (voter == nullptr || voter->status == peers::Status::kFailed || name == name_) continue;
-    auto answer = co_await peerlink::Call(
-        loop_, fleet_.settings().name, peerlink::ToAddress(voter->record.address), bytes,
-        Now() + kForwardPatience, peerlink::ToAddress(fleet_.link().address()));
+    const gossip::Member* voter = Reach(name);
+    if (voter == nullptr || voter->status == gossip::Status::kFailed || name == name_) continue;
+    auto answer = co_await peer_transport::Call(
+        loop_, fleet_.settings().name, peer_transport::ToAddress(voter->record.address), bytes,
+        Now() + kForwardPatience, peer_transport::ToAddress(fleet_.link().address()));
     if (answer) co_return std::move(*answer);
   }
   co_return Error("no voter answers");
@@ -644,8 +649,8 @@
     std::string id = text("id").empty() ? DrawId() : text("id");
     const Span patience = std::clamp<Span>(std::chrono::milliseconds(number("patience_ms")), 100ms, 10s);
     if (what == "propose") {
-      const rules::Change change{id, number("from"), text("text"), text("by").substr(0, rules::kByMost),
-                                 UnixMs()};
+      const replicated_config::Change change{id, number("from"), text("text"),
+                                             text("by").substr(0, replicated_config::kByMost), UnixMs()};
       co_return Dump(Json((co_await Propose(change, patience)).outcome));
     }
     if (waiting_.size() >= kWaitingMost || waiting_.contains(id)) co_return Error("too many calls at once");
@@ -655,7 +660,7 @@
     else
       keeper_.ChangeVoters(Now(), {id, text("who"), text("way") == "in"}, Now() + patience);
     Pump();
-    const rules::Finished finished = co_await Await(id);
+    const replicated_config::Finished finished = co_await Await(id);
     ordered_json out = Json(finished.outcome);
     if (finished.read)
       out.update({{"newest", finished.read->newest},
--- a/src/cli/rules.h
+++ b/src/cli/rules.h
@@ -1,6 +1,6 @@
-// The rules that the fleet agrees on, in the running proxy: a rules::Keeper on the peers' way, the store of a
-// voter, the version in force put into the settings, engines out by hand, and the operators' calls. Made only
-// where the operator's file has a `rules`.
+// The rules that the fleet agrees on, in the running proxy: a replicated_config::Keeper on the peers' way,
+// the store of a voter, the version in force put into the settings, engines out by hand, and the operators'
+// calls. Made only where the operator's file has a `rules`.
 //
 // Contract. MayAct is asked at each act, in its turn. Nothing here waits for the disk: a voter whose store
 // fails steps back and tries it again. Owner: the proxy's wiring; one loop. Errors: ConfigError from the
@@ -16,14 +16,14 @@
 #include <utility>
 #include <vector>
 
+#include "admin/listener.h"
 #include "broker/authority.h"
 #include "cli/fleet.h"
-#include "management/listener.h"
-#include "membership/directory.h"
-#include "operator/operator_file.h"
-#include "rules/document.h"
-#include "rules/keeper.h"
-#include "rules/tell_pace.h"
+#include "discovery/directory.h"
+#include "operator_config/operator_file.h"
+#include "replicated_config/document.h"
+#include "replicated_config/keeper.h"
+#include "replicated_config/tell_pace.h"
 #include "storage/worker.h"
 
 namespace lemoncroft::cli {
@@ -31,13 +31,13 @@
 class Rules : public broker::Authority {
  public:
   struct Own {
-    std::function<const settings::Site&()> site;               // as this proxy's configuration has it
-    std::function<const waiting::Settings*()> line;            // likewise; null: no waiting line
-    std::function<void(const rules::Document&)> put_in_force;  // may throw; then it isn't carried
+    std::function<const settings::Site&()> site;             // as this proxy's configuration has it
+    std::function<const admission_queue::Settings*()> line;  // likewise; null: no waiting line
+    std::function<void(const replicated_config::Document&)> put_in_force;  // may throw; then it isn't carried
   };
 
-  Rules(runtime::Loop& loop, Fleet& fleet, const op::RulesSettings& settings, const std::string& name,
-        membership::Directory& directory, membership::Directory::Tell tell, Own own);
+  Rules(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
+        const std::string& name, discovery::Directory& directory, discovery::Directory::Tell tell, Own own);
 
   void Start();
   // Hands leadership over, if it has it: this process ends.
@@ -48,63 +48,65 @@
   bool Acts(const std::string& klass, EngineId engine, bool again) override;
 
   // New settings of this proxy's own: why they can't carry the version in force; nothing where they can.
-  std::string WhyNot(const settings::Site& site, const waiting::Settings* line) const;
-  const rules::Document& document() const { return document_; }  // in force here; empty: none yet
-  const op::RulesSettings& settings() const { return settings_; }
+  std::string WhyNot(const settings::Site& site, const admission_queue::Settings* line) const;
+  const replicated_config::Document& document() const { return document_; }  // in force here; empty: none yet
+  const operator_config::RulesSettings& settings() const { return settings_; }
 
   // A call `exclude` or `include`, done here, becomes a change for the fleet; what the answer can say of it.
-  runtime::Task<management::Reply> ByHand(management::Call call, management::Reply reply);
+  runtime::Task<admin::Reply> ByHand(admin::Call call, admin::Reply reply);
   bool ready() const { return keeper_.MayAct(runtime::Now()).has_value(); }
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
 
  private:
   struct Hand {
     bool out = false;
-    rules::Version taken = 0;  // agreed on as this version, not in force here yet
-    std::string why;           // why the fleet has not agreed yet
+    replicated_config::Version taken = 0;  // agreed on as this version, not in force here yet
+    std::string why;                       // why the fleet has not agreed yet
   };
   struct Waiting {
     runtime::Gate gate;
-    std::optional<rules::Finished> finished;
+    std::optional<replicated_config::Finished> finished;
   };
 
-  static rules::KeeperTerms TermsOf(const op::RulesSettings& settings, const std::string& name);
-  rules::Keeper::Checks ChecksOf();
+  static replicated_config::KeeperTerms TermsOf(const operator_config::RulesSettings& settings,
+                                                const std::string& name);
+  replicated_config::Keeper::Checks ChecksOf();
 
   runtime::Task<> Beat();
   runtime::Task<> Store();
   runtime::Task<> Tell();
   runtime::Task<> Reconcile();
   void Pump();
-  void CarryOut(const rules::KeeperOutput& output);
+  void CarryOut(const replicated_config::KeeperOutput& output);
   void Opened(storage::Worker::Done& done);
   void Write(std::uint64_t number, storage::Batch batch);
   void StepBack(const std::string& why);
   runtime::Task<> OpenAgain(runtime::Span after);
-  const peers::Member* Reach(const agreement::Name& name) const;
+  const gossip::Member* Reach(const raft::Name& name) const;
   void SetPeers();  // to those that live, whom the keeper may ask for texts
-  void PutInForce(rules::Version version);
+  void PutInForce(replicated_config::Version version);
   void PutOut();  // engines by hand: of the version in force, and what was asked for here since
-  std::optional<rules::Version> MayAct() const;
+  std::optional<replicated_config::Version> MayAct() const;
   bool Kept(const std::string& klass, EngineId engine) const;
-  rules::Document NewestDocument() const;
+  replicated_config::Document NewestDocument() const;
 
   std::string DrawId() const;
-  runtime::Task<rules::Finished> Await(std::string id);
-  runtime::Task<rules::Finished> Propose(rules::Change change, runtime::Span patience);
+  runtime::Task<replicated_config::Finished> Await(std::string id);
+  runtime::Task<replicated_config::Finished> Propose(replicated_config::Change change,
+                                                     runtime::Span patience);
   runtime::Task<std::string> Called(std::string bytes);
   runtime::Task<std::string> Forward(std::string bytes);
   std::string StatusText() const;
 
   runtime::Loop& loop_;
   Fleet& fleet_;
-  op::RulesSettings settings_;
+  operator_config::RulesSettings settings_;
   std::string name_;
-  membership::Directory& directory_;
-  membership::Directory::Tell tell_;
+  discovery::Directory& directory_;
+  discovery::Directory::Tell tell_;
   Own own_;
-  rules::Keeper keeper_;
-  rules::TellPace tell_pace_;
+  replicated_config::Keeper keeper_;
+  replicated_config::TellPace tell_pace_;
   std::uint64_t peers_as_of_ = 0;  // the roster's changes when the keeper was told its peers
   runtime::Gate sooner_, hands_changed_;
   runtime::Time planned_ = runtime::kNever;
@@ -115,8 +117,8 @@
   bool opening_ = false, told_closed_ = false;
   runtime::Span slowest_sync_{};
 
-  rules::Document document_;
-  rules::Version applied_ = 0;
+  replicated_config::Document document_;
+  replicated_config::Version applied_ = 0;
   std::map<std::string, Hand> hands_;  // engines: asked for here, and not in force by a version yet
   std::map<std::string, std::shared_ptr<Waiting>> waiting_;
   mutable std::uint64_t ids_ = 0;
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -11,16 +11,16 @@
 #include <sstream>
 #include <thread>
 
-#include "agreement/codec.h"
 #include "cli/config.h"
-#include "peerlink/link.h"
-#include "rules/document.h"
+#include "peer_transport/link.h"
+#include "raft/codec.h"
+#include "replicated_config/document.h"
 #include "storage/database.h"
 
 namespace lemoncroft::cli {
 
 using nlohmann::ordered_json;
-using rules::Document;
+using replicated_config::Document;
 using runtime::Now;
 using namespace std::chrono_literals;
 
@@ -39,7 +39,7 @@
     bool answered = false;
     const auto ask = [&]() -> runtime::Task<> {
       const auto bytes =
-          co_await peerlink::Call(loop, command.fleet, *address, call.dump(), Now() + kAnswerWithin);
+          co_await peer_transport::Call(loop, command.fleet, *address, call.dump(), Now() + kAnswerWithin);
       if (bytes) {
         answer = ordered_json::parse(*bytes, nullptr, false);
         answered = answer.is_object();
@@ -60,7 +60,7 @@
 }
 
 Document Parsed(const std::string& text, const char* of) {
-  auto read = rules::ReadDocument(text);
+  auto read = replicated_config::ReadDocument(text);
   if (const auto* wrong = std::get_if<std::string>(&read))
     throw ConfigError(std::string(of) + ":\n" + *wrong);
   return std::get<Document>(std::move(read));
@@ -139,7 +139,7 @@
     from = read.at("newest").get<std::uint64_t>();
   }
   const Document before = Parsed(TextOf(command, from), "the version it is made from");
-  const std::vector<std::string> differences = rules::Differences(before, to);
+  const std::vector<std::string> differences = replicated_config::Differences(before, to);
   if (!command.json) {
     std::printf("from version %llu:\n", static_cast<unsigned long long>(from));
     for (const std::string& line : differences) std::printf("  %s\n", line.c_str());
@@ -147,7 +147,7 @@
   const char* user = std::getenv("USER");
   const ordered_json call = {{"call", "propose"},
                              {"from", from},
-                             {"text", rules::WriteDocument(to)},
+                             {"text", replicated_config::WriteDocument(to)},
                              {"by", user == nullptr ? "an operator" : user},
                              {"patience_ms", static_cast<std::uint64_t>(1000 * command.patience_s)}};
   return Told(command, Ask(command, call));
@@ -198,12 +198,12 @@
   std::string why;
   if (const storage::Health health = database.Open(contents, why); health != storage::Health::kDone)
     throw ConfigError(std::string(storage::NameOf(health)) + ": " + why);
-  agreement::Promise promise;
-  agreement::Snapshot snapshot;
+  raft::Promise promise;
+  raft::Snapshot snapshot;
   if (const auto it = contents.records.find("promise"); it != contents.records.end())
-    promise = agreement::DecodePromise(it->second).value_or(promise);
+    promise = raft::DecodePromise(it->second).value_or(promise);
   if (const auto it = contents.records.find("snapshot"); it != contents.records.end())
-    snapshot = agreement::DecodeSnapshot(it->second).value_or(snapshot);
+    snapshot = raft::DecodeSnapshot(it->second).value_or(snapshot);
   const std::uint64_t last = contents.log.empty() ? snapshot.index : contents.log.rbegin()->first;
   const std::string wanted = command.fleet + ":" + std::to_string(promise.term) + ":" + std::to_string(last);
   std::printf("store %s: term %llu, log up to %llu\n", command.store.c_str(),
@@ -216,16 +216,16 @@
         command.who.c_str(), wanted.c_str());
     return kRulesRefused;
   }
-  agreement::Entry entry;
+  raft::Entry entry;
   entry.term = promise.term + 1;
   entry.index = last + 1;
-  entry.kind = agreement::Kind::kVoters;
+  entry.kind = raft::Kind::kVoters;
   entry.voters = {command.who};
   promise = {promise.term + 1, command.who};
   storage::Batch batch;
   const std::string store = contents.records.contains("store") ? contents.records.at("store") : "1";
-  batch.records = {{"promise", agreement::Encode(promise)}, {"founders", command.who + " " + store + "\n"}};
-  batch.log.emplace_back(entry.index, agreement::Encode(entry));
+  batch.records = {{"promise", raft::Encode(promise)}, {"founders", command.who + " " + store + "\n"}};
+  batch.log.emplace_back(entry.index, raft::Encode(entry));
   if (const storage::Health health = database.Write(batch, why); health != storage::Health::kDone)
     throw ConfigError(std::string(storage::NameOf(health)) + ": " + why);
   std::printf(
@@ -257,8 +257,8 @@
     return Propose(from, Parsed(TextOf(command, command.first), "the version to go back to"));
   }
   if (command.what == "diff") {
-    const auto lines = rules::Differences(Parsed(TextOf(command, command.first), "the first"),
-                                          Parsed(TextOf(command, command.second), "the second"));
+    const auto lines = replicated_config::Differences(Parsed(TextOf(command, command.first), "the first"),
+                                                      Parsed(TextOf(command, command.second), "the second"));
     for (const std::string& line : lines) std::printf("%s\n", line.c_str());
     return kRulesDone;
   }
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -45,7 +45,7 @@
       .count();
 }
 
-std::string StateText(const std::string& proxy, const waiting::Line::State& state) {
+std::string StateText(const std::string& proxy, const admission_queue::Line::State& state) {
   ordered_json out = {{"proxy", proxy},
                       {"at_unix_ms", UnixMs()},
                       {"waiting", state.waiting},
@@ -59,15 +59,15 @@
                       {"error_heavy", state.spread[0]},
                       {"error_light", state.spread[1]},
                       {"teams", ordered_json::array()}};
-  for (const waiting::Line::TeamState& team : state.teams) {
+  for (const admission_queue::Line::TeamState& team : state.teams) {
     out["teams"].push_back({{"name", team.name},
                             {"cores", team.cores},
                             {"charged_s", team.charged},
                             {"tag_s", team.tag},
                             {"threads", team.threads},
                             {"waiting", team.waiting},
-                            {"work_s", waiting::Seconds(team.work)},
-                            {"wait_s", waiting::Seconds(team.longest)},
+                            {"work_s", admission_queue::Seconds(team.work)},
+                            {"wait_s", admission_queue::Seconds(team.longest)},
                             {"taken", team.taken},
                             {"handed", team.handed},
                             {"refused", team.refused}});
--- a/src/cli/state.h
+++ b/src/cli/state.h
@@ -8,13 +8,13 @@
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 
+#include "admission_queue/line.h"
 #include "runtime/loop.h"
-#include "waiting/line.h"
 
 namespace lemoncroft::cli {
 
 // The state as JSON text.
-std::string StateText(const std::string& proxy, const waiting::Line::State& state);
+std::string StateText(const std::string& proxy, const admission_queue::Line::State& state);
 // Replaces the file; false where it can't, with `errno` set.
 bool ReplaceFile(const std::string& path, const std::string& text);
 
--- a/src/estimates/class_estimates.cpp
+++ b/src/decision/estimates/class_estimates.cpp
@@ -1,4 +1,4 @@
-#include "estimates/class_estimates.h"
+#include "decision/estimates/class_estimates.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -13,18 +13,18 @@
 #include <unordered_map>
 #include <utility>
 
-#include "estimates/class_estimates.h"
-#include "limits/circuit_breaker.h"
-#include "limits/cold_budget.h"
-#include "limits/key_queues.h"
-#include "limits/placement.h"
-#include "limits/retry_budget.h"
-#include "limits/sent_load.h"
-#include "limits/token_bucket.h"
-#include "reports/reported_load.h"
-#include "subset/ranking_cache.h"
-#include "subset/subset.h"
-#include "subset/warm_tables.h"
+#include "decision/estimates/class_estimates.h"
+#include "decision/limits/circuit_breaker.h"
+#include "decision/limits/cold_budget.h"
+#include "decision/limits/key_queues.h"
+#include "decision/limits/placement.h"
+#include "decision/limits/retry_budget.h"
+#include "decision/limits/sent_load.h"
+#include "decision/limits/token_bucket.h"
+#include "decision/reports/reported_load.h"
+#include "decision/subset/ranking_cache.h"
+#include "decision/subset/subset.h"
+#include "decision/subset/warm_tables.h"
 
 namespace lemoncroft {
 namespace {
--- a/src/reports/reported_load.cpp
+++ b/src/decision/reports/reported_load.cpp
@@ -1,4 +1,4 @@
-#include "reports/reported_load.h"
+#include "decision/reports/reported_load.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -16,8 +16,8 @@
 #include <utility>
 #include <vector>
 
+#include "decision/subset/subset.h"
 #include "lemoncroft/gateway.h"
-#include "subset/subset.h"
 
 namespace lemoncroft::subset {
 
--- a/src/subset/subset.cpp
+++ b/src/decision/subset/subset.cpp
@@ -1,4 +1,4 @@
-#include "subset/subset.h"
+#include "decision/subset/subset.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/membership/directory.cpp
+++ b/src/discovery/directory.cpp
@@ -1,4 +1,4 @@
-#include "membership/directory.h"
+#include "discovery/directory.h"
 
 #include <spdlog/spdlog.h>
 
@@ -9,7 +9,7 @@
 
 #include "broker/module_clock.h"
 
-namespace lemoncroft::membership {
+namespace lemoncroft::discovery {
 namespace {
 
 using codec::Json;
@@ -247,4 +247,4 @@
   }
 }
 
-}  // namespace lemoncroft::membership
+}  // namespace lemoncroft::discovery
--- a/src/membership/directory.h
+++ b/src/discovery/directory.h
@@ -17,7 +17,7 @@
 #include "runtime/socket.h"
 #include "settings/settings.h"
 
-namespace lemoncroft::membership {
+namespace lemoncroft::discovery {
 
 struct Member {
   std::string name;
@@ -91,6 +91,6 @@
   bool loaded_ = false;
 };
 
-}  // namespace lemoncroft::membership
+}  // namespace lemoncroft::discovery
 
 #endif  // LEMONCROFT_MEMBERSHIP_DIRECTORY_H_
--- a/src/membership/feed.cpp
+++ b/src/discovery/feed.cpp
@@ -1,4 +1,4 @@
-#include "membership/feed.h"
+#include "discovery/feed.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 
 #include "http/connection.h"
 
-namespace lemoncroft::membership {
+namespace lemoncroft::discovery {
 namespace {
 
 using namespace std::chrono_literals;
@@ -91,4 +91,4 @@
   }
 }
 
-}  // namespace lemoncroft::membership
+}  // namespace lemoncroft::discovery
--- a/src/membership/feed.h
+++ b/src/discovery/feed.h
@@ -8,11 +8,11 @@
 #include <random>
 #include <string>
 
+#include "discovery/directory.h"
 #include "lemoncroft/gateway.h"
-#include "membership/directory.h"
 #include "runtime/loop.h"
 
-namespace lemoncroft::membership {
+namespace lemoncroft::discovery {
 
 class Feed {
  public:
@@ -45,6 +45,6 @@
   std::unique_ptr<runtime::Cancellation> moved_ = std::make_unique<runtime::Cancellation>();
 };
 
-}  // namespace lemoncroft::membership
+}  // namespace lemoncroft::discovery
 
 #endif  // LEMONCROFT_MEMBERSHIP_FEED_H_
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -139,7 +139,7 @@
 };
 
 FrameServer::FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener,
-                         const settings::InForce& site, broker::Broker& broker, telemetry::Counters& counters,
+                         const settings::InForce& site, broker::Broker& broker, metrics::Counters& counters,
                          Limits limits)
     : loop_(loop),
       site_(site),
@@ -148,7 +148,7 @@
       limits_(limits),
       listener_(std::move(listener)) {}
 
-void FrameServer::CountEnd(std::string_view klass, telemetry::End how) {
+void FrameServer::CountEnd(std::string_view klass, metrics::End how) {
   if (!site_->ClassOf(klass)) return;
   counters_.Taken(std::string(klass));
   counters_.Ended(std::string(klass), how);
@@ -409,14 +409,14 @@
   const auto fields = codec::ReadFields(frame.payload);
   const std::string wrong = fields ? Describe(*fields, request) : "malformed fields";
   if (!wrong.empty()) {
-    if (fields) CountEnd(fields->Get("verb"), telemetry::End::kError);
+    if (fields) CountEnd(fields->Get("verb"), metrics::End::kError);
     return Reject(c, frame.stream, wrong);
   }
   c.asked = true;
   c.active = Now();
   if (c.streams.size() >= kStreamsMost) {
     ++c.errors;
-    CountEnd(request.passed.lane, telemetry::End::kShed);
+    CountEnd(request.passed.lane, metrics::End::kShed);
     return Append(c, codec::kAnswerFrame, frame.stream, codec::kRefusedCode, {}, "too many open requests");
   }
   c.streams.emplace(frame.stream, 0);
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -11,9 +11,9 @@
 
 #include "broker/broker.h"
 #include "codec/frame.h"
+#include "metrics/counters.h"
 #include "runtime/socket.h"
 #include "settings/settings.h"
-#include "telemetry/counters.h"
 
 namespace lemoncroft::frontend {
 
@@ -27,7 +27,7 @@
   };
 
   FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener, const settings::InForce& site,
-              broker::Broker& broker, telemetry::Counters& counters, Limits limits);
+              broker::Broker& broker, metrics::Counters& counters, Limits limits);
   ~FrameServer();
 
   void Start() { loop_.Spawn(AcceptAll()); }
@@ -74,7 +74,7 @@
   void Append(Connection& connection, std::uint8_t type, std::uint32_t stream, std::uint8_t code,
               const codec::FieldViews& fields = {}, std::string_view body = {});
   // A request that ends here, before the broker has heard of it.
-  void CountEnd(std::string_view klass, telemetry::End how);
+  void CountEnd(std::string_view klass, metrics::End how);
   void Abandon(Connection& connection);
   void CutOff(Connection& connection);
   bool Count(Connection& connection);  // its half frame in the total; false: that is too much
@@ -82,7 +82,7 @@
   runtime::Loop& loop_;
   const settings::InForce& site_;
   broker::Broker& broker_;
-  telemetry::Counters& counters_;
+  metrics::Counters& counters_;
   Limits limits_;
   std::unique_ptr<runtime::Listener> listener_;
   runtime::Cancellation stop_accepting_;
--- a/src/peers/news_queue.cpp
+++ b/src/gossip/news_queue.cpp
@@ -1,8 +1,8 @@
-#include "peers/news_queue.h"
+#include "gossip/news_queue.h"
 
 #include <utility>
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 
 void NewsQueue::Push(News news) {
   const InstanceId id = news.record.id;
@@ -45,4 +45,4 @@
   }
 }
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
--- a/src/peers/news_queue.h
+++ b/src/gossip/news_queue.h
@@ -11,9 +11,9 @@
 #include <tuple>
 #include <vector>
 
-#include "peers/types.h"
+#include "gossip/types.h"
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 
 class NewsQueue {
  public:
@@ -44,6 +44,6 @@
   std::set<Rank> ranks_;
 };
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
 
 #endif  // LEMONCROFT_PEERS_NEWS_QUEUE_H_
--- a/src/peers/roster.cpp
+++ b/src/gossip/roster.cpp
@@ -1,11 +1,11 @@
-#include "peers/roster.h"
+#include "gossip/roster.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 namespace {
 
 std::uint64_t Hash(const Record& record) {
@@ -211,4 +211,4 @@
   }
 }
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
--- a/src/peers/roster.h
+++ b/src/gossip/roster.h
@@ -13,10 +13,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "peers/settings.h"
-#include "peers/types.h"
+#include "gossip/settings.h"
+#include "gossip/types.h"
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 
 struct Member {
   Record record;
@@ -103,6 +103,6 @@
   std::uint64_t changes_ = 0;
 };
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
 
 #endif  // LEMONCROFT_PEERS_ROSTER_H_
--- a/src/peers/settings.h
+++ b/src/gossip/settings.h
@@ -4,9 +4,9 @@
 
 #include <vector>
 
-#include "peers/types.h"
+#include "gossip/types.h"
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 
 // Parts of the protocol that a test takes away, one at a time, to show that something then fails. Nothing
 // else sets them.
@@ -65,6 +65,6 @@
 inline constexpr std::size_t kLookMost = 2048;  // accused that wait to be looked into
 inline constexpr int kUnprovenKept = 40;        // who failed and never gave proof of life is freed after
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
 
 #endif  // LEMONCROFT_PEERS_SETTINGS_H_
--- a/src/peers/types.cpp
+++ b/src/gossip/types.cpp
@@ -1,8 +1,8 @@
-#include "peers/types.h"
+#include "gossip/types.h"
 
 #include <algorithm>
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 namespace {
 
 // MessagePack: a number takes 9 bytes at the most, a short text or array a header of up to 3.
@@ -37,4 +37,4 @@
   return news.status == Status::kAlive ? kShort + EncodedMost(news.record) : kShort;
 }
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
--- a/src/peers/types.h
+++ b/src/gossip/types.h
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
@@ -132,6 +132,6 @@
   std::vector<News> entries;  // of the buckets that differ
 };
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
 
 #endif  // LEMONCROFT_PEERS_TYPES_H_
--- a/src/peers/view.cpp
+++ b/src/gossip/view.cpp
@@ -1,4 +1,4 @@
-#include "peers/view.h"
+#include "gossip/view.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <iterator>
 #include <utility>
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 namespace {
 
 constexpr std::size_t kRecentMost = 8;
@@ -806,4 +806,4 @@
   return names;
 }
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
--- a/src/peers/view.h
+++ b/src/gossip/view.h
@@ -20,12 +20,12 @@
 #include <variant>
 #include <vector>
 
-#include "peers/news_queue.h"
-#include "peers/roster.h"
-#include "peers/settings.h"
-#include "peers/types.h"
+#include "gossip/news_queue.h"
+#include "gossip/roster.h"
+#include "gossip/settings.h"
+#include "gossip/types.h"
 
-namespace lemoncroft::peers {
+namespace lemoncroft::gossip {
 
 enum class Change {
   kJoined,
@@ -205,6 +205,6 @@
   std::uint64_t contested_at_ = 0;  // the roster's changes when they were last looked for
 };
 
-}  // namespace lemoncroft::peers
+}  // namespace lemoncroft::gossip
 
 #endif  // LEMONCROFT_PEERS_VIEW_H_
--- a/src/handover/census.cpp
+++ b/src/hot_restart/census.cpp
@@ -1,11 +1,11 @@
-#include "handover/census.h"
+#include "hot_restart/census.h"
 
 #include <fcntl.h>
 #include <unistd.h>
 
 #include <algorithm>
 
-namespace lemoncroft::handover {
+namespace lemoncroft::hot_restart {
 namespace {
 
 constexpr std::uint32_t kMost = 1 << 20;  // connections: more is no count
@@ -54,4 +54,4 @@
   return others;
 }
 
-}  // namespace lemoncroft::handover
+}  // namespace lemoncroft::hot_restart
--- a/src/handover/census.h
+++ b/src/hot_restart/census.h
@@ -5,10 +5,10 @@
 
 #include <filesystem>
 
-#include "handover/shares.h"
+#include "hot_restart/shares.h"
 #include "runtime/descriptor.h"
 
-namespace lemoncroft::handover {
+namespace lemoncroft::hot_restart {
 
 class Census {
  public:
@@ -26,6 +26,6 @@
   int slot_ = -1;
 };
 
-}  // namespace lemoncroft::handover
+}  // namespace lemoncroft::hot_restart
 
 #endif  // LEMONCROFT_HANDOVER_CENSUS_H_
--- a/src/handover/hand_marks.cpp
+++ b/src/hot_restart/hand_marks.cpp
@@ -1,4 +1,4 @@
-#include "handover/hand_marks.h"
+#include "hot_restart/hand_marks.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -10,7 +10,7 @@
 
 #include "runtime/descriptor.h"
 
-namespace lemoncroft::handover {
+namespace lemoncroft::hot_restart {
 
 namespace fs = std::filesystem;
 using namespace std::chrono_literals;
@@ -108,4 +108,4 @@
   }
 }
 
-}  // namespace lemoncroft::handover
+}  // namespace lemoncroft::hot_restart
--- a/src/handover/hand_marks.h
+++ b/src/hot_restart/hand_marks.h
@@ -11,7 +11,7 @@
 #include <set>
 #include <string>
 
-namespace lemoncroft::handover {
+namespace lemoncroft::hot_restart {
 
 using UnixTime = std::chrono::system_clock::time_point;
 
@@ -46,6 +46,6 @@
   std::filesystem::file_time_type seen_{};
 };
 
-}  // namespace lemoncroft::handover
+}  // namespace lemoncroft::hot_restart
 
 #endif  // LEMONCROFT_HANDOVER_HAND_MARKS_H_
--- a/src/handover/shares.cpp
+++ b/src/hot_restart/shares.cpp
@@ -1,8 +1,8 @@
-#include "handover/shares.h"
+#include "hot_restart/shares.h"
 
 #include <algorithm>
 
-namespace lemoncroft::handover {
+namespace lemoncroft::hot_restart {
 namespace {
 
 constexpr std::size_t kEnginesLeast = 16;  // with fewer nothing gets on, whatever the limits
@@ -34,4 +34,4 @@
   return share;
 }
 
-}  // namespace lemoncroft::handover
+}  // namespace lemoncroft::hot_restart
--- a/src/handover/shares.h
+++ b/src/hot_restart/shares.h
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace lemoncroft::handover {
+namespace lemoncroft::hot_restart {
 
 // Connections that a process holds, and whether it lets clients in (1) or is starting or ending (0).
 struct Holding {
@@ -36,6 +36,6 @@
 // share shrinks when clients come.
 Share Divide(const Whole& whole, const Holding& own, const Others& others);
 
-}  // namespace lemoncroft::handover
+}  // namespace lemoncroft::hot_restart
 
 #endif  // LEMONCROFT_HANDOVER_SHARES_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,8 +14,8 @@
 #include "cli/proxy.h"
 #include "cli/rules_command.h"
 #include "cli/state.h"
-#include "operator/operator_file.h"
-#include "peerlink/link.h"
+#include "operator_config/operator_file.h"
+#include "peer_transport/link.h"
 
 namespace {
 
@@ -40,7 +40,7 @@
   } catch (const cli::ConfigError& e) {
     throw cli::ConfigError(options.config + ": " + e.what());
   }
-  if (!options.operator_file.empty()) op::LoadOperatorFile(options.operator_file, config.site);
+  if (!options.operator_file.empty()) operator_config::LoadOperatorFile(options.operator_file, config.site);
   std::printf("%s: good: %s on %s, %zu classes\n", options.config.c_str(), config.name.c_str(),
               config.listen_text.c_str(), config.site.classes.size());
   if (!options.operator_file.empty()) std::printf("%s: good\n", options.operator_file.c_str());
@@ -67,8 +67,8 @@
 std::string StateFile(const Options& options, const std::string& command) {
   using namespace lemoncroft;
   if (options.operator_file.empty()) throw cli::ConfigError(command + ": give --state or --operator");
-  const op::OperatorFile file =
-      op::LoadOperatorFile(options.operator_file, cli::LoadConfig(options.config).site);
+  const operator_config::OperatorFile file =
+      operator_config::LoadOperatorFile(options.operator_file, cli::LoadConfig(options.config).site);
   std::string state;
   if (command == "peers" && file.fleet) state = file.fleet->state;
   if (command == "waiting" && file.waiting) state = file.waiting->state;
@@ -82,11 +82,13 @@
   if (!command.fleet.empty() && (!command.at.empty() || command.what == "refound")) return;
   if (options.operator_file.empty()) throw cli::ConfigError("rules: give --operator, or --fleet and --at");
   const cli::Config config = cli::LoadConfig(options.config);
-  const op::OperatorFile file = op::LoadOperatorFile(options.operator_file, config.site);
+  const operator_config::OperatorFile file =
+      operator_config::LoadOperatorFile(options.operator_file, config.site);
   if (!file.fleet || !file.rules) throw cli::ConfigError(options.operator_file + ": has no `rules`");
   command.fleet = file.fleet->name;
   if (command.at.empty())
-    for (const peers::Endpoint& listen : file.fleet->listen) command.at.push_back(peerlink::Text(listen));
+    for (const gossip::Endpoint& listen : file.fleet->listen)
+      command.at.push_back(peer_transport::Text(listen));
   if (command.store.empty()) command.store = file.rules->store;
   if (command.who.empty()) command.who = config.name;
 }
--- a/src/telemetry/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -1,6 +1,6 @@
-#include "telemetry/counters.h"
+#include "metrics/counters.h"
 
-namespace lemoncroft::telemetry {
+namespace lemoncroft::metrics {
 
 void Counters::Ended(const std::string& klass, End how) {
   OfClass& of = Of(klass);
@@ -46,4 +46,4 @@
   return text + "--\n";
 }
 
-}  // namespace lemoncroft::telemetry
+}  // namespace lemoncroft::metrics
--- a/src/telemetry/counters.h
+++ b/src/metrics/counters.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-namespace lemoncroft::telemetry {
+namespace lemoncroft::metrics {
 
 // How a request ended; withdrawn: nobody was there any more to hear the answer.
 enum class End { kOk, kShed, kError, kWithdrawn };
@@ -55,6 +55,6 @@
   std::uint64_t tries_ = 0, applied_ = 0, rejected_ = 0;
 };
 
-}  // namespace lemoncroft::telemetry
+}  // namespace lemoncroft::metrics
 
 #endif  // LEMONCROFT_TELEMETRY_COUNTERS_H_
--- a/src/operator/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -1,4 +1,4 @@
-#include "operator/fields.h"
+#include "operator_config/fields.h"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <set>
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 using codec::KdlNode;
 using codec::KdlValue;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-bool ParseSpan(const std::string& text, waiting::Span& out) {
+bool ParseSpan(const std::string& text, admission_queue::Span& out) {
   double number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || !std::isfinite(number) || number < 0) return false;
@@ -39,23 +39,23 @@
                          : unit == "m"  ? 60
                          : unit == "h"  ? 3600
                                         : 0;
-  out = waiting::FromSeconds(number * seconds);
+  out = admission_queue::FromSeconds(number * seconds);
   return seconds > 0;
 }
 
-void ReadSpan(const KdlNode& node, waiting::Span least, waiting::Span most, waiting::Span& out,
-              Faults& faults) {
+void ReadSpan(const KdlNode& node, admission_queue::Span least, admission_queue::Span most,
+              admission_queue::Span& out, Faults& faults) {
   const KdlValue* value =
       Only(node, KdlValue::Kind::kText, "a time with its unit, such as \"250ms\" or \"2s\"", faults);
   if (value == nullptr) return;
-  waiting::Span span{};
+  admission_queue::Span span{};
   if (!ParseSpan(value->text, span))
     return faults.Add(value->place,
                       node.name + ": '" + value->text + "' is no time with a unit (us, ms, s, m, h)");
   if (span < least || span > most)
     return faults.Add(value->place, node.name + ": '" + value->text + "' is not from " +
-                                        Written(waiting::Seconds(least)) + "s to " +
-                                        Written(waiting::Seconds(most)) + "s");
+                                        Written(admission_queue::Seconds(least)) + "s to " +
+                                        Written(admission_queue::Seconds(most)) + "s");
   out = span;
 }
 
@@ -104,4 +104,4 @@
   }
 }
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
--- a/src/operator/fields.h
+++ b/src/operator_config/fields.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "codec/kdl.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 class Faults {
  public:
@@ -22,8 +22,8 @@
 };
 
 // Each reads a node's one argument into `out`, or notes why it can't.
-void ReadSpan(const codec::KdlNode& node, waiting::Span least, waiting::Span most, waiting::Span& out,
-              Faults& faults);
+void ReadSpan(const codec::KdlNode& node, admission_queue::Span least, admission_queue::Span most,
+              admission_queue::Span& out, Faults& faults);
 void ReadNumber(const codec::KdlNode& node, double least, double most, double& out, Faults& faults);
 void ReadCount(const codec::KdlNode& node, double most, std::size_t& out, Faults& faults);
 void ReadFlag(const codec::KdlNode& node, bool& out, Faults& faults);
@@ -35,8 +35,8 @@
                const std::vector<std::string>& many, Faults& faults);
 
 // "250ms", "2s", "5m", "1h": a number with its unit. False where it is none.
-bool ParseSpan(const std::string& text, waiting::Span& out);
+bool ParseSpan(const std::string& text, admission_queue::Span& out);
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
 
 #endif  // LEMONCROFT_OPERATOR_FIELDS_H_
--- a/src/operator/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -1,12 +1,12 @@
-#include "operator/fleet_block.h"
+#include "operator_config/fleet_block.h"
 
 #include <algorithm>
 #include <set>
 
-#include "peerlink/frame.h"
-#include "peerlink/link.h"
+#include "peer_transport/frame.h"
+#include "peer_transport/link.h"
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 using codec::KdlNode;
 using codec::KdlValue;
@@ -19,8 +19,8 @@
 constexpr double kMembersMost = 8192;
 constexpr int kRememberPeriods = 40;  // at the least: a verdict and a healing take longer than a few
 
-std::vector<peers::Endpoint> ReadEndpoints(const KdlNode& node, std::size_t most, Faults& faults) {
-  std::vector<peers::Endpoint> out;
+std::vector<gossip::Endpoint> ReadEndpoints(const KdlNode& node, std::size_t most, Faults& faults) {
+  std::vector<gossip::Endpoint> out;
   if (node.arguments.empty() || node.arguments.size() > most || !node.properties.empty() ||
       !node.children.empty()) {
     faults.Add(node.place, node.name + ": expected 1 to " + std::to_string(most) + " addresses");
@@ -29,7 +29,7 @@
   for (const KdlValue& value : node.arguments) {
     const auto address =
         value.kind == KdlValue::Kind::kText ? runtime::Address::Parse(value.text) : std::nullopt;
-    const peers::Endpoint endpoint = address ? peerlink::ToEndpoint(*address) : peers::Endpoint();
+    const gossip::Endpoint endpoint = address ? peer_transport::ToEndpoint(*address) : gossip::Endpoint();
     if (!endpoint)
       faults.Add(value.place, node.name + ": '" + value.text + "' is not an IPv4 address with a port");
     else if (std::find(out.begin(), out.end(), endpoint) != out.end())
@@ -54,7 +54,7 @@
   FleetSettings out;
   KdlNode name = node;
   name.children.clear();
-  ReadName(name, peerlink::kFleetMost, out.name, faults);
+  ReadName(name, peer_transport::kFleetMost, out.name, faults);
   std::set<std::string> given;
   const auto noted = [&](auto read) {
     return [&given, read](const KdlNode& n) {
@@ -66,7 +66,7 @@
       {"listen", noted([&](const KdlNode& n) { out.listen = ReadEndpoints(n, kListensMost, faults); })},
       {"advertise", noted([&](const KdlNode& n) { out.advertise = ReadEndpoints(n, kListensMost, faults); })},
       {"seeds", noted([&](const KdlNode& n) { out.view.seeds = ReadEndpoints(n, kSeedsMost, faults); })},
-      {"zone", [&](const KdlNode& n) { ReadName(n, peers::kZoneMost, out.zone, faults); }},
+      {"zone", [&](const KdlNode& n) { ReadName(n, gossip::kZoneMost, out.zone, faults); }},
       {"state-file", [&](const KdlNode& n) { ReadText(n, out.state, faults); }},
       {"period", [&](const KdlNode& n) { ReadSpan(n, 50ms, 10s, out.view.period, faults); }},
       {"remember", [&](const KdlNode& n) { ReadSpan(n, 1s, 24h, out.view.remember, faults); }},
@@ -80,7 +80,7 @@
   if (!given.contains("advertise")) out.advertise = out.listen;
   if (out.advertise.size() != out.listen.size() && given.contains("listen"))
     faults.Add(node.place, "fleet: `advertise` needs an address for each of `listen`");
-  for (const peers::Endpoint& told : out.advertise)
+  for (const gossip::Endpoint& told : out.advertise)
     if (told.host == 0) faults.Add(node.place, "fleet: nobody can reach 0.0.0.0: give `advertise`");
   if (out.view.most < 2) faults.Add(node.place, "most: a fleet has two members and more");
   if (out.view.remember < kRememberPeriods * out.view.period)
@@ -88,4 +88,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
--- a/src/operator/fleet_block.h
+++ b/src/operator_config/fleet_block.h
@@ -2,13 +2,13 @@
 #ifndef LEMONCROFT_OPERATOR_FLEET_BLOCK_H_
 #define LEMONCROFT_OPERATOR_FLEET_BLOCK_H_
 
-#include "operator/fields.h"
+#include "operator_config/fields.h"
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 // Notes all that is wrong with it; docs/operating-peers.md tells what each setting does.
 FleetSettings ReadFleet(const codec::KdlNode& node, Faults& faults);
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
 
 #endif  // LEMONCROFT_OPERATOR_FLEET_BLOCK_H_
--- a/src/operator/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -1,4 +1,4 @@
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,11 +6,11 @@
 #include <set>
 #include <sstream>
 
-#include "operator/fields.h"
-#include "operator/fleet_block.h"
-#include "operator/rules_block.h"
+#include "operator_config/fields.h"
+#include "operator_config/fleet_block.h"
+#include "operator_config/rules_block.h"
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 using codec::KdlNode;
 using namespace std::chrono_literals;
@@ -38,7 +38,8 @@
   return static_cast<std::size_t>(it - names.begin());
 }
 
-void ReadTeam(const KdlNode& node, const settings::Site& site, waiting::TeamBudget& budget, Faults& faults) {
+void ReadTeam(const KdlNode& node, const settings::Site& site, admission_queue::TeamBudget& budget,
+              Faults& faults) {
   bool has_cores = false;
   const Known known = {
       {"cores",
@@ -54,7 +55,7 @@
       {"bar",
        [&](const KdlNode& n) {
          if (const auto klass = Named(n, site.classes, "class", faults))
-           budget.barred.push_back(static_cast<waiting::Klass>(*klass));
+           budget.barred.push_back(static_cast<admission_queue::Klass>(*klass));
        }},
   };
   ReadBlock(node.children, known, {"bar"}, faults);
@@ -62,7 +63,7 @@
     faults.Add(node.place, "team '" + budget.name + "' has no cores: give it a budget, 0 for none");
 }
 
-void ReadClass(const KdlNode& node, waiting::ClassTerms& terms, Faults& faults) {
+void ReadClass(const KdlNode& node, admission_queue::ClassTerms& terms, Faults& faults) {
   const Known known = {
       {"wait-most", [&](const KdlNode& n) { ReadSpan(n, 1ms, 1h, terms.wait_most, faults); }},
       {"worth", [&](const KdlNode& n) { ReadNumber(n, 1e-6, 1e6, terms.worth, faults); }},
@@ -73,28 +74,28 @@
 
 // What the site tells of its classes: a usual work from the aim, which leaves some room, and as light those
 // whose usual work is at most a quarter of the heaviest, as the decision module counts them.
-std::vector<waiting::ClassTerms> TermsOf(const settings::Site& site) {
-  std::vector<waiting::ClassTerms> terms;
-  waiting::Work heaviest{};
+std::vector<admission_queue::ClassTerms> TermsOf(const settings::Site& site) {
+  std::vector<admission_queue::ClassTerms> terms;
+  admission_queue::Work heaviest{};
   for (std::size_t i = 0; i < site.classes.size(); ++i) {
     const ClassSettings& c = site.module.classes[i];
-    waiting::ClassTerms t;
+    admission_queue::ClassTerms t;
     t.name = site.classes[i];
     t.worth = c.worth;
     t.threads = c.threads;
-    t.usual = std::max<waiting::Work>(1ms, waiting::Work(c.aim) / 3 * c.threads);
+    t.usual = std::max<admission_queue::Work>(1ms, admission_queue::Work(c.aim) / 3 * c.threads);
     heaviest = std::max(heaviest, t.usual);
     terms.push_back(std::move(t));
   }
-  for (waiting::ClassTerms& t : terms) t.light = t.usual * 4 <= heaviest;
+  for (admission_queue::ClassTerms& t : terms) t.light = t.usual * 4 <= heaviest;
   return terms;
 }
 
 WaitingSettings ReadWaiting(const KdlNode& node, const settings::Site& site, Faults& faults) {
   WaitingSettings out;
-  waiting::Settings& line = out.line;
+  admission_queue::Settings& line = out.line;
   line.part = 1.0 / std::max(1, site.module.gateways);
-  line.longest = waiting::Span(site.module.max_come_back);
+  line.longest = admission_queue::Span(site.module.max_come_back);
   line.classes = TermsOf(site);
   for (const std::string& name : site.tenants)
     line.teams.push_back({.name = name, .burst = 1s, .barred = {}});
@@ -128,7 +129,7 @@
       faults.Add(node.place, "team '" + site.tenants[i] + "' of the site is not given: `team \"" +
                                  site.tenants[i] + "\" { cores 0 }` would refuse all it sends");
   }
-  for (const waiting::TeamBudget& team : line.teams) {
+  for (const admission_queue::TeamBudget& team : line.teams) {
     if (team.cores > 0 && team.barred.size() >= line.classes.size() && !line.classes.empty())
       faults.Add(node.place, "team '" + team.name + "' has a budget and may use no class");
   }
@@ -175,4 +176,4 @@
   return ReadOperatorFile(path, text.str(), site);
 }
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
--- a/src/operator/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -12,12 +12,12 @@
 #include <string_view>
 #include <vector>
 
+#include "admission_queue/types.h"
 #include "codec/kdl.h"
-#include "peers/settings.h"
+#include "gossip/settings.h"
 #include "settings/settings.h"
-#include "waiting/types.h"
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 struct Problem {
   codec::KdlPlace place;
@@ -31,16 +31,16 @@
 };
 
 struct WaitingSettings {
-  waiting::Settings line;
+  admission_queue::Settings line;
   bool tell_clients = false;  // estimates to clients that ask for them
   std::string state;          // the file that `lemoncroft waiting` reads; empty: none is written
 };
 
 struct FleetSettings {
-  std::string name;                                // of the fleet
-  std::vector<peers::Endpoint> listen, advertise;  // as many of each
+  std::string name;                                 // of the fleet
+  std::vector<gossip::Endpoint> listen, advertise;  // as many of each
   std::string zone;
-  peers::Settings view;
+  gossip::Settings view;
   std::string state;  // the file that `lemoncroft peers` reads; empty: none is written
   bool operator==(const FleetSettings&) const = default;
 };
@@ -48,7 +48,7 @@
 struct RulesSettings {
   std::vector<std::string> voters;  // the first of the fleet
   std::string store;                // file of a voter; empty: this proxy can't be one
-  waiting::Span lease = std::chrono::milliseconds(1000), beat = std::chrono::milliseconds(250);
+  admission_queue::Span lease = std::chrono::milliseconds(1000), beat = std::chrono::milliseconds(250);
   bool operator==(const RulesSettings&) const = default;
 };
 
@@ -62,6 +62,6 @@
 OperatorFile ReadOperatorFile(const std::string& path, std::string_view text, const settings::Site& site);
 OperatorFile LoadOperatorFile(const std::string& path, const settings::Site& site);
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
 
 #endif  // LEMONCROFT_OPERATOR_OPERATOR_FILE_H_
--- a/src/operator/rules_block.cpp
+++ b/src/operator_config/rules_block.cpp
@@ -1,10 +1,10 @@
-#include "operator/rules_block.h"
+#include "operator_config/rules_block.h"
 
 #include <algorithm>
 
-#include "peers/types.h"
+#include "gossip/types.h"
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 using codec::KdlNode;
 using codec::KdlValue;
@@ -18,7 +18,7 @@
 void ReadVoters(const KdlNode& node, std::vector<std::string>& out, Faults& faults) {
   for (const KdlValue& value : node.arguments) {
     const bool name =
-        value.kind == KdlValue::Kind::kText && !value.text.empty() && value.text.size() <= peers::kNameMost;
+        value.kind == KdlValue::Kind::kText && !value.text.empty() && value.text.size() <= gossip::kNameMost;
     if (!name)
       faults.Add(value.place, "voters: expected names of proxies");
     else if (std::find(out.begin(), out.end(), value.text) != out.end())
@@ -49,4 +49,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
--- a/src/operator/rules_block.h
+++ b/src/operator_config/rules_block.h
@@ -2,12 +2,12 @@
 #ifndef LEMONCROFT_OPERATOR_RULES_BLOCK_H_
 #define LEMONCROFT_OPERATOR_RULES_BLOCK_H_
 
-#include "operator/fields.h"
+#include "operator_config/fields.h"
 
-namespace lemoncroft::op {
+namespace lemoncroft::operator_config {
 
 RulesSettings ReadRules(const codec::KdlNode& node, Faults& faults);
 
-}  // namespace lemoncroft::op
+}  // namespace lemoncroft::operator_config
 
 #endif  // LEMONCROFT_OPERATOR_RULES_BLOCK_H_
--- a/src/peerlink/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -1,4 +1,4 @@
-#include "peerlink/frame.h"
+#include "peer_transport/frame.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -8,16 +8,16 @@
 
 #include "codec/msgpack_reader.h"
 
-namespace lemoncroft::peerlink {
+namespace lemoncroft::peer_transport {
 namespace {
 
-using namespace peers;
+using namespace gossip;
 using Packer = msgpack::packer<msgpack::sbuffer>;
 using Object = msgpack::object;
 using Reader = codec::MsgpackReader;
 
 constexpr char kMagic[] = {'L', 'C'};
-static_assert(peers::kExchangeBytesMost + (std::size_t{16} << 10) < kStreamMost,
+static_assert(gossip::kExchangeBytesMost + (std::size_t{16} << 10) < kStreamMost,
               "beside its sender and sums");
 
 constexpr codec::MsgpackBounds kBounds{16384, 256, kStreamMost, 8};
@@ -245,4 +245,4 @@
   return read.value_or(Fault::kMalformed);
 }
 
-}  // namespace lemoncroft::peerlink
+}  // namespace lemoncroft::peer_transport
--- a/src/peerlink/frame.h
+++ b/src/peer_transport/frame.h
@@ -13,9 +13,9 @@
 #include <string_view>
 #include <variant>
 
-#include "peers/types.h"
+#include "gossip/types.h"
 
-namespace lemoncroft::peerlink {
+namespace lemoncroft::peer_transport {
 
 enum class Fault : std::uint8_t { kCut, kTooLong, kGarbled, kVersion, kForeign, kMalformed };
 inline constexpr std::size_t kFaults = 6;
@@ -34,16 +34,16 @@
 };
 // Bytes of another part of the program, which the view carries for it.
 struct Parcel {
-  peers::InstanceId from = peers::kNobody;
+  gossip::InstanceId from = gossip::kNobody;
   Part part = Part::kRules;
   std::string bytes;
 };
 
-using Message = std::variant<peers::Datagram, peers::Opening, peers::Entries, Parcel>;
+using Message = std::variant<gossip::Datagram, gossip::Opening, gossip::Entries, Parcel>;
 
 std::string Encode(std::string_view fleet, const Message& message);
 std::variant<Message, Fault> Decode(std::string_view fleet, std::string_view frame, std::size_t most);
 
-}  // namespace lemoncroft::peerlink
+}  // namespace lemoncroft::peer_transport
 
 #endif  // LEMONCROFT_PEERLINK_FRAME_H_
--- a/src/peerlink/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -1,4 +1,4 @@
-#include "peerlink/link.h"
+#include "peer_transport/link.h"
 
 #include <arpa/inet.h>
 #include <spdlog/spdlog.h>
@@ -8,7 +8,7 @@
 #include <random>
 #include <system_error>
 
-namespace lemoncroft::peerlink {
+namespace lemoncroft::peer_transport {
 namespace {
 
 using namespace std::chrono_literals;
@@ -36,7 +36,7 @@
 };
 
 // The first address of which both can be had: another process of this proxy may hold one still.
-Sockets Bind(runtime::Loop& loop, const std::vector<peers::Endpoint>& listen) {
+Sockets Bind(runtime::Loop& loop, const std::vector<gossip::Endpoint>& listen) {
   for (std::size_t i = 0;; ++i) {
     try {
       const runtime::Address address = ToAddress(listen.at(i));
@@ -49,8 +49,8 @@
   }
 }
 
-peers::Record Self(const Terms& terms, std::size_t place) {
-  peers::Record self;
+gossip::Record Self(const Terms& terms, std::size_t place) {
+  gossip::Record self;
   self.id = DrawId();
   self.name = terms.name;
   self.zone = terms.zone;
@@ -76,7 +76,7 @@
   return 0;
 }
 
-runtime::Address ToAddress(const peers::Endpoint& endpoint) {
+runtime::Address ToAddress(const gossip::Endpoint& endpoint) {
   runtime::Address address;
   address.raw.sin_family = AF_INET;
   address.raw.sin_addr.s_addr = htonl(endpoint.host);
@@ -84,11 +84,11 @@
   return address;
 }
 
-peers::Endpoint ToEndpoint(const runtime::Address& address) {
+gossip::Endpoint ToEndpoint(const runtime::Address& address) {
   return {ntohl(address.raw.sin_addr.s_addr), ntohs(address.raw.sin_port)};
 }
 
-std::string Text(const peers::Endpoint& endpoint) { return ToAddress(endpoint).Text(); }
+std::string Text(const gossip::Endpoint& endpoint) { return ToAddress(endpoint).Text(); }
 
 Link::Link(runtime::Loop& loop, const Terms& terms, std::uint64_t seed, Heard heard)
     : loop_(loop),
@@ -98,7 +98,7 @@
         datagrams_ = std::move(sockets.datagrams);
         streams_ = std::move(sockets.streams);
         listen_ = terms.listen[sockets.place];
-        return peers::View(terms.view, Self(terms, sockets.place), seed ^ DrawId(), Now());
+        return gossip::View(terms.view, Self(terms, sockets.place), seed ^ DrawId(), Now());
       }()),
       heard_(std::move(heard)) {}
 
@@ -108,7 +108,7 @@
   loop_.Spawn(Accept());
 }
 
-void Link::SetPhase(peers::Phase phase) {
+void Link::SetPhase(gossip::Phase phase) {
   view_.SetPhase(Now(), phase);
   Pump();
 }
@@ -124,15 +124,15 @@
 }
 
 void Link::Pump() {
-  for (const peers::Output& output : view_.Take()) {
-    if (const auto* event = std::get_if<peers::Event>(&output)) {
+  for (const gossip::Output& output : view_.Take()) {
+    if (const auto* event = std::get_if<gossip::Event>(&output)) {
       heard_(*event);
-    } else if (const auto* transmit = std::get_if<peers::Transmit>(&output)) {
+    } else if (const auto* transmit = std::get_if<gossip::Transmit>(&output)) {
       const std::string frame = Encode(fleet_, transmit->datagram);
       const bool sent = datagrams_->Send(frame, ToAddress(transmit->to));
       ++(sent ? figures_.sent : figures_.unsent);
       if (sent) figures_.sent_bytes += frame.size();
-    } else if (const auto* exchange = std::get_if<peers::Exchange>(&output)) {
+    } else if (const auto* exchange = std::get_if<gossip::Exchange>(&output)) {
       if (out_ < kOutMost) loop_.Spawn(Exchange(exchange->to));
     }
   }
@@ -164,9 +164,9 @@
     const runtime::DatagramSocket::Received received = co_await datagrams_->Receive();
     if (received.io != Io::kOk) co_return;
     ++figures_.received;
-    const auto message = Read(received.bytes, received.whole ? peers::kDatagramMost : 0);
+    const auto message = Read(received.bytes, received.whole ? gossip::kDatagramMost : 0);
     if (const auto* good = std::get_if<Message>(&message)) {
-      if (const auto* datagram = std::get_if<peers::Datagram>(good)) {
+      if (const auto* datagram = std::get_if<gossip::Datagram>(good)) {
         const Time begun = Now();
         view_.Receive(begun, *datagram);
         Pump();
@@ -214,7 +214,7 @@
                                       std::string bytes, Time deadline,
                                       std::optional<runtime::Address> from) {
   std::unique_ptr<runtime::Socket> socket;
-  std::string frame = Encode(fleet, Parcel{peers::kNobody, Part::kCall, std::move(bytes)});
+  std::string frame = Encode(fleet, Parcel{gossip::kNobody, Part::kCall, std::move(bytes)});
   bool good_so_far = co_await Connect(loop, to, deadline, nullptr, socket, from) == Io::kOk;
   if (good_so_far) good_so_far = co_await WriteFrame(*socket, frame, deadline);
   if (good_so_far) good_so_far = co_await ReadFrame(*socket, frame, deadline);
@@ -240,11 +240,11 @@
   return fits;
 }
 
-void Link::Post(const peers::Endpoint& to, Part part, std::string bytes) {
+void Link::Post(const gossip::Endpoint& to, Part part, std::string bytes) {
   std::string frame = Encode(fleet_, Parcel{view_.roster().self(), part, std::move(bytes)});
   ++figures_.parcels;
   figures_.parcel_bytes += frame.size();
-  if (frame.size() <= peers::kDatagramMost) {
+  if (frame.size() <= gossip::kDatagramMost) {
     if (!datagrams_->Send(frame, ToAddress(to))) ++figures_.parcels_lost;
   } else if (parcels_out_ < kParcelsMost) {
     loop_.Spawn(SendParcel(to, std::move(frame)));
@@ -253,7 +253,7 @@
   }
 }
 
-Task<> Link::SendParcel(peers::Endpoint to, std::string frame) {
+Task<> Link::SendParcel(gossip::Endpoint to, std::string frame) {
   ++parcels_out_;
   const Time deadline = Now() + kStreamPatience;
   std::unique_ptr<runtime::Socket> socket;
@@ -297,7 +297,7 @@
   if (co_await ReadCounted(*socket, frame, deadline)) {
     auto message = Read(frame, kStreamMost);
     auto* good = std::get_if<Message>(&message);
-    auto* opening = good == nullptr ? nullptr : std::get_if<peers::Opening>(good);
+    auto* opening = good == nullptr ? nullptr : std::get_if<gossip::Opening>(good);
     auto* parcel = good == nullptr ? nullptr : std::get_if<Parcel>(good);
     if (opening != nullptr) {
       const std::string answer = Encode(fleet_, view_.Answer(Now(), *opening));
@@ -306,8 +306,8 @@
       if (co_await WriteFrame(*socket, answer, deadline) && co_await ReadCounted(*socket, frame, deadline)) {
         const auto last = Read(frame, kStreamMost);
         const auto* closing = std::get_if<Message>(&last);
-        if (closing != nullptr && std::holds_alternative<peers::Entries>(*closing)) {
-          view_.Finish(Now(), std::get<peers::Entries>(*closing));
+        if (closing != nullptr && std::holds_alternative<gossip::Entries>(*closing)) {
+          view_.Finish(Now(), std::get<gossip::Entries>(*closing));
           Pump();
         }
       }
@@ -321,7 +321,7 @@
   --in_;
 }
 
-Task<> Link::Exchange(peers::Endpoint to) {
+Task<> Link::Exchange(gossip::Endpoint to) {
   ++out_;
   const Time deadline = Now() + kStreamPatience;
   bool done = false;
@@ -338,8 +338,8 @@
   if (open) {
     const auto message = Read(frame, kStreamMost);
     const auto* good = std::get_if<Message>(&message);
-    if (good != nullptr && std::holds_alternative<peers::Entries>(*good)) {
-      const std::string closing = Encode(fleet_, view_.Close(Now(), std::get<peers::Entries>(*good)));
+    if (good != nullptr && std::holds_alternative<gossip::Entries>(*good)) {
+      const std::string closing = Encode(fleet_, view_.Close(Now(), std::get<gossip::Entries>(*good)));
       figures_.exchange_bytes += closing.size();
       Pump();
       done = co_await WriteFrame(*socket, closing, deadline);
@@ -351,4 +351,4 @@
   --out_;
 }
 
-}  // namespace lemoncroft::peerlink
+}  // namespace lemoncroft::peer_transport
--- a/src/peerlink/link.h
+++ b/src/peer_transport/link.h
@@ -17,17 +17,17 @@
 #include <string>
 #include <vector>
 
-#include "peerlink/frame.h"
-#include "peers/view.h"
+#include "gossip/view.h"
+#include "peer_transport/frame.h"
 #include "runtime/datagram.h"
 
-namespace lemoncroft::peerlink {
+namespace lemoncroft::peer_transport {
 
 struct Terms {
   std::string fleet;
   std::string name, zone;
-  std::vector<peers::Endpoint> listen, advertise;  // as many of each; the first that is free is taken
-  peers::Settings view;
+  std::vector<gossip::Endpoint> listen, advertise;  // as many of each; the first that is free is taken
+  gossip::Settings view;
 };
 
 struct Figures {
@@ -50,13 +50,13 @@
   std::uint64_t all_ = 0;
 };
 
-runtime::Address ToAddress(const peers::Endpoint& endpoint);
-peers::Endpoint ToEndpoint(const runtime::Address& address);
-std::string Text(const peers::Endpoint& endpoint);
+runtime::Address ToAddress(const gossip::Endpoint& endpoint);
+gossip::Endpoint ToEndpoint(const runtime::Address& address);
+std::string Text(const gossip::Endpoint& endpoint);
 
 class Link {
  public:
-  using Heard = std::function<void(const peers::Event&)>;
+  using Heard = std::function<void(const gossip::Event&)>;
   // `heard` is told each event of the view, in order, outside of any call to this object.
   Link(runtime::Loop& loop, const Terms& terms, std::uint64_t seed, Heard heard);
 
@@ -65,25 +65,25 @@
   std::function<runtime::Task<std::string>(std::string)> on_call;
 
   void Start();
-  void SetPhase(peers::Phase phase);
+  void SetPhase(gossip::Phase phase);
   bool SetAttribute(const std::string& key, const std::string& value);
   // Sends it once, as a datagram where it fits and over a stream of its own where not. It may be lost.
-  void Post(const peers::Endpoint& to, Part part, std::string bytes);
+  void Post(const gossip::Endpoint& to, Part part, std::string bytes);
   // Says that this process ends, and gives the word a moment to go out.
   runtime::Task<> Leave();
 
-  const peers::View& view() const { return view_; }
+  const gossip::View& view() const { return view_; }
   const Figures& figures() const { return figures_; }
   const TurnTimes& turns() const { return turns_; }
-  const peers::Endpoint& address() const { return listen_; }
+  const gossip::Endpoint& address() const { return listen_; }
 
  private:
   runtime::Task<> Hear();
   runtime::Task<> Beat();
   runtime::Task<> Accept();
   runtime::Task<> Serve(std::unique_ptr<runtime::Socket> socket);
-  runtime::Task<> Exchange(peers::Endpoint to);
-  runtime::Task<> SendParcel(peers::Endpoint to, std::string frame);
+  runtime::Task<> Exchange(gossip::Endpoint to);
+  runtime::Task<> SendParcel(gossip::Endpoint to, std::string frame);
   runtime::Task<> AnswerCall(std::unique_ptr<runtime::Socket> socket, std::string bytes);
   runtime::Task<bool> ReadCounted(runtime::Socket& socket, std::string& frame, runtime::Time deadline);
   std::variant<Message, Fault> Read(std::string_view frame, std::size_t most);
@@ -92,10 +92,10 @@
 
   runtime::Loop& loop_;
   std::string fleet_;
-  peers::Endpoint listen_;
+  gossip::Endpoint listen_;
   std::unique_ptr<runtime::DatagramSocket> datagrams_;
   std::unique_ptr<runtime::Listener> streams_;
-  peers::View view_;
+  gossip::View view_;
   Heard heard_;
   Figures figures_;
   TurnTimes turns_;
@@ -112,6 +112,6 @@
                                                std::string bytes, runtime::Time deadline,
                                                std::optional<runtime::Address> from = std::nullopt);
 
-}  // namespace lemoncroft::peerlink
+}  // namespace lemoncroft::peer_transport
 
 #endif  // LEMONCROFT_PEERLINK_LINK_H_
--- a/src/agreement/codec.cpp
+++ b/src/raft/codec.cpp
@@ -1,8 +1,8 @@
-#include "agreement/codec.h"
+#include "raft/codec.h"
 
 #include "codec/msgpack_fields.h"
 
-namespace lemoncroft::agreement {
+namespace lemoncroft::raft {
 
 using codec::Is;
 using codec::MsgpackPacker;
@@ -126,4 +126,4 @@
 std::string Encode(const Snapshot& snapshot) { return EncodeWhole(snapshot); }
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes) { return DecodeWhole<Snapshot>(bytes); }
 
-}  // namespace lemoncroft::agreement
+}  // namespace lemoncroft::raft
--- a/src/agreement/codec.h
+++ b/src/raft/codec.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <string_view>
 
-#include "agreement/types.h"
+#include "raft/types.h"
 
-namespace lemoncroft::agreement {
+namespace lemoncroft::raft {
 
 inline constexpr std::size_t kSnapshotMost = std::size_t{960} << 10;
 
@@ -25,6 +25,6 @@
 std::string Encode(const Snapshot& snapshot);
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes);
 
-}  // namespace lemoncroft::agreement
+}  // namespace lemoncroft::raft
 
 #endif  // LEMONCROFT_AGREEMENT_CODEC_H_
--- a/src/agreement/raft.cpp
+++ b/src/raft/raft.cpp
@@ -1,9 +1,9 @@
-#include "agreement/raft.h"
+#include "raft/raft.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace lemoncroft::agreement {
+namespace lemoncroft::raft {
 
 Raft::Raft(const Settings& settings, Name self, Durable restored, std::uint64_t seed, Time now)
     : set_(settings),
@@ -482,4 +482,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::agreement
+}  // namespace lemoncroft::raft
--- a/src/agreement/raft.h
+++ b/src/raft/raft.h
@@ -18,9 +18,9 @@
 #include <string>
 #include <vector>
 
-#include "agreement/types.h"
+#include "raft/types.h"
 
-namespace lemoncroft::agreement {
+namespace lemoncroft::raft {
 
 enum class Role { kFollower, kAsking, kCandidate, kLeader };  // kAsking: would it be voted for?
 enum class Refusal { kNone, kNotLeader, kTooLarge, kNotYet };
@@ -140,6 +140,6 @@
   std::vector<Output> outputs_;
 };
 
-}  // namespace lemoncroft::agreement
+}  // namespace lemoncroft::raft
 
 #endif  // LEMONCROFT_AGREEMENT_RAFT_H_
--- a/src/agreement/types.h
+++ b/src/raft/types.h
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-namespace lemoncroft::agreement {
+namespace lemoncroft::raft {
 
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
@@ -156,6 +156,6 @@
   Guards guards;
 };
 
-}  // namespace lemoncroft::agreement
+}  // namespace lemoncroft::raft
 
 #endif  // LEMONCROFT_AGREEMENT_TYPES_H_
--- a/src/rules/book.cpp
+++ b/src/replicated_config/book.cpp
@@ -1,10 +1,10 @@
-#include "rules/book.h"
+#include "replicated_config/book.h"
 
 #include <algorithm>
 
 #include "codec/msgpack_reader.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 namespace {
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
@@ -162,4 +162,4 @@
   return true;
 }
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
--- a/src/rules/book.h
+++ b/src/replicated_config/book.h
@@ -15,9 +15,9 @@
 #include <string>
 #include <string_view>
 
-#include "rules/lease.h"
+#include "replicated_config/lease.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 inline constexpr std::size_t kTextMost = std::size_t{256} << 10;   // of one document
 inline constexpr std::size_t kTextsMost = std::size_t{768} << 10;  // of all that are kept
@@ -92,6 +92,6 @@
   std::deque<std::string> order_;  // of the outcomes, the oldest first
 };
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
 
 #endif  // LEMONCROFT_RULES_BOOK_H_
--- a/src/rules/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -1,12 +1,12 @@
-#include "rules/document.h"
+#include "replicated_config/document.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
-#include "operator/fields.h"
+#include "operator_config/fields.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 using codec::KdlNode;
 using codec::KdlValue;
@@ -32,7 +32,7 @@
  public:
   std::variant<Document, std::string> Read(std::string_view text) {
     try {
-      const op::Known known = {
+      const operator_config::Known known = {
           {"format", [&](const KdlNode& n) { Count(n, 1e6, out_.format); }},
           {"attempts", [&](const KdlNode& n) { out_.attempts = Whole(n, 1, 100); }},
           {"open-most", [&](const KdlNode& n) { out_.open_most = Whole(n, 1, 1e6); }},
@@ -43,7 +43,7 @@
           {"out", [&](const KdlNode& n) { Names(n, out_.out); }},
           {"cut-off", [&](const KdlNode& n) { CutOffBlock(n); }},
       };
-      op::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, faults_);
+      operator_config::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, faults_);
     } catch (const codec::KdlError& e) {
       return std::string(e.what());
     }
@@ -52,34 +52,34 @@
       if (count > kNamesMost)
         faults_.Add({}, std::to_string(count) + " of one kind: at most " + std::to_string(kNamesMost));
     if (faults_.all().empty()) return std::move(out_);
-    return op::OperatorError("rules", faults_.all()).what();
+    return operator_config::OperatorError("rules", faults_.all()).what();
   }
 
  private:
   void Count(const KdlNode& n, double most, std::uint64_t& out) {
     std::size_t value = out;
-    op::ReadCount(n, most, value, faults_);
+    operator_config::ReadCount(n, most, value, faults_);
     out = value;
   }
   int Whole(const KdlNode& n, double least, double most) {
     double value = least;
-    op::ReadNumber(n, least, most, value, faults_);
+    operator_config::ReadNumber(n, least, most, value, faults_);
     if (value != std::floor(value)) faults_.Add(n.place, n.name + ": expected a whole number");
     return static_cast<int>(value);
   }
   std::size_t Size(const KdlNode& n, double most) {
     std::size_t value = 0;
-    op::ReadCount(n, most, value, faults_);
+    operator_config::ReadCount(n, most, value, faults_);
     return value;
   }
   double Number(const KdlNode& n) {
     double value = 0;
-    op::ReadNumber(n, 0, kRateMost, value, faults_);
+    operator_config::ReadNumber(n, 0, kRateMost, value, faults_);
     return value;
   }
   Span Time(const KdlNode& n, Span least = 0s, Span most = 24h) {
     Span value{};
-    op::ReadSpan(n, least, most, value, faults_);
+    operator_config::ReadSpan(n, least, most, value, faults_);
     return value;
   }
   // The one name of a block, that isn't given yet.
@@ -88,7 +88,7 @@
     KdlNode head = n;
     head.children.clear();
     std::string name;
-    op::ReadText(head, name, faults_);
+    operator_config::ReadText(head, name, faults_);
     if (!Plain(name)) faults_.Add(n.place, n.name + ": a name is 1 to 128 plain characters without blanks");
     const auto [it, fresh] = into.try_emplace(name);
     if (!fresh) faults_.Add(n.place, n.name + " '" + name + "': given twice");
@@ -97,7 +97,7 @@
   template <typename E, std::size_t N>
   std::optional<E> OneOf(const KdlNode& n, const char* const (&names)[N]) {
     std::string name;
-    op::ReadText(n, name, faults_);
+    operator_config::ReadText(n, name, faults_);
     for (std::size_t i = 0; i < N; ++i)
       if (name == names[i]) return static_cast<E>(i);
     faults_.Add(n.place, n.name + ": '" + name + "' is none of those there are");
@@ -114,32 +114,33 @@
   }
   void Class(const KdlNode& node) {
     ClassRule& rule = Named(node, out_.classes);
-    op::ReadBlock(node.children,
-                  {{"effect", [&](const KdlNode& n) { rule.effect = OneOf<Effect>(n, kEffects); }},
-                   {"group", [&](const KdlNode& n) { rule.group = OneOf<RepeatGroup>(n, kGroups); }},
-                   {"repeat-window", [&](const KdlNode& n) { rule.repeat_window = Time(n); }}},
-                  {}, faults_);
+    operator_config::ReadBlock(
+        node.children,
+        {{"effect", [&](const KdlNode& n) { rule.effect = OneOf<Effect>(n, kEffects); }},
+         {"group", [&](const KdlNode& n) { rule.group = OneOf<RepeatGroup>(n, kGroups); }},
+         {"repeat-window", [&](const KdlNode& n) { rule.repeat_window = Time(n); }}},
+        {}, faults_);
   }
   void Tenant(const KdlNode& node) {
     TenantRule& rule = Named(node, out_.tenants);
-    op::ReadBlock(node.children, {{"quota", [&](const KdlNode& n) { rule.quota_per_s = Number(n); }}}, {},
-                  faults_);
+    operator_config::ReadBlock(
+        node.children, {{"quota", [&](const KdlNode& n) { rule.quota_per_s = Number(n); }}}, {}, faults_);
   }
   void Team(const KdlNode& node) {
     TeamRule& rule = Named(node, out_.teams);
-    op::ReadBlock(node.children,
-                  {{"cores", [&](const KdlNode& n) { rule.cores = Number(n); }},
-                   {"burst", [&](const KdlNode& n) { rule.burst = Time(n, 0s, 1h); }},
-                   {"threads", [&](const KdlNode& n) { rule.threads = Size(n, 1e7); }},
-                   {"waiting", [&](const KdlNode& n) { rule.waiting = Size(n, 2e6); }}},
-                  {}, faults_);
+    operator_config::ReadBlock(node.children,
+                               {{"cores", [&](const KdlNode& n) { rule.cores = Number(n); }},
+                                {"burst", [&](const KdlNode& n) { rule.burst = Time(n, 0s, 1h); }},
+                                {"threads", [&](const KdlNode& n) { rule.threads = Size(n, 1e7); }},
+                                {"waiting", [&](const KdlNode& n) { rule.waiting = Size(n, 2e6); }}},
+                               {}, faults_);
   }
   void Further(const KdlNode& node) {
     Budget budget;
     for (const auto& [name, value] : node.properties) {
       const bool number =
           value.kind == KdlValue::Kind::kNumber && value.number >= 0 && value.number <= kRateMost;
-      const bool span = op::ParseSpan(value.text, budget.look_back);
+      const bool span = operator_config::ParseSpan(value.text, budget.look_back);
       if (name == "free" && number)
         budget.free = value.number;
       else if (name == "ratio" && number)
@@ -155,10 +156,10 @@
     KdlNode head = node;
     head.children.clear();
     out_.cut_off.lasts = Time(head, 1s, kLastsMost);
-    op::ReadBlock(node.children,
-                  {{"class", [&](const KdlNode& n) { Names(n, out_.cut_off.classes); }},
-                   {"engine", [&](const KdlNode& n) { Names(n, out_.cut_off.engines); }}},
-                  {}, faults_);
+    operator_config::ReadBlock(node.children,
+                               {{"class", [&](const KdlNode& n) { Names(n, out_.cut_off.classes); }},
+                                {"engine", [&](const KdlNode& n) { Names(n, out_.cut_off.engines); }}},
+                               {}, faults_);
     const CutOff& c = out_.cut_off;
     if (c.classes.empty() || c.engines.empty())
       faults_.Add(node.place, "cut-off: name the classes that go on and the engines that they go on at");
@@ -168,7 +169,7 @@
   }
 
   Document out_;
-  op::Faults faults_;
+  operator_config::Faults faults_;
 };
 
 // ---- Writing ----
@@ -315,7 +316,8 @@
   return {};
 }
 
-std::string WhyNot(const Document& document, const settings::Site& own, const waiting::Settings* line) {
+std::string WhyNot(const Document& document, const settings::Site& own,
+                   const admission_queue::Settings* line) {
   if (document.format > kFormat)
     return "its program reads format " + std::to_string(kFormat) + ", not " + std::to_string(document.format);
   for (const auto& [name, rule] : document.classes)
@@ -332,8 +334,9 @@
            std::to_string(*document.open_most);
   if (!document.teams.empty() && line == nullptr) return "it has no waiting line for team budgets";
   for (const auto& [name, rule] : document.teams) {
-    const bool known = std::any_of(line->teams.begin(), line->teams.end(),
-                                   [&, n = name](const waiting::TeamBudget& t) { return t.name == n; });
+    const bool known =
+        std::any_of(line->teams.begin(), line->teams.end(),
+                    [&, n = name](const admission_queue::TeamBudget& t) { return t.name == n; });
     if (!known) return "its waiting line has no team '" + name + "'";
   }
   return {};
@@ -358,9 +361,9 @@
   return site;
 }
 
-waiting::Settings Applied(const Document& document, const waiting::Settings& own) {
-  waiting::Settings line = own;
-  for (waiting::TeamBudget& team : line.teams) {
+admission_queue::Settings Applied(const Document& document, const admission_queue::Settings& own) {
+  admission_queue::Settings line = own;
+  for (admission_queue::TeamBudget& team : line.teams) {
     const auto it = document.teams.find(team.name);
     if (it == document.teams.end()) continue;
     const TeamRule& rule = it->second;
@@ -372,4 +375,4 @@
   return line;
 }
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
--- a/src/rules/document.h
+++ b/src/replicated_config/document.h
@@ -16,11 +16,11 @@
 #include <variant>
 #include <vector>
 
-#include "rules/lease.h"
+#include "admission_queue/types.h"
+#include "replicated_config/lease.h"
 #include "settings/settings.h"
-#include "waiting/types.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 inline constexpr std::uint64_t kFormat = 1;      // the newest that this program reads
 inline constexpr std::size_t kNamesMost = 4096;  // classes, tenants, teams: of each
@@ -80,12 +80,13 @@
 
 // Why a proxy with these settings of its own can't carry it; nothing where it can. `teams`: of its waiting
 // line; null: it has none.
-std::string WhyNot(const Document& document, const settings::Site& own, const waiting::Settings* line);
+std::string WhyNot(const Document& document, const settings::Site& own,
+                   const admission_queue::Settings* line);
 
 // Its own settings as the document changes them. WhyNot has nothing against it.
 settings::Site Applied(const Document& document, const settings::Site& own);
-waiting::Settings Applied(const Document& document, const waiting::Settings& own);
+admission_queue::Settings Applied(const Document& document, const admission_queue::Settings& own);
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
 
 #endif  // LEMONCROFT_RULES_DOCUMENT_H_
--- a/src/rules/keeper.cpp
+++ b/src/replicated_config/keeper.cpp
@@ -1,12 +1,12 @@
-#include "rules/keeper.h"
+#include "replicated_config/keeper.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
-using agreement::kNever;
-using agreement::Name;
+using raft::kNever;
+using raft::Name;
 using namespace std::chrono_literals;
 
 namespace {
@@ -226,8 +226,8 @@
   CloseStore();
   restored_ = std::move(stored.durable);
   std::vector<Name> voters = restored_.snapshot.voters;
-  for (const agreement::Entry& entry : restored_.log)
-    if (entry.kind == agreement::Kind::kVoters) voters = entry.voters;
+  for (const raft::Entry& entry : restored_.log)
+    if (entry.kind == raft::Kind::kVoters) voters = entry.voters;
   if (voters.empty() && stored.founders.size() > 1) voters = NamesOf(stored.founders);
   Hello hello;
   hello.term = restored_.promise.term;
@@ -279,7 +279,7 @@
     admission_.Close();
     return;
   }
-  raft_ = std::make_unique<agreement::Raft>(terms_.log, terms_.self, std::move(restored_), random_(), now);
+  raft_ = std::make_unique<raft::Raft>(terms_.log, terms_.self, std::move(restored_), random_(), now);
   restored_ = {};
   Tell(false, "voter " + terms_.self + " takes part, term " + std::to_string(raft_->term()) + ", log up to " +
                   std::to_string(raft_->last()));
@@ -310,16 +310,16 @@
 
 void Keeper::Collect(Time now) {
   while (raft_) {
-    const std::vector<agreement::Output> outputs = raft_->Take();
+    const std::vector<raft::Output> outputs = raft_->Take();
     if (outputs.empty()) return;
-    for (const agreement::Output& output : outputs) {
-      if (const auto* store = std::get_if<agreement::Store>(&output))
+    for (const raft::Output& output : outputs) {
+      if (const auto* store = std::get_if<raft::Store>(&output))
         outputs_.push_back(Keep{*store});
-      else if (const auto* send = std::get_if<agreement::Send>(&output))
+      else if (const auto* send = std::get_if<raft::Send>(&output))
         held_.push_back({send->to, send->message, send->after});
-      else if (const auto* committed = std::get_if<agreement::Committed>(&output))
+      else if (const auto* committed = std::get_if<raft::Committed>(&output))
         Applied(committed->entry);
-      else if (const auto* restored = std::get_if<agreement::Restored>(&output))
+      else if (const auto* restored = std::get_if<raft::Restored>(&output))
         book_.Restore(restored->snapshot.data);
     }
     CompactLog();
@@ -327,8 +327,8 @@
   }
 }
 
-void Keeper::Applied(const agreement::Entry& entry) {
-  if (entry.kind != agreement::Kind::kData) return;
+void Keeper::Applied(const raft::Entry& entry) {
+  if (entry.kind != raft::Kind::kData) return;
   const Version before = book_.in_force();
   const std::optional<Outcome> outcome = book_.Apply(entry.data);
   if (book_.in_force() != before) Tell(false, "version " + std::to_string(book_.in_force()) + " is in force");
@@ -342,7 +342,7 @@
 
 void Keeper::CompactLog() {
   std::uint64_t bytes = 0;
-  for (const agreement::Entry& entry : raft_->log()) bytes += entry.data.size();
+  for (const raft::Entry& entry : raft_->log()) bytes += entry.data.size();
   if (raft_->log().size() <= kLogMost && bytes <= kLogBytesMost) return;
   raft_->Compact(raft_->commit(), book_.Snapshot());
 }
@@ -360,7 +360,7 @@
 }
 
 void Keeper::Lead(Time now) {
-  if (!raft_ || raft_->role() != agreement::Role::kLeader) {
+  if (!raft_ || raft_->role() != raft::Role::kLeader) {
     if (std::exchange(reign_, 0) != 0) {
       DropInFlight();
       Tell(false, "leads no more");
@@ -430,8 +430,8 @@
     in_flight_.reset();  // its proposer asks again, and is told then
     return;
   }
-  const agreement::Proposed proposed = raft_->Propose(now, EntryOf(in_flight_->change));
-  if (proposed.refusal != agreement::Refusal::kNone) in_flight_.reset();
+  const raft::Proposed proposed = raft_->Propose(now, EntryOf(in_flight_->change));
+  if (proposed.refusal != raft::Refusal::kNone) in_flight_.reset();
 }
 
 std::map<std::string, Version> Keeper::Holders(Time now) const {
@@ -635,4 +635,4 @@
   if (before != admission_.state()) outputs_.push_back(KeepFounders{admission_.founders()});
 }
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
--- a/src/rules/keeper.h
+++ b/src/replicated_config/keeper.h
@@ -4,7 +4,7 @@
 //
 // Contract. No I/O, no clock, deterministic: every call is passed the time of one monotonic clock; what has
 // to be stored, sent or told comes as outputs, in order. MayAct is asked in the turn of the act. What a store
-// must hold before anything that rests on it is sent is kept apart (Post::after), as agreement::Send has it.
+// must hold before anything that rests on it is sent is kept apart (Post::after), as raft::Send has it.
 // docs/agreement.md is the design. Owner: one thread at a time. Units: spans of time, versions. Errors: notes
 // may be lost, late, doubled and out of order; a store that fails makes the voter step back (CloseStore).
 // Source: Raft (Ongaro, Ousterhout 2014); leases (Gray, Cheriton 1989).
@@ -22,13 +22,13 @@
 #include <variant>
 #include <vector>
 
-#include "agreement/raft.h"
-#include "rules/admission.h"
-#include "rules/book.h"
-#include "rules/lease.h"
-#include "rules/notes.h"
+#include "raft/raft.h"
+#include "replicated_config/admission.h"
+#include "replicated_config/book.h"
+#include "replicated_config/lease.h"
+#include "replicated_config/notes.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 using Instance = std::uint64_t;  // one process of the fleet
 
@@ -42,9 +42,9 @@
 };
 
 struct KeeperTerms {
-  agreement::Name self;
-  std::vector<agreement::Name> first;  // the voters that the operator's file names
-  agreement::Settings log;
+  raft::Name self;
+  std::vector<raft::Name> first;  // the voters that the operator's file names
+  raft::Settings log;
   Terms lease;
   std::uint64_t format = 1;  // the newest documents that this program reads
   KeeperGuards guards;
@@ -54,19 +54,19 @@
 struct Stored {
   std::uint64_t store = 0;
   Founders founders;
-  agreement::Durable durable;
+  raft::Durable durable;
 };
 
 // ---- Outputs ----
 
 struct Keep {  // make it durable, then call Durable(number)
-  agreement::Store store;
+  raft::Store store;
 };
 struct KeepFounders {  // likewise, then call FoundersKept
   Founders founders;
 };
 struct Post {
-  std::variant<agreement::Name, Instance> to;
+  std::variant<raft::Name, Instance> to;
   Note note;
 };
 // A text is here: Prepared() or CantCarry() is due.
@@ -100,49 +100,49 @@
     std::function<Span(const std::string& text)> lasts;
   };
 
-  Keeper(KeeperTerms terms, Instance self, Checks checks, std::uint64_t seed, agreement::Time now);
+  Keeper(KeeperTerms terms, Instance self, Checks checks, std::uint64_t seed, raft::Time now);
 
-  void Step(agreement::Time now);
-  agreement::Time due() const;
-  void Receive(agreement::Time now, Instance from, const Note& note);
+  void Step(raft::Time now);
+  raft::Time due() const;
+  void Receive(raft::Time now, Instance from, const Note& note);
   std::vector<KeeperOutput> Take();
 
   // A voter's store.
-  void OpenStore(agreement::Time now, Stored stored);
+  void OpenStore(raft::Time now, Stored stored);
   void CloseStore();  // it failed: this voter steps back until it is opened again
-  void Durable(agreement::Time now, std::uint64_t number);
-  void FoundersKept(agreement::Time now);
+  void Durable(raft::Time now, std::uint64_t number);
+  void FoundersKept(raft::Time now);
 
   // Asked for here: Finished comes for each, at the latest at `until`.
-  void ProposeChange(agreement::Time now, const Change& change, agreement::Time until);
-  void ChangeVoters(agreement::Time now, const Voters& voters, agreement::Time until);
-  void ReadAgreed(agreement::Time now, const std::string& id, agreement::Time until);
+  void ProposeChange(raft::Time now, const Change& change, raft::Time until);
+  void ChangeVoters(raft::Time now, const Voters& voters, raft::Time until);
+  void ReadAgreed(raft::Time now, const std::string& id, raft::Time until);
   // Leads on no more, if it does: this process ends.
-  void Resign(agreement::Time now);
+  void Resign(raft::Time now);
 
   // Other processes of the fleet, which may have texts.
   void SetPeers(std::vector<Instance> peers) { peers_ = std::move(peers); }
 
-  void Prepared(agreement::Time now, Version version);
+  void Prepared(raft::Time now, Version version);
   void CantCarry(Version version);
 
   // The version that it may act on at this instant; none where it is cut off.
-  std::optional<Version> MayAct(agreement::Time now) const;
+  std::optional<Version> MayAct(raft::Time now) const;
   const Holder& holder() const { return holder_; }
   // Of a version that was in force or may come; null where it isn't here.
   const std::string* Text(Version version) const;
   const Book* book() const { return raft_ ? &book_ : nullptr; }  // of a voter that votes
-  const agreement::Raft* raft() const { return raft_.get(); }    // likewise
+  const raft::Raft* raft() const { return raft_.get(); }         // likewise
   const Admission& admission() const { return admission_; }
-  bool Leads(agreement::Time now) const {
+  bool Leads(raft::Time now) const {
     return raft_ && raft_->Leads(now) && (raft_->Settled() || !terms_.guards.settled);
   }
-  const agreement::Name& leader() const { return leader_; }  // as far as known
+  const raft::Name& leader() const { return leader_; }  // as far as known
   // By a leader's books: who holds a lease, and what each has prepared.
-  std::map<std::string, Version> Holders(agreement::Time now) const;
+  std::map<std::string, Version> Holders(raft::Time now) const;
 
  private:
-  using Time = agreement::Time;
+  using Time = raft::Time;
 
   struct Asked {  // of this proxy, by an operator
     NoteBody body;
@@ -162,13 +162,13 @@
   };
 
   struct Held {  // until what it rests on is durable
-    agreement::Name to;
-    agreement::Message message;
+    raft::Name to;
+    raft::Message message;
     std::uint64_t after = 0;
   };
 
   void Tell(bool warn, std::string text) { outputs_.push_back(Say{warn, std::move(text)}); }
-  void Send(const std::variant<agreement::Name, Instance>& to, NoteBody body);
+  void Send(const std::variant<raft::Name, Instance>& to, NoteBody body);
   void ToLeader(NoteBody body);
   void Collect(Time now);  // the log's outputs
   void StartVoting(Time now);
@@ -181,7 +181,7 @@
   void Finish(const Outcome& outcome, std::optional<ReadOut> read = std::nullopt);
   void FetchWanted(Time now);
   void PutText(Version version, const std::string& text);
-  void Applied(const agreement::Entry& entry);
+  void Applied(const raft::Entry& entry);
   void CompactLog();
   void Release(Time now);
   void Settle(Time now);  // what follows from a call, before it returns
@@ -223,8 +223,8 @@
   bool hinted_ = false;  // whom to ask was told since the last asking
   std::vector<Instance> peers_;
   std::vector<Note> to_self_;
-  agreement::Name leader_;
-  std::vector<agreement::Name> voters_;  // as far as known
+  raft::Name leader_;
+  std::vector<raft::Name> voters_;  // as far as known
   std::size_t next_voter_ = 0;
   Time renew_at_{};
   Version refuses_ = 0;
@@ -235,8 +235,8 @@
 
   // A voter's.
   Admission admission_;
-  std::unique_ptr<agreement::Raft> raft_;
-  agreement::Durable restored_;
+  std::unique_ptr<raft::Raft> raft_;
+  raft::Durable restored_;
   Book book_;
   Time greet_at_{}, asked_since_{};
   std::vector<Held> held_;
@@ -244,7 +244,7 @@
 
   // A leader's.
   Granter granter_;
-  agreement::Term reign_ = 0;
+  raft::Term reign_ = 0;
   Version forcing_ = 0;
   Time newest_since_{};
   Version newest_seen_ = 0;
@@ -253,16 +253,16 @@
   std::optional<VotersInFlight> voters_in_flight_;
   Time invite_at_{};
   struct Bearer {
-    agreement::Name name;
+    raft::Name name;
     std::uint64_t format = 0;
   };
   std::map<Instance, Bearer> bearers_;
 
   // Processes of voters: a message of one that another has followed, with another store perhaps, is too late.
-  std::map<agreement::Name, Instance> processes_;
+  std::map<raft::Name, Instance> processes_;
   std::set<Instance> former_;
 };
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
 
 #endif  // LEMONCROFT_RULES_KEEPER_H_
--- a/src/rules/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -1,9 +1,9 @@
-#include "rules/lease.h"
+#include "replicated_config/lease.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 namespace {
 
 constexpr std::size_t kAskedMost = 16;                  // renewals without an answer
@@ -157,4 +157,4 @@
               : "over:" + std::to_string(it->second.prepared);
 }
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
--- a/src/rules/lease.h
+++ b/src/replicated_config/lease.h
@@ -19,7 +19,7 @@
 #include <string>
 #include <utility>
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
@@ -134,6 +134,6 @@
   std::map<Version, std::set<Until>> by_prepared_;  // the same, by what each has prepared
 };
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
 
 #endif  // LEMONCROFT_RULES_LEASE_H_
--- a/src/rules/notes.cpp
+++ b/src/replicated_config/notes.cpp
@@ -1,9 +1,9 @@
-#include "rules/notes.h"
+#include "replicated_config/notes.h"
 
-#include "agreement/codec.h"
 #include "codec/msgpack_fields.h"
+#include "raft/codec.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 using codec::Is;
 using codec::MsgpackPacker;
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr codec::MsgpackBounds kBounds{4096, 128, agreement::kSnapshotMost + 4096, 8};
+constexpr codec::MsgpackBounds kBounds{4096, 128, raft::kSnapshotMost + 4096, 8};
 
 template <typename V, Is<Logged> E>
 void Fields(V& v, E& e) {
@@ -85,8 +85,8 @@
 struct Packing : codec::FieldPacking {
   using FieldPacking::operator();
   void operator()(Span value) { to.pack(static_cast<std::int64_t>(value.count())); }
-  void operator()(const agreement::Message& message) { codec::PackBytes(to, agreement::Encode(message)); }
-  void operator()(const std::map<agreement::Name, std::uint64_t>& stores) {
+  void operator()(const raft::Message& message) { codec::PackBytes(to, raft::Encode(message)); }
+  void operator()(const std::map<raft::Name, std::uint64_t>& stores) {
     to.pack_array(static_cast<std::uint32_t>(2 * stores.size()));
     for (const auto& [name, store] : stores) (*this)(name), (*this)(store);
   }
@@ -95,12 +95,12 @@
 struct Reading : codec::FieldReading {
   using FieldReading::operator();
   void operator()(Span& value) { value = Span(in.Take<std::int64_t>()); }
-  void operator()(agreement::Message& message) {
-    auto read = agreement::DecodeMessage(in.Bytes());
+  void operator()(raft::Message& message) {
+    auto read = raft::DecodeMessage(in.Bytes());
     if (!read) throw msgpack::type_error();
     message = std::move(*read);
   }
-  void operator()(std::map<agreement::Name, std::uint64_t>& stores) {
+  void operator()(std::map<raft::Name, std::uint64_t>& stores) {
     MsgpackReader all(in.Next());
     while (all.left() > 0) {
       std::string name = all.Bytes();
@@ -138,4 +138,4 @@
   });
 }
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
--- a/src/rules/notes.h
+++ b/src/replicated_config/notes.h
@@ -14,15 +14,15 @@
 #include <variant>
 #include <vector>
 
-#include "agreement/types.h"
-#include "rules/book.h"
-#include "rules/lease.h"
+#include "raft/types.h"
+#include "replicated_config/book.h"
+#include "replicated_config/lease.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 // A message of the log, from voter to voter.
 struct Logged {
-  agreement::Message message;
+  raft::Message message;
 };
 // A proxy asks for a lease: to whoever leads.
 struct Renew {
@@ -32,11 +32,11 @@
 };
 struct Granted {
   Grant grant;
-  std::vector<agreement::Name> voters;  // as they are now
+  std::vector<raft::Name> voters;  // as they are now
 };
 // Whoever was asked doesn't lead; this voter may. Empty: none is known.
 struct Elsewhere {
-  agreement::Name leader;
+  raft::Name leader;
 };
 struct Fetch {
   Version version = 0;
@@ -61,7 +61,7 @@
 // A voter asked for a change of the voters.
 struct Voters {
   std::string id;
-  agreement::Name who;
+  raft::Name who;
   bool in = false;
 };
 // What is agreed on: asked of the leader, and its answer, true at some instant between.
@@ -71,14 +71,14 @@
 struct ReadOut {
   std::string id;
   Version newest = 0, in_force = 0;
-  std::vector<agreement::Name> voters;
+  std::vector<raft::Name> voters;
 };
 // A voter that has opened its store, to the others; and what they know of it (rules/admission.h).
 struct Hello {
   std::uint64_t store = 0;  // drawn when the store was made
   bool founded = false;
-  agreement::Term term = 0, last_term = 0;
-  agreement::Index last = 0;
+  raft::Term term = 0, last_term = 0;
+  raft::Index last = 0;
 };
 enum class Welcome : std::uint8_t {
   kBlank,     // I have nothing either
@@ -90,7 +90,7 @@
 struct HelloAnswer {
   std::uint64_t to_store = 0, store = 0;
   Welcome welcome = Welcome::kBlank;
-  std::map<agreement::Name, std::uint64_t> founders;
+  std::map<raft::Name, std::uint64_t> founders;
 };
 // The leader, to a voter with an empty store that an operator has let in.
 struct Invite {
@@ -100,13 +100,13 @@
 using NoteBody = std::variant<Logged, Renew, Granted, Elsewhere, Fetch, Fetched, Propose, Told, Ask, Answer,
                               Voters, Read, ReadOut, Hello, HelloAnswer, Invite>;
 struct Note {
-  agreement::Name from;  // the proxy's name
+  raft::Name from;  // the proxy's name
   NoteBody body;
 };
 
 std::string Encode(const Note& note);
 std::optional<Note> DecodeNote(std::string_view bytes);
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
 
 #endif  // LEMONCROFT_RULES_NOTES_H_
--- a/src/rules/tell_pace.h
+++ b/src/replicated_config/tell_pace.h
@@ -13,9 +13,9 @@
 #include <optional>
 #include <random>
 
-#include "rules/lease.h"
+#include "replicated_config/lease.h"
 
-namespace lemoncroft::rules {
+namespace lemoncroft::replicated_config {
 
 inline constexpr Span kTellApart = std::chrono::milliseconds(250);  // of the whole fleet's
 
@@ -47,6 +47,6 @@
   std::optional<Time> due_;
 };
 
-}  // namespace lemoncroft::rules
+}  // namespace lemoncroft::replicated_config
 
 #endif  // LEMONCROFT_RULES_TELL_PACE_H_
--- a/src/benchlink/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// lemoncroft_benchlink: hosts gateway instances that share nothing and speaks the bench's wire on standard
-// input and output.
+// lemoncroft_simulator_adapter: hosts gateway instances that share nothing and speaks the bench's wire on
+// standard input and output.
 #include <cstdio>
 #include <exception>
 #include <map>
@@ -17,13 +17,13 @@
   std::size_t got = std::fread(into.data(), 1, n, stdin);
   if (got == n) return true;
   if (got == 0 && what == nullptr) return false;
-  throw lemoncroft::benchlink::WireError("input ended inside a batch " + std::string(what ? what : "header") +
-                                         " after " + std::to_string(got) + " of " + std::to_string(n) +
-                                         " bytes");
+  throw lemoncroft::simulator_adapter::WireError("input ended inside a batch " +
+                                                 std::string(what ? what : "header") + " after " +
+                                                 std::to_string(got) + " of " + std::to_string(n) + " bytes");
 }
 
 void Serve() {
-  using namespace lemoncroft::benchlink;
+  using namespace lemoncroft::simulator_adapter;
   std::map<std::uint16_t, lemoncroft::Gateway> instances;
   Decoder decoder;
   ReplyWriter reply;
@@ -63,7 +63,7 @@
     Serve();
     return 0;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "lemoncroft_benchlink: %s\n", e.what());
+    std::fprintf(stderr, "lemoncroft_simulator_adapter: %s\n", e.what());
     return 1;
   }
 }
--- a/src/benchlink/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -8,7 +8,7 @@
 
 #include "settings/settings.h"
 
-namespace lemoncroft::benchlink {
+namespace lemoncroft::simulator_adapter {
 namespace {
 
 [[noreturn]] void Bad(const std::string& what, std::size_t at) {
@@ -364,4 +364,4 @@
   return bytes_;
 }
 
-}  // namespace lemoncroft::benchlink
+}  // namespace lemoncroft::simulator_adapter
--- a/src/benchlink/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -13,7 +13,7 @@
 
 #include "lemoncroft/gateway.h"
 
-namespace lemoncroft::benchlink {
+namespace lemoncroft::simulator_adapter {
 
 inline constexpr std::size_t kBatchHeaderBytes = 16;
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
@@ -67,6 +67,6 @@
   std::uint32_t records_ = 0;
 };
 
-}  // namespace lemoncroft::benchlink
+}  // namespace lemoncroft::simulator_adapter
 
 #endif  // LEMONCROFT_BENCHLINK_WIRE_H_
--- a/src/measure/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -1,4 +1,4 @@
-#include "measure/agreement.h"
+#include "testing/benchmark/agreement.h"
 
 #include <unistd.h>
 
@@ -9,19 +9,19 @@
 #include <thread>
 #include <vector>
 
-#include "measure/peers.h"
-#include "model/lease_world.h"
-#include "model/log_world.h"
-#include "standin/keeper_fleet.h"
-#include "standin/slow_disk.h"
-#include "standin/store_plays.h"
+#include "testing/benchmark/peers.h"
+#include "testing/model_check/lease_world.h"
+#include "testing/model_check/log_world.h"
+#include "testing/simulation/keeper_fleet.h"
+#include "testing/simulation/slow_disk.h"
+#include "testing/simulation/store_plays.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 namespace {
 
 using nlohmann::ordered_json;
-using standin::Instant;
-using standin::KeeperFleet;
+using simulation::Instant;
+using simulation::KeeperFleet;
 using namespace std::chrono_literals;
 
 constexpr int kRigs = 3, kTrialsEach = 14;
@@ -154,23 +154,23 @@
 ordered_json MeasureAgreement(const AgreementPlan& plan) {
   ordered_json out = {{"measurement", "agreement"}, {"seed", plan.seed}};
   if (plan.real) PlayReal(plan, out);
-  const model::Found found = model::SearchLog(
+  const model_check::Found found = model_check::SearchLog(
       {}, {.elections = 3, .proposals = 2, .crashes = 1, .doubled = 1, .beats = 1}, plan.states);
-  const model::Found leases = model::SearchLeases({}, {}, plan.states);
+  const model_check::Found leases = model_check::SearchLeases({}, {}, plan.states);
   out["states"] = found.states + leases.states;
   out["states_of_log"] = found.states;
   out["states_of_leases"] = leases.states;
   out["states_bad"] = (found.broken.empty() ? 0 : 1) + (leases.broken.empty() ? 0 : 1);
   for (const std::string& broken : {found.broken, leases.broken})
     if (!broken.empty()) out["states_broken"] = broken;
-  const standin::CrashPoints points = standin::CrashAtEachOperation(3);
+  const simulation::CrashPoints points = simulation::CrashAtEachOperation(3);
   out["crash_points"] = points.points;
   out["crash_points_bad"] = points.bad;
-  standin::Disk disk;
+  simulation::Disk disk;
   disk.set_sync_takes(5s);
-  out["loop_stall_ms_max"] = standin::LoopStallBesideWrites(disk, 2).longest_ms;
+  out["loop_stall_ms_max"] = simulation::LoopStallBesideWrites(disk, 2).longest_ms;
   out["lease_cost_percent"] = LeaseCostPercent(plan.seed);
   return out;
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/agreement.h
+++ b/src/testing/benchmark/agreement.h
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct AgreementPlan {
   std::uint64_t seed = 1;
@@ -20,6 +20,6 @@
 
 nlohmann::ordered_json MeasureAgreement(const AgreementPlan& plan);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_AGREEMENT_H_
--- a/src/measure/allocated_bytes.h
+++ b/src/testing/benchmark/allocated_bytes.h
@@ -11,7 +11,7 @@
 #include <malloc.h>
 #endif
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 // Bytes in use. AddressSanitizer has an allocator of its own, of which mallinfo2 knows nothing.
 inline double AllocatedBytes() {
@@ -23,6 +23,6 @@
 #endif
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_ALLOCATED_BYTES_H_
--- a/src/measure/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -1,4 +1,4 @@
-#include "measure/decisions.h"
+#include "testing/benchmark/decisions.h"
 
 #include <algorithm>
 #include <functional>
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "lemoncroft/gateway.h"
-#include "standin/processor_time.h"
+#include "testing/simulation/processor_time.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
@@ -120,9 +120,9 @@
 
   void Step() {
     actions_.clear();
-    const double before = standin::ProcessorMicroseconds();
+    const double before = simulation::ProcessorMicroseconds();
     gateway_.Step(now_, events_, actions_);
-    spent_us_ += standin::ProcessorMicroseconds() - before;
+    spent_us_ += simulation::ProcessorMicroseconds() - before;
     ++steps_;
     events_.clear();
     for (const Action& action : actions_) std::visit([this](const auto& a) { On(a); }, action);
@@ -175,4 +175,4 @@
           ended > 0 ? static_cast<double>(mill.served()) / ended : 0};
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/decisions.h
+++ b/src/testing/benchmark/decisions.h
@@ -8,7 +8,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct DecisionPlan {
   std::uint64_t seed = 1;
@@ -28,6 +28,6 @@
 
 DecisionCost CostOfDecisions(const DecisionPlan& plan);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_DECISIONS_H_
--- a/src/measure/heartbeats.cpp
+++ b/src/testing/benchmark/heartbeats.cpp
@@ -1,11 +1,11 @@
-#include "measure/heartbeats.h"
+#include "testing/benchmark/heartbeats.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 #include <random>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 namespace {
 
 constexpr double kMissed = 4;  // periods without a word, and it is called failed
@@ -65,4 +65,4 @@
   return result;
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/heartbeats.h
+++ b/src/testing/benchmark/heartbeats.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct HeartbeatResult {
   std::vector<double> detect, known_all;  // of each crash: at the first and at the last
@@ -29,6 +29,6 @@
 
 HeartbeatResult PlayHeartbeats(const HeartbeatPlan& plan);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_HEARTBEATS_H_
--- a/src/measure/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -1,4 +1,4 @@
-#include "measure/hollow_fleet.h"
+#include "testing/benchmark/hollow_fleet.h"
 
 #include <unistd.h>
 
@@ -8,12 +8,12 @@
 #include <thread>
 #include <utility>
 
-#include "measure/allocated_bytes.h"
-#include "peerlink/link.h"
-#include "rules/keeper.h"
-#include "standin/processor_time.h"
+#include "peer_transport/link.h"
+#include "replicated_config/keeper.h"
+#include "testing/benchmark/allocated_bytes.h"
+#include "testing/simulation/processor_time.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 namespace {
 
 using namespace std::chrono_literals;
@@ -29,14 +29,14 @@
 constexpr int kFirstPort = 20'000, kPorts = 10'000;  // below those that the system gives out
 
 std::string NameOf(std::size_t i) { return "h" + std::to_string(i); }
-peers::Endpoint AddressOf(const HollowPlan& plan, std::size_t i) {
+gossip::Endpoint AddressOf(const HollowPlan& plan, std::size_t i) {
   return {kFirstHost + static_cast<std::uint32_t>(i), plan.port};
 }
 double Milliseconds(runtime::Span span) { return std::chrono::duration<double, std::milli>(span).count(); }
 double SecondsOf(runtime::Span span) { return std::chrono::duration<double>(span).count(); }
 
-peerlink::Terms TermsOf(const HollowPlan& plan, std::size_t i) {
-  peerlink::Terms terms;
+peer_transport::Terms TermsOf(const HollowPlan& plan, std::size_t i) {
+  peer_transport::Terms terms;
   terms.fleet = "hollow";
   terms.name = NameOf(i);
   terms.zone = "z" + std::to_string(i % 20);
@@ -47,18 +47,18 @@
   return terms;
 }
 
-rules::KeeperTerms KeeperTermsOf(const HollowPlan& plan, std::size_t i) {
-  rules::KeeperTerms terms;
+replicated_config::KeeperTerms KeeperTermsOf(const HollowPlan& plan, std::size_t i) {
+  replicated_config::KeeperTerms terms;
   terms.self = NameOf(i);
   for (std::size_t voter = 0; voter < plan.voters; ++voter) terms.first.push_back(NameOf(voter));
   return terms;
 }
 
-rules::Keeper::Checks ChecksOf() {
-  return {[](const rules::Written*, const std::string&) { return std::string(); },
+replicated_config::Keeper::Checks ChecksOf() {
+  return {[](const replicated_config::Written*, const std::string&) { return std::string(); },
           [](const std::string&) { return std::string(); },
           [](const std::string&) { return std::uint64_t{1}; },
-          [](const std::string&) { return rules::Span(); }};
+          [](const std::string&) { return replicated_config::Span(); }};
 }
 
 // One proxy without clients and engines, as cli::Fleet and cli::Rules put it together.
@@ -66,11 +66,11 @@
  public:
   HollowProxy(runtime::Loop& loop, const HollowPlan& plan, std::size_t i)
       : loop_(loop),
-        link_(loop, TermsOf(plan, i), plan.seed + i, [](const peers::Event&) {}),
+        link_(loop, TermsOf(plan, i), plan.seed + i, [](const gossip::Event&) {}),
         keeper_(KeeperTermsOf(plan, i), link_.view().roster().self(), ChecksOf(), plan.seed + i, Now()),
         store_(i < plan.voters ? i + 1 : 0) {
-    link_.on_parcel = [this](const peerlink::Parcel& parcel) {
-      const auto note = rules::DecodeNote(parcel.bytes);
+    link_.on_parcel = [this](const peer_transport::Parcel& parcel) {
+      const auto note = replicated_config::DecodeNote(parcel.bytes);
       if (!note) return;
       keeper_.Receive(Now(), parcel.from, *note);
       CarryOut();
@@ -79,18 +79,18 @@
 
   void Start() {
     link_.Start();
-    link_.SetPhase(peers::Phase::kServing);
+    link_.SetPhase(gossip::Phase::kServing);
     if (store_ != 0) keeper_.OpenStore(Now(), {store_, {}, {}});
     CarryOut();
     loop_.Spawn(Beat());
   }
-  void Propose(const rules::Change& change) {
+  void Propose(const replicated_config::Change& change) {
     keeper_.ProposeChange(Now(), change, Now() + kChangePatience);
     CarryOut();
   }
-  const peers::View& view() const { return link_.view(); }
-  const peerlink::Figures& figures() const { return link_.figures(); }
-  bool ActsOn(rules::Version version) const { return keeper_.MayAct(Now()) == version; }
+  const gossip::View& view() const { return link_.view(); }
+  const peer_transport::Figures& figures() const { return link_.figures(); }
+  bool ActsOn(replicated_config::Version version) const { return keeper_.MayAct(Now()) == version; }
 
  private:
   Task<> Beat() {
@@ -107,37 +107,37 @@
   }
 
   void CarryOut() {
-    const peers::Roster& roster = view().roster();
+    const gossip::Roster& roster = view().roster();
     if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) keeper_.SetPeers(roster.others());
     for (auto outputs = keeper_.Take(); !outputs.empty(); outputs = keeper_.Take())
-      for (const rules::KeeperOutput& output : outputs) CarryOut(output);
+      for (const replicated_config::KeeperOutput& output : outputs) CarryOut(output);
     if (keeper_.due() < planned_) sooner_.Open();
   }
 
-  void CarryOut(const rules::KeeperOutput& output) {
-    if (const auto* post = std::get_if<rules::Post>(&output)) {
-      if (const peers::Member* to = Reach(post->to))
-        link_.Post(to->record.address, peerlink::Part::kRules, rules::Encode(post->note));
-    } else if (const auto* keep = std::get_if<rules::Keep>(&output)) {
+  void CarryOut(const replicated_config::KeeperOutput& output) {
+    if (const auto* post = std::get_if<replicated_config::Post>(&output)) {
+      if (const gossip::Member* to = Reach(post->to))
+        link_.Post(to->record.address, peer_transport::Part::kRules, replicated_config::Encode(post->note));
+    } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
       keeper_.Durable(Now(), keep->store.number);
-    } else if (std::holds_alternative<rules::KeepFounders>(output)) {
+    } else if (std::holds_alternative<replicated_config::KeepFounders>(output)) {
       keeper_.FoundersKept(Now());
-    } else if (const auto* learnt = std::get_if<rules::Learnt>(&output)) {
+    } else if (const auto* learnt = std::get_if<replicated_config::Learnt>(&output)) {
       keeper_.Prepared(Now(), learnt->version);
     }
   }
 
-  const peers::Member* Reach(const std::variant<agreement::Name, rules::Instance>& to) const {
-    const peers::Roster& roster = view().roster();
-    if (const auto* instance = std::get_if<rules::Instance>(&to)) return roster.Find(*instance);
+  const gossip::Member* Reach(const std::variant<raft::Name, replicated_config::Instance>& to) const {
+    const gossip::Roster& roster = view().roster();
+    if (const auto* instance = std::get_if<replicated_config::Instance>(&to)) return roster.Find(*instance);
     for (const auto& [id, member] : roster.all())
-      if (member.record.name == std::get<agreement::Name>(to)) return &member;
+      if (member.record.name == std::get<raft::Name>(to)) return &member;
     return nullptr;
   }
 
   runtime::Loop& loop_;
-  peerlink::Link link_;
-  rules::Keeper keeper_;
+  peer_transport::Link link_;
+  replicated_config::Keeper keeper_;
   std::uint64_t store_;
   std::uint64_t peers_as_of_ = 0;  // the roster's changes when the keeper was told its peers
   runtime::Gate sooner_;
@@ -199,7 +199,7 @@
   }
 
   Task<> MeasureChange(std::size_t number) {
-    rules::Change change;
+    replicated_config::Change change;
     change.id = "c" + std::to_string(number);
     change.from = number;
     change.text.assign(plan_.document_bytes, static_cast<char>('a' + number % 26));
@@ -223,12 +223,12 @@
     const std::uint64_t digest = proxies_.front()->view().roster().digest();
     return std::all_of(proxies_.begin(), proxies_.end(),
                        [&](const auto& proxy) {
-                         const peers::Roster& roster = proxy->view().roster();
+                         const gossip::Roster& roster = proxy->view().roster();
                          return roster.digest() == digest && roster.unproven().empty();
                        }) &&
            proxies_.front()->view().roster().living() == plan_.members && AllActOn(0);
   }
-  bool AllActOn(rules::Version version) const {
+  bool AllActOn(replicated_config::Version version) const {
     return std::all_of(proxies_.begin(), proxies_.end(),
                        [&](const auto& proxy) { return proxy->ActsOn(version); });
   }
@@ -240,7 +240,7 @@
       totals.exchange_bytes += static_cast<double>(proxy->figures().exchange_bytes);
       totals.parcel_bytes += static_cast<double>(proxy->figures().parcel_bytes);
     }
-    totals.processor_us = standin::ProcessorMicroseconds();
+    totals.processor_us = simulation::ProcessorMicroseconds();
     return totals;
   }
   const HollowPlan& plan_;
@@ -258,4 +258,4 @@
   return HollowRun(own).Play();
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/hollow_fleet.h
+++ b/src/testing/benchmark/hollow_fleet.h
@@ -13,7 +13,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 inline constexpr std::chrono::milliseconds kLagMost{125};  // half a period of the view
 
@@ -41,6 +41,6 @@
 
 HollowCost RunHollowFleet(const HollowPlan& plan);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_HOLLOW_FLEET_H_
--- a/src/measure/line_cost.cpp
+++ b/src/testing/benchmark/line_cost.cpp
@@ -1,4 +1,4 @@
-#include "measure/line_cost.h"
+#include "testing/benchmark/line_cost.h"
 
 #include <malloc.h>
 
@@ -11,15 +11,15 @@
 #include <pcg_random.hpp>
 #include <vector>
 
-#include "waiting/line.h"
+#include "admission_queue/line.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 namespace {
 
 constexpr std::size_t kTurns = 30'000;
 constexpr int kRounds = 5;
-constexpr waiting::Span kStep = std::chrono::milliseconds(1);
+constexpr admission_queue::Span kStep = std::chrono::milliseconds(1);
 
 // Takes requests of all teams and classes, and carries out what the line decides: each that is handed over is
 // sent at once and ends some steps later, so that as many leave as come.
@@ -36,13 +36,13 @@
     const auto taken = line_.Take({.id = ++last_,
                                    .team = team(random_),
                                    .klass = klass(random_),
-                                   .estimate = waiting::FromSeconds(work(random_)),
+                                   .estimate = admission_queue::FromSeconds(work(random_)),
                                    .give_up = now_ + std::chrono::minutes(10),
                                    .watched = watched_},
                                   now_);
     if (taken.refused) {
       std::fprintf(stderr, "refused: %s, estimate %.1f s, pace %.1f, %zu wait\n", Text(taken.refused->why),
-                   waiting::Seconds(taken.refused->later), line_.Describe(now_).pace[0], waiting());
+                   admission_queue::Seconds(taken.refused->later), line_.Describe(now_).pace[0], waiting());
       std::abort();
     }  // a refused request costs nothing: the figure would be a lie
   }
@@ -50,15 +50,15 @@
   void Turn() {
     now_ += kStep;
     while (!running_.empty() && done_ < running_.size() && running_[done_].second <= now_) {
-      const waiting::Id id = running_[done_++].first;
+      const admission_queue::Id id = running_[done_++].first;
       line_.Ended(id, 0, std::chrono::milliseconds(100), true, now_);
       line_.Done(id, now_);
     }
     decisions_.clear();
     if (line_.Due() > now_) return;
     line_.Step(now_, decisions_);
-    for (const waiting::Decision& decision : decisions_) {
-      if (const auto* hand = std::get_if<waiting::Hand>(&decision)) {
+    for (const admission_queue::Decision& decision : decisions_) {
+      if (const auto* hand = std::get_if<admission_queue::Hand>(&decision)) {
         line_.Sent(hand->id, 0, 1, now_);
         running_.emplace_back(hand->id, now_ + std::chrono::milliseconds(100));
       }
@@ -69,8 +69,8 @@
   std::size_t ended() const { return done_; }
 
  private:
-  static waiting::Settings Setup(std::size_t depth) {
-    waiting::Settings s;
+  static admission_queue::Settings Setup(std::size_t depth) {
+    admission_queue::Settings s;
     for (int t = 0; t < 4; ++t) s.teams.push_back({.name = std::to_string(t), .cores = 100, .barred = {}});
     for (int k = 0; k < 3; ++k) {
       s.classes.push_back(
@@ -81,13 +81,13 @@
   }
 
   pcg32 random_;
-  waiting::Line line_;
+  admission_queue::Line line_;
   bool watched_;
-  waiting::Time now_{std::chrono::seconds(1)};
-  waiting::Id last_ = 0;
-  std::vector<std::pair<waiting::Id, waiting::Time>> running_;
+  admission_queue::Time now_{std::chrono::seconds(1)};
+  admission_queue::Id last_ = 0;
+  std::vector<std::pair<admission_queue::Id, admission_queue::Time>> running_;
   std::size_t done_ = 0;
-  std::vector<waiting::Decision> decisions_;
+  std::vector<admission_queue::Decision> decisions_;
 };
 
 }  // namespace
@@ -118,4 +118,4 @@
   return cost;
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/line_cost.h
+++ b/src/testing/benchmark/line_cost.h
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct LineCost {
   double us_per_request = 0;  // from being taken to its end, every look and estimate between included
@@ -15,6 +15,6 @@
 // `watched`: every client wants to be told of changes of its estimate.
 LineCost CostOfLine(std::size_t waiting, bool watched, std::uint64_t seed);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_LINE_COST_H_
--- a/src/measure/main.cpp
+++ b/src/testing/benchmark/main.cpp
@@ -5,15 +5,15 @@
 #include <filesystem>
 #include <nlohmann/json.hpp>
 
-#include "measure/agreement.h"
-#include "measure/line_cost.h"
-#include "measure/morning.h"
-#include "measure/peers.h"
-#include "measure/scale.h"
+#include "testing/benchmark/agreement.h"
+#include "testing/benchmark/line_cost.h"
+#include "testing/benchmark/morning.h"
+#include "testing/benchmark/peers.h"
+#include "testing/benchmark/scale.h"
 
 namespace {
 
-using lemoncroft::measure::MorningResult;
+using lemoncroft::benchmark::MorningResult;
 using nlohmann::ordered_json;
 
 double Part(std::uint64_t some, std::uint64_t all) {
@@ -45,12 +45,12 @@
 }
 
 void Waiting(std::uint64_t seed, double seconds, bool json) {
-  const MorningResult with = lemoncroft::measure::PlayMorning({.seed = seed, .seconds = seconds});
+  const MorningResult with = lemoncroft::benchmark::PlayMorning({.seed = seed, .seconds = seconds});
   const MorningResult without =
-      lemoncroft::measure::PlayMorning({.seed = seed, .seconds = seconds, .line = false});
-  const auto few = lemoncroft::measure::CostOfLine(1'000, false, seed);
-  const auto many = lemoncroft::measure::CostOfLine(100'000, false, seed);
-  const auto watched = lemoncroft::measure::CostOfLine(100'000, true, seed);
+      lemoncroft::benchmark::PlayMorning({.seed = seed, .seconds = seconds, .line = false});
+  const auto few = lemoncroft::benchmark::CostOfLine(1'000, false, seed);
+  const auto many = lemoncroft::benchmark::CostOfLine(100'000, false, seed);
+  const auto watched = lemoncroft::benchmark::CostOfLine(100'000, true, seed);
   ordered_json out = {{"measurement", "waiting"}, {"seed", seed}, {"seconds", seconds}};
   out.update(Figures(with));
   out["us_per_request_1k"] = few.us_per_request;
@@ -78,8 +78,8 @@
   std::printf("%s\n", out.dump().c_str());
 }
 
-void Peers(const lemoncroft::measure::PeersPlan& plan, bool json) {
-  const ordered_json out = lemoncroft::measure::MeasurePeers(plan);
+void Peers(const lemoncroft::benchmark::PeersPlan& plan, bool json) {
+  const ordered_json out = lemoncroft::benchmark::MeasurePeers(plan);
   if (!json) {
     std::printf("the view of the fleet, seed %llu\n", static_cast<unsigned long long>(plan.seed));
     for (const auto& [name, value] : out.items())
@@ -105,21 +105,21 @@
       ->capture_default_str()
       ->check(CLI::Range(60, 7200));
   waiting->add_flag("--json", json, "the JSON object alone");
-  lemoncroft::measure::PeersPlan plan;
-  plan.trial = (std::filesystem::path(argv[0]).parent_path() / "lemoncroft_trial").string();
+  lemoncroft::benchmark::PeersPlan plan;
+  plan.trial = (std::filesystem::path(argv[0]).parent_path() / "lemoncroft_fault_test").string();
   bool virtual_only = false;
   CLI::App* peers =
       app.add_subcommand("peers", "the view of the fleet, in virtual time and on real processes");
   peers->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
   peers->add_flag("--virtual", virtual_only, "no real processes");
   peers->add_flag("--json", json, "the JSON object alone");
-  lemoncroft::measure::AgreementPlan rules;
+  lemoncroft::benchmark::AgreementPlan rules;
   CLI::App* agreement = app.add_subcommand("agreement", "the rules that a fleet agrees on");
   agreement->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
   agreement->add_option("--states", rules.states, "that are searched")->capture_default_str();
   agreement->add_flag("--virtual", virtual_only, "no real processes");
   agreement->add_flag("--json", json, "the JSON object alone");
-  lemoncroft::measure::ScalePlan scale;
+  lemoncroft::benchmark::ScalePlan scale;
   CLI::App* capacity = app.add_subcommand("scale", "what control costs a fleet of up to 4,000 proxies");
   capacity->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
   capacity->add_option("--most", scale.most, "members of the largest fleet")->capture_default_str();
@@ -132,11 +132,11 @@
   scale.seed = seed;
   scale.sockets = !virtual_only;
   if (*agreement) {
-    Print(lemoncroft::measure::MeasureAgreement(rules), json);
+    Print(lemoncroft::benchmark::MeasureAgreement(rules), json);
     return 0;
   }
   if (*capacity) {
-    Print(lemoncroft::measure::MeasureScale(scale), json);
+    Print(lemoncroft::benchmark::MeasureScale(scale), json);
     return 0;
   }
   plan.seed = seed;
