--- a/src/measure/morning.cpp
+++ b/src/testing/benchmark/morning.cpp
@@ -1,4 +1,4 @@
-#include "measure/morning.h"
+#include "testing/benchmark/morning.h"
 
 #include <algorithm>
 #include <array>
@@ -13,11 +13,11 @@
 #include <queue>
 #include <unordered_map>
 
+#include "admission_queue/line.h"
 #include "lemoncroft/gateway.h"
-#include "standin/fleet.h"
-#include "waiting/line.h"
+#include "testing/simulation/fleet.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 namespace {
 
@@ -65,13 +65,15 @@
   return s;
 }
 
-waiting::Time At(double seconds) { return waiting::Time(waiting::FromSeconds(seconds)); }
+admission_queue::Time At(double seconds) {
+  return admission_queue::Time(admission_queue::FromSeconds(seconds));
+}
 
 class Morning {
  public:
   explicit Morning(const MorningOptions& options)
       : options_(options), random_(options.seed, 1), plans_(options.seed, 2), gateway_(Site(), options.seed) {
-    waiting::Settings line;
+    admission_queue::Settings line;
     for (std::size_t t = 0; t < kBudgets.size(); ++t) {
       line.teams.push_back(
           {.name = "team" + std::to_string(t), .burst = std::chrono::seconds(1), .barred = {}});
@@ -82,7 +84,7 @@
       line.classes.push_back({.name = names[k],
                               .worth = worths[k],
                               .threads = kKinds[k].threads,
-                              .usual = waiting::FromSeconds(kKinds[k].work),
+                              .usual = admission_queue::FromSeconds(kKinds[k].work),
                               .light = k == 0});
     }
     line.longest = std::chrono::seconds(30);
@@ -94,7 +96,7 @@
     }
     cores_ = fleet_.cores();
     for (std::size_t t = 0; t < kBudgets.size(); ++t) line.teams[t].cores = kBudgets[t] * cores_;
-    line_ = std::make_unique<waiting::Line>(line);
+    line_ = std::make_unique<admission_queue::Line>(line);
     line_->SetFleet(cores_, At(0));
     events_.push_back(EngineList{ListKind::kFull, std::make_shared<std::vector<EngineEntry>>(entries)});
     double mean = 0;
@@ -187,19 +189,19 @@
       ++result_.requests, asked_worth_ += Site().classes[q.klass].worth;
     if (options_.line) {
       const auto taken = line_->Take({.id = id,
-                                      .team = static_cast<waiting::Team>(q.team),
-                                      .klass = static_cast<waiting::Klass>(q.klass),
-                                      .estimate = waiting::FromSeconds(q.asked),
+                                      .team = static_cast<admission_queue::Team>(q.team),
+                                      .klass = static_cast<admission_queue::Klass>(q.klass),
+                                      .estimate = admission_queue::FromSeconds(q.asked),
                                       .give_up = At(q.give_up),
                                       .watched = true},
                                      At(now_));
       if (taken.refused) {
         ++result_.refused;
-        ComeBack(q, waiting::Seconds(taken.refused->later));
+        ComeBack(q, admission_queue::Seconds(taken.refused->later));
         return;
       }
-      q.told.push_back({now_, waiting::Seconds(taken.estimate.wait)});
-      q.by = waiting::Seconds(taken.by.time_since_epoch());
+      q.told.push_back({now_, admission_queue::Seconds(taken.estimate.wait)});
+      q.by = admission_queue::Seconds(taken.by.time_since_epoch());
     } else {
       q.told.push_back({now_, naive_[q.klass]});
     }
@@ -238,20 +240,20 @@
     if (line_->Due() > At(now_)) return;
     decisions_.clear();
     line_->Step(At(now_), decisions_);
-    for (const waiting::Decision& decision : decisions_) {
-      if (const auto* hand = std::get_if<waiting::Hand>(&decision)) {
+    for (const admission_queue::Decision& decision : decisions_) {
+      if (const auto* hand = std::get_if<admission_queue::Hand>(&decision)) {
         CheckBound(queries_.at(hand->id), true);
         Hand(hand->id);
-      } else if (const auto* refuse = std::get_if<waiting::Refuse>(&decision)) {
+      } else if (const auto* refuse = std::get_if<admission_queue::Refuse>(&decision)) {
         ++result_.refused;
         ++result_.refused_waiting;
         const Query q = queries_.at(refuse->id);
         CheckBound(q, false);
         Left(q);
         queries_.erase(refuse->id);
-        ComeBack(q, waiting::Seconds(refuse->later));
-      } else if (const auto* tell = std::get_if<waiting::Tell>(&decision)) {
-        queries_.at(tell->id).told.push_back({now_, waiting::Seconds(tell->estimate.wait)});
+        ComeBack(q, admission_queue::Seconds(refuse->later));
+      } else if (const auto* tell = std::get_if<admission_queue::Tell>(&decision)) {
+        queries_.at(tell->id).told.push_back({now_, admission_queue::Seconds(tell->estimate.wait)});
       }
     }
   }
@@ -285,8 +287,8 @@
     double work = q.work;
     boost::random::uniform_real_distribution<double> draw(0, 1);
     if (q.klass == 1 && draw(plans_) < kBadPlan) work *= kBadLeast + (kBadMost - kBadLeast) * draw(plans_);
-    const standin::Fleet::Load load{{send.id, attempt}, send.engine, kKinds[q.klass].threads,
-                                    q.priority,         work,        q.team};
+    const simulation::Fleet::Load load{{send.id, attempt}, send.engine, kKinds[q.klass].threads,
+                                       q.priority,         work,        q.team};
     starts_[load.key] = now_;
     if (!fleet_.Start(load)) End({load.key, send.engine, now_, 0, true}, Outcome::kConnectFailed);
   }
@@ -309,7 +311,7 @@
   void Do(const WatchList&) {}
   void Do(const LogLine&) {}
 
-  void End(const standin::Finished& f, Outcome outcome) {
+  void End(const simulation::Finished& f, Outcome outcome) {
     const auto [id, attempt] = f.key;
     const bool ok = outcome == Outcome::kOk;
     AttemptEnded ended;
@@ -324,8 +326,8 @@
     if (ok) ended.work = static_cast<Nanos>(f.work * 1e9);
     events_.emplace_back(ended);
     if (options_.line) {
-      line_->Ended(id, attempt, waiting::FromSeconds(ok ? f.work : 0), outcome != Outcome::kConnectFailed,
-                   At(now_));
+      line_->Ended(id, attempt, admission_queue::FromSeconds(ok ? f.work : 0),
+                   outcome != Outcome::kConnectFailed, At(now_));
     }
     if (!ok || it == queries_.end()) return;
     const Query& q = it->second;
@@ -367,22 +369,22 @@
   }
 
   void Settle() {
-    std::vector<standin::Finished> ended;
+    std::vector<simulation::Finished> ended;
     fleet_.Advance(now_, ended);
-    for (const standin::Finished& f : ended) End(f, Outcome::kOk);
+    for (const simulation::Finished& f : ended) End(f, Outcome::kOk);
   }
 
   void Lose() {
     for (std::size_t n = 0; n < 2; ++n) {
       if (lost_ > n || now_ < options_.seconds * (n == 0 ? 0.35 : 0.5)) continue;
       ++lost_;
-      std::vector<standin::Finished> ended;
+      std::vector<simulation::Finished> ended;
       fleet_.Advance(now_, ended);
-      for (const standin::Finished& f : ended) End(f, Outcome::kOk);
+      for (const simulation::Finished& f : ended) End(f, Outcome::kOk);
       ended.clear();
       const auto engine = static_cast<std::uint32_t>(n * 3 + 1);
       fleet_.Remove(engine, ended);
-      for (const standin::Finished& f : ended) End(f, Outcome::kReset);
+      for (const simulation::Finished& f : ended) End(f, Outcome::kReset);
       const EngineEntry gone{.engine = engine, .readiness = Readiness::kGone};
       events_.push_back(EngineList{ListKind::kChange, std::make_shared<std::vector<EngineEntry>>(1, gone)});
       line_->SetFleet(fleet_.cores(), At(now_));
@@ -428,15 +430,15 @@
   MorningOptions options_;
   pcg32 random_, plans_;  // streams of their own: what is played does not change who comes
   Gateway gateway_;
-  standin::Fleet fleet_;
-  std::unique_ptr<waiting::Line> line_;
+  simulation::Fleet fleet_;
+  std::unique_ptr<admission_queue::Line> line_;
   double now_ = 0, cores_ = 0, full_rate_ = 0, last_arrival_ = 0;
   std::uint64_t last_id_ = 0;
   std::priority_queue<Arrival> arrivals_;
   std::unordered_map<std::uint64_t, Query> queries_;
-  std::map<standin::Key, double> starts_;
+  std::map<simulation::Key, double> starts_;
   std::vector<Event> events_;
-  std::vector<waiting::Decision> decisions_;
+  std::vector<admission_queue::Decision> decisions_;
   std::vector<Nanos> wakes_;
   std::array<double, 3> naive_{};
   std::vector<double> waits_;
@@ -452,4 +454,4 @@
 
 MorningResult PlayMorning(const MorningOptions& options) { return Morning(options).Play(); }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/morning.h
+++ b/src/testing/benchmark/morning.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct MorningOptions {
   std::uint64_t seed = 1;
@@ -33,6 +33,6 @@
 
 MorningResult PlayMorning(const MorningOptions& options);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_MORNING_H_
--- a/src/measure/peers.cpp
+++ b/src/testing/benchmark/peers.cpp
@@ -1,4 +1,4 @@
-#include "measure/peers.h"
+#include "testing/benchmark/peers.h"
 
 #include <algorithm>
 #include <array>
@@ -8,18 +8,18 @@
 #include <thread>
 #include <vector>
 
-#include "measure/heartbeats.h"
-#include "standin/peer_fleet.h"
+#include "testing/benchmark/heartbeats.h"
+#include "testing/simulation/peer_fleet.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 using namespace std::chrono_literals;
+using gossip::Change;
 using nlohmann::ordered_json;
-using peers::Change;
-using standin::Instant;
-using standin::Node;
-using standin::PeerFleet;
-using standin::Process;
+using simulation::Instant;
+using simulation::Node;
+using simulation::PeerFleet;
+using simulation::Process;
 
 namespace {
 
@@ -289,4 +289,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/peers.h
+++ b/src/testing/benchmark/peers.h
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct PeersPlan {
   std::uint64_t seed = 1;
@@ -24,6 +24,6 @@
 std::string OutputOf(const std::string& command);
 nlohmann::ordered_json LastLine(const std::string& text);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_PEERS_H_
--- a/src/measure/scale.cpp
+++ b/src/testing/benchmark/scale.cpp
@@ -1,4 +1,4 @@
-#include "measure/scale.h"
+#include "testing/benchmark/scale.h"
 
 #include <unistd.h>
 
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "measure/decisions.h"
-#include "measure/hollow_fleet.h"
-#include "measure/scale_leases.h"
-#include "measure/scale_view.h"
+#include "testing/benchmark/decisions.h"
+#include "testing/benchmark/hollow_fleet.h"
+#include "testing/benchmark/scale_leases.h"
+#include "testing/benchmark/scale_view.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 namespace {
 
 using nlohmann::ordered_json;
@@ -228,4 +228,4 @@
   return figures.Take();
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/scale.h
+++ b/src/testing/benchmark/scale.h
@@ -11,7 +11,7 @@
 #include <cstdint>
 #include <nlohmann/json.hpp>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct ScalePlan {
   std::uint64_t seed = 1;
@@ -21,6 +21,6 @@
 
 nlohmann::ordered_json MeasureScale(const ScalePlan& plan);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_SCALE_H_
--- a/src/measure/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -1,16 +1,16 @@
-#include "measure/scale_leases.h"
+#include "testing/benchmark/scale_leases.h"
 
 #include <algorithm>
 #include <string>
 
-#include "standin/keeper_fleet.h"
+#include "testing/simulation/keeper_fleet.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 namespace {
 
 using namespace std::chrono_literals;
-using standin::Instant;
-using standin::KeeperFleet;
+using simulation::Instant;
+using simulation::KeeperFleet;
 
 constexpr Instant kBeginPatience = 30s, kChangePatience = 20s, kLook = 5ms;
 constexpr Instant kBetweenChanges = 500ms;
@@ -40,7 +40,7 @@
           after.leader_us - before.leader_us, after.others_us - before.others_us};
 }
 
-bool RunUntilAllActOn(KeeperFleet& fleet, rules::Version version, Instant patience) {
+bool RunUntilAllActOn(KeeperFleet& fleet, replicated_config::Version version, Instant patience) {
   const Instant until = fleet.now() + patience;
   while (fleet.now() < until) {
     if (fleet.AllOn(version)) return true;
@@ -102,4 +102,4 @@
   return cost;
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/scale_leases.h
+++ b/src/testing/benchmark/scale_leases.h
@@ -11,7 +11,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct LeasePlan {
   std::uint64_t seed = 1;
@@ -38,6 +38,6 @@
 
 LeaseCost MeasureLeases(const LeasePlan& plan);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_SCALE_LEASES_H_
--- a/src/measure/scale_view.cpp
+++ b/src/testing/benchmark/scale_view.cpp
@@ -1,4 +1,4 @@
-#include "measure/scale_view.h"
+#include "testing/benchmark/scale_view.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,18 +6,18 @@
 #include <string>
 #include <vector>
 
-#include "measure/allocated_bytes.h"
-#include "rules/tell_pace.h"
-#include "standin/peer_fleet.h"
-#include "standin/processor_time.h"
+#include "replicated_config/tell_pace.h"
+#include "testing/benchmark/allocated_bytes.h"
+#include "testing/simulation/peer_fleet.h"
+#include "testing/simulation/processor_time.h"
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 namespace {
 
-using standin::Instant;
-using standin::Node;
-using standin::PeerFleet;
-using standin::Process;
+using simulation::Instant;
+using simulation::Node;
+using simulation::PeerFleet;
+using simulation::Process;
 
 constexpr std::size_t kSeeds = 3;
 constexpr double kSettlePatience = 60;  // seconds
@@ -33,8 +33,8 @@
   return seeds;
 }
 
-peers::Settings SettingsOf(const ViewPlan& plan) {
-  peers::Settings settings;
+gossip::Settings SettingsOf(const ViewPlan& plan) {
+  gossip::Settings settings;
   settings.most = std::max(settings.most, 2 * plan.members);
   return settings;
 }
@@ -123,11 +123,11 @@
 Totals RatesDuring(PeerFleet& fleet, std::size_t members, double& core_percent, const Play& play) {
   const Totals before = TotalsOf(fleet);
   const Instant since = fleet.now();
-  const double begun = standin::ProcessorMicroseconds();
+  const double begun = simulation::ProcessorMicroseconds();
   play();
   const double member_seconds =
       static_cast<double>(members) * std::chrono::duration<double>(fleet.now() - since).count();
-  core_percent = (standin::ProcessorMicroseconds() - begun) / 1e4 / member_seconds;
+  core_percent = (simulation::ProcessorMicroseconds() - begun) / 1e4 / member_seconds;
   const Totals after = TotalsOf(fleet);
   return {(after.messages - before.messages) / member_seconds, (after.bytes - before.bytes) / member_seconds,
           (after.datagram_bytes - before.datagram_bytes) / member_seconds,
@@ -137,7 +137,7 @@
 // As cli::Rules does at each change: every proxy tells the version that it acts on, at its pace.
 void TellAttributes(PeerFleet& fleet, const ViewPlan& plan) {
   const Instant begun = fleet.now(), until = begun + Seconds(plan.tell_seconds);
-  std::vector<rules::TellPace> paces;
+  std::vector<replicated_config::TellPace> paces;
   for (Process p = 0; p < fleet.size(); ++p) paces.emplace_back(plan.seed + p);
   std::vector<int> told(fleet.size(), 0);
   while (fleet.now() < until) {
@@ -145,7 +145,8 @@
     const int version = 1 + static_cast<int>(passed / Seconds(plan.told_every_seconds));
     for (Process p = 0; p < fleet.size(); ++p) {
       const bool changed = told[p] != version;
-      if (!changed || (plan.tell_pace && !paces[p].MayTell(rules::Time(passed), true, fleet.living())))
+      if (!changed ||
+          (plan.tell_pace && !paces[p].MayTell(replicated_config::Time(passed), true, fleet.living())))
         continue;
       told[p] = version;
       fleet.SetAttribute(p, "rules", std::to_string(version) + "/" + std::to_string(version));
@@ -208,4 +209,4 @@
   return cost;
 }
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
--- a/src/measure/scale_view.h
+++ b/src/testing/benchmark/scale_view.h
@@ -8,7 +8,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace lemoncroft::measure {
+namespace lemoncroft::benchmark {
 
 struct ViewPlan {
   std::uint64_t seed = 1;
@@ -18,7 +18,7 @@
   double replaced_per_minute = 0.1;                  // of all members
   double tell_seconds = 8;                           // in which all members tell attributes, and how often:
   double told_every_seconds = 3.76;
-  bool tell_pace = true;  // rules::TellPace
+  bool tell_pace = true;  // replicated_config::TellPace
 };
 
 struct ViewCost {
@@ -35,6 +35,6 @@
 
 ViewCost MeasureView(const ViewPlan& plan);
 
-}  // namespace lemoncroft::measure
+}  // namespace lemoncroft::benchmark
 
 #endif  // LEMONCROFT_MEASURE_SCALE_VIEW_H_
--- a/src/trial/acts.cpp
+++ b/src/testing/fault_test/acts.cpp
@@ -1,10 +1,10 @@
-#include "trial/acts.h"
+#include "testing/fault_test/acts.h"
 
 #include <algorithm>
 #include <charconv>
 #include <limits>
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 namespace {
 
 std::uint64_t Number(const std::string& text) {
@@ -124,4 +124,4 @@
   return last;
 }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/acts.h
+++ b/src/testing/fault_test/acts.h
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <vector>
 
-#include "trial/linear.h"
+#include "testing/fault_test/linear.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 struct Act {
   runtime::Time at{};
@@ -73,6 +73,6 @@
 // The value behind "NAME=" in a log line; empty where there is none.
 std::string FieldOf(std::string_view line, std::string_view name);
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_ACTS_H_
--- a/src/trial/history.cpp
+++ b/src/testing/fault_test/history.cpp
@@ -1,13 +1,13 @@
-#include "trial/history.h"
+#include "testing/fault_test/history.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
 #include <set>
 
-#include "trial/acts.h"
+#include "testing/fault_test/acts.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 namespace {
 
 double Ms(Span span) { return std::chrono::duration<double, std::milli>(span).count(); }
@@ -167,4 +167,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/history.h
+++ b/src/testing/fault_test/history.h
@@ -16,7 +16,7 @@
 
 #include "runtime/loop.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 using runtime::Span;
 using runtime::Time;
@@ -76,6 +76,6 @@
   bool Quiet(const Life& life, Time from, Time to) const;  // not held, and no link in trouble
 };
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_HISTORY_H_
--- a/src/trial/linear.cpp
+++ b/src/testing/fault_test/linear.cpp
@@ -1,11 +1,11 @@
-#include "trial/linear.h"
+#include "testing/fault_test/linear.h"
 
 #include <algorithm>
 #include <set>
 #include <tuple>
 #include <utility>
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 namespace {
 
 using Ops = std::vector<Operation>;
@@ -98,4 +98,4 @@
   return Search(ops, most_states).Run();
 }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/linear.h
+++ b/src/testing/fault_test/linear.h
@@ -14,7 +14,7 @@
 
 #include "runtime/loop.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 struct Operation {
   enum class Kind { kChange, kRead };
@@ -35,6 +35,6 @@
 enum class Linear { kYes, kNo, kTooLong };
 Linear Linearizable(const std::vector<Operation>& history, std::uint64_t most_states = 2'000'000);
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_LINEAR_H_
--- a/src/trial/load.cpp
+++ b/src/testing/fault_test/load.cpp
@@ -1,4 +1,4 @@
-#include "trial/load.h"
+#include "testing/fault_test/load.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -7,7 +7,7 @@
 
 #include "codec/frame.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 using namespace std::chrono_literals;
 using runtime::Io;
@@ -182,4 +182,4 @@
   tally_.broken += std::erase_if(open_, [&](const auto& one) { return one.first == connection; });
 }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/load.h
+++ b/src/testing/fault_test/load.h
@@ -16,7 +16,7 @@
 
 #include "runtime/socket.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 // An HTTP server that runs what it is sent: 200 with one row after `work`, and counts it.
 class StandInEngine {
@@ -90,6 +90,6 @@
   Tally tally_;
 };
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_LOAD_H_
--- a/src/trial/main.cpp
+++ b/src/testing/fault_test/main.cpp
@@ -1,5 +1,5 @@
-// lemoncroft_trial: plays trials on real processes and says which rules they broke; the last line is one JSON
-// object.
+// lemoncroft_fault_test: plays trials on real processes and says which rules they broke; the last line is one
+// JSON object.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -10,11 +10,11 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "trial/rig.h"
+#include "testing/fault_test/rig.h"
 
 namespace {
 
-using namespace lemoncroft::trial;
+using namespace lemoncroft::fault_test;
 using nlohmann::ordered_json;
 
 constexpr int kTriesMost = 3;  // of a trial that the machine held up
@@ -155,7 +155,7 @@
   Options options;
   const std::filesystem::path beside = std::filesystem::path(argv[0]).parent_path();
   options.program = (beside / "lemoncroft").string();
-  CLI::App app("Trials of the fleet on real processes, with faults between them", "lemoncroft_trial");
+  CLI::App app("Trials of the fleet on real processes, with faults between them", "lemoncroft_fault_test");
   app.add_option("files", options.files, "trials, in KDL");
   app.add_option("--random", options.random, "draw trials from this seed on");
   app.add_option("--count", options.count, "how many of these")->capture_default_str();
@@ -175,7 +175,7 @@
   try {
     return Run(options);
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "lemoncroft_trial: %s\n", e.what());
+    std::fprintf(stderr, "lemoncroft_fault_test: %s\n", e.what());
     return 2;
   }
 }
--- a/src/trial/process.cpp
+++ b/src/testing/fault_test/process.cpp
@@ -1,4 +1,4 @@
-#include "trial/process.h"
+#include "testing/fault_test/process.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -10,7 +10,7 @@
 #include <csignal>
 #include <system_error>
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 namespace {
 
 constexpr int kListening = 3;
@@ -91,4 +91,4 @@
   }
 }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/process.h
+++ b/src/testing/fault_test/process.h
@@ -16,7 +16,7 @@
 
 #include "runtime/socket.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 struct Command {
   std::vector<std::string> words;  // the program, its arguments
@@ -46,6 +46,6 @@
   std::optional<int> status_;
 };
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_PROCESS_H_
--- a/src/trial/relay.cpp
+++ b/src/testing/fault_test/relay.cpp
@@ -1,8 +1,8 @@
-#include "trial/relay.h"
+#include "testing/fault_test/relay.h"
 
 #include <arpa/inet.h>
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 using namespace std::chrono_literals;
 using runtime::Io;
@@ -30,7 +30,7 @@
 std::string Relay::Bound(std::size_t machine) { return "127.0.1." + std::to_string(machine); }
 std::string Relay::Told(std::size_t machine) { return "127.0.2." + std::to_string(machine); }
 
-Relay::Relay(runtime::Loop& loop, standin::Links& links, std::size_t machines, std::uint16_t port)
+Relay::Relay(runtime::Loop& loop, simulation::Links& links, std::size_t machines, std::uint16_t port)
     : loop_(loop), links_(links), machines_(machines), port_(port) {
   for (std::size_t machine = 1; machine <= machines; ++machine) {
     for (int second = 0; second < 2; ++second) {
@@ -65,8 +65,9 @@
     if (received.io != Io::kOk) co_return;
     const From from = Sender(received.from);
     if (from.machine == 0) continue;
-    links_.Send(Since(), static_cast<standin::Node>(from.machine), static_cast<standin::Node>(ear.machine),
-                std::string(received.bytes), [&](standin::Instant at, std::string bytes) {
+    links_.Send(Since(), static_cast<simulation::Node>(from.machine),
+                static_cast<simulation::Node>(ear.machine), std::string(received.bytes),
+                [&](simulation::Instant at, std::string bytes) {
                   loop_.Spawn(PassLater(start_ + at, from, ear, std::move(bytes)));
                 });
     if (n % kTurn == 0) co_await loop_.NextTurn();
@@ -94,8 +95,8 @@
   const std::size_t from = Sender(socket->peer()).machine;
   if (from == 0) co_return;
   const auto open = [&] {
-    return links_.Open(static_cast<standin::Node>(from), static_cast<standin::Node>(to.machine)) &&
-           links_.Open(static_cast<standin::Node>(to.machine), static_cast<standin::Node>(from));
+    return links_.Open(static_cast<simulation::Node>(from), static_cast<simulation::Node>(to.machine)) &&
+           links_.Open(static_cast<simulation::Node>(to.machine), static_cast<simulation::Node>(from));
   };
   const runtime::Time last = Now() + kStreamPatience;
   while (!open() && Now() < last) co_await loop_.Sleep(kStreamBeat);
@@ -113,13 +114,13 @@
 
 Task<> Relay::Pump(std::shared_ptr<runtime::Socket> in, std::shared_ptr<runtime::Socket> out,
                    std::size_t from, std::size_t to) {
-  const auto a = static_cast<standin::Node>(from), b = static_cast<standin::Node>(to);
+  const auto a = static_cast<simulation::Node>(from), b = static_cast<simulation::Node>(to);
   for (std::string bytes;; bytes.clear()) {
     if (co_await in->Read(bytes, kChunk, Now() + kStreamPatience) != Io::kOk) break;
     const runtime::Time last = Now() + kStreamPatience;
     while (!links_.Open(a, b) && Now() < last) co_await loop_.Sleep(kStreamBeat);
     if (!links_.Open(a, b)) break;
-    const standin::LinkFaults& faults = links_.Of(a, b);
+    const simulation::LinkFaults& faults = links_.Of(a, b);
     runtime::Span wait = faults.delay;
     if (faults.bandwidth > 0)
       wait += std::chrono::duration_cast<runtime::Span>(
@@ -132,4 +133,4 @@
   out->EndWriting();
 }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/relay.h
+++ b/src/testing/fault_test/relay.h
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "runtime/datagram.h"
-#include "standin/links.h"
+#include "testing/simulation/links.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 class Relay {
  public:
   // For machines 1 to `machines`, ports `port` and `port` + 1 of each.
-  Relay(runtime::Loop& loop, standin::Links& links, std::size_t machines, std::uint16_t port);
+  Relay(runtime::Loop& loop, simulation::Links& links, std::size_t machines, std::uint16_t port);
   void Start();
 
   static std::string Bound(std::size_t machine);  // the host that a proxy binds
@@ -41,7 +41,7 @@
     return *ears_[2 * (machine - 1) + static_cast<std::size_t>(second)];
   }
   From Sender(const runtime::Address& address) const;
-  standin::Instant Since() const { return runtime::Now() - start_; }
+  simulation::Instant Since() const { return runtime::Now() - start_; }
   runtime::Task<> Hear(Ear& ear);
   runtime::Task<> PassLater(runtime::Time at, From from, const Ear& to, std::string bytes);
   runtime::Task<> Accept(Ear& ear);
@@ -50,7 +50,7 @@
                        std::size_t from, std::size_t to);
 
   runtime::Loop& loop_;
-  standin::Links& links_;
+  simulation::Links& links_;
   std::size_t machines_;
   std::uint16_t port_;
   runtime::Time start_ = runtime::Now();
@@ -58,6 +58,6 @@
   std::uint64_t passed_ = 0;
 };
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_RELAY_H_
--- a/src/trial/rig.cpp
+++ b/src/testing/fault_test/rig.cpp
@@ -1,4 +1,4 @@
-#include "trial/rig.h"
+#include "testing/fault_test/rig.h"
 
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -17,10 +17,10 @@
 #include <stdexcept>
 
 #include "codec/frame.h"
-#include "peerlink/frame.h"
-#include "peerlink/link.h"
+#include "peer_transport/frame.h"
+#include "peer_transport/link.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 using namespace std::chrono_literals;
 using runtime::Now;
@@ -369,7 +369,7 @@
     return it == action.figures.end() ? 0.0 : it->second;
   };
   const auto ms = [&](const char* name) { return Span(static_cast<Span::rep>(1e6 * figure(name))); };
-  standin::LinkFaults faults;
+  simulation::LinkFaults faults;
   faults.loss = figure("loss");
   faults.duplicate = figure("duplicate");
   faults.garble = figure("garble");
@@ -382,7 +382,7 @@
 }
 
 void Rig::Do(const Action& action) {
-  const auto node = [&](const std::string& name) { return static_cast<standin::Node>(MachineOf(name)); };
+  const auto node = [&](const std::string& name) { return static_cast<simulation::Node>(MachineOf(name)); };
   const auto each = [&](auto act) {
     for (const std::string& name : action.names)
       if (Actor* actor = Find(name)) act(*actor);
@@ -487,23 +487,23 @@
 Task<> Rig::Lie(std::size_t machine) {
   runtime::DatagramSocket socket(
       loop_, *runtime::Address::Parse(Relay::Told(machine) + ":" + std::to_string(port_ + 2)));
-  peers::Datagram d;
+  gossip::Datagram d;
   d.sender.id = 0x11e5;
   d.sender.name = "liar";
   d.sender.address = {0x7f000200u + static_cast<std::uint32_t>(machine),
                       static_cast<std::uint16_t>(port_ + 2)};
-  d.body = peers::Gossip{};
+  d.body = gossip::Gossip{};
   for (int i = 0; i < kLies; ++i) {
     d.news.clear();
     for (int k = 0; k < kLiesEach; ++k) {
-      peers::News news;
+      gossip::News news;
       news.record = d.sender;
       news.record.id = 0x10000 + static_cast<std::uint64_t>(kLiesEach * i + k);
       news.record.name = "lie-" + std::to_string(news.record.id);
       news.record.address.port = static_cast<std::uint16_t>(20000 + kLiesEach * i + k);
       d.news.push_back(std::move(news));
     }
-    const std::string frame = peerlink::Encode(kFleet, d);
+    const std::string frame = peer_transport::Encode(kFleet, d);
     for (const auto& actor : actors_)
       if (!history_.lives[actor->life].ended)
         socket.Send(frame, *runtime::Address::Parse(Relay::Bound(actor->machine) + ":" +
@@ -530,7 +530,7 @@
 Task<> Rig::Flap(std::size_t a, std::size_t b, Span each) {
   ++flapping_;
   const std::uint64_t heals = heals_;
-  const auto x = static_cast<standin::Node>(a), y = static_cast<standin::Node>(b);
+  const auto x = static_cast<simulation::Node>(a), y = static_cast<simulation::Node>(b);
   for (bool cut = true; heals == heals_; cut = !cut) {
     links_.Cut(x, y, cut);
     links_.Cut(y, x, cut);
@@ -580,7 +580,7 @@
   if (actor == nullptr) co_return std::string();
   const auto to =
       *runtime::Address::Parse(Relay::Bound(actor->machine) + ":" + std::to_string(port_ + actor->second));
-  auto answer = co_await peerlink::Call(loop_, kFleet, to, std::move(call), Now() + kCallWithin);
+  auto answer = co_await peer_transport::Call(loop_, kFleet, to, std::move(call), Now() + kCallWithin);
   co_return answer.value_or(std::string());
 }
 
@@ -784,7 +784,7 @@
         co_await loop_.Sleep(20ms);
         const std::string name = "n" + std::to_string(machine);
         Actor* actor = Find(name);
-        const bool reached = machine == 1 || links_.Open(1, static_cast<standin::Node>(machine));
+        const bool reached = machine == 1 || links_.Open(1, static_cast<simulation::Node>(machine));
         if (actor == nullptr || !reached) continue;
         WriteFiles(name, machine);
         pushed_[machine] = version;
@@ -836,4 +836,4 @@
   }
 }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/rig.h
+++ b/src/testing/fault_test/rig.h
@@ -12,15 +12,15 @@
 #include <string>
 #include <vector>
 
-#include "standin/links.h"
-#include "trial/acts.h"
-#include "trial/history.h"
-#include "trial/load.h"
-#include "trial/process.h"
-#include "trial/relay.h"
-#include "trial/script.h"
+#include "testing/fault_test/acts.h"
+#include "testing/fault_test/history.h"
+#include "testing/fault_test/load.h"
+#include "testing/fault_test/process.h"
+#include "testing/fault_test/relay.h"
+#include "testing/fault_test/script.h"
+#include "testing/simulation/links.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 class Rig {
  public:
@@ -96,7 +96,7 @@
   Trial trial_;
   std::string program_, folder_;
   runtime::Loop loop_;
-  standin::Links links_;
+  simulation::Links links_;
   std::uint16_t port_ = 0;
   runtime::Descriptor lock_;
   std::vector<runtime::Descriptor> listening_;  // the clients' of each machine
@@ -132,6 +132,6 @@
   std::size_t cuts_ = 0;
 };
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_RIG_H_
--- a/src/trial/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -1,4 +1,4 @@
-#include "trial/script.h"
+#include "testing/fault_test/script.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -6,9 +6,9 @@
 #include <random>
 
 #include "codec/kdl.h"
-#include "operator/fields.h"
+#include "operator_config/fields.h"
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 using codec::KdlNode;
 using codec::KdlValue;
@@ -43,7 +43,7 @@
   return it == std::end(kVerbs) ? nullptr : it;
 }
 
-Action ReadAction(const KdlNode& node, Span at, op::Faults& faults) {
+Action ReadAction(const KdlNode& node, Span at, operator_config::Faults& faults) {
   Action action;
   action.at = at;
   const Named* verb = Find(node.name);
@@ -54,7 +54,7 @@
   action.verb = verb->verb;
   std::vector<KdlValue> arguments = node.arguments;
   if (verb->span) {
-    if (arguments.empty() || !op::ParseSpan(arguments.back().text, action.span))
+    if (arguments.empty() || !operator_config::ParseSpan(arguments.back().text, action.span))
       faults.Add(node.place, node.name + ": its last argument is a time, such as \"500ms\"");
     if (!arguments.empty()) arguments.pop_back();
   }
@@ -69,26 +69,28 @@
   return action;
 }
 
-Trial ReadTrial(const KdlNode& node, op::Faults& faults) {
+Trial ReadTrial(const KdlNode& node, operator_config::Faults& faults) {
   Trial trial;
   KdlNode name = node;
   name.children.clear();
-  op::ReadText(name, trial.name, faults);
+  operator_config::ReadText(name, trial.name, faults);
   std::size_t seed = 1;
-  const op::Known known = {
-      {"proxies", [&](const KdlNode& n) { op::ReadCount(n, kMachinesMost, trial.proxies, faults); }},
-      {"machines", [&](const KdlNode& n) { op::ReadCount(n, kMachinesMost, trial.machines, faults); }},
-      {"period", [&](const KdlNode& n) { op::ReadSpan(n, 50ms, 10s, trial.period, faults); }},
-      {"remember", [&](const KdlNode& n) { op::ReadSpan(n, 1s, 1h, trial.remember, faults); }},
-      {"settle", [&](const KdlNode& n) { op::ReadNumber(n, 1, 1000, trial.settle, faults); }},
-      {"seed", [&](const KdlNode& n) { op::ReadCount(n, 1e15, seed, faults); }},
-      {"busy", [&](const KdlNode& n) { op::ReadFlag(n, trial.busy, faults); }},
-      {"load", [&](const KdlNode& n) { op::ReadNumber(n, 0, 2000, trial.load, faults); }},
-      {"changes", [&](const KdlNode& n) { op::ReadNumber(n, 0, 20, trial.changes, faults); }},
-      {"lost", [&](const KdlNode& n) { op::ReadFlag(n, trial.lost, faults); }},
-      {"files", [&](const KdlNode& n) { op::ReadFlag(n, trial.files, faults); }},
-      {"jumps", [&](const KdlNode& n) { op::ReadFlag(n, trial.jumps, faults); }},
-      {"each-once", [&](const KdlNode& n) { op::ReadFlag(n, trial.each_once, faults); }},
+  const operator_config::Known known = {
+      {"proxies",
+       [&](const KdlNode& n) { operator_config::ReadCount(n, kMachinesMost, trial.proxies, faults); }},
+      {"machines",
+       [&](const KdlNode& n) { operator_config::ReadCount(n, kMachinesMost, trial.machines, faults); }},
+      {"period", [&](const KdlNode& n) { operator_config::ReadSpan(n, 50ms, 10s, trial.period, faults); }},
+      {"remember", [&](const KdlNode& n) { operator_config::ReadSpan(n, 1s, 1h, trial.remember, faults); }},
+      {"settle", [&](const KdlNode& n) { operator_config::ReadNumber(n, 1, 1000, trial.settle, faults); }},
+      {"seed", [&](const KdlNode& n) { operator_config::ReadCount(n, 1e15, seed, faults); }},
+      {"busy", [&](const KdlNode& n) { operator_config::ReadFlag(n, trial.busy, faults); }},
+      {"load", [&](const KdlNode& n) { operator_config::ReadNumber(n, 0, 2000, trial.load, faults); }},
+      {"changes", [&](const KdlNode& n) { operator_config::ReadNumber(n, 0, 20, trial.changes, faults); }},
+      {"lost", [&](const KdlNode& n) { operator_config::ReadFlag(n, trial.lost, faults); }},
+      {"files", [&](const KdlNode& n) { operator_config::ReadFlag(n, trial.files, faults); }},
+      {"jumps", [&](const KdlNode& n) { operator_config::ReadFlag(n, trial.jumps, faults); }},
+      {"each-once", [&](const KdlNode& n) { operator_config::ReadFlag(n, trial.each_once, faults); }},
       {"voters",
        [&](const KdlNode& n) {
          for (const KdlValue& value : n.arguments) trial.voters.push_back(value.text);
@@ -101,12 +103,12 @@
       {"at",
        [&](const KdlNode& n) {
          Span at{};
-         if (n.arguments.size() != 1 || !op::ParseSpan(n.arguments[0].text, at))
+         if (n.arguments.size() != 1 || !operator_config::ParseSpan(n.arguments[0].text, at))
            return faults.Add(n.place, "at: expected a time, such as \"2s\"");
          for (const KdlNode& child : n.children) trial.actions.push_back(ReadAction(child, at, faults));
        }},
   };
-  op::ReadBlock(node.children, known, {"at"}, faults);
+  operator_config::ReadBlock(node.children, known, {"at"}, faults);
   trial.seed = seed;
   std::stable_sort(trial.actions.begin(), trial.actions.end(),
                    [](const Action& a, const Action& b) { return a.at < b.at; });
@@ -218,7 +220,7 @@
 }  // namespace
 
 std::vector<Trial> ReadTrials(const std::string& path, std::string_view text) {
-  op::Faults faults;
+  operator_config::Faults faults;
   std::vector<Trial> trials;
   try {
     for (const KdlNode& node : codec::ReadKdl(text)) {
@@ -230,7 +232,7 @@
   } catch (const codec::KdlError& e) {
     throw ScriptError(path + ": " + e.what());
   }
-  if (!faults.all().empty()) throw ScriptError(op::OperatorError(path, faults.all()).what());
+  if (!faults.all().empty()) throw ScriptError(operator_config::OperatorError(path, faults.all()).what());
   return trials;
 }
 
@@ -269,4 +271,4 @@
 Trial DrawTrial(std::uint64_t seed, std::size_t proxies) { return Draw(seed, proxies, false).Take(); }
 Trial DrawRulesTrial(std::uint64_t seed, std::size_t proxies) { return Draw(seed, proxies, true).Take(); }
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
--- a/src/trial/script.h
+++ b/src/testing/fault_test/script.h
@@ -20,7 +20,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lemoncroft::trial {
+namespace lemoncroft::fault_test {
 
 using Span = std::chrono::nanoseconds;
 
@@ -90,6 +90,6 @@
 // The same with rules, changes by operators, and voters that come and go.
 Trial DrawRulesTrial(std::uint64_t seed, std::size_t proxies);
 
-}  // namespace lemoncroft::trial
+}  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TRIAL_SCRIPT_H_
--- a/src/model/hash.h
+++ b/src/testing/model_check/hash.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace lemoncroft::model {
+namespace lemoncroft::model_check {
 
 struct Hash {
   std::uint64_t high = 0, low = 0;
@@ -18,6 +18,6 @@
 };
 Hash HashOf(std::string_view text);
 
-}  // namespace lemoncroft::model
+}  // namespace lemoncroft::model_check
 
 #endif  // LEMONCROFT_MODEL_HASH_H_
--- a/src/model/lease_world.cpp
+++ b/src/testing/model_check/lease_world.cpp
@@ -1,15 +1,15 @@
-#include "model/lease_world.h"
+#include "testing/model_check/lease_world.h"
 
 #include <algorithm>
 
-namespace lemoncroft::model {
+namespace lemoncroft::model_check {
 
-using rules::Version;
+using replicated_config::Version;
 
-LeaseWorld::LeaseWorld(const rules::Guards& guards, const LeaseBudget& budget) : left_(budget) {
+LeaseWorld::LeaseWorld(const replicated_config::Guards& guards, const LeaseBudget& budget) : left_(budget) {
   terms_.guards = guards;
   for (std::size_t i = 0; i < kHolders; ++i) holders_.emplace_back(terms_);
-  for (std::size_t i = 0; i < kLeaders; ++i) leaders_.push_back({rules::Granter(terms_), 0});
+  for (std::size_t i = 0; i < kLeaders; ++i) leaders_.push_back({replicated_config::Granter(terms_), 0});
   leaders_[0].granter.Begin(At() - 2 * kLeaseBeats * kBeat, reign_);
   leaders_[0].lease_until = 2;
   in_force_at_ = {0};
@@ -52,7 +52,7 @@
     ++world.now_;
     // Without the check at the act it is a timer that tells, and that of a stopped process doesn't run.
     if (terms_.guards.checked_at_act)
-      for (rules::Holder& holder : world.holders_) holder.Tick(world.At());
+      for (replicated_config::Holder& holder : world.holders_) holder.Tick(world.At());
     world.Check();
     // The newest leader reaches a majority, or not.
     if (world.Leads(leader_)) {
@@ -92,7 +92,7 @@
     if (left_.crashes > 0) {
       LeaseWorld& world = fork();
       --world.left_.crashes;
-      world.holders_[i] = rules::Holder(terms_);
+      world.holders_[i] = replicated_config::Holder(terms_);
       std::erase_if(world.letters_, [i](const Letter& letter) { return letter.holder == i; });
     }
   }
@@ -115,7 +115,7 @@
     LeaseWorld& world = fork();
     --world.left_.elections;
     world.leader_ = 1 - leader_;
-    world.leaders_[world.leader_].granter = rules::Granter(terms_);
+    world.leaders_[world.leader_].granter = replicated_config::Granter(terms_);
     world.leaders_[world.leader_].granter.Begin(At(), ++world.reign_);
     world.leaders_[world.leader_].lease_until = now_ + 2;
     world.Learn();
@@ -156,7 +156,7 @@
   return least;
 }
 
-Found SearchLeases(const rules::Guards& guards, const LeaseBudget& budget, std::uint64_t most) {
+Found SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget, std::uint64_t most) {
   return Search(
       LeaseWorld(guards, budget),
       [](const LeaseWorld& world, std::vector<LeaseWorld>& into) { world.Next(into); },
@@ -164,4 +164,4 @@
       [](const LeaseWorld& world) { return world.Canonical(); }, most);
 }
 
-}  // namespace lemoncroft::model
+}  // namespace lemoncroft::model_check
--- a/src/model/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-#include "model/search.h"
-#include "rules/lease.h"
+#include "replicated_config/lease.h"
+#include "testing/model_check/search.h"
 
-namespace lemoncroft::model {
+namespace lemoncroft::model_check {
 
 struct LeaseBudget {
   int beats = 9, asks = 4, versions = 2, elections = 1, doubled = 1, crashes = 1;
@@ -27,7 +27,7 @@
  public:
   static constexpr std::size_t kHolders = 2, kLeaders = 2;
 
-  LeaseWorld(const rules::Guards& guards, const LeaseBudget& budget);
+  LeaseWorld(const replicated_config::Guards& guards, const LeaseBudget& budget);
 
   void Next(std::vector<LeaseWorld>& into) const;
   std::string Wrong() const { return wrong_; }
@@ -35,43 +35,43 @@
 
  private:
   struct Leader {
-    rules::Granter granter;
-    int lease_until = 0;                      // beats
-    rules::Version newest = 0, in_force = 0;  // committed, as far as it knows
+    replicated_config::Granter granter;
+    int lease_until = 0;                                  // beats
+    replicated_config::Version newest = 0, in_force = 0;  // committed, as far as it knows
   };
   struct Letter {
     bool grant = false;
     std::size_t holder = 0, leader = 0;
-    rules::Renewal renewal;
-    rules::Grant granted;
+    replicated_config::Renewal renewal;
+    replicated_config::Grant granted;
   };
 
-  rules::Time At() const { return rules::Time(std::chrono::hours(1) + now_ * kBeat); }
+  replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kBeat); }
   bool Leads(std::size_t leader) const { return now_ < leaders_[leader].lease_until; }
   void Deliver(const Letter& letter);
   void Learn();  // who leads knows all that is committed
   void Check();
   std::string TextOf(std::size_t holder) const;
 
-  static constexpr rules::Span kBeat = std::chrono::milliseconds(250);
+  static constexpr replicated_config::Span kBeat = std::chrono::milliseconds(250);
   static constexpr int kLeaseBeats = 4;
 
-  rules::Terms terms_;
+  replicated_config::Terms terms_;
   LeaseBudget left_;
   int now_ = 0;
-  std::vector<rules::Holder> holders_;
+  std::vector<replicated_config::Holder> holders_;
   std::array<int, kHolders> asks_{};
   std::vector<Leader> leaders_;
   std::size_t leader_ = 0;  // the newest
   std::uint64_t reign_ = 1;
   std::vector<Letter> letters_;
-  rules::Version newest_ = 0, in_force_ = 0;
+  replicated_config::Version newest_ = 0, in_force_ = 0;
   std::vector<int> in_force_at_;  // of each version, from 0 on
   std::string wrong_;
 };
 
-Found SearchLeases(const rules::Guards& guards, const LeaseBudget& budget, std::uint64_t most);
+Found SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget, std::uint64_t most);
 
-}  // namespace lemoncroft::model
+}  // namespace lemoncroft::model_check
 
 #endif  // LEMONCROFT_MODEL_LEASE_WORLD_H_
--- a/src/model/log_world.cpp
+++ b/src/testing/model_check/log_world.cpp
@@ -1,14 +1,14 @@
-#include "model/log_world.h"
+#include "testing/model_check/log_world.h"
 
 #include <algorithm>
 #include <numeric>
 #include <variant>
 
-#include "standin/voters.h"
+#include "testing/simulation/voters.h"
 
-namespace lemoncroft::model {
+namespace lemoncroft::model_check {
 
-using namespace agreement;
+using namespace raft;
 
 namespace {
 
@@ -129,7 +129,7 @@
       Member& own = world.members_[i];
       const Store store = own.writing.front();
       own.writing.erase(own.writing.begin());
-      standin::Apply(store, own.durable);
+      simulation::Apply(store, own.durable);
       own.kept = store.number;
       own.raft.Stored(kStart, store.number);
       world.Carry(i);
@@ -177,7 +177,7 @@
     for (const Entry& e : store.entries) Put(out, e.term), out += e.data + ";";
   }
   for (const Send& send : m.held)
-    out += send.to + model::TextOf(send.message) + std::to_string(send.after - m.kept);
+    out += send.to + model_check::TextOf(send.message) + std::to_string(send.after - m.kept);
   return out;
 }
 
@@ -186,7 +186,7 @@
   for (std::size_t i = 0; i < kVoters; ++i) texts[i] = TextOf(i);
   std::vector<std::string> letters;
   for (const Letter& letter : letters_)
-    letters.push_back(NameOf(letter.from) + NameOf(letter.to) + model::TextOf(letter.message));
+    letters.push_back(NameOf(letter.from) + NameOf(letter.to) + model_check::TextOf(letter.message));
   std::string budget;
   for (const int left : {left_.elections, left_.proposals, left_.crashes, left_.doubled, left_.beats})
     Put(budget, static_cast<std::uint64_t>(left));
@@ -225,4 +225,4 @@
       [](const LogWorld& world) { return world.Canonical(); }, most);
 }
 
-}  // namespace lemoncroft::model
+}  // namespace lemoncroft::model_check
--- a/src/model/log_world.h
+++ b/src/testing/model_check/log_world.h
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-#include "agreement/raft.h"
-#include "model/search.h"
+#include "raft/raft.h"
+#include "testing/model_check/search.h"
 
-namespace lemoncroft::model {
+namespace lemoncroft::model_check {
 
 struct LogBudget {
   int elections = 2, proposals = 2, crashes = 1, doubled = 1, beats = 1;
@@ -27,7 +27,7 @@
  public:
   static constexpr std::size_t kVoters = 3;
 
-  LogWorld(const agreement::Guards& guards, const LogBudget& budget);
+  LogWorld(const raft::Guards& guards, const LogBudget& budget);
 
   void Next(std::vector<LogWorld>& into) const;
   std::string Wrong() const { return wrong_; }
@@ -37,13 +37,13 @@
  private:
   struct Letter {
     std::size_t from = 0, to = 0;
-    agreement::Message message;
+    raft::Message message;
   };
   struct Member {
-    agreement::Raft raft;
-    agreement::Durable durable;
-    std::vector<agreement::Store> writing;
-    std::vector<agreement::Send> held;
+    raft::Raft raft;
+    raft::Durable durable;
+    std::vector<raft::Store> writing;
+    std::vector<raft::Send> held;
     std::uint64_t kept = 0;
   };
 
@@ -52,18 +52,18 @@
   std::string TextOf(std::size_t i) const;
   void Check(std::size_t i);
 
-  agreement::Settings settings_;
+  raft::Settings settings_;
   LogBudget left_;
   std::vector<Member> members_;
   std::vector<Letter> letters_;
-  std::map<agreement::Term, std::size_t> leaders_;
-  std::map<agreement::Index, agreement::Entry> committed_;
+  std::map<raft::Term, std::size_t> leaders_;
+  std::map<raft::Index, raft::Entry> committed_;
   std::string wrong_;
 };
 
 // Searches until `most` distinct states, or all within the budget.
-Found SearchLog(const agreement::Guards& guards, const LogBudget& budget, std::uint64_t most);
+Found SearchLog(const raft::Guards& guards, const LogBudget& budget, std::uint64_t most);
 
-}  // namespace lemoncroft::model
+}  // namespace lemoncroft::model_check
 
 #endif  // LEMONCROFT_MODEL_LOG_WORLD_H_
--- a/src/model/search.h
+++ b/src/testing/model_check/search.h
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "model/hash.h"
+#include "testing/model_check/hash.h"
 
-namespace lemoncroft::model {
+namespace lemoncroft::model_check {
 
 struct Found {
   std::uint64_t states = 0;  // distinct ones
@@ -51,6 +51,6 @@
   return found;
 }
 
-}  // namespace lemoncroft::model
+}  // namespace lemoncroft::model_check
 
 #endif  // LEMONCROFT_MODEL_SEARCH_H_
--- a/src/standin/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -1,4 +1,4 @@
-#include "standin/deciders.h"
+#include "testing/simulation/deciders.h"
 
 #include <algorithm>
 #include <map>
@@ -6,7 +6,7 @@
 #include <utility>
 #include <variant>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 namespace {
 
 double Uniform(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
@@ -130,4 +130,4 @@
   return std::make_unique<LeastLoadedForwarder>(settings, seed);
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/deciders.h
+++ b/src/testing/simulation/deciders.h
@@ -14,7 +14,7 @@
 
 #include "lemoncroft/gateway.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 // Who decides in the place of one gateway.
 class Decider {
@@ -31,6 +31,6 @@
 // nothing but the list and the order of keys, and waits for the end.
 std::unique_ptr<Decider> MakeLeastLoadedForwarder(const Settings& settings, std::uint64_t seed);
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_DECIDERS_H_
--- a/src/standin/disk.cpp
+++ b/src/testing/simulation/disk.cpp
@@ -1,4 +1,4 @@
-#include "standin/disk.h"
+#include "testing/simulation/disk.h"
 
 #include <sqlite3.h>
 
@@ -8,7 +8,7 @@
 #include <new>
 #include <thread>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 namespace {
 
 struct Handle {
@@ -224,4 +224,4 @@
   return it == files_.end() ? 0 : it->second->now.size();
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/disk.h
+++ b/src/testing/simulation/disk.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 class Disk {
  public:
@@ -60,6 +60,6 @@
   std::uint64_t operations_ = 0, fail_from_ = UINT64_MAX, room_ = UINT64_MAX;
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_DISK_H_
--- a/src/standin/fleet.cpp
+++ b/src/testing/simulation/fleet.cpp
@@ -1,10 +1,10 @@
-#include "standin/fleet.h"
+#include "testing/simulation/fleet.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 namespace {
 constexpr std::array<double, 4> kWeights = {1, 4, 8, 16};  // by priority
@@ -139,4 +139,4 @@
   now_ = std::max(now_, now);
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/fleet.h
+++ b/src/testing/simulation/fleet.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 using Engine = std::uint32_t;
 using Key = std::pair<std::uint64_t, int>;  // request, attempt
@@ -77,6 +77,6 @@
   std::vector<double> consumed_;
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_FLEET_H_
--- a/src/standin/keeper_fleet.cpp
+++ b/src/testing/simulation/keeper_fleet.cpp
@@ -1,16 +1,16 @@
-#include "standin/keeper_fleet.h"
+#include "testing/simulation/keeper_fleet.h"
 
 #include <algorithm>
 #include <charconv>
 
-#include "peerlink/frame.h"
-#include "standin/processor_time.h"
-#include "standin/voters.h"
+#include "peer_transport/frame.h"
+#include "testing/simulation/processor_time.h"
+#include "testing/simulation/voters.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 using namespace std::chrono_literals;
-using rules::Version;
+using replicated_config::Version;
 
 namespace {
 constexpr Instant kTick = 5ms;  // at which acts are noted
@@ -19,7 +19,9 @@
 // Bytes that the way between proxies puts around a note (peerlink/frame.h).
 std::size_t FrameBytes() {
   const std::string note(100, 'x');
-  return peerlink::Encode(kFleet, peerlink::Parcel{UINT64_MAX, peerlink::Part::kRules, note}).size() -
+  return peer_transport::Encode(kFleet,
+                                peer_transport::Parcel{UINT64_MAX, peer_transport::Part::kRules, note})
+             .size() -
          note.size();
 }
 }  // namespace
@@ -31,12 +33,12 @@
     Machine& m = machines_[i];
     m.sync = plan.sync;
     m.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
-    m.origin = agreement::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
+    m.origin = raft::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
     Restart(i);
   }
 }
 
-agreement::Time KeeperFleet::Local(const Machine& m) const {
+raft::Time KeeperFleet::Local(const Machine& m) const {
   return m.origin + Instant(static_cast<Instant::rep>(static_cast<double>(now_.count()) * m.rate));
 }
 
@@ -55,22 +57,22 @@
   Machine& m = machines_[i];
   ++m.life;
   m.applied = 0;
-  rules::KeeperTerms terms;
+  replicated_config::KeeperTerms terms;
   terms.self = NameOf(i);
   for (std::size_t v = 0; v < plan_.voters; ++v) terms.first.push_back(NameOf(v));
   terms.log = plan_.log;
   terms.lease = plan_.lease;
   terms.guards = plan_.guards;
-  rules::Keeper::Checks checks;
-  checks.check = [](const rules::Written*, const std::string& text) {
+  replicated_config::Keeper::Checks checks;
+  checks.check = [](const replicated_config::Written*, const std::string& text) {
     return text.starts_with("wrong") ? std::string("it is wrong") : std::string();
   };
   checks.carry = [i](const std::string& text) {
     return text.starts_with("not for " + NameOf(i)) ? std::string("so it says") : std::string();
   };
   checks.format = [](const std::string&) { return std::uint64_t{1}; };
-  checks.lasts = [](const std::string&) { return rules::Span(); };
-  m.keeper = std::make_unique<rules::Keeper>(terms, InstanceOf(i), checks, random_(), Local(m));
+  checks.lasts = [](const std::string&) { return replicated_config::Span(); };
+  m.keeper = std::make_unique<replicated_config::Keeper>(terms, InstanceOf(i), checks, random_(), Local(m));
   const bool votes = i < plan_.voters || m.disk.store != 0;
   if (votes) {
     if (m.disk.store == 0) m.disk.store = random_() | 1;
@@ -97,7 +99,7 @@
 
 std::string KeeperFleet::Propose(std::size_t at, Version from, const std::string& text, Instant patience) {
   Machine& m = machines_[at];
-  rules::Change change;
+  replicated_config::Change change;
   change.id = "c" + std::to_string(++ids_);
   change.from = from;
   change.text = text;
@@ -115,9 +117,9 @@
   Carry(at);
 }
 
-void KeeperFleet::Post(std::size_t from, std::size_t to, const rules::Note& note) {
+void KeeperFleet::Post(std::size_t from, std::size_t to, const replicated_config::Note& note) {
   static const std::size_t kFrameBytes = FrameBytes();
-  const auto bytes = std::make_shared<const std::string>(rules::Encode(note));
+  const auto bytes = std::make_shared<const std::string>(replicated_config::Encode(note));
   ++notes_;
   ++machines_[from].sent.notes;
   machines_[from].sent.bytes += bytes->size() + kFrameBytes;
@@ -131,16 +133,16 @@
 void KeeperFleet::Carry(std::size_t i) {
   Machine& m = machines_[i];
   for (auto outputs = m.keeper->Take(); !outputs.empty(); outputs = m.keeper->Take()) {
-    for (rules::KeeperOutput& output : outputs) {
-      if (const auto* post = std::get_if<rules::Post>(&output)) {
+    for (replicated_config::KeeperOutput& output : outputs) {
+      if (const auto* post = std::get_if<replicated_config::Post>(&output)) {
         const std::optional<std::size_t> to = MachineOf(post->to);
         if (to && *to != i) Post(i, *to, post->note);
-      } else if (std::holds_alternative<rules::Keep>(output) ||
-                 std::holds_alternative<rules::KeepFounders>(output)) {
+      } else if (std::holds_alternative<replicated_config::Keep>(output) ||
+                 std::holds_alternative<replicated_config::KeepFounders>(output)) {
         const Instant begun = m.writing.empty() ? now_ : std::max(now_, m.writing.back().first);
         Push(begun + m.sync, i, Happening::Kind::kSynced, m.life);
         m.writing.emplace_back(begun + m.sync, std::move(output));
-      } else if (const auto* learnt = std::get_if<rules::Learnt>(&output)) {
+      } else if (const auto* learnt = std::get_if<replicated_config::Learnt>(&output)) {
         const auto [it, fresh] = texts_.try_emplace(learnt->version, learnt->text);
         if (!fresh && it->second != learnt->text)
           broken_.push_back("version " + std::to_string(learnt->version) + " has two texts");
@@ -148,33 +150,33 @@
           m.keeper->CantCarry(learnt->version);
         else
           m.keeper->Prepared(Local(m), learnt->version);
-      } else if (const auto* in_force = std::get_if<rules::InForce>(&output)) {
+      } else if (const auto* in_force = std::get_if<replicated_config::InForce>(&output)) {
         if (in_force->version < m.applied) broken_.push_back(NameOf(i) + " went back to an older version");
         m.applied = in_force->version;
-      } else if (const auto* finished = std::get_if<rules::Finished>(&output)) {
+      } else if (const auto* finished = std::get_if<replicated_config::Finished>(&output)) {
         outcomes_[finished->outcome.id] = finished->outcome;
       }
     }
   }
-  const agreement::Time due = m.keeper->due();
-  if (due == agreement::kNever) return;
+  const raft::Time due = m.keeper->due();
+  if (due == raft::kNever) return;
   const auto at =
       Instant(static_cast<Instant::rep>(static_cast<double>((due - m.origin).count()) / m.rate) + 1);
   Push(std::max(at, now_ + 1us), i, Happening::Kind::kStep, m.life);
 }
 
 std::optional<std::size_t> KeeperFleet::MachineOf(
-    const std::variant<agreement::Name, rules::Instance>& to) const {
+    const std::variant<raft::Name, replicated_config::Instance>& to) const {
   std::size_t machine = machines_.size();
-  if (const auto* name = std::get_if<agreement::Name>(&to)) {
+  if (const auto* name = std::get_if<raft::Name>(&to)) {
     if (!name->empty()) std::from_chars(name->data() + 1, name->data() + name->size(), machine);
   } else {
-    machine = static_cast<std::size_t>((std::get<rules::Instance>(to) - 1) % lives_apart_);
+    machine = static_cast<std::size_t>((std::get<replicated_config::Instance>(to) - 1) % lives_apart_);
   }
   if (machine >= machines_.size()) return std::nullopt;
-  const bool same = std::holds_alternative<agreement::Name>(to)
-                        ? std::get<agreement::Name>(to) == NameOf(machine)
-                        : std::get<rules::Instance>(to) == InstanceOf(machine);
+  const bool same = std::holds_alternative<raft::Name>(to)
+                        ? std::get<raft::Name>(to) == NameOf(machine)
+                        : std::get<replicated_config::Instance>(to) == InstanceOf(machine);
   return same ? std::optional(machine) : std::nullopt;
 }
 
@@ -200,16 +202,17 @@
       m.keeper->Step(Local(m));
       break;
     case Happening::Kind::kNote:
-      if (const auto note = rules::DecodeNote(*h.bytes)) m.keeper->Receive(Local(m), h.from, *note);
+      if (const auto note = replicated_config::DecodeNote(*h.bytes))
+        m.keeper->Receive(Local(m), h.from, *note);
       break;
     case Happening::Kind::kSynced: {
       if (m.writing.empty() || m.writing.front().first > now_) return;
-      const rules::KeeperOutput output = std::move(m.writing.front().second);
+      const replicated_config::KeeperOutput output = std::move(m.writing.front().second);
       m.writing.erase(m.writing.begin());
-      if (const auto* keep = std::get_if<rules::Keep>(&output)) {
+      if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
         Apply(keep->store, m.disk.durable);
         m.keeper->Durable(Local(m), keep->store.number);
-      } else if (const auto* founders = std::get_if<rules::KeepFounders>(&output)) {
+      } else if (const auto* founders = std::get_if<replicated_config::KeepFounders>(&output)) {
         m.disk.founders = founders->founders;
         m.keeper->FoundersKept(Local(m));
       }
@@ -271,4 +274,4 @@
   return true;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/keeper_fleet.h
+++ b/src/testing/simulation/keeper_fleet.h
@@ -15,19 +15,19 @@
 #include <string>
 #include <vector>
 
-#include "rules/keeper.h"
-#include "standin/links.h"
+#include "replicated_config/keeper.h"
+#include "testing/simulation/links.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 class KeeperFleet {
  public:
   struct Plan {
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
-    rules::Terms lease;
-    agreement::Settings log;
-    rules::KeeperGuards guards;
+    replicated_config::Terms lease;
+    raft::Settings log;
+    replicated_config::KeeperGuards guards;
     double drift = 0.005;                              // of each clock from true time
     Instant sync = std::chrono::milliseconds(2);       // of a disk
     Instant stated = std::chrono::milliseconds(1200);  // T of docs/agreement.md
@@ -41,8 +41,8 @@
   void Wipe(std::size_t i) { machines_[i].disk = {}; }
   struct Disk {
     std::uint64_t store = 0;
-    rules::Founders founders;
-    agreement::Durable durable;
+    replicated_config::Founders founders;
+    raft::Durable durable;
   };
   Disk& disk(std::size_t i) { return machines_[i].disk; }
   void Stall(std::size_t i, Instant span);
@@ -52,16 +52,16 @@
   // A text that begins with "not for " and this name can't be carried there.
   void RunFor(Instant span);
 
-  std::string Propose(std::size_t at, rules::Version from, const std::string& text,
+  std::string Propose(std::size_t at, replicated_config::Version from, const std::string& text,
                       Instant patience = std::chrono::seconds(3));
   void ChangeVoters(std::size_t at, const std::string& who, bool in);
-  const std::map<std::string, rules::Outcome>& outcomes() const { return outcomes_; }
+  const std::map<std::string, replicated_config::Outcome>& outcomes() const { return outcomes_; }
 
   std::optional<std::size_t> Leader() const;
-  std::optional<rules::Version> MayAct(std::size_t i) const;
-  const rules::Keeper& keeper(std::size_t i) const { return *machines_[i].keeper; }
+  std::optional<replicated_config::Version> MayAct(std::size_t i) const;
+  const replicated_config::Keeper& keeper(std::size_t i) const { return *machines_[i].keeper; }
   bool Lives(std::size_t i) const { return machines_[i].keeper != nullptr; }
-  bool AllOn(rules::Version version) const;  // that live
+  bool AllOn(replicated_config::Version version) const;  // that live
   Links& links() { return links_; }
   Instant now() const { return now_; }
 
@@ -78,14 +78,14 @@
 
  private:
   struct Machine {
-    std::unique_ptr<rules::Keeper> keeper;
+    std::unique_ptr<replicated_config::Keeper> keeper;
     Disk disk;
-    std::vector<std::pair<Instant, rules::KeeperOutput>> writing;
+    std::vector<std::pair<Instant, replicated_config::KeeperOutput>> writing;
     double rate = 1;
-    agreement::Time origin{};
+    raft::Time origin{};
     Instant held_until{}, sync{};
     std::uint64_t life = 0;
-    rules::Version applied = 0;
+    replicated_config::Version applied = 0;
     Sent sent;
   };
   struct Happening {
@@ -94,22 +94,24 @@
     std::size_t machine = 0;
     std::uint64_t life = 0;  // 0: of any
     enum class Kind { kStep, kNote, kSynced } kind = Kind::kStep;
-    rules::Instance from = 0;
+    replicated_config::Instance from = 0;
     std::shared_ptr<const std::string> bytes;
     bool operator>(const Happening& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
 
-  agreement::Time Local(const Machine& m) const;
-  rules::Instance InstanceOf(std::size_t i) const { return lives_apart_ * machines_[i].life + i + 1; }
+  raft::Time Local(const Machine& m) const;
+  replicated_config::Instance InstanceOf(std::size_t i) const {
+    return lives_apart_ * machines_[i].life + i + 1;
+  }
   // The machine whose process now has that name or instance.
-  std::optional<std::size_t> MachineOf(const std::variant<agreement::Name, rules::Instance>& to) const;
+  std::optional<std::size_t> MachineOf(const std::variant<raft::Name, replicated_config::Instance>& to) const;
   void Push(Instant at, std::size_t machine, Happening::Kind kind, std::uint64_t life);
   void Handle(const Happening& happening);
   void HandleTimed(const Happening& happening);
   void Carry(std::size_t i);
-  void Post(std::size_t from, std::size_t to, const rules::Note& note);
+  void Post(std::size_t from, std::size_t to, const replicated_config::Note& note);
   void Note();
 
   Plan plan_;
@@ -117,19 +119,19 @@
   Links links_;
   Instant now_{};
   std::uint64_t order_ = 0, notes_ = 0, ids_ = 0;
-  rules::Instance lives_apart_ = 1000;  // between the instances of two lives of a machine
+  replicated_config::Instance lives_apart_ = 1000;  // between the instances of two lives of a machine
   std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
   std::vector<Machine> machines_;
-  std::map<std::string, rules::Outcome> outcomes_;
-  std::map<rules::Version, std::string> texts_;  // as first seen anywhere
+  std::map<std::string, replicated_config::Outcome> outcomes_;
+  std::map<replicated_config::Version, std::string> texts_;  // as first seen anywhere
   std::map<std::string, std::string> proposed_;
   std::optional<Instant> apart_since_;
   Instant longest_{};
-  std::map<rules::Version, Instant> first_acted_;
+  std::map<replicated_config::Version, Instant> first_acted_;
   std::uint64_t stale_ = 0;
   std::vector<std::string> broken_;
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_KEEPER_FLEET_H_
--- a/src/standin/links.cpp
+++ b/src/testing/simulation/links.cpp
@@ -1,6 +1,6 @@
-#include "standin/links.h"
+#include "testing/simulation/links.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 void Links::Cut(Node from, Node to, bool cut) {
   auto [it, fresh] = special_.try_emplace({from, to}, usual_);
@@ -30,4 +30,4 @@
   return std::any_of(a->second.begin(), a->second.end(), [&](int side) { return b->second.contains(side); });
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/links.h
+++ b/src/testing/simulation/links.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <utility>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 using Instant = std::chrono::nanoseconds;  // since the start of the simulation
 using Node = std::uint32_t;
@@ -74,6 +74,6 @@
   std::map<std::pair<Node, Node>, Instant> free_;  // when the link has sent what it has
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_LINKS_H_
--- a/src/standin/peer_fleet.cpp
+++ b/src/testing/simulation/peer_fleet.cpp
@@ -1,13 +1,13 @@
-#include "standin/peer_fleet.h"
+#include "testing/simulation/peer_fleet.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
-using namespace peers;
+using namespace gossip;
 using namespace std::chrono_literals;
 
 namespace {
@@ -146,7 +146,7 @@
     if (const auto* event = std::get_if<Event>(&output)) {
       if (on_event) on_event({now_, process, *event});
     } else if (const auto* transmit = std::get_if<Transmit>(&output)) {
-      const std::string bytes = peerlink::Encode(kFleet, transmit->datagram);
+      const std::string bytes = peer_transport::Encode(kFleet, transmit->datagram);
       Count(process, bytes.size());
       Trace(process, bytes);
       if (on_sent) on_sent(process, bytes);
@@ -158,7 +158,7 @@
     } else if (const auto* exchange = std::get_if<Exchange>(&output)) {
       const auto to = tenants_.find(exchange->to);
       if (to == tenants_.end()) continue;
-      std::string bytes = peerlink::Encode(kFleet, r.view->Open(Local(r, now_)));
+      std::string bytes = peer_transport::Encode(kFleet, r.view->Open(Local(r, now_)));
       ++r.sent.exchanges;
       CountExchange(process, bytes.size());
       Trace(process, bytes);
@@ -191,8 +191,8 @@
       r.view->Step(local);
       break;
     case Kind::kDatagram: {
-      const auto message = peerlink::Decode(kFleet, h.bytes, kDatagramMost);
-      const auto* good = std::get_if<peerlink::Message>(&message);
+      const auto message = peer_transport::Decode(kFleet, h.bytes, kDatagramMost);
+      const auto* good = std::get_if<peer_transport::Message>(&message);
       if (good == nullptr || !std::holds_alternative<Datagram>(*good)) return;
       r.view->Receive(local, std::get<Datagram>(*good));
       break;
@@ -202,21 +202,21 @@
       if (other.view == nullptr || !links_.Open(other.machine, r.machine) ||
           !links_.Open(r.machine, other.machine))
         return;
-      const auto message = peerlink::Decode(kFleet, h.bytes, peerlink::kStreamMost);
-      const auto* good = std::get_if<peerlink::Message>(&message);
+      const auto message = peer_transport::Decode(kFleet, h.bytes, peer_transport::kStreamMost);
+      const auto* good = std::get_if<peer_transport::Message>(&message);
       if (good == nullptr) return;
       const auto* opening = std::get_if<Opening>(good);
       if (opening == nullptr || other.held_until > now_) return;
       // The three messages of an exchange are played in one instant: what a cut in the midst of one costs is
       // shown on real sockets.
-      const std::string answer = peerlink::Encode(kFleet, r.view->Answer(local, *opening));
+      const std::string answer = peer_transport::Encode(kFleet, r.view->Answer(local, *opening));
       CountExchange(h.process, answer.size());
       Trace(h.process, answer);
-      const auto answered = peerlink::Decode(kFleet, answer, peerlink::kStreamMost);
-      const auto* entries = std::get_if<peerlink::Message>(&answered);
+      const auto answered = peer_transport::Decode(kFleet, answer, peer_transport::kStreamMost);
+      const auto* entries = std::get_if<peer_transport::Message>(&answered);
       if (entries == nullptr) break;  // too long for a stream's message: it is given up
       const Entries last = other.view->Close(Local(other, now_), std::get<Entries>(*entries));
-      const std::string closing = peerlink::Encode(kFleet, last);
+      const std::string closing = peer_transport::Encode(kFleet, last);
       CountExchange(h.from, closing.size());
       Trace(h.from, closing);
       r.view->Finish(local, last);
@@ -258,4 +258,4 @@
   return now_ - since;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/peer_fleet.h
+++ b/src/testing/simulation/peer_fleet.h
@@ -17,11 +17,11 @@
 #include <string>
 #include <vector>
 
-#include "peerlink/frame.h"
-#include "peers/view.h"
-#include "standin/links.h"
+#include "gossip/view.h"
+#include "peer_transport/frame.h"
+#include "testing/simulation/links.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 using Process = std::size_t;  // in the order of their starts
 
@@ -29,13 +29,13 @@
  public:
   struct Plan {
     std::uint64_t seed = 1;
-    peers::Settings settings;
+    gossip::Settings settings;
     double drift = 0.01;  // clocks run up to so much fast or slow
   };
   struct Seen {  // an event of a process's view
     Instant at{};
     Process process = 0;
-    peers::Event event;
+    gossip::Event event;
   };
   struct Sent {
     std::uint64_t messages = 0, bytes = 0;
@@ -54,7 +54,7 @@
   void Kill(Process process);
   void Leave(Process process);  // says so, and ends a gossip beat later
   void Stall(Process process, Instant span);
-  void Say(Process process, peers::Phase phase);
+  void Say(Process process, gossip::Phase phase);
   void SetAttribute(Process process, const std::string& key, const std::string& value);
   void RunTo(Instant until);
   void RunFor(Instant span) { RunTo(now_ + span); }
@@ -72,13 +72,13 @@
   bool lives(Process p) const { return processes_[p].view != nullptr; }
   std::size_t size() const { return processes_.size(); }
   std::size_t living() const { return living_; }
-  peers::View& view(Process p) { return *processes_[p].view; }
-  const peers::View& view(Process p) const { return *processes_[p].view; }
-  peers::InstanceId id(Process p) const { return processes_[p].id; }
+  gossip::View& view(Process p) { return *processes_[p].view; }
+  const gossip::View& view(Process p) const { return *processes_[p].view; }
+  gossip::InstanceId id(Process p) const { return processes_[p].id; }
   const Sent& sent(Process p) const { return processes_[p].sent; }
-  std::optional<Process> process_of(peers::InstanceId id) const;
+  std::optional<Process> process_of(gossip::InstanceId id) const;
   std::uint64_t trace() const { return trace_; }
-  peers::Span Period() const { return plan_.settings.period; }
+  gossip::Span Period() const { return plan_.settings.period; }
   // Called for each event as it happens.
   std::function<void(const Seen&)> on_event;
   // Called for each datagram as it is sent: sees the real bytes.
@@ -98,20 +98,20 @@
     }
   };
   struct Running {
-    std::unique_ptr<peers::View> view;  // null: ended
-    peers::InstanceId id = peers::kNobody;
+    std::unique_ptr<gossip::View> view;  // null: ended
+    gossip::InstanceId id = gossip::kNobody;
     Node machine = 0;
-    peers::Endpoint address;
+    gossip::Endpoint address;
     double rate = 1;
-    peers::Time origin{};
+    gossip::Time origin{};
     Instant held_until{};
     Instant step_at = Instant::max();
     Sent sent;
   };
 
-  static peers::Endpoint At(Node machine, bool second);
-  peers::Time Local(const Running& r, Instant at) const;
-  Instant True(const Running& r, peers::Time local) const;
+  static gossip::Endpoint At(Node machine, bool second);
+  gossip::Time Local(const Running& r, Instant at) const;
+  Instant True(const Running& r, gossip::Time local) const;
   void Put(Instant at, Kind kind, Process process, Process from = 0, std::string bytes = {});
   void Handle(Happening& happening);
   void Carry(Process process);  // carries out what the view wants
@@ -126,11 +126,11 @@
   std::uint64_t order_ = 0, trace_ = 0;
   std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
   std::deque<Running> processes_;
-  std::map<peers::Endpoint, Process> tenants_;
-  std::map<peers::InstanceId, Process> ids_;
+  std::map<gossip::Endpoint, Process> tenants_;
+  std::map<gossip::InstanceId, Process> ids_;
   std::size_t living_ = 0;
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_PEER_FLEET_H_
--- a/src/standin/processor_time.h
+++ b/src/testing/simulation/processor_time.h
@@ -4,7 +4,7 @@
 
 #include <time.h>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 inline double ProcessorMicroseconds() {
   timespec at{};
@@ -12,6 +12,6 @@
   return static_cast<double>(at.tv_sec) * 1e6 + static_cast<double>(at.tv_nsec) / 1e3;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_PROCESSOR_TIME_H_
--- a/src/standin/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -1,10 +1,10 @@
-#include "standin/query_engine.h"
+#include "testing/simulation/query_engine.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 namespace {
 
 constexpr Engine kMachine = 1;       // the only machine of the engine's `Fleet`
@@ -181,4 +181,4 @@
   return 1 - fleet_.Left(key) / std::max(1e-9, it->second.work);
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -21,9 +21,9 @@
 #include <vector>
 
 #include "lemoncroft/gateway.h"
-#include "standin/fleet.h"
+#include "testing/simulation/fleet.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 struct EngineTraits {
   double cores = 8;
@@ -104,6 +104,6 @@
   std::deque<Snapshot> snapshots_;
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_QUERY_ENGINE_H_
--- a/src/standin/rule_checker.cpp
+++ b/src/testing/simulation/rule_checker.cpp
@@ -1,8 +1,8 @@
-#include "standin/rule_checker.h"
+#include "testing/simulation/rule_checker.h"
 
 #include <algorithm>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
@@ -277,4 +277,4 @@
   }
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/rule_checker.h
+++ b/src/testing/simulation/rule_checker.h
@@ -14,9 +14,9 @@
 #include <vector>
 
 #include "lemoncroft/gateway.h"
-#include "standin/site_shapes.h"
+#include "testing/simulation/site_shapes.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 // How an engine has been for the check that nothing waits while engines idle.
 struct IdleEngine {
@@ -102,6 +102,6 @@
   std::vector<std::string> breaches_;
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_RULE_CHECKER_H_
--- a/src/standin/rule_fleet.cpp
+++ b/src/testing/simulation/rule_fleet.cpp
@@ -1,11 +1,11 @@
-#include "standin/rule_fleet.h"
+#include "testing/simulation/rule_fleet.h"
 
 #include <algorithm>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 using namespace std::chrono_literals;
-using rules::Version;
+using replicated_config::Version;
 
 namespace {
 
@@ -28,19 +28,19 @@
   for (std::size_t i = 0; i < plan.proxies; ++i) {
     Proxy& proxy = proxies_.emplace_back(plan.terms);
     proxy.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
-    proxy.origin = rules::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
+    proxy.origin = replicated_config::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
     proxy.ask_at = Instant(static_cast<Instant::rep>(random_() % 250'000'000));
     proxy.fetch = plan.fetch;
   }
-  voters_.on_committed = [this](std::size_t i, const agreement::Entry& entry) {
-    if (entry.kind != agreement::Kind::kData) return;
+  voters_.on_committed = [this](std::size_t i, const raft::Entry& entry) {
+    if (entry.kind != raft::Kind::kData) return;
     Leader& leader = leaders_[i];
     Version& version = entry.data.starts_with("doc") ? leader.newest : leader.in_force;
     version = std::max(version, Number(entry.data));
   };
 }
 
-rules::Time RuleFleet::Local(const Proxy& proxy) const {
+replicated_config::Time RuleFleet::Local(const Proxy& proxy) const {
   return proxy.origin +
          Instant(static_cast<Instant::rep>(static_cast<double>(voters_.now().count()) * proxy.rate));
 }
@@ -64,8 +64,8 @@
 
 void RuleFleet::Lead(std::size_t i) {
   Leader& leader = leaders_[i];
-  if (!voters_.Lives(i) || voters_.raft(i).role() != agreement::Role::kLeader) return;
-  const rules::Time local = voters_.LocalNow(i);
+  if (!voters_.Lives(i) || voters_.raft(i).role() != raft::Role::kLeader) return;
+  const replicated_config::Time local = voters_.LocalNow(i);
   if (leader.term != voters_.raft(i).term()) {
     leader.term = voters_.raft(i).term();
     leader.forcing = 0;
@@ -197,4 +197,4 @@
   return true;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/rule_fleet.h
+++ b/src/testing/simulation/rule_fleet.h
@@ -13,17 +13,17 @@
 #include <string>
 #include <vector>
 
-#include "rules/lease.h"
-#include "standin/voters.h"
+#include "replicated_config/lease.h"
+#include "testing/simulation/voters.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 class RuleFleet {
  public:
   struct Plan {
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
-    rules::Terms terms;
+    replicated_config::Terms terms;
     double drift = 0.005;                              // of each clock from true time
     Instant fetch = std::chrono::milliseconds(20);     // of a document
     Instant stated = std::chrono::milliseconds(1200);  // T of docs/agreement.md
@@ -31,7 +31,7 @@
   explicit RuleFleet(const Plan& plan);
 
   // A new document, at whoever leads; its version, none where nobody leads.
-  std::optional<rules::Version> Propose();
+  std::optional<replicated_config::Version> Propose();
   void Stall(std::size_t proxy, Instant span);  // its voter too
   void CrashVoter(std::size_t i) { voters_.Crash(i); }
   void RestartVoter(std::size_t i);
@@ -42,8 +42,8 @@
   Links& links() { return voters_.links(); }
   Instant now() const { return voters_.now(); }
 
-  std::optional<rules::Version> MayAct(std::size_t proxy) const;
-  const rules::Holder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
+  std::optional<replicated_config::Version> MayAct(std::size_t proxy) const;
+  const replicated_config::Holder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
   // The longest time in which two proxies could act on different versions.
   Instant contradiction() const { return longest_; }
   // Instants at which a proxy could act on a version for longer than `stated` after a later one was first
@@ -51,36 +51,36 @@
   std::uint64_t stale() const { return stale_; }
   // Instants at which a proxy was leased and in touch, and lacked the document in force.
   std::uint64_t without() const { return without_; }
-  bool InForceEverywhere(rules::Version version) const;
+  bool InForceEverywhere(replicated_config::Version version) const;
 
  private:
   struct Proxy {
-    explicit Proxy(const rules::Terms& terms) : holder(terms) {}
-    rules::Holder holder;
+    explicit Proxy(const replicated_config::Terms& terms) : holder(terms) {}
+    replicated_config::Holder holder;
     double rate = 1;
-    rules::Time origin{};
+    replicated_config::Time origin{};
     Instant held_until{}, ask_at{}, fetch{};
-    rules::Version fetching = 0;
+    replicated_config::Version fetching = 0;
   };
   struct Leader {
-    explicit Leader(const rules::Terms& terms) : granter(terms) {}
-    rules::Granter granter;
-    agreement::Term term = 0;
-    rules::Version newest = 0, in_force = 0, forcing = 0;
+    explicit Leader(const replicated_config::Terms& terms) : granter(terms) {}
+    replicated_config::Granter granter;
+    raft::Term term = 0;
+    replicated_config::Version newest = 0, in_force = 0, forcing = 0;
   };
   struct Happening {
     Instant at{};
     std::uint64_t order = 0;
     std::size_t proxy = 0, voter = 0;
-    std::optional<rules::Renewal> renewal;
-    std::optional<rules::Grant> grant;
-    rules::Version fetched = 0;
+    std::optional<replicated_config::Renewal> renewal;
+    std::optional<replicated_config::Grant> grant;
+    replicated_config::Version fetched = 0;
     bool operator>(const Happening& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
 
-  rules::Time Local(const Proxy& proxy) const;
+  replicated_config::Time Local(const Proxy& proxy) const;
   void Handle(const Happening& happening);
   void Lead(std::size_t i);
   void Note();
@@ -89,16 +89,16 @@
   Voters voters_;
   std::mt19937_64 random_;
   std::uint64_t order_ = 0, without_ = 0;
-  rules::Version proposed_ = 0;
+  replicated_config::Version proposed_ = 0;
   std::vector<Proxy> proxies_;
   std::vector<Leader> leaders_;
   std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
   std::optional<Instant> apart_since_;
   Instant longest_{};
-  std::map<rules::Version, Instant> first_acted_;
+  std::map<replicated_config::Version, Instant> first_acted_;
   std::uint64_t stale_ = 0;
 };
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_RULE_FLEET_H_
--- a/src/standin/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -1,4 +1,4 @@
-#include "standin/site_day.h"
+#include "testing/simulation/site_day.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,11 +8,11 @@
 #include <random>
 #include <utility>
 
-#include "standin/query_engine.h"
-#include "standin/rule_checker.h"
-#include "subset/subset.h"
+#include "decision/subset/subset.h"
+#include "testing/simulation/query_engine.h"
+#include "testing/simulation/rule_checker.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
@@ -556,4 +556,4 @@
   return SiteDay(site, length, seed, decider).Play();
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/site_day.h
+++ b/src/testing/simulation/site_day.h
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "lemoncroft/gateway.h"
-#include "standin/deciders.h"
-#include "standin/site_shapes.h"
+#include "testing/simulation/deciders.h"
+#include "testing/simulation/site_shapes.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 struct ClassResult {
   int taken = 0;
@@ -39,6 +39,6 @@
 
 DayResult PlayDay(const Site& site, Nanos length, std::uint64_t seed, const DeciderFactory& decider);
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_SITE_DAY_H_
--- a/src/standin/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -1,4 +1,4 @@
-#include "standin/site_shapes.h"
+#include "testing/simulation/site_shapes.h"
 
 #include <algorithm>
 #include <random>
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
@@ -376,4 +376,4 @@
   return site;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/site_shapes.h
+++ b/src/testing/simulation/site_shapes.h
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "lemoncroft/gateway.h"
-#include "standin/query_engine.h"
+#include "testing/simulation/query_engine.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 enum class Dimension : std::size_t {
   kMix,
@@ -102,6 +102,6 @@
 // allows in proportion to their cores.
 Site BuildSite(const SiteShape& shape, double load, std::uint64_t seed);
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_SITE_SHAPES_H_
--- a/src/standin/slow_disk.cpp
+++ b/src/testing/simulation/slow_disk.cpp
@@ -1,11 +1,11 @@
-#include "standin/slow_disk.h"
+#include "testing/simulation/slow_disk.h"
 
 #include <algorithm>
 
-#include "standin/store_plays.h"
 #include "storage/worker.h"
+#include "testing/simulation/store_plays.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 using namespace std::chrono_literals;
 using runtime::Now;
@@ -43,4 +43,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/slow_disk.h
+++ b/src/testing/simulation/slow_disk.h
@@ -4,9 +4,9 @@
 #ifndef LEMONCROFT_STANDIN_SLOW_DISK_H_
 #define LEMONCROFT_STANDIN_SLOW_DISK_H_
 
-#include "standin/disk.h"
+#include "testing/simulation/disk.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 struct LoopStall {
   double longest_ms = 0;  // a tick came so much late
@@ -15,6 +15,6 @@
 };
 LoopStall LoopStallBesideWrites(Disk& disk, int writes);
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_SLOW_DISK_H_
--- a/src/standin/store_plays.cpp
+++ b/src/testing/simulation/store_plays.cpp
@@ -1,8 +1,8 @@
-#include "standin/store_plays.h"
+#include "testing/simulation/store_plays.h"
 
 #include <algorithm>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 using namespace storage;
 
@@ -85,4 +85,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/store_plays.h
+++ b/src/testing/simulation/store_plays.h
@@ -4,10 +4,10 @@
 #ifndef LEMONCROFT_STANDIN_STORE_PLAYS_H_
 #define LEMONCROFT_STANDIN_STORE_PLAYS_H_
 
-#include "standin/disk.h"
 #include "storage/database.h"
+#include "testing/simulation/disk.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 inline constexpr int kStoreChanges = 30;
 
@@ -28,6 +28,6 @@
 // A crash at every operation of the disk, what wasn't synced lost in several ways; then the store is opened.
 CrashPoints CrashAtEachOperation(int ways);
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_STORE_PLAYS_H_
--- a/src/standin/voters.cpp
+++ b/src/testing/simulation/voters.cpp
@@ -1,10 +1,10 @@
-#include "standin/voters.h"
+#include "testing/simulation/voters.h"
 
 #include <algorithm>
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
-using namespace agreement;
+using namespace raft;
 
 void Apply(const Store& store, Durable& durable) {
   durable.promise = store.promise;
@@ -194,4 +194,4 @@
   now_ = until;
 }
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/src/standin/voters.h
+++ b/src/testing/simulation/voters.h
@@ -16,10 +16,10 @@
 #include <string>
 #include <vector>
 
-#include "agreement/raft.h"
-#include "standin/links.h"
+#include "raft/raft.h"
+#include "testing/simulation/links.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 
 class Voters {
  public:
@@ -27,7 +27,7 @@
     std::uint64_t seed = 1;
     std::size_t members = 3;  // of which `voting` vote at first
     std::size_t voting = 3;
-    agreement::Settings settings;
+    raft::Settings settings;
     double drift = 0.005;                         // of each clock from true time
     Instant sync = std::chrono::milliseconds(2);  // of a disk
     bool lie = false;                             // disks lose what they said they had synced, at a crash
@@ -45,34 +45,34 @@
 
   // At whoever leads now; none where nobody does.
   std::optional<std::size_t> Leader() const;
-  agreement::Proposed Propose(std::size_t at, const std::string& data);
-  agreement::Proposed ChangeVoters(std::size_t at, const std::string& who, bool in);
+  raft::Proposed Propose(std::size_t at, const std::string& data);
+  raft::Proposed ChangeVoters(std::size_t at, const std::string& who, bool in);
   void Resign(std::size_t at);
   void Compact(std::size_t at);
   bool Lives(std::size_t i) const { return members_[i].raft != nullptr; }
-  const agreement::Raft& raft(std::size_t i) const { return *members_[i].raft; }
+  const raft::Raft& raft(std::size_t i) const { return *members_[i].raft; }
   // Whether it would act as the leader at this instant, by its own clock.
   bool Leads(std::size_t i) const;
 
   Links& links() { return links_; }
   // By its own clock.
-  agreement::Time LocalNow(std::size_t i) const { return Local(members_[i]); }
+  raft::Time LocalNow(std::size_t i) const { return Local(members_[i]); }
   // Told each entry that a member learns to be committed; all of them again after a restart.
-  std::function<void(std::size_t, const agreement::Entry&)> on_committed;
+  std::function<void(std::size_t, const raft::Entry&)> on_committed;
   Instant now() const { return now_; }
   const std::vector<std::string>& broken() const { return broken_; }  // rules, as they broke
-  const std::map<agreement::Index, agreement::Entry>& committed() const { return committed_; }
+  const std::map<raft::Index, raft::Entry>& committed() const { return committed_; }
   std::uint64_t messages() const { return messages_; }
 
  private:
   struct Member {
-    std::unique_ptr<agreement::Raft> raft;
-    agreement::Durable durable;
-    std::vector<std::pair<Instant, agreement::Store>> writing;  // in order; when each is synced
-    std::vector<agreement::Send> held;
+    std::unique_ptr<raft::Raft> raft;
+    raft::Durable durable;
+    std::vector<std::pair<Instant, raft::Store>> writing;  // in order; when each is synced
+    std::vector<raft::Send> held;
     std::uint64_t kept = 0;
     double rate = 1;
-    agreement::Time origin{};
+    raft::Time origin{};
     Instant held_until{}, sync{};
     std::uint64_t life = 0;
   };
@@ -83,13 +83,13 @@
     std::uint64_t life = 0;  // of the member; a message outlives lives
     enum class Kind { kStep, kMessage, kSynced } kind = Kind::kStep;
     std::string from;
-    std::shared_ptr<const agreement::Message> message;
+    std::shared_ptr<const raft::Message> message;
     bool operator>(const Happening& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
 
-  agreement::Time Local(const Member& m) const;
+  raft::Time Local(const Member& m) const;
   void Handle(const Happening& happening);
   void Carry(std::size_t i);
   void Release(std::size_t i);
@@ -102,14 +102,14 @@
   std::uint64_t order_ = 0, messages_ = 0;
   std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
   std::vector<Member> members_;
-  std::map<agreement::Term, std::string> leaders_;
-  std::map<agreement::Index, agreement::Entry> committed_;
+  std::map<raft::Term, std::string> leaders_;
+  std::map<raft::Index, raft::Entry> committed_;
   std::vector<std::string> broken_;
 };
 
 // Writes a store's output into what is durable, as a disk would.
-void Apply(const agreement::Store& store, agreement::Durable& durable);
+void Apply(const raft::Store& store, raft::Durable& durable);
 
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
 
 #endif  // LEMONCROFT_STANDIN_VOTERS_H_
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -4,16 +4,16 @@
 
 #include <functional>
 
-#include "agreement/raft.h"
-#include "model/log_world.h"
-#include "standin/voters.h"
+#include "raft/raft.h"
+#include "testing/model_check/log_world.h"
+#include "testing/simulation/voters.h"
 
 namespace lemoncroft {
 namespace {
 
-using namespace agreement;
-using standin::Instant;
-using standin::Voters;
+using namespace raft;
+using simulation::Instant;
+using simulation::Voters;
 using namespace std::chrono_literals;
 
 struct Cluster : Voters {
@@ -35,13 +35,13 @@
   void CutOff(std::size_t who, std::size_t members, bool cut) {
     for (std::size_t i = 0; i < members; ++i) {
       if (i == who) continue;
-      links().Cut(static_cast<standin::Node>(who), static_cast<standin::Node>(i), cut);
-      links().Cut(static_cast<standin::Node>(i), static_cast<standin::Node>(who), cut);
+      links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(i), cut);
+      links().Cut(static_cast<simulation::Node>(i), static_cast<simulation::Node>(who), cut);
     }
   }
   void CutBetween(std::size_t a, std::size_t b) {
-    links().Cut(static_cast<standin::Node>(a), static_cast<standin::Node>(b), true);
-    links().Cut(static_cast<standin::Node>(b), static_cast<standin::Node>(a), true);
+    links().Cut(static_cast<simulation::Node>(a), static_cast<simulation::Node>(b), true);
+    links().Cut(static_cast<simulation::Node>(b), static_cast<simulation::Node>(a), true);
   }
   bool IsCommitted(const std::string& data) const {
     return std::any_of(committed().begin(), committed().end(),
@@ -178,7 +178,8 @@
           cluster.CutOff(who, n, true);
           break;
         case 4:
-          cluster.links().Cut(static_cast<standin::Node>(who), static_cast<standin::Node>(below(n)), true);
+          cluster.links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(below(n)),
+                              true);
           break;
         case 5:
           cluster.links().usual().loss = 0.05 * static_cast<double>(below(8));
@@ -283,8 +284,9 @@
   std::function<bool(const Guards&)> keeps;
 };
 
-bool SearchKeeps(const Guards& guards, model::LogBudget budget) {
-  const model::Found found = model::SearchLog(guards, budget, guards == Guards() ? 15'000 : 100'000);
+bool SearchKeeps(const Guards& guards, model_check::LogBudget budget) {
+  const model_check::Found found =
+      model_check::SearchLog(guards, budget, guards == Guards() ? 15'000 : 100'000);
   return found.broken.empty();
 }
 
@@ -351,8 +353,8 @@
      [](const Guards& guards) {
        Cluster cluster(1, guards);
        const std::size_t leader = cluster.Elect();
-       for (standin::Node i = 0; i < 3; ++i)  // it won't hear who comes after it
-         if (i != leader) cluster.links().Cut(i, static_cast<standin::Node>(leader), true);
+       for (simulation::Node i = 0; i < 3; ++i)  // it won't hear who comes after it
+         if (i != leader) cluster.links().Cut(i, static_cast<simulation::Node>(leader), true);
        cluster.Resign(leader);
        cluster.RunFor(2s);
        return cluster.broken().empty();
@@ -392,7 +394,7 @@
 }
 
 TEST(AgreementModel, NoStateOfTheLogBreaksARule) {
-  const model::Found found = model::SearchLog({}, {}, 60'000);
+  const model_check::Found found = model_check::SearchLog({}, {}, 60'000);
   EXPECT_EQ(found.broken, "");
   EXPECT_GE(found.states, 60'000u);
 }
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "backend/engines.h"
-#include "membership/directory.h"
+#include "discovery/directory.h"
 
 namespace lemoncroft {
 namespace {
@@ -106,8 +106,8 @@
 
   runtime::Loop loop_;
   settings::InForce site_{settings::Site()};
-  membership::Directory directory_{site_};
-  telemetry::Counters counters_;
+  discovery::Directory directory_{site_};
+  metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 2500ms, counters_};
   broker::Passed passed_;
   EngineId engine_ = 0;
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "backend/engines.h"
-#include "membership/directory.h"
+#include "discovery/directory.h"
 
 namespace lemoncroft {
 namespace {
@@ -75,8 +75,8 @@
   spdlog::level::level_enum level_;
   runtime::Loop loop_;
   settings::InForce site_{SomeSite()};
-  membership::Directory directory_{site_};
-  telemetry::Counters counters_;
+  discovery::Directory directory_{site_};
+  metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 250ms, counters_};
   broker::Broker broker_{loop_, site_, 7, engines_, counters_, {}};
   int answers_ = 0;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-#include "measure/hollow_fleet.h"
-#include "measure/scale_leases.h"
-#include "measure/scale_view.h"
-#include "peers/view.h"
-#include "rules/lease.h"
-#include "rules/tell_pace.h"
-#include "standin/processor_time.h"
+#include "gossip/view.h"
+#include "replicated_config/lease.h"
+#include "replicated_config/tell_pace.h"
+#include "testing/benchmark/hollow_fleet.h"
+#include "testing/benchmark/scale_leases.h"
+#include "testing/benchmark/scale_view.h"
+#include "testing/simulation/processor_time.h"
 
 namespace lemoncroft {
 namespace {
 
 using namespace std::chrono_literals;
-using standin::ProcessorMicroseconds;
+using simulation::ProcessorMicroseconds;
 
 // How often more a step may cost where sixteen times as many are there: caches and trees, not walks of all.
 constexpr double kGrowthMost = 6;
@@ -52,15 +52,15 @@
   static constexpr int kRenewals = 2000;
 
   void Renew(int holder) {
-    now_ += rules::Span(250ms) / holders_;
-    const rules::Version prepared = holder == 0 ? 1 : 2;
+    now_ += replicated_config::Span(250ms) / holders_;
+    const replicated_config::Version prepared = holder == 0 ? 1 : 2;
     granter_.Answer(now_, true, std::to_string(holder), {1, prepared}, 1, 2);
     enforceable_ += granter_.MayEnforce(now_, true, 2);
   }
 
   int holders_;
-  rules::Granter granter_{rules::Terms()};
-  rules::Time now_{1h};
+  replicated_config::Granter granter_{replicated_config::Terms()};
+  replicated_config::Time now_{1h};
   int enforceable_ = 0;
 };
 
@@ -76,18 +76,19 @@
 TEST(Granter, TheIndexOfBooksAgreesWithTheBooks) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
-    rules::Granter granter{rules::Terms()};
-    rules::Time now{1h};
+    replicated_config::Granter granter{replicated_config::Terms()};
+    replicated_config::Time now{1h};
     granter.Begin(now, 1);
     now += 5s;
-    rules::Version newest = 1;
+    replicated_config::Version newest = 1;
     for (int step = 0; step < 5000; ++step) {
-      now += rules::Span(random() % 20'000'000);
+      now += replicated_config::Span(random() % 20'000'000);
       if (random() % 200 == 0) ++newest;
       const std::string holder = std::to_string(random() % (step % 1000 < 500 ? 150 : 5));
-      const rules::Version prepared = newest - std::min<rules::Version>(newest, random() % 3);
+      const replicated_config::Version prepared =
+          newest - std::min<replicated_config::Version>(newest, random() % 3);
       granter.Answer(now, true, holder, {1, prepared}, 1, newest);
-      for (const rules::Version version : {newest - 1, newest, newest + 1})
+      for (const replicated_config::Version version : {newest - 1, newest, newest + 1})
         ASSERT_EQ(granter.MayEnforce(now, true, version), granter.Missing(now, version).empty())
             << "seed " << seed << " step " << step << " version " << version;
     }
@@ -95,24 +96,24 @@
 }
 
 TEST(Granter, BooksOfHoldersThatWentAreDropped) {
-  rules::Granter granter{rules::Terms()};
-  rules::Time now{1h};
+  replicated_config::Granter granter{replicated_config::Terms()};
+  replicated_config::Time now{1h};
   granter.Begin(now, 1);
   for (int i = 0; i < 20'000; ++i) {
     now += 1ms;
-    granter.Answer(now, true, std::to_string(i), {1, static_cast<rules::Version>(i % 3)}, 1, 2);
+    granter.Answer(now, true, std::to_string(i), {1, static_cast<replicated_config::Version>(i % 3)}, 1, 2);
   }
   EXPECT_LE(granter.booked(), 1100u) << "a lease of 1 s, a new holder each millisecond";
 }
 
 // ---- The view ----
 
-peers::Record RecordOf(peers::InstanceId id) {
-  peers::Record record;
+gossip::Record RecordOf(gossip::InstanceId id) {
+  gossip::Record record;
   record.id = id;
   record.name = "n" + std::to_string(id);
   record.address = {0x7f000000 + static_cast<std::uint32_t>(id), 7000};
-  record.phase = peers::Phase::kServing;
+  record.phase = gossip::Phase::kServing;
   return record;
 }
 
@@ -120,11 +121,11 @@
 class LargeView {
  public:
   LargeView(std::size_t members, std::size_t unproven) : members_(members) {
-    for (peers::InstanceId id = 2; id <= members; ++id) {
+    for (gossip::InstanceId id = 2; id <= members; ++id) {
       if (id > members - unproven)
-        view_.Finish(now_, {RecordOf(2), {}, {{peers::Status::kAlive, RecordOf(id), peers::kNobody}}});
+        view_.Finish(now_, {RecordOf(2), {}, {{gossip::Status::kAlive, RecordOf(id), gossip::kNobody}}});
       else
-        view_.Receive(now_, {RecordOf(id), 0, peers::Gossip{}, {}});
+        view_.Receive(now_, {RecordOf(id), 0, gossip::Gossip{}, {}});
     }
     view_.Take();
   }
@@ -139,22 +140,22 @@
     }
     return least;
   }
-  const peers::View& view() const { return view_; }
+  const gossip::View& view() const { return view_; }
 
  private:
   static constexpr int kPeriods = 100;
 
-  static peers::Settings SettingsOf() {
-    peers::Settings settings;
+  static gossip::Settings SettingsOf() {
+    gossip::Settings settings;
     settings.most = 8192;
     return settings;
   }
 
   void PlayPeriod() {
-    peers::Record changed = RecordOf(2 + ++changes_ % 8);
+    gossip::Record changed = RecordOf(2 + ++changes_ % 8);
     changed.incarnation = 1 + changes_;
-    view_.Receive(now_, {changed, 0, peers::Gossip{}, {}});
-    for (const peers::Time until = now_ + 250ms; now_ < until;) {
+    view_.Receive(now_, {changed, 0, gossip::Gossip{}, {}});
+    for (const gossip::Time until = now_ + 250ms; now_ < until;) {
       now_ = std::min(until, std::max(now_ + 1us, view_.due()));
       view_.Step(now_);
       Answer();
@@ -162,18 +163,18 @@
   }
 
   void Answer() {
-    for (const peers::Output& output : view_.Take()) {
-      const auto* transmit = std::get_if<peers::Transmit>(&output);
-      const auto* ping = transmit == nullptr ? nullptr : std::get_if<peers::Ping>(&transmit->datagram.body);
+    for (const gossip::Output& output : view_.Take()) {
+      const auto* transmit = std::get_if<gossip::Transmit>(&output);
+      const auto* ping = transmit == nullptr ? nullptr : std::get_if<gossip::Ping>(&transmit->datagram.body);
       if (ping != nullptr && ping->target > 9 && ping->target <= members_ / 2)
-        view_.Receive(now_, {RecordOf(ping->target), 0, peers::Ack{ping->number, ping->target}, {}});
+        view_.Receive(now_, {RecordOf(ping->target), 0, gossip::Ack{ping->number, ping->target}, {}});
     }
   }
 
   std::size_t members_;
   std::uint64_t changes_ = 0;
-  peers::Time now_{1h};
-  peers::View view_{SettingsOf(), RecordOf(1), 1, now_};
+  gossip::Time now_{1h};
+  gossip::View view_{SettingsOf(), RecordOf(1), 1, now_};
 };
 
 TEST(LargeView, APeriodCostsAboutTheSameHoweverManyMembersThereAre) {
@@ -189,7 +190,7 @@
   const LargeView large(300, 5);
   std::map<std::string, std::size_t> serving;
   for (const auto& [id, member] : large.view().roster().all())
-    if (member.living() && member.record.phase == peers::Phase::kServing) ++serving[member.record.name];
+    if (member.living() && member.record.phase == gossip::Phase::kServing) ++serving[member.record.name];
   EXPECT_EQ(large.view().roster().serving(), serving);
   EXPECT_EQ(large.view().standing().serving, 300);
   EXPECT_EQ(large.view().standing().place, 0);
@@ -201,36 +202,36 @@
 constexpr double kControlBytes = 22'000;  // a second and proxy: the operators' target
 
 TEST(SmallScale, AViewOfAFewHundredKeepsItsBoundsInFlux) {
-  measure::ViewPlan plan;
+  benchmark::ViewPlan plan;
   plan.members = 300;
   plan.calm_seconds = 10;
   plan.tell_seconds = 0;
   plan.flux_warm_seconds = 5;
-  const measure::ViewCost cost = measure::MeasureView(plan);
+  const benchmark::ViewCost cost = benchmark::MeasureView(plan);
   EXPECT_LE(cost.bytes_per_s, 1000);
   EXPECT_LE(cost.flux_bytes_per_s, kControlBytes);
   EXPECT_GE(cost.settled_after_s, 0) << "views never agreed again";
   EXPECT_LE(cost.bytes_per_member, 700) << "of memory; 4,000 members in 2.8 MB";
   EXPECT_LE(cost.kept_after_members_went, 0.05);
-  const measure::ViewCost again = measure::MeasureView(plan);
+  const benchmark::ViewCost again = benchmark::MeasureView(plan);
   EXPECT_EQ(again.flux_bytes_per_s, cost.flux_bytes_per_s);
   EXPECT_EQ(again.settled_after_s, cost.settled_after_s);
 }
 
 // Each member tells of each change of the rules that it acts on it: not all of them at once.
 TEST(SmallScale, AChangeOfRulesIsNoNewsOfEachToEach) {
-  measure::ViewPlan plan;
+  benchmark::ViewPlan plan;
   plan.members = 300;
   plan.calm_seconds = 1;
   plan.flux_seconds = 0;
-  EXPECT_LE(measure::MeasureView(plan).tell_bytes_per_s, 5000);
+  EXPECT_LE(benchmark::MeasureView(plan).tell_bytes_per_s, 5000);
   plan.tell_pace = false;
-  EXPECT_GT(measure::MeasureView(plan).tell_bytes_per_s, kControlBytes) << "the pace bounds nothing";
+  EXPECT_GT(benchmark::MeasureView(plan).tell_bytes_per_s, kControlBytes) << "the pace bounds nothing";
 }
 
 TEST(TellPace, TellsTheNewestOnceAndSoon) {
-  rules::TellPace pace(1);
-  rules::Time now{1h};
+  replicated_config::TellPace pace(1);
+  replicated_config::Time now{1h};
   EXPECT_FALSE(pace.MayTell(now, false, 7));
   int told = 0;
   for (int beat = 0; beat < 200; ++beat, now += 50ms) told += pace.MayTell(now, told == 0, 7);
@@ -239,32 +240,32 @@
 
 TEST(TellPace, AFleetTellsFourTimesASecondInTheMeanHoweverOftenChangesCome) {
   constexpr std::size_t kMembers = 500;
-  std::vector<rules::TellPace> paces;
+  std::vector<replicated_config::TellPace> paces;
   for (std::size_t i = 0; i < kMembers; ++i) paces.emplace_back(i);
-  rules::Time now{1h};
+  replicated_config::Time now{1h};
   int told = 0;
-  for (const rules::Time until = now + 600s; now < until; now += 50ms)
-    for (rules::TellPace& pace : paces) told += pace.MayTell(now, true, kMembers);
+  for (const replicated_config::Time until = now + 600s; now < until; now += 50ms)
+    for (replicated_config::TellPace& pace : paces) told += pace.MayTell(now, true, kMembers);
   EXPECT_NEAR(told / 600.0, 4, 0.8);
 }
 
 TEST(SmallScale, LeasesOfAFewHundredAreGrantedAndChangesComeIntoForce) {
-  measure::LeasePlan plan;
+  benchmark::LeasePlan plan;
   plan.members = 300;
-  const measure::LeaseCost cost = measure::MeasureLeases(plan);
+  const benchmark::LeaseCost cost = benchmark::MeasureLeases(plan);
   ASSERT_TRUE(cost.began);
   EXPECT_LE(cost.bytes_per_s, 1000);
   ASSERT_EQ(cost.in_force_ms.size(), plan.changes);
   for (const double ms : cost.in_force_ms) EXPECT_LE(ms, 1000);
   EXPECT_LE(cost.contradiction_ms, 1200);
   EXPECT_EQ(cost.stale_acts, 0u);
-  EXPECT_EQ(measure::MeasureLeases(plan).bytes_per_change, cost.bytes_per_change);
+  EXPECT_EQ(benchmark::MeasureLeases(plan).bytes_per_change, cost.bytes_per_change);
 }
 
 // ---- Hollow proxies on sockets: what the machine makes of a run is no verdict on the program ----
 
-measure::HollowPlan SomeHollow() {
-  measure::HollowPlan plan;
+benchmark::HollowPlan SomeHollow() {
+  benchmark::HollowPlan plan;
   plan.members = 24;
   plan.voters = 3;
   plan.patience = 30s;
@@ -275,8 +276,8 @@
 
 TEST(HollowFleet, SettlesOnSocketsAndPutsAChangeInForce) {
   constexpr int kRuns = 3;  // a run that the machine held up shows nothing, and is played again
-  measure::HollowCost cost = measure::RunHollowFleet(SomeHollow());
-  for (int run = 1; run < kRuns && cost.is_void; ++run) cost = measure::RunHollowFleet(SomeHollow());
+  benchmark::HollowCost cost = benchmark::RunHollowFleet(SomeHollow());
+  for (int run = 1; run < kRuns && cost.is_void; ++run) cost = benchmark::RunHollowFleet(SomeHollow());
   ASSERT_FALSE(cost.is_void) << "nothing is shown: the loop was late by " << cost.longest_lag_ms << " ms";
   ASSERT_TRUE(cost.settled);
   EXPECT_GT(cost.datagram_bytes_per_s, 300);
@@ -286,10 +287,10 @@
 }
 
 TEST(HollowFleet, ARunThatWasHeldUpIsVoid) {
-  measure::HollowPlan plan = SomeHollow();
-  plan.held_for = 2 * measure::kLagMost;
+  benchmark::HollowPlan plan = SomeHollow();
+  plan.held_for = 2 * benchmark::kLagMost;
   plan.changes = 0;
-  const measure::HollowCost cost = measure::RunHollowFleet(plan);
+  const benchmark::HollowCost cost = benchmark::RunHollowFleet(plan);
   ASSERT_TRUE(cost.settled);
   EXPECT_TRUE(cost.is_void) << "the loop was late by " << cost.longest_lag_ms << " ms";
 }
--- a/tests/class_estimates_test.cpp
+++ b/tests/class_estimates_test.cpp
@@ -1,5 +1,5 @@
 // Tests of what answers teach about a class of queries.
-#include "estimates/class_estimates.h"
+#include "decision/estimates/class_estimates.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -58,7 +58,7 @@
     loop_.Run();
   }
 
-  const telemetry::Counters& counters() const { return counters_; }
+  const metrics::Counters& counters() const { return counters_; }
   int heard(int code) const { return heard_[code]; }
   std::size_t open() const { return broker_.open(); }
 
@@ -169,8 +169,8 @@
   std::mt19937 random_;
   runtime::Loop loop_;
   settings::InForce site_{TwoClasses()};
-  membership::Directory directory_{site_};
-  telemetry::Counters counters_;
+  discovery::Directory directory_{site_};
+  metrics::Counters counters_;
   backend::Engines back_{loop_, directory_, {64, 1s, {}}, 100ms, counters_};
   broker::Broker broker_{loop_, site_, 7, back_, counters_, {60, std::size_t{1} << 20}};
   std::unique_ptr<runtime::Listener> listener_ = std::make_unique<runtime::Listener>(loop_, Any());
--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -1,14 +1,14 @@
 // The document of rules: its text, what follows what, what a proxy can't carry; and the checks of histories.
-#include "rules/document.h"
+#include "replicated_config/document.h"
 
 #include <gtest/gtest.h>
 
-#include "trial/acts.h"
+#include "testing/fault_test/acts.h"
 
 namespace lemoncroft {
 namespace {
 
-using namespace rules;
+using namespace replicated_config;
 using namespace std::chrono_literals;
 
 Document Good(std::string_view text) {
@@ -96,8 +96,8 @@
 
 // ---- The checker of trials ----
 
-using trial::Linear;
-using trial::Operation;
+using fault_test::Linear;
+using fault_test::Operation;
 
 Operation Op(Operation::Kind kind, int begun, int ended, std::uint64_t from, Operation::End end,
              std::uint64_t told) {
@@ -115,19 +115,19 @@
   using K = Operation::Kind;
   using E = Operation::End;
   const Operation first = Op(K::kChange, 0, 10, 0, E::kTaken, 1);
-  EXPECT_EQ(trial::Linearizable({first, Op(K::kRead, 20, 30, 0, E::kTaken, 1)}), Linear::kYes);
-  EXPECT_EQ(trial::Linearizable({first, Op(K::kRead, 20, 30, 0, E::kTaken, 0)}), Linear::kNo)
+  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kRead, 20, 30, 0, E::kTaken, 1)}), Linear::kYes);
+  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kRead, 20, 30, 0, E::kTaken, 0)}), Linear::kNo)
       << "a stale read";
-  EXPECT_EQ(trial::Linearizable({first, Op(K::kRead, 5, 30, 0, E::kTaken, 0)}), Linear::kYes)
+  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kRead, 5, 30, 0, E::kTaken, 0)}), Linear::kYes)
       << "it overlaps";
-  EXPECT_EQ(trial::Linearizable({first, Op(K::kChange, 5, 15, 0, E::kTaken, 1)}), Linear::kNo)
+  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kChange, 5, 15, 0, E::kTaken, 1)}), Linear::kNo)
       << "a lost edit";
-  EXPECT_EQ(trial::Linearizable({first, Op(K::kChange, 20, 30, 0, E::kConflict, 1)}), Linear::kYes);
-  EXPECT_EQ(trial::Linearizable({first, Op(K::kChange, 20, 30, 1, E::kConflict, 1)}), Linear::kNo);
+  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kChange, 20, 30, 0, E::kConflict, 1)}), Linear::kYes);
+  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kChange, 20, 30, 1, E::kConflict, 1)}), Linear::kNo);
   const Operation unknown = Op(K::kChange, 20, -1, 1, E::kUnknown, 0);
-  EXPECT_EQ(trial::Linearizable({first, unknown, Op(K::kRead, 30, 40, 0, E::kTaken, 2)}), Linear::kYes);
-  EXPECT_EQ(trial::Linearizable({first, unknown, Op(K::kRead, 30, 40, 0, E::kTaken, 2),
-                                 Op(K::kRead, 50, 60, 0, E::kTaken, 1)}),
+  EXPECT_EQ(fault_test::Linearizable({first, unknown, Op(K::kRead, 30, 40, 0, E::kTaken, 2)}), Linear::kYes);
+  EXPECT_EQ(fault_test::Linearizable({first, unknown, Op(K::kRead, 30, 40, 0, E::kTaken, 2),
+                                      Op(K::kRead, 50, 60, 0, E::kTaken, 1)}),
             Linear::kNo)
       << "once seen it stays";
 }
@@ -137,7 +137,7 @@
     return " debug rules act=" + std::string(act) + " version=" + std::to_string(version) +
            " class=lookup engine=" + engine + " mono_us=" + std::to_string(1000 * ms);
   };
-  trial::Acts acts;
+  fault_test::Acts acts;
   acts.Hear(0, line("send", 1, "e1", 100));
   acts.Hear(1, line("send", 2, "e1", 200));
   acts.Hear(0, line("send", 1, "e1", 900));
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <set>
 
+#include "decision/subset/ranking_cache.h"
+#include "decision/subset/subset.h"
 #include "gateway_host.h"
-#include "subset/ranking_cache.h"
-#include "subset/subset.h"
 
 namespace lemoncroft {
 namespace {
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -3,15 +3,15 @@
 
 #include <functional>
 
-#include "standin/keeper_fleet.h"
+#include "testing/simulation/keeper_fleet.h"
 
 namespace lemoncroft {
 namespace {
 
-using namespace rules;
-using standin::Instant;
-using standin::KeeperFleet;
-using standin::Node;
+using namespace replicated_config;
+using simulation::Instant;
+using simulation::KeeperFleet;
+using simulation::Node;
 using namespace std::chrono_literals;
 
 constexpr Instant kStated = 1200ms;  // T of docs/agreement.md
@@ -251,7 +251,7 @@
     EXPECT_EQ(std::count(voters.begin(), voters.end(), KeeperFleet::NameOf(out)), 0) << seed;
     EXPECT_EQ(std::count(voters.begin(), voters.end(), KeeperFleet::NameOf(4)), 1) << seed;
     world.links().Heal();
-    const agreement::Term term = world.keeper(world.Elect()).raft()->term();
+    const raft::Term term = world.keeper(world.Elect()).raft()->term();
     world.RunFor(5s);  // who was removed goes on asking for votes
     EXPECT_EQ(world.keeper(world.Elect()).raft()->term(), term) << seed;
     world.Put(5, 1, "two");
@@ -339,11 +339,11 @@
 }
 
 TEST(Notes, ComeBackAsTheyWereAndGarbageIsNothing) {
-  agreement::Append append{3, 4, 5, 2, 5, 5, {{3, 6, agreement::Kind::kVoters, "data", {"a", "b"}}}};
+  raft::Append append{3, 4, 5, 2, 5, 5, {{3, 6, raft::Kind::kVoters, "data", {"a", "b"}}}};
   const std::string bytes = Encode(Note{"n1", Logged{append}});
   const auto note = DecodeNote(bytes);
   ASSERT_TRUE(note.has_value());
-  EXPECT_EQ(std::get<agreement::Append>(std::get<Logged>(note->body).message), append);
+  EXPECT_EQ(std::get<raft::Append>(std::get<Logged>(note->body).message), append);
   for (std::size_t size = 0; size < bytes.size(); ++size)
     EXPECT_FALSE(DecodeNote(std::string_view(bytes).substr(0, size)).has_value()) << size;
   const auto hello = DecodeNote(Encode(Note{"n1", HelloAnswer{1, 2, Welcome::kFounded, {{"a", 7}}}}));
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,13 +1,13 @@
-// The arithmetic that the decision module limits by (src/limits/).
+// The arithmetic that the decision module limits by (src/decision/limits/).
 #include <gtest/gtest.h>
 
 #include <cmath>
 #include <optional>
 #include <vector>
 
-#include "limits/circuit_breaker.h"
-#include "limits/key_queues.h"
-#include "limits/sent_load.h"
+#include "decision/limits/circuit_breaker.h"
+#include "decision/limits/key_queues.h"
+#include "decision/limits/sent_load.h"
 
 namespace lemoncroft {
 namespace {
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "codec/kdl.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
 namespace lemoncroft {
 namespace {
@@ -112,35 +112,35 @@
 
 std::string Faults(std::string_view text) {
   try {
-    op::ReadOperatorFile("f", text, Site());
-  } catch (const op::OperatorError& e) {
+    operator_config::ReadOperatorFile("f", text, Site());
+  } catch (const operator_config::OperatorError& e) {
     return e.what();
   }
   return "";
 }
 
 TEST(OperatorFile, ReadsBudgets) {
-  const auto file = op::ReadOperatorFile("f", R"(
+  const auto file = operator_config::ReadOperatorFile("f", R"(
     waiting {
       ageing "500ms"; level 1.2; most 1000; tell-clients #true; state "/tmp/x"
       class "report" { wait-most "8s" }
       team "north" { cores 40; burst "2s"; threads 30; waiting 500; bar "report" }
       team "south" { cores 0 }
     })",
-                                         Site());
+                                                      Site());
   ASSERT_TRUE(file.waiting);
-  const waiting::Settings& line = file.waiting->line;
+  const admission_queue::Settings& line = file.waiting->line;
   EXPECT_EQ(line.ageing, std::chrono::milliseconds(500));
   EXPECT_DOUBLE_EQ(line.part, 0.5);
   EXPECT_EQ(line.teams[0].cores, 40);
   EXPECT_EQ(line.teams[0].threads, 30);
-  EXPECT_EQ(line.teams[0].barred, std::vector<waiting::Klass>{1});
+  EXPECT_EQ(line.teams[0].barred, std::vector<admission_queue::Klass>{1});
   EXPECT_EQ(line.teams[1].cores, 0);
   EXPECT_TRUE(line.classes[0].light);
   EXPECT_FALSE(line.classes[1].light);
   EXPECT_EQ(line.classes[1].wait_most, std::chrono::seconds(8));
   EXPECT_TRUE(file.waiting->tell_clients);
-  EXPECT_FALSE(op::ReadOperatorFile("f", "", Site()).waiting);
+  EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).waiting);
 }
 
 TEST(OperatorFile, TellsAllThatIsWrongAtOnce) {
@@ -170,21 +170,21 @@
 std::string FleetFaults(const std::string& inside) { return Faults("fleet \"f\" {\n" + inside + "\n}"); }
 
 TEST(OperatorFleet, IsReadWhole) {
-  const op::OperatorFile file =
-      op::ReadOperatorFile("f",
-                           "fleet \"hanul\" { listen \"127.0.1.1:7100\" \"127.0.1.1:7101\"; seeds "
-                           "\"127.0.1.1:7100\"; zone \"east\"; "
-                           "period \"100ms\"; remember \"1m\"; most 500; state-file \"/run/f\" }",
-                           Site());
+  const operator_config::OperatorFile file = operator_config::ReadOperatorFile(
+      "f",
+      "fleet \"hanul\" { listen \"127.0.1.1:7100\" \"127.0.1.1:7101\"; seeds "
+      "\"127.0.1.1:7100\"; zone \"east\"; "
+      "period \"100ms\"; remember \"1m\"; most 500; state-file \"/run/f\" }",
+      Site());
   ASSERT_TRUE(file.fleet.has_value());
   EXPECT_EQ(file.fleet->name, "hanul");
   EXPECT_EQ(file.fleet->listen.size(), 2u);
   EXPECT_EQ(file.fleet->advertise, file.fleet->listen) << "told as it is bound";
-  EXPECT_EQ(file.fleet->view.seeds, (std::vector<peers::Endpoint>{{0x7f000101, 7100}}))
+  EXPECT_EQ(file.fleet->view.seeds, (std::vector<gossip::Endpoint>{{0x7f000101, 7100}}))
       << "itself alone: the first";
   EXPECT_EQ(file.fleet->view.period, std::chrono::milliseconds(100));
   EXPECT_EQ(file.fleet->view.most, 500u);
-  EXPECT_FALSE(op::ReadOperatorFile("f", "", Site()).fleet.has_value());
+  EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).fleet.has_value());
 }
 
 TEST(OperatorFleet, TellsWhatIsWrong) {
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -5,17 +5,17 @@
 #include <functional>
 #include <set>
 
-#include "peerlink/frame.h"
-#include "peers/view.h"
-#include "standin/peer_fleet.h"
+#include "gossip/view.h"
+#include "peer_transport/frame.h"
+#include "testing/simulation/peer_fleet.h"
 
 namespace lemoncroft {
 namespace {
 
-using namespace peers;
-using standin::Instant;
-using standin::PeerFleet;
-using standin::Process;
+using namespace gossip;
+using simulation::Instant;
+using simulation::PeerFleet;
+using simulation::Process;
 using namespace std::chrono_literals;
 
 constexpr Span kPeriod = 250ms;
@@ -44,9 +44,9 @@
 // ---- Frames ----
 
 TEST(PeerFrame, ComesBackAsItWas) {
-  const std::string frame = peerlink::Encode("f", SomeDatagram());
-  const auto read = peerlink::Decode("f", frame, kDatagramMost);
-  const auto& d = std::get<Datagram>(std::get<peerlink::Message>(read));
+  const std::string frame = peer_transport::Encode("f", SomeDatagram());
+  const auto read = peer_transport::Decode("f", frame, kDatagramMost);
+  const auto& d = std::get<Datagram>(std::get<peer_transport::Message>(read));
   EXPECT_EQ(d.sender, SomeRecord(7));
   EXPECT_EQ(d.digest, 0x1234567890abcdefu);
   EXPECT_EQ(std::get<PingRequest>(d.body).address, (Endpoint{0x7f000002, 7100}));
@@ -56,44 +56,46 @@
   EXPECT_EQ(d.news[1].from, 7u);
   Entries entries{SomeRecord(1), {}, d.news};
   entries.sums[31] = 5;
-  const auto again = peerlink::Decode("f", peerlink::Encode("f", entries), peerlink::kStreamMost);
-  EXPECT_EQ(std::get<Entries>(std::get<peerlink::Message>(again)).sums, entries.sums);
+  const auto again =
+      peer_transport::Decode("f", peer_transport::Encode("f", entries), peer_transport::kStreamMost);
+  EXPECT_EQ(std::get<Entries>(std::get<peer_transport::Message>(again)).sums, entries.sums);
 }
 
 TEST(PeerFrame, SizesAreNoMoreThanThought) {
   const Datagram d = SomeDatagram();
   std::size_t most = 48 + EncodedMost(d.sender);
   for (const News& news : d.news) most += EncodedMost(news);
-  EXPECT_LE(peerlink::Encode("a-name-of-a-fleet-that-is", d).size(), most + 32);
+  EXPECT_LE(peer_transport::Encode("a-name-of-a-fleet-that-is", d).size(), most + 32);
 }
 
 TEST(PeerFrame, WhatIsCutOrFlippedIsNoMessage) {
-  const std::string frame = peerlink::Encode("f", SomeDatagram());
+  const std::string frame = peer_transport::Encode("f", SomeDatagram());
   for (std::size_t size = 0; size < frame.size(); ++size) {
-    const auto read = peerlink::Decode("f", std::string_view(frame).substr(0, size), kDatagramMost);
-    EXPECT_TRUE(std::holds_alternative<peerlink::Fault>(read)) << size;
+    const auto read = peer_transport::Decode("f", std::string_view(frame).substr(0, size), kDatagramMost);
+    EXPECT_TRUE(std::holds_alternative<peer_transport::Fault>(read)) << size;
   }
   for (std::size_t bit = 0; bit < 8 * frame.size(); ++bit) {
     if (bit / 8 == 3) continue;  // the minor version: a later one is read
     std::string flipped = frame;
     flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << bit % 8));
-    EXPECT_TRUE(std::holds_alternative<peerlink::Fault>(peerlink::Decode("f", flipped, kDatagramMost)))
+    EXPECT_TRUE(
+        std::holds_alternative<peer_transport::Fault>(peer_transport::Decode("f", flipped, kDatagramMost)))
         << bit;
   }
 }
 
 TEST(PeerFrame, FaultsAreToldApart) {
-  const std::string frame = peerlink::Encode("f", SomeDatagram());
+  const std::string frame = peer_transport::Encode("f", SomeDatagram());
   const auto fault = [](const std::string& bytes, std::size_t most = kDatagramMost) {
-    return std::get<peerlink::Fault>(peerlink::Decode("f", bytes, most));
+    return std::get<peer_transport::Fault>(peer_transport::Decode("f", bytes, most));
   };
-  EXPECT_EQ(fault(peerlink::Encode("g", SomeDatagram())), peerlink::Fault::kForeign);
-  EXPECT_EQ(fault(frame, 20), peerlink::Fault::kTooLong);
-  EXPECT_EQ(fault("LC"), peerlink::Fault::kCut);
+  EXPECT_EQ(fault(peer_transport::Encode("g", SomeDatagram())), peer_transport::Fault::kForeign);
+  EXPECT_EQ(fault(frame, 20), peer_transport::Fault::kTooLong);
+  EXPECT_EQ(fault("LC"), peer_transport::Fault::kCut);
   std::string later = frame;
   later[2] = 2;
-  EXPECT_EQ(fault(later), peerlink::Fault::kVersion);
-  EXPECT_EQ(fault(std::string(100, 'x')), peerlink::Fault::kGarbled);
+  EXPECT_EQ(fault(later), peer_transport::Fault::kVersion);
+  EXPECT_EQ(fault(std::string(100, 'x')), peer_transport::Fault::kGarbled);
 }
 
 // ---- News ----
@@ -145,7 +147,7 @@
       }
       seen_events.push_back(seen);
     };
-    for (standin::Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1});
+    for (simulation::Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1});
     EXPECT_TRUE(fleet.SettleWithin(20 * kPeriod).has_value());
     fleet.RunFor(10 * kPeriod);
     seen_events.clear();
@@ -195,7 +197,7 @@
     for (const Instant length : {Instant(2s), Instant(60s)}) {
       World world(24, seed);
       const int sides = 2 + static_cast<int>(seed % 2);
-      for (standin::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % sides);
+      for (simulation::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % sides);
       if (seed % 3 == 0) world.fleet.links().Side(5, 0), world.fleet.links().Side(5, 1);  // a bridge
       world.fleet.RunFor(length / 2);
       world.fleet.Kill(3);
@@ -213,7 +215,7 @@
 
 TEST(Peers, HearsAllAndIsHeardByNone) {
   World world(8);
-  for (standin::Node to = 0; to < 8; ++to)
+  for (simulation::Node to = 0; to < 8; ++to)
     if (to != 3) world.fleet.links().Cut(3, to, true);
   world.fleet.RunFor(40 * kPeriod);
   for (Process p = 0; p < 8; ++p) {
@@ -243,16 +245,16 @@
   for (Process p = 0; p < 28; ++p) world.fleet.Kill(p);
   EXPECT_LE(world.Settle(100), 40) << "28 at once";
   EXPECT_EQ(world.wrong, 0);
-  for (standin::Node i = 0; i < 28; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
+  for (simulation::Node i = 0; i < 28; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
   EXPECT_LE(world.Settle(), 12);
   for (Process p = 0; p < world.fleet.size(); ++p) world.fleet.lives(p) ? world.fleet.Kill(p) : void();
-  for (standin::Node i = 0; i < 40; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
+  for (simulation::Node i = 0; i < 40; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
   EXPECT_LE(world.Settle(), 12) << "all restarted, nobody remembers anybody";
 }
 
 TEST(Peers, AHundredJoinThroughOneSeedInASecond) {
   World world(4);
-  for (standin::Node i = 10; i < 110; ++i) {
+  for (simulation::Node i = 10; i < 110; ++i) {
     world.fleet.Start(i, "n" + std::to_string(i), {0});
     world.fleet.RunFor(10ms);
   }
@@ -357,9 +359,9 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
     World world(12, seed);
-    const auto below = [&](std::uint64_t bound) { return static_cast<standin::Node>(random() % bound); };
+    const auto below = [&](std::uint64_t bound) { return static_cast<simulation::Node>(random() % bound); };
     for (int i = 0; i < 12; ++i) {
-      const standin::Node a = below(12), b = below(12);
+      const simulation::Node a = below(12), b = below(12);
       Process last = 0;
       for (Process p = 0; p < world.fleet.size(); ++p)
         if (world.fleet.lives(p) && random() % 3 == 0) last = p;
@@ -368,7 +370,7 @@
           if (world.fleet.living() > 4) world.fleet.Kill(last);
           break;
         case 1:
-          world.fleet.Start(20 + static_cast<standin::Node>(i), "m" + std::to_string(i), {0, 1});
+          world.fleet.Start(20 + static_cast<simulation::Node>(i), "m" + std::to_string(i), {0, 1});
           break;
         case 2:
           world.fleet.links().Cut(a, b, true);
@@ -377,7 +379,7 @@
           if (world.fleet.lives(last)) world.fleet.Stall(last, Span(1ms) * below(4000));
           break;
         case 4:
-          for (standin::Node n = 0; n < 12; ++n) world.fleet.links().Side(n, static_cast<int>(below(3)));
+          for (simulation::Node n = 0; n < 12; ++n) world.fleet.links().Side(n, static_cast<int>(below(3)));
           break;
         case 5:
           world.fleet.links().usual().loss = 0.02 * below(10);
@@ -405,7 +407,7 @@
   d.sender = SomeRecord(0x11e5, "liar");
   d.body = Gossip{};
   d.news = news;
-  return peerlink::Encode("trial", d);
+  return peer_transport::Encode("trial", d);
 }
 
 std::vector<News> Invented(std::uint64_t from, std::uint64_t count) {
@@ -439,9 +441,9 @@
     {"local health", &Guards::local_health,
      [](const Guards& guards) {
        World world(16, 1, guards);
-       standin::LinkFaults slow;
+       simulation::LinkFaults slow;
        slow.delay = kPeriod * 6 / 10;  // there and back in more than a period: all its probes come too late
-       for (standin::Node i = 0; i < 16; ++i)
+       for (simulation::Node i = 0; i < 16; ++i)
          world.fleet.links().Set(i, 3, slow), world.fleet.links().Set(3, i, slow);
        world.fleet.RunFor(200 * kPeriod);
        int blamed = 0;
@@ -462,10 +464,10 @@
        Settings settings;
        settings.guards = guards;
        PeerFleet fleet({1, settings, 0.01});
-       for (standin::Node i = 0; i < 8; ++i) fleet.Start(i, "n" + std::to_string(i), {0});
+       for (simulation::Node i = 0; i < 8; ++i) fleet.Start(i, "n" + std::to_string(i), {0});
        fleet.RunFor(20 * kPeriod);
        // The seed's side is without it when the other side looks for it.
-       for (standin::Node i = 0; i < 8; ++i) fleet.links().Side(i, i < 4 ? 0 : 1);
+       for (simulation::Node i = 0; i < 8; ++i) fleet.links().Side(i, i < 4 ? 0 : 1);
        fleet.Kill(0);
        fleet.RunFor(60 * kPeriod);
        fleet.links().Heal();
@@ -486,7 +488,7 @@
     {"the accused is asked first", &Guards::ask_accused,
      [](const Guards& guards) {
        World world(24, 1, guards);
-       for (standin::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % 2);
+       for (simulation::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % 2);
        world.fleet.RunFor(60 * kPeriod);
        world.fleet.links().Heal();
        world.seen_events.clear();
@@ -498,7 +500,7 @@
        World world(8, 1, guards);
        Record poisoned = world.fleet.view(3).roster().own().record;
        poisoned.incarnation = kIncarnationMost;
-       for (standin::Node i = 0; i < 8; ++i)
+       for (simulation::Node i = 0; i < 8; ++i)
          world.fleet.Inject(i, Lie({{Status::kAlive, poisoned, kNobody}}));
        world.fleet.RunFor(2 * kPeriod);
        world.fleet.Stall(3, 3 * kPeriod);
@@ -545,7 +547,7 @@
      [](const Guards& guards) {
        for (std::uint64_t seed = 1; seed <= 5; ++seed) {
          World world(64, seed, guards);
-         for (standin::Node i = 0; i < 64; ++i)
+         for (simulation::Node i = 0; i < 64; ++i)
            world.fleet.links().Cut(i, 9, true), world.fleet.links().Cut(9, i, true);
          world.fleet.Say(20, Phase::kEnding);
          world.fleet.RunFor(4 * kPeriod);
@@ -583,7 +585,7 @@
 TEST(PeerBounds, ALiarsTenThousandNamesHideNoCrash) {
   World world(16);
   for (std::uint64_t i = 0; i < 1000; ++i)
-    for (standin::Node node = 0; node < 4; ++node) world.fleet.Inject(node, Lie(Invented(10 * i, 10)));
+    for (simulation::Node node = 0; node < 4; ++node) world.fleet.Inject(node, Lie(Invented(10 * i, 10)));
   world.fleet.RunFor(2s);
   for (Process p = 0; p < 16; ++p) EXPECT_LE(world.fleet.view(p).roster().all().size(), 2048u);
   world.fleet.Kill(9);
@@ -604,7 +606,7 @@
   world.fleet.on_sent = nullptr;
   ASSERT_TRUE(world.fleet.Agreed());
   for (const std::string& bytes : old)
-    for (standin::Node node = 0; node < 6; ++node) world.fleet.Inject(node, bytes);
+    for (simulation::Node node = 0; node < 6; ++node) world.fleet.Inject(node, bytes);
   world.fleet.RunFor(20 * kPeriod);
   EXPECT_TRUE(world.fleet.Agreed());
   EXPECT_EQ(world.wrong, 0);
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "codec/json.h"
-#include "membership/directory.h"
-#include "membership/feed.h"
+#include "discovery/directory.h"
+#include "discovery/feed.h"
 #include "runtime/loop.h"
 #include "runtime/socket.h"
 
@@ -17,7 +17,7 @@
 // Engines are replaced all day long, by ones with other names.
 TEST(Directory, KeepsNothingOfEnginesThatHaveGone) {
   settings::InForce site{settings::Site()};
-  membership::Directory directory(site);
+  discovery::Directory directory(site);
   const auto tell = [&](int n, const std::string& id, const std::string& phase) {
     const std::string number = std::to_string(n);
     directory.Apply(codec::Json::Parse(R"({"n":)" + number + R"(,"events":[{"n":)" + number +
@@ -40,7 +40,7 @@
 TEST(Feed, ComesBackMoreAndMoreSeldomToAFeedThatIsDownButOftenEnough) {
   runtime::Loop loop;
   settings::InForce site{settings::Site()};
-  membership::Directory directory(site);
+  discovery::Directory directory(site);
   // A listening socket that hangs up on everyone.
   runtime::Listener down(loop, *runtime::Address::Parse("127.0.0.1:0"));
   std::vector<runtime::Time> came;
@@ -53,7 +53,7 @@
     co_await loop.Sleep(std::chrono::milliseconds(1500));
     loop.Stop();
   };
-  membership::Feed feed(
+  discovery::Feed feed(
       loop, directory, down.address().Text(), [](const EngineList&) {}, 7);
   loop.Spawn(hang_up());
   loop.Spawn(feed.Run());
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -3,16 +3,16 @@
 
 #include <functional>
 
-#include "model/lease_world.h"
-#include "rules/lease.h"
-#include "standin/rule_fleet.h"
+#include "replicated_config/lease.h"
+#include "testing/model_check/lease_world.h"
+#include "testing/simulation/rule_fleet.h"
 
 namespace lemoncroft {
 namespace {
 
-using namespace rules;
-using standin::Instant;
-using standin::RuleFleet;
+using namespace replicated_config;
+using simulation::Instant;
+using simulation::RuleFleet;
 using namespace std::chrono_literals;
 
 constexpr Instant kStated = 1200ms;  // T of docs/agreement.md
@@ -125,8 +125,8 @@
   for (std::size_t p = 0; p < 7; ++p)
     for (const std::size_t cut : {5u, 6u})
       if (p != cut) {
-        world.links().Cut(static_cast<standin::Node>(p), static_cast<standin::Node>(cut), true);
-        world.links().Cut(static_cast<standin::Node>(cut), static_cast<standin::Node>(p), true);
+        world.links().Cut(static_cast<simulation::Node>(p), static_cast<simulation::Node>(cut), true);
+        world.links().Cut(static_cast<simulation::Node>(cut), static_cast<simulation::Node>(p), true);
       }
   world.RunFor(Instant(1200ms));
   EXPECT_EQ(world.MayAct(5), std::nullopt);
@@ -150,7 +150,7 @@
       switch (below(8)) {
         case 0:
           for (std::size_t p = 0; p < 7; ++p)
-            world.links().Side(static_cast<standin::Node>(p), static_cast<int>(below(2)));
+            world.links().Side(static_cast<simulation::Node>(p), static_cast<int>(below(2)));
           break;
         case 1:
           world.links().Heal();
@@ -165,7 +165,8 @@
           if (who < 3) world.RestartVoter(who);
           break;
         case 5:
-          world.links().Cut(static_cast<standin::Node>(who), static_cast<standin::Node>(below(7)), true);
+          world.links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(below(7)),
+                            true);
           break;
         case 6:
           world.links().usual().loss = 0.05 * static_cast<double>(below(6));
@@ -209,9 +210,9 @@
      [](const Guards& guards) {
        World world(1, guards);
        for (std::size_t v = 0; v < 3; ++v) {
-         standin::LinkFaults slow;
+         simulation::LinkFaults slow;
          slow.delay = 2s;
-         world.links().Set(static_cast<standin::Node>(v), 6, slow);
+         world.links().Set(static_cast<simulation::Node>(v), 6, slow);
        }
        world.RunFor(3s);
        world.Propose();
@@ -223,7 +224,7 @@
        World world(1, guards);
        const std::size_t leader = *world.voters().Leader();
        for (std::size_t p = 0; p < 7; ++p)
-         world.links().Side(static_cast<standin::Node>(p), p == leader || p > 4 ? 0 : 1);
+         world.links().Side(static_cast<simulation::Node>(p), p == leader || p > 4 ? 0 : 1);
        for (int i = 0; i < 8; ++i) {
          world.RunFor(500ms);
          if (const auto other = world.voters().Leader(); other && *other != leader) world.Propose();
@@ -293,27 +294,27 @@
 // ---- All orders of events, within bounds ----
 
 TEST(LeaseModel, NoStateBreaksTheStatedTime) {
-  const model::Found found = model::SearchLeases({}, {}, 60'000);
+  const model_check::Found found = model_check::SearchLeases({}, {}, 60'000);
   EXPECT_EQ(found.broken, "");
   EXPECT_GE(found.states, 60'000u);
 }
 
 TEST(LeaseModel, FindsEachGuardThatIsTakenAway) {
   // Few events and many beats: a version comes into force some five beats after its proposal.
-  const model::LeaseBudget one{
+  const model_check::LeaseBudget one{
       .beats = 12, .asks = 1, .versions = 1, .elections = 0, .doubled = 0, .crashes = 0, .on_their_way = 1};
-  model::LeaseBudget two = one;
+  model_check::LeaseBudget two = one;
   two.elections = 1;
-  const std::tuple<const char*, bool Guards::*, model::LeaseBudget> guards[] = {
+  const std::tuple<const char*, bool Guards::*, model_check::LeaseBudget> guards[] = {
       {"the lease is looked at in the act", &Guards::checked_at_act, one},
       {"a lease runs from its asking", &Guards::from_asking, one},
       {"granted only while it leads", &Guards::only_while_leading, two}};
   for (const auto& [name, guard, budget] : guards) {
     Guards without;
     without.*guard = false;
-    const model::Found found = model::SearchLeases(without, budget, 600'000);
+    const model_check::Found found = model_check::SearchLeases(without, budget, 600'000);
     EXPECT_NE(found.broken, "") << name << ", " << found.states << " states";
-    const model::Found with = model::SearchLeases({}, budget, 60'000);
+    const model_check::Found with = model_check::SearchLeases({}, budget, 60'000);
     EXPECT_EQ(with.broken, "") << name;
   }
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -10,13 +10,13 @@
 
 #include "cli/config.h"
 #include "codec/json.h"
-#include "handover/hand_marks.h"
-#include "membership/directory.h"
-#include "membership/feed.h"
-#include "peerlink/frame.h"
-#include "peers/view.h"
-#include "rules/book.h"
-#include "rules/document.h"
+#include "discovery/directory.h"
+#include "discovery/feed.h"
+#include "gossip/view.h"
+#include "hot_restart/hand_marks.h"
+#include "peer_transport/frame.h"
+#include "replicated_config/book.h"
+#include "replicated_config/document.h"
 #include "runtime/loop.h"
 #include "runtime/socket.h"
 #include "settings/succession.h"
@@ -79,7 +79,7 @@
   }
 
   settings::InForce site_{settings::Site()};
-  membership::Directory directory_{site_};
+  discovery::Directory directory_{site_};
   EngineList told_;
 };
 
@@ -92,7 +92,7 @@
   EXPECT_EQ(config.site.module.classes[kNames - 1].zones, std::vector<std::uint16_t>{kNames - 1});
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
   settings::InForce site(config.site);
-  membership::Directory directory(site);
+  discovery::Directory directory(site);
   EngineList told;
   ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { told = list; }));
   ASSERT_EQ(told.entries->size(), static_cast<std::size_t>(kEngines));
@@ -133,13 +133,13 @@
 TEST_F(Engines1500, AllCanBeOutByHandAndBack) {
   ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
   const auto tell = [](const EngineList&) {};
-  using ByHand = membership::Directory::ByHand;
+  using ByHand = discovery::Directory::ByHand;
   for (int i = 0; i < kEngines; ++i) ASSERT_EQ(directory_.Exclude(Name("s", i), tell), ByHand::kDone) << i;
   EXPECT_EQ(directory_.Avoided({}), static_cast<std::size_t>(kEngines));
   std::set<std::string> out;
   for (int i = 0; i < kEngines; ++i) out.insert(Name("s", i));
   settings::InForce site{settings::Site()};
-  membership::Directory successor(site);
+  discovery::Directory successor(site);
   successor.TakeOver(out, {}, tell);
   for (const std::string& id : out) EXPECT_TRUE(successor.IsOut(id));
   for (int i = 0; i < kEngines; ++i) directory_.Include(Name("s", i), std::chrono::system_clock::now(), tell);
@@ -228,9 +228,9 @@
   runtime::Loop loop;
   SlowFeed server(loop, body, 12, 50ms);
   settings::InForce site{settings::Site()};
-  membership::Directory directory(site);
+  discovery::Directory directory(site);
   int lists = 0, connections = 0;
-  membership::Feed feed(
+  discovery::Feed feed(
       loop, directory, server.address(), [&](const EngineList&) { ++lists; }, 7);
   const auto watch = [&]() -> runtime::Task<> {
     const runtime::Time until = runtime::Now() + 4s;
@@ -254,7 +254,7 @@
   const auto folder =
       std::filesystem::temp_directory_path() / ("lemoncroft-scale-" + std::to_string(::getpid()));
   std::filesystem::create_directories(folder);
-  const handover::HandMarks marks(folder);
+  const hot_restart::HandMarks marks(folder);
   for (int i = 0; i < kEngines; ++i) ASSERT_TRUE(marks.Out(Name("s", i)));
   for (int i = 0; i < kEngines; i += 2) ASSERT_TRUE(marks.Back(Name("s", i)));
   const auto read = marks.Read();
@@ -265,51 +265,53 @@
 }
 
 TEST(Scale, RulesThatNameFifteenHundredOfEachKind) {
-  rules::Document document;
+  replicated_config::Document document;
   for (int i = 0; i < kNames; ++i) {
     document.classes[Name("class", i)].effect = Effect::kKeyed;
     document.tenants[Name("tenant", i)].quota_per_s = 12.5;
     document.out.insert(Name("s", i));
   }
-  const std::string text = rules::WriteDocument(document);
-  EXPECT_LE(text.size(), rules::kTextMost);
-  const auto read = rules::ReadDocument(text);
-  ASSERT_TRUE(std::holds_alternative<rules::Document>(read)) << std::get<std::string>(read);
-  EXPECT_EQ(std::get<rules::Document>(read), document);
+  const std::string text = replicated_config::WriteDocument(document);
+  EXPECT_LE(text.size(), replicated_config::kTextMost);
+  const auto read = replicated_config::ReadDocument(text);
+  ASSERT_TRUE(std::holds_alternative<replicated_config::Document>(read)) << std::get<std::string>(read);
+  EXPECT_EQ(std::get<replicated_config::Document>(read), document);
 }
 
 // As long as a record may be.
-peers::Record LongRecord(int number) {
-  peers::Record r;
-  r.id = static_cast<peers::InstanceId>(number) + 1;
-  r.name = std::to_string(number) + std::string(peers::kNameMost - 5, 'n');
+gossip::Record LongRecord(int number) {
+  gossip::Record r;
+  r.id = static_cast<gossip::InstanceId>(number) + 1;
+  r.name = std::to_string(number) + std::string(gossip::kNameMost - 5, 'n');
   r.address = {0x0a000000u + static_cast<std::uint32_t>(number), 7000};
-  r.zone = std::string(peers::kZoneMost, 'z');
-  r.phase = peers::Phase::kServing;
-  for (std::size_t i = 0; i < peers::kAttributesMost; ++i)
+  r.zone = std::string(gossip::kZoneMost, 'z');
+  r.phase = gossip::Phase::kServing;
+  for (std::size_t i = 0; i < gossip::kAttributesMost; ++i)
     r.attributes.push_back(
-        {std::string(peers::kKeyMost - 1, 'k') + std::to_string(i), std::string(peers::kValueMost, 'v')});
+        {std::string(gossip::kKeyMost - 1, 'k') + std::to_string(i), std::string(gossip::kValueMost, 'v')});
   return r;
 }
 
 // One message with all members would be longer than a message may be, and none would ever come.
 TEST(Scale, ANewcomerLearnsOfFifteenHundredProxiesWithLongRecords) {
-  const peers::Time start = peers::Time() + 1h;
-  peers::View fleet({}, LongRecord(0), 1, start), newcomer({}, LongRecord(kProxies), 2, start);
-  peers::Entries all{LongRecord(1), {}, {}};
+  const gossip::Time start = gossip::Time() + 1h;
+  gossip::View fleet({}, LongRecord(0), 1, start), newcomer({}, LongRecord(kProxies), 2, start);
+  gossip::Entries all{LongRecord(1), {}, {}};
   for (int i = 2; i < kProxies; ++i)
-    all.entries.push_back({peers::Status::kAlive, LongRecord(i), peers::kNobody});
+    all.entries.push_back({gossip::Status::kAlive, LongRecord(i), gossip::kNobody});
   fleet.Finish(start, all);
   ASSERT_EQ(fleet.roster().living(), static_cast<std::size_t>(kProxies));
-  const auto size = [](const peers::Entries& entries) { return peerlink::Encode("f", entries).size(); };
+  const auto size = [](const gossip::Entries& entries) {
+    return peer_transport::Encode("f", entries).size();
+  };
   int exchanges = 0;
-  for (peers::Time now = start; exchanges < 4 && newcomer.roster().digest() != fleet.roster().digest();
+  for (gossip::Time now = start; exchanges < 4 && newcomer.roster().digest() != fleet.roster().digest();
        ++exchanges) {
     now += 1s;
-    const peers::Entries answer = fleet.Answer(now, newcomer.Open(now));
-    EXPECT_LE(size(answer), peerlink::kStreamMost);
-    const peers::Entries closing = newcomer.Close(now, answer);
-    EXPECT_LE(size(closing), peerlink::kStreamMost);
+    const gossip::Entries answer = fleet.Answer(now, newcomer.Open(now));
+    EXPECT_LE(size(answer), peer_transport::kStreamMost);
+    const gossip::Entries closing = newcomer.Close(now, answer);
+    EXPECT_LE(size(closing), peer_transport::kStreamMost);
     fleet.Finish(now, closing);
   }
   EXPECT_EQ(newcomer.roster().living(), static_cast<std::size_t>(kProxies) + 1);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -5,13 +5,13 @@
 #include <filesystem>
 #include <fstream>
 
+#include "admin/call.h"
 #include "cli/config.h"
-#include "handover/census.h"
-#include "handover/hand_marks.h"
-#include "management/call.h"
-#include "membership/directory.h"
+#include "discovery/directory.h"
+#include "hot_restart/census.h"
+#include "hot_restart/hand_marks.h"
+#include "metrics/counters.h"
 #include "settings/succession.h"
-#include "telemetry/counters.h"
 
 namespace lemoncroft {
 namespace {
@@ -22,22 +22,22 @@
 TEST(Call, IsReadInPiecesOfAnySize) {
   const std::string text = "exclude s-00c41f7a\r\nrest";
   for (std::size_t cut = 0; cut < 20; ++cut) {
-    management::LineReader reader;
+    admin::LineReader reader;
     const auto first = reader.Feed(std::string_view(text).substr(0, cut));
-    if (cut < 20) ASSERT_EQ(first, management::LineReader::State::kNeedMore) << cut;
-    ASSERT_EQ(reader.Feed(std::string_view(text).substr(cut)), management::LineReader::State::kLine) << cut;
-    const auto call = management::ReadCall(reader.line());
-    ASSERT_TRUE(std::holds_alternative<management::Call>(call));
-    EXPECT_EQ(std::get<management::Call>(call).verb, management::Verb::kExclude);
-    EXPECT_EQ(std::get<management::Call>(call).engine, "s-00c41f7a");
+    if (cut < 20) ASSERT_EQ(first, admin::LineReader::State::kNeedMore) << cut;
+    ASSERT_EQ(reader.Feed(std::string_view(text).substr(cut)), admin::LineReader::State::kLine) << cut;
+    const auto call = admin::ReadCall(reader.line());
+    ASSERT_TRUE(std::holds_alternative<admin::Call>(call));
+    EXPECT_EQ(std::get<admin::Call>(call).verb, admin::Verb::kExclude);
+    EXPECT_EQ(std::get<admin::Call>(call).engine, "s-00c41f7a");
   }
 }
 
 TEST(Call, IsBounded) {
-  management::LineReader reader;
-  EXPECT_EQ(reader.Feed(std::string(management::kLineMost, 'x')), management::LineReader::State::kNeedMore);
-  EXPECT_EQ(reader.Feed("xx"), management::LineReader::State::kTooLong);
-  EXPECT_LE(reader.line().size(), management::kLineMost + 1);
+  admin::LineReader reader;
+  EXPECT_EQ(reader.Feed(std::string(admin::kLineMost, 'x')), admin::LineReader::State::kNeedMore);
+  EXPECT_EQ(reader.Feed("xx"), admin::LineReader::State::kTooLong);
+  EXPECT_LE(reader.line().size(), admin::kLineMost + 1);
 }
 
 class Marks : public testing::Test {
@@ -48,7 +48,7 @@
 };
 
 TEST_F(Marks, AreSharedByTwoProcesses) {
-  handover::HandMarks one(dir_), other(dir_);
+  hot_restart::HandMarks one(dir_), other(dir_);
   EXPECT_FALSE(other.Changed());
   EXPECT_TRUE(one.Out("a/../b"));
   EXPECT_TRUE(other.Changed());
@@ -63,7 +63,7 @@
 }
 
 TEST_F(Marks, PassOverWhatIsNoneOfTheirs) {
-  handover::HandMarks marks(dir_);
+  hot_restart::HandMarks marks(dir_);
   ASSERT_TRUE(marks.Out("a"));
   const fs::path folder = dir_ / "lemoncroft-hand-1";
   for (const char* name : {"out-", "out-6", "out-zz", "out", "garbage", "back-"})
@@ -71,12 +71,12 @@
   fs::create_directory(folder / "out-61626364");
   fs::create_symlink("/nonexistent", folder / "out-6162");
   EXPECT_EQ(marks.Read()->out, (std::set<std::string>{"a"}));
-  EXPECT_FALSE(marks.Out(std::string(handover::HandMarks::kIdMost + 1, 'x')));
+  EXPECT_FALSE(marks.Out(std::string(hot_restart::HandMarks::kIdMost + 1, 'x')));
 }
 
 TEST_F(Marks, AFolderThatCantBeMadeIsSaid) {
   std::ofstream(dir_ / "lemoncroft-hand-1") << "a file where the folder should be";
-  handover::HandMarks marks(dir_);
+  hot_restart::HandMarks marks(dir_);
   EXPECT_FALSE(marks.Out("a"));
   EXPECT_FALSE(marks.Read()) << "nothing is known, so nothing is lifted";
 }
@@ -94,10 +94,10 @@
         tell_);
   }
   settings::InForce site_{settings::Site()};
-  membership::Directory directory_{site_};
+  discovery::Directory directory_{site_};
   EngineEntry told_;
   int n_ = 0, ended_ = 0;
-  membership::Directory::Tell tell_ = [this](const EngineList& list) { told_ = list.entries->at(0); };
+  discovery::Directory::Tell tell_ = [this](const EngineList& list) { told_ = list.entries->at(0); };
 };
 
 TEST_F(ByHand, AReturnIsColdHoweverOftenTheFeedTellsTheEngineAgain) {
@@ -272,16 +272,16 @@
 
 TEST(Shares, AddUpToNoMoreThanTheWhole) {
   for (std::size_t sockets : {384u, 512u, 1024u}) {
-    const handover::Whole whole{sockets, sockets * 2 / 5, 57};
-    const handover::Share alone = handover::Divide(whole, {}, {});
+    const hot_restart::Whole whole{sockets, sockets * 2 / 5, 57};
+    const hot_restart::Share alone = hot_restart::Divide(whole, {}, {});
     EXPECT_EQ(alone.clients, whole.clients);
     EXPECT_EQ(alone.clients + alone.engines + whole.own, sockets);
     // Each in turn takes all that it may as it sees the other, from a start at which one has all or few
     // clients.
     for (const std::uint32_t clients : {0u, 30u, static_cast<std::uint32_t>(alone.clients)}) {
-      handover::Holding held[2] = {{clients, static_cast<std::uint32_t>(alone.engines)}, {}};
+      hot_restart::Holding held[2] = {{clients, static_cast<std::uint32_t>(alone.engines)}, {}};
       for (int turn = 0; turn < 10; ++turn) {
-        const auto share = handover::Divide(whole, held[turn % 2], {1, held[1 - turn % 2]});
+        const auto share = hot_restart::Divide(whole, held[turn % 2], {1, held[1 - turn % 2]});
         EXPECT_GE(share.clients, whole.clients / 4);
         EXPECT_GE(share.engines, 16u);
         held[turn % 2] = {static_cast<std::uint32_t>(share.clients),
@@ -294,32 +294,32 @@
 }
 
 TEST(Shares, WhatTheOthersDoNotHoldIsFree) {
-  const handover::Whole whole{384, 153, 57};
-  const auto share = handover::Divide(whole, {20, 5}, {1, {30, 40}});
+  const hot_restart::Whole whole{384, 153, 57};
+  const auto share = hot_restart::Divide(whole, {20, 5}, {1, {30, 40}});
   EXPECT_EQ(share.clients, 123u);
   EXPECT_EQ(share.engines, 88u) << "384 - 2 x 57 - 50 - 76 = 144, less 40 and a margin of 16";
 }
 
 TEST(Shares, BudgetsAreDividedAmongThoseThatLetClientsIn) {
-  const handover::Holding serves{1, 1, 1}, ends{1, 1, 0};
-  EXPECT_EQ(handover::Parts(serves, {}), 1);
-  EXPECT_EQ(handover::Parts(serves, {1, serves}), 2);
-  EXPECT_EQ(handover::Parts(serves, {1, ends}), 1) << "an old one that only ends takes nothing new";
-  EXPECT_EQ(handover::Parts(ends, {1, serves}), 1);
+  const hot_restart::Holding serves{1, 1, 1}, ends{1, 1, 0};
+  EXPECT_EQ(hot_restart::Parts(serves, {}), 1);
+  EXPECT_EQ(hot_restart::Parts(serves, {1, serves}), 2);
+  EXPECT_EQ(hot_restart::Parts(serves, {1, ends}), 1) << "an old one that only ends takes nothing new";
+  EXPECT_EQ(hot_restart::Parts(ends, {1, serves}), 1);
 }
 
 TEST_F(Marks, TheCensusCountsThoseThatLive) {
-  handover::Census one(dir_);
+  hot_restart::Census one(dir_);
   ASSERT_TRUE(one.counted());
   EXPECT_EQ(one.Look().processes, 0u);
   {
-    const handover::Census other(dir_);
+    const hot_restart::Census other(dir_);
     other.Tell({7, 9, 1});
     EXPECT_EQ(one.Look().processes, 1u);
     EXPECT_EQ(one.Look().holding.clients, 7u);
     EXPECT_EQ(one.Look().holding.engines, 9u);
     EXPECT_EQ(one.Look().holding.serves, 1u);
-    const handover::Census third(dir_);
+    const hot_restart::Census third(dir_);
     EXPECT_EQ(one.Look().processes, 2u);
     EXPECT_EQ(third.Look().holding.clients, 7u);
   }
@@ -327,16 +327,16 @@
 }
 
 TEST_F(Marks, ACensusWithoutAFileCountsNobody) {
-  const handover::Census census(dir_ / "nowhere");
+  const hot_restart::Census census(dir_ / "nowhere");
   EXPECT_FALSE(census.counted());
   census.Tell({1, 1});
   EXPECT_EQ(census.Look().processes, 0u);
 }
 
 TEST(Counters, AreBounded) {
-  telemetry::Counters counters;
+  metrics::Counters counters;
   for (int i = 0; i < 10'000; ++i) counters.Taken("class-" + std::to_string(i));
-  EXPECT_EQ(counters.classes().size(), telemetry::Counters::kClassesMost);
+  EXPECT_EQ(counters.classes().size(), metrics::Counters::kClassesMost);
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "cli/config.h"
+#include "discovery/directory.h"
 #include "lemoncroft/gateway.h"
-#include "membership/directory.h"
 #include "settings/check.h"
 #include "settings/succession.h"
 
@@ -298,7 +298,7 @@
 
  private:
   settings::InForce site_;
-  membership::Directory directory_;
+  discovery::Directory directory_;
   int n_ = 0;
   EngineList last_;
 };
--- a/tests/shapes_test.cpp
+++ b/tests/shapes_test.cpp
@@ -7,10 +7,10 @@
 #include <tuple>
 #include <vector>
 
-#include "standin/site_day.h"
-#include "standin/site_shapes.h"
+#include "testing/simulation/site_day.h"
+#include "testing/simulation/site_shapes.h"
 
-namespace lemoncroft::standin {
+namespace lemoncroft::simulation {
 namespace {
 
 constexpr std::uint64_t kDraws[] = {2, 3, 20261202};  // seeds; each draw holds every pair of values
@@ -118,4 +118,4 @@
 }
 
 }  // namespace
-}  // namespace lemoncroft::standin
+}  // namespace lemoncroft::simulation
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -6,24 +6,24 @@
 #include <fstream>
 #include <random>
 
-#include "standin/slow_disk.h"
-#include "standin/store_plays.h"
 #include "storage/worker.h"
+#include "testing/simulation/slow_disk.h"
+#include "testing/simulation/store_plays.h"
 
 namespace lemoncroft {
 namespace {
 
 using namespace storage;
 
-using standin::ApplyChange;
-using standin::kStoreChanges;
-using standin::PlayStore;
-using standin::SameContents;
-using standin::StoreChange;
-using standin::StoreOn;
+using simulation::ApplyChange;
+using simulation::kStoreChanges;
+using simulation::PlayStore;
+using simulation::SameContents;
+using simulation::StoreChange;
+using simulation::StoreOn;
 
 TEST(Storage, HoldsWhatWasWritten) {
-  standin::Disk disk;
+  simulation::Disk disk;
   EXPECT_EQ(PlayStore(disk), kStoreChanges);
   Contents wanted, read;
   for (int i = 0; i < kStoreChanges; ++i) ApplyChange(StoreChange(i), wanted);
@@ -37,21 +37,21 @@
 }
 
 TEST(Storage, ACrashAtAnyOperationLosesNothingThatWasReported) {
-  const standin::CrashPoints found = standin::CrashAtEachOperation(3);
+  const simulation::CrashPoints found = simulation::CrashAtEachOperation(3);
   EXPECT_EQ(found.bad, 0) << found.first;
   EXPECT_GE(found.points, 300);
 }
 
 // Five seconds a sync hold up the thread that waits for it, and nobody on the loop.
 TEST(Storage, ASlowDiskNeverHoldsUpTheLoop) {
-  standin::Disk disk;
+  simulation::Disk disk;
   disk.set_sync_takes(std::chrono::milliseconds(300));
-  EXPECT_LT(standin::LoopStallBesideWrites(disk, 3).longest_ms, 100);
+  EXPECT_LT(simulation::LoopStallBesideWrites(disk, 3).longest_ms, 100);
 }
 
 // Batches behind one that failed must not be durable where it is not.
 TEST(Storage, NothingIsWrittenBehindABatchThatFailed) {
-  standin::Disk disk;
+  simulation::Disk disk;
   runtime::Loop loop;
   Worker worker(loop, StoreOn(disk));
   std::vector<Health> told;
@@ -82,7 +82,7 @@
   int damaged = 0;
   std::mt19937_64 random(1);
   for (int i = 0; i < 400; ++i) {
-    standin::Disk disk;
+    simulation::Disk disk;
     PlayStore(disk);
     const std::size_t size = disk.SizeOf("store");
     disk.Flip("store", random() % (8 * size));
@@ -100,7 +100,7 @@
 }
 
 TEST(Storage, AFullDiskIsToldAndLosesNothing) {
-  standin::Disk disk;
+  simulation::Disk disk;
   Database database(StoreOn(disk));
   Contents contents, wanted;
   std::string why;
@@ -121,7 +121,7 @@
 }
 
 TEST(Storage, BoundsAreKept) {
-  standin::Disk disk;
+  simulation::Disk disk;
   Database database(StoreOn(disk, 1 << 20));
   Contents contents;
   std::string why;
--- a/tests/waiting_test.cpp
+++ b/tests/waiting_test.cpp
@@ -8,10 +8,10 @@
 #include <map>
 #include <set>
 
-#include "standin/fleet.h"
-#include "waiting/line.h"
+#include "admission_queue/line.h"
+#include "testing/simulation/fleet.h"
 
-namespace lemoncroft::waiting {
+namespace lemoncroft::admission_queue {
 namespace {
 
 using namespace std::chrono_literals;
@@ -29,7 +29,7 @@
   };
 
   explicit Bench(Settings settings, int engines = 4, double cores = 10) : line(std::move(settings)) {
-    for (int e = 0; e < engines; ++e) fleet.Add(static_cast<standin::Engine>(e), cores, 1);
+    for (int e = 0; e < engines; ++e) fleet.Add(static_cast<simulation::Engine>(e), cores, 1);
     line.SetFleet(fleet.cores(), At(0));
   }
 
@@ -64,7 +64,7 @@
   bool Every(int hundredths) const { return ticks_ % hundredths == 0; }
 
   void Tick() {
-    std::vector<standin::Finished> ended;
+    std::vector<simulation::Finished> ended;
     fleet.Advance(now, ended);
     for (const auto& f : ended) End(f);
     std::vector<Decision> out;
@@ -82,8 +82,8 @@
     }
   }
 
-  void Lose(standin::Engine engine) {
-    std::vector<standin::Finished> lost;
+  void Lose(simulation::Engine engine) {
+    std::vector<simulation::Finished> lost;
     fleet.Remove(engine, lost);
     for (const auto& f : lost) {
       line.Ended(f.key.first, f.key.second, Work::zero(), true, At(now));
@@ -103,7 +103,7 @@
   double Charged(Team team) { return line.Describe(At(now)).teams[team].charged; }
 
   Line line;
-  standin::Fleet fleet;
+  simulation::Fleet fleet;
   double now = 0;
   Id last = 0;
   std::map<Id, Query> queries;
@@ -117,11 +117,11 @@
   void Start(Id id) {
     Query& q = queries.at(id);
     q.started = now;
-    standin::Engine best = 0;
+    simulation::Engine best = 0;
     double least = HUGE_VAL;
-    std::map<standin::Engine, double> load;
+    std::map<simulation::Engine, double> load;
     for (const auto& [key, engine] : where_) load[engine] += 1;
-    for (standin::Engine e = 0; e < 16; ++e) {
+    for (simulation::Engine e = 0; e < 16; ++e) {
       if (fleet.Has(e) && load[e] < least) least = load[e], best = e;
     }
     const int threads = q.ticket.klass == 0 ? 1 : 2;
@@ -130,14 +130,14 @@
     ASSERT_TRUE(fleet.Start({{id, 0}, best, threads, 1, q.work, q.ticket.team}));
   }
 
-  void End(const standin::Finished& f) {
+  void End(const simulation::Finished& f) {
     where_.erase(f.key);
     line.Ended(f.key.first, 0, FromSeconds(f.work), true, At(now));
     line.Done(f.key.first, At(now));
     ++queries.at(f.key.first).leaves;
   }
 
-  std::map<standin::Key, standin::Engine> where_;
+  std::map<simulation::Key, simulation::Engine> where_;
   int ticks_ = 0;
 };
 
@@ -598,4 +598,4 @@
 }
 
 }  // namespace
-}  // namespace lemoncroft::waiting
+}  // namespace lemoncroft::admission_queue
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-namespace lemoncroft::benchlink {
+namespace lemoncroft::simulator_adapter {
 namespace {
 
 std::string Hex(std::string_view text) {
@@ -142,4 +142,4 @@
 }
 
 }  // namespace
-}  // namespace lemoncroft::benchlink
+}  // namespace lemoncroft::simulator_adapter
