--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -61,14 +61,14 @@
   return founders;
 }
 
-storage::Batch BatchOf(const raft::Store& store) {
+storage::Batch BatchOf(const raft::StorageUpdate& store) {
   storage::Batch batch;
-  batch.records.emplace_back("promise", raft::Encode(store.promise));
-  if (store.whole) {
+  batch.records.emplace_back("promise", raft::Encode(store.hard_state));
+  if (store.replaces_log) {
     batch.records.emplace_back("snapshot", raft::Encode(store.snapshot));
     batch.cut_before = store.snapshot.index;
   }
-  batch.cut_behind = store.whole ? store.snapshot.index : store.keep_to;
+  batch.cut_behind = store.replaces_log ? store.snapshot.index : store.truncate_after;
   for (const raft::Entry& entry : store.entries) batch.log.emplace_back(entry.index, raft::Encode(entry));
   return batch;
 }
@@ -84,9 +84,9 @@
   std::from_chars(store.data(), store.data() + store.size(), out.store);
   out.founders = ReadFounders(record("founders"));
   if (!promise.empty()) {
-    const auto read = raft::DecodePromise(promise);
+    const auto read = raft::DecodeHardState(promise);
     if (!read) return std::nullopt;
-    out.durable.promise = *read;
+    out.durable.hard_state = *read;
   }
   if (!snapshot.empty()) {
     auto read = raft::DecodeSnapshot(snapshot);
@@ -221,7 +221,7 @@
 }
 
 // The process of that name that has the store, where two live.
-const gossip::Member* Rules::Reach(const raft::Name& name) const {
+const gossip::Member* Rules::Reach(const raft::NodeId& name) const {
   const gossip::Member* best = nullptr;
   const auto rank = [](const gossip::Member& m) {
     const bool store = std::any_of(m.record.attributes.begin(), m.record.attributes.end(),
@@ -236,7 +236,7 @@
 
 void Rules::CarryOut(const replicated_config::KeeperOutput& output) {
   if (const auto* post = std::get_if<replicated_config::Post>(&output)) {
-    const auto* name = std::get_if<raft::Name>(&post->to);
+    const auto* name = std::get_if<raft::NodeId>(&post->to);
     const gossip::Member* to =
         name != nullptr ? Reach(*name)
                         : fleet_.view().roster().Find(std::get<replicated_config::Instance>(post->to));
--- a/src/cli/rules.h
+++ b/src/cli/rules.h
@@ -82,7 +82,7 @@
   void Write(std::uint64_t number, storage::Batch batch);
   void StepBack(const std::string& why);
   runtime::Task<> OpenAgain(runtime::Span after);
-  const gossip::Member* Reach(const raft::Name& name) const;
+  const gossip::Member* Reach(const raft::NodeId& name) const;
   void SetPeers();  // to those that live, whom the keeper may ask for texts
   void PutInForce(replicated_config::Version version);
   void PutOut();  // engines by hand: of the version in force, and what was asked for here since
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -198,10 +198,10 @@
   std::string why;
   if (const storage::Health health = database.Open(contents, why); health != storage::Health::kDone)
     throw ConfigError(std::string(storage::NameOf(health)) + ": " + why);
-  raft::Promise promise;
+  raft::HardState promise;
   raft::Snapshot snapshot;
   if (const auto it = contents.records.find("promise"); it != contents.records.end())
-    promise = raft::DecodePromise(it->second).value_or(promise);
+    promise = raft::DecodeHardState(it->second).value_or(promise);
   if (const auto it = contents.records.find("snapshot"); it != contents.records.end())
     snapshot = raft::DecodeSnapshot(it->second).value_or(snapshot);
   const std::uint64_t last = contents.log.empty() ? snapshot.index : contents.log.rbegin()->first;
@@ -219,7 +219,7 @@
   raft::Entry entry;
   entry.term = promise.term + 1;
   entry.index = last + 1;
-  entry.kind = raft::Kind::kVoters;
+  entry.kind = raft::EntryKind::kVoters;
   entry.voters = {command.who};
   promise = {promise.term + 1, command.who};
   storage::Batch batch;
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -8,7 +8,7 @@
 using codec::MsgpackPacker;
 using codec::MsgpackReader;
 
-Kind LastOf(Kind) { return Kind::kVoters; }
+EntryKind LastOf(EntryKind) { return EntryKind::kVoters; }
 
 namespace {
 
@@ -22,31 +22,31 @@
 void Fields(V& v, E& e) {
   v(e.index), v(e.term), v(e.voters), v(e.data);
 }
-template <typename V, Is<Promise> E>
+template <typename V, Is<HardState> E>
 void Fields(V& v, E& e) {
-  v(e.term), v(e.voted);
+  v(e.term), v(e.voted_for);
 }
 template <typename V, Is<VoteRequest> E>
 void Fields(V& v, E& e) {
-  v(e.pre), v(e.handed), v(e.term), v(e.last_index), v(e.last_term);
+  v(e.pre_vote), v(e.leadership_transfer), v(e.term), v(e.last_index), v(e.last_term);
 }
-template <typename V, Is<VoteAnswer> E>
+template <typename V, Is<VoteResponse> E>
 void Fields(V& v, E& e) {
-  v(e.pre), v(e.term), v(e.granted);
+  v(e.pre_vote), v(e.term), v(e.granted);
 }
-template <typename V, Is<Append> E>
+template <typename V, Is<AppendEntriesRequest> E>
 void Fields(V& v, E& e) {
   v(e.term), v(e.beat), v(e.prev_index), v(e.prev_term), v(e.commit), v(e.kept), v(e.entries);
 }
-template <typename V, Is<AppendAnswer> E>
+template <typename V, Is<AppendEntriesResponse> E>
 void Fields(V& v, E& e) {
   v(e.term), v(e.beat), v(e.ok), v(e.match);
 }
-template <typename V, Is<Install> E>
+template <typename V, Is<InstallSnapshotRequest> E>
 void Fields(V& v, E& e) {
   v(e.term), v(e.beat), v(e.snapshot);
 }
-template <typename V, Is<HandOver> E>
+template <typename V, Is<TimeoutNowRequest> E>
 void Fields(V& v, E& e) {
   v(e.term);
 }
@@ -121,8 +121,8 @@
 
 std::string Encode(const Entry& entry) { return EncodeWhole(entry); }
 std::optional<Entry> DecodeEntry(std::string_view bytes) { return DecodeWhole<Entry>(bytes); }
-std::string Encode(const Promise& promise) { return EncodeWhole(promise); }
-std::optional<Promise> DecodePromise(std::string_view bytes) { return DecodeWhole<Promise>(bytes); }
+std::string Encode(const HardState& promise) { return EncodeWhole(promise); }
+std::optional<HardState> DecodeHardState(std::string_view bytes) { return DecodeWhole<HardState>(bytes); }
 std::string Encode(const Snapshot& snapshot) { return EncodeWhole(snapshot); }
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes) { return DecodeWhole<Snapshot>(bytes); }
 
--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -20,8 +20,8 @@
 
 std::string Encode(const Entry& entry);
 std::optional<Entry> DecodeEntry(std::string_view bytes);
-std::string Encode(const Promise& promise);
-std::optional<Promise> DecodePromise(std::string_view bytes);
+std::string Encode(const HardState& promise);
+std::optional<HardState> DecodeHardState(std::string_view bytes);
 std::string Encode(const Snapshot& snapshot);
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes);
 
--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -22,11 +22,11 @@
 
 namespace lemoncroft::raft {
 
-enum class Role { kFollower, kAsking, kCandidate, kLeader };  // kAsking: would it be voted for?
-enum class Refusal { kNone, kNotLeader, kTooLarge, kNotYet };
+enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };  // kAsking: would it be voted for?
+enum class ProposalError { kNone, kNotLeader, kEntryTooLarge, kChangeInProgress };
 
-struct Proposed {
-  Refusal refusal = Refusal::kNone;
+struct ProposalResult {
+  ProposalError refusal = ProposalError::kNone;
   Index index = 0;  // committed as this, if an entry of that term is committed there
   Term term = 0;
 };
@@ -34,18 +34,18 @@
 class Raft {
  public:
   // `restored`: what was durable when this voter ended; of a new one only the snapshot's voters.
-  Raft(const Settings& settings, Name self, Durable restored, std::uint64_t seed, Time now);
+  Raft(const Options& settings, NodeId self, PersistentState restored, std::uint64_t seed, Time now);
 
   void Step(Time now);
   Time due() const;
-  void Receive(Time now, const Name& from, const Message& message);
+  void Receive(Time now, const NodeId& from, const Message& message);
   void Stored(Time now, std::uint64_t number);  // all up to that one is durable
   std::vector<Output> Take();
 
-  Proposed Propose(Time now, std::string data);
+  ProposalResult Propose(Time now, std::string data);
   // One voter more or less. A newcomer is brought up to the log first; kNotYet: another change is under way,
   // or nothing of this leader's term is committed yet.
-  Proposed ChangeVoters(Time now, const Name& who, bool in);
+  ProposalResult ChangeVoters(Time now, const NodeId& who, bool in);
   // Ends this leadership in favour of the voter whose log is longest.
   void Resign(Time now);
   // All up to `index`, which is committed, came to `data`: the log up to there is dropped.
@@ -57,14 +57,14 @@
   bool Settled() const { return role_ == Role::kLeader && TermAt(commit_) == promise_.term; }
   Role role() const { return role_; }
   Term term() const { return promise_.term; }
-  const Name& leader() const { return leader_; }  // empty: none is known
+  const NodeId& leader() const { return leader_; }  // empty: none is known
   Index commit() const { return commit_; }
   Index last() const { return snapshot_.index + log_.size(); }
-  const std::vector<Name>& voters() const { return voters_; }
+  const std::vector<NodeId>& voters() const { return voters_; }
   bool VotersCommitted() const { return voters_at_ <= commit_; }
   const std::vector<Entry>& log() const { return log_; }
   const Snapshot& snapshot() const { return snapshot_; }
-  const Promise& promise() const { return promise_; }
+  const HardState& promise() const { return promise_; }
   // All that decides what it does next but for times and beats, for a search of states.
   std::string Canonical() const;
 
@@ -76,7 +76,7 @@
   };
   struct Pending {
     std::uint64_t number = 0;
-    Index keep_to = 0, last = 0;
+    Index truncate_after = 0, last = 0;
   };
 
   bool Votes() const;  // it is one of the voters
@@ -87,45 +87,45 @@
 
   void Keep(Index keep_to, std::vector<Entry> entries);
   void KeepWhole();
-  void Post(const Name& to, Message message);
+  void Post(const NodeId& to, Message message);
   void RestElection(Time now);
-  void Follow(Time now, Term term, const Name& leader);
+  void Follow(Time now, Term term, const NodeId& leader);
   void Ask(Time now);
   void Campaign(Time now, bool handed);
   void Win(Time now);
   void Beat(Time now);
-  void Replicate(const Name& to, bool again);
+  void Replicate(const NodeId& to, bool again);
   void ReplicateAll();
   void Advance(Time now);  // commitment, the newcomer
   void Apply();
   void AppendOwn(Time now, Entry entry);
   void TakeVoters();
 
-  void On(Time now, const Name& from, const VoteRequest& m);
-  void On(Time now, const Name& from, const VoteAnswer& m);
-  void On(Time now, const Name& from, const Append& m);
-  void On(Time now, const Name& from, const AppendAnswer& m);
-  void On(Time now, const Name& from, const Install& m);
-  void On(Time now, const Name& from, const HandOver& m);
+  void On(Time now, const NodeId& from, const VoteRequest& m);
+  void On(Time now, const NodeId& from, const VoteResponse& m);
+  void On(Time now, const NodeId& from, const AppendEntriesRequest& m);
+  void On(Time now, const NodeId& from, const AppendEntriesResponse& m);
+  void On(Time now, const NodeId& from, const InstallSnapshotRequest& m);
+  void On(Time now, const NodeId& from, const TimeoutNowRequest& m);
   bool UpToDate(const VoteRequest& m) const;
   bool Disturbs(Time now, const VoteRequest& m) const;
 
-  Settings set_;
-  Name self_;
+  Options set_;
+  NodeId self_;
   std::minstd_rand random_;  // small: a search of states copies it
 
-  Promise promise_;
+  HardState promise_;
   Snapshot snapshot_;
   std::vector<Entry> log_;
-  std::vector<Name> voters_;
+  std::vector<NodeId> voters_;
   Index voters_at_ = 0;  // index of the entry that named them
 
   Role role_ = Role::kFollower;
-  Name leader_;
+  NodeId leader_;
   Index commit_ = 0, applied_ = 0;
-  std::set<Name> granted_;
-  std::map<Name, Progress> progress_;  // of a leader, itself left out
-  std::optional<Name> newcomer_;
+  std::set<NodeId> granted_;
+  std::map<NodeId, Progress> progress_;  // of a leader, itself left out
+  std::optional<NodeId> newcomer_;
 
   Time election_at_{}, heard_at_{}, beat_at_ = kNever;
   std::uint64_t beat_ = 0;
--- a/src/raft/types.h
+++ b/src/raft/types.h
@@ -14,22 +14,22 @@
 
 namespace lemoncroft::raft {
 
-using Span = std::chrono::nanoseconds;
-using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
+using Duration = std::chrono::nanoseconds;
+using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 inline constexpr Time kNever = Time::max();
 
-using Name = std::string;  // of a voter; empty: none
+using NodeId = std::string;  // of a voter; empty: none
 using Term = std::uint64_t;
 using Index = std::uint64_t;
 
-enum class Kind : std::uint8_t { kNothing, kData, kVoters };
+enum class EntryKind : std::uint8_t { kNoOp, kData, kVoters };
 
 struct Entry {
   Term term = 0;
   Index index = 0;
-  Kind kind = Kind::kNothing;
+  EntryKind kind = EntryKind::kNoOp;
   std::string data;
-  std::vector<Name> voters;  // of kVoters: all of them, from the append on
+  std::vector<NodeId> voters;  // of kVoters: all of them, from the append on
   bool operator==(const Entry&) const = default;
 };
 
@@ -37,40 +37,41 @@
 struct Snapshot {
   Index index = 0;
   Term term = 0;
-  std::vector<Name> voters;
+  std::vector<NodeId> voters;
   std::string data;
   bool operator==(const Snapshot&) const = default;
 };
 
 // What must be durable before anything that rests on it is told.
-struct Promise {
+struct HardState {
   Term term = 0;
-  Name voted;
-  bool operator==(const Promise&) const = default;
+  NodeId voted_for;
+  bool operator==(const HardState&) const = default;
 };
 
-struct Durable {
-  Promise promise;
+struct PersistentState {
+  HardState hard_state;
   Snapshot snapshot;
   std::vector<Entry> log;  // behind the snapshot, without a gap
-  bool operator==(const Durable&) const = default;
+  bool operator==(const PersistentState&) const = default;
 };
 
 struct VoteRequest {
-  bool pre = false;     // would you?
-  bool handed = false;  // the leader itself asked it to: its promise not to be disturbed does not count
+  bool pre_vote = false;  // would you?
+  bool leadership_transfer =
+      false;  // the leader itself asked it to: its promise not to be disturbed does not count
   Term term = 0;
   Index last_index = 0;
   Term last_term = 0;
   bool operator==(const VoteRequest&) const = default;
 };
-struct VoteAnswer {
-  bool pre = false;
+struct VoteResponse {
+  bool pre_vote = false;
   Term term = 0;  // of the request, where granted; else the answerer's
   bool granted = false;
-  bool operator==(const VoteAnswer&) const = default;
+  bool operator==(const VoteResponse&) const = default;
 };
-struct Append {
+struct AppendEntriesRequest {
   Term term = 0;
   std::uint64_t beat = 0;
   Index prev_index = 0;
@@ -78,43 +79,44 @@
   Index commit = 0;
   Index kept = 0;  // what the leader itself holds durably: it counts towards what is committed
   std::vector<Entry> entries;
-  bool operator==(const Append&) const = default;
+  bool operator==(const AppendEntriesRequest&) const = default;
 };
-struct AppendAnswer {
+struct AppendEntriesResponse {
   Term term = 0;
   std::uint64_t beat = 0;
   bool ok = false;
   Index match = 0;  // where ok: up to here the logs are the same; else: try from behind here
-  bool operator==(const AppendAnswer&) const = default;
+  bool operator==(const AppendEntriesResponse&) const = default;
 };
-struct Install {
+struct InstallSnapshotRequest {
   Term term = 0;
   std::uint64_t beat = 0;
   Snapshot snapshot;
-  bool operator==(const Install&) const = default;
+  bool operator==(const InstallSnapshotRequest&) const = default;
 };
 // Begin an election at once: the leader goes.
-struct HandOver {
+struct TimeoutNowRequest {
   Term term = 0;
-  bool operator==(const HandOver&) const = default;
+  bool operator==(const TimeoutNowRequest&) const = default;
 };
 
-using Message = std::variant<VoteRequest, VoteAnswer, Append, AppendAnswer, Install, HandOver>;
+using Message = std::variant<VoteRequest, VoteResponse, AppendEntriesRequest, AppendEntriesResponse,
+                             InstallSnapshotRequest, TimeoutNowRequest>;
 
 // ---- Outputs, in order ----
 
 // Make this durable, in the order of the numbers; then call Stored.
-struct Store {
+struct StorageUpdate {
   std::uint64_t number = 0;
-  Promise promise;
-  Index keep_to = 0;           // entries behind this index are dropped first
+  HardState hard_state;
+  Index truncate_after = 0;    // entries behind this index are dropped first
   std::vector<Entry> entries;  // then these follow
-  bool whole = false;          // a snapshot takes the place of all that was
+  bool replaces_log = false;   // a snapshot takes the place of all that was
   Snapshot snapshot;           // where `whole`
 };
 // Send this once all up to `after` is durable.
-struct Send {
-  Name to;
+struct SendMessage {
+  NodeId to;
   Message message;
   std::uint64_t after = 0;
 };
@@ -122,14 +124,14 @@
   Entry entry;
 };
 // A snapshot from the leader takes the place of what was committed so far.
-struct Restored {
+struct SnapshotInstalled {
   Snapshot snapshot;
 };
 
-using Output = std::variant<Store, Send, Committed, Restored>;
+using Output = std::variant<StorageUpdate, SendMessage, Committed, SnapshotInstalled>;
 
 // Parts of the protocol that a test takes away, one at a time. Nothing else sets them.
-struct Guards {
+struct SafetyChecks {
   bool durable_first = true;       // nothing is told before what it rests on is kept
   bool own_term = true;            // commitment counts entries of the leader's own term only
   bool up_to_date = true;          // votes go to logs that are as long
@@ -142,18 +144,18 @@
   bool step_down = true;           // a leader without a majority is none
   bool give_up_lease = true;       // before it hands over
   bool counts_itself_kept = true;  // a leader's own entries count once they are durable
-  bool operator==(const Guards&) const = default;
+  bool operator==(const SafetyChecks&) const = default;
 };
 
-struct Settings {
-  Span beat = std::chrono::milliseconds(100);            // of a leader
-  Span election_least = std::chrono::milliseconds(600);  // without a word of one
-  Span election_most = std::chrono::milliseconds(1200);
+struct Options {
+  Duration beat = std::chrono::milliseconds(100);            // of a leader
+  Duration election_least = std::chrono::milliseconds(600);  // without a word of one
+  Duration election_most = std::chrono::milliseconds(1200);
   double rates_differ = 0.01;                        // of clocks, at the most
   std::size_t batch = 64;                            // entries in a message ...
   std::size_t batch_bytes = std::size_t{512} << 10;  // ... and bytes of them, where it is more than one
   std::size_t data_most = std::size_t{400} << 10;    // of an entry
-  Guards guards;
+  SafetyChecks guards;
 };
 
 }  // namespace lemoncroft::raft
--- a/src/replicated_config/admission.cpp
+++ b/src/replicated_config/admission.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kStoresMost = 64;  // of voters that wait to be let in
 }
 
-void Admission::Open(std::uint64_t store, Founders founders, const std::vector<raft::Name>& voters,
+void Admission::Open(std::uint64_t store, Founders founders, const std::vector<raft::NodeId>& voters,
                      Hello hello) {
   hello_ = hello;
   hello_.store = store;
@@ -22,14 +22,14 @@
   others_.erase(self_);
   state_ = State::kAsking;
   // Nobody else could know better.
-  if (hello_.founded && (voters.empty() || voters == std::vector<raft::Name>{self_})) state_ = State::kGood;
-  if (!hello_.founded && first_ == std::vector<raft::Name>{self_}) {
+  if (hello_.founded && (voters.empty() || voters == std::vector<raft::NodeId>{self_})) state_ = State::kGood;
+  if (!hello_.founded && first_ == std::vector<raft::NodeId>{self_}) {
     founders_ = {{self_, store}};
     state_ = State::kFounding;
   }
 }
 
-HelloAnswer Admission::Greet(const raft::Name& from, const Hello& hello) {
+HelloAnswer Admission::Greet(const raft::NodeId& from, const Hello& hello) {
   HelloAnswer answer;
   answer.to_store = hello.store;
   answer.store = hello_.store;
@@ -55,7 +55,7 @@
   return answer;
 }
 
-void Admission::Take(const raft::Name& from, const HelloAnswer& answer) {
+void Admission::Take(const raft::NodeId& from, const HelloAnswer& answer) {
   const bool asks = state_ && (*state_ == State::kAsking || *state_ == State::kBlank);
   if (!asks || answer.to_store != hello_.store || !others_.contains(from)) return;
   answers_[from] = answer;
@@ -78,7 +78,7 @@
     }
   } else {
     Founders all = {{self_, hello_.store}};
-    for (const raft::Name& name : first_) {
+    for (const raft::NodeId& name : first_) {
       const auto it = answers_.find(name);
       if (it != answers_.end() && it->second.welcome == Welcome::kBlank) all[name] = it->second.store;
     }
@@ -113,16 +113,16 @@
   state_ = State::kGood;
 }
 
-void Admission::Note(const raft::Name& from, const raft::Message& message) {
+void Admission::Note(const raft::NodeId& from, const raft::Message& message) {
   raft::Term term = 0;
   raft::Index match = 0;
-  if (const auto* answer = std::get_if<raft::AppendAnswer>(&message)) {
+  if (const auto* answer = std::get_if<raft::AppendEntriesResponse>(&message)) {
     term = answer->term;
     match = answer->ok ? answer->match : 0;
-  } else if (const auto* vote = std::get_if<raft::VoteAnswer>(&message)) {
-    if (vote->pre) return;
+  } else if (const auto* vote = std::get_if<raft::VoteResponse>(&message)) {
+    if (vote->pre_vote) return;
     term = vote->term;
-  } else if (const auto* append = std::get_if<raft::Append>(&message)) {
+  } else if (const auto* append = std::get_if<raft::AppendEntriesRequest>(&message)) {
     term = append->term;
     match = append->kept;
   } else {
@@ -134,7 +134,7 @@
   if (remembered_.size() > kStoresMost) remembered_.erase(remembered_.begin());
 }
 
-std::optional<std::uint64_t> Admission::StoreOf(const raft::Name& name) const {
+std::optional<std::uint64_t> Admission::StoreOf(const raft::NodeId& name) const {
   const auto it = stores_.find(name);
   return it == stores_.end() ? std::nullopt : std::optional(it->second);
 }
--- a/src/replicated_config/admission.h
+++ b/src/replicated_config/admission.h
@@ -17,7 +17,7 @@
 
 namespace lemoncroft::replicated_config {
 
-using Founders = std::map<raft::Name, std::uint64_t>;  // the store of each
+using Founders = std::map<raft::NodeId, std::uint64_t>;  // the store of each
 
 // Taken away by tests.
 struct AdmissionGuards {
@@ -35,20 +35,20 @@
     kOlder,     // its store is older than what it answered for: it must be replaced
   };
 
-  Admission(raft::Name self, std::vector<raft::Name> first, AdmissionGuards guards = {})
+  Admission(raft::NodeId self, std::vector<raft::NodeId> first, AdmissionGuards guards = {})
       : self_(std::move(self)), first_(std::move(first)), guards_(guards) {}
 
   // The store is open. `founders`: as kept; empty: it has never voted. `voters`: of its log.
-  void Open(std::uint64_t store, Founders founders, const std::vector<raft::Name>& voters, Hello hello);
+  void Open(std::uint64_t store, Founders founders, const std::vector<raft::NodeId>& voters, Hello hello);
   void Close() { state_.reset(); }
   const std::optional<State>& state() const { return state_; }  // none: no store is open
   const Founders& founders() const { return founders_; }
   std::uint64_t store() const { return hello_.store; }
   const Hello& hello() const { return hello_; }
-  const std::set<raft::Name>& others() const { return others_; }
+  const std::set<raft::NodeId>& others() const { return others_; }
 
-  HelloAnswer Greet(const raft::Name& from, const Hello& hello);
-  void Take(const raft::Name& from, const HelloAnswer& answer);
+  HelloAnswer Greet(const raft::NodeId& from, const Hello& hello);
+  void Take(const raft::NodeId& from, const HelloAnswer& answer);
   // `patient`: there is still time to hear of all others.
   void Decide(bool patient);
   // An operator has let it in, with this store.
@@ -57,9 +57,9 @@
   void Kept();
 
   // What another voter has answered for while this process lives, so that it can be told if it holds less.
-  void Note(const raft::Name& from, const raft::Message& message);
+  void Note(const raft::NodeId& from, const raft::Message& message);
   // The store that a voter which isn't let in told last.
-  std::optional<std::uint64_t> StoreOf(const raft::Name& name) const;
+  std::optional<std::uint64_t> StoreOf(const raft::NodeId& name) const;
 
  private:
   struct Remembered {
@@ -67,16 +67,16 @@
     raft::Index match = 0;  // in that term
   };
 
-  raft::Name self_;
-  std::vector<raft::Name> first_;
+  raft::NodeId self_;
+  std::vector<raft::NodeId> first_;
   AdmissionGuards guards_;
   std::optional<State> state_;
   Hello hello_;
   Founders founders_;
-  std::set<raft::Name> others_;
-  std::map<raft::Name, HelloAnswer> answers_;
-  std::map<raft::Name, Remembered> remembered_;
-  std::map<raft::Name, std::uint64_t> stores_;
+  std::set<raft::NodeId> others_;
+  std::map<raft::NodeId, HelloAnswer> answers_;
+  std::map<raft::NodeId, Remembered> remembered_;
+  std::map<raft::NodeId, std::uint64_t> stores_;
 };
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/keeper.cpp
+++ b/src/replicated_config/keeper.cpp
@@ -6,7 +6,7 @@
 namespace lemoncroft::replicated_config {
 
 using raft::kNever;
-using raft::Name;
+using raft::NodeId;
 using namespace std::chrono_literals;
 
 namespace {
@@ -30,12 +30,12 @@
 
 std::string KeyOf(Instance instance) { return std::to_string(instance); }
 
-bool Has(const std::vector<Name>& names, const Name& name) {
+bool Has(const std::vector<NodeId>& names, const NodeId& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-std::vector<Name> NamesOf(const Founders& founders) {
-  std::vector<Name> names;
+std::vector<NodeId> NamesOf(const Founders& founders) {
+  std::vector<NodeId> names;
   for (const auto& [name, store] : founders) names.push_back(name);
   return names;
 }
@@ -60,9 +60,9 @@
 
 // ---- Sending ----
 
-void Keeper::Send(const std::variant<Name, Instance>& to, NoteBody body) {
+void Keeper::Send(const std::variant<NodeId, Instance>& to, NoteBody body) {
   Note note{terms_.self, std::move(body)};
-  const auto* name = std::get_if<Name>(&to);
+  const auto* name = std::get_if<NodeId>(&to);
   const auto* instance = std::get_if<Instance>(&to);
   if ((name != nullptr && *name == terms_.self) || (instance != nullptr && *instance == self_))
     to_self_.push_back(std::move(note));
@@ -225,12 +225,12 @@
 void Keeper::OpenStore(Time now, Stored stored) {
   CloseStore();
   restored_ = std::move(stored.durable);
-  std::vector<Name> voters = restored_.snapshot.voters;
+  std::vector<NodeId> voters = restored_.snapshot.voters;
   for (const raft::Entry& entry : restored_.log)
-    if (entry.kind == raft::Kind::kVoters) voters = entry.voters;
+    if (entry.kind == raft::EntryKind::kVoters) voters = entry.voters;
   if (voters.empty() && stored.founders.size() > 1) voters = NamesOf(stored.founders);
   Hello hello;
-  hello.term = restored_.promise.term;
+  hello.term = restored_.hard_state.term;
   hello.last = restored_.log.empty() ? restored_.snapshot.index : restored_.log.back().index;
   hello.last_term = restored_.log.empty() ? restored_.snapshot.term : restored_.log.back().term;
   admission_.Open(stored.store, std::move(stored.founders), voters, hello);
@@ -259,7 +259,7 @@
   if (*state == State::kGood) return StartVoting(now);
   if (*state == State::kOlder || now < greet_at_) return;
   greet_at_ = now + (*state == State::kAsking ? kGreetBeat : kBlankBeat);
-  for (const Name& other : admission_.others()) Send(other, admission_.hello());
+  for (const NodeId& other : admission_.others()) Send(other, admission_.hello());
 }
 
 void Keeper::FoundersKept(Time now) {
@@ -313,13 +313,13 @@
     const std::vector<raft::Output> outputs = raft_->Take();
     if (outputs.empty()) return;
     for (const raft::Output& output : outputs) {
-      if (const auto* store = std::get_if<raft::Store>(&output))
+      if (const auto* store = std::get_if<raft::StorageUpdate>(&output))
         outputs_.push_back(Keep{*store});
-      else if (const auto* send = std::get_if<raft::Send>(&output))
+      else if (const auto* send = std::get_if<raft::SendMessage>(&output))
         held_.push_back({send->to, send->message, send->after});
       else if (const auto* committed = std::get_if<raft::Committed>(&output))
         Applied(committed->entry);
-      else if (const auto* restored = std::get_if<raft::Restored>(&output))
+      else if (const auto* restored = std::get_if<raft::SnapshotInstalled>(&output))
         book_.Restore(restored->snapshot.data);
     }
     CompactLog();
@@ -328,7 +328,7 @@
 }
 
 void Keeper::Applied(const raft::Entry& entry) {
-  if (entry.kind != raft::Kind::kData) return;
+  if (entry.kind != raft::EntryKind::kData) return;
   const Version before = book_.in_force();
   const std::optional<Outcome> outcome = book_.Apply(entry.data);
   if (book_.in_force() != before) Tell(false, "version " + std::to_string(book_.in_force()) + " is in force");
@@ -430,8 +430,8 @@
     in_flight_.reset();  // its proposer asks again, and is told then
     return;
   }
-  const raft::Proposed proposed = raft_->Propose(now, EntryOf(in_flight_->change));
-  if (proposed.refusal != raft::Refusal::kNone) in_flight_.reset();
+  const raft::ProposalResult proposed = raft_->Propose(now, EntryOf(in_flight_->change));
+  if (proposed.refusal != raft::ProposalError::kNone) in_flight_.reset();
 }
 
 std::map<std::string, Version> Keeper::Holders(Time now) const {
@@ -459,8 +459,8 @@
 
 void Keeper::On(Time now, Instance from, const Note& note, const Renew& n) {
   if (!Leads(now)) {
-    const Name& other = raft_ ? raft_->leader() : leader_;
-    if (from != self_) Send(from, Elsewhere{other == terms_.self ? Name() : other});
+    const NodeId& other = raft_ ? raft_->leader() : leader_;
+    if (from != self_) Send(from, Elsewhere{other == terms_.self ? NodeId() : other});
     return;
   }
   if (bearers_.size() >= kBearersMost) bearers_.clear();
@@ -509,8 +509,8 @@
 
 void Keeper::On(Time now, Instance from, const Note&, const Propose& n) {
   if (!Leads(now)) {
-    const Name& other = raft_ ? raft_->leader() : leader_;
-    if (from != self_) Send(from, Elsewhere{other == terms_.self ? Name() : other});
+    const NodeId& other = raft_ ? raft_->leader() : leader_;
+    if (from != self_) Send(from, Elsewhere{other == terms_.self ? NodeId() : other});
     return;
   }
   const Change& change = n.change;
--- a/src/replicated_config/keeper.h
+++ b/src/replicated_config/keeper.h
@@ -42,9 +42,9 @@
 };
 
 struct KeeperTerms {
-  raft::Name self;
-  std::vector<raft::Name> first;  // the voters that the operator's file names
-  raft::Settings log;
+  raft::NodeId self;
+  std::vector<raft::NodeId> first;  // the voters that the operator's file names
+  raft::Options log;
   Terms lease;
   std::uint64_t format = 1;  // the newest documents that this program reads
   KeeperGuards guards;
@@ -54,19 +54,19 @@
 struct Stored {
   std::uint64_t store = 0;
   Founders founders;
-  raft::Durable durable;
+  raft::PersistentState durable;
 };
 
 // ---- Outputs ----
 
 struct Keep {  // make it durable, then call Durable(number)
-  raft::Store store;
+  raft::StorageUpdate store;
 };
 struct KeepFounders {  // likewise, then call FoundersKept
   Founders founders;
 };
 struct Post {
-  std::variant<raft::Name, Instance> to;
+  std::variant<raft::NodeId, Instance> to;
   Note note;
 };
 // A text is here: Prepared() or CantCarry() is due.
@@ -137,7 +137,7 @@
   bool Leads(raft::Time now) const {
     return raft_ && raft_->Leads(now) && (raft_->Settled() || !terms_.guards.settled);
   }
-  const raft::Name& leader() const { return leader_; }  // as far as known
+  const raft::NodeId& leader() const { return leader_; }  // as far as known
   // By a leader's books: who holds a lease, and what each has prepared.
   std::map<std::string, Version> Holders(raft::Time now) const;
 
@@ -162,13 +162,13 @@
   };
 
   struct Held {  // until what it rests on is durable
-    raft::Name to;
+    raft::NodeId to;
     raft::Message message;
     std::uint64_t after = 0;
   };
 
   void Tell(bool warn, std::string text) { outputs_.push_back(Say{warn, std::move(text)}); }
-  void Send(const std::variant<raft::Name, Instance>& to, NoteBody body);
+  void Send(const std::variant<raft::NodeId, Instance>& to, NoteBody body);
   void ToLeader(NoteBody body);
   void Collect(Time now);  // the log's outputs
   void StartVoting(Time now);
@@ -223,8 +223,8 @@
   bool hinted_ = false;  // whom to ask was told since the last asking
   std::vector<Instance> peers_;
   std::vector<Note> to_self_;
-  raft::Name leader_;
-  std::vector<raft::Name> voters_;  // as far as known
+  raft::NodeId leader_;
+  std::vector<raft::NodeId> voters_;  // as far as known
   std::size_t next_voter_ = 0;
   Time renew_at_{};
   Version refuses_ = 0;
@@ -236,7 +236,7 @@
   // A voter's.
   Admission admission_;
   std::unique_ptr<raft::Raft> raft_;
-  raft::Durable restored_;
+  raft::PersistentState restored_;
   Book book_;
   Time greet_at_{}, asked_since_{};
   std::vector<Held> held_;
@@ -253,13 +253,13 @@
   std::optional<VotersInFlight> voters_in_flight_;
   Time invite_at_{};
   struct Bearer {
-    raft::Name name;
+    raft::NodeId name;
     std::uint64_t format = 0;
   };
   std::map<Instance, Bearer> bearers_;
 
   // Processes of voters: a message of one that another has followed, with another store perhaps, is too late.
-  std::map<raft::Name, Instance> processes_;
+  std::map<raft::NodeId, Instance> processes_;
   std::set<Instance> former_;
 };
 
--- a/src/replicated_config/notes.cpp
+++ b/src/replicated_config/notes.cpp
@@ -86,7 +86,7 @@
   using FieldPacking::operator();
   void operator()(Span value) { to.pack(static_cast<std::int64_t>(value.count())); }
   void operator()(const raft::Message& message) { codec::PackBytes(to, raft::Encode(message)); }
-  void operator()(const std::map<raft::Name, std::uint64_t>& stores) {
+  void operator()(const std::map<raft::NodeId, std::uint64_t>& stores) {
     to.pack_array(static_cast<std::uint32_t>(2 * stores.size()));
     for (const auto& [name, store] : stores) (*this)(name), (*this)(store);
   }
@@ -100,7 +100,7 @@
     if (!read) throw msgpack::type_error();
     message = std::move(*read);
   }
-  void operator()(std::map<raft::Name, std::uint64_t>& stores) {
+  void operator()(std::map<raft::NodeId, std::uint64_t>& stores) {
     MsgpackReader all(in.Next());
     while (all.left() > 0) {
       std::string name = all.Bytes();
--- a/src/replicated_config/notes.h
+++ b/src/replicated_config/notes.h
@@ -32,11 +32,11 @@
 };
 struct Granted {
   Grant grant;
-  std::vector<raft::Name> voters;  // as they are now
+  std::vector<raft::NodeId> voters;  // as they are now
 };
 // Whoever was asked doesn't lead; this voter may. Empty: none is known.
 struct Elsewhere {
-  raft::Name leader;
+  raft::NodeId leader;
 };
 struct Fetch {
   Version version = 0;
@@ -61,7 +61,7 @@
 // A voter asked for a change of the voters.
 struct Voters {
   std::string id;
-  raft::Name who;
+  raft::NodeId who;
   bool in = false;
 };
 // What is agreed on: asked of the leader, and its answer, true at some instant between.
@@ -71,7 +71,7 @@
 struct ReadOut {
   std::string id;
   Version newest = 0, in_force = 0;
-  std::vector<raft::Name> voters;
+  std::vector<raft::NodeId> voters;
 };
 // A voter that has opened its store, to the others; and what they know of it (rules/admission.h).
 struct Hello {
@@ -90,7 +90,7 @@
 struct HelloAnswer {
   std::uint64_t to_store = 0, store = 0;
   Welcome welcome = Welcome::kBlank;
-  std::map<raft::Name, std::uint64_t> founders;
+  std::map<raft::NodeId, std::uint64_t> founders;
 };
 // The leader, to a voter with an empty store that an operator has let in.
 struct Invite {
@@ -100,7 +100,7 @@
 using NoteBody = std::variant<Logged, Renew, Granted, Elsewhere, Fetch, Fetched, Propose, Told, Ask, Answer,
                               Voters, Read, ReadOut, Hello, HelloAnswer, Invite>;
 struct Note {
-  raft::Name from;  // the proxy's name
+  raft::NodeId from;  // the proxy's name
   NoteBody body;
 };
 
--- a/src/testing/benchmark/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -127,11 +127,11 @@
     }
   }
 
-  const gossip::Member* Reach(const std::variant<raft::Name, replicated_config::Instance>& to) const {
+  const gossip::Member* Reach(const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
     const gossip::Roster& roster = view().roster();
     if (const auto* instance = std::get_if<replicated_config::Instance>(&to)) return roster.Find(*instance);
     for (const auto& [id, member] : roster.all())
-      if (member.record.name == std::get<raft::Name>(to)) return &member;
+      if (member.record.name == std::get<raft::NodeId>(to)) return &member;
     return nullptr;
   }
 
--- a/src/testing/model_check/log_world.cpp
+++ b/src/testing/model_check/log_world.cpp
@@ -26,13 +26,13 @@
     out += e.data + ";";
   };
   if (const auto* v = std::get_if<VoteRequest>(&message)) {
-    Put(out, v->term), Put(out, v->last_index), Put(out, v->last_term), Put(out, v->handed);
-  } else if (const auto* a = std::get_if<VoteAnswer>(&message)) {
+    Put(out, v->term), Put(out, v->last_index), Put(out, v->last_term), Put(out, v->leadership_transfer);
+  } else if (const auto* a = std::get_if<VoteResponse>(&message)) {
     Put(out, a->term), Put(out, a->granted);
-  } else if (const auto* m = std::get_if<Append>(&message)) {
+  } else if (const auto* m = std::get_if<AppendEntriesRequest>(&message)) {
     Put(out, m->term), Put(out, m->prev_index), Put(out, m->prev_term), Put(out, m->commit);
     for (const Entry& e : m->entries) entry(e);
-  } else if (const auto* r = std::get_if<AppendAnswer>(&message)) {
+  } else if (const auto* r = std::get_if<AppendEntriesResponse>(&message)) {
     Put(out, r->term), Put(out, r->ok), Put(out, r->match);
   }
   return out;
@@ -40,11 +40,11 @@
 
 }  // namespace
 
-LogWorld::LogWorld(const Guards& guards, const LogBudget& budget) : left_(budget) {
+LogWorld::LogWorld(const SafetyChecks& guards, const LogBudget& budget) : left_(budget) {
   settings_.guards = guards;
   // Elections come at any time here, so nothing may rest on when they don't.
   settings_.guards.pre_vote = settings_.guards.sticky = settings_.guards.wait_after_start = false;
-  Durable fresh;
+  PersistentState fresh;
   for (std::size_t i = 0; i < kVoters; ++i) fresh.snapshot.voters.push_back(NameOf(i));
   for (std::size_t i = 0; i < kVoters; ++i)
     members_.push_back({Raft(settings_, NameOf(i), fresh, 1, kStart), fresh, {}, {}, 0});
@@ -53,18 +53,18 @@
 void LogWorld::Carry(std::size_t i) {
   Member& m = members_[i];
   for (const Output& output : m.raft.Take()) {
-    if (const auto* store = std::get_if<Store>(&output)) {
+    if (const auto* store = std::get_if<StorageUpdate>(&output)) {
       m.writing.push_back(*store);
-    } else if (const auto* send = std::get_if<Send>(&output)) {
+    } else if (const auto* send = std::get_if<SendMessage>(&output)) {
       m.held.push_back(*send);
     } else if (const auto* committed = std::get_if<Committed>(&output)) {
       const auto [it, fresh] = committed_.try_emplace(committed->entry.index, committed->entry);
       if (!fresh && it->second != committed->entry) wrong_ = "two entries are committed under one index";
     }
   }
-  std::vector<Send> held;
+  std::vector<SendMessage> held;
   held.swap(m.held);
-  for (const Send& send : held) {
+  for (const SendMessage& send : held) {
     if (send.after > m.kept) {
       m.held.push_back(send);
       continue;
@@ -127,7 +127,7 @@
     if (!m.writing.empty()) {
       LogWorld& world = fork();
       Member& own = world.members_[i];
-      const Store store = own.writing.front();
+      const StorageUpdate store = own.writing.front();
       own.writing.erase(own.writing.begin());
       simulation::Apply(store, own.durable);
       own.kept = store.number;
@@ -167,16 +167,16 @@
 std::string LogWorld::TextOf(std::size_t i) const {
   const Member& m = members_[i];
   std::string out = m.raft.Canonical() + "|";
-  Put(out, m.durable.promise.term);
-  out += m.durable.promise.voted + ";";
+  Put(out, m.durable.hard_state.term);
+  out += m.durable.hard_state.voted_for + ";";
   for (const Entry& e : m.durable.log) Put(out, e.term), out += e.data + ";";
-  for (const Store& store : m.writing) {
-    Put(out, store.promise.term);
-    out += store.promise.voted + ";";
-    Put(out, store.keep_to);
+  for (const StorageUpdate& store : m.writing) {
+    Put(out, store.hard_state.term);
+    out += store.hard_state.voted_for + ";";
+    Put(out, store.truncate_after);
     for (const Entry& e : store.entries) Put(out, e.term), out += e.data + ";";
   }
-  for (const Send& send : m.held)
+  for (const SendMessage& send : m.held)
     out += send.to + model_check::TextOf(send.message) + std::to_string(send.after - m.kept);
   return out;
 }
@@ -218,7 +218,7 @@
   return least;
 }
 
-Found SearchLog(const Guards& guards, const LogBudget& budget, std::uint64_t most) {
+Found SearchLog(const SafetyChecks& guards, const LogBudget& budget, std::uint64_t most) {
   return Search(
       LogWorld(guards, budget), [](const LogWorld& world, std::vector<LogWorld>& into) { world.Next(into); },
       [](const LogWorld& world) { return world.Wrong(); },
--- a/src/testing/model_check/log_world.h
+++ b/src/testing/model_check/log_world.h
@@ -27,7 +27,7 @@
  public:
   static constexpr std::size_t kVoters = 3;
 
-  LogWorld(const raft::Guards& guards, const LogBudget& budget);
+  LogWorld(const raft::SafetyChecks& guards, const LogBudget& budget);
 
   void Next(std::vector<LogWorld>& into) const;
   std::string Wrong() const { return wrong_; }
@@ -41,9 +41,9 @@
   };
   struct Member {
     raft::Raft raft;
-    raft::Durable durable;
-    std::vector<raft::Store> writing;
-    std::vector<raft::Send> held;
+    raft::PersistentState durable;
+    std::vector<raft::StorageUpdate> writing;
+    std::vector<raft::SendMessage> held;
     std::uint64_t kept = 0;
   };
 
@@ -52,7 +52,7 @@
   std::string TextOf(std::size_t i) const;
   void Check(std::size_t i);
 
-  raft::Settings settings_;
+  raft::Options settings_;
   LogBudget left_;
   std::vector<Member> members_;
   std::vector<Letter> letters_;
@@ -62,7 +62,7 @@
 };
 
 // Searches until `most` distinct states, or all within the budget.
-Found SearchLog(const raft::Guards& guards, const LogBudget& budget, std::uint64_t most);
+Found SearchLog(const raft::SafetyChecks& guards, const LogBudget& budget, std::uint64_t most);
 
 }  // namespace lemoncroft::model_check
 
--- a/src/testing/simulation/keeper_fleet.cpp
+++ b/src/testing/simulation/keeper_fleet.cpp
@@ -166,16 +166,16 @@
 }
 
 std::optional<std::size_t> KeeperFleet::MachineOf(
-    const std::variant<raft::Name, replicated_config::Instance>& to) const {
+    const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
   std::size_t machine = machines_.size();
-  if (const auto* name = std::get_if<raft::Name>(&to)) {
+  if (const auto* name = std::get_if<raft::NodeId>(&to)) {
     if (!name->empty()) std::from_chars(name->data() + 1, name->data() + name->size(), machine);
   } else {
     machine = static_cast<std::size_t>((std::get<replicated_config::Instance>(to) - 1) % lives_apart_);
   }
   if (machine >= machines_.size()) return std::nullopt;
-  const bool same = std::holds_alternative<raft::Name>(to)
-                        ? std::get<raft::Name>(to) == NameOf(machine)
+  const bool same = std::holds_alternative<raft::NodeId>(to)
+                        ? std::get<raft::NodeId>(to) == NameOf(machine)
                         : std::get<replicated_config::Instance>(to) == InstanceOf(machine);
   return same ? std::optional(machine) : std::nullopt;
 }
--- a/src/testing/simulation/keeper_fleet.h
+++ b/src/testing/simulation/keeper_fleet.h
@@ -26,7 +26,7 @@
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
     replicated_config::Terms lease;
-    raft::Settings log;
+    raft::Options log;
     replicated_config::KeeperGuards guards;
     double drift = 0.005;                              // of each clock from true time
     Instant sync = std::chrono::milliseconds(2);       // of a disk
@@ -42,7 +42,7 @@
   struct Disk {
     std::uint64_t store = 0;
     replicated_config::Founders founders;
-    raft::Durable durable;
+    raft::PersistentState durable;
   };
   Disk& disk(std::size_t i) { return machines_[i].disk; }
   void Stall(std::size_t i, Instant span);
@@ -106,7 +106,8 @@
     return lives_apart_ * machines_[i].life + i + 1;
   }
   // The machine whose process now has that name or instance.
-  std::optional<std::size_t> MachineOf(const std::variant<raft::Name, replicated_config::Instance>& to) const;
+  std::optional<std::size_t> MachineOf(
+      const std::variant<raft::NodeId, replicated_config::Instance>& to) const;
   void Push(Instant at, std::size_t machine, Happening::Kind kind, std::uint64_t life);
   void Handle(const Happening& happening);
   void HandleTimed(const Happening& happening);
--- a/src/testing/simulation/rule_fleet.cpp
+++ b/src/testing/simulation/rule_fleet.cpp
@@ -33,7 +33,7 @@
     proxy.fetch = plan.fetch;
   }
   voters_.on_committed = [this](std::size_t i, const raft::Entry& entry) {
-    if (entry.kind != raft::Kind::kData) return;
+    if (entry.kind != raft::EntryKind::kData) return;
     Leader& leader = leaders_[i];
     Version& version = entry.data.starts_with("doc") ? leader.newest : leader.in_force;
     version = std::max(version, Number(entry.data));
--- a/src/testing/simulation/voters.cpp
+++ b/src/testing/simulation/voters.cpp
@@ -6,19 +6,19 @@
 
 using namespace raft;
 
-void Apply(const Store& store, Durable& durable) {
-  durable.promise = store.promise;
-  if (store.whole) {
+void Apply(const StorageUpdate& store, PersistentState& durable) {
+  durable.hard_state = store.hard_state;
+  if (store.replaces_log) {
     durable.snapshot = store.snapshot;
     durable.log = store.entries;
     return;
   }
-  std::erase_if(durable.log, [&](const Entry& entry) { return entry.index > store.keep_to; });
+  std::erase_if(durable.log, [&](const Entry& entry) { return entry.index > store.truncate_after; });
   durable.log.insert(durable.log.end(), store.entries.begin(), store.entries.end());
 }
 
 Voters::Voters(const Plan& plan) : plan_(plan), random_(plan.seed), links_(random_()) {
-  std::vector<Name> voters;
+  std::vector<NodeId> voters;
   for (std::size_t i = 0; i < plan.voting; ++i) voters.push_back(NameOf(i));
   members_.resize(plan.members);
   for (std::size_t i = 0; i < plan.members; ++i) {
@@ -26,13 +26,13 @@
     m.durable.snapshot.voters = voters;
     m.sync = plan.sync;
     m.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
-    m.origin = Time(Span(static_cast<Span::rep>(random_() % 1'000'000'000'000)));
+    m.origin = Time(Duration(static_cast<Duration::rep>(random_() % 1'000'000'000'000)));
     Restart(i);
   }
 }
 
 Time Voters::Local(const Member& m) const {
-  return m.origin + Span(static_cast<Span::rep>(static_cast<double>(now_.count()) * m.rate));
+  return m.origin + Duration(static_cast<Duration::rep>(static_cast<double>(now_.count()) * m.rate));
 }
 
 void Voters::Crash(std::size_t i) {
@@ -64,14 +64,14 @@
   return std::nullopt;
 }
 
-Proposed Voters::Propose(std::size_t at, const std::string& data) {
-  const Proposed proposed = members_[at].raft->Propose(Local(members_[at]), data);
+ProposalResult Voters::Propose(std::size_t at, const std::string& data) {
+  const ProposalResult proposed = members_[at].raft->Propose(Local(members_[at]), data);
   Carry(at);
   return proposed;
 }
 
-Proposed Voters::ChangeVoters(std::size_t at, const std::string& who, bool in) {
-  const Proposed proposed = members_[at].raft->ChangeVoters(Local(members_[at]), who, in);
+ProposalResult Voters::ChangeVoters(std::size_t at, const std::string& who, bool in) {
+  const ProposalResult proposed = members_[at].raft->ChangeVoters(Local(members_[at]), who, in);
   Carry(at);
   return proposed;
 }
@@ -89,22 +89,22 @@
 
 void Voters::Release(std::size_t i) {
   Member& m = members_[i];
-  std::vector<Send> ready;
-  std::erase_if(m.held, [&](const Send& send) {
+  std::vector<SendMessage> ready;
+  std::erase_if(m.held, [&](const SendMessage& send) {
     if (send.after > m.kept) return false;
     ready.push_back(send);
     return true;
   });
-  for (const Send& send : ready) {
+  for (const SendMessage& send : ready) {
     ++messages_;
     const auto message = std::make_shared<const Message>(send.message);
     const std::size_t to = static_cast<std::size_t>(send.to[0] - 'A');
     if (to == i) {
-      queue_.push({now_, order_++, i, m.life, Happening::Kind::kMessage, send.to, message});
+      queue_.push({now_, order_++, i, m.life, Happening::EntryKind::kMessage, send.to, message});
       continue;
     }
     links_.Send(now_, static_cast<Node>(i), static_cast<Node>(to), {}, [&](Instant at, const std::string&) {
-      queue_.push({at, order_++, to, 0, Happening::Kind::kMessage, NameOf(i), message});
+      queue_.push({at, order_++, to, 0, Happening::EntryKind::kMessage, NameOf(i), message});
     });
   }
 }
@@ -112,11 +112,11 @@
 void Voters::Carry(std::size_t i) {
   Member& m = members_[i];
   for (const Output& output : m.raft->Take()) {
-    if (const auto* store = std::get_if<Store>(&output)) {
+    if (const auto* store = std::get_if<StorageUpdate>(&output)) {
       const Instant begun = m.writing.empty() ? now_ : std::max(now_, m.writing.back().first);
       m.writing.emplace_back(begun + m.sync, *store);
-      queue_.push({begun + m.sync, order_++, i, m.life, Happening::Kind::kSynced, {}, nullptr});
-    } else if (const auto* send = std::get_if<Send>(&output)) {
+      queue_.push({begun + m.sync, order_++, i, m.life, Happening::EntryKind::kSynced, {}, nullptr});
+    } else if (const auto* send = std::get_if<SendMessage>(&output)) {
       m.held.push_back(*send);
     } else if (const auto* committed = std::get_if<Committed>(&output)) {
       const auto [it, fresh] = committed_.try_emplace(committed->entry.index, committed->entry);
@@ -135,7 +135,7 @@
                order_++,
                i,
                m.life,
-               Happening::Kind::kStep,
+               Happening::EntryKind::kStep,
                {},
                nullptr});
 }
@@ -154,9 +154,9 @@
 
 void Voters::Handle(const Happening& h) {
   Member& m = members_[h.member];
-  const bool of_life = h.kind != Happening::Kind::kMessage || h.life != 0;
-  if (m.raft == nullptr || (of_life && h.kind != Happening::Kind::kMessage && h.life != m.life)) return;
-  if (m.held_until > now_ && h.kind != Happening::Kind::kSynced) {
+  const bool of_life = h.kind != Happening::EntryKind::kMessage || h.life != 0;
+  if (m.raft == nullptr || (of_life && h.kind != Happening::EntryKind::kMessage && h.life != m.life)) return;
+  if (m.held_until > now_ && h.kind != Happening::EntryKind::kSynced) {
     Happening later = h;
     later.at = m.held_until;
     later.order = order_++;
@@ -164,16 +164,16 @@
     return;
   }
   switch (h.kind) {
-    case Happening::Kind::kStep:
+    case Happening::EntryKind::kStep:
       if (m.raft->due() > Local(m)) return;  // planned anew since
       m.raft->Step(Local(m));
       break;
-    case Happening::Kind::kMessage:
+    case Happening::EntryKind::kMessage:
       m.raft->Receive(Local(m), h.from, *h.message);
       break;
-    case Happening::Kind::kSynced: {
+    case Happening::EntryKind::kSynced: {
       if (m.writing.empty() || m.writing.front().first > now_) return;
-      const Store store = std::move(m.writing.front().second);
+      const StorageUpdate store = std::move(m.writing.front().second);
       m.writing.erase(m.writing.begin());
       if (!plan_.lie) Apply(store, m.durable);
       m.kept = store.number;
--- a/src/testing/simulation/voters.h
+++ b/src/testing/simulation/voters.h
@@ -27,7 +27,7 @@
     std::uint64_t seed = 1;
     std::size_t members = 3;  // of which `voting` vote at first
     std::size_t voting = 3;
-    raft::Settings settings;
+    raft::Options settings;
     double drift = 0.005;                         // of each clock from true time
     Instant sync = std::chrono::milliseconds(2);  // of a disk
     bool lie = false;                             // disks lose what they said they had synced, at a crash
@@ -45,8 +45,8 @@
 
   // At whoever leads now; none where nobody does.
   std::optional<std::size_t> Leader() const;
-  raft::Proposed Propose(std::size_t at, const std::string& data);
-  raft::Proposed ChangeVoters(std::size_t at, const std::string& who, bool in);
+  raft::ProposalResult Propose(std::size_t at, const std::string& data);
+  raft::ProposalResult ChangeVoters(std::size_t at, const std::string& who, bool in);
   void Resign(std::size_t at);
   void Compact(std::size_t at);
   bool Lives(std::size_t i) const { return members_[i].raft != nullptr; }
@@ -67,9 +67,9 @@
  private:
   struct Member {
     std::unique_ptr<raft::Raft> raft;
-    raft::Durable durable;
-    std::vector<std::pair<Instant, raft::Store>> writing;  // in order; when each is synced
-    std::vector<raft::Send> held;
+    raft::PersistentState durable;
+    std::vector<std::pair<Instant, raft::StorageUpdate>> writing;  // in order; when each is synced
+    std::vector<raft::SendMessage> held;
     std::uint64_t kept = 0;
     double rate = 1;
     raft::Time origin{};
@@ -81,7 +81,7 @@
     std::uint64_t order = 0;
     std::size_t member = 0;
     std::uint64_t life = 0;  // of the member; a message outlives lives
-    enum class Kind { kStep, kMessage, kSynced } kind = Kind::kStep;
+    enum class EntryKind { kStep, kMessage, kSynced } kind = EntryKind::kStep;
     std::string from;
     std::shared_ptr<const raft::Message> message;
     bool operator>(const Happening& other) const {
@@ -108,7 +108,7 @@
 };
 
 // Writes a store's output into what is durable, as a disk would.
-void Apply(const raft::Store& store, raft::Durable& durable);
+void Apply(const raft::StorageUpdate& store, raft::PersistentState& durable);
 
 }  // namespace lemoncroft::simulation
 
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 
 struct Cluster : Voters {
-  explicit Cluster(std::uint64_t seed = 1, const Guards& guards = {}, std::size_t members = 3,
+  explicit Cluster(std::uint64_t seed = 1, const SafetyChecks& guards = {}, std::size_t members = 3,
                    std::size_t voting = 3)
       : Voters([&] {
           Plan plan;
@@ -52,9 +52,9 @@
 TEST(Agreement, ElectsALeaderAndCommits) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect();
-  EXPECT_EQ(cluster.Propose(leader, "x").refusal, Refusal::kNone);
-  EXPECT_EQ(cluster.Propose((leader + 1) % 3, "y").refusal, Refusal::kNotLeader);
-  EXPECT_EQ(cluster.Propose(leader, std::string(1 << 20, 'z')).refusal, Refusal::kTooLarge);
+  EXPECT_EQ(cluster.Propose(leader, "x").refusal, ProposalError::kNone);
+  EXPECT_EQ(cluster.Propose((leader + 1) % 3, "y").refusal, ProposalError::kNotLeader);
+  EXPECT_EQ(cluster.Propose(leader, std::string(1 << 20, 'z')).refusal, ProposalError::kEntryTooLarge);
   cluster.RunFor(500ms);
   for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(cluster.raft(i).commit(), cluster.raft(leader).commit());
   EXPECT_TRUE(cluster.IsCommitted("x"));
@@ -132,7 +132,7 @@
     cluster.links().usual().loss = 0;
     cluster.RunFor(5s);
     const std::size_t leader = cluster.Elect();
-    EXPECT_EQ(cluster.raft(leader).voters(), (std::vector<Name>{"A", "D", "E"})) << "seed " << seed;
+    EXPECT_EQ(cluster.raft(leader).voters(), (std::vector<NodeId>{"A", "D", "E"})) << "seed " << seed;
     cluster.Propose(leader, "after");
     cluster.RunFor(2s);
     EXPECT_TRUE(cluster.IsCommitted("after")) << "seed " << seed;
@@ -220,23 +220,25 @@
 // ---- Guards ----
 
 // The paper's figure 8: an entry of a former term that a majority holds may still be overwritten.
-bool FigureEight(const Guards& guards) {
-  Settings settings;
+bool FigureEight(const SafetyChecks& guards) {
+  Options settings;
   settings.guards = guards;
   settings.guards.pre_vote = settings.guards.sticky = settings.guards.wait_after_start = false;
   settings.batch = 1;
-  Durable fresh;
+  PersistentState fresh;
   fresh.snapshot.voters = {"A", "B", "C"};
   const Time start{1h};
-  std::map<Name, Raft> rafts;
-  for (const Name& name : fresh.snapshot.voters) rafts.emplace(name, Raft(settings, name, fresh, 1, start));
+  std::map<NodeId, Raft> rafts;
+  for (const NodeId& name : fresh.snapshot.voters) rafts.emplace(name, Raft(settings, name, fresh, 1, start));
   std::map<Index, Entry> committed;
   bool kept = true;
-  std::vector<std::tuple<Name, Name, Message>> letters;
-  const auto carry = [&](const Name& name) {
+  std::vector<std::tuple<NodeId, NodeId, Message>> letters;
+  const auto carry = [&](const NodeId& name) {
     for (const Output& output : rafts.at(name).Take()) {
-      if (const auto* store = std::get_if<Store>(&output)) rafts.at(name).Stored(start, store->number);
-      if (const auto* send = std::get_if<Send>(&output)) letters.emplace_back(name, send->to, send->message);
+      if (const auto* store = std::get_if<StorageUpdate>(&output))
+        rafts.at(name).Stored(start, store->number);
+      if (const auto* send = std::get_if<SendMessage>(&output))
+        letters.emplace_back(name, send->to, send->message);
       if (const auto* one = std::get_if<Committed>(&output)) {
         const auto [it, first] = committed.try_emplace(one->entry.index, one->entry);
         kept = kept && (first || it->second == one->entry);
@@ -244,9 +246,9 @@
     }
   };
   // Delivers what passes between the two, so many rounds; all else is lost.
-  const auto between = [&](const Name& a, const Name& b, int rounds) {
+  const auto between = [&](const NodeId& a, const NodeId& b, int rounds) {
     for (int i = 0; i < rounds; ++i) {
-      std::vector<std::tuple<Name, Name, Message>> now;
+      std::vector<std::tuple<NodeId, NodeId, Message>> now;
       now.swap(letters);
       for (const auto& [from, to, message] : now) {
         if ((from != a && from != b) || (to != a && to != b)) continue;
@@ -256,12 +258,12 @@
     }
     letters.clear();
   };
-  const auto elect = [&](const Name& who, const Name& by, int rounds) {
+  const auto elect = [&](const NodeId& who, const NodeId& by, int rounds) {
     rafts.at(who).Step(rafts.at(who).due());
     carry(who);
     between(who, by, rounds);
   };
-  const auto beat = [&](const Name& who, const Name& with, int rounds) {
+  const auto beat = [&](const NodeId& who, const NodeId& with, int rounds) {
     rafts.at(who).Step(rafts.at(who).due());
     carry(who);
     between(who, with, rounds);
@@ -280,40 +282,40 @@
 
 struct Guarded {
   const char* name;
-  bool Guards::*guard;
-  std::function<bool(const Guards&)> keeps;
+  bool SafetyChecks::*guard;
+  std::function<bool(const SafetyChecks&)> keeps;
 };
 
-bool SearchKeeps(const Guards& guards, model_check::LogBudget budget) {
+bool SearchKeeps(const SafetyChecks& guards, model_check::LogBudget budget) {
   const model_check::Found found =
-      model_check::SearchLog(guards, budget, guards == Guards() ? 15'000 : 100'000);
+      model_check::SearchLog(guards, budget, guards == SafetyChecks() ? 15'000 : 100'000);
   return found.broken.empty();
 }
 
 const Guarded kGuards[] = {
-    {"durable before told", &Guards::durable_first,
-     [](const Guards& guards) {
+    {"durable before told", &SafetyChecks::durable_first,
+     [](const SafetyChecks& guards) {
        return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 1, .doubled = 0, .beats = 0});
      }},
-    {"one vote a term", &Guards::one_vote,
-     [](const Guards& guards) {
+    {"one vote a term", &SafetyChecks::one_vote,
+     [](const SafetyChecks& guards) {
        return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 0, .doubled = 0, .beats = 0});
      }},
-    {"votes for logs as long", &Guards::up_to_date,
-     [](const Guards& guards) {
+    {"votes for logs as long", &SafetyChecks::up_to_date,
+     [](const SafetyChecks& guards) {
        return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 0, .doubled = 0, .beats = 1});
      }},
-    {"entries on the same log", &Guards::match,
-     [](const Guards& guards) {
+    {"entries on the same log", &SafetyChecks::match,
+     [](const SafetyChecks& guards) {
        return SearchKeeps(guards, {.elections = 2, .proposals = 1, .crashes = 0, .doubled = 0, .beats = 1});
      }},
-    {"its own entries once kept", &Guards::counts_itself_kept,
-     [](const Guards& guards) {
+    {"its own entries once kept", &SafetyChecks::counts_itself_kept,
+     [](const SafetyChecks& guards) {
        return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 1, .doubled = 0, .beats = 0});
      }},
-    {"commitment of its own term", &Guards::own_term, FigureEight},
-    {"pre-vote", &Guards::pre_vote,
-     [](const Guards& guards) {
+    {"commitment of its own term", &SafetyChecks::own_term, FigureEight},
+    {"pre-vote", &SafetyChecks::pre_vote,
+     [](const SafetyChecks& guards) {
        Cluster cluster(1, guards);
        const std::size_t leader = cluster.Elect();
        cluster.CutOff((leader + 1) % 3, 3, true);
@@ -323,8 +325,8 @@
        cluster.RunFor(2s);
        return cluster.raft(leader).term() == before && cluster.Leads(leader);
      }},
-    {"who hears a leader votes for nobody", &Guards::sticky,
-     [](const Guards& guards) {
+    {"who hears a leader votes for nobody", &SafetyChecks::sticky,
+     [](const SafetyChecks& guards) {
        for (std::uint64_t seed = 1; seed <= 10; ++seed) {
          Cluster cluster(seed, guards);
          const std::size_t leader = cluster.Elect();
@@ -334,8 +336,8 @@
        }
        return true;
      }},
-    {"waits after a start", &Guards::wait_after_start,
-     [](const Guards& guards) {
+    {"waits after a start", &SafetyChecks::wait_after_start,
+     [](const SafetyChecks& guards) {
        for (std::uint64_t seed = 1; seed <= 20; ++seed) {
          Cluster cluster(seed, guards);
          const std::size_t leader = cluster.Elect(), deaf = (leader + 1) % 3, other = (leader + 2) % 3;
@@ -349,8 +351,8 @@
        }
        return true;
      }},
-    {"gives its lease up before it hands over", &Guards::give_up_lease,
-     [](const Guards& guards) {
+    {"gives its lease up before it hands over", &SafetyChecks::give_up_lease,
+     [](const SafetyChecks& guards) {
        Cluster cluster(1, guards);
        const std::size_t leader = cluster.Elect();
        for (simulation::Node i = 0; i < 3; ++i)  // it won't hear who comes after it
@@ -359,16 +361,16 @@
        cluster.RunFor(2s);
        return cluster.broken().empty();
      }},
-    {"steps down without a majority", &Guards::step_down,
-     [](const Guards& guards) {
+    {"steps down without a majority", &SafetyChecks::step_down,
+     [](const SafetyChecks& guards) {
        Cluster cluster(1, guards);
        const std::size_t leader = cluster.Elect();
        cluster.CutOff(leader, 3, true);
        cluster.RunFor(3s);
        return cluster.raft(leader).role() != Role::kLeader;
      }},
-    {"one change of voters at a time", &Guards::one_change,
-     [](const Guards& guards) {
+    {"one change of voters at a time", &SafetyChecks::one_change,
+     [](const SafetyChecks& guards) {
        Cluster cluster(1, guards);
        const std::size_t leader = cluster.Elect();
        cluster.RunFor(500ms);
@@ -386,8 +388,8 @@
 
 TEST(AgreementGuards, EachIsNeeded) {
   for (const Guarded& guarded : kGuards) {
-    EXPECT_TRUE(guarded.keeps(Guards())) << guarded.name << ": fails with the guard in place";
-    Guards without;
+    EXPECT_TRUE(guarded.keeps(SafetyChecks())) << guarded.name << ": fails with the guard in place";
+    SafetyChecks without;
     without.*guarded.guard = false;
     EXPECT_FALSE(guarded.keeps(without)) << guarded.name << ": taken away, and nothing fails";
   }
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -339,11 +339,11 @@
 }
 
 TEST(Notes, ComeBackAsTheyWereAndGarbageIsNothing) {
-  raft::Append append{3, 4, 5, 2, 5, 5, {{3, 6, raft::Kind::kVoters, "data", {"a", "b"}}}};
+  raft::AppendEntriesRequest append{3, 4, 5, 2, 5, 5, {{3, 6, raft::EntryKind::kVoters, "data", {"a", "b"}}}};
   const std::string bytes = Encode(Note{"n1", Logged{append}});
   const auto note = DecodeNote(bytes);
   ASSERT_TRUE(note.has_value());
-  EXPECT_EQ(std::get<raft::Append>(std::get<Logged>(note->body).message), append);
+  EXPECT_EQ(std::get<raft::AppendEntriesRequest>(std::get<Logged>(note->body).message), append);
   for (std::size_t size = 0; size < bytes.size(); ++size)
     EXPECT_FALSE(DecodeNote(std::string_view(bytes).substr(0, size)).has_value()) << size;
   const auto hello = DecodeNote(Encode(Note{"n1", HelloAnswer{1, 2, Welcome::kFounded, {{"a", 7}}}}));
