--- /dev/null
+++ b/tests/golden.h
@@ -0,0 +1,67 @@
+// Golden bytes: fixtures of lines "name hex" under tests/fixtures/wire, compared with what an encoder writes.
+#ifndef LEMONCROFT_TESTS_GOLDEN_H_
+#define LEMONCROFT_TESTS_GOLDEN_H_
+
+#include <gtest/gtest.h>
+
+#include <fstream>
+#include <functional>
+#include <map>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+namespace lemoncroft::golden {
+
+inline std::string ToHex(std::string_view bytes) {
+  constexpr std::string_view kDigits = "0123456789abcdef";
+  std::string hex;
+  for (const char c : bytes) {
+    const auto value = static_cast<unsigned char>(c);
+    hex.push_back(kDigits[value >> 4]);
+    hex.push_back(kDigits[value & 0xf]);
+  }
+  return hex;
+}
+
+inline std::string FromHex(std::string_view hex) {
+  std::string bytes;
+  for (std::size_t at = 0; at + 1 < hex.size(); at += 2)
+    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(at, 2)), nullptr, 16)));
+  return bytes;
+}
+
+inline std::map<std::string, std::string> ReadFixture(const std::string& file) {
+  std::ifstream in(std::string(LEMONCROFT_FIXTURES) + "/wire/" + file);
+  std::map<std::string, std::string> hex_by_name;
+  for (std::string name, hex; in >> name >> hex;) hex_by_name[name] = hex;
+  return hex_by_name;
+}
+
+struct Case {
+  std::string name;
+  std::string encoded;
+  // Decodes bytes and encodes what they hold; "undecodable" where they hold nothing.
+  std::function<std::string(std::string_view)> reencode;
+};
+
+// Each case has its line in the fixture and the other way round; the bytes are the same in both directions.
+inline void ExpectGolden(const std::string& file, const std::vector<Case>& cases) {
+  const auto golden = ReadFixture(file);
+  EXPECT_EQ(golden.size(), cases.size()) << file;
+  for (const Case& one : cases) {
+    const auto found = golden.find(one.name);
+    if (found == golden.end()) {
+      ADD_FAILURE() << "missing in " << file << ":\n" << one.name << " " << ToHex(one.encoded);
+      continue;
+    }
+    EXPECT_EQ(ToHex(one.encoded), found->second) << one.name << " encoded";
+    if (!one.reencode) continue;
+    EXPECT_EQ(ToHex(one.reencode(FromHex(found->second))), found->second) << one.name << " decoded";
+  }
+}
+
+}  // namespace lemoncroft::golden
+
+#endif  // LEMONCROFT_TESTS_GOLDEN_H_
