--- /dev/null
+++ b/tests/golden_stream_test.cpp
@@ -0,0 +1,86 @@
+// Pins what goes over sockets and has no encoder of its own: replies to operators, and the length in front of
+// each frame on a stream between proxies.
+#include <gtest/gtest.h>
+
+#include "golden.h"
+#include "management/listener.h"
+#include "peerlink/link.h"
+
+namespace lemoncroft {
+namespace {
+
+using namespace std::chrono_literals;
+using runtime::Now;
+using runtime::Task;
+
+runtime::Address AnyPort() { return *runtime::Address::Parse("127.0.0.1:0"); }
+
+// An address that was free a moment ago.
+runtime::Address FreeAddress(runtime::Loop& loop) { return runtime::Listener(loop, AnyPort()).address(); }
+
+Task<> Write(runtime::Socket& socket, std::string bytes) {
+  std::size_t written = 0;
+  co_await socket.Write(bytes, written, Now() + 1s);
+}
+
+// What a caller of the management address reads up to the end.
+std::string ReplyTo(const std::string& call, const management::Reply& reply) {
+  runtime::Loop loop;
+  const runtime::Address address = FreeAddress(loop);
+  management::Listener listener(loop, address, [&](const management::Call&) { return reply; });
+  std::string in;
+  const auto ask = [&]() -> Task<> {
+    std::unique_ptr<runtime::Socket> socket;
+    co_await runtime::Connect(loop, address, Now() + 1s, nullptr, socket);
+    if (socket) {
+      co_await Write(*socket, call);
+      while (co_await socket->Read(in, 4096, Now() + 1s) == runtime::Io::kOk) {
+      }
+    }
+    loop.Stop();
+  };
+  loop.Spawn(listener.Run());
+  loop.Spawn(ask());
+  loop.Run();
+  return in;
+}
+
+TEST(OperatorReply_EachForm, HasGoldenBytes) {
+  EXPECT_EQ(ReplyTo("readyz\n", {true, "", ""}), "ACK\n");
+  EXPECT_EQ(ReplyTo("telemetry\r\n", {true, "", "a=1\nb=2\n"}), "ACK\na=1\nb=2\n");
+  EXPECT_EQ(ReplyTo("exclude A\n", {true, "why", "line\n"}), "ACK why\nline\n");
+  EXPECT_EQ(ReplyTo("include A\n", {false, "no database has this id", ""}), "NAK no database has this id\n");
+  EXPECT_EQ(ReplyTo("readyz\n", {false, "", ""}), "NAK\n");
+  EXPECT_EQ(ReplyTo("reboot\n", {true, "", ""}),
+            "NAK unknown call; there are readyz, telemetry, exclude ID, include ID\n");
+  EXPECT_EQ(ReplyTo(std::string(300, 'a'), {true, "", ""}), "NAK the call is too long\n");
+}
+
+// A call and its answer on a stream: the length in four bytes, the lowest first, then the frame.
+TEST(PeerStream_CallAndAnswer, HaveGoldenBytes) {
+  auto golden = golden::ReadFixture("peer_streams.txt");
+  runtime::Loop loop;
+  runtime::Listener listener(loop, AnyPort());
+  const std::string answer = golden::FromHex(golden["answer"]);
+  std::string heard;
+  std::optional<std::string> got;
+  const auto serve = [&]() -> Task<> {
+    std::unique_ptr<runtime::Socket> socket;
+    if (co_await listener.Accept(socket) != runtime::Io::kOk) co_return;
+    while (heard.size() < golden["call"].size() / 2)
+      if (co_await socket->Read(heard, 4096, Now() + 1s) != runtime::Io::kOk) break;
+    co_await Write(*socket, answer);
+  };
+  const auto ask = [&]() -> Task<> {
+    got = co_await peerlink::Call(loop, "north", listener.address(), R"({"call":"status"})", Now() + 2s);
+    loop.Stop();
+  };
+  loop.Spawn(serve());
+  loop.Spawn(ask());
+  loop.Run();
+  EXPECT_EQ(golden::ToHex(heard), golden["call"]);
+  EXPECT_EQ(got, std::string(300, 'x'));
+}
+
+}  // namespace
+}  // namespace lemoncroft
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -79,6 +79,7 @@
        PeerCase("parcel_minimal", peerlink::Parcel{}),
        PeerCase("parcel_rules", peerlink::Parcel{1, peerlink::Part::kRules, kBinary}),
        PeerCase("parcel_call", peerlink::Parcel{kBig, peerlink::Part::kCall, "readyz"}),
+       PeerCase("parcel_call_long", peerlink::Parcel{7, peerlink::Part::kCall, std::string(300, 'x')}),
        PeerCase("parcel_lists", peerlink::Parcel{kBig, peerlink::Part::kLists, std::string(300, 'x')})});
 }
 
