--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -6,6 +6,7 @@
 #include <sys/socket.h>
 
 #include <functional>
+#include <regex>
 #include <utility>
 #include <vector>
 
@@ -322,5 +323,103 @@
   EXPECT_EQ(result_.rows, "next\ty\tz\n");
 }
 
+// All that an engine is written, as whole bytes but for the time that is left of a request.
+class Calls : public Answers {
+ protected:
+  // Runs until `count` calls have come, or 3 s.
+  std::vector<std::string> Received(std::size_t count, const std::function<runtime::Task<>()>& act) {
+    std::vector<std::string> calls;
+    Engine engine(loop_, [&](const std::string& call, runtime::Socket& socket) -> runtime::Task<> {
+      calls.push_back(std::regex_replace(call, host_, "HOST"));
+      co_await Reply(call, socket);
+      if (calls.size() == count) loop_.Stop();
+    });
+    host_ = engine.host_port();
+    ListEngine(engine.host_port());
+    const auto give_up = [&]() -> runtime::Task<> {
+      co_await loop_.Sleep(3s);
+      loop_.Stop();
+    };
+    loop_.Spawn(act());
+    loop_.Spawn(give_up());
+    loop_.Run();
+    return calls;
+  }
+
+ private:
+  runtime::Task<> Reply(const std::string& call, runtime::Socket& socket) {
+    constexpr const char* kNoContent = "HTTP/1.1 204 X\r\n\r\n";
+    constexpr const char* kAccepted = "HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n";
+    constexpr const char* kFirstPage = "HTTP/1.1 200 X\r\nChunks: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
+    constexpr const char* kSecondPage = "HTTP/1.1 200 X\r\nChunk: 1\r\nContent-Length: 6\r\n\r\nd\te\tf\n";
+    if (call.starts_with("POST ")) co_return co_await Say(socket, kAccepted);
+    if (!call.starts_with("GET /v2")) co_return co_await Say(socket, kNoContent);
+    if (cancels) co_return cancel_.Cancel();
+    const bool first = call.starts_with("GET /v2/q/00000000000000aa/0 ");
+    co_await Say(socket, first ? kFirstPage : kSecondPage);
+  }
+
+  std::regex host_;
+
+ protected:
+  bool cancels = false;  // the client leaves while its request runs
+};
+
+// The figure of X-Limit-Ms by N, where it is one that an attempt within 3 s can have.
+std::string WithoutLimit(const std::string& call) {
+  std::smatch limit;
+  const bool told = std::regex_search(call, limit, std::regex("X-Limit-Ms: ([0-9]{1,4})\r\n"));
+  if (!told || std::stoi(limit[1]) < 1 || std::stoi(limit[1]) > 3000) return call;
+  return limit.prefix().str() + "X-Limit-Ms: N\r\n" + limit.suffix().str();
+}
+
+TEST_F(Calls, OfARequestWithAllItsFieldsAreTheseBytes) {
+  const auto act = [&]() -> runtime::Task<> {
+    passed_.dedupe = "5c0f";
+    auto attempt = SomeAttempt();
+    attempt.grant_mb = 300.2;
+    attempt.priority = 7;
+    result_ = co_await engines_.Run(attempt, cancel_);
+    loop_.Stop();
+  };
+  const auto calls = Received(100, act);
+  EXPECT_EQ(result_.rows, "a\tb\tc\nd\te\tf\n");
+  ASSERT_EQ(calls.size(), 3u);
+  EXPECT_EQ(WithoutLimit(calls[0]),
+            "POST /v2/q HTTP/1.1\r\nHost: HOST\r\nX-Txn: 00000000000000aa\r\nX-Lane: load\r\n"
+            "X-Limit-Ms: N\r\nX-Dedupe: 5c0f\r\nPool-Mb: 301\r\nPool-Rank: 7\r\nContent-Length: 8\r\n\r\n"
+            "select 1");
+  EXPECT_EQ(calls[1], "GET /v2/q/00000000000000aa/0 HTTP/1.1\r\nHost: HOST\r\n\r\n");
+  EXPECT_EQ(calls[2], "GET /v2/q/00000000000000aa/1 HTTP/1.1\r\nHost: HOST\r\n\r\n");
+}
+
+TEST_F(Calls, OfAMinimalRequestThatIsGivenUpAreTheseBytes) {
+  cancels = true;
+  const auto act = [&]() -> runtime::Task<> {
+    const auto attempt = SomeAttempt();
+    result_ = co_await engines_.Run(attempt, cancel_);
+  };
+  const auto calls = Received(3, act);
+  ASSERT_EQ(calls.size(), 3u);
+  EXPECT_EQ(WithoutLimit(calls[0]),
+            "POST /v2/q HTTP/1.1\r\nHost: HOST\r\nX-Txn: 00000000000000aa\r\nX-Lane: load\r\n"
+            "X-Limit-Ms: N\r\nPool-Rank: 1\r\nContent-Length: 8\r\n\r\nselect 1");
+  EXPECT_EQ(calls[2], "DELETE /v2/q/00000000000000aa HTTP/1.1\r\nHost: HOST\r\n\r\n");
+}
+
+TEST_F(Calls, OfPrioritiesAndProbesAreTheseBytes) {
+  const auto act = [&]() -> runtime::Task<> {
+    co_await engines_.Probe(engine_);
+    engines_.set_report_fields({"inflight"});
+    co_await engines_.Probe(engine_);
+    engines_.Reprioritise(engine_, "00000000000000aa", 12);
+  };
+  EXPECT_EQ(Received(3, act),
+            (std::vector<std::string>{"GET /healthz HTTP/1.1\r\nHost: HOST\r\n\r\n",
+                                      "GET /stats HTTP/1.1\r\nHost: HOST\r\n\r\n",
+                                      "PUT /v2/q/00000000000000aa HTTP/1.1\r\nHost: HOST\r\n"
+                                      "Content-Length: 2\r\n\r\n12"}));
+}
+
 }  // namespace
 }  // namespace lemoncroft
