--- /dev/null
+++ b/tests/golden_wire_test.cpp
@@ -0,0 +1,267 @@
+// Pins the bytes between proxies and in the store: frames of the peer protocol, messages and durable records
+// of the log, notes on rules, entries and snapshots of the book of versions.
+#include <gtest/gtest.h>
+
+#include "golden.h"
+#include "peer_transport/frame.h"
+#include "raft/codec.h"
+#include "replicated_config/book.h"
+#include "replicated_config/notes.h"
+
+namespace lemoncroft {
+namespace {
+
+using golden::Case;
+using golden::ExpectGolden;
+
+constexpr const char* kFleet = "north";
+const std::string kUndecodable = "undecodable";
+constexpr std::uint64_t kBig = 0x0123456789abcdef;
+const std::string kBinary("a\0\xff\n", 4);
+
+// ---- Frames between proxies ----
+
+gossip::Record FullRecord() {
+  return {.id = kBig,
+          .name = "proxy-1",
+          .address = {0x7f000001, 7400},
+          .zone = "b",
+          .phase = gossip::Phase::kEnding,
+          .generation = 70000,
+          .incarnation = std::uint64_t{1} << 40,
+          .attributes = {{"rack", "r7"}, {"build", ""}}};
+}
+
+gossip::Sums FullSums() {
+  gossip::Sums sums{};
+  for (std::size_t i = 0; i < sums.size(); ++i) sums[i] = i * 0x0101010101010101;
+  return sums;
+}
+
+std::vector<gossip::News> NewsOfEachStatus() {
+  std::vector<gossip::News> all;
+  for (const auto status :
+       {gossip::Status::kAlive, gossip::Status::kSuspect, gossip::Status::kFailed, gossip::Status::kLeft})
+    all.push_back({status, FullRecord(), 300 + static_cast<std::uint64_t>(status)});
+  return all;
+}
+
+Case PeerCase(const std::string& name, const peer_transport::Message& message) {
+  return {name, peer_transport::Encode(kFleet, message), [](std::string_view bytes) {
+            const auto read = peer_transport::Decode(kFleet, bytes, peer_transport::kStreamMost);
+            const auto* decoded = std::get_if<peer_transport::Message>(&read);
+            return decoded != nullptr ? peer_transport::Encode(kFleet, *decoded) : kUndecodable;
+          }};
+}
+
+Case DatagramCase(const std::string& name, const gossip::Body& body) {
+  gossip::Record sender;
+  sender.id = 7;
+  sender.name = "p";
+  return PeerCase(name, gossip::Datagram{sender, 9, body, {}});
+}
+
+TEST(PeerFrame_EachMessageKind, HasGoldenBytes) {
+  ExpectGolden(
+      "peer_frames.txt",
+      {PeerCase("datagram_minimal", gossip::Datagram{{}, 0, gossip::Gossip{}, {}}),
+       PeerCase("datagram_full", gossip::Datagram{FullRecord(), kBig,
+                                                  gossip::PingRequest{90000, kBig + 1, {0x0a000102, 65535}},
+                                                  NewsOfEachStatus()}),
+       DatagramCase("datagram_ping", gossip::Ping{1, 2}),
+       DatagramCase("datagram_ping_request", gossip::PingRequest{3, 4, {0x7f000002, 80}}),
+       DatagramCase("datagram_ack", gossip::Ack{5, 6}), DatagramCase("datagram_nack", gossip::Nack{7}),
+       DatagramCase("datagram_stranger", gossip::Stranger{8}),
+       DatagramCase("datagram_gossip", gossip::Gossip{}), PeerCase("opening_minimal", gossip::Opening{}),
+       PeerCase("opening_full", gossip::Opening{FullRecord(), FullSums()}),
+       PeerCase("entries_minimal", gossip::Entries{}),
+       PeerCase("entries_full", gossip::Entries{FullRecord(), FullSums(), NewsOfEachStatus()}),
+       PeerCase("parcel_minimal", peer_transport::Parcel{}),
+       PeerCase("parcel_rules", peer_transport::Parcel{1, peer_transport::Part::kRules, kBinary}),
+       PeerCase("parcel_call", peer_transport::Parcel{kBig, peer_transport::Part::kCall, "readyz"}),
+       PeerCase("parcel_call_long",
+                peer_transport::Parcel{7, peer_transport::Part::kCall, std::string(300, 'x')}),
+       PeerCase("parcel_lists",
+                peer_transport::Parcel{kBig, peer_transport::Part::kLists, std::string(300, 'x')})});
+}
+
+// The checksum itself is pinned by the bytes above; each part of the header is looked at.
+TEST(PeerFrame_WrongHeader, IsAFaultOfItsKind) {
+  const std::string good = golden::FromHex(golden::ReadFixture("peer_frames.txt")["datagram_full"]);
+  const auto fault = [&](const std::string& frame, std::string_view fleet, std::size_t most) {
+    const auto read = peer_transport::Decode(fleet, frame, most);
+    return std::holds_alternative<peer_transport::Fault>(read)
+               ? std::string(peer_transport::NameOf(std::get<peer_transport::Fault>(read)))
+               : "none";
+  };
+  const auto changed = [&](std::size_t at) {
+    std::string frame = good;
+    frame[at] = static_cast<char>(frame[at] ^ 0x10);
+    return frame;
+  };
+  EXPECT_EQ(fault(good, kFleet, good.size()), "none");
+  EXPECT_EQ(fault(changed(3), kFleet, good.size()), "none") << "a later minor version";
+  EXPECT_EQ(fault(changed(0), kFleet, good.size()), "garbled") << "magic";
+  EXPECT_EQ(fault(changed(1), kFleet, good.size()), "garbled") << "magic";
+  EXPECT_EQ(fault(changed(2), kFleet, good.size()), "version");
+  for (std::size_t at = 4; at < 12; ++at) EXPECT_EQ(fault(changed(at), kFleet, good.size()), "garbled") << at;
+  EXPECT_EQ(fault(changed(good.size() - 1), kFleet, good.size()), "garbled") << "body";
+  EXPECT_EQ(fault(good.substr(0, 12), kFleet, good.size()), "cut");
+  EXPECT_EQ(fault(good, kFleet, good.size() - 1), "too long");
+  EXPECT_EQ(fault(good, "south", good.size()), "foreign");
+}
+
+// ---- The log ----
+
+raft::Entry FullEntry() { return {kBig, 70000, raft::EntryKind::kVoters, kBinary, {"proxy-1", "proxy-2"}}; }
+raft::Snapshot FullSnapshot() { return {70000, kBig, {"proxy-1", "proxy-2"}, kBinary}; }
+
+std::vector<raft::Entry> EntryOfEachKind() {
+  return {{1, 2, raft::EntryKind::kNoOp, "", {}}, {1, 3, raft::EntryKind::kData, "data", {}}, FullEntry()};
+}
+
+Case LogMessageCase(const std::string& name, const raft::Message& message) {
+  return {name, raft::Encode(message), [](std::string_view bytes) {
+            const auto read = raft::DecodeMessage(bytes);
+            return read ? raft::Encode(*read) : kUndecodable;
+          }};
+}
+
+template <typename T, typename Decoder>
+Case DurableCase(const std::string& name, const T& value, Decoder decode) {
+  return {name, raft::Encode(value), [decode](std::string_view bytes) {
+            const auto read = decode(bytes);
+            return read ? raft::Encode(*read) : kUndecodable;
+          }};
+}
+
+TEST(LogMessage_EachKind, HasGoldenBytes) {
+  ExpectGolden("log_messages.txt",
+               {LogMessageCase("vote_request_minimal", raft::VoteRequest{}),
+                LogMessageCase("vote_request_full", raft::VoteRequest{true, true, kBig, 70000, 300}),
+                LogMessageCase("vote_request_handed", raft::VoteRequest{false, true, kBig, 70000, 300}),
+                LogMessageCase("vote_answer_minimal", raft::VoteResponse{}),
+                LogMessageCase("vote_answer_full", raft::VoteResponse{true, kBig, true}),
+                LogMessageCase("vote_answer_granted", raft::VoteResponse{false, kBig, true}),
+                LogMessageCase("append_minimal", raft::AppendEntriesRequest{}),
+                LogMessageCase("append_full", raft::AppendEntriesRequest{kBig, 200, 70000, 300, 69000, 70001,
+                                                                         EntryOfEachKind()}),
+                LogMessageCase("append_answer_minimal", raft::AppendEntriesResponse{}),
+                LogMessageCase("append_answer_full", raft::AppendEntriesResponse{kBig, 200, true, 70000}),
+                LogMessageCase("install_minimal", raft::InstallSnapshotRequest{}),
+                LogMessageCase("install_full", raft::InstallSnapshotRequest{kBig, 200, FullSnapshot()}),
+                LogMessageCase("hand_over_minimal", raft::TimeoutNowRequest{}),
+                LogMessageCase("hand_over_full", raft::TimeoutNowRequest{kBig})});
+}
+
+TEST(LogRecord_EachKind, HasGoldenBytes) {
+  ExpectGolden("log_records.txt",
+               {DurableCase("entry_minimal", raft::Entry{}, raft::DecodeEntry),
+                DurableCase("entry_full", FullEntry(), raft::DecodeEntry),
+                DurableCase("promise_minimal", raft::HardState{}, raft::DecodeHardState),
+                DurableCase("promise_full", raft::HardState{kBig, "proxy-2"}, raft::DecodeHardState),
+                DurableCase("snapshot_minimal", raft::Snapshot{}, raft::DecodeSnapshot),
+                DurableCase("snapshot_full", FullSnapshot(), raft::DecodeSnapshot)});
+}
+
+// ---- Notes on rules ----
+
+Case NoteCase(const std::string& name, replicated_config::NoteBody body,
+              const std::string& from = "proxy-1") {
+  return {name, replicated_config::Encode(replicated_config::Note{from, std::move(body)}),
+          [](std::string_view bytes) {
+            const auto read = replicated_config::DecodeNote(bytes);
+            return read ? replicated_config::Encode(*read) : kUndecodable;
+          }};
+}
+
+// Of each alternative the empty value, in the order of their numbers on the wire.
+template <std::size_t I = 0>
+void AddMinimalNotes(std::vector<Case>& cases) {
+  if constexpr (I < std::variant_size_v<replicated_config::NoteBody>) {
+    cases.push_back(NoteCase("minimal_" + std::to_string(I),
+                             std::variant_alternative_t<I, replicated_config::NoteBody>{}, ""));
+    AddMinimalNotes<I + 1>(cases);
+  }
+}
+
+TEST(RulesNote_EachKind, HasGoldenBytes) {
+  using namespace replicated_config;
+  const std::vector<std::string> voters = {"proxy-1", "proxy-2"};
+  const Change change{"id-1", 70000, kBinary, "someone", 1700000000000};
+  std::vector<Case> cases = {
+      NoteCase("logged", Logged{raft::VoteRequest{true, false, kBig, 70000, 300}}),
+      NoteCase("renew", Renew{{kBig, 70000}, 2, 300}),
+      NoteCase("granted", Granted{{kBig, 70000, 70001, Span(-5'000'000'000), 300}, voters}),
+      NoteCase("elsewhere", Elsewhere{"proxy-2"}),
+      NoteCase("fetch", Fetch{70000}),
+      NoteCase("fetched", Fetched{70000, kBinary}),
+      NoteCase("propose", Propose{change}),
+      NoteCase("told_taken", Told{{"id-1", Verdict::kTaken, 70000, "why"}}),
+      NoteCase("told_conflict", Told{{"id-1", Verdict::kConflict, 70000, "why"}}),
+      NoteCase("told_refused", Told{{"id-1", Verdict::kRefused, 70000, "why"}}),
+      NoteCase("told_unknown", Told{{"id-1", Verdict::kUnknown, 70000, "why"}}),
+      NoteCase("ask", Ask{"id-1", kBinary}),
+      NoteCase("answer", Answer{"id-1", "why"}),
+      NoteCase("voters", Voters{"id-1", "proxy-2", true}),
+      NoteCase("read", Read{"id-1"}),
+      NoteCase("read_out", ReadOut{"id-1", 70001, 70000, voters}),
+      NoteCase("hello", Hello{kBig, true, 300, 200, 70000}),
+      NoteCase("hello_answer_blank", HelloAnswer{kBig, 300, Welcome::kBlank, {}}),
+      NoteCase("hello_answer_fine", HelloAnswer{kBig, 300, Welcome::kFine, {}}),
+      NoteCase("hello_answer_older", HelloAnswer{kBig, 300, Welcome::kOlder, {}}),
+      NoteCase("hello_answer_founded",
+               HelloAnswer{kBig, 300, Welcome::kFounded, {{"proxy-2", 2}, {"proxy-1", kBig}}}),
+      NoteCase("hello_answer_stranger", HelloAnswer{kBig, 300, Welcome::kStranger, {}}),
+      NoteCase("invite", Invite{kBig})};
+  AddMinimalNotes(cases);
+  ExpectGolden("rules_notes.txt", cases);
+}
+
+// ---- The book of versions ----
+
+replicated_config::Change ChangeFrom(replicated_config::Version from, const std::string& id) {
+  return {id, from, "attempts " + std::to_string(from + 2) + "\n", "someone", 1700000000000};
+}
+
+Case BookCase(const std::string& name, const replicated_config::Book& book) {
+  return {name, book.Snapshot(), [](std::string_view bytes) {
+            replicated_config::Book read;
+            return read.Restore(bytes) ? read.Snapshot() : kUndecodable;
+          }};
+}
+
+TEST(Book_EntriesAndSnapshots, HaveGoldenBytes) {
+  const std::string first = replicated_config::EntryOf(ChangeFrom(0, "id-1"));
+  const std::string second = replicated_config::EntryOf(ChangeFrom(1, "id-2"));
+  const std::string conflicting = replicated_config::EntryOf(ChangeFrom(1, "id-0"));
+  replicated_config::Book book;
+  for (const std::string& entry :
+       {first, replicated_config::EntryOf(replicated_config::Version{1}), second, conflicting})
+    book.Apply(entry);
+  ExpectGolden("rules_book.txt",
+               {{"change_minimal", replicated_config::EntryOf(replicated_config::Change{}), {}},
+                {"change_full", replicated_config::EntryOf({"id-1", kBig, kBinary, "someone", -1}), {}},
+                {"force_minimal", replicated_config::EntryOf(replicated_config::Version{0}), {}},
+                {"force_full", replicated_config::EntryOf(replicated_config::Version{kBig}), {}},
+                BookCase("snapshot_minimal", replicated_config::Book()),
+                BookCase("snapshot_full", book)});
+}
+
+TEST(Book_GoldenEntriesApplied, GiveTheGoldenSnapshot) {
+  auto golden = golden::ReadFixture("rules_book.txt");
+  replicated_config::Book book;
+  const auto outcome = book.Apply(golden::FromHex(golden["change_minimal"]));
+  ASSERT_TRUE(outcome);
+  EXPECT_STREQ(replicated_config::NameOf(outcome->verdict), "taken");
+  EXPECT_EQ(book.newest(), 1u);
+  EXPECT_FALSE(book.Apply(golden::FromHex(golden["force_full"]))) << "of a version that isn't there";
+  EXPECT_EQ(book.in_force(), 0u);
+  const auto conflict = book.Apply(golden::FromHex(golden["change_full"]));
+  ASSERT_TRUE(conflict);
+  EXPECT_STREQ(replicated_config::NameOf(conflict->verdict), "conflict");
+  EXPECT_EQ(conflict->id, "id-1");
+}
+
+}  // namespace
+}  // namespace lemoncroft
