--- /dev/null
+++ b/tests/stored_data_test.cpp
@@ -0,0 +1,284 @@
+// What earlier processes have stored is read back as it was meant, and what is stored today has the same
+// form: a voter's store, the engines that are out by hand, and the processes of one proxy. The files under
+// fixtures/ were written once and stay as they are.
+#include <fcntl.h>
+#include <gtest/gtest.h>
+#include <sqlite3.h>
+
+#include <chrono>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <map>
+#include <set>
+#include <string>
+
+#include "agreement/codec.h"
+#include "handover/census.h"
+#include "handover/hand_marks.h"
+#include "rules/book.h"
+#include "storage/database.h"
+
+namespace lemoncroft {
+namespace {
+
+namespace fs = std::filesystem;
+using namespace std::chrono_literals;
+
+const fs::path kFixtures = LEMONCROFT_FIXTURES;
+constexpr const char* kOwner = "f1/n1";
+
+class TemporaryFolder {
+ public:
+  TemporaryFolder() {
+    std::string name = (fs::temp_directory_path() / "lemoncroft-stored-XXXXXX").string();
+    path_ = ::mkdtemp(name.data());
+  }
+  ~TemporaryFolder() { fs::remove_all(path_); }
+  const fs::path& path() const { return path_; }
+
+ private:
+  fs::path path_;
+};
+
+std::string BytesOf(const fs::path& path) {
+  std::ifstream file(path, std::ios::binary);
+  return {std::istreambuf_iterator<char>(file), {}};
+}
+
+std::string Hex(const std::string& bytes) {
+  constexpr char kDigits[] = "0123456789abcdef";
+  std::string out;
+  for (const unsigned char byte : bytes) {
+    out += kDigits[byte >> 4];
+    out += kDigits[byte & 15];
+  }
+  return out;
+}
+
+std::set<std::string> NamesIn(const fs::path& folder) {
+  std::set<std::string> names;
+  for (const auto& entry : fs::directory_iterator(folder)) names.insert(entry.path().filename());
+  return names;
+}
+
+// ---- A voter's store ----
+
+constexpr const char* kFirstText = "format 1\nattempts 3\n";
+constexpr const char* kSecondText = "format 1\nattempts 3\nout \"e7\"\n";
+constexpr const char* kThirdText = "format 1\nattempts 3\nopen-most 500\nout \"e7\"\n";
+constexpr const char* kFounders = "n1 1311768467463790320\nn2 42\nn3 77\n";
+
+const std::map<std::string, std::string> kRecordsHex = {
+    {"@format", Hex("1")},
+    {"@owner", Hex(kOwner)},
+    {"founders", Hex(kFounders)},
+    {"promise", "9207c4026e32"},
+    {"snapshot",
+     "94050493c4026e31c4026e32c4026e33c4759402019801c414666f726d617420310a617474656d70747320330aa3616461cf000"
+     "001"
+     "8bcfe5680002c41d666f726d617420310a617474656d70747320330a6f757420226537220aad6e32206578636c756465206537c"
+     "f00"
+     "00018bcfe56be899a46e312d310001a46e322d310002a46e332d310102"},
+    {"store", Hex("1311768467463790320")}};
+const std::map<std::uint64_t, std::string> kLogHex = {{6, "95050600c40090"},
+                                                      {7, "95050701c40392010290"},
+                                                      {8, "95060802c40094c4026e31c4026e32c4026e33c4026e34"},
+                                                      {9,
+                                                       "95060901c4429600a46e312d3202c42b666f726d617420310a617"
+                                                       "474656d70747320330a6f70656e2d6d6f7374203530300a6f7574"
+                                                       "20226537220aa3616461cf0000018bcfe573b890"}};
+
+// All that SQLite holds, with the tables' definitions and the checksums.
+std::string DumpOf(const fs::path& path) {
+  sqlite3* db = nullptr;
+  EXPECT_EQ(sqlite3_open_v2(path.c_str(), &db, SQLITE_OPEN_READWRITE, nullptr), SQLITE_OK);
+  std::string out;
+  const auto append_row = [](void* to, int columns, char** values, char**) {
+    for (int i = 0; i < columns; ++i) *static_cast<std::string*>(to) += std::string(values[i]) + "|";
+    *static_cast<std::string*>(to) += "\n";
+    return 0;
+  };
+  for (const char* query : {"SELECT name, sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY name",
+                            "SELECT hex(name), hex(value), sum FROM records ORDER BY name",
+                            "SELECT number, hex(value), sum FROM log ORDER BY number"})
+    EXPECT_EQ(sqlite3_exec(db, query, append_row, &out, nullptr), SQLITE_OK) << sqlite3_errmsg(db);
+  sqlite3_close(db);
+  return out;
+}
+
+class VoterStore : public ::testing::Test {
+ protected:
+  VoterStore() : path_(folder_.path() / "voter.db") {
+    fs::copy_file(kFixtures / "store/voter.db", path_);
+    fs::permissions(path_, fs::perms::owner_write, fs::perm_options::add);
+    std::string why;
+    EXPECT_EQ(storage::Database({path_, kOwner}).Open(contents_, why), storage::Health::kDone) << why;
+  }
+
+  TemporaryFolder folder_;
+  fs::path path_;
+  storage::Contents contents_;
+};
+
+TEST_F(VoterStore, OfAnEarlierProcess_Opened_GivesEachRecord) {
+  std::map<std::string, std::string> records;
+  for (const auto& [name, value] : contents_.records) records[name] = Hex(value);
+  std::map<std::uint64_t, std::string> log;
+  for (const auto& [number, value] : contents_.log) log[number] = Hex(value);
+  EXPECT_EQ(records, kRecordsHex);
+  EXPECT_EQ(log, kLogHex);
+}
+
+TEST_F(VoterStore, OfAnEarlierProcess_OpenedByAnother_IsForeign) {
+  std::string why;
+  EXPECT_EQ(storage::Database({path_, "f1/n2"}).Open(contents_, why), storage::Health::kForeign);
+}
+
+TEST_F(VoterStore, SameContentsWrittenToday_HaveTheSameTablesRowsAndChecksums) {
+  const fs::path today = folder_.path() / "today.db";
+  storage::Batch batch;
+  for (const auto& [name, value] : contents_.records)
+    if (!name.starts_with('@')) batch.records.emplace_back(name, value);
+  batch.log.assign(contents_.log.begin(), contents_.log.end());
+  storage::Contents fresh;
+  std::string why;
+  storage::Database database({today, kOwner});
+  ASSERT_EQ(database.Open(fresh, why), storage::Health::kDone) << why;
+  ASSERT_EQ(database.Write(batch, why), storage::Health::kDone) << why;
+  database.Close();
+  const std::string dump = DumpOf(today);
+  EXPECT_NE(dump.find("CREATE TABLE records"), std::string::npos) << dump;
+  EXPECT_EQ(dump, DumpOf(path_));
+}
+
+// What the promise, the snapshot and the log mean.
+agreement::Durable DurableOfVoter() {
+  agreement::Durable durable;
+  durable.promise = {7, "n2"};
+  durable.snapshot.index = 5;
+  durable.snapshot.term = 4;
+  durable.snapshot.voters = {"n1", "n2", "n3"};
+  rules::Book book;
+  for (const auto& change : {rules::Change{"n1-1", 0, kFirstText, "ada", 1700000000000},
+                             rules::Change{"n2-1", 1, kSecondText, "n2 exclude e7", 1700000001000},
+                             rules::Change{"n3-1", 1, kThirdText, "eve", 1700000002000}}) {
+    book.Apply(rules::EntryOf(change));
+    if (change.from == 0) book.Apply(rules::EntryOf(rules::Version{1}));
+  }
+  durable.snapshot.data = book.Snapshot();
+  using agreement::Kind;
+  const rules::Change last{"n1-2", 2, kThirdText, "ada", 1700000003000};
+  durable.log = {{5, 6, Kind::kNothing, "", {}},
+                 {5, 7, Kind::kData, rules::EntryOf(rules::Version{2}), {}},
+                 {6, 8, Kind::kVoters, "", {"n1", "n2", "n3", "n4"}},
+                 {6, 9, Kind::kData, rules::EntryOf(last), {}}};
+  return durable;
+}
+
+TEST_F(VoterStore, OfAnEarlierProcess_Decoded_IsTermVoteSnapshotAndLog) {
+  const agreement::Durable wanted = DurableOfVoter();
+  EXPECT_EQ(agreement::DecodePromise(contents_.records["promise"]), wanted.promise);
+  EXPECT_EQ(agreement::DecodeSnapshot(contents_.records["snapshot"]), wanted.snapshot);
+  ASSERT_EQ(contents_.log.size(), wanted.log.size());
+  for (const agreement::Entry& entry : wanted.log)
+    EXPECT_EQ(agreement::DecodeEntry(contents_.log[entry.index]), entry) << entry.index;
+}
+
+TEST_F(VoterStore, SameVoterEncodedToday_HasTheSameBytes) {
+  const agreement::Durable durable = DurableOfVoter();
+  EXPECT_EQ(Hex(agreement::Encode(durable.promise)), kRecordsHex.at("promise"));
+  EXPECT_EQ(Hex(agreement::Encode(durable.snapshot)), kRecordsHex.at("snapshot"));
+  for (const agreement::Entry& entry : durable.log)
+    EXPECT_EQ(Hex(agreement::Encode(entry)), kLogHex.at(entry.index)) << entry.index;
+}
+
+TEST_F(VoterStore, OfAnEarlierProcess_Restored_GivesTheDocumentsAndTheOutcomes) {
+  rules::Book book;
+  ASSERT_TRUE(book.Restore(agreement::DecodeSnapshot(contents_.records["snapshot"])->data));
+  EXPECT_EQ(book.newest(), 2u);
+  EXPECT_EQ(book.in_force(), 1u);
+  EXPECT_EQ(*book.Find(1), (rules::Written{kFirstText, "ada", 1700000000000}));
+  EXPECT_EQ(*book.Find(2), (rules::Written{kSecondText, "n2 exclude e7", 1700000001000}));
+  EXPECT_EQ(book.OutcomeOf("n2-1")->verdict, rules::Verdict::kTaken);
+  EXPECT_EQ(book.OutcomeOf("n3-1")->verdict, rules::Verdict::kConflict);
+  for (const auto& [number, bytes] : contents_.log) {
+    const auto entry = agreement::DecodeEntry(bytes);
+    if (entry->kind == agreement::Kind::kData) book.Apply(entry->data);
+  }
+  EXPECT_EQ(book.newest(), 3u);
+  EXPECT_EQ(book.in_force(), 2u);
+  EXPECT_EQ(*book.Find(3), (rules::Written{kThirdText, "ada", 1700000003000}));
+}
+
+// ---- Engines that are out by hand ----
+
+const std::set<std::string> kMarkFiles = {"back-6539", "out-64622f323a78", "out-732d31"};
+
+TEST(HandMarks, OfAnEarlierProcess_Read_GiveTheEngines) {
+  const TemporaryFolder folder;
+  fs::copy(kFixtures / "tmpdir", folder.path(), fs::copy_options::recursive);
+  const fs::file_time_type::clock::duration kReturned = 1'700'000'000s;
+  fs::last_write_time(folder.path() / "lemoncroft-hand-1/back-6539",
+                      fs::file_time_type::clock::from_sys(std::chrono::sys_time<std::chrono::nanoseconds>(
+                          std::chrono::duration_cast<std::chrono::nanoseconds>(kReturned))));
+  const auto marks = handover::HandMarks(folder.path()).Read();
+  ASSERT_TRUE(marks);
+  EXPECT_EQ(marks->out, (std::set<std::string>{"db/2:x", "s-1"}));
+  ASSERT_EQ(marks->returned.size(), 1u);
+  EXPECT_EQ(marks->returned.at("e9"), handover::UnixTime(1'700'000'000s));
+}
+
+TEST(HandMarks, SameCallsToday_MakeTheSameFiles) {
+  const TemporaryFolder folder;
+  const handover::HandMarks marks(folder.path());
+  for (const char* id : {"s-1", "db/2:x", "e9"}) EXPECT_TRUE(marks.Out(id));
+  EXPECT_TRUE(marks.Back("e9"));
+  EXPECT_EQ(NamesIn(folder.path()), (std::set<std::string>{"lemoncroft-hand-1"}));
+  const fs::path files = folder.path() / "lemoncroft-hand-1";
+  EXPECT_EQ(NamesIn(files), kMarkFiles);
+  EXPECT_EQ(NamesIn(kFixtures / "tmpdir/lemoncroft-hand-1"), kMarkFiles);
+  for (const std::string& name : kMarkFiles) EXPECT_EQ(fs::file_size(files / name), 0u) << name;
+}
+
+// ---- Processes of one proxy ----
+
+constexpr const char* kCensusFile = "lemoncroft-census-1";
+constexpr off_t kSlotBytes = 12;
+
+TEST(Census, SlotOfAnEarlierProcess_WhileItsLockIsHeld_IsCounted) {
+  const TemporaryFolder folder;
+  const fs::path path = folder.path() / kCensusFile;
+  fs::copy_file(kFixtures / "tmpdir" / kCensusFile, path);
+  fs::permissions(path, fs::perms::owner_write, fs::perm_options::add);
+  {
+    const runtime::Descriptor other(::open(path.c_str(), O_RDWR | O_CLOEXEC));
+    struct flock lock {};
+    lock.l_type = F_WRLCK;
+    lock.l_whence = SEEK_SET;
+    lock.l_len = 1;
+    ASSERT_EQ(::fcntl(other.get(), F_OFD_SETLK, &lock), 0);
+    const handover::Census census(folder.path());
+    const handover::Others others = census.Look();
+    EXPECT_EQ(others.processes, 1u);
+    EXPECT_EQ(others.holding.clients, 5u);
+    EXPECT_EQ(others.holding.engines, 1027u);
+    EXPECT_EQ(others.holding.serves, 1u);
+    census.Tell({1, 2, 0});
+    EXPECT_EQ(Hex(BytesOf(path).substr(kSlotBytes)), "010000000200000000000000") << "the slot behind";
+  }
+  EXPECT_EQ(handover::Census(folder.path()).Look().processes, 0u) << "nobody holds a lock any more";
+}
+
+TEST(Census, SameHoldingToday_HasTheSameBytes) {
+  const TemporaryFolder folder;
+  const handover::Census census(folder.path());
+  census.Tell({5, 1027, 1});
+  EXPECT_EQ(NamesIn(folder.path()), (std::set<std::string>{kCensusFile}));
+  EXPECT_EQ(Hex(BytesOf(folder.path() / kCensusFile)), "050000000304000001000000");
+  EXPECT_EQ(BytesOf(folder.path() / kCensusFile), BytesOf(kFixtures / "tmpdir" / kCensusFile));
+}
+
+}  // namespace
+}  // namespace lemoncroft
