--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr auto kMarksBeat = 50ms;  // well within the grace that sends to a drained engine have
+constexpr auto kEjectionStoreInterval = 50ms;  // well within the grace that sends to a drained engine have
 }
 
 Reply Operations::Answer(const Call& call) {
@@ -43,35 +43,35 @@
   if (done == Directory::ByHand::kNobody) return {false, "no database has this id", {}};
   if (done == Directory::ByHand::kTooMany) return {false, "too many databases are out already", {}};
   spdlog::info("operator: {} {}", out ? "exclude" : "include", id);
-  if (!marks_ || (!out && !was_out)) return {true, {}, {}};
-  const bool kept = out ? marks_->Out(id) : marks_->Back(id);
-  if (kept || !out) unkept_.erase(id);
-  if (kept || !out) return {true, {}, {}};
-  unkept_.insert(id);
+  if (!ejection_store_ || (!out && !was_out)) return {true, {}, {}};
+  const bool saved = out ? ejection_store_->SaveEjection(id) : ejection_store_->SaveReturn(id);
+  if (saved || !out) unsaved_ejections_.erase(id);
+  if (saved || !out) return {true, {}, {}};
+  unsaved_ejections_.insert(id);
   spdlog::warn("operator: exclude {} can't be kept in $TMPDIR: it holds for this process only", id);
   return {true, "for this process only: it can't be kept in $TMPDIR", {}};
 }
 
-void Operations::ShareMarks(const std::string& tmpdir, std::chrono::nanoseconds warm) {
-  marks_ = std::make_unique<hot_restart::HandMarks>(tmpdir);
+void Operations::EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds warm) {
+  ejection_store_ = std::make_unique<hot_restart::EjectionStore>(tmpdir);
   const auto age = std::chrono::duration_cast<hot_restart::UnixTime::duration>(warm);
-  marks_->Sweep(std::chrono::system_clock::now() - age);
+  ejection_store_->RemoveReturnsBefore(std::chrono::system_clock::now() - age);
   TakeOver();
 }
 
-runtime::Task<> Operations::FollowMarks() {
-  for (;; co_await loop_.Sleep(kMarksBeat)) {
-    if (marks_ && marks_->Changed()) TakeOver();
+runtime::Task<> Operations::WatchEjectionStore() {
+  for (;; co_await loop_.Sleep(kEjectionStoreInterval)) {
+    if (ejection_store_ && ejection_store_->MayHaveChanged()) TakeOver();
   }
 }
 
 void Operations::TakeOver() {
-  auto marks = marks_->Read();
-  if (!marks) return;  // what is known stands
-  for (const std::string& id : unkept_) marks->out.insert(id);
-  for (const std::string& id : marks->out)
+  auto ejections = ejection_store_->Read();
+  if (!ejections) return;  // what is known stands
+  for (const std::string& id : unsaved_ejections_) ejections->ejected.insert(id);
+  for (const std::string& id : ejections->ejected)
     if (!directory_.IsOut(id)) spdlog::info("out by hand, as another process was told: {}", id);
-  directory_.TakeOver(marks->out, marks->returned, tell_);
+  directory_.TakeOver(ejections->ejected, ejections->returned_at, tell_);
 }
 
 }  // namespace lemoncroft::cli
--- a/src/cli/operations.h
+++ b/src/cli/operations.h
@@ -12,7 +12,7 @@
 #include "admin/listener.h"
 #include "broker/broker.h"
 #include "discovery/directory.h"
-#include "hot_restart/hand_marks.h"
+#include "hot_restart/ejection_store.h"
 #include "metrics/counters.h"
 
 namespace lemoncroft::cli {
@@ -44,9 +44,9 @@
 
   // From now on engines out by hand are kept in $TMPDIR, for the process that takes this one's place; what
   // one before has left there holds here. `warm`: how long a returned engine may be cold.
-  void ShareMarks(const std::string& tmpdir, std::chrono::nanoseconds warm);
+  void EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds warm);
   // Keeps to what the other process is told, while there are two.
-  runtime::Task<> FollowMarks();
+  runtime::Task<> WatchEjectionStore();
 
  private:
   admin::Reply ByHand(const admin::Call& call);
@@ -57,8 +57,8 @@
   broker::Broker& broker_;
   const metrics::Counters& counters_;
   discovery::Directory::Tell tell_;
-  std::unique_ptr<hot_restart::HandMarks> marks_;  // null: not shared
-  std::set<std::string> unkept_;                   // out by hand, but without a mark
+  std::unique_ptr<hot_restart::EjectionStore> ejection_store_;  // null: not shared
+  std::set<std::string> unsaved_ejections_;                     // out by hand, but without a mark
   std::function<std::vector<std::pair<std::string, std::uint64_t>>()> more_;
   bool agreed_ = false;
   Phase phase_ = Phase::kStarting;
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -23,7 +23,7 @@
 #include "discovery/directory.h"
 #include "discovery/feed.h"
 #include "frontend/frame_server.h"
-#include "hot_restart/census.h"
+#include "hot_restart/process_registry.h"
 #include "operator_config/operator_file.h"
 
 namespace lemoncroft::cli {
@@ -46,9 +46,9 @@
 constexpr auto kGiveUpFor = 100ms;   // for attempts that nobody waits for to be called off
 constexpr auto kFeedFirst = 1000ms;  // for the control feed to answer a process that takes another's place
 constexpr auto kStartBeat = 5ms;
-constexpr auto kCensusBeat = 100ms;  // of what the processes of this proxy hold
-constexpr auto kTidyBeat = 1s;       // of what reloads have left
-constexpr auto kStateBeat = 1s;      // of the state file
+constexpr auto kRegistryInterval = 100ms;  // of what the processes of this proxy hold
+constexpr auto kTidyBeat = 1s;             // of what reloads have left
+constexpr auto kStateBeat = 1s;            // of the state file
 
 constexpr std::size_t kSocketsUntold = 1024;
 constexpr std::size_t kOwnDescriptors = 40;  // epoll, signals, log, control feed, those of short calls
@@ -59,7 +59,7 @@
 }
 
 // What this proxy may hold, however many processes it is.
-hot_restart::Whole WholeOf(const Config& config) {
+hot_restart::ProxyLimits ProxyLimitsOf(const Config& config) {
   const std::size_t sockets = config.sockets > 0 ? config.sockets : kSocketsUntold;
   const std::size_t operators = config.management ? admin::Listener::kCallersMost + 1 : 0;
   return {sockets, sockets * 2 / 5, kOwnDescriptors + operators};  // clients hold a third; some reconnect
@@ -67,14 +67,14 @@
 
 backend::Pool::Limits PoolLimits(const Config& config) {
   backend::Pool::Limits limits;
-  limits.connections = hot_restart::Divide(WholeOf(config), {}, {}).engines;
+  limits.connections = hot_restart::DivideLimits(ProxyLimitsOf(config), {}, {}).engines;
   limits.idle = IdleFor(config.site);
   return limits;
 }
 
 frontend::FrameServer::Limits ClientLimits(const Config& config, std::size_t memory_mb) {
   frontend::FrameServer::Limits limits;
-  limits.connections = WholeOf(config).clients;
+  limits.connections = ProxyLimitsOf(config).clients;
   if (memory_mb > 0) {
     limits.unread_by_all = (memory_mb << 20) / 8;
     limits.unparsed_of_all = (memory_mb << 20) / 4;
@@ -292,21 +292,22 @@
 }
 
 // Keeps to this process's share of the limits while there are others, and tells them what it holds.
-Task<> ShareLimits(runtime::Loop& loop, const hot_restart::Census& census, const Operations& operations,
-                   Running& running) {
-  const hot_restart::Whole whole = WholeOf(running.config);
+Task<> ShareLimits(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
+                   const Operations& operations, Running& running) {
+  const hot_restart::ProxyLimits limits = ProxyLimitsOf(running.config);
   std::size_t before = 0;
   int parts = 0;  // not told yet
-  for (;; co_await loop.Sleep(kCensusBeat)) {
-    const hot_restart::Holding own{static_cast<std::uint32_t>(running.server.connections()),
-                                   static_cast<std::uint32_t>(running.engines.pool().open()),
-                                   operations.phase() == Operations::Phase::kServing};
-    census.Tell(own);
-    const hot_restart::Others others = census.Look();
-    const hot_restart::Share share = Divide(whole, own, others);
+  for (;; co_await loop.Sleep(kRegistryInterval)) {
+    const hot_restart::ConnectionUsage own{static_cast<std::uint32_t>(running.server.connections()),
+                                           static_cast<std::uint32_t>(running.engines.pool().open()),
+                                           operations.phase() == Operations::Phase::kServing};
+    registry.Publish(own);
+    const hot_restart::PeerProcesses others = registry.ReadPeers();
+    const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
     running.server.set_connections(share.clients);
     running.engines.pool().set_connections(share.engines);
-    if (const int now = Parts(own, others); std::exchange(parts, now) != now) running.broker.TellBeside(now);
+    if (const int now = ProcessCount(own, others); std::exchange(parts, now) != now)
+      running.broker.TellBeside(now);
     if (std::exchange(before, others.processes) == others.processes) continue;
     spdlog::info(
         "{} other processes of this proxy live: at most {} connections to clients, {} to engines now", before,
@@ -376,14 +377,15 @@
   };
   Operations operations(loop, directory, broker, counters, tell);
   const char* tmpdir = std::getenv("TMPDIR");
-  std::unique_ptr<hot_restart::Census> census;
-  if (shared && tmpdir != nullptr) census = std::make_unique<hot_restart::Census>(tmpdir);
-  if (shared && (tmpdir == nullptr || !census->counted()))
+  std::unique_ptr<hot_restart::ProcessRegistry> registry;
+  if (shared && tmpdir != nullptr) registry = std::make_unique<hot_restart::ProcessRegistry>(tmpdir);
+  if (shared && (tmpdir == nullptr || !registry->registered()))
     spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
   if (shared && tmpdir != nullptr && !file.rules)  // else the fleet's rules tell of engines out by hand
-    operations.ShareMarks(tmpdir, broker::ToSpan(site->module.warm_within + site->module.fall_window));
+    operations.EnableEjectionStore(tmpdir,
+                                   broker::ToSpan(site->module.warm_within + site->module.fall_window));
   // Before the list: what a cold engine takes may have been sent it just now.
-  if (census && census->Look().holding.serves > 0) broker.TellBeside(2);
+  if (registry && registry->ReadPeers().usage.serving > 0) broker.TellBeside(2);
   std::unique_ptr<Fleet> fleet;
   std::unique_ptr<Rules> rules;
   if (file.fleet) {
@@ -436,8 +438,8 @@
   broker.Start();
   if (shared) {
     loop.Spawn(StartInPlace(loop, directory, feed, server, operations));
-    if (rules == nullptr) loop.Spawn(operations.FollowMarks());
-    if (census) loop.Spawn(ShareLimits(loop, *census, operations, running));
+    if (rules == nullptr) loop.Spawn(operations.WatchEjectionStore());
+    if (registry) loop.Spawn(ShareLimits(loop, *registry, operations, running));
   } else {
     server.Start();
     operations.set_phase(Operations::Phase::kServing);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -13,7 +13,7 @@
 #include "discovery/directory.h"
 #include "discovery/feed.h"
 #include "gossip/view.h"
-#include "hot_restart/hand_marks.h"
+#include "hot_restart/ejection_store.h"
 #include "peer_transport/frame.h"
 #include "replicated_config/book.h"
 #include "replicated_config/document.h"
@@ -250,18 +250,18 @@
 
 // ---- What processes and proxies tell each other ----
 
-TEST(Scale, FifteenHundredEnginesOutByHandOutliveTheProcess) {
+TEST(Scale, FifteenHundredEjectedEnginesOutliveTheProcess) {
   const auto folder =
       std::filesystem::temp_directory_path() / ("lemoncroft-scale-" + std::to_string(::getpid()));
   std::filesystem::create_directories(folder);
-  const hot_restart::HandMarks marks(folder);
-  for (int i = 0; i < kEngines; ++i) ASSERT_TRUE(marks.Out(Name("s", i)));
-  for (int i = 0; i < kEngines; i += 2) ASSERT_TRUE(marks.Back(Name("s", i)));
-  const auto read = marks.Read();
+  const hot_restart::EjectionStore store(folder);
+  for (int i = 0; i < kEngines; ++i) ASSERT_TRUE(store.SaveEjection(Name("s", i)));
+  for (int i = 0; i < kEngines; i += 2) ASSERT_TRUE(store.SaveReturn(Name("s", i)));
+  const auto read = store.Read();
   std::filesystem::remove_all(folder);
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->out.size(), static_cast<std::size_t>(kEngines / 2));
-  EXPECT_EQ(read->returned.size(), static_cast<std::size_t>(kEngines / 2));
+  EXPECT_EQ(read->ejected.size(), static_cast<std::size_t>(kEngines / 2));
+  EXPECT_EQ(read->returned_at.size(), static_cast<std::size_t>(kEngines / 2));
 }
 
 TEST(Scale, RulesThatNameFifteenHundredOfEachKind) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -8,8 +8,8 @@
 #include "admin/call.h"
 #include "cli/config.h"
 #include "discovery/directory.h"
-#include "hot_restart/census.h"
-#include "hot_restart/hand_marks.h"
+#include "hot_restart/ejection_store.h"
+#include "hot_restart/process_registry.h"
 #include "metrics/counters.h"
 #include "settings/succession.h"
 
@@ -40,47 +40,6 @@
   EXPECT_LE(reader.line().size(), admin::kLineMost + 1);
 }
 
-class Marks : public testing::Test {
- protected:
-  Marks() { fs::create_directories(dir_); }
-  ~Marks() override { fs::remove_all(dir_); }
-  fs::path dir_ = fs::temp_directory_path() / ("marks-" + std::to_string(::getpid()));
-};
-
-TEST_F(Marks, AreSharedByTwoProcesses) {
-  hot_restart::HandMarks one(dir_), other(dir_);
-  EXPECT_FALSE(other.Changed());
-  EXPECT_TRUE(one.Out("a/../b"));
-  EXPECT_TRUE(other.Changed());
-  EXPECT_TRUE(other.Out("c"));
-  EXPECT_EQ(one.Read()->out, (std::set<std::string>{"a/../b", "c"}));
-  EXPECT_TRUE(other.Back("a/../b"));
-  EXPECT_EQ(one.Read()->out, (std::set<std::string>{"c"}));
-  EXPECT_EQ(one.Read()->returned.count("a/../b"), 1u);
-  one.Sweep(std::chrono::system_clock::now() + 1h);
-  EXPECT_TRUE(one.Read()->returned.empty());
-  EXPECT_EQ(one.Read()->out.size(), 1u);
-}
-
-TEST_F(Marks, PassOverWhatIsNoneOfTheirs) {
-  hot_restart::HandMarks marks(dir_);
-  ASSERT_TRUE(marks.Out("a"));
-  const fs::path folder = dir_ / "lemoncroft-hand-1";
-  for (const char* name : {"out-", "out-6", "out-zz", "out", "garbage", "back-"})
-    std::ofstream(folder / name) << std::string(1000, '\0');
-  fs::create_directory(folder / "out-61626364");
-  fs::create_symlink("/nonexistent", folder / "out-6162");
-  EXPECT_EQ(marks.Read()->out, (std::set<std::string>{"a"}));
-  EXPECT_FALSE(marks.Out(std::string(hot_restart::HandMarks::kIdMost + 1, 'x')));
-}
-
-TEST_F(Marks, AFolderThatCantBeMadeIsSaid) {
-  std::ofstream(dir_ / "lemoncroft-hand-1") << "a file where the folder should be";
-  hot_restart::HandMarks marks(dir_);
-  EXPECT_FALSE(marks.Out("a"));
-  EXPECT_FALSE(marks.Read()) << "nothing is known, so nothing is lifted";
-}
-
 // The module warms an engine by its start; a return by hand counts as one, whatever the feed tells later.
 class ByHand : public testing::Test {
  protected:
@@ -268,71 +227,6 @@
   EXPECT_TRUE(with("\"maxAttempts\":5", "\"maxAttempts\":2"));
 }
 
-// ---- Two processes ----
-
-TEST(Shares, AddUpToNoMoreThanTheWhole) {
-  for (std::size_t sockets : {384u, 512u, 1024u}) {
-    const hot_restart::Whole whole{sockets, sockets * 2 / 5, 57};
-    const hot_restart::Share alone = hot_restart::Divide(whole, {}, {});
-    EXPECT_EQ(alone.clients, whole.clients);
-    EXPECT_EQ(alone.clients + alone.engines + whole.own, sockets);
-    // Each in turn takes all that it may as it sees the other, from a start at which one has all or few
-    // clients.
-    for (const std::uint32_t clients : {0u, 30u, static_cast<std::uint32_t>(alone.clients)}) {
-      hot_restart::Holding held[2] = {{clients, static_cast<std::uint32_t>(alone.engines)}, {}};
-      for (int turn = 0; turn < 10; ++turn) {
-        const auto share = hot_restart::Divide(whole, held[turn % 2], {1, held[1 - turn % 2]});
-        EXPECT_GE(share.clients, whole.clients / 4);
-        EXPECT_GE(share.engines, 16u);
-        held[turn % 2] = {static_cast<std::uint32_t>(share.clients),
-                          static_cast<std::uint32_t>(share.engines)};
-      }
-      const std::size_t sum = held[0].clients + held[1].clients + held[0].engines + held[1].engines;
-      EXPECT_LE(sum + 2 * whole.own, sockets) << clients;
-    }
-  }
-}
-
-TEST(Shares, WhatTheOthersDoNotHoldIsFree) {
-  const hot_restart::Whole whole{384, 153, 57};
-  const auto share = hot_restart::Divide(whole, {20, 5}, {1, {30, 40}});
-  EXPECT_EQ(share.clients, 123u);
-  EXPECT_EQ(share.engines, 88u) << "384 - 2 x 57 - 50 - 76 = 144, less 40 and a margin of 16";
-}
-
-TEST(Shares, BudgetsAreDividedAmongThoseThatLetClientsIn) {
-  const hot_restart::Holding serves{1, 1, 1}, ends{1, 1, 0};
-  EXPECT_EQ(hot_restart::Parts(serves, {}), 1);
-  EXPECT_EQ(hot_restart::Parts(serves, {1, serves}), 2);
-  EXPECT_EQ(hot_restart::Parts(serves, {1, ends}), 1) << "an old one that only ends takes nothing new";
-  EXPECT_EQ(hot_restart::Parts(ends, {1, serves}), 1);
-}
-
-TEST_F(Marks, TheCensusCountsThoseThatLive) {
-  hot_restart::Census one(dir_);
-  ASSERT_TRUE(one.counted());
-  EXPECT_EQ(one.Look().processes, 0u);
-  {
-    const hot_restart::Census other(dir_);
-    other.Tell({7, 9, 1});
-    EXPECT_EQ(one.Look().processes, 1u);
-    EXPECT_EQ(one.Look().holding.clients, 7u);
-    EXPECT_EQ(one.Look().holding.engines, 9u);
-    EXPECT_EQ(one.Look().holding.serves, 1u);
-    const hot_restart::Census third(dir_);
-    EXPECT_EQ(one.Look().processes, 2u);
-    EXPECT_EQ(third.Look().holding.clients, 7u);
-  }
-  EXPECT_EQ(one.Look().processes, 0u) << "what the dead have left counts for nothing";
-}
-
-TEST_F(Marks, ACensusWithoutAFileCountsNobody) {
-  const hot_restart::Census census(dir_ / "nowhere");
-  EXPECT_FALSE(census.counted());
-  census.Tell({1, 1});
-  EXPECT_EQ(census.Look().processes, 0u);
-}
-
 TEST(Counters, AreBounded) {
   metrics::Counters counters;
   for (int i = 0; i < 10'000; ++i) counters.Taken("class-" + std::to_string(i));
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -14,8 +14,8 @@
 #include <set>
 #include <string>
 
-#include "hot_restart/census.h"
-#include "hot_restart/hand_marks.h"
+#include "hot_restart/ejection_store.h"
+#include "hot_restart/process_registry.h"
 #include "raft/codec.h"
 #include "replicated_config/book.h"
 #include "storage/database.h"
@@ -217,25 +217,25 @@
 
 const std::set<std::string> kMarkFiles = {"back-6539", "out-64622f323a78", "out-732d31"};
 
-TEST(HandMarks, OfAnEarlierProcess_Read_GiveTheEngines) {
+TEST(EjectionStore, WrittenByAnEarlierProcess_Read_GivesTheEngines) {
   const TemporaryFolder folder;
   fs::copy(kFixtures / "tmpdir", folder.path(), fs::copy_options::recursive);
   const fs::file_time_type::clock::duration kReturned = 1'700'000'000s;
   fs::last_write_time(folder.path() / "lemoncroft-hand-1/back-6539",
                       fs::file_time_type::clock::from_sys(std::chrono::sys_time<std::chrono::nanoseconds>(
                           std::chrono::duration_cast<std::chrono::nanoseconds>(kReturned))));
-  const auto marks = hot_restart::HandMarks(folder.path()).Read();
-  ASSERT_TRUE(marks);
-  EXPECT_EQ(marks->out, (std::set<std::string>{"db/2:x", "s-1"}));
-  ASSERT_EQ(marks->returned.size(), 1u);
-  EXPECT_EQ(marks->returned.at("e9"), hot_restart::UnixTime(1'700'000'000s));
+  const auto ejections = hot_restart::EjectionStore(folder.path()).Read();
+  ASSERT_TRUE(ejections);
+  EXPECT_EQ(ejections->ejected, (std::set<std::string>{"db/2:x", "s-1"}));
+  ASSERT_EQ(ejections->returned_at.size(), 1u);
+  EXPECT_EQ(ejections->returned_at.at("e9"), hot_restart::UnixTime(1'700'000'000s));
 }
 
-TEST(HandMarks, SameCallsToday_MakeTheSameFiles) {
+TEST(EjectionStore, SameCallsToday_MakeTheSameFiles) {
   const TemporaryFolder folder;
-  const hot_restart::HandMarks marks(folder.path());
-  for (const char* id : {"s-1", "db/2:x", "e9"}) EXPECT_TRUE(marks.Out(id));
-  EXPECT_TRUE(marks.Back("e9"));
+  const hot_restart::EjectionStore store(folder.path());
+  for (const char* id : {"s-1", "db/2:x", "e9"}) EXPECT_TRUE(store.SaveEjection(id));
+  EXPECT_TRUE(store.SaveReturn("e9"));
   EXPECT_EQ(NamesIn(folder.path()), (std::set<std::string>{"lemoncroft-hand-1"}));
   const fs::path files = folder.path() / "lemoncroft-hand-1";
   EXPECT_EQ(NamesIn(files), kMarkFiles);
@@ -245,13 +245,13 @@
 
 // ---- Processes of one proxy ----
 
-constexpr const char* kCensusFile = "lemoncroft-census-1";
+constexpr const char* kRegistryFile = "lemoncroft-registry-1";
 constexpr off_t kSlotBytes = 12;
 
-TEST(Census, SlotOfAnEarlierProcess_WhileItsLockIsHeld_IsCounted) {
+TEST(ProcessRegistry, SlotOfAnEarlierProcess_WhileItsLockIsHeld_IsCounted) {
   const TemporaryFolder folder;
-  const fs::path path = folder.path() / kCensusFile;
-  fs::copy_file(kFixtures / "tmpdir" / kCensusFile, path);
+  const fs::path path = folder.path() / kRegistryFile;
+  fs::copy_file(kFixtures / "tmpdir" / kRegistryFile, path);
   fs::permissions(path, fs::perms::owner_write, fs::perm_options::add);
   {
     const runtime::Descriptor other(::open(path.c_str(), O_RDWR | O_CLOEXEC));
@@ -260,25 +260,26 @@
     lock.l_whence = SEEK_SET;
     lock.l_len = 1;
     ASSERT_EQ(::fcntl(other.get(), F_OFD_SETLK, &lock), 0);
-    const hot_restart::Census census(folder.path());
-    const hot_restart::Others others = census.Look();
+    const hot_restart::ProcessRegistry registry(folder.path());
+    const hot_restart::PeerProcesses others = registry.ReadPeers();
     EXPECT_EQ(others.processes, 1u);
-    EXPECT_EQ(others.holding.clients, 5u);
-    EXPECT_EQ(others.holding.engines, 1027u);
-    EXPECT_EQ(others.holding.serves, 1u);
-    census.Tell({1, 2, 0});
+    EXPECT_EQ(others.usage.clients, 5u);
+    EXPECT_EQ(others.usage.engines, 1027u);
+    EXPECT_EQ(others.usage.serving, 1u);
+    registry.Publish({1, 2, 0});
     EXPECT_EQ(Hex(BytesOf(path).substr(kSlotBytes)), "010000000200000000000000") << "the slot behind";
   }
-  EXPECT_EQ(hot_restart::Census(folder.path()).Look().processes, 0u) << "nobody holds a lock any more";
+  EXPECT_EQ(hot_restart::ProcessRegistry(folder.path()).ReadPeers().processes, 0u)
+      << "nobody holds a lock any more";
 }
 
-TEST(Census, SameHoldingToday_HasTheSameBytes) {
+TEST(ProcessRegistry, SameUsageToday_HasTheSameBytes) {
   const TemporaryFolder folder;
-  const hot_restart::Census census(folder.path());
-  census.Tell({5, 1027, 1});
-  EXPECT_EQ(NamesIn(folder.path()), (std::set<std::string>{kCensusFile}));
-  EXPECT_EQ(Hex(BytesOf(folder.path() / kCensusFile)), "050000000304000001000000");
-  EXPECT_EQ(BytesOf(folder.path() / kCensusFile), BytesOf(kFixtures / "tmpdir" / kCensusFile));
+  const hot_restart::ProcessRegistry registry(folder.path());
+  registry.Publish({5, 1027, 1});
+  EXPECT_EQ(NamesIn(folder.path()), (std::set<std::string>{kRegistryFile}));
+  EXPECT_EQ(Hex(BytesOf(folder.path() / kRegistryFile)), "050000000304000001000000");
+  EXPECT_EQ(BytesOf(folder.path() / kRegistryFile), BytesOf(kFixtures / "tmpdir" / kRegistryFile));
 }
 
 }  // namespace
