--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -43,7 +43,7 @@
 
 class Engines {
  public:
-  Engines(runtime::Loop& loop, const discovery::Directory& directory, Pool::Limits limits,
+  Engines(runtime::Loop& loop, const discovery::EndpointDirectory& directory, Pool::Limits limits,
           runtime::Span connect_timeout, metrics::Counters& counters)
       : loop_(loop),
         directory_(directory),
@@ -84,7 +84,7 @@
   runtime::Task<> Withdraw(Query& query);
 
   runtime::Loop& loop_;
-  const discovery::Directory& directory_;
+  const discovery::EndpointDirectory& directory_;
   metrics::Counters& counters_;
   Pool pool_;
   runtime::Span connect_timeout_;
--- a/src/backend/pool.cpp
+++ b/src/backend/pool.cpp
@@ -14,7 +14,7 @@
     Return();
     pool_ = std::exchange(other.pool_, nullptr);
     engine_ = other.engine_;
-    life_ = other.life_;
+    incarnation_ = other.incarnation_;
     reused_ = other.reused_;
     connection_ = std::move(other.connection_);
   }
@@ -27,19 +27,19 @@
   connection_.reset();
 }
 
-void Pool::Fill(Lease& lease, const discovery::Member& member, std::unique_ptr<http::Connection> connection,
-                bool reused) {
+void Pool::Fill(Lease& lease, const discovery::Endpoint& endpoint,
+                std::unique_ptr<http::Connection> connection, bool reused) {
   lease.Return();
   lease.pool_ = this;
-  lease.engine_ = member.entry.engine;
-  lease.life_ = member.life;
+  lease.engine_ = endpoint.effective.engine;
+  lease.incarnation_ = endpoint.incarnation;
   lease.reused_ = reused;
   lease.connection_ = std::move(connection);
 }
 
 void Pool::Return(Lease& lease) {
-  const discovery::Member* member = directory_.Find(lease.engine_);
-  if (member != nullptr && member->life == lease.life_ && lease.connection_->Reusable()) {
+  const discovery::Endpoint* endpoint = directory_.Find(lease.engine_);
+  if (endpoint != nullptr && endpoint->incarnation == lease.incarnation_ && lease.connection_->Reusable()) {
     idle_[lease.engine_].push_back({std::move(lease.connection_), runtime::Now()});
   } else {
     --open_;
@@ -64,28 +64,28 @@
 
 runtime::Task<Io> Pool::Acquire(EngineId engine, runtime::Time deadline, runtime::Cancellation* cancel,
                                 Lease& out, Want want) {
-  const discovery::Member* member = directory_.Find(engine);
-  if (member == nullptr) co_return Io::kClosed;
+  const discovery::Endpoint* endpoint = directory_.Find(engine);
+  if (endpoint == nullptr) co_return Io::kClosed;
   if (want == Want::kAny) {
     if (auto connection = TakeIdle(engine)) {
-      Fill(out, *member, std::move(connection), true);
+      Fill(out, *endpoint, std::move(connection), true);
       co_return Io::kOk;
     }
   }
   if (open_ >= limits_.connections && !EvictOne()) co_return Io::kNoDescriptors;
-  const std::uint64_t life = member->life;
+  const std::uint64_t incarnation = endpoint->incarnation;
   std::unique_ptr<runtime::Socket> socket;
   ++open_;  // counted before it is up, so that many at a time can't pass the limit
-  Io io = co_await Connect(loop_, member->address, deadline, cancel, socket);
+  Io io = co_await Connect(loop_, endpoint->address, deadline, cancel, socket);
   // The list may have changed meanwhile: the address may be another engine's now.
-  member = directory_.Find(engine);
-  if (io == Io::kOk && (member == nullptr || member->life != life)) io = Io::kClosed;
+  endpoint = directory_.Find(engine);
+  if (io == Io::kOk && (endpoint == nullptr || endpoint->incarnation != incarnation)) io = Io::kClosed;
   if (io != Io::kOk) {
     --open_;
     co_return io;
   }
-  Fill(out, *member, std::make_unique<http::Connection>(std::move(socket), member->host_port, limits_.answer),
-       false);
+  Fill(out, *endpoint,
+       std::make_unique<http::Connection>(std::move(socket), endpoint->host_port, limits_.answer), false);
   co_return Io::kOk;
 }
 
--- a/src/backend/pool.h
+++ b/src/backend/pool.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <memory>
 
-#include "discovery/directory.h"
+#include "discovery/endpoint_directory.h"
 #include "http/connection.h"
 #include "lemoncroft/gateway.h"
 #include "runtime/loop.h"
@@ -34,7 +34,7 @@
   friend class Pool;
   Pool* pool_ = nullptr;
   EngineId engine_ = 0;
-  std::uint64_t life_ = 0;  // of the engine
+  std::uint64_t incarnation_ = 0;  // of the engine
   bool reused_ = false;
   std::unique_ptr<http::Connection> connection_;
 };
@@ -47,7 +47,7 @@
     codec::HttpParser::Limits answer{16 * 1024, 16 * 1024};  // a page has 6,000 bytes at most
   };
 
-  Pool(runtime::Loop& loop, const discovery::Directory& directory, Limits limits)
+  Pool(runtime::Loop& loop, const discovery::EndpointDirectory& directory, Limits limits)
       : loop_(loop), directory_(directory), limits_(limits) {}
 
   enum class Want { kAny, kFresh };
@@ -69,14 +69,14 @@
     runtime::Time since;
   };
 
-  void Fill(Lease& lease, const discovery::Member& member, std::unique_ptr<http::Connection> connection,
+  void Fill(Lease& lease, const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection,
             bool reused);
   void Return(Lease& lease);
   bool EvictOne();
   std::unique_ptr<http::Connection> TakeIdle(EngineId engine);  // null: none is fit
 
   runtime::Loop& loop_;
-  const discovery::Directory& directory_;
+  const discovery::EndpointDirectory& directory_;
   Limits limits_;
   std::map<EngineId, std::deque<Idle>> idle_;  // the latest used last; nothing of engines that have gone
   std::size_t open_ = 0;
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -7,6 +7,8 @@
 
 namespace lemoncroft::broker {
 
+using decision::ToNanos;
+using decision::ToSpan;
 using runtime::Now;
 using runtime::Span;
 using runtime::Task;
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -43,7 +43,7 @@
 }
 
 void ModuleHost::Retune(Retuned retuned) {
-  tick_ = ToSpan(retuned.settings->tick);
+  tick_ = decision::ToSpan(retuned.settings->tick);
   Post(std::move(retuned));
 }
 
--- a/src/broker/module_host.h
+++ b/src/broker/module_host.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "broker/module_clock.h"
+#include "decision/module_clock.h"
 #include "lemoncroft/gateway.h"
 #include "runtime/loop.h"
 
@@ -20,7 +20,7 @@
   ModuleHost(runtime::Loop& loop, const Settings& settings, std::uint64_t seed,
              std::function<void(const Action&)> carry_out)
       : loop_(loop),
-        tick_(ToSpan(settings.tick)),
+        tick_(decision::ToSpan(settings.tick)),
         gateway_(settings, seed),
         carry_out_(std::move(carry_out)) {}
 
@@ -37,7 +37,7 @@
 
   runtime::Loop& loop_;
   runtime::Span tick_;
-  ModuleClock clock_;
+  decision::ModuleClock clock_;
   Gateway gateway_;
   std::function<void(const Action&)> carry_out_;
   std::vector<Event> events_;
--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -7,7 +7,7 @@
 using admin::Call;
 using admin::Reply;
 using admin::Verb;
-using discovery::Directory;
+using discovery::EndpointDirectory;
 using namespace std::chrono_literals;
 
 namespace {
@@ -19,12 +19,12 @@
     case Verb::kReadyz:
       if (phase_ == Phase::kEnding) return {false, "ending", {}};
       if (may_serve && !may_serve()) return {false, "cut off from the fleet's rules", {}};
-      if (phase_ == Phase::kServing && directory_.loaded()) return {true, {}, {}};
+      if (phase_ == Phase::kServing && directory_.has_complete_list()) return {true, {}, {}};
       return {false, "not ready", {}};
     case Verb::kTelemetry:
       return {true,
               {},
-              counters_.Text({broker_.open(), directory_.size(), directory_.Avoided(broker_.Avoided()),
+              counters_.Text({broker_.open(), directory_.size(), directory_.CountEjected(broker_.Avoided()),
                               more_ ? more_() : decltype(more_())()})};
     case Verb::kExclude:
     case Verb::kInclude:
@@ -36,12 +36,12 @@
 Reply Operations::ByHand(const Call& call) {
   const bool out = call.verb == Verb::kExclude;
   const std::string& id = call.engine;
-  const bool was_out = directory_.IsOut(id);
+  const bool was_out = directory_.IsEjected(id);
   if (!out && was_out && agreed_) return {true, {}, {}};
-  const Directory::ByHand done =
-      out ? directory_.Exclude(id, tell_) : directory_.Include(id, std::chrono::system_clock::now(), tell_);
-  if (done == Directory::ByHand::kNobody) return {false, "no database has this id", {}};
-  if (done == Directory::ByHand::kTooMany) return {false, "too many databases are out already", {}};
+  const discovery::ManualEjectionResult done =
+      out ? directory_.Eject(id, tell_) : directory_.ReturnToService(id, std::chrono::system_clock::now(), tell_);
+  if (done == discovery::ManualEjectionResult::kUnknownEngine) return {false, "no database has this id", {}};
+  if (done == discovery::ManualEjectionResult::kTooMany) return {false, "too many databases are out already", {}};
   spdlog::info("operator: {} {}", out ? "exclude" : "include", id);
   if (!ejection_store_ || (!out && !was_out)) return {true, {}, {}};
   const bool saved = out ? ejection_store_->SaveEjection(id) : ejection_store_->SaveReturn(id);
@@ -70,8 +70,8 @@
   if (!ejections) return;  // what is known stands
   for (const std::string& id : unsaved_ejections_) ejections->ejected.insert(id);
   for (const std::string& id : ejections->ejected)
-    if (!directory_.IsOut(id)) spdlog::info("out by hand, as another process was told: {}", id);
-  directory_.TakeOver(ejections->ejected, ejections->returned_at, tell_);
+    if (!directory_.IsEjected(id)) spdlog::info("out by hand, as another process was told: {}", id);
+  directory_.ImportEjections(ejections->ejected, ejections->returned_at, tell_);
 }
 
 }  // namespace lemoncroft::cli
--- a/src/cli/operations.h
+++ b/src/cli/operations.h
@@ -11,7 +11,7 @@
 
 #include "admin/listener.h"
 #include "broker/broker.h"
-#include "discovery/directory.h"
+#include "discovery/endpoint_directory.h"
 #include "hot_restart/ejection_store.h"
 #include "metrics/counters.h"
 
@@ -21,8 +21,8 @@
  public:
   enum class Phase { kStarting, kServing, kEnding };
 
-  Operations(runtime::Loop& loop, discovery::Directory& directory, broker::Broker& broker,
-             const metrics::Counters& counters, discovery::Directory::Tell tell)
+  Operations(runtime::Loop& loop, discovery::EndpointDirectory& directory, broker::Broker& broker,
+             const metrics::Counters& counters, discovery::EndpointDirectory::UpdateCallback tell)
       : loop_(loop), directory_(directory), broker_(broker), counters_(counters), tell_(std::move(tell)) {}
 
   admin::Reply Answer(const admin::Call& call);
@@ -53,10 +53,10 @@
   void TakeOver();
 
   runtime::Loop& loop_;
-  discovery::Directory& directory_;
+  discovery::EndpointDirectory& directory_;
   broker::Broker& broker_;
   const metrics::Counters& counters_;
-  discovery::Directory::Tell tell_;
+  discovery::EndpointDirectory::UpdateCallback tell_;
   std::unique_ptr<hot_restart::EjectionStore> ejection_store_;  // null: not shared
   std::set<std::string> unsaved_ejections_;                     // out by hand, but without a mark
   std::function<std::vector<std::pair<std::string, std::uint64_t>>()> more_;
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -20,8 +20,8 @@
 #include "cli/rules.h"
 #include "cli/state.h"
 #include "cli/state_writer.h"
-#include "discovery/directory.h"
-#include "discovery/feed.h"
+#include "discovery/endpoint_directory.h"
+#include "discovery/endpoint_watch.h"
 #include "frontend/frame_server.h"
 #include "hot_restart/process_registry.h"
 #include "operator_config/operator_file.h"
@@ -55,7 +55,7 @@
 
 // Well before the engine closes it: a statement must not cross a close.
 runtime::Span IdleFor(const settings::Site& site) {
-  return broker::ToSpan(site.keepalive > 0 ? site.keepalive : Nanos{5'000'000'000}) * 3 / 4;
+  return decision::ToSpan(site.keepalive > 0 ? site.keepalive : Nanos{5'000'000'000}) * 3 / 4;
 }
 
 // What this proxy may hold, however many processes it is.
@@ -136,10 +136,10 @@
   frontend::FrameServer& server;
   broker::Broker& broker;
   backend::Engines& engines;
-  discovery::Directory& directory;
-  discovery::Feed& feed;
+  discovery::EndpointDirectory& directory;
+  discovery::EndpointWatch& endpoint_watch;
   metrics::Counters& counters;
-  discovery::Directory::Tell tell;
+  discovery::EndpointDirectory::UpdateCallback tell;
   std::size_t most;                                       // requests open, where the settings name no number
   std::string state;                                      // file; empty: none
   const operator_config::FleetSettings* fleet = nullptr;  // null: off
@@ -151,8 +151,8 @@
 void PutInForce(Running& running, settings::Succession succession) {
   running.site.Replace(std::move(succession.site));
   running.broker.Retune(std::move(succession.like), MostRequests(*running.site, running.most));
-  running.directory.Renumber(running.tell);
-  running.engines.set_connect_timeout(broker::ToSpan(running.site->module.connect_timeout));
+  running.directory.RenumberKindsAndZones(running.tell);
+  running.engines.set_connect_timeout(decision::ToSpan(running.site->module.connect_timeout));
   running.engines.set_report_fields(running.site->report_fields);
   running.engines.pool().set_idle(IdleFor(*running.site));
   for (const std::string& klass : running.site->classes)
@@ -224,7 +224,7 @@
     running.directory.Apply(std::exchange(config.known, {}), running.tell);
     spdlog::info("configuration read again: {} classes, control feed at {}", config.site.classes.size(),
                  config.feed);
-    running.feed.MoveTo(config.feed);
+    running.endpoint_watch.ChangeAddress(config.feed);
     running.config = std::move(config);
     running.counters.Reloaded(true);
   } catch (const std::exception& e) {
@@ -273,7 +273,7 @@
     Nanos longest = 0;
     for (const ClassSettings& c : site->module.classes) longest = std::max(longest, c.deadline);
     const Time last =
-        since + kServeFor + std::min<runtime::Span>(broker::ToSpan(longest), kOutlives) - kLastAnswers;
+        since + kServeFor + std::min<runtime::Span>(decision::ToSpan(longest), kOutlives) - kLastAnswers;
     while (broker.open() > 0 && Now() < last) co_await loop.Sleep(kDrainBeat);
     if (broker.open() > 0) spdlog::info("ending: {} requests can't be waited for", broker.open());
     broker.AnswerAll();
@@ -317,13 +317,15 @@
 
 // In place of another process: clients are let in once this one can serve as well as that one did. What the
 // configuration knows may be old, so the control feed is heard first, if it answers.
-Task<> StartInPlace(runtime::Loop& loop, const discovery::Directory& directory, const discovery::Feed& feed,
-                    frontend::FrameServer& server, Operations& operations) {
+Task<> StartInPlace(runtime::Loop& loop, const discovery::EndpointDirectory& directory,
+                    const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
+                    Operations& operations) {
   const Time until = Now() + kFeedFirst;
   const auto waits = [&] {
-    return (feed.followed() && !feed.heard()) || (operations.may_serve && !operations.may_serve());
+    return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
+           (operations.may_serve && !operations.may_serve());
   };
-  while (!directory.loaded() || (waits() && Now() < until)) co_await loop.Sleep(kStartBeat);
+  while (!directory.has_complete_list() || (waits() && Now() < until)) co_await loop.Sleep(kStartBeat);
   server.Start();
   operations.set_phase(Operations::Phase::kServing);
   spdlog::info("serving in place of another process");
@@ -353,13 +355,13 @@
   runtime::Loop loop;
   Signals signals(loop);
   settings::InForce site(config.site);
-  discovery::Directory directory(site);
+  discovery::EndpointDirectory directory(site);
   // Another process may live beside this one at any time, and bytes can't be handed back at once.
   const std::size_t memory_mb = shared ? config.memory_mb / 2 : config.memory_mb;
   metrics::Counters counters;
   for (const std::string& klass : site->classes) counters.Know(klass);
-  backend::Engines engines(loop, directory, PoolLimits(config), broker::ToSpan(site->module.connect_timeout),
-                           counters);
+  backend::Engines engines(loop, directory, PoolLimits(config),
+                           decision::ToSpan(site->module.connect_timeout), counters);
   engines.set_report_fields(site->report_fields);
   operator_config::OperatorFile file = ReadOperator(paths, *site);
   const std::size_t most = file.waiting ? file.waiting->line.waiting : broker::Broker::Limits().requests;
@@ -369,11 +371,11 @@
                          : std::make_unique<runtime::Listener>(loop, config.listen);
   frontend::FrameServer server(loop, std::move(listener), site, broker, counters,
                                ClientLimits(config, memory_mb));
-  directory.on_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
+  directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
 
   const auto tell = [&](EngineList list) {
     broker.TellList(std::move(list));
-    server.set_ready(directory.loaded());
+    server.set_ready(directory.has_complete_list());
   };
   Operations operations(loop, directory, broker, counters, tell);
   const char* tmpdir = std::getenv("TMPDIR");
@@ -383,7 +385,7 @@
     spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
   if (shared && tmpdir != nullptr && !file.rules)  // else the fleet's rules tell of engines out by hand
     operations.EnableEjectionStore(tmpdir,
-                                   broker::ToSpan(site->module.warm_within + site->module.fall_window));
+                                   decision::ToSpan(site->module.warm_within + site->module.fall_window));
   // Before the list: what a cold engine takes may have been sent it just now.
   if (registry && registry->ReadPeers().usage.serving > 0) broker.TellBeside(2);
   std::unique_ptr<Fleet> fleet;
@@ -404,10 +406,21 @@
   }
   if (!directory.Apply(std::exchange(config.known, {}), tell))
     spdlog::warn("the configuration knows no list of engines");
-  discovery::Feed feed(loop, directory, config.feed, tell, config.seed);
-  Running running{config, site,     server, broker, engines, directory,
-                  feed,   counters, tell,   most,   "",      file.fleet ? &fleet->settings() : nullptr,
-                  {},     nullptr};
+  discovery::EndpointWatch endpoint_watch(loop, directory, config.feed, tell, config.seed);
+  Running running{config,
+                  site,
+                  server,
+                  broker,
+                  engines,
+                  directory,
+                  endpoint_watch,
+                  counters,
+                  tell,
+                  most,
+                  "",
+                  file.fleet ? &fleet->settings() : nullptr,
+                  {},
+                  nullptr};
   if (file.waiting) {
     server.set_foretells(file.waiting->tell_clients);
     running.state = file.waiting->state;
@@ -433,11 +446,11 @@
     operations.may_serve = [&] { return rules->ready(); };
     rules->Start();
   }
-  loop.Spawn(feed.Run());
+  loop.Spawn(endpoint_watch.Run());
   loop.Spawn(engines.pool().CloseIdle());
   broker.Start();
   if (shared) {
-    loop.Spawn(StartInPlace(loop, directory, feed, server, operations));
+    loop.Spawn(StartInPlace(loop, directory, endpoint_watch, server, operations));
     if (rules == nullptr) loop.Spawn(operations.WatchEjectionStore());
     if (registry) loop.Spawn(ShareLimits(loop, *registry, operations, running));
   } else {
--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -158,7 +158,7 @@
 }
 
 Rules::Rules(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
-             const std::string& name, discovery::Directory& directory, discovery::Directory::Tell tell,
+             const std::string& name, discovery::EndpointDirectory& directory, discovery::EndpointDirectory::UpdateCallback tell,
              Own own)
     : loop_(loop),
       fleet_(fleet),
@@ -371,7 +371,7 @@
   std::set<std::string> out = document_.out;
   for (const auto& [engine, hand] : hands_)
     if (hand.out) out.insert(engine);
-  directory_.TakeOver(out, {}, tell_);
+  directory_.ImportEjections(out, {}, tell_);
 }
 
 std::optional<Version> Rules::MayAct() const {
@@ -386,7 +386,7 @@
   if (!cut_off.classes.contains(klass) || applied_ != holder.in_force() || holder.rates_apart()) return false;
   if (Now() >= holder.lease_ends() + cut_off.lasts) return false;
   if (engine == 0) return true;
-  const discovery::Member* member = directory_.Find(engine);
+  const discovery::Endpoint* member = directory_.Find(engine);
   return member != nullptr && cut_off.engines.contains(member->name);
 }
 
@@ -406,7 +406,7 @@
     return false;
   }
   ++(kept ? kept_acts_ : acts_);
-  const discovery::Member* member = directory_.Find(engine);
+  const discovery::Endpoint* member = directory_.Find(engine);
   spdlog::debug("rules act={} version={} class={} engine={} mono_us={}",
                 kept    ? "kept"
                 : again ? "again"
--- a/src/cli/rules.h
+++ b/src/cli/rules.h
@@ -19,7 +19,7 @@
 #include "admin/listener.h"
 #include "broker/authority.h"
 #include "cli/fleet.h"
-#include "discovery/directory.h"
+#include "discovery/endpoint_directory.h"
 #include "operator_config/operator_file.h"
 #include "replicated_config/document.h"
 #include "replicated_config/keeper.h"
@@ -37,7 +37,7 @@
   };
 
   Rules(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
-        const std::string& name, discovery::Directory& directory, discovery::Directory::Tell tell, Own own);
+        const std::string& name, discovery::EndpointDirectory& directory, discovery::EndpointDirectory::UpdateCallback tell, Own own);
 
   void Start();
   // Hands leadership over, if it has it: this process ends.
@@ -102,8 +102,8 @@
   Fleet& fleet_;
   operator_config::RulesSettings settings_;
   std::string name_;
-  discovery::Directory& directory_;
-  discovery::Directory::Tell tell_;
+  discovery::EndpointDirectory& directory_;
+  discovery::EndpointDirectory::UpdateCallback tell_;
   Own own_;
   replicated_config::Keeper keeper_;
   replicated_config::TellPace tell_pace_;
--- a/src/broker/module_clock.h
+++ b/src/decision/module_clock.h
@@ -2,15 +2,15 @@
 //
 // The module's clock is the Unix time at this process's start plus what the steady clock has counted since:
 // it never runs backwards, and the Unix times of the control feed need no further offset.
-#ifndef LEMONCROFT_BROKER_MODULE_CLOCK_H_
-#define LEMONCROFT_BROKER_MODULE_CLOCK_H_
+#ifndef LEMONCROFT_DECISION_MODULE_CLOCK_H_
+#define LEMONCROFT_DECISION_MODULE_CLOCK_H_
 
 #include <chrono>
 
 #include "lemoncroft/gateway.h"
 #include "runtime/loop.h"
 
-namespace lemoncroft::broker {
+namespace lemoncroft::decision {
 
 constexpr runtime::Span ToSpan(Nanos nanos) { return runtime::Span(nanos); }
 constexpr Nanos ToNanos(runtime::Span span) { return span.count(); }
@@ -30,6 +30,6 @@
   runtime::Span offset_;
 };
 
-}  // namespace lemoncroft::broker
+}  // namespace lemoncroft::decision
 
-#endif  // LEMONCROFT_BROKER_MODULE_CLOCK_H_
+#endif  // LEMONCROFT_DECISION_MODULE_CLOCK_H_
--- /dev/null
+++ b/src/discovery/endpoint_directory.cpp
@@ -0,0 +1,267 @@
+#include "discovery/endpoint_directory.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <chrono>
+#include <limits>
+#include <unordered_set>
+
+#include "decision/module_clock.h"
+#include "discovery/feed_fields.h"
+
+namespace lemoncroft::discovery {
+namespace {
+
+using codec::Json;
+
+constexpr std::uint16_t kMaxNumber = std::numeric_limits<std::uint16_t>::max();
+constexpr std::size_t kMaxUnlistedNames = 1024;  // further names share one number
+
+// The modification time of a file that this process wrote for a return may be this much later than the
+// return.
+constexpr Nanos kFileTimeTolerance = 1'000'000'000;
+
+std::string TextOr(const Json& json, const std::string& absent) {
+  return json.Is(Json::Kind::kText) ? json.text : absent;
+}
+
+Nanos NanosOf(EndpointDirectory::UnixTime at) {
+  return decision::ModuleClock::AtUnix(
+      std::chrono::duration_cast<std::chrono::milliseconds>(at.time_since_epoch()));
+}
+
+}  // namespace
+
+// The decision module ranks engines by their ids, which therefore have to be the same at every proxy and
+// after every restart: an id is the FNV-1a hash of the name. On a collision the later name takes the next
+// free id.
+EngineId EndpointDirectory::IdOf(const std::string& name) {
+  if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
+  EngineId id = 2166136261u;
+  for (const char c : name) id = (id ^ static_cast<unsigned char>(c)) * 16777619u;
+  while (names_.contains(id)) ++id;
+  ids_.emplace(name, id);
+  names_.emplace(id, name);
+  return id;
+}
+
+// A name that the settings don't list gets a number of its own from the upper end of the range: under a
+// listed number the engine would be sent requests that are bound to another zone or kind.
+std::uint16_t EndpointDirectory::NumberOf(const std::string& name, const std::vector<std::string>& names,
+                                          const char* what) {
+  if (name.empty() && names.size() <= 1) return 0;  // not announced, and there is at most one
+  const auto it = std::find(names.begin(), names.end(), settings::ListItem(name));
+  if (it != names.end()) return static_cast<std::uint16_t>(it - names.begin());
+  if (unlisted_names_.size() >= kMaxUnlistedNames && !unlisted_names_.contains(name))
+    return static_cast<std::uint16_t>(kMaxNumber - kMaxUnlistedNames);
+  const auto number = static_cast<std::uint16_t>(kMaxNumber - unlisted_names_.size());
+  const auto [known, fresh] = unlisted_names_.try_emplace(name, number);
+  if (fresh)
+    spdlog::warn("control feed: the settings list no {} '{}': it gets no class that is bound to listed ones",
+                 what, name);
+  return known->second;
+}
+
+const Endpoint* EndpointDirectory::Find(EngineId engine) const {
+  const auto it = endpoints_.find(engine);
+  return it == endpoints_.end() ? nullptr : &it->second;
+}
+
+bool EndpointDirectory::MaySend(EngineId engine) const {
+  const Endpoint* endpoint = Find(engine);
+  return endpoint != nullptr && endpoint->effective.readiness == Readiness::kReady;
+}
+
+bool EndpointDirectory::Apply(const Json& document, const UpdateCallback& on_update) {
+  const Json& events = document[feed::kEvents];
+  if (!events.Is(Json::Kind::kArray)) return false;
+  for (const Json& event : events.items) {
+    const std::int64_t n = event[feed::kRevision].Integer(-1);
+    if (n <= last_event_) continue;
+    last_event_ = n;
+    if (!event[feed::kUpdate].Is(Json::Kind::kObject)) continue;  // an event of another kind
+    if (auto list = ApplyEvent(event[feed::kUpdate])) on_update(std::move(*list));
+  }
+  last_event_ = std::max(last_event_, document[feed::kRevision].Integer(last_event_));
+  return true;
+}
+
+std::optional<EngineList> EndpointDirectory::ApplyEvent(const Json& update) {
+  const Json& list = update[feed::kEndpoints];
+  if (!list.Is(Json::Kind::kArray)) return std::nullopt;
+  const bool complete = update[feed::kIsCompleteList].True();
+  std::vector<EngineEntry> entries;
+  for (const Json& json : list.items) {
+    if (auto entry = ApplyEndpoint(json)) entries.push_back(*entry);
+  }
+  if (complete) RemoveUnlisted(entries);
+  const ListKind kind = !complete            ? ListKind::kChange
+                        : has_complete_list_ ? ListKind::kFull
+                                             : ListKind::kCached;
+  has_complete_list_ = has_complete_list_ || complete;
+  return EngineList{kind, std::make_shared<const std::vector<EngineEntry>>(std::move(entries))};
+}
+
+void EndpointDirectory::RemoveUnlisted(const std::vector<EngineEntry>& listed) {
+  std::unordered_set<EngineId> listed_ids;
+  listed_ids.reserve(listed.size());
+  for (const EngineEntry& entry : listed) listed_ids.insert(entry.engine);
+  std::vector<EngineId> left;
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (!listed_ids.contains(id)) left.push_back(id);
+  }
+  for (const EngineId id : left) Remove(id);
+}
+
+std::optional<EngineEntry> EndpointDirectory::ApplyEndpoint(const Json& json) {
+  const std::string& name = json[feed::kName].text;
+  const std::string& state = json[feed::kState].text;
+  if (name.empty()) {
+    spdlog::warn("control feed: an entry without an id is skipped");
+    return std::nullopt;
+  }
+  // Fields that an entry leaves out keep their value: a drain must not be missed for lack of an address.
+  const Endpoint* known = Find(IdOf(name));
+  const std::string host_port =
+      known != nullptr ? TextOr(json[feed::kAddress], known->host_port) : json[feed::kAddress].text;
+  const auto address = runtime::Address::Parse(host_port);
+  if (!address && state != feed::kStateGone) {
+    spdlog::warn("control feed: {} has no usable address and is skipped", name);
+    if (known == nullptr) Remove(IdOf(name));
+    return std::nullopt;
+  }
+  EngineEntry entry;
+  entry.engine = IdOf(name);
+  entry.weight = json[feed::kWeight].Number(known != nullptr ? known->advertised.weight : 1);
+  // An unknown state counts as draining: no new requests may go to a draining engine.
+  entry.readiness = state == feed::kStateReady  ? Readiness::kReady
+                    : state == feed::kStateGone ? Readiness::kGone
+                                                : Readiness::kDraining;
+  const std::string kind = TextOr(json[feed::kMachineKind], known != nullptr ? known->kind : std::string());
+  const std::string zone = TextOr(json[feed::kZone], known != nullptr ? known->zone : std::string());
+  entry.kind = NumberOf(kind, site_->kinds, "machine kind");
+  entry.zone = NumberOf(zone, site_->zones, "zone");
+  entry.cell =
+      static_cast<std::uint16_t>(json[feed::kCell].Integer(known != nullptr ? known->advertised.cell : 0));
+  const Json& up_since = json[feed::kStartedAt];
+  entry.started_at = known != nullptr ? known->advertised.started_at : 0;
+  if (up_since.Is(Json::Kind::kNumber)) {
+    entry.started_at = decision::ModuleClock::AtUnix(
+        std::chrono::milliseconds(std::max<std::int64_t>(0, up_since.Integer())));
+  }
+  if (entry.readiness == Readiness::kGone) {
+    Remove(entry.engine);
+    return entry;
+  }
+  if (known != nullptr &&
+      (known->advertised.started_at != entry.started_at || known->host_port != host_port)) {
+    EndIncarnation(entry.engine);
+    known = nullptr;
+  }
+  const std::uint64_t incarnation = known != nullptr ? known->incarnation : ++last_incarnation_;
+  Endpoint endpoint{name, host_port, *address, kind, zone, entry, entry, incarnation};
+  ApplyEjections(endpoint.effective, name);
+  endpoints_.insert_or_assign(entry.engine, endpoint);
+  return endpoint.effective;
+}
+
+void EndpointDirectory::RenumberKindsAndZones(const UpdateCallback& on_update) {
+  std::vector<EngineEntry> entries;
+  for (auto& [id, endpoint] : endpoints_) {
+    endpoint.advertised.kind = endpoint.effective.kind =
+        NumberOf(endpoint.kind, site_->kinds, "machine kind");
+    endpoint.advertised.zone = endpoint.effective.zone = NumberOf(endpoint.zone, site_->zones, "zone");
+    entries.push_back(endpoint.effective);
+  }
+  if (!entries.empty())
+    on_update({ListKind::kChange, std::make_shared<const std::vector<EngineEntry>>(std::move(entries))});
+}
+
+void EndpointDirectory::ApplyEjections(EngineEntry& entry, const std::string& id) const {
+  if (ejected_.contains(id)) entry.readiness = Readiness::kExcluded;
+  if (const auto it = returned_.find(id); it != returned_.end())
+    entry.started_at = std::max(entry.started_at, it->second);
+}
+
+void EndpointDirectory::PublishEndpoint(const std::string& id, bool returned_to_service,
+                                        const UpdateCallback& on_update) {
+  const auto known = ids_.find(id);
+  const auto it = known == ids_.end() ? endpoints_.end() : endpoints_.find(known->second);
+  if (it == endpoints_.end()) return;
+  Endpoint& endpoint = it->second;
+  endpoint.effective = endpoint.advertised;
+  ApplyEjections(endpoint.effective, id);
+  if (returned_to_service) {
+    endpoint.incarnation = ++last_incarnation_;
+    if (on_incarnation_ended) on_incarnation_ended(it->first);
+  }
+  on_update({ListKind::kChange, std::make_shared<const std::vector<EngineEntry>>(1, endpoint.effective)});
+}
+
+discovery::ManualEjectionResult EndpointDirectory::Eject(const std::string& id,
+                                                         const UpdateCallback& on_update) {
+  if (ejected_.contains(id)) return ManualEjectionResult::kDone;
+  if (!ids_.contains(id)) return ManualEjectionResult::kUnknownEngine;
+  if (ejected_.size() >= kMaxEjectedEngines) return ManualEjectionResult::kTooMany;
+  ejected_.insert(id);
+  PublishEndpoint(id, false, on_update);
+  return ManualEjectionResult::kDone;
+}
+
+discovery::ManualEjectionResult EndpointDirectory::ReturnToService(const std::string& id, UnixTime at,
+                                                                   const UpdateCallback& on_update) {
+  if (ejected_.erase(id) == 0)
+    return ids_.contains(id) ? ManualEjectionResult::kDone : ManualEjectionResult::kUnknownEngine;
+  if (ids_.contains(id)) returned_[id] = NanosOf(at);
+  PublishEndpoint(id, true, on_update);
+  return ManualEjectionResult::kDone;
+}
+
+void EndpointDirectory::ImportEjections(const std::set<std::string>& ejected,
+                                        const std::map<std::string, UnixTime>& returned,
+                                        const UpdateCallback& on_update) {
+  for (const std::string& id : ejected) {
+    if (ejected_.size() < kMaxEjectedEngines && ejected_.insert(id).second)
+      PublishEndpoint(id, false, on_update);
+  }
+  const auto time = [&](const std::string& id) {
+    const auto it = returned.find(id);
+    return it == returned.end() ? std::chrono::system_clock::now() : it->second;
+  };
+  for (const std::string& id : std::set<std::string>(ejected_)) {
+    if (!ejected.contains(id)) ReturnToService(id, time(id), on_update);
+  }
+  // Engines that were ejected and returned before this process saw the ejection.
+  for (const auto& [id, at] : returned) {
+    const Nanos since = NanosOf(at);
+    if (has_complete_list_ && !ids_.contains(id)) continue;
+    if (ejected_.contains(id) || (returned_.contains(id) && since <= returned_[id] + kFileTimeTolerance))
+      continue;
+    returned_[id] = since;
+    PublishEndpoint(id, true, on_update);
+  }
+}
+
+std::size_t EndpointDirectory::CountEjected(const std::vector<EngineId>& avoided) const {
+  const std::unordered_set<EngineId> avoided_ids(avoided.begin(), avoided.end());
+  return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& m) {
+    return ejected_.contains(m.second.name) || avoided_ids.contains(m.first);
+  }));
+}
+
+void EndpointDirectory::EndIncarnation(EngineId engine) {
+  if (endpoints_.erase(engine) > 0 && on_incarnation_ended) on_incarnation_ended(engine);
+}
+
+// Engines are replaced all the time, so nothing may be kept of one that has left.
+void EndpointDirectory::Remove(EngineId engine) {
+  EndIncarnation(engine);
+  if (const auto it = names_.find(engine); it != names_.end()) {
+    returned_.erase(it->second);
+    ids_.erase(it->second);
+    names_.erase(it);
+  }
+}
+
+}  // namespace lemoncroft::discovery
--- /dev/null
+++ b/src/discovery/endpoint_watch.cpp
@@ -0,0 +1,94 @@
+#include "discovery/endpoint_watch.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "discovery/feed_fields.h"
+#include "http/connection.h"
+
+namespace lemoncroft::discovery {
+namespace {
+
+using namespace std::chrono_literals;
+using runtime::Io;
+
+// Requests to a draining engine must stop within 250 ms of the feed's event. A connection that died silently
+// has to be detected and replaced within that time, as has one to a feed that was down.
+constexpr auto kLongPollTimeout = 150ms;
+constexpr auto kLongPollGrace = 60ms;  // then a silent feed counts as lost
+constexpr auto kConnectTimeout = 150ms;
+// Exponential, with jitter: hundreds of proxies reconnect when a feed comes back.
+constexpr runtime::Span kMinBackoff = 10ms, kMaxBackoff = 80ms;
+// For the rest of an answer that has begun: a list of thousands of engines takes longer than the grace.
+constexpr auto kAnswerTimeout = 3s;
+constexpr codec::HttpParser::Limits kAnswerLimits{std::size_t{16} << 10, std::size_t{8} << 20};
+
+}  // namespace
+
+runtime::Task<> EndpointWatch::Run() {
+  for (;;) {
+    if (address_changed_->cancelled()) address_changed_ = std::make_unique<runtime::Cancellation>();
+    runtime::Cancellation& address_changed = *address_changed_;
+    if (host_port_.empty()) {
+      co_await loop_.SleepUntil(runtime::kNever, &address_changed);
+    } else {
+      has_answered_on_connection_ = false;
+      co_await WatchOnce(address_changed);
+      backoff_ =
+          has_answered_on_connection_ ? kMinBackoff : std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
+      co_await loop_.Sleep(WithJitter(backoff_), &address_changed);
+    }
+  }
+}
+
+// Between half of `backoff` and all of it.
+runtime::Span EndpointWatch::WithJitter(runtime::Span backoff) {
+  return backoff / 2 +
+         runtime::Span(std::uniform_int_distribution<runtime::Span::rep>(0, (backoff / 2).count())(random_));
+}
+
+void EndpointWatch::ChangeAddress(std::string host_port) {
+  if (host_port == host_port_) return;
+  host_port_ = std::move(host_port);
+  address_changed_->Cancel();
+}
+
+runtime::Task<> EndpointWatch::WatchOnce(runtime::Cancellation& address_changed) {
+  const std::string host_port = host_port_;
+  const auto address = runtime::Address::Parse(host_port);
+  if (!address) co_return;  // the configuration is checked for this
+  std::unique_ptr<runtime::Socket> socket;
+  const Io up = co_await Connect(loop_, *address, runtime::Now() + kConnectTimeout, &address_changed, socket);
+  if (up != Io::kOk) {
+    spdlog::debug("control feed: no connection to {}", host_port);
+    co_return;
+  }
+  http::Connection connection(std::move(socket), host_port, kAnswerLimits);
+  for (;;) {
+    codec::HttpRequest request;
+    request.method = "GET";
+    request.path = feed::kEventsPath + std::to_string(directory_.last_event()) +
+                   "&wait=" + std::to_string(kLongPollTimeout.count());
+    codec::HttpResponse response;
+    const runtime::Time begin_by = runtime::Now() + kLongPollTimeout + kLongPollGrace;
+    Io io = co_await connection.Send(request, begin_by, &address_changed);
+    if (io == Io::kOk)
+      io = co_await connection.Receive(begin_by, begin_by + kAnswerTimeout, &address_changed, response);
+    if (io != Io::kOk || response.status != 200) {
+      spdlog::info("control feed: connection lost after event {}", directory_.last_event());
+      co_return;
+    }
+    bool readable = false;
+    try {
+      readable = directory_.Apply(codec::Json::Parse(response.body), on_update_);
+    } catch (const codec::JsonError& e) {
+      spdlog::warn("control feed: {}", e.what());
+    }
+    has_answered_ = has_answered_ || readable;
+    has_answered_on_connection_ = has_answered_on_connection_ || readable;
+    if (!readable || !connection.Reusable()) co_return;
+  }
+}
+
+}  // namespace lemoncroft::discovery
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "backend/engines.h"
-#include "discovery/directory.h"
+#include "discovery/endpoint_directory.h"
 
 namespace lemoncroft {
 namespace {
@@ -107,7 +107,7 @@
 
   runtime::Loop loop_;
   settings::InForce site_{settings::Site()};
-  discovery::Directory directory_{site_};
+  discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 2500ms, counters_};
   broker::Passed passed_;
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "backend/engines.h"
-#include "discovery/directory.h"
+#include "discovery/endpoint_directory.h"
 
 namespace lemoncroft {
 namespace {
@@ -75,7 +75,7 @@
   spdlog::level::level_enum level_;
   runtime::Loop loop_;
   settings::InForce site_{SomeSite()};
-  discovery::Directory directory_{site_};
+  discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 250ms, counters_};
   broker::Broker broker_{loop_, site_, 7, engines_, counters_, {}};
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -169,7 +169,7 @@
   std::mt19937 random_;
   runtime::Loop loop_;
   settings::InForce site_{TwoClasses()};
-  discovery::Directory directory_{site_};
+  discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines back_{loop_, directory_, {64, 1s, {}}, 100ms, counters_};
   broker::Broker broker_{loop_, site_, 7, back_, counters_, {60, std::size_t{1} << 20}};
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -10,8 +10,8 @@
 
 #include "cli/config.h"
 #include "codec/json.h"
-#include "discovery/directory.h"
-#include "discovery/feed.h"
+#include "discovery/endpoint_directory.h"
+#include "discovery/endpoint_watch.h"
 #include "gossip/view.h"
 #include "hot_restart/ejection_store.h"
 #include "peer_transport/frame.h"
@@ -79,7 +79,7 @@
   }
 
   settings::InForce site_{settings::Site()};
-  discovery::Directory directory_{site_};
+  discovery::EndpointDirectory directory_{site_};
   EngineList told_;
 };
 
@@ -92,7 +92,7 @@
   EXPECT_EQ(config.site.module.classes[kNames - 1].zones, std::vector<std::uint16_t>{kNames - 1});
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
   settings::InForce site(config.site);
-  discovery::Directory directory(site);
+  discovery::EndpointDirectory directory(site);
   EngineList told;
   ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { told = list; }));
   ASSERT_EQ(told.entries->size(), static_cast<std::size_t>(kEngines));
@@ -123,7 +123,7 @@
   ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
   EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngines));
   int ended = 0;
-  directory_.on_ended = [&](EngineId) { ++ended; };
+  directory_.on_incarnation_ended = [&](EngineId) { ++ended; };
   ASSERT_TRUE(Apply(Document(2, Event(2, true, Engines(1000, kEngines)))));
   EXPECT_EQ(ended, 1000);
   EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngines));
@@ -133,17 +133,18 @@
 TEST_F(Engines1500, AllCanBeOutByHandAndBack) {
   ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
   const auto tell = [](const EngineList&) {};
-  using ByHand = discovery::Directory::ByHand;
-  for (int i = 0; i < kEngines; ++i) ASSERT_EQ(directory_.Exclude(Name("s", i), tell), ByHand::kDone) << i;
-  EXPECT_EQ(directory_.Avoided({}), static_cast<std::size_t>(kEngines));
+  using ByHand = discovery::ManualEjectionResult;
+  for (int i = 0; i < kEngines; ++i) ASSERT_EQ(directory_.Eject(Name("s", i), tell), ByHand::kDone) << i;
+  EXPECT_EQ(directory_.CountEjected({}), static_cast<std::size_t>(kEngines));
   std::set<std::string> out;
   for (int i = 0; i < kEngines; ++i) out.insert(Name("s", i));
   settings::InForce site{settings::Site()};
-  discovery::Directory successor(site);
-  successor.TakeOver(out, {}, tell);
-  for (const std::string& id : out) EXPECT_TRUE(successor.IsOut(id));
-  for (int i = 0; i < kEngines; ++i) directory_.Include(Name("s", i), std::chrono::system_clock::now(), tell);
-  EXPECT_EQ(directory_.Avoided({}), 0u);
+  discovery::EndpointDirectory successor(site);
+  successor.ImportEjections(out, {}, tell);
+  for (const std::string& id : out) EXPECT_TRUE(successor.IsEjected(id));
+  for (int i = 0; i < kEngines; ++i)
+    directory_.ReturnToService(Name("s", i), std::chrono::system_clock::now(), tell);
+  EXPECT_EQ(directory_.CountEjected({}), 0u);
 }
 
 TEST_F(Engines1500, ThoseAvoidedAreCountedOnce) {
@@ -152,8 +153,8 @@
   for (const EngineEntry& entry : *told_.entries) avoided.push_back(entry.engine);
   avoided.push_back(avoided.front());
   avoided.push_back(1);  // not listed
-  directory_.Exclude("s-0", [](const EngineList&) {});
-  EXPECT_EQ(directory_.Avoided(avoided), static_cast<std::size_t>(kEngines));
+  directory_.Eject("s-0", [](const EngineList&) {});
+  EXPECT_EQ(directory_.CountEjected(avoided), static_cast<std::size_t>(kEngines));
 }
 
 // Each known engine was looked for in the whole list: a list of 64,000 kept a proxy busy for seconds.
@@ -228,13 +229,13 @@
   runtime::Loop loop;
   SlowFeed server(loop, body, 12, 50ms);
   settings::InForce site{settings::Site()};
-  discovery::Directory directory(site);
+  discovery::EndpointDirectory directory(site);
   int lists = 0, connections = 0;
-  discovery::Feed feed(
+  discovery::EndpointWatch feed(
       loop, directory, server.address(), [&](const EngineList&) { ++lists; }, 7);
   const auto watch = [&]() -> runtime::Task<> {
     const runtime::Time until = runtime::Now() + 4s;
-    while (directory.last() < kLists && runtime::Now() < until) co_await loop.Sleep(10ms);
+    while (directory.last_event() < kLists && runtime::Now() < until) co_await loop.Sleep(10ms);
     connections = server.connections();
     loop.Stop();
   };
@@ -242,7 +243,7 @@
   loop.Spawn(feed.Run());
   loop.Spawn(watch());
   loop.Run();
-  EXPECT_EQ(directory.last(), kLists);
+  EXPECT_EQ(directory.last_event(), kLists);
   EXPECT_EQ(lists, kLists);
   EXPECT_EQ(directory.size(), static_cast<std::size_t>(kEngines));
   EXPECT_EQ(connections, 1);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,24 +1,17 @@
-// Parts of the day-to-day service by themselves: calls, figures, marks that outlive a process.
+// Operators' calls, settings that replace others while requests are in flight, and checks of configuration
+// files.
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <filesystem>
-#include <fstream>
 
 #include "admin/call.h"
 #include "cli/config.h"
-#include "discovery/directory.h"
-#include "hot_restart/ejection_store.h"
-#include "hot_restart/process_registry.h"
 #include "metrics/counters.h"
 #include "settings/succession.h"
 
 namespace lemoncroft {
 namespace {
 
-namespace fs = std::filesystem;
-using namespace std::chrono_literals;
-
 TEST(Call, IsReadInPiecesOfAnySize) {
   const std::string text = "exclude s-00c41f7a\r\nrest";
   for (std::size_t cut = 0; cut < 20; ++cut) {
@@ -40,60 +33,6 @@
   EXPECT_LE(reader.line().size(), admin::kLineMost + 1);
 }
 
-// The module warms an engine by its start; a return by hand counts as one, whatever the feed tells later.
-class ByHand : public testing::Test {
- protected:
-  void Feed(const std::string& phase, int up_since_ms) {
-    const std::string n = std::to_string(++n_);
-    directory_.Apply(
-        codec::Json::Parse(
-            R"({"n":)" + n + R"(,"events":[{"n":)" + n +
-            R"(,"members":{"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:80",)" +
-            R"("phase":")" + phase + R"(","up_since_ms":)" + std::to_string(up_since_ms) + "}]}}]}"),
-        tell_);
-  }
-  settings::InForce site_{settings::Site()};
-  discovery::Directory directory_{site_};
-  EngineEntry told_;
-  int n_ = 0, ended_ = 0;
-  discovery::Directory::Tell tell_ = [this](const EngineList& list) { told_ = list.entries->at(0); };
-};
-
-TEST_F(ByHand, AReturnIsColdHoweverOftenTheFeedTellsTheEngineAgain) {
-  directory_.on_ended = [this](EngineId) { ++ended_; };
-  Feed("Ready", 0);
-  directory_.Exclude("s", tell_);
-  EXPECT_EQ(told_.readiness, Readiness::kExcluded);
-  EXPECT_FALSE(directory_.MaySend(told_.engine));
-  Feed("Ready", 0);
-  EXPECT_EQ(told_.readiness, Readiness::kExcluded);
-  const auto back = std::chrono::system_clock::time_point(5s);
-  directory_.Include("s", back, tell_);
-  EXPECT_EQ(told_.readiness, Readiness::kReady);
-  EXPECT_EQ(told_.started_at, 5'000'000'000);
-  EXPECT_EQ(ended_, 1);
-  Feed("Ready", 0);
-  EXPECT_EQ(told_.started_at, 5'000'000'000);
-  EXPECT_EQ(ended_, 1);  // its new connections stay
-  Feed("Ready", 7000);   // a later start
-  EXPECT_EQ(told_.started_at, 7'000'000'000);
-  Feed("Gone", 7000);
-  EXPECT_EQ(directory_.remembered(), 0u);
-}
-
-TEST_F(ByHand, AnotherProcesssWordIsTakenOver) {
-  const auto back = std::chrono::system_clock::time_point(5s);
-  directory_.TakeOver({"t"}, {{"s", back}}, tell_);
-  Feed("Ready", 0);
-  EXPECT_EQ(told_.started_at, 5'000'000'000);
-  directory_.TakeOver({"s", "t"}, {}, tell_);
-  EXPECT_EQ(told_.readiness, Readiness::kExcluded);
-  EXPECT_EQ(directory_.Avoided({told_.engine, 77}), 1u);
-  directory_.TakeOver({}, {{"s", back + 3s}}, tell_);
-  EXPECT_EQ(told_.readiness, Readiness::kReady);
-  EXPECT_EQ(told_.started_at, 8'000'000'000);
-}
-
 // ---- Settings that change ----
 
 settings::Site SiteOf(const std::vector<std::pair<std::string, Nanos>>& classes,
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cli/config.h"
-#include "discovery/directory.h"
+#include "discovery/endpoint_directory.h"
 #include "lemoncroft/gateway.h"
 #include "settings/check.h"
 #include "settings/succession.h"
@@ -294,11 +294,11 @@
   }
   const EngineList& last() const { return last_; }
   const settings::Site& site() const { return *site_; }
-  std::size_t Avoided(const std::vector<EngineId>& avoided) const { return directory_.Avoided(avoided); }
+  std::size_t Avoided(const std::vector<EngineId>& avoided) const { return directory_.CountEjected(avoided); }
 
  private:
   settings::InForce site_;
-  discovery::Directory directory_;
+  discovery::EndpointDirectory directory_;
   int n_ = 0;
   EngineList last_;
 };
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -245,7 +245,7 @@
 
 // ---- Processes of one proxy ----
 
-constexpr const char* kRegistryFile = "lemoncroft-registry-1";
+constexpr const char* kRegistryFile = "lemoncroft-census-1";
 constexpr off_t kSlotBytes = 12;
 
 TEST(ProcessRegistry, SlotOfAnEarlierProcess_WhileItsLockIsHeld_IsCounted) {
