--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -71,15 +71,12 @@
 
 // Durations of 0 and absent optionals mean that the rule or feature does not apply.
 struct Settings {
-  int gateways = 1;  // siblings of this tier, this one included
-  int self = 0;      // this gateway's number among them
-  std::uint16_t zone = 0;
-  Nanos tick = 0;  // shortest time between two steps
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   std::vector<KindSettings> kinds;
   std::vector<ReportField> report_fields;  // of load reports, in order; empty: there are none
-  bool reports_in_answers = false;         // else in the results of probes alone
+  std::optional<AttemptBudget> attempt_budget;
+  Nanos tick = 0;  // shortest time between two steps
   double over_share_worth = 1;
 
   Nanos drain_grace = 0;
@@ -88,27 +85,31 @@
   double overload_multiple = 0;
   Nanos fall_window = 0;
   Nanos order_settle = 0;
-  std::optional<AttemptBudget> attempt_budget;
   Nanos must_ask_within = 0;
+  Nanos max_come_back = 0;
+  Nanos connect_timeout = 0;
 
-  bool list_on_request = false;  // the engine list must be asked for
+  double max_grant_share = 1;
+  Nanos progress_every = 0;
+  double late_fail_price = 0;   // points for worth that ends unserved after its aim, as a share
+  double cross_zone_price = 0;  // points for an attempt that crosses zones, per first try
+
+  int gateways = 1;  // siblings of this tier, this one included
+  int self = 0;      // this gateway's number among them
+  int max_attempts = 1;
+  MemoryShort memory_short = MemoryShort::kTrim;
+  std::uint16_t zone = 0;
+
+  bool reports_in_answers = false;  // else in the results of probes alone
+  bool list_on_request = false;     // the engine list must be asked for
   bool may_cancel = false;
   bool may_probe = false;
   bool may_copy = false;  // two attempts of one request may be out at a time
   bool may_message = false;
   bool may_advise = false;  // clients are handed the come-back advice
-  int max_attempts = 1;
-  Nanos max_come_back = 0;
-  Nanos connect_timeout = 0;
-
   bool grants_heeded = false;
   bool priorities_heeded = false;
-  double max_grant_share = 1;
-  MemoryShort memory_short = MemoryShort::kTrim;
-  Nanos progress_every = 0;
   bool tells_cost = false;
-  double late_fail_price = 0;   // points for worth that ends unserved after its aim, as a share
-  double cross_zone_price = 0;  // points for an attempt that crosses zones, per first try
 };
 
 // ---- Events: what the host has learnt since the last step, in order ----
--- a/src/rules/keeper.cpp
+++ b/src/rules/keeper.cpp
@@ -5,7 +5,6 @@
 
 namespace lemoncroft::rules {
 
-using agreement::kNever;
 using agreement::Name;
 using namespace std::chrono_literals;
 
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -695,7 +695,7 @@
 
 // Attempts of one query of a class, each of `time`, while the fleet is slow and a heavy class, which is worth
 // 12 for a second of one thread, has spent the credit of one gateway of a hundred.
-int AttemptsWithoutCredit(ClassSettings klass, Nanos time) {
+int AttemptsWithoutCredit(const ClassSettings& klass, Nanos time) {
   Settings s = SomeSettings();
   s.gateways = 100;
   s.report_fields.clear();
@@ -826,6 +826,7 @@
   }
   host.RunUntil(host.now + kSecond);
   std::vector<Event> many;
+  many.reserve(20);
   for (int i = 0; i < 20; ++i) many.push_back(Ask(++id, 0, 4 * kSecond));
   const std::size_t before = host.sends.size();
   host.Step(many);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -179,7 +179,7 @@
 // Sends one answer slice by slice, as a loaded network brings it, and then nothing.
 class SlowFeed {
  public:
-  SlowFeed(runtime::Loop& loop, std::string body, std::size_t slices, runtime::Span pause)
+  SlowFeed(runtime::Loop& loop, const std::string& body, std::size_t slices, runtime::Span pause)
       : loop_(loop),
         listener_(loop, *runtime::Address::Parse("127.0.0.1:0")),
         slices_(slices),
