--- a/src/replicated_config/keeper.cpp
+++ b/src/replicated_config/keeper.cpp
@@ -5,7 +5,6 @@
 
 namespace lemoncroft::replicated_config {
 
-using raft::kNever;
 using raft::NodeId;
 using namespace std::chrono_literals;
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -24,9 +24,11 @@
 using hot_restart::ProcessRegistry;
 
 class HotRestart : public testing::Test {
+ public:
+  ~HotRestart() override { fs::remove_all(dir_); }
+
  protected:
   HotRestart() { fs::create_directories(dir_); }
-  ~HotRestart() override { fs::remove_all(dir_); }
   fs::path dir_ = fs::temp_directory_path() / ("hot-restart-" + std::to_string(::getpid()));
 };
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -17,7 +17,9 @@
   for (std::size_t cut = 0; cut < 20; ++cut) {
     admin::LineReader reader;
     const auto first = reader.Feed(std::string_view(text).substr(0, cut));
-    if (cut < 20) ASSERT_EQ(first, admin::LineReader::State::kNeedMore) << cut;
+    if (cut < 20) {
+      ASSERT_EQ(first, admin::LineReader::State::kNeedMore) << cut;
+    }
     ASSERT_EQ(reader.Feed(std::string_view(text).substr(cut)), admin::LineReader::State::kLine) << cut;
     const auto call = admin::ReadCall(reader.line());
     ASSERT_TRUE(std::holds_alternative<admin::Call>(call));
