--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -244,7 +244,7 @@
       fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
                          replicated_config::Encode(post->note));
   } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
-    Write(keep->store.number, BatchOf(keep->store));
+    Write(keep->store.sequence, BatchOf(keep->store));
   } else if (const auto* founders = std::get_if<replicated_config::KeepFounders>(&output)) {
     storage::Batch batch;
     batch.records.emplace_back("founders", FoundersText(founders->founders));
@@ -603,7 +603,7 @@
   if (const raft::Raft* raft = keeper_.raft()) {
     out["voters"] = raft->voters();
     out["term"] = raft->term();
-    out["commit"] = raft->commit();
+    out["commit"] = raft->commit_index();
     out["holders"] = keeper_.Holders(now);
   }
   for (const auto& [id, member] : fleet_.view().roster().all()) {
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr codec::MsgpackBounds kBounds{4096, 128, kSnapshotMost, 8};
+constexpr codec::MsgpackBounds kBounds{4096, 128, kMaxSnapshotBytes, 8};
 
 template <typename V, Is<Entry> E>
 void Fields(V& v, E& e) {
@@ -36,15 +36,16 @@
 }
 template <typename V, Is<AppendEntriesRequest> E>
 void Fields(V& v, E& e) {
-  v(e.term), v(e.beat), v(e.prev_index), v(e.prev_term), v(e.commit), v(e.kept), v(e.entries);
+  v(e.term), v(e.heartbeat_round), v(e.prev_index), v(e.prev_term), v(e.leader_commit),
+      v(e.leader_durable_index), v(e.entries);
 }
 template <typename V, Is<AppendEntriesResponse> E>
 void Fields(V& v, E& e) {
-  v(e.term), v(e.beat), v(e.ok), v(e.match);
+  v(e.term), v(e.heartbeat_round), v(e.success), v(e.match_index);
 }
 template <typename V, Is<InstallSnapshotRequest> E>
 void Fields(V& v, E& e) {
-  v(e.term), v(e.beat), v(e.snapshot);
+  v(e.term), v(e.heartbeat_round), v(e.snapshot);
 }
 template <typename V, Is<TimeoutNowRequest> E>
 void Fields(V& v, E& e) {
@@ -121,7 +122,7 @@
 
 std::string Encode(const Entry& entry) { return EncodeWhole(entry); }
 std::optional<Entry> DecodeEntry(std::string_view bytes) { return DecodeWhole<Entry>(bytes); }
-std::string Encode(const HardState& promise) { return EncodeWhole(promise); }
+std::string Encode(const HardState& hard_state) { return EncodeWhole(hard_state); }
 std::optional<HardState> DecodeHardState(std::string_view bytes) { return DecodeWhole<HardState>(bytes); }
 std::string Encode(const Snapshot& snapshot) { return EncodeWhole(snapshot); }
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes) { return DecodeWhole<Snapshot>(bytes); }
--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -2,8 +2,8 @@
 //
 // Contract. No I/O. What is read is bounded; anything that isn't whole and well formed is nothing. Elements
 // that a later version appends are passed over. Owner: none. Source: docs/agreement.md.
-#ifndef LEMONCROFT_AGREEMENT_CODEC_H_
-#define LEMONCROFT_AGREEMENT_CODEC_H_
+#ifndef LEMONCROFT_RAFT_CODEC_H_
+#define LEMONCROFT_RAFT_CODEC_H_
 
 #include <optional>
 #include <string>
@@ -13,18 +13,18 @@
 
 namespace lemoncroft::raft {
 
-inline constexpr std::size_t kSnapshotMost = std::size_t{960} << 10;
+inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{960} << 10;
 
 std::string Encode(const Message& message);
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
 std::string Encode(const Entry& entry);
 std::optional<Entry> DecodeEntry(std::string_view bytes);
-std::string Encode(const HardState& promise);
+std::string Encode(const HardState& hard_state);
 std::optional<HardState> DecodeHardState(std::string_view bytes);
 std::string Encode(const Snapshot& snapshot);
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes);
 
 }  // namespace lemoncroft::raft
 
-#endif  // LEMONCROFT_AGREEMENT_CODEC_H_
+#endif  // LEMONCROFT_RAFT_CODEC_H_
--- a/src/raft/types.h
+++ b/src/raft/types.h
@@ -3,8 +3,8 @@
 // Contract. Plain values, no I/O, no clock. Owner: none. Units: spans of time; indices count entries from 1.
 // Source: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Ongaro's thesis
 // (2014), sections 4.1 (voters by one), 3.10 (transfer), 6.4 (lease), 9.6 (pre-vote).
-#ifndef LEMONCROFT_AGREEMENT_TYPES_H_
-#define LEMONCROFT_AGREEMENT_TYPES_H_
+#ifndef LEMONCROFT_RAFT_TYPES_H_
+#define LEMONCROFT_RAFT_TYPES_H_
 
 #include <chrono>
 #include <cstdint>
@@ -59,7 +59,7 @@
 struct VoteRequest {
   bool pre_vote = false;  // would you?
   bool leadership_transfer =
-      false;  // the leader itself asked it to: its promise not to be disturbed does not count
+      false;  // the leader itself asked it to: its hard_state not to be disturbed does not count
   Term term = 0;
   Index last_index = 0;
   Term last_term = 0;
@@ -73,24 +73,25 @@
 };
 struct AppendEntriesRequest {
   Term term = 0;
-  std::uint64_t beat = 0;
+  std::uint64_t heartbeat_round = 0;
   Index prev_index = 0;
   Term prev_term = 0;
-  Index commit = 0;
-  Index kept = 0;  // what the leader itself holds durably: it counts towards what is committed
+  Index leader_commit = 0;
+  Index leader_durable_index =
+      0;  // what the leader itself holds durably: it counts towards what is committed
   std::vector<Entry> entries;
   bool operator==(const AppendEntriesRequest&) const = default;
 };
 struct AppendEntriesResponse {
   Term term = 0;
-  std::uint64_t beat = 0;
-  bool ok = false;
-  Index match = 0;  // where ok: up to here the logs are the same; else: try from behind here
+  std::uint64_t heartbeat_round = 0;
+  bool success = false;
+  Index match_index = 0;  // where ok: up to here the logs are the same; else: try from behind here
   bool operator==(const AppendEntriesResponse&) const = default;
 };
 struct InstallSnapshotRequest {
   Term term = 0;
-  std::uint64_t beat = 0;
+  std::uint64_t heartbeat_round = 0;
   Snapshot snapshot;
   bool operator==(const InstallSnapshotRequest&) const = default;
 };
@@ -105,9 +106,9 @@
 
 // ---- Outputs, in order ----
 
-// Make this durable, in the order of the numbers; then call Stored.
+// Make this durable, in the order of the numbers; then call OnPersisted.
 struct StorageUpdate {
-  std::uint64_t number = 0;
+  std::uint64_t sequence = 0;
   HardState hard_state;
   Index truncate_after = 0;    // entries behind this index are dropped first
   std::vector<Entry> entries;  // then these follow
@@ -118,7 +119,7 @@
 struct SendMessage {
   NodeId to;
   Message message;
-  std::uint64_t after = 0;
+  std::uint64_t after_sequence = 0;
 };
 struct Committed {
   Entry entry;
@@ -132,32 +133,32 @@
 
 // Parts of the protocol that a test takes away, one at a time. Nothing else sets them.
 struct SafetyChecks {
-  bool durable_first = true;       // nothing is told before what it rests on is kept
-  bool own_term = true;            // commitment counts entries of the leader's own term only
-  bool up_to_date = true;          // votes go to logs that are as long
-  bool one_vote = true;            // one vote a term
-  bool pre_vote = true;            // who comes back asks before it disturbs
-  bool sticky = true;              // who hears a leader votes for nobody
-  bool wait_after_start = true;    // ... also if it has just started, and can't know
-  bool match = true;               // entries follow only on the same log
-  bool one_change = true;          // of voters at a time
-  bool step_down = true;           // a leader without a majority is none
-  bool give_up_lease = true;       // before it hands over
-  bool counts_itself_kept = true;  // a leader's own entries count once they are durable
+  bool persist_before_send = true;         // nothing is told before what it rests on is kept
+  bool commit_current_term_only = true;    // commitment counts entries of the leader's own term only
+  bool require_up_to_date_log = true;      // votes go to logs that are as long
+  bool single_vote_per_term = true;        // one vote a term
+  bool pre_vote = true;                    // who comes back asks before it disturbs
+  bool leader_stickiness = true;           // who hears a leader votes for nobody
+  bool vote_delay_after_restart = true;    // ... also if it has just started, and can't know
+  bool log_matching = true;                // entries follow only on the same log
+  bool single_membership_change = true;    // of voters at a time
+  bool check_quorum = true;                // a leader without a majority is none
+  bool release_lease_on_transfer = true;   // before it hands over
+  bool count_durable_entries_only = true;  // a leader's own entries count once they are durable
   bool operator==(const SafetyChecks&) const = default;
 };
 
 struct Options {
-  Duration beat = std::chrono::milliseconds(100);            // of a leader
-  Duration election_least = std::chrono::milliseconds(600);  // without a word of one
-  Duration election_most = std::chrono::milliseconds(1200);
-  double rates_differ = 0.01;                        // of clocks, at the most
-  std::size_t batch = 64;                            // entries in a message ...
-  std::size_t batch_bytes = std::size_t{512} << 10;  // ... and bytes of them, where it is more than one
-  std::size_t data_most = std::size_t{400} << 10;    // of an entry
-  SafetyChecks guards;
+  Duration heartbeat_interval = std::chrono::milliseconds(100);    // of a leader
+  Duration min_election_timeout = std::chrono::milliseconds(600);  // without a word of one
+  Duration max_election_timeout = std::chrono::milliseconds(1200);
+  double max_clock_rate_difference = 0.01;               // of clocks, at the most
+  std::size_t max_batch_entries = 64;                    // entries in a message ...
+  std::size_t max_batch_bytes = std::size_t{512} << 10;  // ... and bytes of them, where it is more than one
+  std::size_t max_entry_bytes = std::size_t{400} << 10;  // of an entry
+  SafetyChecks safety_checks;
 };
 
 }  // namespace lemoncroft::raft
 
-#endif  // LEMONCROFT_AGREEMENT_TYPES_H_
+#endif  // LEMONCROFT_RAFT_TYPES_H_
--- a/src/replicated_config/admission.cpp
+++ b/src/replicated_config/admission.cpp
@@ -118,13 +118,13 @@
   raft::Index match = 0;
   if (const auto* answer = std::get_if<raft::AppendEntriesResponse>(&message)) {
     term = answer->term;
-    match = answer->ok ? answer->match : 0;
+    match = answer->success ? answer->match_index : 0;
   } else if (const auto* vote = std::get_if<raft::VoteResponse>(&message)) {
     if (vote->pre_vote) return;
     term = vote->term;
   } else if (const auto* append = std::get_if<raft::AppendEntriesRequest>(&message)) {
     term = append->term;
-    match = append->kept;
+    match = append->leader_durable_index;
   } else {
     return;
   }
--- a/src/replicated_config/keeper.cpp
+++ b/src/replicated_config/keeper.cpp
@@ -83,14 +83,14 @@
   const auto& state = admission_.state();
   if (state && (*state == Admission::State::kAsking || *state == Admission::State::kBlank))
     due = std::min(due, greet_at_);
-  if (raft_) due = std::min(due, raft_->due());
+  if (raft_) due = std::min(due, raft_->NextDeadline());
   if (in_flight_ && !in_flight_->proposed) due = std::min(due, in_flight_->until);
   if (voters_in_flight_) due = std::min(due, invite_at_);
   return due;
 }
 
 void Keeper::Step(Time now) {
-  if (raft_ && now >= raft_->due()) raft_->Step(now);
+  if (raft_ && now >= raft_->NextDeadline()) raft_->Tick(now);
   Greeting(now);
   if (now >= renew_at_) Renewing(now);
   Asking(now);
@@ -170,7 +170,7 @@
 
 void Keeper::Resign(Time now) {
   if (!raft_) return;
-  raft_->Resign(now);
+  raft_->TransferLeadership(now);
   Settle(now);
 }
 
@@ -282,13 +282,13 @@
   raft_ = std::make_unique<raft::Raft>(terms_.log, terms_.self, std::move(restored_), random_(), now);
   restored_ = {};
   Tell(false, "voter " + terms_.self + " takes part, term " + std::to_string(raft_->term()) + ", log up to " +
-                  std::to_string(raft_->last()));
+                  std::to_string(raft_->last_index()));
 }
 
 void Keeper::Durable(Time now, std::uint64_t number) {
   if (!raft_) return;
   durable_ = std::max(durable_, number);
-  raft_->Stored(now, number);
+  raft_->OnPersisted(now, number);
   Release(now);
   Settle(now);
 }
@@ -310,13 +310,13 @@
 
 void Keeper::Collect(Time now) {
   while (raft_) {
-    const std::vector<raft::Output> outputs = raft_->Take();
+    const std::vector<raft::Output> outputs = raft_->TakeOutputs();
     if (outputs.empty()) return;
     for (const raft::Output& output : outputs) {
       if (const auto* store = std::get_if<raft::StorageUpdate>(&output))
         outputs_.push_back(Keep{*store});
       else if (const auto* send = std::get_if<raft::SendMessage>(&output))
-        held_.push_back({send->to, send->message, send->after});
+        held_.push_back({send->to, send->message, send->after_sequence});
       else if (const auto* committed = std::get_if<raft::Committed>(&output))
         Applied(committed->entry);
       else if (const auto* restored = std::get_if<raft::SnapshotInstalled>(&output))
@@ -344,7 +344,7 @@
   std::uint64_t bytes = 0;
   for (const raft::Entry& entry : raft_->log()) bytes += entry.data.size();
   if (raft_->log().size() <= kLogMost && bytes <= kLogBytesMost) return;
-  raft_->Compact(raft_->commit(), book_.Snapshot());
+  raft_->Compact(raft_->commit_index(), book_.Snapshot());
 }
 
 // ---- A leader ----
@@ -387,7 +387,7 @@
     ProposeNow(now);
   if (voters_in_flight_) {
     const Voters& wanted = voters_in_flight_->voters;
-    if (Has(raft_->voters(), wanted.who) == wanted.in && raft_->VotersCommitted()) {
+    if (Has(raft_->voters(), wanted.who) == wanted.in && raft_->AreVotersCommitted()) {
       Send(voters_in_flight_->tell, Told{{wanted.id, Verdict::kTaken, book_.newest(), {}}});
       Tell(false, "voter " + wanted.who + (wanted.in ? " is let in" : " is out"));
       voters_in_flight_.reset();
@@ -431,7 +431,7 @@
     return;
   }
   const raft::ProposalResult proposed = raft_->Propose(now, EntryOf(in_flight_->change));
-  if (proposed.refusal != raft::ProposalError::kNone) in_flight_.reset();
+  if (proposed.error != raft::ProposalError::kNone) in_flight_.reset();
 }
 
 std::map<std::string, Version> Keeper::Holders(Time now) const {
@@ -579,7 +579,7 @@
   const auto refuse = [&](std::string why) {
     Send(from, Told{{n.id, Verdict::kRefused, book_.newest(), std::move(why)}});
   };
-  if (Has(raft_->voters(), n.who) == n.in && raft_->VotersCommitted())
+  if (Has(raft_->voters(), n.who) == n.in && raft_->AreVotersCommitted())
     return Send(from,
                 Told{{n.id, Verdict::kTaken, book_.newest(), n.in ? "it votes already" : "it has no vote"}});
   if (n.in && !admission_.StoreOf(n.who))
--- a/src/replicated_config/keeper.h
+++ b/src/replicated_config/keeper.h
@@ -135,7 +135,7 @@
   const raft::Raft* raft() const { return raft_.get(); }         // likewise
   const Admission& admission() const { return admission_; }
   bool Leads(raft::Time now) const {
-    return raft_ && raft_->Leads(now) && (raft_->Settled() || !terms_.guards.settled);
+    return raft_ && raft_->HoldsLeaderLease(now) && (raft_->HasCommittedInTerm() || !terms_.guards.settled);
   }
   const raft::NodeId& leader() const { return leader_; }  // as far as known
   // By a leader's books: who holds a lease, and what each has prepared.
--- a/src/replicated_config/notes.cpp
+++ b/src/replicated_config/notes.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr codec::MsgpackBounds kBounds{4096, 128, raft::kSnapshotMost + 4096, 8};
+constexpr codec::MsgpackBounds kBounds{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
 
 template <typename V, Is<Logged> E>
 void Fields(V& v, E& e) {
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -11,7 +11,7 @@
 
 #include "testing/benchmark/peers.h"
 #include "testing/model_check/lease_world.h"
-#include "testing/model_check/log_world.h"
+#include "testing/model_check/raft_model.h"
 #include "testing/simulation/keeper_fleet.h"
 #include "testing/simulation/slow_disk.h"
 #include "testing/simulation/store_plays.h"
@@ -154,14 +154,14 @@
 ordered_json MeasureAgreement(const AgreementPlan& plan) {
   ordered_json out = {{"measurement", "agreement"}, {"seed", plan.seed}};
   if (plan.real) PlayReal(plan, out);
-  const model_check::Found found = model_check::SearchLog(
-      {}, {.elections = 3, .proposals = 2, .crashes = 1, .doubled = 1, .beats = 1}, plan.states);
-  const model_check::Found leases = model_check::SearchLeases({}, {}, plan.states);
+  const model_check::SearchResult found = model_check::SearchRaftModel(
+      {}, {.elections = 3, .proposals = 2, .crashes = 1, .duplicates = 1, .heartbeats = 1}, plan.states);
+  const model_check::SearchResult leases = model_check::SearchLeases({}, {}, plan.states);
   out["states"] = found.states + leases.states;
   out["states_of_log"] = found.states;
   out["states_of_leases"] = leases.states;
-  out["states_bad"] = (found.broken.empty() ? 0 : 1) + (leases.broken.empty() ? 0 : 1);
-  for (const std::string& broken : {found.broken, leases.broken})
+  out["states_bad"] = (found.violation.empty() ? 0 : 1) + (leases.violation.empty() ? 0 : 1);
+  for (const std::string& broken : {found.violation, leases.violation})
     if (!broken.empty()) out["states_broken"] = broken;
   const simulation::CrashPoints points = simulation::CrashAtEachOperation(3);
   out["crash_points"] = points.points;
--- a/src/testing/benchmark/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -119,7 +119,7 @@
       if (const gossip::Member* to = Reach(post->to))
         link_.Post(to->record.address, peer_transport::Part::kRules, replicated_config::Encode(post->note));
     } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
-      keeper_.Durable(Now(), keep->store.number);
+      keeper_.Durable(Now(), keep->store.sequence);
     } else if (std::holds_alternative<replicated_config::KeepFounders>(output)) {
       keeper_.FoundersKept(Now());
     } else if (const auto* learnt = std::get_if<replicated_config::Learnt>(&output)) {
--- a/src/testing/model_check/hash.cpp
+++ b/src/testing/model_check/hash.cpp
@@ -5,7 +5,7 @@
 
 namespace lemoncroft::model_check {
 
-Hash HashOf(std::string_view text) {
+Hash HashState(std::string_view text) {
   const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
   return {hash.high64, hash.low64};
 }
--- a/src/testing/model_check/hash.h
+++ b/src/testing/model_check/hash.h
@@ -1,7 +1,7 @@
 // 128 bits for a canonical text, by XXH3: so few states fall together by chance that a search may take it for
 // the state.
-#ifndef LEMONCROFT_MODEL_HASH_H_
-#define LEMONCROFT_MODEL_HASH_H_
+#ifndef LEMONCROFT_TESTING_MODEL_CHECK_HASH_H_
+#define LEMONCROFT_TESTING_MODEL_CHECK_HASH_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,11 +13,11 @@
   std::uint64_t high = 0, low = 0;
   bool operator==(const Hash&) const = default;
 };
-struct HashOfHash {
+struct StateHasher {
   std::size_t operator()(const Hash& hash) const { return static_cast<std::size_t>(hash.low); }
 };
-Hash HashOf(std::string_view text);
+Hash HashState(std::string_view text);
 
 }  // namespace lemoncroft::model_check
 
-#endif  // LEMONCROFT_MODEL_HASH_H_
+#endif  // LEMONCROFT_TESTING_MODEL_CHECK_HASH_H_
--- a/src/testing/model_check/lease_world.cpp
+++ b/src/testing/model_check/lease_world.cpp
@@ -156,7 +156,8 @@
   return least;
 }
 
-Found SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget, std::uint64_t most) {
+SearchResult SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget,
+                          std::uint64_t most) {
   return Search(
       LeaseWorld(guards, budget),
       [](const LeaseWorld& world, std::vector<LeaseWorld>& into) { world.Next(into); },
--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -70,7 +70,8 @@
   std::string wrong_;
 };
 
-Found SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget, std::uint64_t most);
+SearchResult SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget,
+                          std::uint64_t most);
 
 }  // namespace lemoncroft::model_check
 
--- a/src/testing/model_check/log_world.h
+++ b/src/testing/model_check/raft_model.h
@@ -5,8 +5,8 @@
 // clocks allow, for the rules that must not rest on them. What clocks are for (leases, pre-votes) is played
 // in virtual time instead. Budgets bound it: elections, proposals, crashes, doubled messages, messages on
 // their way. Owner: a search.
-#ifndef LEMONCROFT_MODEL_LOG_WORLD_H_
-#define LEMONCROFT_MODEL_LOG_WORLD_H_
+#ifndef LEMONCROFT_TESTING_MODEL_CHECK_RAFT_MODEL_H_
+#define LEMONCROFT_TESTING_MODEL_CHECK_RAFT_MODEL_H_
 
 #include <array>
 #include <map>
@@ -18,52 +18,53 @@
 
 namespace lemoncroft::model_check {
 
-struct LogBudget {
-  int elections = 2, proposals = 2, crashes = 1, doubled = 1, beats = 1;
-  std::size_t on_their_way = 6;
+struct RaftModelBudget {
+  int elections = 2, proposals = 2, crashes = 1, duplicates = 1, heartbeats = 1;
+  std::size_t max_in_flight = 6;
 };
 
-class LogWorld {
+class RaftModel {
  public:
   static constexpr std::size_t kVoters = 3;
 
-  LogWorld(const raft::SafetyChecks& guards, const LogBudget& budget);
+  RaftModel(const raft::SafetyChecks& safety_checks, const RaftModelBudget& budget);
 
-  void Next(std::vector<LogWorld>& into) const;
-  std::string Wrong() const { return wrong_; }
+  void AppendSuccessors(std::vector<RaftModel>& into) const;
+  std::string Violation() const { return violation_; }
   // The least of the texts under all ways to name the voters.
   std::string Canonical() const;
 
  private:
-  struct Letter {
+  struct Packet {
     std::size_t from = 0, to = 0;
     raft::Message message;
   };
   struct Member {
     raft::Raft raft;
-    raft::PersistentState durable;
-    std::vector<raft::StorageUpdate> writing;
-    std::vector<raft::SendMessage> held;
-    std::uint64_t kept = 0;
+    raft::PersistentState persistent;
+    std::vector<raft::StorageUpdate> pending_writes;
+    std::vector<raft::SendMessage> unsent;
+    std::uint64_t persisted_sequence = 0;
   };
 
   static std::string NameOf(std::size_t i) { return std::string(1, static_cast<char>('A' + i)); }
-  void Carry(std::size_t i);
+  void ProcessOutputs(std::size_t i);
   std::string TextOf(std::size_t i) const;
-  void Check(std::size_t i);
+  void CheckInvariants(std::size_t i);
 
-  raft::Options settings_;
-  LogBudget left_;
+  raft::Options options_;
+  RaftModelBudget budget_;
   std::vector<Member> members_;
-  std::vector<Letter> letters_;
+  std::vector<Packet> network_;
   std::map<raft::Term, std::size_t> leaders_;
   std::map<raft::Index, raft::Entry> committed_;
-  std::string wrong_;
+  std::string violation_;
 };
 
 // Searches until `most` distinct states, or all within the budget.
-Found SearchLog(const raft::SafetyChecks& guards, const LogBudget& budget, std::uint64_t most);
+SearchResult SearchRaftModel(const raft::SafetyChecks& safety_checks, const RaftModelBudget& budget,
+                             std::uint64_t max_states);
 
 }  // namespace lemoncroft::model_check
 
-#endif  // LEMONCROFT_MODEL_LOG_WORLD_H_
+#endif  // LEMONCROFT_TESTING_MODEL_CHECK_RAFT_MODEL_H_
--- a/src/testing/model_check/search.h
+++ b/src/testing/model_check/search.h
@@ -6,8 +6,8 @@
 // (names under a symmetry, times). The first state that breaks a rule ends the search; breadth first, its
 // path is a shortest one. Owner: a test or a measurement. Errors: none; a hash of 128 bits is taken for the
 // state. Source: explicit-state model checking as in Murphi (Dill 1996) and TLC (Lamport 2002).
-#ifndef LEMONCROFT_MODEL_SEARCH_H_
-#define LEMONCROFT_MODEL_SEARCH_H_
+#ifndef LEMONCROFT_TESTING_MODEL_CHECK_SEARCH_H_
+#define LEMONCROFT_TESTING_MODEL_CHECK_SEARCH_H_
 
 #include <cstdint>
 #include <string>
@@ -19,38 +19,38 @@
 
 namespace lemoncroft::model_check {
 
-struct Found {
+struct SearchResult {
   std::uint64_t states = 0;  // distinct ones
   std::uint64_t depth = 0;   // steps from the first
-  bool whole = false;        // all there are within the system's own bounds
-  std::string broken;        // the rule; empty: none
+  bool exhausted = false;    // all there are within the system's own bounds
+  std::string violation;     // the rule; empty: none
 };
 
-template <typename State, typename Next, typename Wrong, typename Canonical>
-Found Search(State first, const Next& next, const Wrong& wrong, const Canonical& canonical,
-             std::uint64_t most) {
-  Found found;
-  std::unordered_set<Hash, HashOfHash> seen;
+template <typename State, typename AppendSuccessors, typename Violation, typename Canonical>
+SearchResult Search(State first, const AppendSuccessors& append_successors, const Violation& violation_of,
+                    const Canonical& canonical, std::uint64_t max_states) {
+  SearchResult result;
+  std::unordered_set<Hash, StateHasher> seen;
   std::vector<State> now, then;
-  seen.insert(HashOf(canonical(first)));
+  seen.insert(HashState(canonical(first)));
   now.push_back(std::move(first));
-  for (; !now.empty(); now.swap(then), then.clear(), ++found.depth) {
+  for (; !now.empty(); now.swap(then), then.clear(), ++result.depth) {
     for (const State& state : now) {
       std::vector<State> reached;
-      next(state, reached);
-      for (State& one : reached) {
-        if (!seen.insert(HashOf(canonical(one))).second) continue;
-        found.states = seen.size();
-        found.broken = wrong(one);
-        if (!found.broken.empty() || found.states >= most) return found;
-        then.push_back(std::move(one));
+      append_successors(state, reached);
+      for (State& successor : reached) {
+        if (!seen.insert(HashState(canonical(successor))).second) continue;
+        result.states = seen.size();
+        result.violation = violation_of(successor);
+        if (!result.violation.empty() || result.states >= max_states) return result;
+        then.push_back(std::move(successor));
       }
     }
   }
-  found.whole = true;
-  return found;
+  result.exhausted = true;
+  return result;
 }
 
 }  // namespace lemoncroft::model_check
 
-#endif  // LEMONCROFT_MODEL_SEARCH_H_
+#endif  // LEMONCROFT_TESTING_MODEL_CHECK_SEARCH_H_
--- a/src/testing/simulation/keeper_fleet.cpp
+++ b/src/testing/simulation/keeper_fleet.cpp
@@ -5,7 +5,7 @@
 
 #include "peer_transport/frame.h"
 #include "testing/simulation/processor_time.h"
-#include "testing/simulation/voters.h"
+#include "testing/simulation/raft_cluster.h"
 
 namespace lemoncroft::simulation {
 
@@ -210,8 +210,8 @@
       const replicated_config::KeeperOutput output = std::move(m.writing.front().second);
       m.writing.erase(m.writing.begin());
       if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
-        Apply(keep->store, m.disk.durable);
-        m.keeper->Durable(Local(m), keep->store.number);
+        ApplyUpdate(keep->store, m.disk.durable);
+        m.keeper->Durable(Local(m), keep->store.sequence);
       } else if (const auto* founders = std::get_if<replicated_config::KeepFounders>(&output)) {
         m.disk.founders = founders->founders;
         m.keeper->FoundersKept(Local(m));
--- a/src/testing/simulation/voters.h
+++ b/src/testing/simulation/raft_cluster.h
@@ -4,8 +4,8 @@
 // Deterministic for a seed. Owned by one test or measurement. Checks the log's rules at every step: one
 // leader a term, what is committed stays and is the same at all, one holder of the leader's lease at a time.
 // Times are true time.
-#ifndef LEMONCROFT_STANDIN_VOTERS_H_
-#define LEMONCROFT_STANDIN_VOTERS_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_RAFT_CLUSTER_H_
+#define LEMONCROFT_TESTING_SIMULATION_RAFT_CLUSTER_H_
 
 #include <functional>
 #include <map>
@@ -21,25 +21,25 @@
 
 namespace lemoncroft::simulation {
 
-class Voters {
+class RaftCluster {
  public:
   struct Plan {
     std::uint64_t seed = 1;
     std::size_t members = 3;  // of which `voting` vote at first
-    std::size_t voting = 3;
-    raft::Options settings;
-    double drift = 0.005;                         // of each clock from true time
-    Instant sync = std::chrono::milliseconds(2);  // of a disk
-    bool lie = false;                             // disks lose what they said they had synced, at a crash
+    std::size_t initial_voters = 3;
+    raft::Options options;
+    double max_clock_drift = 0.005;                        // of each clock from true time
+    Instant sync_duration = std::chrono::milliseconds(2);  // of a disk
+    bool lose_synced_writes = false;  // disks lose what they said they had synced, at a crash
   };
 
-  explicit Voters(const Plan& plan);
+  explicit RaftCluster(const Plan& plan);
 
   static std::string NameOf(std::size_t i) { return std::string(1, static_cast<char>('A' + i)); }
   void Crash(std::size_t i);
   void Restart(std::size_t i);
   void Stall(std::size_t i, Instant span);
-  void SlowDisk(std::size_t i, Instant sync) { members_[i].sync = sync; }
+  void SlowDisk(std::size_t i, Instant sync_duration) { members_[i].sync_duration = sync_duration; }
   void RunFor(Instant span) { RunTo(now_ + span); }
   void RunTo(Instant until);
 
@@ -47,69 +47,69 @@
   std::optional<std::size_t> Leader() const;
   raft::ProposalResult Propose(std::size_t at, const std::string& data);
   raft::ProposalResult ChangeVoters(std::size_t at, const std::string& who, bool in);
-  void Resign(std::size_t at);
+  void TransferLeadership(std::size_t at);
   void Compact(std::size_t at);
-  bool Lives(std::size_t i) const { return members_[i].raft != nullptr; }
+  bool IsRunning(std::size_t i) const { return members_[i].raft != nullptr; }
   const raft::Raft& raft(std::size_t i) const { return *members_[i].raft; }
   // Whether it would act as the leader at this instant, by its own clock.
-  bool Leads(std::size_t i) const;
+  bool HoldsLeaderLease(std::size_t i) const;
 
   Links& links() { return links_; }
   // By its own clock.
-  raft::Time LocalNow(std::size_t i) const { return Local(members_[i]); }
+  raft::Time LocalNow(std::size_t i) const { return LocalTime(members_[i]); }
   // Told each entry that a member learns to be committed; all of them again after a restart.
   std::function<void(std::size_t, const raft::Entry&)> on_committed;
   Instant now() const { return now_; }
-  const std::vector<std::string>& broken() const { return broken_; }  // rules, as they broke
+  const std::vector<std::string>& violations() const { return violations_; }  // rules, as they broke
   const std::map<raft::Index, raft::Entry>& committed() const { return committed_; }
-  std::uint64_t messages() const { return messages_; }
+  std::uint64_t messages_sent() const { return messages_sent_; }
 
  private:
   struct Member {
     std::unique_ptr<raft::Raft> raft;
-    raft::PersistentState durable;
-    std::vector<std::pair<Instant, raft::StorageUpdate>> writing;  // in order; when each is synced
-    std::vector<raft::SendMessage> held;
-    std::uint64_t kept = 0;
-    double rate = 1;
-    raft::Time origin{};
-    Instant held_until{}, sync{};
-    std::uint64_t life = 0;
+    raft::PersistentState persistent;
+    std::vector<std::pair<Instant, raft::StorageUpdate>> pending_writes;  // in order; when each is synced
+    std::vector<raft::SendMessage> unsent;
+    std::uint64_t persisted_sequence = 0;
+    double clock_rate = 1;
+    raft::Time clock_origin{};
+    Instant stalled_until{}, sync_duration{};
+    std::uint64_t incarnation = 0;
   };
-  struct Happening {
+  struct Event {
     Instant at{};
-    std::uint64_t order = 0;
+    std::uint64_t event_order = 0;
     std::size_t member = 0;
-    std::uint64_t life = 0;  // of the member; a message outlives lives
-    enum class EntryKind { kStep, kMessage, kSynced } kind = EntryKind::kStep;
+    std::uint64_t incarnation = 0;  // of the member; a message outlives lives
+    enum class EventKind { kStep, kMessage, kSynced } kind = EventKind::kStep;
     std::string from;
     std::shared_ptr<const raft::Message> message;
-    bool operator>(const Happening& other) const {
-      return at != other.at ? at > other.at : order > other.order;
+    bool operator>(const Event& other) const {
+      return at != other.at ? at > other.at : event_order > other.event_order;
     }
   };
 
-  raft::Time Local(const Member& m) const;
-  void Handle(const Happening& happening);
-  void Carry(std::size_t i);
-  void Release(std::size_t i);
-  void Note(std::size_t i);  // checks the rules after its step
+  raft::Time LocalTime(const Member& member) const;
+  void Handle(const Event& event);
+  void ProcessOutputs(std::size_t i);
+  void SendPersisted(std::size_t i);
+  void CheckInvariants(std::size_t i);  // checks the rules after its step
 
   Plan plan_;
   std::mt19937_64 random_;
   Links links_;
   Instant now_{};
-  std::uint64_t order_ = 0, messages_ = 0;
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
+  std::uint64_t next_event_order_ = 0, messages_sent_ = 0;
+  std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<Member> members_;
   std::map<raft::Term, std::string> leaders_;
   std::map<raft::Index, raft::Entry> committed_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
 };
 
 // Writes a store's output into what is durable, as a disk would.
-void Apply(const raft::StorageUpdate& store, raft::PersistentState& durable);
+void ApplyUpdate(const raft::StorageUpdate& update, raft::PersistentState& persistent);
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_VOTERS_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_RAFT_CLUSTER_H_
--- a/src/testing/simulation/rule_fleet.cpp
+++ b/src/testing/simulation/rule_fleet.cpp
@@ -11,11 +11,11 @@
 
 constexpr Instant kTick = 5ms;  // at which acts are noted
 
-Voters::Plan VotersOf(const RuleFleet::Plan& plan) {
-  Voters::Plan out;
+RaftCluster::Plan VotersOf(const RuleFleet::Plan& plan) {
+  RaftCluster::Plan out;
   out.seed = plan.seed;
-  out.members = out.voting = plan.voters;
-  out.drift = plan.drift;
+  out.members = out.initial_voters = plan.voters;
+  out.max_clock_drift = plan.drift;
   return out;
 }
 
@@ -59,12 +59,12 @@
 
 void RuleFleet::RestartVoter(std::size_t i) {
   leaders_[i] = Leader(plan_.terms);
-  if (!voters_.Lives(i)) voters_.Restart(i);
+  if (!voters_.IsRunning(i)) voters_.Restart(i);
 }
 
 void RuleFleet::Lead(std::size_t i) {
   Leader& leader = leaders_[i];
-  if (!voters_.Lives(i) || voters_.raft(i).role() != raft::Role::kLeader) return;
+  if (!voters_.IsRunning(i) || voters_.raft(i).role() != raft::Role::kLeader) return;
   const replicated_config::Time local = voters_.LocalNow(i);
   if (leader.term != voters_.raft(i).term()) {
     leader.term = voters_.raft(i).term();
@@ -72,7 +72,7 @@
     leader.granter.Begin(local, leader.term);
   }
   if (leader.newest <= std::max(leader.in_force, leader.forcing)) return;
-  if (!leader.granter.MayEnforce(local, voters_.Leads(i), leader.newest)) return;
+  if (!leader.granter.MayEnforce(local, voters_.HoldsLeaderLease(i), leader.newest)) return;
   leader.forcing = leader.newest;
   voters_.Propose(i, "for " + std::to_string(leader.newest));
 }
@@ -82,10 +82,10 @@
   const auto voter = static_cast<Node>(h.voter), machine = static_cast<Node>(h.proxy);
   if (h.renewal) {
     Leader& leader = leaders_[h.voter];
-    if (!voters_.Lives(h.voter) || leader.term != voters_.raft(h.voter).term()) return;
+    if (!voters_.IsRunning(h.voter) || leader.term != voters_.raft(h.voter).term()) return;
     const auto grant =
-        leader.granter.Answer(voters_.LocalNow(h.voter), voters_.Leads(h.voter), std::to_string(h.proxy),
-                              *h.renewal, leader.in_force, leader.newest);
+        leader.granter.Answer(voters_.LocalNow(h.voter), voters_.HoldsLeaderLease(h.voter),
+                              std::to_string(h.proxy), *h.renewal, leader.in_force, leader.newest);
     if (!grant) return;
     Happening answer;
     answer.proxy = h.proxy;
--- a/src/testing/simulation/rule_fleet.h
+++ b/src/testing/simulation/rule_fleet.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "replicated_config/lease.h"
-#include "testing/simulation/voters.h"
+#include "testing/simulation/raft_cluster.h"
 
 namespace lemoncroft::simulation {
 
@@ -38,7 +38,7 @@
   void SlowFetch(std::size_t proxy, Instant span) { proxies_[proxy].fetch = span; }
   void Rate(std::size_t proxy, double rate) { proxies_[proxy].rate = rate; }
   void RunFor(Instant span);
-  Voters& voters() { return voters_; }
+  RaftCluster& voters() { return voters_; }
   Links& links() { return voters_.links(); }
   Instant now() const { return voters_.now(); }
 
@@ -86,7 +86,7 @@
   void Note();
 
   Plan plan_;
-  Voters voters_;
+  RaftCluster voters_;
   std::mt19937_64 random_;
   std::uint64_t order_ = 0, without_ = 0;
   replicated_config::Version proposed_ = 0;
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -70,8 +70,8 @@
              (state ? std::to_string(static_cast<int>(*state)) : "none");
       if (k.raft() != nullptr)
         out += ", role " + std::to_string(static_cast<int>(k.raft()->role())) + " term " +
-               std::to_string(k.raft()->term()) + " commit " + std::to_string(k.raft()->commit()) + " of " +
-               std::to_string(k.raft()->last()) + (k.holder().rates_apart() ? " apart" : "");
+               std::to_string(k.raft()->term()) + " commit " + std::to_string(k.raft()->commit_index()) +
+               " of " + std::to_string(k.raft()->last_index()) + (k.holder().rates_apart() ? " apart" : "");
     }
     return out;
   }
--- a/tests/agreement_test.cpp
+++ b/tests/raft_test.cpp
@@ -1,30 +1,31 @@
 // The replicated log: step by step, in virtual time with faults, and in a search of its states; each guard
 // taken away once.
+#include "raft/raft.h"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
-#include "raft/raft.h"
-#include "testing/model_check/log_world.h"
-#include "testing/simulation/voters.h"
+#include "testing/model_check/raft_model.h"
+#include "testing/simulation/raft_cluster.h"
 
 namespace lemoncroft {
 namespace {
 
 using namespace raft;
 using simulation::Instant;
-using simulation::Voters;
+using simulation::RaftCluster;
 using namespace std::chrono_literals;
 
-struct Cluster : Voters {
-  explicit Cluster(std::uint64_t seed = 1, const SafetyChecks& guards = {}, std::size_t members = 3,
+struct Cluster : RaftCluster {
+  explicit Cluster(std::uint64_t seed = 1, const SafetyChecks& safety_checks = {}, std::size_t members = 3,
                    std::size_t voting = 3)
-      : Voters([&] {
+      : RaftCluster([&] {
           Plan plan;
           plan.seed = seed;
           plan.members = members;
-          plan.voting = voting;
-          plan.settings.guards = guards;
+          plan.initial_voters = voting;
+          plan.options.safety_checks = safety_checks;
           return plan;
         }()) {}
   std::size_t Elect() {
@@ -32,14 +33,14 @@
     EXPECT_TRUE(Leader().has_value());
     return Leader().value_or(0);
   }
-  void CutOff(std::size_t who, std::size_t members, bool cut) {
+  void Isolate(std::size_t who, std::size_t members, bool cut) {
     for (std::size_t i = 0; i < members; ++i) {
       if (i == who) continue;
       links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(i), cut);
       links().Cut(static_cast<simulation::Node>(i), static_cast<simulation::Node>(who), cut);
     }
   }
-  void CutBetween(std::size_t a, std::size_t b) {
+  void Disconnect(std::size_t a, std::size_t b) {
     links().Cut(static_cast<simulation::Node>(a), static_cast<simulation::Node>(b), true);
     links().Cut(static_cast<simulation::Node>(b), static_cast<simulation::Node>(a), true);
   }
@@ -52,13 +53,14 @@
 TEST(Agreement, ElectsALeaderAndCommits) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect();
-  EXPECT_EQ(cluster.Propose(leader, "x").refusal, ProposalError::kNone);
-  EXPECT_EQ(cluster.Propose((leader + 1) % 3, "y").refusal, ProposalError::kNotLeader);
-  EXPECT_EQ(cluster.Propose(leader, std::string(1 << 20, 'z')).refusal, ProposalError::kEntryTooLarge);
+  EXPECT_EQ(cluster.Propose(leader, "x").error, ProposalError::kNone);
+  EXPECT_EQ(cluster.Propose((leader + 1) % 3, "y").error, ProposalError::kNotLeader);
+  EXPECT_EQ(cluster.Propose(leader, std::string(1 << 20, 'z')).error, ProposalError::kEntryTooLarge);
   cluster.RunFor(500ms);
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(cluster.raft(i).commit(), cluster.raft(leader).commit());
+  for (std::size_t i = 0; i < 3; ++i)
+    EXPECT_EQ(cluster.raft(i).commit_index(), cluster.raft(leader).commit_index());
   EXPECT_TRUE(cluster.IsCommitted("x"));
-  EXPECT_TRUE(cluster.broken().empty());
+  EXPECT_TRUE(cluster.violations().empty());
 }
 
 TEST(Agreement, AnotherLeadsSoonAfterTheLeadersEnd) {
@@ -76,11 +78,11 @@
 TEST(Agreement, HandsOverWithoutAnElectionsWait) {
   Cluster cluster;
   const std::size_t before = cluster.Elect();
-  cluster.Resign(before);
+  cluster.TransferLeadership(before);
   cluster.RunFor(200ms);
   ASSERT_TRUE(cluster.Leader().has_value());
   EXPECT_NE(*cluster.Leader(), before);
-  EXPECT_TRUE(cluster.broken().empty());
+  EXPECT_TRUE(cluster.violations().empty());
 }
 
 TEST(Agreement, ALeaderThatIsVotedOutHandsOver) {
@@ -88,11 +90,11 @@
     Cluster cluster(seed);
     const std::size_t before = cluster.Elect();
     cluster.RunFor(500ms);
-    cluster.ChangeVoters(before, Voters::NameOf(before), false);
+    cluster.ChangeVoters(before, RaftCluster::NameOf(before), false);
     cluster.RunFor(250ms);
     ASSERT_TRUE(cluster.Leader().has_value()) << seed;
     EXPECT_NE(*cluster.Leader(), before);
-    EXPECT_TRUE(cluster.broken().empty());
+    EXPECT_TRUE(cluster.violations().empty());
   }
 }
 
@@ -105,7 +107,7 @@
   cluster.RunFor(2s);
   EXPECT_FALSE(cluster.IsCommitted("x")) << "nobody else has it on disk";
   cluster.RunFor(15s);
-  EXPECT_TRUE(cluster.broken().empty());
+  EXPECT_TRUE(cluster.violations().empty());
 }
 
 TEST(Agreement, VotersAreReplacedOneByOneUnderFaults) {
@@ -121,7 +123,7 @@
         if (leader) {
           const auto& voters = cluster.raft(*leader).voters();
           if ((std::find(voters.begin(), voters.end(), who) != voters.end()) == in &&
-              cluster.raft(*leader).commit() == cluster.raft(*leader).last())
+              cluster.raft(*leader).commit_index() == cluster.raft(*leader).last_index())
             break;
           cluster.ChangeVoters(*leader, who, in);
         }
@@ -136,26 +138,26 @@
     cluster.Propose(leader, "after");
     cluster.RunFor(2s);
     EXPECT_TRUE(cluster.IsCommitted("after")) << "seed " << seed;
-    EXPECT_TRUE(cluster.broken().empty()) << "seed " << seed << ": " << cluster.broken().front();
+    EXPECT_TRUE(cluster.violations().empty()) << "seed " << seed << ": " << cluster.violations().front();
   }
 }
 
 TEST(Agreement, SnapshotsBringUpWhoWasAwayForLong) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect(), away = (leader + 1) % 3;
-  cluster.CutOff(away, 3, true);
+  cluster.Isolate(away, 3, true);
   for (int i = 0; i < 200; ++i) cluster.Propose(leader, "d" + std::to_string(i)), cluster.RunFor(10ms);
   cluster.Compact(leader);
   EXPECT_LT(cluster.raft(leader).log().size(), 10u);
   cluster.links().Heal();
   cluster.RunFor(3s);
-  EXPECT_EQ(cluster.raft(away).commit(), cluster.raft(leader).commit());
+  EXPECT_EQ(cluster.raft(away).commit_index(), cluster.raft(leader).commit_index());
   EXPECT_GT(cluster.raft(away).snapshot().index, 0u);
   cluster.Crash(away);
   cluster.Restart(away);
   cluster.RunFor(3s);
-  EXPECT_EQ(cluster.raft(away).commit(), cluster.raft(leader).commit());
-  EXPECT_TRUE(cluster.broken().empty());
+  EXPECT_EQ(cluster.raft(away).commit_index(), cluster.raft(leader).commit_index());
+  EXPECT_TRUE(cluster.violations().empty());
 }
 
 TEST(Agreement, RandomFaultsBreakNoRuleAndItGoesOnAfterThem) {
@@ -168,14 +170,14 @@
       const std::size_t who = below(n);
       switch (below(9)) {
         case 0:
-          if (cluster.Lives(who)) cluster.Crash(who);
+          if (cluster.IsRunning(who)) cluster.Crash(who);
           break;
         case 1:
         case 2:
-          if (!cluster.Lives(who)) cluster.Restart(who);
+          if (!cluster.IsRunning(who)) cluster.Restart(who);
           break;
         case 3:
-          cluster.CutOff(who, n, true);
+          cluster.Isolate(who, n, true);
           break;
         case 4:
           cluster.links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(below(n)),
@@ -198,14 +200,14 @@
       if (const auto leader = cluster.Leader()) {
         cluster.Propose(*leader, "p" + std::to_string(i));
         if (below(10) == 0) cluster.Compact(*leader);
-        if (below(10) == 0) cluster.Resign(*leader);
+        if (below(10) == 0) cluster.TransferLeadership(*leader);
       }
       cluster.RunFor(Instant(1ms) * static_cast<int>(below(800)));
     }
     cluster.links().Heal();
     cluster.links().usual() = {};
     for (std::size_t i = 0; i < n; ++i) {
-      if (!cluster.Lives(i)) cluster.Restart(i);
+      if (!cluster.IsRunning(i)) cluster.Restart(i);
       cluster.SlowDisk(i, 2ms);
     }
     cluster.RunFor(8s);
@@ -213,32 +215,33 @@
     cluster.Propose(leader, "last");
     cluster.RunFor(2s);
     EXPECT_TRUE(cluster.IsCommitted("last")) << "seed " << seed;
-    EXPECT_TRUE(cluster.broken().empty()) << "seed " << seed << ": " << cluster.broken().front();
+    EXPECT_TRUE(cluster.violations().empty()) << "seed " << seed << ": " << cluster.violations().front();
   }
 }
 
 // ---- Guards ----
 
 // The paper's figure 8: an entry of a former term that a majority holds may still be overwritten.
-bool FigureEight(const SafetyChecks& guards) {
-  Options settings;
-  settings.guards = guards;
-  settings.guards.pre_vote = settings.guards.sticky = settings.guards.wait_after_start = false;
-  settings.batch = 1;
+bool FigureEight(const SafetyChecks& safety_checks) {
+  Options options;
+  options.safety_checks = safety_checks;
+  options.safety_checks.pre_vote = options.safety_checks.leader_stickiness =
+      options.safety_checks.vote_delay_after_restart = false;
+  options.max_batch_entries = 1;
   PersistentState fresh;
   fresh.snapshot.voters = {"A", "B", "C"};
   const Time start{1h};
   std::map<NodeId, Raft> rafts;
-  for (const NodeId& name : fresh.snapshot.voters) rafts.emplace(name, Raft(settings, name, fresh, 1, start));
+  for (const NodeId& name : fresh.snapshot.voters) rafts.emplace(name, Raft(options, name, fresh, 1, start));
   std::map<Index, Entry> committed;
   bool kept = true;
-  std::vector<std::tuple<NodeId, NodeId, Message>> letters;
+  std::vector<std::tuple<NodeId, NodeId, Message>> packets;
   const auto carry = [&](const NodeId& name) {
-    for (const Output& output : rafts.at(name).Take()) {
-      if (const auto* store = std::get_if<StorageUpdate>(&output))
-        rafts.at(name).Stored(start, store->number);
+    for (const Output& output : rafts.at(name).TakeOutputs()) {
+      if (const auto* update = std::get_if<StorageUpdate>(&output))
+        rafts.at(name).OnPersisted(start, update->sequence);
       if (const auto* send = std::get_if<SendMessage>(&output))
-        letters.emplace_back(name, send->to, send->message);
+        packets.emplace_back(name, send->to, send->message);
       if (const auto* one = std::get_if<Committed>(&output)) {
         const auto [it, first] = committed.try_emplace(one->entry.index, one->entry);
         kept = kept && (first || it->second == one->entry);
@@ -249,22 +252,22 @@
   const auto between = [&](const NodeId& a, const NodeId& b, int rounds) {
     for (int i = 0; i < rounds; ++i) {
       std::vector<std::tuple<NodeId, NodeId, Message>> now;
-      now.swap(letters);
+      now.swap(packets);
       for (const auto& [from, to, message] : now) {
         if ((from != a && from != b) || (to != a && to != b)) continue;
         rafts.at(to).Receive(start, from, message);
         carry(to);
       }
     }
-    letters.clear();
+    packets.clear();
   };
   const auto elect = [&](const NodeId& who, const NodeId& by, int rounds) {
-    rafts.at(who).Step(rafts.at(who).due());
+    rafts.at(who).Tick(rafts.at(who).NextDeadline());
     carry(who);
     between(who, by, rounds);
   };
   const auto beat = [&](const NodeId& who, const NodeId& with, int rounds) {
-    rafts.at(who).Step(rafts.at(who).due());
+    rafts.at(who).Tick(rafts.at(who).NextDeadline());
     carry(who);
     between(who, with, rounds);
   };
@@ -280,124 +283,129 @@
   return kept;
 }
 
-struct Guarded {
+struct SafetyCheckCase {
   const char* name;
-  bool SafetyChecks::*guard;
-  std::function<bool(const SafetyChecks&)> keeps;
+  bool SafetyChecks::*check;
+  std::function<bool(const SafetyChecks&)> holds;
 };
 
-bool SearchKeeps(const SafetyChecks& guards, model_check::LogBudget budget) {
-  const model_check::Found found =
-      model_check::SearchLog(guards, budget, guards == SafetyChecks() ? 15'000 : 100'000);
-  return found.broken.empty();
+bool SearchHolds(const SafetyChecks& safety_checks, model_check::RaftModelBudget budget) {
+  const model_check::SearchResult found =
+      model_check::SearchRaftModel(safety_checks, budget, safety_checks == SafetyChecks() ? 15'000 : 100'000);
+  return found.violation.empty();
 }
 
-const Guarded kGuards[] = {
-    {"durable before told", &SafetyChecks::durable_first,
-     [](const SafetyChecks& guards) {
-       return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 1, .doubled = 0, .beats = 0});
+const SafetyCheckCase kSafetyCheckCases[] = {
+    {"durable before told", &SafetyChecks::persist_before_send,
+     [](const SafetyChecks& safety_checks) {
+       return SearchHolds(safety_checks,
+                          {.elections = 2, .proposals = 0, .crashes = 1, .duplicates = 0, .heartbeats = 0});
      }},
-    {"one vote a term", &SafetyChecks::one_vote,
-     [](const SafetyChecks& guards) {
-       return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 0, .doubled = 0, .beats = 0});
+    {"one vote a term", &SafetyChecks::single_vote_per_term,
+     [](const SafetyChecks& safety_checks) {
+       return SearchHolds(safety_checks,
+                          {.elections = 2, .proposals = 0, .crashes = 0, .duplicates = 0, .heartbeats = 0});
      }},
-    {"votes for logs as long", &SafetyChecks::up_to_date,
-     [](const SafetyChecks& guards) {
-       return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 0, .doubled = 0, .beats = 1});
+    {"votes for logs as long", &SafetyChecks::require_up_to_date_log,
+     [](const SafetyChecks& safety_checks) {
+       return SearchHolds(safety_checks,
+                          {.elections = 2, .proposals = 0, .crashes = 0, .duplicates = 0, .heartbeats = 1});
      }},
-    {"entries on the same log", &SafetyChecks::match,
-     [](const SafetyChecks& guards) {
-       return SearchKeeps(guards, {.elections = 2, .proposals = 1, .crashes = 0, .doubled = 0, .beats = 1});
+    {"entries on the same log", &SafetyChecks::log_matching,
+     [](const SafetyChecks& safety_checks) {
+       return SearchHolds(safety_checks,
+                          {.elections = 2, .proposals = 1, .crashes = 0, .duplicates = 0, .heartbeats = 1});
      }},
-    {"its own entries once kept", &SafetyChecks::counts_itself_kept,
-     [](const SafetyChecks& guards) {
-       return SearchKeeps(guards, {.elections = 2, .proposals = 0, .crashes = 1, .doubled = 0, .beats = 0});
+    {"its own entries once kept", &SafetyChecks::count_durable_entries_only,
+     [](const SafetyChecks& safety_checks) {
+       return SearchHolds(safety_checks,
+                          {.elections = 2, .proposals = 0, .crashes = 1, .duplicates = 0, .heartbeats = 0});
      }},
-    {"commitment of its own term", &SafetyChecks::own_term, FigureEight},
+    {"commitment of its own term", &SafetyChecks::commit_current_term_only, FigureEight},
     {"pre-vote", &SafetyChecks::pre_vote,
-     [](const SafetyChecks& guards) {
-       Cluster cluster(1, guards);
+     [](const SafetyChecks& safety_checks) {
+       Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
-       cluster.CutOff((leader + 1) % 3, 3, true);
+       cluster.Isolate((leader + 1) % 3, 3, true);
        cluster.RunFor(5s);
        const Term before = cluster.raft(leader).term();
        cluster.links().Heal();
        cluster.RunFor(2s);
-       return cluster.raft(leader).term() == before && cluster.Leads(leader);
+       return cluster.raft(leader).term() == before && cluster.HoldsLeaderLease(leader);
      }},
-    {"who hears a leader votes for nobody", &SafetyChecks::sticky,
-     [](const SafetyChecks& guards) {
+    {"who hears a leader votes for nobody", &SafetyChecks::leader_stickiness,
+     [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-         Cluster cluster(seed, guards);
+         Cluster cluster(seed, safety_checks);
          const std::size_t leader = cluster.Elect();
-         cluster.CutBetween(leader, (leader + 1) % 3);
+         cluster.Disconnect(leader, (leader + 1) % 3);
          cluster.RunFor(5s);
-         if (!cluster.broken().empty()) return false;
+         if (!cluster.violations().empty()) return false;
        }
        return true;
      }},
-    {"waits after a start", &SafetyChecks::wait_after_start,
-     [](const SafetyChecks& guards) {
+    {"waits after a start", &SafetyChecks::vote_delay_after_restart,
+     [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-         Cluster cluster(seed, guards);
-         const std::size_t leader = cluster.Elect(), deaf = (leader + 1) % 3, other = (leader + 2) % 3;
-         cluster.CutBetween(leader, deaf);
+         Cluster cluster(seed, safety_checks);
+         const std::size_t leader = cluster.Elect(), unreachable = (leader + 1) % 3, other = (leader + 2) % 3;
+         cluster.Disconnect(leader, unreachable);
          for (int i = 0; i < 40; ++i) {
            cluster.RunFor(170ms);
            cluster.Crash(other);
            cluster.Restart(other);
          }
-         if (!cluster.broken().empty()) return false;
+         if (!cluster.violations().empty()) return false;
        }
        return true;
      }},
-    {"gives its lease up before it hands over", &SafetyChecks::give_up_lease,
-     [](const SafetyChecks& guards) {
-       Cluster cluster(1, guards);
+    {"gives its lease up before it hands over", &SafetyChecks::release_lease_on_transfer,
+     [](const SafetyChecks& safety_checks) {
+       Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
        for (simulation::Node i = 0; i < 3; ++i)  // it won't hear who comes after it
          if (i != leader) cluster.links().Cut(i, static_cast<simulation::Node>(leader), true);
-       cluster.Resign(leader);
+       cluster.TransferLeadership(leader);
        cluster.RunFor(2s);
-       return cluster.broken().empty();
+       return cluster.violations().empty();
      }},
-    {"steps down without a majority", &SafetyChecks::step_down,
-     [](const SafetyChecks& guards) {
-       Cluster cluster(1, guards);
+    {"steps down without a majority", &SafetyChecks::check_quorum,
+     [](const SafetyChecks& safety_checks) {
+       Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
-       cluster.CutOff(leader, 3, true);
+       cluster.Isolate(leader, 3, true);
        cluster.RunFor(3s);
        return cluster.raft(leader).role() != Role::kLeader;
      }},
-    {"one change of voters at a time", &SafetyChecks::one_change,
-     [](const SafetyChecks& guards) {
-       Cluster cluster(1, guards);
+    {"one change of voters at a time", &SafetyChecks::single_membership_change,
+     [](const SafetyChecks& safety_checks) {
+       Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
        cluster.RunFor(500ms);
-       cluster.CutOff(leader, 3, true);
-       cluster.ChangeVoters(leader, Voters::NameOf((leader + 1) % 3), false);
-       cluster.ChangeVoters(leader, Voters::NameOf((leader + 2) % 3), false);
+       cluster.Isolate(leader, 3, true);
+       cluster.ChangeVoters(leader, RaftCluster::NameOf((leader + 1) % 3), false);
+       cluster.ChangeVoters(leader, RaftCluster::NameOf((leader + 2) % 3), false);
        cluster.Propose(leader, "alone");
        cluster.RunFor(3s);
        const auto other = cluster.Leader();
        if (other && *other != leader) cluster.Propose(*other, "together");
        cluster.RunFor(3s);
-       return cluster.broken().empty();
+       return cluster.violations().empty();
      }},
 };
 
 TEST(AgreementGuards, EachIsNeeded) {
-  for (const Guarded& guarded : kGuards) {
-    EXPECT_TRUE(guarded.keeps(SafetyChecks())) << guarded.name << ": fails with the guard in place";
+  for (const SafetyCheckCase& check_case : kSafetyCheckCases) {
+    EXPECT_TRUE(check_case.holds(SafetyChecks())) << check_case.name << ": fails with the guard in place";
     SafetyChecks without;
-    without.*guarded.guard = false;
-    EXPECT_FALSE(guarded.keeps(without)) << guarded.name << ": taken away, and nothing fails";
+    without.*check_case.check = false;
+    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": taken away, and nothing fails";
   }
 }
 
 TEST(AgreementModel, NoStateOfTheLogBreaksARule) {
-  const model_check::Found found = model_check::SearchLog({}, {}, 60'000);
-  EXPECT_EQ(found.broken, "");
+  const model_check::SearchResult found = model_check::SearchRaftModel({}, {}, 60'000);
+  EXPECT_EQ(found.violation, "");
   EXPECT_GE(found.states, 60'000u);
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -159,7 +159,7 @@
           world.Stall(who, Instant(1ms) * static_cast<int>(below(4000)));
           break;
         case 3:
-          if (who < 3 && world.voters().Lives(who)) world.CrashVoter(who);
+          if (who < 3 && world.voters().IsRunning(who)) world.CrashVoter(who);
           break;
         case 4:
           if (who < 3) world.RestartVoter(who);
@@ -180,7 +180,7 @@
     }
     EXPECT_LE(world.contradiction(), kStated) << "seed " << seed;
     EXPECT_EQ(world.stale(), 0u) << "seed " << seed;
-    EXPECT_TRUE(world.voters().broken().empty()) << "seed " << seed;
+    EXPECT_TRUE(world.voters().violations().empty()) << "seed " << seed;
   }
 }
 
@@ -238,7 +238,7 @@
          world.SlowFetch(6, 900ms);
          world.Propose();
          world.RunFor(100ms);
-         world.voters().Resign(*world.voters().Leader());
+         world.voters().TransferLeadership(*world.voters().Leader());
          world.RunFor(3s);
          if (!Keeps(world)) return false;
        }
@@ -294,8 +294,8 @@
 // ---- All orders of events, within bounds ----
 
 TEST(LeaseModel, NoStateBreaksTheStatedTime) {
-  const model_check::Found found = model_check::SearchLeases({}, {}, 60'000);
-  EXPECT_EQ(found.broken, "");
+  const model_check::SearchResult found = model_check::SearchLeases({}, {}, 60'000);
+  EXPECT_EQ(found.violation, "");
   EXPECT_GE(found.states, 60'000u);
 }
 
@@ -312,10 +312,10 @@
   for (const auto& [name, guard, budget] : guards) {
     Guards without;
     without.*guard = false;
-    const model_check::Found found = model_check::SearchLeases(without, budget, 600'000);
-    EXPECT_NE(found.broken, "") << name << ", " << found.states << " states";
-    const model_check::Found with = model_check::SearchLeases({}, budget, 60'000);
-    EXPECT_EQ(with.broken, "") << name;
+    const model_check::SearchResult found = model_check::SearchLeases(without, budget, 600'000);
+    EXPECT_NE(found.violation, "") << name << ", " << found.states << " states";
+    const model_check::SearchResult with = model_check::SearchLeases({}, budget, 60'000);
+    EXPECT_EQ(with.violation, "") << name;
   }
 }
 
