--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -61,20 +61,20 @@
   return founders;
 }
 
-storage::Batch BatchOf(const raft::StorageUpdate& store) {
-  storage::Batch batch;
+storage::WriteBatch BatchOf(const raft::StorageUpdate& store) {
+  storage::WriteBatch batch;
   batch.records.emplace_back("promise", raft::Encode(store.hard_state));
   if (store.replaces_log) {
     batch.records.emplace_back("snapshot", raft::Encode(store.snapshot));
-    batch.cut_before = store.snapshot.index;
+    batch.compact_through = store.snapshot.index;
   }
-  batch.cut_behind = store.replaces_log ? store.snapshot.index : store.truncate_after;
+  batch.truncate_after = store.replaces_log ? store.snapshot.index : store.truncate_after;
   for (const raft::Entry& entry : store.entries) batch.log.emplace_back(entry.index, raft::Encode(entry));
   return batch;
 }
 
 // Nothing where it holds what is none of ours.
-std::optional<replicated_config::Stored> StoredOf(const storage::Contents& contents) {
+std::optional<replicated_config::Stored> StoredOf(const storage::StoreContents& contents) {
   replicated_config::Stored out;
   const auto record = [&](const char* name) -> std::string {
     const auto it = contents.records.find(name);
@@ -174,7 +174,7 @@
     throw ConfigError("rules: " + name + " is one of the voters: it needs a `store`");
   if (!settings.store.empty())
     worker_ = std::make_unique<storage::Worker>(
-        loop, storage::Database::Terms{settings.store, fleet.settings().name + "/" + name});
+        loop, storage::Database::Options{settings.store, fleet.settings().name + "/" + name});
   fleet_.link().on_parcel = [this](const peer_transport::Parcel& parcel) {
     if (parcel.part != peer_transport::Part::kRules) return;
     if (const auto note = replicated_config::DecodeNote(parcel.bytes)) {
@@ -246,7 +246,7 @@
   } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
     Write(keep->store.sequence, BatchOf(keep->store));
   } else if (const auto* founders = std::get_if<replicated_config::KeepFounders>(&output)) {
-    storage::Batch batch;
+    storage::WriteBatch batch;
     batch.records.emplace_back("founders", FoundersText(founders->founders));
     Write(kFoundersNumber, std::move(batch));
   } else if (const auto* learnt = std::get_if<replicated_config::Learnt>(&output)) {
@@ -277,9 +277,9 @@
 
 // ---- The store ----
 
-void Rules::Write(std::uint64_t number, storage::Batch batch) {
+void Rules::Write(std::uint64_t number, storage::WriteBatch batch) {
   if (!worker_->Write(epoch_ << kEpochShift | number, std::move(batch)))
-    StepBack("the disk is too slow: " + std::to_string(worker_->queued()) + " batches wait for it");
+    StepBack("the disk is too slow: " + std::to_string(worker_->queue_size()) + " batches wait for it");
 }
 
 void Rules::StepBack(const std::string& why) {
@@ -298,14 +298,14 @@
 
 Task<> Rules::Store() {
   for (;;) {
-    storage::Worker::Done done = co_await worker_->Next();
-    if (done.opened) {
+    storage::Worker::Completion done = co_await worker_->NextCompletion();
+    if (done.is_open) {
       Opened(done);
-    } else if (done.number >> kEpochShift == epoch_ && !opening_) {
-      slowest_sync_ = std::max(slowest_sync_, done.took);
-      if (done.health != storage::Health::kDone)
-        StepBack(std::string(storage::NameOf(done.health)) + ": " + done.why);
-      else if (const std::uint64_t number = done.number & kFoundersNumber; number == kFoundersNumber)
+    } else if (done.sequence >> kEpochShift == epoch_ && !opening_) {
+      slowest_sync_ = std::max(slowest_sync_, done.duration);
+      if (done.error.code != storage::StoreErrorCode::kNone)
+        StepBack(std::string(storage::NameOf(done.error.code)) + ": " + done.error.message);
+      else if (const std::uint64_t number = done.sequence & kFoundersNumber; number == kFoundersNumber)
         keeper_.FoundersKept(Now());
       else if (number > 0)
         keeper_.Durable(Now(), number);
@@ -314,25 +314,27 @@
   }
 }
 
-void Rules::Opened(storage::Worker::Done& done) {
+void Rules::Opened(storage::Worker::Completion& done) {
   std::optional<replicated_config::Stored> stored;
-  if (done.health == storage::Health::kDone) {
+  if (done.error.code == storage::StoreErrorCode::kNone) {
     stored = StoredOf(done.contents);
     if (!stored)
-      done.why = settings_.store + ": holds what is none of ours", done.health = storage::Health::kDamaged;
+      done.error.message = settings_.store + ": holds what is none of ours",
+      done.error.code = storage::StoreErrorCode::kDamaged;
   }
   if (!stored) {
     if (!std::exchange(told_closed_, true))
-      spdlog::warn("rules: the store can't be opened, this voter waits: {}: {}", storage::NameOf(done.health),
-                   done.why);
-    loop_.Spawn(OpenAgain(done.health == storage::Health::kHeld ? Span(kHeldAgain) : Span(kFailedAgain)));
+      spdlog::warn("rules: the store can't be opened, this voter waits: {}: {}",
+                   storage::NameOf(done.error.code), done.error.message);
+    loop_.Spawn(OpenAgain(done.error.code == storage::StoreErrorCode::kLocked ? Span(kHeldAgain)
+                                                                              : Span(kFailedAgain)));
     return;
   }
   opening_ = told_closed_ = false;
   ++epoch_;
   if (stored->store == 0) {
     stored->store = Draw();
-    storage::Batch batch;
+    storage::WriteBatch batch;
     batch.records.emplace_back("store", std::to_string(stored->store));
     Write(0, std::move(batch));
   }
--- a/src/cli/rules.h
+++ b/src/cli/rules.h
@@ -78,8 +78,8 @@
   runtime::Task<> Reconcile();
   void Pump();
   void CarryOut(const replicated_config::KeeperOutput& output);
-  void Opened(storage::Worker::Done& done);
-  void Write(std::uint64_t number, storage::Batch batch);
+  void Opened(storage::Worker::Completion& done);
+  void Write(std::uint64_t number, storage::WriteBatch batch);
   void StepBack(const std::string& why);
   runtime::Task<> OpenAgain(runtime::Span after);
   const gossip::Member* Reach(const raft::NodeId& name) const;
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -189,15 +189,14 @@
 // A majority of the voters' stores is gone for good: what this one holds becomes the fleet's, with itself as
 // the only voter; others are let in after that. What was committed and is not in this store is lost.
 int Refound(const RulesCommand& command) {
-  storage::Database::Terms terms;
+  storage::Database::Options terms;
   terms.path = command.store;
   terms.owner = command.fleet + "/" + command.who;
   if (!std::ifstream(command.store)) throw ConfigError(command.store + ": no store there");
   storage::Database database(terms);
-  storage::Contents contents;
-  std::string why;
-  if (const storage::Health health = database.Open(contents, why); health != storage::Health::kDone)
-    throw ConfigError(std::string(storage::NameOf(health)) + ": " + why);
+  const auto opened = database.Open();
+  if (!opened) throw ConfigError(opened.error().ToString());
+  const storage::StoreContents& contents = *opened;
   raft::HardState promise;
   raft::Snapshot snapshot;
   if (const auto it = contents.records.find("promise"); it != contents.records.end())
@@ -222,12 +221,11 @@
   entry.kind = raft::EntryKind::kVoters;
   entry.voters = {command.who};
   promise = {promise.term + 1, command.who};
-  storage::Batch batch;
+  storage::WriteBatch batch;
   const std::string store = contents.records.contains("store") ? contents.records.at("store") : "1";
   batch.records = {{"promise", raft::Encode(promise)}, {"founders", command.who + " " + store + "\n"}};
   batch.log.emplace_back(entry.index, raft::Encode(entry));
-  if (const storage::Health health = database.Write(batch, why); health != storage::Health::kDone)
-    throw ConfigError(std::string(storage::NameOf(health)) + ": " + why);
+  if (const auto written = database.Write(batch); !written) throw ConfigError(written.error().ToString());
   std::printf(
       "%s is the only voter from log entry %llu on. Start it, then let others in: rules voters in NAME\n",
       command.who.c_str(), static_cast<unsigned long long>(entry.index));
--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -5,12 +5,30 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include <string_view>
-
 namespace lemoncroft::storage {
 namespace {
 
-// A statement in use; what it is bound to must live as long.
+constexpr std::uint64_t kPageBytes = 4096;
+constexpr int kSqlitePrimaryCodeMask = 0xff;  // the low byte of a result code, also of an extended one
+
+constexpr const char* kFormatRecord = "@format";
+constexpr const char* kOwnerRecord = "@owner";
+
+constexpr const char* kCreateRecords =
+    "CREATE TABLE IF NOT EXISTS records(name BLOB PRIMARY KEY, value BLOB, sum INTEGER) WITHOUT ROWID;";
+constexpr const char* kCreateLog =
+    "CREATE TABLE IF NOT EXISTS log(number INTEGER PRIMARY KEY, value BLOB, sum INTEGER);";
+constexpr const char* kSelectRecords = "SELECT name, value, sum FROM records";
+constexpr const char* kSelectRecord = "SELECT value FROM records WHERE name = ?";
+constexpr const char* kPutRecord = "INSERT OR REPLACE INTO records VALUES(?, ?, ?)";
+constexpr const char* kDeleteRecord = "DELETE FROM records WHERE name = ?";
+constexpr const char* kSelectLog = "SELECT number, value, sum FROM log ORDER BY number";
+constexpr const char* kPutLogEntry = "INSERT OR REPLACE INTO log VALUES(?, ?, ?)";
+constexpr const char* kTruncateLog = "DELETE FROM log WHERE number > ?";
+constexpr const char* kCompactLog = "DELETE FROM log WHERE number <= ?";
+
+// A prepared statement. Bound values must outlive it. The first failure is kept: later calls do nothing and
+// Step returns its code.
 class Statement {
  public:
   Statement(sqlite3* db, const char* text) { code_ = sqlite3_prepare_v2(db, text, -1, &statement_, nullptr); }
@@ -18,27 +36,29 @@
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  void Bind(int at, std::int64_t value) {
-    if (code_ == SQLITE_OK) code_ = sqlite3_bind_int64(statement_, at, value);
+  void Bind(int parameter, std::int64_t value) {
+    if (code_ == SQLITE_OK) code_ = sqlite3_bind_int64(statement_, parameter, value);
   }
-  void Bind(int at, std::string_view value) {
+  void Bind(int parameter, std::string_view value) {
     if (code_ == SQLITE_OK)
-      code_ = sqlite3_bind_blob(statement_, at, value.data(), static_cast<int>(value.size()), SQLITE_STATIC);
+      code_ = sqlite3_bind_blob(statement_, parameter, value.data(), static_cast<int>(value.size()),
+                                SQLITE_STATIC);
   }
+  // Returns SQLite's result code.
   int Step() {
     if (code_ == SQLITE_OK || code_ == SQLITE_ROW) code_ = sqlite3_step(statement_);
     return code_;
   }
-  // Runs it to its end and makes it ready for other values.
-  int Done() {
+  // Steps a statement without rows, then resets it for other values.
+  int StepAndReset() {
     const int code = Step();
     if (code == SQLITE_DONE) code_ = sqlite3_reset(statement_);
     return code;
   }
-  std::int64_t Number(int at) { return sqlite3_column_int64(statement_, at); }
-  std::string Bytes(int at) {
-    const void* bytes = sqlite3_column_blob(statement_, at);
-    const int size = sqlite3_column_bytes(statement_, at);
+  std::int64_t Integer(int column) { return sqlite3_column_int64(statement_, column); }
+  std::string Blob(int column) {
+    const void* bytes = sqlite3_column_blob(statement_, column);
+    const int size = sqlite3_column_bytes(statement_, column);
     return bytes == nullptr ? std::string()
                             : std::string(static_cast<const char*>(bytes), static_cast<std::size_t>(size));
   }
@@ -48,21 +68,37 @@
   int code_ = SQLITE_OK;
 };
 
-// Of a record's name too: a value under another name is not what was written.
-std::int64_t SumOf(std::string_view name, std::string_view value) {
+// Includes the name, so that a value that ended up under another name is recognised.
+std::int64_t ChecksumOf(std::string_view name, std::string_view value) {
   const std::uint64_t seed = XXH3_64bits(name.data(), name.size());
   return static_cast<std::int64_t>(XXH3_64bits_withSeed(value.data(), value.size(), seed));
 }
 
-std::string NameOfEntry(std::uint64_t number) { return "#" + std::to_string(number); }
+std::string LogEntryName(std::uint64_t index) { return "#" + std::to_string(index); }
+
+StoreErrorCode CodeOf(int sqlite_code) {
+  switch (sqlite_code & kSqlitePrimaryCodeMask) {
+    case SQLITE_BUSY:
+    case SQLITE_LOCKED:
+      return StoreErrorCode::kLocked;
+    case SQLITE_NOTADB:
+      return StoreErrorCode::kForeign;
+    case SQLITE_CORRUPT:
+      return StoreErrorCode::kDamaged;
+    default:
+      return StoreErrorCode::kFailed;
+  }
+}
 
 }  // namespace
 
-const char* NameOf(Health health) {
+const char* NameOf(StoreErrorCode code) {
   constexpr const char* kNames[] = {"done", "held by another process", "foreign", "damaged", "failed"};
-  return kNames[static_cast<std::size_t>(health)];
+  return kNames[static_cast<std::size_t>(code)];
 }
 
+std::string StoreError::ToString() const { return std::string(NameOf(code)) + ": " + message; }
+
 Database::~Database() { Close(); }
 
 void Database::Close() {
@@ -70,159 +106,188 @@
   db_ = nullptr;
 }
 
-Health Database::Fail(int code, std::string& why) const {
-  why = terms_.path + ": " + (db_ != nullptr ? sqlite3_errmsg(db_) : sqlite3_errstr(code));
-  switch (code & 0xff) {
-    case SQLITE_BUSY:
-    case SQLITE_LOCKED:
-      return Health::kHeld;
-    case SQLITE_NOTADB:
-      return Health::kForeign;
-    case SQLITE_CORRUPT:
-      return Health::kDamaged;
-    default:
-      return Health::kFailed;
-  }
+StoreError Database::SqliteError(int sqlite_code, std::string_view operation) const {
+  const char* reason = db_ != nullptr ? sqlite3_errmsg(db_) : sqlite3_errstr(sqlite_code);
+  return {CodeOf(sqlite_code), options_.path, std::string(operation), sqlite_code,
+          options_.path + ": " + reason};
 }
 
-Health Database::Run(const char* statement, std::string& why) {
-  const int code = sqlite3_exec(db_, statement, nullptr, nullptr, nullptr);
-  return code == SQLITE_OK ? Health::kDone : Fail(code, why);
+StoreError Database::MakeError(StoreErrorCode code, std::string operation, const std::string& reason) const {
+  return {code, options_.path, std::move(operation), SQLITE_OK, options_.path + ": " + reason};
 }
 
-Health Database::Open(Contents& contents, std::string& why) {
+tl::expected<void, StoreError> Database::Execute(const char* statement) {
+  const int sqlite_code = sqlite3_exec(db_, statement, nullptr, nullptr, nullptr);
+  if (sqlite_code != SQLITE_OK) return tl::unexpected(SqliteError(sqlite_code, statement));
+  return {};
+}
+
+// ---- Opening ----
+
+tl::expected<StoreContents, StoreError> Database::Open() {
   Close();
   const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX;
-  const int code = sqlite3_open_v2(terms_.path.c_str(), &db_, flags, terms_.system);
-  if (code != SQLITE_OK) return Fail(code, why);
-  // Exclusive: one process at a time, and no memory shared with others. Full: durable before a batch is done.
-  const std::string pages = "PRAGMA max_page_count=" + std::to_string(terms_.bytes_most / 4096) + ";";
+  const int sqlite_code = sqlite3_open_v2(options_.path.c_str(), &db_, flags, options_.vfs_name);
+  if (sqlite_code != SQLITE_OK) return tl::unexpected(SqliteError(sqlite_code, "open"));
+  if (auto configured = Configure(); !configured) return tl::unexpected(std::move(configured.error()));
+  auto contents = ReadAll();
+  if (!contents) return contents;
+  if (auto verified = VerifyIdentity(); !verified) return tl::unexpected(std::move(verified.error()));
+  return contents;
+}
+
+// Exclusive locking keeps other processes out and needs no shared memory; synchronous=FULL makes a commit
+// durable before it returns.
+tl::expected<void, StoreError> Database::Configure() {
+  const std::string max_pages =
+      "PRAGMA max_page_count=" + std::to_string(options_.max_bytes / kPageBytes) + ";";
   for (const char* statement :
        {"PRAGMA locking_mode=EXCLUSIVE;", "PRAGMA journal_mode=WAL;", "PRAGMA synchronous=FULL;",
-        pages.c_str(), "PRAGMA wal_autocheckpoint=256;", "BEGIN IMMEDIATE;",
-        "CREATE TABLE IF NOT EXISTS records(name BLOB PRIMARY KEY, value BLOB, sum INTEGER) WITHOUT ROWID;",
-        "CREATE TABLE IF NOT EXISTS log(number INTEGER PRIMARY KEY, value BLOB, sum INTEGER);", "COMMIT;"}) {
-    const Health health = Run(statement, why);
-    if (health != Health::kDone) return health;
+        max_pages.c_str(), "PRAGMA wal_autocheckpoint=256;", "BEGIN IMMEDIATE;", kCreateRecords, kCreateLog,
+        "COMMIT;"}) {
+    if (auto executed = Execute(statement); !executed) return executed;
   }
-  const Health health = Read(contents, why);
-  return health == Health::kDone ? Identify(why) : health;
-}
-
-Health Database::Read(Contents& contents, std::string& why) {
-  contents = {};
-  Statement records(db_, "SELECT name, value, sum FROM records");
-  int code = records.Step();
-  for (; code == SQLITE_ROW; code = records.Step()) {
-    std::string name = records.Bytes(0), value = records.Bytes(1);
-    if (records.Number(2) != SumOf(name, value)) {
-      why = terms_.path + ": the record '" + name + "' is not what was written";
-      return Health::kDamaged;
-    }
+  return {};
+}
+
+tl::expected<StoreContents, StoreError> Database::ReadAll() {
+  StoreContents contents;
+  if (auto read = ReadRecords(contents); !read) return tl::unexpected(std::move(read.error()));
+  if (auto read = ReadLog(contents); !read) return tl::unexpected(std::move(read.error()));
+  return contents;
+}
+
+tl::expected<void, StoreError> Database::ReadRecords(StoreContents& contents) {
+  Statement select(db_, kSelectRecords);
+  int sqlite_code = select.Step();
+  for (; sqlite_code == SQLITE_ROW; sqlite_code = select.Step()) {
+    std::string name = select.Blob(0);
+    std::string value = select.Blob(1);
+    if (select.Integer(2) != ChecksumOf(name, value))
+      return tl::unexpected(
+          MakeError(StoreErrorCode::kDamaged, name, "the record '" + name + "' does not match its checksum"));
     contents.records.emplace(std::move(name), std::move(value));
   }
-  if (code != SQLITE_DONE) return Fail(code, why);
-  Statement log(db_, "SELECT number, value, sum FROM log ORDER BY number");
-  for (code = log.Step(); code == SQLITE_ROW; code = log.Step()) {
-    const auto number = static_cast<std::uint64_t>(log.Number(0));
-    std::string value = log.Bytes(1);
-    const bool follows = contents.log.empty() || contents.log.rbegin()->first + 1 == number;
-    if (log.Number(2) != SumOf(NameOfEntry(number), value) || !follows) {
-      why = terms_.path + ": the log's entry " + std::to_string(number) + " is not what was written";
-      return Health::kDamaged;
-    }
-    contents.log.emplace(number, std::move(value));
+  if (sqlite_code != SQLITE_DONE) return tl::unexpected(SqliteError(sqlite_code, kSelectRecords));
+  return {};
+}
+
+tl::expected<void, StoreError> Database::ReadLog(StoreContents& contents) {
+  Statement select(db_, kSelectLog);
+  int sqlite_code = select.Step();
+  for (; sqlite_code == SQLITE_ROW; sqlite_code = select.Step()) {
+    const auto index = static_cast<std::uint64_t>(select.Integer(0));
+    std::string value = select.Blob(1);
+    const bool follows = contents.log.empty() || contents.log.rbegin()->first + 1 == index;
+    if (select.Integer(2) != ChecksumOf(LogEntryName(index), value) || !follows)
+      return tl::unexpected(
+          MakeError(StoreErrorCode::kDamaged, LogEntryName(index),
+                    "the log entry " + std::to_string(index) + " does not match its checksum or position"));
+    contents.log.emplace(index, std::move(value));
   }
-  return code == SQLITE_DONE ? Health::kDone : Fail(code, why);
-}
-
-// Whose it is, and in which format: written by its first opening.
-Health Database::Identify(std::string& why) {
-  const std::pair<std::string, std::string> wanted[] = {{"@format", std::to_string(kFormat)},
-                                                        {"@owner", terms_.owner}};
-  for (const auto& [name, value] : wanted) {
-    Statement find(db_, "SELECT value FROM records WHERE name = ?");
-    find.Bind(1, std::string_view(name));
-    const int code = find.Step();
-    if (code == SQLITE_ROW && find.Bytes(0) == value) continue;
-    if (code == SQLITE_ROW) {
-      why = terms_.path + ": its " + name.substr(1) + " is '" + find.Bytes(0) + "', not '" + value + "'";
-      return Health::kForeign;
+  if (sqlite_code != SQLITE_DONE) return tl::unexpected(SqliteError(sqlite_code, kSelectLog));
+  return {};
+}
+
+// The first opening writes the format version and the owner; later ones compare them.
+tl::expected<void, StoreError> Database::VerifyIdentity() {
+  const Record expected[] = {{kFormatRecord, std::to_string(kFormatVersion)}, {kOwnerRecord, options_.owner}};
+  for (const Record& record : expected) {
+    Statement find(db_, kSelectRecord);
+    find.Bind(1, std::string_view(record.name));
+    const int sqlite_code = find.Step();
+    if (sqlite_code == SQLITE_ROW) {
+      const std::string found = find.Blob(0);
+      if (found == record.value) continue;
+      const std::string field = record.name.substr(1);  // without the "@"
+      return tl::unexpected(MakeError(StoreErrorCode::kForeign, record.name,
+                                      "its " + field + " is '" + found + "', not '" + record.value + "'"));
     }
-    if (code != SQLITE_DONE) return Fail(code, why);
-    Batch batch;
-    batch.records.emplace_back(name, value);
-    const Health health = Write(batch, why);
-    if (health != Health::kDone) return health;
+    if (sqlite_code != SQLITE_DONE) return tl::unexpected(SqliteError(sqlite_code, kSelectRecord));
+    WriteBatch batch;
+    batch.records.push_back(record);
+    if (auto written = Write(batch); !written) return written;
   }
-  return Health::kDone;
+  return {};
 }
 
-Health Database::Write(const Batch& batch, std::string& why) {
-  if (db_ == nullptr) {
-    why = terms_.path + ": not open";
-    return Health::kFailed;
-  }
-  for (const auto& [name, value] : batch.records) {
-    if (!name.empty() && name.size() <= kNameMost && value.size() <= kValueMost) continue;
-    why = terms_.path + ": a record is too long, or without a name";
-    return Health::kFailed;
+// ---- Writing ----
+
+tl::expected<void, StoreError> Database::CheckLimits(const WriteBatch& batch) const {
+  for (const Record& record : batch.records) {
+    if (!record.name.empty() && record.name.size() <= kMaxNameBytes && record.value.size() <= kMaxValueBytes)
+      continue;
+    return tl::unexpected(
+        MakeError(StoreErrorCode::kFailed, record.name, "a record is too long, or without a name"));
   }
-  for (const auto& [number, value] : batch.log) {
-    if (number > 0 && value.size() <= kValueMost) continue;
-    why = terms_.path + ": an entry of the log is too long, or without a number";
-    return Health::kFailed;
+  for (const LogEntry& entry : batch.log) {
+    if (entry.index > 0 && entry.value.size() <= kMaxValueBytes) continue;
+    return tl::unexpected(MakeError(StoreErrorCode::kFailed, LogEntryName(entry.index),
+                                    "an entry of the log is too long, or without an index"));
   }
-  Health health = Run("BEGIN IMMEDIATE", why);
-  if (health != Health::kDone) return health;
-  const auto all = [&]() -> int {
-    Statement put(db_, "INSERT OR REPLACE INTO records VALUES(?, ?, ?)");
-    Statement drop(db_, "DELETE FROM records WHERE name = ?");
-    for (const auto& [name, value] : batch.records) {
-      Statement& statement = value.empty() ? drop : put;
-      statement.Bind(1, std::string_view(name));
-      if (!value.empty()) {
-        statement.Bind(2, std::string_view(value));
-        statement.Bind(3, SumOf(name, value));
-      }
-      if (const int code = statement.Done(); code != SQLITE_DONE) return code;
-    }
-    const std::pair<const char*, std::optional<std::uint64_t>> cuts[] = {
-        {"DELETE FROM log WHERE number > ?", batch.cut_behind},
-        {"DELETE FROM log WHERE number <= ?", batch.cut_before}};
-    if (batch.cut_behind) {
-      Statement cut(db_, cuts[0].first);
-      cut.Bind(1, static_cast<std::int64_t>(*batch.cut_behind));
-      if (const int code = cut.Done(); code != SQLITE_DONE) return code;
-    }
-    Statement add(db_, "INSERT OR REPLACE INTO log VALUES(?, ?, ?)");
-    for (const auto& [number, value] : batch.log) {
-      add.Bind(1, static_cast<std::int64_t>(number));
-      add.Bind(2, std::string_view(value));
-      add.Bind(3, SumOf(NameOfEntry(number), value));
-      if (const int code = add.Done(); code != SQLITE_DONE) return code;
-    }
-    if (batch.cut_before) {
-      Statement cut(db_, cuts[1].first);
-      cut.Bind(1, static_cast<std::int64_t>(*batch.cut_before));
-      if (const int code = cut.Done(); code != SQLITE_DONE) return code;
+  return {};
+}
+
+tl::expected<void, StoreError> Database::Write(const WriteBatch& batch) {
+  if (db_ == nullptr) return tl::unexpected(MakeError(StoreErrorCode::kFailed, "write", "not open"));
+  if (auto checked = CheckLimits(batch); !checked) return checked;
+  if (auto begun = Execute("BEGIN IMMEDIATE"); !begun) return begun;
+  auto result = ApplyBatch(batch);
+  if (result) result = Execute("COMMIT");
+  if (!result) sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
+  return result;
+}
+
+tl::expected<void, StoreError> Database::ApplyBatch(const WriteBatch& batch) {
+  if (auto written = WriteRecords(batch.records); !written) return written;
+  if (batch.truncate_after)
+    if (auto truncated = DeleteLog(kTruncateLog, *batch.truncate_after); !truncated) return truncated;
+  if (auto written = WriteLog(batch.log); !written) return written;
+  if (batch.compact_through)
+    if (auto compacted = DeleteLog(kCompactLog, *batch.compact_through); !compacted) return compacted;
+  return {};
+}
+
+tl::expected<void, StoreError> Database::WriteRecords(const std::vector<Record>& records) {
+  Statement put(db_, kPutRecord);
+  Statement remove(db_, kDeleteRecord);
+  for (const Record& record : records) {
+    const bool removed = record.value.empty();
+    Statement& statement = removed ? remove : put;
+    statement.Bind(1, std::string_view(record.name));
+    if (!removed) {
+      statement.Bind(2, std::string_view(record.value));
+      statement.Bind(3, ChecksumOf(record.name, record.value));
     }
-    return SQLITE_DONE;
-  };
-  const int code = all();
-  if (code == SQLITE_DONE) {
-    health = Run("COMMIT", why);
-    if (health == Health::kDone) return health;
-  } else {
-    health = Fail(code, why);
+    if (const int sqlite_code = statement.StepAndReset(); sqlite_code != SQLITE_DONE)
+      return tl::unexpected(SqliteError(sqlite_code, removed ? kDeleteRecord : kPutRecord));
+  }
+  return {};
+}
+
+tl::expected<void, StoreError> Database::WriteLog(const std::vector<LogEntry>& entries) {
+  Statement put(db_, kPutLogEntry);
+  for (const LogEntry& entry : entries) {
+    put.Bind(1, static_cast<std::int64_t>(entry.index));
+    put.Bind(2, std::string_view(entry.value));
+    put.Bind(3, ChecksumOf(LogEntryName(entry.index), entry.value));
+    if (const int sqlite_code = put.StepAndReset(); sqlite_code != SQLITE_DONE)
+      return tl::unexpected(SqliteError(sqlite_code, kPutLogEntry));
   }
-  sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
-  return health;
+  return {};
+}
+
+tl::expected<void, StoreError> Database::DeleteLog(const char* statement, std::uint64_t index) {
+  Statement remove(db_, statement);
+  remove.Bind(1, static_cast<std::int64_t>(index));
+  const int sqlite_code = remove.StepAndReset();
+  if (sqlite_code != SQLITE_DONE) return tl::unexpected(SqliteError(sqlite_code, statement));
+  return {};
 }
 
-Health Database::Compact(std::string& why) {
-  const Health health = Run("VACUUM", why);
-  return health == Health::kDone ? Run("PRAGMA wal_checkpoint(TRUNCATE)", why) : health;
+tl::expected<void, StoreError> Database::Compact() {
+  if (auto vacuumed = Execute("VACUUM"); !vacuumed) return vacuumed;
+  return Execute("PRAGMA wal_checkpoint(TRUNCATE)");
 }
 
 }  // namespace lemoncroft::storage
--- a/src/storage/database.h
+++ b/src/storage/database.h
@@ -1,20 +1,20 @@
-// A durable store of small state: named records and a log, changed by atomic batches, each record under a
-// checksum.
+// A durable store for a small state: named records and an indexed log, changed by atomic batches.
 //
-// Contract. Blocking calls, for a thread of their own. A batch whose Write returned kDone is there after any
-// crash, whole; one that was cut off by a crash is there whole or not at all. What is read is checked: a
-// record that isn't what was written makes the whole store kDamaged, and nothing of it is handed out. Nothing
-// here ends the process. Owner: one thread, and one process at a time: a second one is told kHeld. Units:
-// bytes; log numbers from 1. Errors: as Health, with a plain line. Source: docs/storage.md; SQLite's file
-// format and its write-ahead log.
+// Contract. Calls block on the disk, so they belong on a thread of their own. A batch whose Write succeeded
+// survives any crash; a batch that a crash interrupted is applied completely or not at all. Each record and
+// log entry carries a checksum over its name and value: if one does not match, Open fails with kDamaged and
+// returns nothing. No call ends the process. Owner: one thread, and one process at a time; a second process
+// gets kLocked. Units: bytes; log indices from 1. Errors: StoreError. Source: SQLite's file format and
+// write-ahead log; see docs/storage.md.
 #ifndef LEMONCROFT_STORAGE_DATABASE_H_
 #define LEMONCROFT_STORAGE_DATABASE_H_
 
 #include <cstdint>
 #include <map>
-#include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
+#include <tl/expected.hpp>
 #include <utility>
 #include <vector>
 
@@ -22,58 +22,99 @@
 
 namespace lemoncroft::storage {
 
-enum class Health : std::uint8_t {
-  kDone,
-  kHeld,     // another process has it
-  kForeign,  // of another owner, of a later format, or no store at all
-  kDamaged,  // not what was written
-  kFailed,   // the disk is full, read-only, or fails
+enum class StoreErrorCode : std::uint8_t {
+  kNone,
+  kLocked,   // another process has the store open
+  kForeign,  // the store of another owner or of another format version, or no store at all
+  kDamaged,  // a checksum does not match, or SQLite reports corruption
+  kFailed,   // the disk is full, read-only or failing, or a limit of this header was exceeded
 };
-const char* NameOf(Health health);
+// For log lines and status pages.
+const char* NameOf(StoreErrorCode code);
 
-inline constexpr std::size_t kNameMost = 128, kValueMost = std::size_t{1} << 20;
-inline constexpr std::uint64_t kFormat = 1;
+struct StoreError {
+  StoreErrorCode code = StoreErrorCode::kNone;
+  std::string path;       // of the store
+  std::string operation;  // the SQL statement, or the record or log entry concerned
+  int sqlite_code = 0;    // SQLite's result code; 0 if the error is not SQLite's
+  std::string message;    // the path and the reason, on one line
 
-struct Batch {
-  std::vector<std::pair<std::string, std::string>> records;  // an empty value: none of that name any more
-  std::optional<std::uint64_t> cut_behind;                   // log entries past this number go first
-  std::vector<std::pair<std::uint64_t, std::string>> log;    // then these are there
-  std::optional<std::uint64_t> cut_before;                   // entries up to this number go
+  // The code's name and the message.
+  std::string ToString() const;
 };
 
-struct Contents {
-  std::map<std::string, std::string> records;
-  std::map<std::uint64_t, std::string> log;
+inline constexpr std::size_t kMaxNameBytes = 128;
+inline constexpr std::size_t kMaxValueBytes = std::size_t{1} << 20;
+inline constexpr std::uint64_t kFormatVersion = 1;
+
+struct Record {
+  Record(std::string record_name, std::string record_value)
+      : name(std::move(record_name)), value(std::move(record_value)) {}
+
+  std::string name;
+  std::string value;  // empty in a batch: the record is removed
+};
+
+struct LogEntry {
+  LogEntry(std::uint64_t entry_index, std::string entry_value)
+      : index(entry_index), value(std::move(entry_value)) {}
+
+  std::uint64_t index = 0;
+  std::string value;
+};
+
+// One atomic change. Its parts are applied in the order of the fields.
+struct WriteBatch {
+  std::vector<Record> records;
+  std::optional<std::uint64_t> truncate_after;   // removes the log entries behind this index
+  std::vector<LogEntry> log;                     // inserts or replaces these entries
+  std::optional<std::uint64_t> compact_through;  // removes the log entries up to and including this index
+};
+
+// All that a store holds.
+struct StoreContents {
+  std::map<std::string, std::string> records;  // value by name
+  std::map<std::uint64_t, std::string> log;    // value by index, without a gap
 };
 
 class Database {
  public:
-  struct Terms {
+  struct Options {
     std::string path;
-    std::string owner;  // whose it is: the fleet and the proxy's name
-    std::uint64_t bytes_most = std::uint64_t{64} << 20;
-    const char* system = nullptr;  // SQLite's name for how files are reached; null: the disk
+    std::string owner;  // the fleet's and the proxy's name; written when the store is created, then verified
+    std::uint64_t max_bytes = std::uint64_t{64} << 20;
+    const char* vfs_name = nullptr;  // SQLite's VFS; null: the default one, on the real disk
   };
 
-  explicit Database(Terms terms) : terms_(std::move(terms)) {}
+  explicit Database(Options options) : options_(std::move(options)) {}
   ~Database();
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
-  // Opens or makes it, and reads all of it. `why`: a plain line where it isn't kDone.
-  Health Open(Contents& contents, std::string& why);
-  Health Write(const Batch& batch, std::string& why);
-  // Gives back the room of what is gone.
-  Health Compact(std::string& why);
+  // Opens the store, or creates it, and reads all of it. Closes it first if it is open.
+  [[nodiscard]] tl::expected<StoreContents, StoreError> Open();
+  // Applies the batch; it is durable on return. After an error nothing of it is.
+  [[nodiscard]] tl::expected<void, StoreError> Write(const WriteBatch& batch);
+  // Returns the space of removed records and entries to the file system.
+  [[nodiscard]] tl::expected<void, StoreError> Compact();
   void Close();
 
  private:
-  Health Fail(int code, std::string& why) const;
-  Health Run(const char* statement, std::string& why);
-  Health Read(Contents& contents, std::string& why);
-  Health Identify(std::string& why);
+  StoreError SqliteError(int sqlite_code, std::string_view operation) const;
+  StoreError MakeError(StoreErrorCode code, std::string operation, const std::string& reason) const;
+  tl::expected<void, StoreError> Execute(const char* statement);
+  tl::expected<void, StoreError> Configure();
+  tl::expected<StoreContents, StoreError> ReadAll();
+  tl::expected<void, StoreError> ReadRecords(StoreContents& contents);
+  tl::expected<void, StoreError> ReadLog(StoreContents& contents);
+  tl::expected<void, StoreError> VerifyIdentity();
+  tl::expected<void, StoreError> CheckLimits(const WriteBatch& batch) const;
+  tl::expected<void, StoreError> WriteRecords(const std::vector<Record>& records);
+  tl::expected<void, StoreError> WriteLog(const std::vector<LogEntry>& entries);
+  tl::expected<void, StoreError> DeleteLog(const char* statement, std::uint64_t index);
+  tl::expected<void, StoreError> ApplyBatch(const WriteBatch& batch);
 
-  Terms terms_;
+  Options options_;
   sqlite3* db_ = nullptr;
 };
 
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -7,7 +7,6 @@
 #include <condition_variable>
 #include <deque>
 #include <mutex>
-#include <optional>
 #include <system_error>
 #include <thread>
 
@@ -16,114 +15,133 @@
 namespace lemoncroft::storage {
 
 namespace {
-constexpr auto kCloseMost = std::chrono::milliseconds(200);  // that an end waits for the file to be closed
-}
 
+constexpr auto kCloseTimeout = std::chrono::milliseconds(200);  // of the destructor
+
+}  // namespace
+
+// State of the loop's object and the thread; guarded by `mutex` but for the last three members.
 struct Worker::Shared {
-  struct Order {
-    bool open = false;
-    std::uint64_t number = 0;
-    Batch batch;
+  struct Request {
+    bool is_open = false;  // else a write
+    std::uint64_t sequence = 0;
+    WriteBatch batch;
   };
-  explicit Shared(Database::Terms terms) : database(std::move(terms)) {}
+
+  explicit Shared(Database::Options options) : path(options.path), database(std::move(options)) {}
+
+  Completion Execute(const Request& request);
 
   std::mutex mutex;
-  std::condition_variable wake;
-  std::deque<Order> orders;
-  std::deque<Done> done;
-  bool ended = false, closed = false;
-  std::condition_variable gone;
-  runtime::Descriptor bell;
-  Database database;  // of the thread
-  bool good = false;  // likewise
+  std::condition_variable request_available;
+  std::condition_variable thread_ended;
+  std::deque<Request> requests;
+  std::deque<Completion> completions;
+  bool stopping = false;
+  bool closed = false;
+  runtime::Descriptor completion_event;  // an eventfd, readable while completions wait
+
+  const std::string path;
+  // Used by the thread alone.
+  Database database;
+  bool writable = false;  // the last request succeeded
 };
 
-Worker::Worker(runtime::Loop& loop, Database::Terms terms)
-    : loop_(loop), shared_(std::make_shared<Shared>(std::move(terms))) {
-  shared_->bell = runtime::Descriptor(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
-  if (!shared_->bell) throw std::system_error(errno, std::generic_category(), "eventfd");
-  loop_.Watch(shared_->bell.get(), &watched_);
-  std::thread(Run, shared_).detach();
+Worker::Worker(runtime::Loop& loop, Database::Options options)
+    : loop_(loop), shared_(std::make_shared<Shared>(std::move(options))) {
+  shared_->completion_event = runtime::Descriptor(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
+  if (!shared_->completion_event) throw std::system_error(errno, std::generic_category(), "eventfd");
+  loop_.Watch(shared_->completion_event.get(), &watched_);
+  std::thread(RunThread, shared_).detach();
 }
 
 Worker::~Worker() {
-  loop_.Unwatch(shared_->bell.get());
+  loop_.Unwatch(shared_->completion_event.get());
   std::unique_lock lock(shared_->mutex);
-  shared_->ended = true;
-  shared_->orders.clear();
-  shared_->wake.notify_one();
-  shared_->gone.wait_for(lock, kCloseMost, [this] { return shared_->closed; });
+  shared_->stopping = true;
+  shared_->requests.clear();
+  shared_->request_available.notify_one();
+  shared_->thread_ended.wait_for(lock, kCloseTimeout, [this] { return shared_->closed; });
 }
 
 void Worker::Open() {
   const std::lock_guard lock(shared_->mutex);
-  shared_->orders.clear();
-  shared_->orders.push_back({true, 0, {}});
-  shared_->wake.notify_one();
+  shared_->requests.clear();
+  shared_->requests.push_back({true, 0, {}});
+  shared_->request_available.notify_one();
 }
 
-bool Worker::Write(std::uint64_t number, Batch batch) {
+bool Worker::Write(std::uint64_t sequence, WriteBatch batch) {
   const std::lock_guard lock(shared_->mutex);
-  if (shared_->orders.size() >= kQueueMost) return false;
-  shared_->orders.push_back({false, number, std::move(batch)});
-  shared_->wake.notify_one();
+  if (shared_->requests.size() >= kMaxQueuedBatches) return false;
+  shared_->requests.push_back({false, sequence, std::move(batch)});
+  shared_->request_available.notify_one();
   return true;
 }
 
-std::size_t Worker::queued() const {
+std::size_t Worker::queue_size() const {
   const std::lock_guard lock(shared_->mutex);
-  return shared_->orders.size();
+  return shared_->requests.size();
 }
 
-void Worker::Run(std::shared_ptr<Shared> shared) {
+Worker::Completion Worker::Shared::Execute(const Request& request) {
+  const runtime::Time begun = runtime::Now();
+  Completion completion;
+  completion.is_open = request.is_open;
+  completion.sequence = request.sequence;
+  if (request.is_open) {
+    if (auto opened = database.Open()) {
+      completion.contents = std::move(*opened);
+    } else {
+      completion.error = std::move(opened.error());
+      database.Close();
+    }
+  } else if (writable) {
+    if (auto written = database.Write(request.batch); !written) completion.error = std::move(written.error());
+  } else {
+    completion.error = {StoreErrorCode::kFailed, path, "write", 0, "an earlier batch was not written"};
+  }
+  writable = completion.error.code == StoreErrorCode::kNone;
+  completion.duration = runtime::Now() - begun;
+  return completion;
+}
+
+void Worker::RunThread(std::shared_ptr<Shared> shared) {
   for (;;) {
-    Shared::Order order;
+    Shared::Request request;
     {
       std::unique_lock lock(shared->mutex);
-      shared->wake.wait(lock, [&] { return shared->ended || !shared->orders.empty(); });
-      if (shared->ended) break;
-      order = std::move(shared->orders.front());
-      shared->orders.pop_front();
-    }
-    const runtime::Time begun = runtime::Now();
-    Done done;
-    done.opened = order.open;
-    done.number = order.number;
-    if (order.open) {
-      done.health = shared->database.Open(done.contents, done.why);
-      if (done.health != Health::kDone) shared->database.Close();
-    } else if (shared->good) {
-      done.health = shared->database.Write(order.batch, done.why);
-    } else {
-      done.health = Health::kFailed;
-      done.why = "an earlier batch was not written";
+      shared->request_available.wait(lock, [&] { return shared->stopping || !shared->requests.empty(); });
+      if (shared->stopping) break;
+      request = std::move(shared->requests.front());
+      shared->requests.pop_front();
     }
-    shared->good = done.health == Health::kDone;
-    done.took = runtime::Now() - begun;
+    Completion completion = shared->Execute(request);
     const std::lock_guard lock(shared->mutex);
-    if (shared->ended) break;
-    shared->done.push_back(std::move(done));
-    const std::uint64_t one = 1;
-    if (::write(shared->bell.get(), &one, sizeof one) < 0) continue;  // it rings already
+    if (shared->stopping) break;
+    shared->completions.push_back(std::move(completion));
+    const std::uint64_t increment = 1;
+    // Fails only if the counter is full; the descriptor is readable then.
+    if (::write(shared->completion_event.get(), &increment, sizeof increment) < 0) continue;
   }
   shared->database.Close();
   const std::lock_guard lock(shared->mutex);
   shared->closed = true;
-  shared->gone.notify_one();
+  shared->thread_ended.notify_one();
 }
 
-runtime::Task<Worker::Done> Worker::Next() {
+runtime::Task<Worker::Completion> Worker::NextCompletion() {
   for (;;) {
     {
       const std::lock_guard lock(shared_->mutex);
-      if (!shared_->done.empty()) {
-        Done done = std::move(shared_->done.front());
-        shared_->done.pop_front();
-        co_return done;
+      if (!shared_->completions.empty()) {
+        Completion completion = std::move(shared_->completions.front());
+        shared_->completions.pop_front();
+        co_return completion;
       }
-      // Only once all is taken: else a ring would be lost.
-      std::uint64_t rings = 0;
-      while (::read(shared_->bell.get(), &rings, sizeof rings) > 0) {
+      // Resets the event only when the queue is empty, so that no completion is missed.
+      std::uint64_t count = 0;
+      while (::read(shared_->completion_event.get(), &count, sizeof count) > 0) {
       }
     }
     co_await runtime::Waiter(loop_, &watched_.readable, runtime::kNever);
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -13,8 +13,8 @@
 #include "testing/model_check/lease_world.h"
 #include "testing/model_check/raft_model.h"
 #include "testing/simulation/keeper_fleet.h"
-#include "testing/simulation/slow_disk.h"
-#include "testing/simulation/store_plays.h"
+#include "testing/simulation/loop_stall.h"
+#include "testing/simulation/store_workload.h"
 
 namespace lemoncroft::benchmark {
 namespace {
@@ -163,12 +163,12 @@
   out["states_bad"] = (found.violation.empty() ? 0 : 1) + (leases.violation.empty() ? 0 : 1);
   for (const std::string& broken : {found.violation, leases.violation})
     if (!broken.empty()) out["states_broken"] = broken;
-  const simulation::CrashPoints points = simulation::CrashAtEachOperation(3);
-  out["crash_points"] = points.points;
-  out["crash_points_bad"] = points.bad;
-  simulation::Disk disk;
-  disk.set_sync_takes(5s);
-  out["loop_stall_ms_max"] = simulation::LoopStallBesideWrites(disk, 2).longest_ms;
+  const simulation::CrashTestResult points = simulation::CrashAtEachOperation(3);
+  out["crash_points"] = points.crashes;
+  out["crash_points_bad"] = points.failures;
+  simulation::SimulatedDisk disk;
+  disk.set_sync_duration(5s);
+  out["loop_stall_ms_max"] = simulation::MeasureLoopStallDuringWrites(disk, 2).longest_ms;
   out["lease_cost_percent"] = LeaseCostPercent(plan.seed);
   return out;
 }
--- a/src/testing/simulation/slow_disk.cpp
+++ b/src/testing/simulation/loop_stall.cpp
@@ -1,18 +1,19 @@
-#include "testing/simulation/slow_disk.h"
+#include "testing/simulation/loop_stall.h"
 
 #include <algorithm>
+#include <tuple>
 
 #include "storage/worker.h"
-#include "testing/simulation/store_plays.h"
+#include "testing/simulation/store_workload.h"
 
 namespace lemoncroft::simulation {
 
 using namespace std::chrono_literals;
 using runtime::Now;
 
-LoopStall LoopStallBesideWrites(Disk& disk, int writes) {
+LoopStall MeasureLoopStallDuringWrites(SimulatedDisk& disk, int writes) {
   runtime::Loop loop;
-  storage::Worker worker(loop, StoreOn(disk));
+  storage::Worker worker(loop, StoreOptionsOn(disk));
   std::vector<double> late;
   bool over = false;
   LoopStall out;
@@ -27,9 +28,10 @@
   const auto write = [&]() -> runtime::Task<> {
     const runtime::Time begun = Now();
     worker.Open();
-    co_await worker.Next();
-    for (int i = 0; i < writes; ++i) worker.Write(static_cast<std::uint64_t>(i) + 1, StoreChange(i));
-    for (int i = 0; i < writes; ++i) co_await worker.Next();
+    co_await worker.NextCompletion();
+    for (int i = 0; i < writes; ++i)
+      std::ignore = worker.Write(static_cast<std::uint64_t>(i) + 1, WorkloadBatch(i));
+    for (int i = 0; i < writes; ++i) co_await worker.NextCompletion();
     out.syncs_ms = std::chrono::duration<double, std::milli>(Now() - begun).count();
     over = true;
   };
--- a/src/testing/simulation/slow_disk.h
+++ b/src/testing/simulation/loop_stall.h
@@ -1,10 +1,10 @@
 // A loop that ticks while a store beside it waits for its disk: how late the ticks come.
 //
 // Real time. Owner: a test or a measurement.
-#ifndef LEMONCROFT_STANDIN_SLOW_DISK_H_
-#define LEMONCROFT_STANDIN_SLOW_DISK_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_LOOP_STALL_H_
+#define LEMONCROFT_TESTING_SIMULATION_LOOP_STALL_H_
 
-#include "testing/simulation/disk.h"
+#include "testing/simulation/simulated_disk.h"
 
 namespace lemoncroft::simulation {
 
@@ -13,8 +13,8 @@
   double p99_ms = 0;
   double syncs_ms = 0;  // that the writes took together
 };
-LoopStall LoopStallBesideWrites(Disk& disk, int writes);
+LoopStall MeasureLoopStallDuringWrites(SimulatedDisk& disk, int writes);
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_SLOW_DISK_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_LOOP_STALL_H_
--- a/src/testing/simulation/disk.cpp
+++ b/src/testing/simulation/simulated_disk.cpp
@@ -1,4 +1,4 @@
-#include "testing/simulation/disk.h"
+#include "testing/simulation/simulated_disk.h"
 
 #include <sqlite3.h>
 
@@ -13,8 +13,8 @@
 
 struct Handle {
   sqlite3_file base;
-  Disk* disk;
-  std::shared_ptr<Disk::File>* file;
+  SimulatedDisk* disk;
+  std::shared_ptr<SimulatedDisk::File>* file;
 };
 
 Handle& Of(sqlite3_file* file) { return *reinterpret_cast<Handle*>(file); }
@@ -24,11 +24,11 @@
   bytes.replace(at, what.size(), what);
 }
 
-void Change(std::string& bytes, const Disk::File::Change& change) {
+void ApplyWrite(std::string& bytes, const SimulatedDisk::File::PendingWrite& change) {
   if (change.truncate)
-    bytes.resize(change.at, '\0');
+    bytes.resize(change.offset, '\0');
   else
-    Put(bytes, change.at, change.bytes);
+    Put(bytes, change.offset, change.bytes);
 }
 
 int Close(sqlite3_file* file) {
@@ -38,7 +38,7 @@
 }
 
 int Read(sqlite3_file* file, void* into, int size, sqlite3_int64 at) {
-  const std::string& bytes = (*Of(file).file)->now;
+  const std::string& bytes = (*Of(file).file)->current;
   const auto from = static_cast<std::size_t>(at), wanted = static_cast<std::size_t>(size);
   const std::size_t there = from >= bytes.size() ? 0 : std::min(wanted, bytes.size() - from);
   std::memcpy(into, bytes.data() + std::min(from, bytes.size()), there);
@@ -49,36 +49,36 @@
 
 int Write(sqlite3_file* file, const void* from, int size, sqlite3_int64 at) {
   Handle& handle = Of(file);
-  if (!handle.disk->Act()) return SQLITE_IOERR_WRITE;
+  if (!handle.disk->BeginOperation()) return SQLITE_IOERR_WRITE;
   if (!handle.disk->Fits(static_cast<std::uint64_t>(size))) return SQLITE_FULL;
-  Disk::File::Change change{static_cast<std::size_t>(at),
-                            std::string(static_cast<const char*>(from), static_cast<std::size_t>(size)),
-                            false};
-  Change(((*handle.file)->now), change);
+  SimulatedDisk::File::PendingWrite change{
+      static_cast<std::size_t>(at),
+      std::string(static_cast<const char*>(from), static_cast<std::size_t>(size)), false};
+  ApplyWrite(((*handle.file)->current), change);
   (*handle.file)->unsynced.push_back(std::move(change));
   return SQLITE_OK;
 }
 
 int Truncate(sqlite3_file* file, sqlite3_int64 size) {
   Handle& handle = Of(file);
-  if (!handle.disk->Act()) return SQLITE_IOERR_TRUNCATE;
-  Disk::File::Change change{static_cast<std::size_t>(size), {}, true};
-  Change((*handle.file)->now, change);
+  if (!handle.disk->BeginOperation()) return SQLITE_IOERR_TRUNCATE;
+  SimulatedDisk::File::PendingWrite change{static_cast<std::size_t>(size), {}, true};
+  ApplyWrite((*handle.file)->current, change);
   (*handle.file)->unsynced.push_back(std::move(change));
   return SQLITE_OK;
 }
 
 int Sync(sqlite3_file* file, int) {
   Handle& handle = Of(file);
-  if (!handle.disk->Act()) return SQLITE_IOERR_FSYNC;
-  if (handle.disk->sync_takes().count() > 0) std::this_thread::sleep_for(handle.disk->sync_takes());
-  (*handle.file)->synced = (*handle.file)->now;
+  if (!handle.disk->BeginOperation()) return SQLITE_IOERR_FSYNC;
+  if (handle.disk->sync_duration().count() > 0) std::this_thread::sleep_for(handle.disk->sync_duration());
+  (*handle.file)->synced = (*handle.file)->current;
   (*handle.file)->unsynced.clear();
   return SQLITE_OK;
 }
 
 int FileSize(sqlite3_file* file, sqlite3_int64* size) {
-  *size = static_cast<sqlite3_int64>((*Of(file).file)->now.size());
+  *size = static_cast<sqlite3_int64>((*Of(file).file)->current.size());
   return SQLITE_OK;
 }
 
@@ -111,34 +111,34 @@
                                      nullptr,
                                      nullptr};
 
-Disk& DiskOf(sqlite3_vfs* system) { return *static_cast<Disk*>(system->pAppData); }
+SimulatedDisk& DiskOf(sqlite3_vfs* vfs) { return *static_cast<SimulatedDisk*>(vfs->pAppData); }
 
-int Open(sqlite3_vfs* system, const char* path, sqlite3_file* file, int flags, int* out) {
+int Open(sqlite3_vfs* vfs, const char* path, sqlite3_file* file, int flags, int* out) {
   Handle& handle = Of(file);
   handle.base.pMethods = nullptr;
-  Disk& disk = DiskOf(system);
+  SimulatedDisk& disk = DiskOf(vfs);
   const std::string name = path == nullptr ? "" : path;
   auto it = disk.files().find(name);
   if (it == disk.files().end()) {
     if ((flags & SQLITE_OPEN_CREATE) == 0) return SQLITE_CANTOPEN;
-    if (!disk.Act()) return SQLITE_IOERR;
-    it = disk.files().emplace(name, std::make_shared<Disk::File>()).first;
+    if (!disk.BeginOperation()) return SQLITE_IOERR;
+    it = disk.files().emplace(name, std::make_shared<SimulatedDisk::File>()).first;
   }
   handle.disk = &disk;
-  handle.file = new std::shared_ptr<Disk::File>(it->second);
+  handle.file = new std::shared_ptr<SimulatedDisk::File>(it->second);
   handle.base.pMethods = &kMethods;
   if (out != nullptr) *out = flags;
   return SQLITE_OK;
 }
 
-int Delete(sqlite3_vfs* system, const char* path, int) {
-  Disk& disk = DiskOf(system);
-  if (!disk.Act()) return SQLITE_IOERR_DELETE;
+int Delete(sqlite3_vfs* vfs, const char* path, int) {
+  SimulatedDisk& disk = DiskOf(vfs);
+  if (!disk.BeginOperation()) return SQLITE_IOERR_DELETE;
   return disk.files().erase(path) > 0 ? SQLITE_OK : SQLITE_IOERR_DELETE_NOENT;
 }
 
-int Access(sqlite3_vfs* system, const char* path, int, int* there) {
-  *there = DiskOf(system).files().contains(path) ? 1 : 0;
+int Access(sqlite3_vfs* vfs, const char* path, int, int* there) {
+  *there = DiskOf(vfs).files().contains(path) ? 1 : 0;
   return SQLITE_OK;
 }
 
@@ -163,65 +163,65 @@
 
 }  // namespace
 
-Disk::Disk() : name_("lemoncroft-disk-" + std::to_string(disks++)) {
-  auto* system = new sqlite3_vfs{};
-  system->iVersion = 1;
-  system->szOsFile = sizeof(Handle);
-  system->mxPathname = 512;
-  system->zName = name_.c_str();
-  system->pAppData = this;
-  system->xOpen = Open;
-  system->xDelete = Delete;
-  system->xAccess = Access;
-  system->xFullPathname = FullPathname;
-  system->xRandomness = Randomness;
-  system->xSleep = Sleep;
-  system->xCurrentTime = CurrentTime;
-  system->xGetLastError = LastError;
-  sqlite3_vfs_register(system, 0);
-  system_ = system;
-}
-
-Disk::~Disk() {
-  auto* system = static_cast<sqlite3_vfs*>(system_);
-  sqlite3_vfs_unregister(system);
-  delete system;
-}
-
-bool Disk::Act() { return ++operations_ < fail_from_; }
-
-bool Disk::Fits(std::uint64_t more) const {
+SimulatedDisk::SimulatedDisk() : name_("lemoncroft-disk-" + std::to_string(disks++)) {
+  auto* vfs = new sqlite3_vfs{};
+  vfs->iVersion = 1;
+  vfs->szOsFile = sizeof(Handle);
+  vfs->mxPathname = 512;
+  vfs->zName = name_.c_str();
+  vfs->pAppData = this;
+  vfs->xOpen = Open;
+  vfs->xDelete = Delete;
+  vfs->xAccess = Access;
+  vfs->xFullPathname = FullPathname;
+  vfs->xRandomness = Randomness;
+  vfs->xSleep = Sleep;
+  vfs->xCurrentTime = CurrentTime;
+  vfs->xGetLastError = LastError;
+  sqlite3_vfs_register(vfs, 0);
+  vfs_ = vfs;
+}
+
+SimulatedDisk::~SimulatedDisk() {
+  auto* vfs = static_cast<sqlite3_vfs*>(vfs_);
+  sqlite3_vfs_unregister(vfs);
+  delete vfs;
+}
+
+bool SimulatedDisk::BeginOperation() { return ++operations_ < fail_from_; }
+
+bool SimulatedDisk::Fits(std::uint64_t more) const {
   std::uint64_t used = 0;
-  for (const auto& [name, file] : files_) used += file->now.size();
-  return used + more <= room_;
+  for (const auto& [name, file] : files_) used += file->current.size();
+  return used + more <= capacity_;
 }
 
-void Disk::Crash(std::uint64_t seed) {
+void SimulatedDisk::Crash(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   for (auto& [name, file] : files_) {
     auto fresh = std::make_shared<File>();
     fresh->synced = file->synced;
-    std::vector<File::Change> changes = std::move(file->unsynced);
+    std::vector<File::PendingWrite> changes = std::move(file->unsynced);
     std::shuffle(changes.begin(), changes.end(), random);
     changes.resize(changes.empty() ? 0 : random() % (changes.size() + 1));
     if (!changes.empty() && !changes.back().truncate && !changes.back().bytes.empty())
       changes.back().bytes.resize(random() % changes.back().bytes.size());
-    for (const File::Change& change : changes) Change(fresh->synced, change);
-    fresh->now = fresh->synced;
+    for (const File::PendingWrite& change : changes) ApplyWrite(fresh->synced, change);
+    fresh->current = fresh->synced;
     file = std::move(fresh);
   }
   fail_from_ = UINT64_MAX;
-  room_ = UINT64_MAX;
+  capacity_ = UINT64_MAX;
 }
 
-void Disk::Flip(const std::string& file, std::size_t bit) {
-  std::string& bytes = files_.at(file)->now;
+void SimulatedDisk::FlipBit(const std::string& file, std::size_t bit) {
+  std::string& bytes = files_.at(file)->current;
   bytes[bit / 8] = static_cast<char>(bytes[bit / 8] ^ (1 << bit % 8));
 }
 
-std::size_t Disk::SizeOf(const std::string& file) const {
+std::size_t SimulatedDisk::SizeOf(const std::string& file) const {
   const auto it = files_.find(file);
-  return it == files_.end() ? 0 : it->second->now.size();
+  return it == files_.end() ? 0 : it->second->current.size();
 }
 
 }  // namespace lemoncroft::simulation
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,4 @@
-// The durable store: a crash at every single operation of the disk, damage, a full disk, a second process.
+// The durable store: a crash at every operation of the disk, damage, a full disk, a second process.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -7,161 +7,190 @@
 #include <random>
 
 #include "storage/worker.h"
-#include "testing/simulation/slow_disk.h"
-#include "testing/simulation/store_plays.h"
+#include "testing/simulation/loop_stall.h"
+#include "testing/simulation/store_workload.h"
 
 namespace lemoncroft {
 namespace {
 
 using namespace storage;
 
-using simulation::ApplyChange;
-using simulation::kStoreChanges;
-using simulation::PlayStore;
+using simulation::ApplyBatch;
+using simulation::kWorkloadBatches;
+using simulation::RunWorkload;
 using simulation::SameContents;
-using simulation::StoreChange;
-using simulation::StoreOn;
-
-TEST(Storage, HoldsWhatWasWritten) {
-  simulation::Disk disk;
-  EXPECT_EQ(PlayStore(disk), kStoreChanges);
-  Contents wanted, read;
-  for (int i = 0; i < kStoreChanges; ++i) ApplyChange(StoreChange(i), wanted);
-  std::string why;
-  Database again(StoreOn(disk));
-  EXPECT_EQ(again.Open(read, why), Health::kDone) << why;
-  EXPECT_TRUE(SameContents(read, wanted));
-  EXPECT_EQ(again.Compact(why), Health::kDone) << why;
-  EXPECT_EQ(Database(StoreOn(disk)).Open(read, why), Health::kDone) << why;
-  EXPECT_TRUE(SameContents(read, wanted));
+using simulation::StoreOptionsOn;
+using simulation::WorkloadBatch;
+
+// The code of a call's error; kNone if it succeeded.
+template <typename T>
+StoreErrorCode CodeOf(const tl::expected<T, StoreError>& result) {
+  return result ? StoreErrorCode::kNone : result.error().code;
+}
+
+template <typename T>
+std::string MessageOf(const tl::expected<T, StoreError>& result) {
+  return result ? std::string() : result.error().message;
 }
 
-TEST(Storage, ACrashAtAnyOperationLosesNothingThatWasReported) {
-  const simulation::CrashPoints found = simulation::CrashAtEachOperation(3);
-  EXPECT_EQ(found.bad, 0) << found.first;
-  EXPECT_GE(found.points, 300);
+TEST(Storage, Reopened_HoldsWhatWasWritten) {
+  simulation::SimulatedDisk disk;
+  EXPECT_EQ(RunWorkload(disk), kWorkloadBatches);
+  StoreContents wanted;
+  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), wanted);
+  Database reopened(StoreOptionsOn(disk));
+  auto read = reopened.Open();
+  ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
+  EXPECT_TRUE(SameContents(*read, wanted));
+  const auto compacted = reopened.Compact();
+  EXPECT_EQ(CodeOf(compacted), StoreErrorCode::kNone) << MessageOf(compacted);
+  read = Database(StoreOptionsOn(disk)).Open();
+  ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
+  EXPECT_TRUE(SameContents(*read, wanted));
 }
 
-// Five seconds a sync hold up the thread that waits for it, and nobody on the loop.
-TEST(Storage, ASlowDiskNeverHoldsUpTheLoop) {
-  simulation::Disk disk;
-  disk.set_sync_takes(std::chrono::milliseconds(300));
-  EXPECT_LT(simulation::LoopStallBesideWrites(disk, 3).longest_ms, 100);
+TEST(Storage, CrashAtAnyOperation_LosesNoReportedBatch) {
+  const simulation::CrashTestResult result = simulation::CrashAtEachOperation(3);
+  EXPECT_EQ(result.failures, 0) << result.first_failure;
+  EXPECT_GE(result.crashes, 300);
 }
 
-// Batches behind one that failed must not be durable where it is not.
-TEST(Storage, NothingIsWrittenBehindABatchThatFailed) {
-  simulation::Disk disk;
+TEST(StorageWorker, SlowDisk_DoesNotBlockTheLoop) {
+  simulation::SimulatedDisk disk;
+  disk.set_sync_duration(std::chrono::milliseconds(300));
+  EXPECT_LT(simulation::MeasureLoopStallDuringWrites(disk, 3).longest_ms, 100);
+}
+
+// A batch must not be durable when an earlier one is not.
+TEST(StorageWorker, FailedBatch_FailsLaterBatchesUntilReopened) {
+  simulation::SimulatedDisk disk;
   runtime::Loop loop;
-  Worker worker(loop, StoreOn(disk));
-  std::vector<Health> told;
+  Worker worker(loop, StoreOptionsOn(disk));
+  std::vector<StoreErrorCode> codes;
   const auto run = [&]() -> runtime::Task<> {
     worker.Open();
-    told.push_back((co_await worker.Next()).health);
-    disk.set_room(0);
-    worker.Write(1, StoreChange(0));
-    told.push_back((co_await worker.Next()).health);
-    disk.set_room(UINT64_MAX);
-    worker.Write(2, StoreChange(1));
-    told.push_back((co_await worker.Next()).health);
+    codes.push_back((co_await worker.NextCompletion()).error.code);
+    disk.set_capacity(0);
+    EXPECT_TRUE(worker.Write(1, WorkloadBatch(0)));
+    codes.push_back((co_await worker.NextCompletion()).error.code);
+    disk.set_capacity(UINT64_MAX);
+    EXPECT_TRUE(worker.Write(2, WorkloadBatch(1)));
+    codes.push_back((co_await worker.NextCompletion()).error.code);
     worker.Open();
-    told.push_back((co_await worker.Next()).health);
-    worker.Write(3, StoreChange(0));
-    told.push_back((co_await worker.Next()).health);
+    codes.push_back((co_await worker.NextCompletion()).error.code);
+    EXPECT_TRUE(worker.Write(3, WorkloadBatch(0)));
+    codes.push_back((co_await worker.NextCompletion()).error.code);
     loop.Stop();
   };
   loop.Spawn(run());
   loop.Run();
-  EXPECT_EQ(told, (std::vector<Health>{Health::kDone, Health::kFailed, Health::kFailed, Health::kDone,
-                                       Health::kDone}));
+  EXPECT_EQ(codes, (std::vector<StoreErrorCode>{StoreErrorCode::kNone, StoreErrorCode::kFailed,
+                                                StoreErrorCode::kFailed, StoreErrorCode::kNone,
+                                                StoreErrorCode::kNone}));
 }
 
-TEST(Storage, AFlippedBitIsFoundOrChangesNothing) {
-  Contents wanted;
-  for (int i = 0; i < kStoreChanges; ++i) ApplyChange(StoreChange(i), wanted);
+TEST(Storage, FlippedBit_IsReportedOrChangesNothing) {
+  StoreContents wanted;
+  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), wanted);
   int damaged = 0;
   std::mt19937_64 random(1);
   for (int i = 0; i < 400; ++i) {
-    simulation::Disk disk;
-    PlayStore(disk);
+    simulation::SimulatedDisk disk;
+    RunWorkload(disk);
     const std::size_t size = disk.SizeOf("store");
-    disk.Flip("store", random() % (8 * size));
-    Contents read;
-    std::string why;
-    const Health health = Database(StoreOn(disk)).Open(read, why);
-    if (health == Health::kDone) {
-      EXPECT_TRUE(SameContents(read, wanted)) << "a wrong record was handed out";
+    disk.FlipBit("store", random() % (8 * size));
+    const auto read = Database(StoreOptionsOn(disk)).Open();
+    if (read) {
+      EXPECT_TRUE(SameContents(*read, wanted)) << "a wrong record was returned";
     } else {
       ++damaged;
-      EXPECT_FALSE(why.empty());
+      EXPECT_NE(read.error().code, StoreErrorCode::kNone);
+      EXPECT_FALSE(read.error().message.empty());
     }
   }
   EXPECT_GT(damaged, 20);
 }
 
-TEST(Storage, AFullDiskIsToldAndLosesNothing) {
-  simulation::Disk disk;
-  Database database(StoreOn(disk));
-  Contents contents, wanted;
-  std::string why;
-  ASSERT_EQ(database.Open(contents, why), Health::kDone);
+TEST(Storage, FullDisk_FailsTheBatchAndKeepsEarlierOnes) {
+  simulation::SimulatedDisk disk;
+  Database database(StoreOptionsOn(disk));
+  StoreContents wanted;
+  ASSERT_EQ(CodeOf(database.Open()), StoreErrorCode::kNone);
   for (int i = 0; i < 10; ++i) {
-    ASSERT_EQ(database.Write(StoreChange(i), why), Health::kDone);
-    ApplyChange(StoreChange(i), wanted);
+    ASSERT_EQ(CodeOf(database.Write(WorkloadBatch(i))), StoreErrorCode::kNone);
+    ApplyBatch(WorkloadBatch(i), wanted);
   }
-  disk.set_room(0);
-  EXPECT_EQ(database.Write(StoreChange(10), why), Health::kFailed);
-  EXPECT_FALSE(why.empty());
-  disk.set_room(UINT64_MAX);
-  EXPECT_EQ(database.Write(StoreChange(10), why), Health::kDone) << why;
-  ApplyChange(StoreChange(10), wanted);
+  disk.set_capacity(0);
+  auto written = database.Write(WorkloadBatch(10));
+  EXPECT_EQ(CodeOf(written), StoreErrorCode::kFailed);
+  EXPECT_FALSE(MessageOf(written).empty());
+  disk.set_capacity(UINT64_MAX);
+  written = database.Write(WorkloadBatch(10));
+  EXPECT_EQ(CodeOf(written), StoreErrorCode::kNone) << MessageOf(written);
+  ApplyBatch(WorkloadBatch(10), wanted);
   database.Close();
-  EXPECT_EQ(Database(StoreOn(disk)).Open(contents, why), Health::kDone);
-  EXPECT_TRUE(SameContents(contents, wanted));
+  const auto read = Database(StoreOptionsOn(disk)).Open();
+  ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
+  EXPECT_TRUE(SameContents(*read, wanted));
 }
 
-TEST(Storage, BoundsAreKept) {
-  simulation::Disk disk;
-  Database database(StoreOn(disk, 1 << 20));
-  Contents contents;
-  std::string why;
-  ASSERT_EQ(database.Open(contents, why), Health::kDone);
-  Batch large;
-  large.records.emplace_back("x", std::string(kValueMost + 1, 'x'));
-  EXPECT_EQ(database.Write(large, why), Health::kFailed);
+TEST(Storage, Limits_AreEnforced) {
+  simulation::SimulatedDisk disk;
+  Database database(StoreOptionsOn(disk, 1 << 20));
+  ASSERT_EQ(CodeOf(database.Open()), StoreErrorCode::kNone);
+  WriteBatch large;
+  large.records.push_back({"x", std::string(kMaxValueBytes + 1, 'x')});
+  EXPECT_EQ(CodeOf(database.Write(large)), StoreErrorCode::kFailed);
   int written = 0;
   for (; written < 100; ++written) {
-    Batch batch;
-    batch.records.emplace_back("r" + std::to_string(written), std::string(100'000, 'x'));
-    if (database.Write(batch, why) != Health::kDone) break;
+    WriteBatch batch;
+    batch.records.push_back({"r" + std::to_string(written), std::string(100'000, 'x')});
+    if (!database.Write(batch)) break;
   }
-  EXPECT_LT(written, 12) << "a megabyte at the most";
+  EXPECT_LT(written, 12) << "the store is limited to a megabyte";
 }
 
-TEST(Storage, OnRealFilesAnotherOwnerOrProcessIsTurnedAway) {
+TEST(Storage, RealFiles_RejectAnotherOwnerOrProcess) {
   char folder[] = "/tmp/lemoncroft-store-XXXXXX";
   ASSERT_NE(::mkdtemp(folder), nullptr);
   const std::string path = std::string(folder) + "/store";
-  Contents contents;
-  std::string why;
   {
     Database first({path, "f/n1"});
-    ASSERT_EQ(first.Open(contents, why), Health::kDone) << why;
-    EXPECT_EQ(first.Write(StoreChange(0), why), Health::kDone);
+    const auto opened = first.Open();
+    ASSERT_EQ(CodeOf(opened), StoreErrorCode::kNone) << MessageOf(opened);
+    const auto written = first.Write(WorkloadBatch(0));
+    EXPECT_EQ(CodeOf(written), StoreErrorCode::kNone) << MessageOf(written);
     Database second({path, "f/n1"});
-    EXPECT_EQ(second.Open(contents, why), Health::kHeld) << why;
+    const auto locked = second.Open();
+    EXPECT_EQ(CodeOf(locked), StoreErrorCode::kLocked) << MessageOf(locked);
   }
   Database other({path, "f/n2"});
-  EXPECT_EQ(other.Open(contents, why), Health::kForeign);
-  EXPECT_EQ(why, path + ": its owner is 'f/n1', not 'f/n2'");
+  const auto foreign = other.Open();
+  EXPECT_EQ(CodeOf(foreign), StoreErrorCode::kForeign);
+  EXPECT_EQ(MessageOf(foreign), path + ": its owner is 'f/n1', not 'f/n2'");
   other.Close();
   std::ofstream(path)
       << "this is no store, and never was one; but it is long enough to be looked at as a file of pages";
-  EXPECT_EQ(Database({path, "f/n1"}).Open(contents, why), Health::kForeign) << why;
-  EXPECT_EQ(Database({folder, "f/n1"}).Open(contents, why), Health::kFailed) << why;
-  EXPECT_EQ(Database({"/nowhere/store", "f/n1"}).Open(contents, why), Health::kFailed);
+  const auto no_store = Database({path, "f/n1"}).Open();
+  EXPECT_EQ(CodeOf(no_store), StoreErrorCode::kForeign) << MessageOf(no_store);
+  const auto directory = Database({folder, "f/n1"}).Open();
+  EXPECT_EQ(CodeOf(directory), StoreErrorCode::kFailed) << MessageOf(directory);
+  EXPECT_EQ(CodeOf(Database({"/nowhere/store", "f/n1"}).Open()), StoreErrorCode::kFailed);
   std::system(("rm -rf " + std::string(folder)).c_str());
 }
 
+TEST(Storage, Errors_NameOperationPathAndSqliteCode) {
+  const auto missing = Database({"/nowhere/store", "f/n1"}).Open();
+  ASSERT_FALSE(missing);
+  EXPECT_EQ(missing.error().path, "/nowhere/store");
+  EXPECT_EQ(missing.error().operation, "open");
+  EXPECT_NE(missing.error().sqlite_code, 0);
+  Database closed({"/nowhere/store", "f/n1"});
+  const auto written = closed.Write({});
+  ASSERT_FALSE(written);
+  EXPECT_EQ(written.error().sqlite_code, 0);
+  EXPECT_EQ(written.error().ToString(), "failed: /nowhere/store: not open");
+}
+
 }  // namespace
 }  // namespace lemoncroft
