--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -1,7 +1,8 @@
-// The log's messages and entries as MessagePack: for the way between voters, and for the store.
+// MessagePack encoding of Raft's messages, for the network, and of its persistent state, for the store.
 //
-// Contract. No I/O. What is read is bounded; anything that isn't whole and well formed is nothing. Elements
-// that a later version appends are passed over. Owner: none. Source: docs/agreement.md.
+// Contract. No I/O. A value is an array of its fields; later versions may append fields, which decoding
+// skips. Decoding returns nothing if the bytes are malformed, incomplete or above a limit. Owner: none.
+// Units: bytes.
 #ifndef LEMONCROFT_RAFT_CODEC_H_
 #define LEMONCROFT_RAFT_CODEC_H_
 
@@ -16,14 +17,14 @@
 inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{960} << 10;
 
 std::string Encode(const Message& message);
-std::optional<Message> DecodeMessage(std::string_view bytes);
-
 std::string Encode(const Entry& entry);
-std::optional<Entry> DecodeEntry(std::string_view bytes);
 std::string Encode(const HardState& hard_state);
-std::optional<HardState> DecodeHardState(std::string_view bytes);
 std::string Encode(const Snapshot& snapshot);
-std::optional<Snapshot> DecodeSnapshot(std::string_view bytes);
+
+[[nodiscard]] std::optional<Message> DecodeMessage(std::string_view bytes);
+[[nodiscard]] std::optional<Entry> DecodeEntry(std::string_view bytes);
+[[nodiscard]] std::optional<HardState> DecodeHardState(std::string_view bytes);
+[[nodiscard]] std::optional<Snapshot> DecodeSnapshot(std::string_view bytes);
 
 }  // namespace lemoncroft::raft
 
--- a/src/raft/raft.cpp
+++ b/src/raft/raft.cpp
@@ -16,79 +16,89 @@
       applied_index_(snapshot_.index),
       durable_index_(last_index()) {
   ReloadVoters();
-  // It may have heard a leader, and promised it not to vote for another, just before it ended.
+  // This node may have acknowledged a leader just before it stopped, so that leader's lease may still run.
   last_leader_contact_ =
       options_.safety_checks.vote_delay_after_restart ? now : now - options_.min_election_timeout;
   ResetElectionTimer(now);
 }
 
-std::vector<Output> Raft::TakeOutputs() { return std::exchange(outputs_, {}); }
-
 Term Raft::TermAt(Index index) const {
   if (index == snapshot_.index) return snapshot_.term;
   return index > snapshot_.index && index <= last_index() ? EntryAt(index).term : 0;
 }
 
-void Raft::PersistEntries(Index truncate_after, std::vector<Entry> entries) {
-  pending_updates_.push_back({++last_sequence_, truncate_after, last_index()});
-  durable_index_ = std::min(durable_index_, truncate_after);
-  outputs_.push_back(
-      StorageUpdate{last_sequence_, hard_state_, truncate_after, std::move(entries), false, {}});
-  if (!options_.safety_checks.count_durable_entries_only) durable_index_ = last_index();
+// ---- Calls from the owner ----
+
+Time Raft::NextDeadline() const {
+  if (role_ == Role::kLeader) return heartbeat_deadline_;
+  return IsVoter() ? election_deadline_ : kNever;
 }
 
-void Raft::PersistSnapshot() {
-  pending_updates_.push_back({++last_sequence_, snapshot_.index, last_index()});
-  durable_index_ = std::min(durable_index_, last_index());
-  outputs_.push_back(StorageUpdate{last_sequence_, hard_state_, snapshot_.index, log_, true, snapshot_});
+void Raft::Tick(Time now) {
+  if (role_ == Role::kLeader) {
+    if (options_.safety_checks.check_quorum && now > last_quorum_contact_ + options_.max_election_timeout)
+      return BecomeFollower(now, hard_state_.term, {});
+    if (now >= heartbeat_deadline_) BroadcastHeartbeat(now);
+    return;
+  }
+  if (now < election_deadline_ || !IsVoter()) return;
+  if (options_.safety_checks.pre_vote)
+    StartPreVote(now);
+  else
+    StartElection(now, false);
+}
+
+void Raft::Receive(Time now, const NodeId& from, const Message& message) {
+  std::visit([&](const auto& alternative) { Handle(now, from, alternative); }, message);
 }
 
+std::vector<Output> Raft::TakeOutputs() { return std::exchange(outputs_, {}); }
+
 void Raft::OnPersisted(Time now, std::uint64_t sequence) {
   persisted_sequence_ = std::max(persisted_sequence_, sequence);
   while (!pending_updates_.empty() && pending_updates_.front().sequence <= sequence) {
     durable_index_ = std::max(durable_index_, pending_updates_.front().last_index);
     pending_updates_.pop_front();
   }
-  // What comes after may have put other entries in the place of these.
+  // A later update may have replaced some of these entries by others, which are not durable yet.
   for (const PendingUpdate& later : pending_updates_)
     durable_index_ = std::min(durable_index_, later.truncate_after);
   durable_index_ = std::min(durable_index_, last_index());
   if (role_ == Role::kLeader) AdvanceCommit(now);
 }
 
-// A leader's entries may go out while its own disk still writes them: they count there once they are kept.
-// All else rests on all that was stored before.
-void Raft::Send(const NodeId& to, Message message) {
-  const bool entries = std::holds_alternative<AppendEntriesRequest>(message) ||
-                       std::holds_alternative<InstallSnapshotRequest>(message);
-  const std::uint64_t after = entries && role_ == Role::kLeader ? vote_sequence_ : last_sequence_;
+// ---- Outputs ----
+
+void Raft::PersistEntries(Index truncate_after, std::vector<Entry> entries) {
+  pending_updates_.push_back({++last_sequence_, truncate_after, last_index()});
+  durable_index_ = std::min(durable_index_, truncate_after);
   outputs_.push_back(
-      SendMessage{to, std::move(message), options_.safety_checks.persist_before_send ? after : 0});
+      StorageUpdate{last_sequence_, hard_state_, truncate_after, std::move(entries), false, {}});
+  if (!options_.safety_checks.count_durable_entries_only) durable_index_ = last_index();
 }
 
-Time Raft::NextDeadline() const {
-  if (role_ == Role::kLeader) return heartbeat_deadline_;
-  return IsVoter() ? election_deadline_ : kNever;
+void Raft::PersistSnapshot() {
+  pending_updates_.push_back({++last_sequence_, snapshot_.index, last_index()});
+  durable_index_ = std::min(durable_index_, last_index());
+  outputs_.push_back(StorageUpdate{last_sequence_, hard_state_, snapshot_.index, log_, true, snapshot_});
 }
 
-void Raft::Tick(Time now) {
-  if (role_ == Role::kLeader) {
-    if (options_.safety_checks.check_quorum && now > last_quorum_contact_ + options_.max_election_timeout)
-      return BecomeFollower(now, hard_state_.term, {});
-    if (now >= heartbeat_deadline_) BroadcastHeartbeat(now);
-    return;
-  }
-  if (now < election_deadline_ || !IsVoter()) return;
-  if (options_.safety_checks.pre_vote)
-    StartPreVote(now);
-  else
-    StartElection(now, false);
+// A leader replicates entries while it still writes them itself (thesis, section 10.2.1): durable_index_
+// keeps them out of its own count. All other messages wait for all earlier updates.
+void Raft::Send(const NodeId& to, Message message) {
+  const bool replicates = std::holds_alternative<AppendEntriesRequest>(message) ||
+                          std::holds_alternative<InstallSnapshotRequest>(message);
+  const std::uint64_t after = replicates && role_ == Role::kLeader ? vote_sequence_ : last_sequence_;
+  outputs_.push_back(
+      SendMessage{to, std::move(message), options_.safety_checks.persist_before_send ? after : 0});
 }
 
-void Raft::Receive(Time now, const NodeId& from, const Message& message) {
-  std::visit([&](const auto& m) { Handle(now, from, m); }, message);
+void Raft::DeliverCommitted() {
+  while (applied_index_ < commit_index_) outputs_.push_back(Committed{EntryAt(++applied_index_)});
 }
 
+// ---- Model checking ----
+
 std::string Raft::Canonical() const {
   std::string out;
   const auto put = [&out](auto value) { out += std::to_string(value) + ","; };
@@ -106,10 +116,10 @@
     text(entry.data);
     for (const NodeId& voter : entry.voters) text(voter);
   }
-  for (const NodeId& name : votes_granted_) text(name);
+  for (const NodeId& voter : votes_granted_) text(voter);
   if (role_ == Role::kLeader) {
-    for (const auto& [name, progress] : progress_) {
-      text(name);
+    for (const auto& [id, progress] : progress_) {
+      text(id);
       put(progress.match_index);
       put(progress.last_sent_index);
     }
@@ -117,7 +127,10 @@
   if (joining_voter_) text("new" + *joining_voter_);
   put(last_sequence_ - persisted_sequence_);
   put(durable_index_);
-  for (const PendingUpdate& update : pending_updates_) put(update.truncate_after), put(update.last_index);
+  for (const PendingUpdate& update : pending_updates_) {
+    put(update.truncate_after);
+    put(update.last_index);
+  }
   return out;
 }
 
--- a/src/raft/raft_election.cpp
+++ b/src/raft/raft_election.cpp
@@ -1,3 +1,4 @@
+// Raft: elections with pre-vote, the leader lease and leadership transfer.
 #include <algorithm>
 
 #include "raft/raft.h"
@@ -5,19 +6,24 @@
 namespace lemoncroft::raft {
 
 void Raft::ResetElectionTimer(Time now) {
-  const auto spread =
+  const auto range =
       static_cast<std::uint64_t>((options_.max_election_timeout - options_.min_election_timeout).count());
   election_deadline_ =
-      now + options_.min_election_timeout + Duration(static_cast<Duration::rep>(random_() % (spread + 1)));
+      now + options_.min_election_timeout + Duration(static_cast<Duration::rep>(random_() % (range + 1)));
 }
 
+// A voter that acknowledged a heartbeat grants no vote for the minimum election timeout by its own clock. It
+// did so after the heartbeat was sent, so by this clock no other leader can follow before this time. The
+// factor covers clocks that run at different rates.
 bool Raft::HoldsLeaderLease(Time now) const {
   if (role_ != Role::kLeader || !quorum_contacted_) return false;
-  const double least = static_cast<double>(options_.min_election_timeout.count()) *
-                       (1 - 2 * options_.max_clock_rate_difference);
-  return now < last_quorum_contact_ + Duration(static_cast<Duration::rep>(least));
+  const double lease_ns = static_cast<double>(options_.min_election_timeout.count()) *
+                          (1 - 2 * options_.max_clock_rate_difference);
+  return now < last_quorum_contact_ + Duration(static_cast<Duration::rep>(lease_ns));
 }
 
+// ---- Roles ----
+
 void Raft::BecomeFollower(Time now, Term term, const NodeId& leader) {
   if (term > hard_state_.term) {
     hard_state_ = {term, {}};
@@ -33,14 +39,22 @@
   quorum_contacted_ = false;
 }
 
+// On each message from the leader of the current or a newer term.
+void Raft::FollowLeader(Time now, Term term, const NodeId& leader) {
+  BecomeFollower(now, term, leader);
+  last_leader_contact_ = now;
+  ResetElectionTimer(now);
+}
+
 void Raft::StartPreVote(Time now) {
   ResetElectionTimer(now);
   role_ = Role::kPreCandidate;
   leader_.clear();
   votes_granted_ = {self_};
-  for (const NodeId& voter : voters_)
-    if (voter != self_)
-      Send(voter, VoteRequest{true, false, hard_state_.term + 1, last_index(), TermAt(last_index())});
+  for (const NodeId& voter : voters_) {
+    if (voter == self_) continue;
+    Send(voter, VoteRequest{true, false, hard_state_.term + 1, last_index(), TermAt(last_index())});
+  }
   if (votes_granted_.size() >= Majority()) StartElection(now, false);
 }
 
@@ -52,37 +66,72 @@
   PersistEntries(last_index(), {});
   vote_sequence_ = last_sequence_;
   votes_granted_.clear();
-  // Its own vote is one of those that have to be durable first.
+  // A message to itself, so that its own vote also counts only once it is durable.
   Send(self_, VoteResponse{false, hard_state_.term, true});
+  for (const NodeId& voter : voters_) {
+    if (voter == self_) continue;
+    Send(voter,
+         VoteRequest{false, leadership_transfer, hard_state_.term, last_index(), TermAt(last_index())});
+  }
+}
+
+void Raft::BecomeLeader(Time now) {
+  role_ = Role::kLeader;
+  leader_ = self_;
+  votes_granted_.clear();
+  progress_.clear();
   for (const NodeId& voter : voters_)
-    if (voter != self_)
-      Send(voter,
-           VoteRequest{false, leadership_transfer, hard_state_.term, last_index(), TermAt(last_index())});
+    if (voter != self_) progress_[voter] = {0, last_index(), 0};
+  quorum_contacted_ = false;
+  last_quorum_contact_ = now;  // check_quorum counts from here; the lease needs quorum_contacted_
+  heartbeat_sent_at_.clear();
+  // Entries of earlier terms are committed together with this one.
+  AppendAsLeader(now, {0, 0, EntryKind::kNoOp, {}, {}});
+  BroadcastHeartbeat(now);
 }
 
-bool Raft::IsLogUpToDate(const VoteRequest& m) const {
+void Raft::TransferLeadership(Time now) {
+  if (role_ != Role::kLeader) return;
+  const NodeId* successor = nullptr;
+  for (const NodeId& voter : voters_) {
+    if (voter == self_) continue;
+    if (successor == nullptr || progress_.at(voter).match_index > progress_.at(*successor).match_index)
+      successor = &voter;
+  }
+  if (successor == nullptr) return;
+  const NodeId to = *successor;
+  SendAppend(to, AppendMode::kHeartbeat);
+  Send(to, TimeoutNowRequest{hard_state_.term});
+  // The successor may be elected at any time now, in spite of the lease.
+  if (options_.safety_checks.release_lease_on_transfer) BecomeFollower(now, hard_state_.term, {});
+}
+
+// ---- Votes ----
+
+bool Raft::IsLogUpToDate(const VoteRequest& request) const {
   if (!options_.safety_checks.require_up_to_date_log) return true;
-  const Term own = TermAt(last_index());
-  return m.last_term != own ? m.last_term > own : m.last_index >= last_index();
+  const Term last_term = TermAt(last_index());
+  return request.last_term != last_term ? request.last_term > last_term : request.last_index >= last_index();
 }
 
-// Whoever heard a leader lately, or is one, lets nobody disturb it.
-bool Raft::DisturbsLeader(Time now, const VoteRequest& m) const {
-  if (m.leadership_transfer || !options_.safety_checks.leader_stickiness) return false;
-  if (role_ == Role::kLeader) return now < last_quorum_contact_ + options_.min_election_timeout;
-  return now < last_leader_contact_ + options_.min_election_timeout;
+// Whether a leader may still hold its lease by this node's acknowledgement (thesis, section 4.2.3).
+bool Raft::DisturbsLeader(Time now, const VoteRequest& request) const {
+  if (request.leadership_transfer || !options_.safety_checks.leader_stickiness) return false;
+  const Time contact = role_ == Role::kLeader ? last_quorum_contact_ : last_leader_contact_;
+  return now < contact + options_.min_election_timeout;
 }
 
-void Raft::Handle(Time now, const NodeId& from, const VoteRequest& m) {
-  if (DisturbsLeader(now, m)) return Send(from, VoteResponse{m.pre_vote, hard_state_.term, false});
-  if (m.pre_vote) {
-    const bool granted = m.term > hard_state_.term && IsLogUpToDate(m);
-    return Send(from, VoteResponse{true, granted ? m.term : hard_state_.term, granted});
+void Raft::Handle(Time now, const NodeId& from, const VoteRequest& request) {
+  if (DisturbsLeader(now, request))
+    return Send(from, VoteResponse{request.pre_vote, hard_state_.term, false});
+  if (request.pre_vote) {
+    const bool granted = request.term > hard_state_.term && IsLogUpToDate(request);
+    return Send(from, VoteResponse{true, granted ? request.term : hard_state_.term, granted});
   }
-  if (m.term > hard_state_.term) BecomeFollower(now, m.term, {});
-  const bool free = hard_state_.voted_for.empty() || hard_state_.voted_for == from ||
-                    !options_.safety_checks.single_vote_per_term;
-  const bool granted = m.term == hard_state_.term && free && IsLogUpToDate(m);
+  if (request.term > hard_state_.term) BecomeFollower(now, request.term, {});
+  const bool may_vote = hard_state_.voted_for.empty() || hard_state_.voted_for == from ||
+                        !options_.safety_checks.single_vote_per_term;
+  const bool granted = request.term == hard_state_.term && may_vote && IsLogUpToDate(request);
   if (granted) {
     ResetElectionTimer(now);
     if (hard_state_.voted_for != from) {
@@ -93,51 +142,23 @@
   Send(from, VoteResponse{false, hard_state_.term, granted});
 }
 
-void Raft::Handle(Time now, const NodeId& from, const VoteResponse& m) {
-  if (!m.granted && m.term > hard_state_.term) return BecomeFollower(now, m.term, {});
-  const bool own = m.pre_vote ? role_ == Role::kPreCandidate && m.term == hard_state_.term + 1
-                              : role_ == Role::kCandidate && m.term == hard_state_.term;
-  if (!own || !m.granted || std::find(voters_.begin(), voters_.end(), from) == voters_.end()) return;
+void Raft::Handle(Time now, const NodeId& from, const VoteResponse& response) {
+  if (!response.granted && response.term > hard_state_.term) return BecomeFollower(now, response.term, {});
+  const bool current = response.pre_vote
+                           ? role_ == Role::kPreCandidate && response.term == hard_state_.term + 1
+                           : role_ == Role::kCandidate && response.term == hard_state_.term;
+  if (!current || !response.granted) return;
+  if (std::find(voters_.begin(), voters_.end(), from) == voters_.end()) return;
   votes_granted_.insert(from);
   if (votes_granted_.size() < Majority()) return;
-  if (m.pre_vote)
+  if (response.pre_vote)
     StartElection(now, false);
   else
     BecomeLeader(now);
 }
 
-void Raft::BecomeLeader(Time now) {
-  role_ = Role::kLeader;
-  leader_ = self_;
-  votes_granted_.clear();
-  progress_.clear();
-  for (const NodeId& voter : voters_)
-    if (voter != self_) progress_[voter] = {0, last_index(), 0};
-  quorum_contacted_ = false;
-  last_quorum_contact_ = now;  // for stepping down; no lease yet
-  heartbeat_sent_at_.clear();
-  // Entries of former terms are committed with this one.
-  AppendAsLeader(now, {0, 0, EntryKind::kNoOp, {}, {}});
-  BroadcastHeartbeat(now);
-}
-
-void Raft::TransferLeadership(Time now) {
-  if (role_ != Role::kLeader) return;
-  const NodeId* best = nullptr;
-  for (const NodeId& voter : voters_) {
-    if (voter == self_) continue;
-    if (best == nullptr || progress_.at(voter).match_index > progress_.at(*best).match_index) best = &voter;
-  }
-  if (best == nullptr) return;
-  const NodeId to = *best;
-  SendAppend(to, true);
-  Send(to, TimeoutNowRequest{hard_state_.term});
-  // From here on another may be elected at any time.
-  if (options_.safety_checks.release_lease_on_transfer) BecomeFollower(now, hard_state_.term, {});
-}
-
-void Raft::Handle(Time now, const NodeId& from, const TimeoutNowRequest& m) {
-  if (m.term != hard_state_.term || role_ != Role::kFollower || from != leader_ || !IsVoter()) return;
+void Raft::Handle(Time now, const NodeId& from, const TimeoutNowRequest& request) {
+  if (request.term != hard_state_.term || role_ != Role::kFollower || from != leader_ || !IsVoter()) return;
   StartElection(now, true);
 }
 
--- a/src/raft/raft_membership.cpp
+++ b/src/raft/raft_membership.cpp
@@ -1,3 +1,4 @@
+// Raft: changes of the voters, one at a time.
 #include <algorithm>
 #include <utility>
 
@@ -7,35 +8,63 @@
 
 bool Raft::IsVoter() const { return std::find(voters_.begin(), voters_.end(), self_) != voters_.end(); }
 
-// The newest entry that names voters, committed or not.
+// Takes the voters from the newest entry that has some, committed or not (paper, section 6).
 void Raft::ReloadVoters() {
   voters_ = snapshot_.voters;
   voters_index_ = snapshot_.index;
-  for (const Entry& entry : log_)
-    if (entry.kind == EntryKind::kVoters) voters_ = entry.voters, voters_index_ = entry.index;
+  for (const Entry& entry : log_) {
+    if (entry.kind != EntryKind::kVoters) continue;
+    voters_ = entry.voters;
+    voters_index_ = entry.index;
+  }
 }
 
-ProposalResult Raft::ChangeVoters(Time now, const NodeId& who, bool in) {
+ProposalResult Raft::ChangeVoters(Time now, const NodeId& id, bool add) {
   if (role_ != Role::kLeader) return {ProposalError::kNotLeader, 0, 0};
-  const bool member = std::find(voters_.begin(), voters_.end(), who) != voters_.end();
-  if (member == in) return {ProposalError::kNone, voters_index_, hard_state_.term};
-  const bool settled = voters_index_ <= commit_index_ && TermAt(commit_index_) == hard_state_.term;
-  if (!settled && options_.safety_checks.single_membership_change)
+  const bool is_voter = std::find(voters_.begin(), voters_.end(), id) != voters_.end();
+  if (is_voter == add) return {ProposalError::kNone, voters_index_, hard_state_.term};
+  const bool may_change = AreVotersCommitted() && TermAt(commit_index_) == hard_state_.term;
+  if (!may_change && options_.safety_checks.single_membership_change)
     return {ProposalError::kChangeInProgress, 0, 0};
-  if (in) {
-    // What one of that name had before it was removed counts for nothing: its store may be another.
-    if (joining_voter_ != who) progress_[who] = {};
-    joining_voter_ = who;
-    SendAppend(who, true);
-    AdvanceCommit(now);
-    return {ProposalError::kNone, 0, hard_state_.term};
-  }
+  return add ? AddVoter(now, id) : RemoveVoter(now, id);
+}
+
+ProposalResult Raft::AddVoter(Time now, const NodeId& id) {
+  // A node of this name that was removed earlier may come back with another store.
+  if (joining_voter_ != id) progress_[id] = {};
+  joining_voter_ = id;
+  SendAppend(id, AppendMode::kHeartbeat);
+  AdvanceCommit(now);
+  return {ProposalError::kNone, 0, hard_state_.term};
+}
+
+ProposalResult Raft::RemoveVoter(Time now, const NodeId& id) {
   std::vector<NodeId> voters = voters_;
-  std::erase(voters, who);
+  std::erase(voters, id);
   if (voters.empty()) return {ProposalError::kChangeInProgress, 0, 0};
   AppendAsLeader(now, {0, 0, EntryKind::kVoters, {}, std::move(voters)});
   SendNewEntries();
   return {ProposalError::kNone, last_index(), hard_state_.term};
 }
 
+// Appends the change that adds the joining node, once it lacks less than one batch of the log.
+void Raft::PromoteJoiningVoter(Time now) {
+  if (!joining_voter_ || !progress_.contains(*joining_voter_)) return;
+  if (!AreVotersCommitted() || TermAt(commit_index_) != hard_state_.term) return;
+  const Index match_index = progress_.at(*joining_voter_).match_index;
+  if (match_index + options_.max_batch_entries <= last_index() || match_index < commit_index_) return;
+  std::vector<NodeId> voters = voters_;
+  voters.push_back(*std::exchange(joining_voter_, std::nullopt));
+  std::sort(voters.begin(), voters.end());
+  AppendAsLeader(now, {0, 0, EntryKind::kVoters, {}, std::move(voters)});
+  SendNewEntries();
+}
+
+// A leader that is no voter any more hands over, so that the others need not wait for an election timeout.
+void Raft::StepDownAfterRemoval(Time now) {
+  SendNewEntries();
+  TransferLeadership(now);
+  BecomeFollower(now, hard_state_.term, {});
+}
+
 }  // namespace lemoncroft::raft
--- a/src/raft/raft_replication.cpp
+++ b/src/raft/raft_replication.cpp
@@ -1,3 +1,4 @@
+// Raft: log replication, heartbeats and commitment.
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -6,6 +7,23 @@
 
 namespace lemoncroft::raft {
 
+namespace {
+
+// Older rounds are forgotten; answers to them extend no lease.
+constexpr std::size_t kMaxTrackedHeartbeats = 64;
+
+}  // namespace
+
+// ---- Leader ----
+
+ProposalResult Raft::Propose(Time now, std::string data) {
+  if (role_ != Role::kLeader) return {ProposalError::kNotLeader, 0, 0};
+  if (data.size() > options_.max_entry_bytes) return {ProposalError::kEntryTooLarge, 0, 0};
+  AppendAsLeader(now, {0, 0, EntryKind::kData, std::move(data), {}});
+  SendNewEntries();
+  return {ProposalError::kNone, last_index(), hard_state_.term};
+}
+
 void Raft::AppendAsLeader(Time now, Entry entry) {
   entry.term = hard_state_.term;
   entry.index = last_index() + 1;
@@ -23,153 +41,163 @@
   heartbeat_deadline_ = now + options_.heartbeat_interval;
   ++heartbeat_round_;
   heartbeat_sent_at_[heartbeat_round_] = now;
-  while (heartbeat_sent_at_.size() > 64) heartbeat_sent_at_.erase(heartbeat_sent_at_.begin());
-  for (auto& [to, progress] : progress_) SendAppend(to, true);
-  if (voters_ == std::vector<NodeId>{self_}) quorum_contacted_ = true, last_quorum_contact_ = now;
+  while (heartbeat_sent_at_.size() > kMaxTrackedHeartbeats)
+    heartbeat_sent_at_.erase(heartbeat_sent_at_.begin());
+  for (const auto& [id, progress] : progress_) SendAppend(id, AppendMode::kHeartbeat);
+  if (voters_ == std::vector<NodeId>{self_}) {  // nobody else can answer
+    quorum_contacted_ = true;
+    last_quorum_contact_ = now;
+  }
 }
 
-void Raft::SendAppend(const NodeId& to, bool again) {
+void Raft::SendAppend(const NodeId& to, AppendMode mode) {
   Progress& progress = progress_.at(to);
-  if (again) progress.last_sent_index = progress.match_index;
+  const bool heartbeat = mode == AppendMode::kHeartbeat;
+  if (heartbeat) progress.last_sent_index = progress.match_index;
   if (progress.match_index < snapshot_.index) {
-    if (again) Send(to, InstallSnapshotRequest{hard_state_.term, heartbeat_round_, snapshot_});
+    if (heartbeat) Send(to, InstallSnapshotRequest{hard_state_.term, heartbeat_round_, snapshot_});
     return;
   }
-  AppendEntriesRequest m;
-  m.term = hard_state_.term;
-  m.heartbeat_round = heartbeat_round_;
-  m.prev_index = std::max(progress.last_sent_index, snapshot_.index);
-  m.prev_term = TermAt(m.prev_index);
-  m.leader_commit = commit_index_;
-  m.leader_durable_index = durable_index_;
+  AppendEntriesRequest request;
+  request.term = hard_state_.term;
+  request.heartbeat_round = heartbeat_round_;
+  request.prev_index = std::max(progress.last_sent_index, snapshot_.index);
+  request.prev_term = TermAt(request.prev_index);
+  request.leader_commit = commit_index_;
+  request.leader_durable_index = durable_index_;
   std::size_t bytes = 0;
-  for (Index i = m.prev_index + 1; i <= last_index() && m.entries.size() < options_.max_batch_entries; ++i) {
+  for (Index i = request.prev_index + 1;
+       i <= last_index() && request.entries.size() < options_.max_batch_entries; ++i) {
     bytes += EntryAt(i).data.size();
-    if (bytes > options_.max_batch_bytes && !m.entries.empty()) break;
-    m.entries.push_back(EntryAt(i));
+    if (bytes > options_.max_batch_bytes && !request.entries.empty()) break;
+    request.entries.push_back(EntryAt(i));
   }
-  if (!again && m.entries.empty()) return;
-  progress.last_sent_index = m.prev_index + m.entries.size();
-  Send(to, std::move(m));
+  if (!heartbeat && request.entries.empty()) return;
+  progress.last_sent_index = request.prev_index + request.entries.size();
+  Send(to, std::move(request));
 }
 
 void Raft::SendNewEntries() {
-  for (auto& [to, progress] : progress_) SendAppend(to, false);
+  for (const auto& [id, progress] : progress_) SendAppend(id, AppendMode::kNewEntries);
 }
 
-ProposalResult Raft::Propose(Time now, std::string data) {
-  if (role_ != Role::kLeader) return {ProposalError::kNotLeader, 0, 0};
-  if (data.size() > options_.max_entry_bytes) return {ProposalError::kEntryTooLarge, 0, 0};
-  AppendAsLeader(now, {0, 0, EntryKind::kData, std::move(data), {}});
-  SendNewEntries();
-  return {ProposalError::kNone, last_index(), hard_state_.term};
+// The highest index that a majority of the voters holds durably.
+Index Raft::QuorumIndex() const {
+  if (voters_.empty()) return 0;
+  std::vector<Index> match_indices;
+  for (const NodeId& voter : voters_) {
+    if (voter == self_) {
+      match_indices.push_back(durable_index_);
+      continue;
+    }
+    const auto progress = progress_.find(voter);
+    match_indices.push_back(progress != progress_.end() ? progress->second.match_index : 0);
+  }
+  std::sort(match_indices.begin(), match_indices.end(), std::greater<>());
+  return match_indices[Majority() - 1];
 }
 
 void Raft::AdvanceCommit(Time now) {
-  std::vector<Index> matches;
-  for (const NodeId& voter : voters_) {
-    if (voter == self_)
-      matches.push_back(durable_index_);
-    else
-      matches.push_back(progress_.contains(voter) ? progress_.at(voter).match_index : 0);
-  }
-  std::sort(matches.begin(), matches.end(), std::greater<>());
-  const Index agreed = matches.empty() ? 0 : matches[Majority() - 1];
-  if (agreed > commit_index_ &&
-      (TermAt(agreed) == hard_state_.term || !options_.safety_checks.commit_current_term_only)) {
-    commit_index_ = agreed;
+  const Index index = QuorumIndex();
+  const bool current_term =
+      TermAt(index) == hard_state_.term || !options_.safety_checks.commit_current_term_only;
+  if (index > commit_index_ && current_term) {
+    commit_index_ = index;
     DeliverCommitted();
-    if (voters_index_ <= commit_index_ && !IsVoter()) {
-      // It has voted itself out: another leads at once, rather than after an election's wait.
-      SendNewEntries();
-      TransferLeadership(now);
-      return BecomeFollower(now, hard_state_.term, {});
-    }
+    if (AreVotersCommitted() && !IsVoter()) return StepDownAfterRemoval(now);
   }
-  if (joining_voter_ && progress_.contains(*joining_voter_) && voters_index_ <= commit_index_ &&
-      TermAt(commit_index_) == hard_state_.term &&
-      progress_.at(*joining_voter_).match_index + options_.max_batch_entries > last_index() &&
-      progress_.at(*joining_voter_).match_index >= commit_index_) {
-    std::vector<NodeId> voters = voters_;
-    voters.push_back(*std::exchange(joining_voter_, std::nullopt));
-    std::sort(voters.begin(), voters.end());
-    AppendAsLeader(now, {0, 0, EntryKind::kVoters, {}, std::move(voters)});
-    SendNewEntries();
+  PromoteJoiningVoter(now);
+}
+
+void Raft::Handle(Time now, const NodeId& from, const AppendEntriesResponse& response) {
+  if (response.term > hard_state_.term) return BecomeFollower(now, response.term, {});
+  const auto it = progress_.find(from);
+  if (role_ != Role::kLeader || response.term < hard_state_.term || it == progress_.end()) return;
+  Progress& progress = it->second;
+  const Index match_index = std::min(response.match_index, last_index());
+  if (response.success) {
+    progress.match_index = std::max(progress.match_index, match_index);
+    progress.last_sent_index = std::max(progress.last_sent_index, progress.match_index);
+  } else {
+    progress.last_sent_index = std::max(progress.match_index, match_index);
   }
+  progress.acked_round = std::max(progress.acked_round, response.heartbeat_round);
+  UpdateQuorumContact();
+  AdvanceCommit(now);
+  if (role_ == Role::kLeader && progress_.contains(from)) SendAppend(from, AppendMode::kNewEntries);
 }
 
-void Raft::DeliverCommitted() {
-  while (applied_index_ < commit_index_) outputs_.push_back(Committed{EntryAt(++applied_index_)});
+// Finds the newest heartbeat round that a majority has acknowledged; the lease runs from when it was sent.
+void Raft::UpdateQuorumContact() {
+  std::vector<std::uint64_t> acked_rounds;
+  for (const NodeId& voter : voters_) {
+    if (voter == self_) {
+      acked_rounds.push_back(heartbeat_round_);
+      continue;
+    }
+    const auto progress = progress_.find(voter);
+    acked_rounds.push_back(progress != progress_.end() ? progress->second.acked_round : 0);
+  }
+  std::sort(acked_rounds.begin(), acked_rounds.end(), std::greater<>());
+  const auto sent_at = heartbeat_sent_at_.find(acked_rounds[Majority() - 1]);
+  if (sent_at == heartbeat_sent_at_.end()) return;
+  last_quorum_contact_ = std::max(last_quorum_contact_, sent_at->second);
+  quorum_contacted_ = true;
+  heartbeat_sent_at_.erase(heartbeat_sent_at_.begin(), sent_at);
 }
 
-void Raft::Handle(Time now, const NodeId& from, const AppendEntriesRequest& m) {
-  if (m.term < hard_state_.term)
-    return Send(from, AppendEntriesResponse{hard_state_.term, m.heartbeat_round, false, 0});
-  if (role_ == Role::kLeader && m.term == hard_state_.term) return;  // there is one a term
-  BecomeFollower(now, m.term, from);
-  last_leader_contact_ = now;
-  ResetElectionTimer(now);
-  if (m.prev_index > last_index() && options_.safety_checks.log_matching)
-    return Send(from, AppendEntriesResponse{hard_state_.term, m.heartbeat_round, false, last_index()});
-  if (m.prev_index >= snapshot_.index && TermAt(m.prev_index) != m.prev_term &&
-      options_.safety_checks.log_matching) {
-    // Back to before that term, at once.
-    Index back = m.prev_index;
-    const Term other = TermAt(back);
-    while (back > snapshot_.index && back > commit_index_ && TermAt(back) == other) --back;
-    return Send(from, AppendEntriesResponse{hard_state_.term, m.heartbeat_round, false, back});
+// ---- Follower ----
+
+void Raft::Handle(Time now, const NodeId& from, const AppendEntriesRequest& request) {
+  if (request.term < hard_state_.term)
+    return Send(from, AppendEntriesResponse{hard_state_.term, request.heartbeat_round, false, 0});
+  if (role_ == Role::kLeader && request.term == hard_state_.term) return;  // a term has one leader
+  FollowLeader(now, request.term, from);
+  if (const std::optional<Index> retry_after = FindConflict(request))
+    return Send(from, AppendEntriesResponse{hard_state_.term, request.heartbeat_round, false, *retry_after});
+  AppendFromLeader(request.entries);
+  const Index match_index =
+      std::max(request.prev_index, request.entries.empty() ? 0 : request.entries.back().index);
+  const Index commit_index = std::min({request.leader_commit, match_index, last_index()});
+  if (commit_index > commit_index_) {
+    commit_index_ = commit_index;
+    DeliverCommitted();
   }
+  Send(from, AppendEntriesResponse{hard_state_.term, request.heartbeat_round, true,
+                                   std::min(match_index, last_index())});
+}
+
+// If the entry at prev_index is missing or another one: the index behind which the leader should retry. It
+// goes back over the whole conflicting term at once.
+std::optional<Index> Raft::FindConflict(const AppendEntriesRequest& request) const {
+  if (!options_.safety_checks.log_matching) return std::nullopt;
+  if (request.prev_index > last_index()) return last_index();
+  if (request.prev_index < snapshot_.index || TermAt(request.prev_index) == request.prev_term)
+    return std::nullopt;
+  Index index = request.prev_index;
+  const Term conflicting_term = TermAt(index);
+  while (index > snapshot_.index && index > commit_index_ && TermAt(index) == conflicting_term) --index;
+  return index;
+}
+
+// Skips the entries that are there already; at the first that is not, the rest of the log is replaced.
+void Raft::AppendFromLeader(const std::vector<Entry>& entries) {
   Index truncate_after = last_index();
-  std::vector<Entry> fresh;
-  for (const Entry& entry : m.entries) {
+  std::vector<Entry> appended;
+  for (const Entry& entry : entries) {
     if (entry.index <= snapshot_.index || entry.index > last_index() + 1) continue;
-    if (fresh.empty() && entry.index <= last_index() && TermAt(entry.index) == entry.term) continue;
-    if (fresh.empty()) {
+    const bool known = entry.index <= last_index() && TermAt(entry.index) == entry.term;
+    if (appended.empty() && known) continue;
+    if (appended.empty()) {
       truncate_after = entry.index - 1;
       log_.resize(truncate_after - snapshot_.index);
     }
     log_.push_back(entry);
-    fresh.push_back(entry);
+    appended.push_back(entry);
   }
-  if (!fresh.empty()) {
-    PersistEntries(truncate_after, std::move(fresh));
-    ReloadVoters();
-  }
-  const Index match = std::max(m.prev_index, m.entries.empty() ? 0 : m.entries.back().index);
-  const Index commit = std::min({m.leader_commit, match, last_index()});
-  if (commit > commit_index_) {
-    commit_index_ = commit;
-    DeliverCommitted();
-  }
-  Send(from, AppendEntriesResponse{hard_state_.term, m.heartbeat_round, true, std::min(match, last_index())});
-}
-
-void Raft::Handle(Time now, const NodeId& from, const AppendEntriesResponse& m) {
-  if (m.term > hard_state_.term) return BecomeFollower(now, m.term, {});
-  const auto it = progress_.find(from);
-  if (role_ != Role::kLeader || m.term < hard_state_.term || it == progress_.end()) return;
-  Progress& progress = it->second;
-  if (m.success) {
-    progress.match_index = std::max(progress.match_index, std::min(m.match_index, last_index()));
-    progress.last_sent_index = std::max(progress.last_sent_index, progress.match_index);
-  } else {
-    progress.last_sent_index = std::max(progress.match_index, std::min(m.match_index, last_index()));
-  }
-  progress.acked_round = std::max(progress.acked_round, m.heartbeat_round);
-  // The newest beat that a majority has answered: nobody else was elected until some time after it was sent.
-  std::vector<std::uint64_t> answered;
-  for (const NodeId& voter : voters_)
-    answered.push_back(voter == self_              ? heartbeat_round_
-                       : progress_.contains(voter) ? progress_.at(voter).acked_round
-                                                   : 0);
-  std::sort(answered.begin(), answered.end(), std::greater<>());
-  if (const auto sent = heartbeat_sent_at_.find(answered[Majority() - 1]); sent != heartbeat_sent_at_.end()) {
-    last_quorum_contact_ = std::max(last_quorum_contact_, sent->second);
-    quorum_contacted_ = true;
-    heartbeat_sent_at_.erase(heartbeat_sent_at_.begin(), sent);
-  }
-  AdvanceCommit(now);
-  if (role_ == Role::kLeader && progress_.contains(from)) SendAppend(from, false);
+  if (appended.empty()) return;
+  PersistEntries(truncate_after, std::move(appended));
+  ReloadVoters();
 }
 
 }  // namespace lemoncroft::raft
--- a/src/raft/types.h
+++ b/src/raft/types.h
@@ -1,8 +1,10 @@
-// What the voters of a fleet keep and tell each other, to agree on one log.
+// The values that the voters of a replicated log store and exchange.
 //
-// Contract. Plain values, no I/O, no clock. Owner: none. Units: spans of time; indices count entries from 1.
-// Source: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Ongaro's thesis
-// (2014), sections 4.1 (voters by one), 3.10 (transfer), 6.4 (lease), 9.6 (pre-vote).
+// Contract. Plain values without I/O or clock. Owner: none. Units: durations; log indices from 1, 0 for the
+// position before the first entry. The field order of messages, entries and HardState is their encoding's;
+// see raft/codec.h. Source: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014);
+// Ongaro, "Consensus: Bridging Theory and Practice" (2014), sections 3.10 (leadership transfer), 4.1
+// (single-server membership changes), 6.4 (leader lease) and 9.6 (pre-vote).
 #ifndef LEMONCROFT_RAFT_TYPES_H_
 #define LEMONCROFT_RAFT_TYPES_H_
 
@@ -18,48 +20,56 @@
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 inline constexpr Time kNever = Time::max();
 
-using NodeId = std::string;  // of a voter; empty: none
+using NodeId = std::string;  // empty: no node
 using Term = std::uint64_t;
 using Index = std::uint64_t;
 
-enum class EntryKind : std::uint8_t { kNoOp, kData, kVoters };
+// ---- The log and what of it must be durable ----
+
+enum class EntryKind : std::uint8_t {
+  kNoOp,    // a new leader's first entry
+  kData,    // the state machine's
+  kVoters,  // a membership change, in effect from its append on
+};
 
 struct Entry {
   Term term = 0;
   Index index = 0;
   EntryKind kind = EntryKind::kNoOp;
   std::string data;
-  std::vector<NodeId> voters;  // of kVoters: all of them, from the append on
+  std::vector<NodeId> voters;  // of kVoters: the complete set after the change
   bool operator==(const Entry&) const = default;
 };
 
-// What the log up to an index came to.
+// Replaces the log up to and including `index`.
 struct Snapshot {
   Index index = 0;
   Term term = 0;
   std::vector<NodeId> voters;
-  std::string data;
+  std::string data;  // the state machine's state
   bool operator==(const Snapshot&) const = default;
 };
 
-// What must be durable before anything that rests on it is told.
+// Must be durable before any message that depends on it is sent.
 struct HardState {
   Term term = 0;
   NodeId voted_for;
   bool operator==(const HardState&) const = default;
 };
 
+// All that a voter restarts from.
 struct PersistentState {
   HardState hard_state;
   Snapshot snapshot;
-  std::vector<Entry> log;  // behind the snapshot, without a gap
+  std::vector<Entry> log;  // from snapshot.index + 1 on, without a gap
   bool operator==(const PersistentState&) const = default;
 };
 
+// ---- Messages ----
+
 struct VoteRequest {
-  bool pre_vote = false;  // would you?
-  bool leadership_transfer =
-      false;  // the leader itself asked it to: its hard_state not to be disturbed does not count
+  bool pre_vote = false;
+  bool leadership_transfer = false;  // the leader itself asked for the election, so its lease does not count
   Term term = 0;
   Index last_index = 0;
   Term last_term = 0;
@@ -67,26 +77,28 @@
 };
 struct VoteResponse {
   bool pre_vote = false;
-  Term term = 0;  // of the request, where granted; else the answerer's
+  Term term = 0;  // if granted the request's, otherwise the responder's
   bool granted = false;
   bool operator==(const VoteResponse&) const = default;
 };
+// Also the heartbeat, with or without entries.
 struct AppendEntriesRequest {
   Term term = 0;
   std::uint64_t heartbeat_round = 0;
   Index prev_index = 0;
   Term prev_term = 0;
   Index leader_commit = 0;
-  Index leader_durable_index =
-      0;  // what the leader itself holds durably: it counts towards what is committed
+  Index leader_durable_index = 0;  // the leader's own contribution to a commit quorum
   std::vector<Entry> entries;
   bool operator==(const AppendEntriesRequest&) const = default;
 };
+// Answers AppendEntriesRequest and InstallSnapshotRequest.
 struct AppendEntriesResponse {
   Term term = 0;
-  std::uint64_t heartbeat_round = 0;
+  std::uint64_t heartbeat_round = 0;  // the request's
   bool success = false;
-  Index match_index = 0;  // where ok: up to here the logs are the same; else: try from behind here
+  Index match_index =
+      0;  // on success the logs agree up to here; otherwise the leader retries from behind here
   bool operator==(const AppendEntriesResponse&) const = default;
 };
 struct InstallSnapshotRequest {
@@ -95,67 +107,75 @@
   Snapshot snapshot;
   bool operator==(const InstallSnapshotRequest&) const = default;
 };
-// Begin an election at once: the leader goes.
+// The leader transfers its leadership: the receiver starts an election at once.
 struct TimeoutNowRequest {
   Term term = 0;
   bool operator==(const TimeoutNowRequest&) const = default;
 };
 
+// The alternatives' order is part of the encoding.
 using Message = std::variant<VoteRequest, VoteResponse, AppendEntriesRequest, AppendEntriesResponse,
                              InstallSnapshotRequest, TimeoutNowRequest>;
 
-// ---- Outputs, in order ----
+// ---- Outputs, to be processed in order ----
 
-// Make this durable, in the order of the numbers; then call OnPersisted.
+// Make this durable, one update after the other in the order of their sequence numbers, then call
+// Raft::OnPersisted.
 struct StorageUpdate {
   std::uint64_t sequence = 0;
   HardState hard_state;
-  Index truncate_after = 0;    // entries behind this index are dropped first
-  std::vector<Entry> entries;  // then these follow
-  bool replaces_log = false;   // a snapshot takes the place of all that was
-  Snapshot snapshot;           // where `whole`
+  Index truncate_after = 0;    // log entries behind this index are removed
+  std::vector<Entry> entries;  // then these are appended
+  bool replaces_log = false;   // `snapshot` and `entries` replace the whole log instead
+  Snapshot snapshot;           // if replaces_log
 };
-// Send this once all up to `after` is durable.
+// Send the message once all storage updates up to after_sequence are durable.
 struct SendMessage {
   NodeId to;
   Message message;
   std::uint64_t after_sequence = 0;
 };
+// Apply the entry to the state machine.
 struct Committed {
   Entry entry;
 };
-// A snapshot from the leader takes the place of what was committed so far.
+// Replace the state machine's state by the snapshot, which the leader sent.
 struct SnapshotInstalled {
   Snapshot snapshot;
 };
 
 using Output = std::variant<StorageUpdate, SendMessage, Committed, SnapshotInstalled>;
 
-// Parts of the protocol that a test takes away, one at a time. Nothing else sets them.
+// ---- Options ----
+
+// Parts of the protocol that its safety rests on. Disabled one at a time by mutation tests; all true
+// elsewhere.
 struct SafetyChecks {
-  bool persist_before_send = true;         // nothing is told before what it rests on is kept
-  bool commit_current_term_only = true;    // commitment counts entries of the leader's own term only
-  bool require_up_to_date_log = true;      // votes go to logs that are as long
-  bool single_vote_per_term = true;        // one vote a term
-  bool pre_vote = true;                    // who comes back asks before it disturbs
-  bool leader_stickiness = true;           // who hears a leader votes for nobody
-  bool vote_delay_after_restart = true;    // ... also if it has just started, and can't know
-  bool log_matching = true;                // entries follow only on the same log
-  bool single_membership_change = true;    // of voters at a time
-  bool check_quorum = true;                // a leader without a majority is none
-  bool release_lease_on_transfer = true;   // before it hands over
-  bool count_durable_entries_only = true;  // a leader's own entries count once they are durable
+  bool persist_before_send = true;       // a message waits for the storage updates that it depends on
+  bool commit_current_term_only = true;  // only entries of the leader's term are committed by counting
+  bool require_up_to_date_log = true;    // a vote needs a candidate's log that is at least as up to date
+  bool single_vote_per_term = true;      // a voter votes for one candidate in a term
+  bool pre_vote = true;                  // an election starts only after a quorum would vote for it
+  bool leader_stickiness = true;         // no votes within the minimum election timeout of hearing a leader
+  bool vote_delay_after_restart = true;  // a restart counts as hearing a leader
+  bool log_matching = true;  // entries are appended only behind the entry that the leader has there
+  bool single_membership_change = true;    // no change of voters before the last one is committed
+  bool check_quorum = true;                // a leader without contact to a quorum steps down
+  bool release_lease_on_transfer = true;   // a leader gives its lease up when it transfers its leadership
+  bool count_durable_entries_only = true;  // a leader counts its own entries only once they are durable
   bool operator==(const SafetyChecks&) const = default;
 };
 
 struct Options {
-  Duration heartbeat_interval = std::chrono::milliseconds(100);    // of a leader
-  Duration min_election_timeout = std::chrono::milliseconds(600);  // without a word of one
+  Duration heartbeat_interval = std::chrono::milliseconds(100);
+  // An election timeout is drawn from this range.
+  Duration min_election_timeout = std::chrono::milliseconds(600);
   Duration max_election_timeout = std::chrono::milliseconds(1200);
-  double max_clock_rate_difference = 0.01;               // of clocks, at the most
-  std::size_t max_batch_entries = 64;                    // entries in a message ...
-  std::size_t max_batch_bytes = std::size_t{512} << 10;  // ... and bytes of them, where it is more than one
-  std::size_t max_entry_bytes = std::size_t{400} << 10;  // of an entry
+  double max_clock_rate_difference = 0.01;  // between any two voters' monotonic clocks; 0.01 is 1%
+  // Of one message. A single entry is sent even if it is larger than max_batch_bytes.
+  std::size_t max_batch_entries = 64;
+  std::size_t max_batch_bytes = std::size_t{512} << 10;
+  std::size_t max_entry_bytes = std::size_t{400} << 10;
   SafetyChecks safety_checks;
 };
 
