--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -8,12 +8,15 @@
 using codec::MsgpackPacker;
 using codec::MsgpackReader;
 
+// For the generic reader, which rejects larger values.
 EntryKind LastOf(EntryKind) { return EntryKind::kVoters; }
 
 namespace {
 
 constexpr codec::MsgpackBounds kBounds{4096, 128, kMaxSnapshotBytes, 8};
 
+// The encoded fields of each type, in order. New ones are only ever appended.
+
 template <typename V, Is<Entry> E>
 void Fields(V& v, E& e) {
   v(e.term), v(e.index), v(e.kind), v(e.data), v(e.voters);
@@ -56,11 +59,11 @@
   using FieldPacking::operator();
   void operator()(const std::vector<Entry>& entries) {
     to.pack_array(static_cast<std::uint32_t>(entries.size()));
-    for (const Entry& entry : entries) Whole(entry);
+    for (const Entry& entry : entries) PackValue(entry);
   }
-  void operator()(const Snapshot& snapshot) { Whole(snapshot); }
+  void operator()(const Snapshot& snapshot) { PackValue(snapshot); }
   template <typename T>
-  void Whole(const T& value) {
+  void PackValue(const T& value) {
     codec::FieldCounting counting;
     Fields(counting, value);
     to.pack_array(counting.count);
@@ -72,11 +75,11 @@
   using FieldReading::operator();
   void operator()(std::vector<Entry>& entries) {
     MsgpackReader all(in.Next());
-    while (all.left() > 0) Whole(all.Next(), entries.emplace_back());
+    while (all.left() > 0) ReadValue(all.Next(), entries.emplace_back());
   }
-  void operator()(Snapshot& snapshot) { Whole(in.Next(), snapshot); }
+  void operator()(Snapshot& snapshot) { ReadValue(in.Next(), snapshot); }
   template <typename T>
-  static void Whole(const msgpack::object& from, T& value) {
+  static void ReadValue(const msgpack::object& from, T& value) {
     MsgpackReader one(from);
     Reading each{{one}};
     Fields(each, value);
@@ -84,15 +87,15 @@
 };
 
 template <typename T>
-std::string EncodeWhole(const T& value) {
+std::string EncodeValue(const T& value) {
   msgpack::sbuffer body;
   MsgpackPacker to(body);
-  Packing{{to}}.Whole(value);
+  Packing{{to}}.PackValue(value);
   return {body.data(), body.size()};
 }
 
 template <typename T>
-std::optional<T> DecodeWhole(std::string_view bytes) {
+std::optional<T> DecodeValue(std::string_view bytes) {
   return codec::Guarded(bytes, kBounds, [](MsgpackReader& in) {
     T value;
     Reading reading{{in}};
@@ -108,7 +111,7 @@
   MsgpackPacker to(body);
   to.pack_array(2);
   to.pack(static_cast<std::uint8_t>(message.index()));
-  std::visit([&](const auto& m) { Packing{{to}}.Whole(m); }, message);
+  std::visit([&](const auto& m) { Packing{{to}}.PackValue(m); }, message);
   return {body.data(), body.size()};
 }
 
@@ -120,11 +123,11 @@
   });
 }
 
-std::string Encode(const Entry& entry) { return EncodeWhole(entry); }
-std::optional<Entry> DecodeEntry(std::string_view bytes) { return DecodeWhole<Entry>(bytes); }
-std::string Encode(const HardState& hard_state) { return EncodeWhole(hard_state); }
-std::optional<HardState> DecodeHardState(std::string_view bytes) { return DecodeWhole<HardState>(bytes); }
-std::string Encode(const Snapshot& snapshot) { return EncodeWhole(snapshot); }
-std::optional<Snapshot> DecodeSnapshot(std::string_view bytes) { return DecodeWhole<Snapshot>(bytes); }
+std::string Encode(const Entry& entry) { return EncodeValue(entry); }
+std::optional<Entry> DecodeEntry(std::string_view bytes) { return DecodeValue<Entry>(bytes); }
+std::string Encode(const HardState& hard_state) { return EncodeValue(hard_state); }
+std::optional<HardState> DecodeHardState(std::string_view bytes) { return DecodeValue<HardState>(bytes); }
+std::string Encode(const Snapshot& snapshot) { return EncodeValue(snapshot); }
+std::optional<Snapshot> DecodeSnapshot(std::string_view bytes) { return DecodeValue<Snapshot>(bytes); }
 
 }  // namespace lemoncroft::raft
--- a/src/testing/model_check/hash.h
+++ b/src/testing/model_check/hash.h
@@ -1,5 +1,4 @@
-// 128 bits for a canonical text, by XXH3: so few states fall together by chance that a search may take it for
-// the state.
+// A 128-bit hash (XXH3) that stands for a state in a search: collisions are too improbable to matter.
 #ifndef LEMONCROFT_TESTING_MODEL_CHECK_HASH_H_
 #define LEMONCROFT_TESTING_MODEL_CHECK_HASH_H_
 
--- a/src/testing/model_check/raft_model.cpp
+++ b/src/testing/model_check/raft_model.cpp
@@ -16,24 +16,34 @@
 
 void Put(std::string& out, std::uint64_t value) { out += std::to_string(value) + ","; }
 
-// All of a message but its beat, which is of leases alone.
+void Put(std::string& out, const Entry& entry) {
+  Put(out, entry.term);
+  Put(out, entry.index);
+  Put(out, static_cast<std::uint64_t>(entry.kind));
+  out += entry.data + ";";
+}
+
+// A message without its heartbeat round, which matters for leases alone.
 std::string TextOf(const Message& message) {
   std::string out = std::to_string(message.index()) + ":";
-  const auto entry = [&out](const Entry& e) {
-    Put(out, e.term);
-    Put(out, e.index);
-    Put(out, static_cast<std::uint64_t>(e.kind));
-    out += e.data + ";";
-  };
-  if (const auto* v = std::get_if<VoteRequest>(&message)) {
-    Put(out, v->term), Put(out, v->last_index), Put(out, v->last_term), Put(out, v->leadership_transfer);
-  } else if (const auto* a = std::get_if<VoteResponse>(&message)) {
-    Put(out, a->term), Put(out, a->granted);
-  } else if (const auto* m = std::get_if<AppendEntriesRequest>(&message)) {
-    Put(out, m->term), Put(out, m->prev_index), Put(out, m->prev_term), Put(out, m->leader_commit);
-    for (const Entry& e : m->entries) entry(e);
-  } else if (const auto* r = std::get_if<AppendEntriesResponse>(&message)) {
-    Put(out, r->term), Put(out, r->success), Put(out, r->match_index);
+  if (const auto* vote = std::get_if<VoteRequest>(&message)) {
+    Put(out, vote->term);
+    Put(out, vote->last_index);
+    Put(out, vote->last_term);
+    Put(out, vote->leadership_transfer);
+  } else if (const auto* voted = std::get_if<VoteResponse>(&message)) {
+    Put(out, voted->term);
+    Put(out, voted->granted);
+  } else if (const auto* append = std::get_if<AppendEntriesRequest>(&message)) {
+    Put(out, append->term);
+    Put(out, append->prev_index);
+    Put(out, append->prev_term);
+    Put(out, append->leader_commit);
+    for (const Entry& entry : append->entries) Put(out, entry);
+  } else if (const auto* appended = std::get_if<AppendEntriesResponse>(&message)) {
+    Put(out, appended->term);
+    Put(out, appended->success);
+    Put(out, appended->match_index);
   }
   return out;
 }
@@ -42,144 +52,175 @@
 
 RaftModel::RaftModel(const SafetyChecks& safety_checks, const RaftModelBudget& budget) : budget_(budget) {
   options_.safety_checks = safety_checks;
-  // Elections come at any time here, so nothing may rest on when they don't.
-  options_.safety_checks.pre_vote = options_.safety_checks.leader_stickiness =
-      options_.safety_checks.vote_delay_after_restart = false;
-  PersistentState fresh;
-  for (std::size_t i = 0; i < kVoters; ++i) fresh.snapshot.voters.push_back(NameOf(i));
+  // These rest on time, and elections may start at any time here.
+  options_.safety_checks.pre_vote = false;
+  options_.safety_checks.leader_stickiness = false;
+  options_.safety_checks.vote_delay_after_restart = false;
+  PersistentState initial;
+  for (std::size_t i = 0; i < kVoters; ++i) initial.snapshot.voters.push_back(NameOf(i));
   for (std::size_t i = 0; i < kVoters; ++i)
-    members_.push_back({Raft(options_, NameOf(i), fresh, 1, kStart), fresh, {}, {}, 0});
+    members_.push_back({Raft(options_, NameOf(i), initial, 1, kStart), initial, {}, {}, 0});
 }
 
 void RaftModel::ProcessOutputs(std::size_t i) {
-  Member& m = members_[i];
-  for (const Output& output : m.raft.TakeOutputs()) {
-    if (const auto* store = std::get_if<StorageUpdate>(&output)) {
-      m.pending_writes.push_back(*store);
+  Member& member = members_[i];
+  for (const Output& output : member.raft.TakeOutputs()) {
+    if (const auto* update = std::get_if<StorageUpdate>(&output)) {
+      member.pending_writes.push_back(*update);
     } else if (const auto* send = std::get_if<SendMessage>(&output)) {
-      m.unsent.push_back(*send);
+      member.unsent.push_back(*send);
     } else if (const auto* committed = std::get_if<Committed>(&output)) {
-      const auto [it, fresh] = committed_.try_emplace(committed->entry.index, committed->entry);
-      if (!fresh && it->second != committed->entry) violation_ = "two entries are committed under one index";
+      const auto [it, inserted] = committed_.try_emplace(committed->entry.index, committed->entry);
+      if (!inserted && it->second != committed->entry)
+        violation_ = "two entries are committed under one index";
     }
   }
+  SendPersisted(i);
+  CheckInvariants(i);
+}
+
+// Sends the messages whose storage updates are durable.
+void RaftModel::SendPersisted(std::size_t i) {
+  Member& member = members_[i];
   std::vector<SendMessage> unsent;
-  unsent.swap(m.unsent);
+  unsent.swap(member.unsent);
   for (const SendMessage& send : unsent) {
-    if (send.after_sequence > m.persisted_sequence) {
-      m.unsent.push_back(send);
+    if (send.after_sequence > member.persisted_sequence) {
+      member.unsent.push_back(send);
       continue;
     }
     const std::size_t to = static_cast<std::size_t>(send.to[0] - 'A');
     if (to == i) {
-      m.raft.Receive(kStart, send.to, send.message);
+      member.raft.Receive(kStart, send.to, send.message);
       ProcessOutputs(i);
-    } else if (network_.size() < budget_.max_in_flight) {  // else it is lost
+    } else if (network_.size() < budget_.max_in_flight) {
       network_.push_back({i, to, send.message});
     }
   }
-  CheckInvariants(i);
 }
 
+// ---- Invariants (paper, figure 3) ----
+
 void RaftModel::CheckInvariants(std::size_t i) {
+  if (members_[i].raft.role() == Role::kLeader) CheckLeader(i);
+  CheckLogMatching(i);
+}
+
+// Election safety and leader completeness.
+void RaftModel::CheckLeader(std::size_t i) {
   const Raft& raft = members_[i].raft;
-  if (raft.role() == Role::kLeader) {
-    const auto [it, fresh] = leaders_.try_emplace(raft.term(), i);
-    if (!fresh && it->second != i) violation_ = "two leaders in one term";
-    // A leader holds all that is committed.
-    for (const auto& [index, entry] : committed_) {
-      const bool there = index <= raft.last_index() && raft.log()[index - 1] == entry;
-      if (!there && raft.term() > entry.term) violation_ = "a leader lacks what is committed";
-    }
+  const auto [it, inserted] = leaders_.try_emplace(raft.term(), i);
+  if (!inserted && it->second != i) violation_ = "two leaders in one term";
+  for (const auto& [index, entry] : committed_) {
+    const bool present = index <= raft.last_index() && raft.log()[index - 1] == entry;
+    if (!present && raft.term() > entry.term) violation_ = "a leader lacks a committed entry";
   }
-  for (std::size_t k = 0; k < kVoters; ++k) {
-    const std::vector<Entry>&a = raft.log(), &b = members_[k].raft.log();
-    bool same = false;
+}
+
+void RaftModel::CheckLogMatching(std::size_t i) {
+  for (const Member& other : members_) {
+    const std::vector<Entry>& a = members_[i].raft.log();
+    const std::vector<Entry>& b = other.raft.log();
+    bool matched = false;
     for (std::size_t at = std::min(a.size(), b.size()); at-- > 0;) {
-      if (a[at].term == b[at].term) same = true;
-      if (same && a[at] != b[at]) violation_ = "logs that match do not match before";
+      if (a[at].term == b[at].term) matched = true;
+      if (matched && a[at] != b[at]) violation_ = "two logs match at an index and differ before it";
     }
   }
 }
 
-void RaftModel::AppendSuccessors(std::vector<RaftModel>& into) const {
-  const auto fork = [&]() -> RaftModel& { return into.emplace_back(*this); };
+// ---- Events ----
+
+void RaftModel::AppendSuccessors(std::vector<RaftModel>& successors) const {
+  AppendDeliveries(successors);
+  for (std::size_t i = 0; i < kVoters; ++i) AppendEventsOf(i, successors);
+}
+
+// Each message in flight arrives, with or without a duplicate that stays in flight.
+void RaftModel::AppendDeliveries(std::vector<RaftModel>& successors) const {
   for (std::size_t k = 0; k < network_.size(); ++k) {
-    const bool duplicate = std::any_of(
-        network_.begin(), network_.begin() + static_cast<std::ptrdiff_t>(k), [&](const Packet& other) {
-          return other.from == network_[k].from && other.to == network_[k].to &&
-                 other.message == network_[k].message;
-        });
-    if (duplicate) continue;  // the same as that one
-    for (const bool duplicates : {false, true}) {
-      if (duplicates && budget_.duplicates == 0) continue;
-      RaftModel& world = fork();
-      const Packet packet = network_[k];
-      if (duplicates)
-        --world.budget_.duplicates;
+    const Packet& packet = network_[k];
+    const auto position = network_.begin() + static_cast<std::ptrdiff_t>(k);
+    if (std::find(network_.begin(), position, packet) != position) continue;  // leads to the same states
+    for (const bool duplicated : {false, true}) {
+      if (duplicated && budget_.duplicates == 0) continue;
+      RaftModel& next = successors.emplace_back(*this);
+      if (duplicated)
+        --next.budget_.duplicates;
       else
-        world.network_.erase(world.network_.begin() + static_cast<std::ptrdiff_t>(k));
-      world.members_[packet.to].raft.Receive(kStart, NameOf(packet.from), packet.message);
-      world.ProcessOutputs(packet.to);
+        next.network_.erase(next.network_.begin() + static_cast<std::ptrdiff_t>(k));
+      next.members_[packet.to].raft.Receive(kStart, NameOf(packet.from), packet.message);
+      next.ProcessOutputs(packet.to);
     }
   }
-  for (std::size_t i = 0; i < kVoters; ++i) {
-    const Member& m = members_[i];
-    if (!m.pending_writes.empty()) {
-      RaftModel& world = fork();
-      Member& own = world.members_[i];
-      const StorageUpdate store = own.pending_writes.front();
-      own.pending_writes.erase(own.pending_writes.begin());
-      simulation::ApplyUpdate(store, own.persistent);
-      own.persisted_sequence = store.sequence;
-      own.raft.OnPersisted(kStart, store.sequence);
-      world.ProcessOutputs(i);
-    }
-    if (m.raft.role() != Role::kLeader && budget_.elections > 0) {
-      RaftModel& world = fork();
-      --world.budget_.elections;
-      world.members_[i].raft.Tick(m.raft.NextDeadline());
-      world.ProcessOutputs(i);
-    }
-    if (m.raft.role() == Role::kLeader && budget_.heartbeats > 0) {
-      RaftModel& world = fork();
-      --world.budget_.heartbeats;
-      world.members_[i].raft.Tick(m.raft.NextDeadline());
-      world.ProcessOutputs(i);
-    }
-    if (m.raft.role() == Role::kLeader && budget_.proposals > 0) {
-      RaftModel& world = fork();
-      world.members_[i].raft.Propose(kStart,
-                                     std::string(1, static_cast<char>('w' + world.budget_.proposals--)));
-      world.ProcessOutputs(i);
-    }
-    if (budget_.crashes > 0) {
-      RaftModel& world = fork();
-      --world.budget_.crashes;
-      Member& own = world.members_[i];
-      own.pending_writes.clear();
-      own.unsent.clear();
-      own.persisted_sequence = 0;
-      own.raft = Raft(options_, NameOf(i), own.persistent, 1, kStart);
-    }
+}
+
+// A write becomes durable, a timer fires, an entry is proposed, or the voter crashes.
+void RaftModel::AppendEventsOf(std::size_t i, std::vector<RaftModel>& successors) const {
+  const Member& member = members_[i];
+  const bool leads = member.raft.role() == Role::kLeader;
+  if (!member.pending_writes.empty()) {
+    RaftModel& next = successors.emplace_back(*this);
+    Member& changed = next.members_[i];
+    const StorageUpdate update = changed.pending_writes.front();
+    changed.pending_writes.erase(changed.pending_writes.begin());
+    simulation::ApplyUpdate(update, changed.persistent);
+    changed.persisted_sequence = update.sequence;
+    changed.raft.OnPersisted(kStart, update.sequence);
+    next.ProcessOutputs(i);
+  }
+  if (!leads && budget_.elections > 0) {
+    RaftModel& next = successors.emplace_back(*this);
+    --next.budget_.elections;
+    next.members_[i].raft.Tick(member.raft.NextDeadline());
+    next.ProcessOutputs(i);
+  }
+  if (leads && budget_.heartbeats > 0) {
+    RaftModel& next = successors.emplace_back(*this);
+    --next.budget_.heartbeats;
+    next.members_[i].raft.Tick(member.raft.NextDeadline());
+    next.ProcessOutputs(i);
+  }
+  if (leads && budget_.proposals > 0) {
+    RaftModel& next = successors.emplace_back(*this);
+    const int number = next.budget_.proposals--;
+    next.members_[i].raft.Propose(kStart, std::string(1, static_cast<char>('w' + number)));
+    next.ProcessOutputs(i);
+  }
+  if (budget_.crashes > 0) {
+    RaftModel& next = successors.emplace_back(*this);
+    --next.budget_.crashes;
+    Member& changed = next.members_[i];
+    changed.pending_writes.clear();
+    changed.unsent.clear();
+    changed.persisted_sequence = 0;
+    changed.raft = Raft(options_, NameOf(i), changed.persistent, 1, kStart);
   }
 }
 
+// ---- Canonical text ----
+
 std::string RaftModel::TextOf(std::size_t i) const {
-  const Member& m = members_[i];
-  std::string out = m.raft.Canonical() + "|";
-  Put(out, m.persistent.hard_state.term);
-  out += m.persistent.hard_state.voted_for + ";";
-  for (const Entry& e : m.persistent.log) Put(out, e.term), out += e.data + ";";
-  for (const StorageUpdate& store : m.pending_writes) {
-    Put(out, store.hard_state.term);
-    out += store.hard_state.voted_for + ";";
-    Put(out, store.truncate_after);
-    for (const Entry& e : store.entries) Put(out, e.term), out += e.data + ";";
+  const Member& member = members_[i];
+  std::string out = member.raft.Canonical() + "|";
+  const auto put_entries = [&out](const std::vector<Entry>& entries) {
+    for (const Entry& entry : entries) {
+      Put(out, entry.term);
+      out += entry.data + ";";
+    }
+  };
+  Put(out, member.persistent.hard_state.term);
+  out += member.persistent.hard_state.voted_for + ";";
+  put_entries(member.persistent.log);
+  for (const StorageUpdate& update : member.pending_writes) {
+    Put(out, update.hard_state.term);
+    out += update.hard_state.voted_for + ";";
+    Put(out, update.truncate_after);
+    put_entries(update.entries);
   }
-  for (const SendMessage& send : m.unsent)
+  for (const SendMessage& send : member.unsent)
     out += send.to + model_check::TextOf(send.message) +
-           std::to_string(send.after_sequence - m.persisted_sequence);
+           std::to_string(send.after_sequence - member.persisted_sequence);
   return out;
 }
 
@@ -190,14 +231,14 @@
   for (const Packet& packet : network_)
     packets.push_back(NameOf(packet.from) + NameOf(packet.to) + model_check::TextOf(packet.message));
   std::string budget;
-  for (const int left :
+  for (const int remaining :
        {budget_.elections, budget_.proposals, budget_.crashes, budget_.duplicates, budget_.heartbeats})
-    Put(budget, static_cast<std::uint64_t>(left));
+    Put(budget, static_cast<std::uint64_t>(remaining));
   std::array<std::size_t, kVoters> order{};
   std::iota(order.begin(), order.end(), 0);
   std::string smallest;
   do {
-    // Voter order[k] is called k.
+    // Gives voter order[k] the name of voter k.
     const auto renamed = [&](std::string text) {
       for (char& c : text)
         for (std::size_t k = 0; k < kVoters; ++k)
@@ -225,9 +266,9 @@
                              std::uint64_t max_states) {
   return Search(
       RaftModel(safety_checks, budget),
-      [](const RaftModel& world, std::vector<RaftModel>& into) { world.AppendSuccessors(into); },
-      [](const RaftModel& world) { return world.Violation(); },
-      [](const RaftModel& world) { return world.Canonical(); }, max_states);
+      [](const RaftModel& state, std::vector<RaftModel>& successors) { state.AppendSuccessors(successors); },
+      [](const RaftModel& state) { return state.Violation(); },
+      [](const RaftModel& state) { return state.Canonical(); }, max_states);
 }
 
 }  // namespace lemoncroft::model_check
--- a/src/testing/model_check/raft_model.h
+++ b/src/testing/model_check/raft_model.h
@@ -1,10 +1,9 @@
-// The replicated log as a system to be searched: three voters that are the real state machine, a network that
-// loses, doubles and reorders, disks that keep or lose, crashes.
+// A Raft cluster as a state space to be searched: three voters that run the real state machine, a network
+// that loses, duplicates and reorders messages, and voters that crash and lose what is not durable.
 //
-// Contract. Any voter's election may come at any time, any message at any time or never: a superset of what
-// clocks allow, for the rules that must not rest on them. What clocks are for (leases, pre-votes) is played
-// in virtual time instead. Budgets bound it: elections, proposals, crashes, doubled messages, messages on
-// their way. Owner: a search.
+// Contract. Any voter may start an election at any time, and any message may arrive at any time or never.
+// That is a superset of what clocks allow, so properties that rest on time (leases, pre-vote) are left to
+// testing/simulation/raft_cluster.h. A budget bounds the faults. Owner: a search.
 #ifndef LEMONCROFT_TESTING_MODEL_CHECK_RAFT_MODEL_H_
 #define LEMONCROFT_TESTING_MODEL_CHECK_RAFT_MODEL_H_
 
@@ -18,9 +17,10 @@
 
 namespace lemoncroft::model_check {
 
+// How often each event may occur on one path.
 struct RaftModelBudget {
   int elections = 2, proposals = 2, crashes = 1, duplicates = 1, heartbeats = 1;
-  std::size_t max_in_flight = 6;
+  std::size_t max_in_flight = 6;  // further messages are lost
 };
 
 class RaftModel {
@@ -29,15 +29,18 @@
 
   RaftModel(const raft::SafetyChecks& safety_checks, const RaftModelBudget& budget);
 
-  void AppendSuccessors(std::vector<RaftModel>& into) const;
+  // Appends the states that one event leads to.
+  void AppendSuccessors(std::vector<RaftModel>& successors) const;
+  // The invariant that this state violates; empty: none.
   std::string Violation() const { return violation_; }
-  // The least of the texts under all ways to name the voters.
+  // The smallest of the state's texts under all permutations of the voters' names.
   std::string Canonical() const;
 
  private:
   struct Packet {
     std::size_t from = 0, to = 0;
     raft::Message message;
+    bool operator==(const Packet&) const = default;
   };
   struct Member {
     raft::Raft raft;
@@ -49,11 +52,16 @@
 
   static std::string NameOf(std::size_t i) { return std::string(1, static_cast<char>('A' + i)); }
   void ProcessOutputs(std::size_t i);
-  std::string TextOf(std::size_t i) const;
+  void SendPersisted(std::size_t i);
   void CheckInvariants(std::size_t i);
+  void CheckLeader(std::size_t i);
+  void CheckLogMatching(std::size_t i);
+  void AppendDeliveries(std::vector<RaftModel>& successors) const;
+  void AppendEventsOf(std::size_t i, std::vector<RaftModel>& successors) const;
+  std::string TextOf(std::size_t i) const;
 
   raft::Options options_;
-  RaftModelBudget budget_;
+  RaftModelBudget budget_;  // what is left of it
   std::vector<Member> members_;
   std::vector<Packet> network_;
   std::map<raft::Term, std::size_t> leaders_;
@@ -61,7 +69,7 @@
   std::string violation_;
 };
 
-// Searches until `most` distinct states, or all within the budget.
+// Searches the model until `max_states` distinct states, or all that the budget allows.
 SearchResult SearchRaftModel(const raft::SafetyChecks& safety_checks, const RaftModelBudget& budget,
                              std::uint64_t max_states);
 
--- a/src/testing/model_check/search.h
+++ b/src/testing/model_check/search.h
@@ -1,11 +1,12 @@
-// A search of all states that a system can come to, breadth first: each distinct state once, by the hash of
-// its canonical form, until there are no more or a bound is reached.
+// Breadth-first search of the states that a system can reach: each distinct state once, until there are no
+// more or a limit is reached.
 //
-// Contract. `State` is copied; `next` appends the states that one step leads to; `wrong` tells the rule that
-// a state breaks, or nothing; `canonical` is the same text for states that differ in nothing that matters
-// (names under a symmetry, times). The first state that breaks a rule ends the search; breadth first, its
-// path is a shortest one. Owner: a test or a measurement. Errors: none; a hash of 128 bits is taken for the
-// state. Source: explicit-state model checking as in Murphi (Dill 1996) and TLC (Lamport 2002).
+// Contract. `State` is copied. `append_successors` appends the states that one step leads to; `violation_of`
+// describes the invariant that a state violates, or returns an empty text; `canonical` gives equal texts for
+// states that differ only in what does not matter (symmetric names, times). The search ends at the first
+// violation, whose path is then a shortest one. States are identified by a 128-bit hash of their canonical
+// text. Owner: a test or benchmark. Source: explicit-state model checking as in Murphi (Dill 1996) and TLC
+// (Lamport 2002).
 #ifndef LEMONCROFT_TESTING_MODEL_CHECK_SEARCH_H_
 #define LEMONCROFT_TESTING_MODEL_CHECK_SEARCH_H_
 
@@ -21,9 +22,9 @@
 
 struct SearchResult {
   std::uint64_t states = 0;  // distinct ones
-  std::uint64_t depth = 0;   // steps from the first
-  bool exhausted = false;    // all there are within the system's own bounds
-  std::string violation;     // the rule; empty: none
+  std::uint64_t depth = 0;   // steps from the first state
+  bool exhausted = false;    // all reachable states were searched
+  std::string violation;     // empty: none found
 };
 
 template <typename State, typename AppendSuccessors, typename Violation, typename Canonical>
@@ -31,19 +32,19 @@
                     const Canonical& canonical, std::uint64_t max_states) {
   SearchResult result;
   std::unordered_set<Hash, StateHasher> seen;
-  std::vector<State> now, then;
+  std::vector<State> frontier, next_frontier;
   seen.insert(HashState(canonical(first)));
-  now.push_back(std::move(first));
-  for (; !now.empty(); now.swap(then), then.clear(), ++result.depth) {
-    for (const State& state : now) {
-      std::vector<State> reached;
-      append_successors(state, reached);
-      for (State& successor : reached) {
+  frontier.push_back(std::move(first));
+  for (; !frontier.empty(); frontier.swap(next_frontier), next_frontier.clear(), ++result.depth) {
+    for (const State& state : frontier) {
+      std::vector<State> successors;
+      append_successors(state, successors);
+      for (State& successor : successors) {
         if (!seen.insert(HashState(canonical(successor))).second) continue;
         result.states = seen.size();
         result.violation = violation_of(successor);
         if (!result.violation.empty() || result.states >= max_states) return result;
-        then.push_back(std::move(successor));
+        next_frontier.push_back(std::move(successor));
       }
     }
   }
--- a/src/testing/simulation/loop_stall.cpp
+++ b/src/testing/simulation/loop_stall.cpp
@@ -15,10 +15,10 @@
   runtime::Loop loop;
   storage::Worker worker(loop, StoreOptionsOn(disk));
   std::vector<double> late;
-  bool over = false;
+  bool finished = false;
   LoopStall out;
   const auto tick = [&]() -> runtime::Task<> {
-    while (!over) {
+    while (!finished) {
       const runtime::Time due = Now() + 1ms;
       co_await loop.SleepUntil(due);
       late.push_back(std::chrono::duration<double, std::milli>(Now() - due).count());
@@ -32,8 +32,8 @@
     for (int i = 0; i < writes; ++i)
       std::ignore = worker.Write(static_cast<std::uint64_t>(i) + 1, WorkloadBatch(i));
     for (int i = 0; i < writes; ++i) co_await worker.NextCompletion();
-    out.syncs_ms = std::chrono::duration<double, std::milli>(Now() - begun).count();
-    over = true;
+    out.writes_ms = std::chrono::duration<double, std::milli>(Now() - begun).count();
+    finished = true;
   };
   loop.Spawn(tick());
   loop.Spawn(write());
--- a/src/testing/simulation/loop_stall.h
+++ b/src/testing/simulation/loop_stall.h
@@ -1,6 +1,6 @@
-// A loop that ticks while a store beside it waits for its disk: how late the ticks come.
+// Measures how late the timers of an event loop fire while a store writes to a slow disk on its own thread.
 //
-// Real time. Owner: a test or a measurement.
+// Contract. Runs in real time. Owner: a test or benchmark. Units: milliseconds.
 #ifndef LEMONCROFT_TESTING_SIMULATION_LOOP_STALL_H_
 #define LEMONCROFT_TESTING_SIMULATION_LOOP_STALL_H_
 
@@ -9,10 +9,11 @@
 namespace lemoncroft::simulation {
 
 struct LoopStall {
-  double longest_ms = 0;  // a tick came so much late
+  double longest_ms = 0;  // the latest timer
   double p99_ms = 0;
-  double syncs_ms = 0;  // that the writes took together
+  double writes_ms = 0;  // all writes together, with opening the store
 };
+// Opens a store on the disk and writes this many batches, beside a timer each millisecond.
 LoopStall MeasureLoopStallDuringWrites(SimulatedDisk& disk, int writes);
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/raft_cluster.cpp
+++ b/src/testing/simulation/raft_cluster.cpp
@@ -53,7 +53,7 @@
   ProcessOutputs(i);
 }
 
-void RaftCluster::Stall(std::size_t i, Instant span) { members_[i].stalled_until = now_ + span; }
+void RaftCluster::Stall(std::size_t i, Instant duration) { members_[i].stalled_until = now_ + duration; }
 
 bool RaftCluster::HoldsLeaderLease(std::size_t i) const {
   const Member& member = members_[i];
@@ -66,27 +66,60 @@
   return std::nullopt;
 }
 
-ProposalResult RaftCluster::Propose(std::size_t at, const std::string& data) {
-  const ProposalResult proposed = members_[at].raft->Propose(LocalTime(members_[at]), data);
-  ProcessOutputs(at);
-  return proposed;
+ProposalResult RaftCluster::Propose(std::size_t i, const std::string& data) {
+  const ProposalResult result = members_[i].raft->Propose(LocalNow(i), data);
+  ProcessOutputs(i);
+  return result;
 }
 
-ProposalResult RaftCluster::ChangeVoters(std::size_t at, const std::string& who, bool in) {
-  const ProposalResult proposed = members_[at].raft->ChangeVoters(LocalTime(members_[at]), who, in);
-  ProcessOutputs(at);
-  return proposed;
+ProposalResult RaftCluster::ChangeVoters(std::size_t i, const std::string& id, bool add) {
+  const ProposalResult result = members_[i].raft->ChangeVoters(LocalNow(i), id, add);
+  ProcessOutputs(i);
+  return result;
 }
 
-void RaftCluster::TransferLeadership(std::size_t at) {
-  members_[at].raft->TransferLeadership(LocalTime(members_[at]));
-  ProcessOutputs(at);
+void RaftCluster::TransferLeadership(std::size_t i) {
+  members_[i].raft->TransferLeadership(LocalNow(i));
+  ProcessOutputs(i);
 }
 
-void RaftCluster::Compact(std::size_t at) {
-  Raft& raft = *members_[at].raft;
+void RaftCluster::Compact(std::size_t i) {
+  Raft& raft = *members_[i].raft;
   raft.Compact(raft.commit_index(), "up to " + std::to_string(raft.commit_index()));
-  ProcessOutputs(at);
+  ProcessOutputs(i);
+}
+
+// ---- Outputs ----
+
+void RaftCluster::ProcessOutputs(std::size_t i) {
+  for (const Output& output : members_[i].raft->TakeOutputs()) {
+    if (const auto* update = std::get_if<StorageUpdate>(&output))
+      StartWrite(i, *update);
+    else if (const auto* send = std::get_if<SendMessage>(&output))
+      members_[i].unsent.push_back(*send);
+    else if (const auto* committed = std::get_if<Committed>(&output))
+      RecordCommitted(i, committed->entry);
+  }
+  SendPersisted(i);
+  CheckInvariants(i);
+  ScheduleTick(i);
+}
+
+// A disk syncs one write after the other.
+void RaftCluster::StartWrite(std::size_t i, const StorageUpdate& update) {
+  Member& member = members_[i];
+  const Instant begun =
+      member.pending_writes.empty() ? now_ : std::max(now_, member.pending_writes.back().synced_at);
+  const Instant synced_at = begun + member.sync_duration;
+  member.pending_writes.push_back({synced_at, update});
+  events_.push({synced_at, next_event_order_++, i, member.incarnation, EventKind::kSynced, {}, nullptr});
+}
+
+void RaftCluster::RecordCommitted(std::size_t i, const Entry& entry) {
+  const auto [it, inserted] = committed_.try_emplace(entry.index, entry);
+  if (on_committed) on_committed(i, entry);
+  if (!inserted && it->second != entry)
+    violations_.push_back("two entries are committed as " + std::to_string(entry.index));
 }
 
 void RaftCluster::SendPersisted(std::size_t i) {
@@ -102,51 +135,26 @@
     const auto message = std::make_shared<const Message>(send.message);
     const std::size_t to = static_cast<std::size_t>(send.to[0] - 'A');
     if (to == i) {
-      events_.push(
-          {now_, next_event_order_++, i, member.incarnation, Event::EventKind::kMessage, send.to, message});
+      events_.push({now_, next_event_order_++, i, member.incarnation, EventKind::kMessage, send.to, message});
       continue;
     }
     links_.Send(now_, static_cast<Node>(i), static_cast<Node>(to), {}, [&](Instant at, const std::string&) {
-      events_.push({at, next_event_order_++, to, 0, Event::EventKind::kMessage, NameOf(i), message});
+      events_.push({at, next_event_order_++, to, 0, EventKind::kMessage, NameOf(i), message});
     });
   }
 }
 
-void RaftCluster::ProcessOutputs(std::size_t i) {
-  Member& member = members_[i];
-  for (const Output& output : member.raft->TakeOutputs()) {
-    if (const auto* update = std::get_if<StorageUpdate>(&output)) {
-      const Instant begun =
-          member.pending_writes.empty() ? now_ : std::max(now_, member.pending_writes.back().first);
-      member.pending_writes.emplace_back(begun + member.sync_duration, *update);
-      events_.push({begun + member.sync_duration,
-                    next_event_order_++,
-                    i,
-                    member.incarnation,
-                    Event::EventKind::kSynced,
-                    {},
-                    nullptr});
-    } else if (const auto* send = std::get_if<SendMessage>(&output)) {
-      member.unsent.push_back(*send);
-    } else if (const auto* committed = std::get_if<Committed>(&output)) {
-      const auto [it, inserted] = committed_.try_emplace(committed->entry.index, committed->entry);
-      if (on_committed) on_committed(i, committed->entry);
-      if (!inserted && it->second != committed->entry)
-        violations_.push_back("two entries are committed as " + std::to_string(committed->entry.index));
-    }
-  }
-  SendPersisted(i);
-  CheckInvariants(i);
-  const Time due = member.raft->NextDeadline();
-  if (due == kNever) return;
-  const auto at = Instant(static_cast<Instant::rep>(static_cast<double>((due - member.clock_origin).count()) /
-                                                    member.clock_rate) +
-                          1);
+void RaftCluster::ScheduleTick(std::size_t i) {
+  const Member& member = members_[i];
+  const Time deadline = member.raft->NextDeadline();
+  if (deadline == kNever) return;
+  const double local_ns = static_cast<double>((deadline - member.clock_origin).count());
+  const auto at = Instant(static_cast<Instant::rep>(local_ns / member.clock_rate) + 1);
   events_.push({std::max(at, now_ + std::chrono::microseconds(1)),
                 next_event_order_++,
                 i,
                 member.incarnation,
-                Event::EventKind::kStep,
+                EventKind::kTick,
                 {},
                 nullptr});
 }
@@ -160,43 +168,47 @@
   }
   std::size_t leases = 0;
   for (std::size_t k = 0; k < members_.size(); ++k) leases += HoldsLeaderLease(k);
-  if (leases > 1) violations_.push_back("two hold the leader's lease at once");
+  if (leases > 1) violations_.push_back("two members hold the leader lease at once");
 }
 
+// ---- Events ----
+
 void RaftCluster::Handle(const Event& event) {
   Member& member = members_[event.member];
-  const bool local_event = event.kind != Event::EventKind::kMessage || event.incarnation != 0;
-  if (member.raft == nullptr ||
-      (local_event && event.kind != Event::EventKind::kMessage && event.incarnation != member.incarnation))
-    return;
-  if (member.stalled_until > now_ && event.kind != Event::EventKind::kSynced) {
+  if (member.raft == nullptr) return;
+  if (event.kind != EventKind::kMessage && event.incarnation != member.incarnation) return;
+  if (member.stalled_until > now_ && event.kind != EventKind::kSynced) {
     Event later = event;
     later.at = member.stalled_until;
-    later.event_order = next_event_order_++;
+    later.order = next_event_order_++;
     events_.push(std::move(later));
     return;
   }
   switch (event.kind) {
-    case Event::EventKind::kStep:
-      if (member.raft->NextDeadline() > LocalTime(member)) return;  // planned anew since
+    case EventKind::kTick:
+      if (member.raft->NextDeadline() > LocalTime(member))
+        return;  // there is another event for the new deadline
       member.raft->Tick(LocalTime(member));
       break;
-    case Event::EventKind::kMessage:
+    case EventKind::kMessage:
       member.raft->Receive(LocalTime(member), event.from, *event.message);
       break;
-    case Event::EventKind::kSynced: {
-      if (member.pending_writes.empty() || member.pending_writes.front().first > now_) return;
-      const StorageUpdate update = std::move(member.pending_writes.front().second);
-      member.pending_writes.erase(member.pending_writes.begin());
-      if (!plan_.lose_synced_writes) ApplyUpdate(update, member.persistent);
-      member.persisted_sequence = update.sequence;
-      member.raft->OnPersisted(LocalTime(member), update.sequence);
+    case EventKind::kSynced:
+      if (member.pending_writes.empty() || member.pending_writes.front().synced_at > now_) return;
+      CompleteWrite(member);
       break;
-    }
   }
   ProcessOutputs(event.member);
 }
 
+void RaftCluster::CompleteWrite(Member& member) {
+  const StorageUpdate update = std::move(member.pending_writes.front().update);
+  member.pending_writes.erase(member.pending_writes.begin());
+  if (!plan_.lose_synced_writes) ApplyUpdate(update, member.persistent);
+  member.persisted_sequence = update.sequence;
+  member.raft->OnPersisted(LocalTime(member), update.sequence);
+}
+
 void RaftCluster::RunTo(Instant until) {
   while (!events_.empty() && events_.top().at <= until) {
     const Event event = events_.top();
--- a/src/testing/simulation/raft_cluster.h
+++ b/src/testing/simulation/raft_cluster.h
@@ -1,9 +1,9 @@
-// A cluster of voters in virtual time: the real state machines, on stand-in links, clocks that run apart and
-// disks that take their time and lose what was not synced.
+// A Raft cluster in virtual time: the real state machines, on simulated links, with clocks that run at
+// different rates, and with disks that take time and lose what was not synced.
 //
-// Deterministic for a seed. Owned by one test or measurement. Checks the log's rules at every step: one
-// leader a term, what is committed stays and is the same at all, one holder of the leader's lease at a time.
-// Times are true time.
+// Contract. Deterministic for a seed. After every step it checks the invariants: one leader in a term, one
+// entry committed at an index, one holder of the leader lease at a time. Owner: one test or benchmark. Units:
+// Instant is true time; raft::Time is a member's own clock.
 #ifndef LEMONCROFT_TESTING_SIMULATION_RAFT_CLUSTER_H_
 #define LEMONCROFT_TESTING_SIMULATION_RAFT_CLUSTER_H_
 
@@ -25,75 +25,88 @@
  public:
   struct Plan {
     std::uint64_t seed = 1;
-    std::size_t members = 3;  // of which `voting` vote at first
-    std::size_t initial_voters = 3;
+    std::size_t members = 3;
+    std::size_t initial_voters = 3;  // the first of the members
     raft::Options options;
-    double max_clock_drift = 0.005;                        // of each clock from true time
-    Instant sync_duration = std::chrono::milliseconds(2);  // of a disk
-    bool lose_synced_writes = false;  // disks lose what they said they had synced, at a crash
+    double max_clock_drift = 0.005;                        // of each clock's rate from true time's
+    Instant sync_duration = std::chrono::milliseconds(2);  // of each disk
+    bool lose_synced_writes = false;                       // the disks report syncs that they don't do
   };
 
   explicit RaftCluster(const Plan& plan);
 
+  // Members are named "A", "B", ... in the order of their numbers.
   static std::string NameOf(std::size_t i) { return std::string(1, static_cast<char>('A' + i)); }
+
+  // ---- Faults ----
   void Crash(std::size_t i);
   void Restart(std::size_t i);
-  void Stall(std::size_t i, Instant span);
+  // The member's process does nothing for this long; its disk goes on.
+  void Stall(std::size_t i, Instant duration);
   void SlowDisk(std::size_t i, Instant sync_duration) { members_[i].sync_duration = sync_duration; }
-  void RunFor(Instant span) { RunTo(now_ + span); }
+  Links& links() { return links_; }
+
+  // ---- Time ----
+  void RunFor(Instant duration) { RunTo(now_ + duration); }
   void RunTo(Instant until);
+  Instant now() const { return now_; }
+  raft::Time LocalNow(std::size_t i) const { return LocalTime(members_[i]); }
+
+  // ---- Calls of a member, which must be running ----
+  raft::ProposalResult Propose(std::size_t i, const std::string& data);
+  raft::ProposalResult ChangeVoters(std::size_t i, const std::string& id, bool add);
+  void TransferLeadership(std::size_t i);
+  void Compact(std::size_t i);
 
-  // At whoever leads now; none where nobody does.
+  // ---- State ----
+  // The first member that holds the leader lease.
   std::optional<std::size_t> Leader() const;
-  raft::ProposalResult Propose(std::size_t at, const std::string& data);
-  raft::ProposalResult ChangeVoters(std::size_t at, const std::string& who, bool in);
-  void TransferLeadership(std::size_t at);
-  void Compact(std::size_t at);
+  bool HoldsLeaderLease(std::size_t i) const;  // by its own clock
   bool IsRunning(std::size_t i) const { return members_[i].raft != nullptr; }
   const raft::Raft& raft(std::size_t i) const { return *members_[i].raft; }
-  // Whether it would act as the leader at this instant, by its own clock.
-  bool HoldsLeaderLease(std::size_t i) const;
-
-  Links& links() { return links_; }
-  // By its own clock.
-  raft::Time LocalNow(std::size_t i) const { return LocalTime(members_[i]); }
-  // Told each entry that a member learns to be committed; all of them again after a restart.
+  // Called for each entry that a member delivers as committed; again from its snapshot on after a restart.
   std::function<void(std::size_t, const raft::Entry&)> on_committed;
-  Instant now() const { return now_; }
-  const std::vector<std::string>& violations() const { return violations_; }  // rules, as they broke
+  const std::vector<std::string>& violations() const { return violations_; }  // of the invariants
   const std::map<raft::Index, raft::Entry>& committed() const { return committed_; }
   std::uint64_t messages_sent() const { return messages_sent_; }
 
  private:
+  struct PendingWrite {
+    Instant synced_at{};
+    raft::StorageUpdate update;
+  };
   struct Member {
-    std::unique_ptr<raft::Raft> raft;
+    std::unique_ptr<raft::Raft> raft;  // null: crashed
     raft::PersistentState persistent;
-    std::vector<std::pair<Instant, raft::StorageUpdate>> pending_writes;  // in order; when each is synced
-    std::vector<raft::SendMessage> unsent;
+    std::vector<PendingWrite> pending_writes;  // in order
+    std::vector<raft::SendMessage> unsent;     // wait for pending writes
     std::uint64_t persisted_sequence = 0;
     double clock_rate = 1;
     raft::Time clock_origin{};
     Instant stalled_until{}, sync_duration{};
     std::uint64_t incarnation = 0;
   };
+  enum class EventKind { kTick, kMessage, kSynced };
   struct Event {
     Instant at{};
-    std::uint64_t event_order = 0;
+    std::uint64_t order = 0;  // among events at the same time
     std::size_t member = 0;
-    std::uint64_t incarnation = 0;  // of the member; a message outlives lives
-    enum class EventKind { kStep, kMessage, kSynced } kind = EventKind::kStep;
-    std::string from;
-    std::shared_ptr<const raft::Message> message;
-    bool operator>(const Event& other) const {
-      return at != other.at ? at > other.at : event_order > other.event_order;
-    }
+    std::uint64_t incarnation = 0;  // of the member; ignored for a message, which outlives a restart
+    EventKind kind = EventKind::kTick;
+    std::string from;                              // of kMessage
+    std::shared_ptr<const raft::Message> message;  // of kMessage
+    bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
   raft::Time LocalTime(const Member& member) const;
   void Handle(const Event& event);
+  void CompleteWrite(Member& member);
   void ProcessOutputs(std::size_t i);
+  void StartWrite(std::size_t i, const raft::StorageUpdate& update);
   void SendPersisted(std::size_t i);
-  void CheckInvariants(std::size_t i);  // checks the rules after its step
+  void RecordCommitted(std::size_t i, const raft::Entry& entry);
+  void ScheduleTick(std::size_t i);
+  void CheckInvariants(std::size_t i);
 
   Plan plan_;
   std::mt19937_64 random_;
@@ -107,7 +120,7 @@
   std::vector<std::string> violations_;
 };
 
-// Writes a store's output into what is durable, as a disk would.
+// Applies a storage update to what is durable, as a voter's store does.
 void ApplyUpdate(const raft::StorageUpdate& update, raft::PersistentState& persistent);
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/simulated_disk.cpp
+++ b/src/testing/simulation/simulated_disk.cpp
@@ -24,11 +24,11 @@
   bytes.replace(at, what.size(), what);
 }
 
-void ApplyWrite(std::string& bytes, const SimulatedDisk::File::PendingWrite& change) {
-  if (change.truncate)
-    bytes.resize(change.offset, '\0');
+void ApplyWrite(std::string& bytes, const SimulatedDisk::File::PendingWrite& write) {
+  if (write.truncate)
+    bytes.resize(write.offset, '\0');
   else
-    Put(bytes, change.offset, change.bytes);
+    Put(bytes, write.offset, write.bytes);
 }
 
 int Close(sqlite3_file* file) {
@@ -51,20 +51,20 @@
   Handle& handle = Of(file);
   if (!handle.disk->BeginOperation()) return SQLITE_IOERR_WRITE;
   if (!handle.disk->Fits(static_cast<std::uint64_t>(size))) return SQLITE_FULL;
-  SimulatedDisk::File::PendingWrite change{
+  SimulatedDisk::File::PendingWrite write{
       static_cast<std::size_t>(at),
       std::string(static_cast<const char*>(from), static_cast<std::size_t>(size)), false};
-  ApplyWrite(((*handle.file)->current), change);
-  (*handle.file)->unsynced.push_back(std::move(change));
+  ApplyWrite(((*handle.file)->current), write);
+  (*handle.file)->unsynced.push_back(std::move(write));
   return SQLITE_OK;
 }
 
 int Truncate(sqlite3_file* file, sqlite3_int64 size) {
   Handle& handle = Of(file);
   if (!handle.disk->BeginOperation()) return SQLITE_IOERR_TRUNCATE;
-  SimulatedDisk::File::PendingWrite change{static_cast<std::size_t>(size), {}, true};
-  ApplyWrite((*handle.file)->current, change);
-  (*handle.file)->unsynced.push_back(std::move(change));
+  SimulatedDisk::File::PendingWrite write{static_cast<std::size_t>(size), {}, true};
+  ApplyWrite((*handle.file)->current, write);
+  (*handle.file)->unsynced.push_back(std::move(write));
   return SQLITE_OK;
 }
 
@@ -159,11 +159,11 @@
 }
 int LastError(sqlite3_vfs*, int, char*) { return 0; }
 
-std::atomic<int> disks{0};
+std::atomic<int> next_disk_number{0};
 
 }  // namespace
 
-SimulatedDisk::SimulatedDisk() : name_("lemoncroft-disk-" + std::to_string(disks++)) {
+SimulatedDisk::SimulatedDisk() : name_("lemoncroft-disk-" + std::to_string(next_disk_number++)) {
   auto* vfs = new sqlite3_vfs{};
   vfs->iVersion = 1;
   vfs->szOsFile = sizeof(Handle);
@@ -190,10 +190,10 @@
 
 bool SimulatedDisk::BeginOperation() { return ++operations_ < fail_from_; }
 
-bool SimulatedDisk::Fits(std::uint64_t more) const {
+bool SimulatedDisk::Fits(std::uint64_t more_bytes) const {
   std::uint64_t used = 0;
   for (const auto& [name, file] : files_) used += file->current.size();
-  return used + more <= capacity_;
+  return used + more_bytes <= capacity_;
 }
 
 void SimulatedDisk::Crash(std::uint64_t seed) {
@@ -201,12 +201,12 @@
   for (auto& [name, file] : files_) {
     auto fresh = std::make_shared<File>();
     fresh->synced = file->synced;
-    std::vector<File::PendingWrite> changes = std::move(file->unsynced);
-    std::shuffle(changes.begin(), changes.end(), random);
-    changes.resize(changes.empty() ? 0 : random() % (changes.size() + 1));
-    if (!changes.empty() && !changes.back().truncate && !changes.back().bytes.empty())
-      changes.back().bytes.resize(random() % changes.back().bytes.size());
-    for (const File::PendingWrite& change : changes) ApplyWrite(fresh->synced, change);
+    std::vector<File::PendingWrite> pending = std::move(file->unsynced);
+    std::shuffle(pending.begin(), pending.end(), random);
+    pending.resize(pending.empty() ? 0 : random() % (pending.size() + 1));
+    if (!pending.empty() && !pending.back().truncate && !pending.back().bytes.empty())
+      pending.back().bytes.resize(random() % pending.back().bytes.size());
+    for (const File::PendingWrite& write : pending) ApplyWrite(fresh->synced, write);
     fresh->current = fresh->synced;
     file = std::move(fresh);
   }
--- a/src/testing/simulation/simulated_disk.h
+++ b/src/testing/simulation/simulated_disk.h
@@ -1,8 +1,9 @@
-// A stand-in for a disk, as SQLite reaches one: it keeps what was synced, and at a crash drops, reorders and
-// tears what was not; it can be full, or fail from a given operation on.
+// A simulated disk as an SQLite VFS: it keeps what was synced; a crash drops, reorders and tears what was
+// not. It can be full, slow, or fail from a given operation on.
 //
-// Owned by one test; registers itself under a name of its own while it lives. Deterministic for a seed. Not
-// modelled: directories, several processes.
+// Contract. Deterministic for a seed. Registers a VFS under a unique name while it lives; databases on it
+// must be closed before it is destroyed. Not modelled: directories, several processes. Owner: one test or
+// benchmark. Units: bytes; operations (writes, truncations, syncs, creations and removals of files).
 #ifndef LEMONCROFT_TESTING_SIMULATION_SIMULATED_DISK_H_
 #define LEMONCROFT_TESTING_SIMULATION_SIMULATED_DISK_H_
 
@@ -23,33 +24,35 @@
   SimulatedDisk(const SimulatedDisk&) = delete;
   SimulatedDisk& operator=(const SimulatedDisk&) = delete;
 
-  const char* name() const { return name_.c_str(); }  // for Database::Terms::system
+  const char* name() const { return name_.c_str(); }  // for Database::Options::vfs_name
   std::uint64_t operations() const { return operations_; }
-  // From the operation of that number on nothing happens any more: the machine has gone.
+  // From this operation on (counted from 1) all fail without an effect, as if the machine had lost power.
   void FailFromOperation(std::uint64_t operation) { fail_from_ = operation; }
+  // Writes that do not fit fail with SQLITE_FULL.
   void set_capacity(std::uint64_t bytes) { capacity_ = bytes; }
-  // Of real time, for each sync.
-  void set_sync_duration(std::chrono::milliseconds span) { sync_duration_ = span; }
+  // Real time that each sync blocks.
+  void set_sync_duration(std::chrono::milliseconds duration) { sync_duration_ = duration; }
   std::chrono::milliseconds sync_duration() const { return sync_duration_; }
-  // What the machine finds when it is back: of what wasn't synced any part, in any order, the last write
-  // torn.
+  // Leaves the files as after a restart: of the writes that were not synced a random subset, in random order,
+  // the last one torn. Clears the failure and the capacity.
   void Crash(std::uint64_t seed);
-  // One bit of a file is another one.
   void FlipBit(const std::string& file, std::size_t bit);
   std::size_t SizeOf(const std::string& file) const;
 
   struct File {
-    std::string current, synced;
-    struct PendingWrite {
+    std::string current;  // as a reader sees it
+    std::string synced;
+    struct PendingWrite {  // or a truncation to `offset`
       std::size_t offset = 0;
       std::string bytes;
       bool truncate = false;
     };
     std::vector<PendingWrite> unsynced;
   };
-  // For the functions that SQLite calls.
-  bool BeginOperation();  // false: the machine has gone
-  bool Fits(std::uint64_t more) const;
+  // ---- For the VFS functions ----
+  // Counts an operation; false if it must fail.
+  bool BeginOperation();
+  bool Fits(std::uint64_t more_bytes) const;
   std::map<std::string, std::shared_ptr<File>>& files() { return files_; }
 
  private:
--- a/src/testing/simulation/store_workload.cpp
+++ b/src/testing/simulation/store_workload.cpp
@@ -14,8 +14,7 @@
   WriteBatch batch;
   batch.records.emplace_back("promise", "term " + std::to_string(i));
   if (i % 5 == 4) batch.records.emplace_back("once", i % 10 == 4 ? "there" : "");
-  const auto number =
-      static_cast<std::uint64_t>(i + 1 - (i + 1) / 7);  // every seventh takes the last one's place
+  const auto number = static_cast<std::uint64_t>(i + 1 - (i + 1) / 7);  // every seventh replaces the last one
   if (i % 7 == 6) batch.truncate_after = number - 1;
   batch.log.emplace_back(
       number, std::string(static_cast<std::size_t>(50 + 97 * i % 900), static_cast<char>('a' + i % 26)));
--- a/src/testing/simulation/store_workload.h
+++ b/src/testing/simulation/store_workload.h
@@ -1,6 +1,6 @@
-// The changes that a voter makes to its store, played on a stand-in disk that goes away at any operation.
+// The batches that a voter writes to its store, run on a simulated disk that fails at any operation.
 //
-// Deterministic. Owner: a test or a measurement.
+// Contract. Deterministic. Owner: a test or benchmark.
 #ifndef LEMONCROFT_TESTING_SIMULATION_STORE_WORKLOAD_H_
 #define LEMONCROFT_TESTING_SIMULATION_STORE_WORKLOAD_H_
 
@@ -13,20 +13,21 @@
 
 storage::Database::Options StoreOptionsOn(const SimulatedDisk& disk,
                                           std::uint64_t max_bytes = std::uint64_t{64} << 20);
-// The changes of a voter, some of each kind.
+// Batch `i` of the workload. The batches contain every kind of change.
 storage::WriteBatch WorkloadBatch(int i);
-// What the store must hold after a change, by a map.
+// The reference for the store: applies a batch to contents in memory.
 void ApplyBatch(const storage::WriteBatch& batch, storage::StoreContents& contents);
-// But for the store's own records.
+// Compares all but the records that the store adds itself.
 bool SameContents(const storage::StoreContents& read, const storage::StoreContents& wanted);
-// All changes in turn; how many were reported durable.
+// Opens a store and writes the batches in turn, until one fails; returns how many were reported durable.
 int RunWorkload(const SimulatedDisk& disk);
 
 struct CrashTestResult {
   int crashes = 0, failures = 0;
-  std::string first_failure;  // what was wrong at the first bad one
+  std::string first_failure;
 };
-// A crash at every operation of the disk, what wasn't synced lost in several ways; then the store is opened.
+// Crashes the disk at each operation of the workload, with `variants` random outcomes each, then checks that
+// the store opens with what was reported durable and accepts the next batch.
 CrashTestResult CrashAtEachOperation(int variants);
 
 }  // namespace lemoncroft::simulation
