--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -1,5 +1,4 @@
-// The replicated log: step by step, in virtual time with faults, and in a search of its states; each guard
-// taken away once.
+// Raft in virtual time with faults and in a search of its states, and each safety check disabled once.
 #include "raft/raft.h"
 
 #include <gtest/gtest.h>
@@ -28,17 +27,16 @@
           plan.options.safety_checks = safety_checks;
           return plan;
         }()) {}
+  // Waits until a member leads.
   std::size_t Elect() {
     for (int i = 0; i < 100 && !Leader(); ++i) RunFor(50ms);
     EXPECT_TRUE(Leader().has_value());
     return Leader().value_or(0);
   }
-  void Isolate(std::size_t who, std::size_t members, bool cut) {
-    for (std::size_t i = 0; i < members; ++i) {
-      if (i == who) continue;
-      links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(i), cut);
-      links().Cut(static_cast<simulation::Node>(i), static_cast<simulation::Node>(who), cut);
-    }
+  // Cuts a member off from the first `members` members.
+  void Isolate(std::size_t isolated, std::size_t members) {
+    for (std::size_t i = 0; i < members; ++i)
+      if (i != isolated) Disconnect(isolated, i);
   }
   void Disconnect(std::size_t a, std::size_t b) {
     links().Cut(static_cast<simulation::Node>(a), static_cast<simulation::Node>(b), true);
@@ -46,11 +44,11 @@
   }
   bool IsCommitted(const std::string& data) const {
     return std::any_of(committed().begin(), committed().end(),
-                       [&](const auto& one) { return one.second.data == data; });
+                       [&](const auto& indexed) { return indexed.second.data == data; });
   }
 };
 
-TEST(Agreement, ElectsALeaderAndCommits) {
+TEST(Raft, HealthyCluster_ElectsALeaderAndCommits) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect();
   EXPECT_EQ(cluster.Propose(leader, "x").error, ProposalError::kNone);
@@ -63,7 +61,7 @@
   EXPECT_TRUE(cluster.violations().empty());
 }
 
-TEST(Agreement, AnotherLeadsSoonAfterTheLeadersEnd) {
+TEST(Raft, LeaderCrash_AnotherLeadsWithinSeconds) {
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Cluster cluster(seed);
@@ -75,7 +73,7 @@
   EXPECT_LT(worst, 3.0);
 }
 
-TEST(Agreement, HandsOverWithoutAnElectionsWait) {
+TEST(Raft, LeadershipTransfer_NeedsNoElectionTimeout) {
   Cluster cluster;
   const std::size_t before = cluster.Elect();
   cluster.TransferLeadership(before);
@@ -85,7 +83,7 @@
   EXPECT_TRUE(cluster.violations().empty());
 }
 
-TEST(Agreement, ALeaderThatIsVotedOutHandsOver) {
+TEST(Raft, RemovedLeader_TransfersLeadership) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Cluster cluster(seed);
     const std::size_t before = cluster.Elect();
@@ -98,34 +96,38 @@
   }
 }
 
-TEST(Agreement, ASlowDiskDelaysAndNeverLies) {
+TEST(Raft, SlowDisks_DelayCommitment) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect();
   for (std::size_t i = 0; i < 3; ++i)
     if (i != leader) cluster.SlowDisk(i, 5s);
   cluster.Propose(leader, "x");
   cluster.RunFor(2s);
-  EXPECT_FALSE(cluster.IsCommitted("x")) << "nobody else has it on disk";
+  EXPECT_FALSE(cluster.IsCommitted("x")) << "no other voter has it on disk";
   cluster.RunFor(15s);
   EXPECT_TRUE(cluster.violations().empty());
 }
 
-TEST(Agreement, VotersAreReplacedOneByOneUnderFaults) {
+TEST(Raft, MembershipChangesUnderFaults_Complete) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Cluster cluster(seed, {}, 5, 3);
     std::mt19937_64 random(seed);
     cluster.links().usual().loss = 0.1;
-    // B, then C, make room for D and E.
-    const std::pair<const char*, bool> changes[] = {{"D", true}, {"B", false}, {"E", true}, {"C", false}};
-    for (const auto& [who, in] : changes) {
-      for (int tries = 0; tries < 400; ++tries) {
+    // D and E replace B and C.
+    struct VoterChange {
+      const char* id;
+      bool add;
+    };
+    const VoterChange changes[] = {{"D", true}, {"B", false}, {"E", true}, {"C", false}};
+    for (const auto& [id, add] : changes) {
+      for (int attempt = 0; attempt < 400; ++attempt) {
         const auto leader = cluster.Leader();
         if (leader) {
           const auto& voters = cluster.raft(*leader).voters();
-          if ((std::find(voters.begin(), voters.end(), who) != voters.end()) == in &&
+          if ((std::find(voters.begin(), voters.end(), id) != voters.end()) == add &&
               cluster.raft(*leader).commit_index() == cluster.raft(*leader).last_index())
             break;
-          cluster.ChangeVoters(*leader, who, in);
+          cluster.ChangeVoters(*leader, id, add);
         }
         if (random() % 20 == 0) cluster.Stall(random() % 5, Instant(1ms) * static_cast<int>(random() % 2000));
         cluster.RunFor(100ms);
@@ -142,46 +144,49 @@
   }
 }
 
-TEST(Agreement, SnapshotsBringUpWhoWasAwayForLong) {
+TEST(Raft, FollowerBehindTheCompactedLog_GetsASnapshot) {
   Cluster cluster;
-  const std::size_t leader = cluster.Elect(), away = (leader + 1) % 3;
-  cluster.Isolate(away, 3, true);
-  for (int i = 0; i < 200; ++i) cluster.Propose(leader, "d" + std::to_string(i)), cluster.RunFor(10ms);
+  const std::size_t leader = cluster.Elect(), isolated = (leader + 1) % 3;
+  cluster.Isolate(isolated, 3);
+  for (int i = 0; i < 200; ++i) {
+    cluster.Propose(leader, "d" + std::to_string(i));
+    cluster.RunFor(10ms);
+  }
   cluster.Compact(leader);
   EXPECT_LT(cluster.raft(leader).log().size(), 10u);
   cluster.links().Heal();
   cluster.RunFor(3s);
-  EXPECT_EQ(cluster.raft(away).commit_index(), cluster.raft(leader).commit_index());
-  EXPECT_GT(cluster.raft(away).snapshot().index, 0u);
-  cluster.Crash(away);
-  cluster.Restart(away);
+  EXPECT_EQ(cluster.raft(isolated).commit_index(), cluster.raft(leader).commit_index());
+  EXPECT_GT(cluster.raft(isolated).snapshot().index, 0u);
+  cluster.Crash(isolated);
+  cluster.Restart(isolated);
   cluster.RunFor(3s);
-  EXPECT_EQ(cluster.raft(away).commit_index(), cluster.raft(leader).commit_index());
+  EXPECT_EQ(cluster.raft(isolated).commit_index(), cluster.raft(leader).commit_index());
   EXPECT_TRUE(cluster.violations().empty());
 }
 
-TEST(Agreement, RandomFaultsBreakNoRuleAndItGoesOnAfterThem) {
+TEST(Raft, RandomFaults_ViolateNoInvariantAndClusterRecovers) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-    const std::size_t n = seed % 3 == 0 ? 5 : 3;
-    Cluster cluster(seed, {}, n, n);
+    const std::size_t members = seed % 3 == 0 ? 5 : 3;
+    Cluster cluster(seed, {}, members, members);
     std::mt19937_64 random(seed);
     const auto below = [&](std::uint64_t bound) { return static_cast<std::size_t>(random() % bound); };
     for (int i = 0; i < 40; ++i) {
-      const std::size_t who = below(n);
+      const std::size_t member = below(members);
       switch (below(9)) {
         case 0:
-          if (cluster.IsRunning(who)) cluster.Crash(who);
+          if (cluster.IsRunning(member)) cluster.Crash(member);
           break;
         case 1:
         case 2:
-          if (!cluster.IsRunning(who)) cluster.Restart(who);
+          if (!cluster.IsRunning(member)) cluster.Restart(member);
           break;
         case 3:
-          cluster.Isolate(who, n, true);
+          cluster.Isolate(member, members);
           break;
         case 4:
-          cluster.links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(below(n)),
-                              true);
+          cluster.links().Cut(static_cast<simulation::Node>(member),
+                              static_cast<simulation::Node>(below(members)), true);
           break;
         case 5:
           cluster.links().usual().loss = 0.05 * static_cast<double>(below(8));
@@ -189,10 +194,10 @@
           cluster.links().usual().spread = Instant(1ms) * static_cast<int>(below(300));
           break;
         case 6:
-          cluster.Stall(who, Instant(1ms) * static_cast<int>(below(3000)));
+          cluster.Stall(member, Instant(1ms) * static_cast<int>(below(3000)));
           break;
         case 7:
-          cluster.SlowDisk(who, Instant(1ms) * static_cast<int>(below(200)));
+          cluster.SlowDisk(member, Instant(1ms) * static_cast<int>(below(200)));
           break;
         default:
           cluster.links().Heal();
@@ -206,7 +211,7 @@
     }
     cluster.links().Heal();
     cluster.links().usual() = {};
-    for (std::size_t i = 0; i < n; ++i) {
+    for (std::size_t i = 0; i < members; ++i) {
       if (!cluster.IsRunning(i)) cluster.Restart(i);
       cluster.SlowDisk(i, 2ms);
     }
@@ -219,121 +224,139 @@
   }
 }
 
-// ---- Guards ----
+// ---- Safety checks ----
 
-// The paper's figure 8: an entry of a former term that a majority holds may still be overwritten.
-bool FigureEight(const SafetyChecks& safety_checks) {
-  Options options;
-  options.safety_checks = safety_checks;
-  options.safety_checks.pre_vote = options.safety_checks.leader_stickiness =
-      options.safety_checks.vote_delay_after_restart = false;
-  options.max_batch_entries = 1;
-  PersistentState fresh;
-  fresh.snapshot.voters = {"A", "B", "C"};
-  const Time start{1h};
-  std::map<NodeId, Raft> rafts;
-  for (const NodeId& name : fresh.snapshot.voters) rafts.emplace(name, Raft(options, name, fresh, 1, start));
-  std::map<Index, Entry> committed;
-  bool kept = true;
-  std::vector<std::tuple<NodeId, NodeId, Message>> packets;
-  const auto carry = [&](const NodeId& name) {
-    for (const Output& output : rafts.at(name).TakeOutputs()) {
+struct AddressedMessage {
+  NodeId from, to;
+  Message message;
+};
+
+// Three voters whose messages pass only between two of them at a time, and whose timers fire on demand.
+class ManualCluster {
+ public:
+  explicit ManualCluster(const Options& options) {
+    PersistentState initial;
+    initial.snapshot.voters = {"A", "B", "C"};
+    for (const NodeId& id : initial.snapshot.voters) rafts_.emplace(id, Raft(options, id, initial, 1, kNow));
+  }
+
+  // Fires the timer of `id`: a leader sends heartbeats, any other starts an election. Then delivers messages
+  // between it and `other` for so many rounds; all others are lost.
+  void Fire(const NodeId& id, const NodeId& other, int rounds) {
+    rafts_.at(id).Tick(rafts_.at(id).NextDeadline());
+    ProcessOutputs(id);
+    for (int round = 0; round < rounds; ++round) Deliver(id, other);
+    in_flight_.clear();
+  }
+
+  // Whether no index was committed with two different entries.
+  bool StateMachineSafety() const { return safe_; }
+
+ private:
+  static constexpr Time kNow{1h};
+
+  void Deliver(const NodeId& a, const NodeId& b) {
+    std::vector<AddressedMessage> messages;
+    messages.swap(in_flight_);
+    for (const auto& [from, to, message] : messages) {
+      if ((from != a && from != b) || (to != a && to != b)) continue;
+      rafts_.at(to).Receive(kNow, from, message);
+      ProcessOutputs(to);
+    }
+  }
+
+  void ProcessOutputs(const NodeId& id) {
+    for (const Output& output : rafts_.at(id).TakeOutputs()) {
       if (const auto* update = std::get_if<StorageUpdate>(&output))
-        rafts.at(name).OnPersisted(start, update->sequence);
+        rafts_.at(id).OnPersisted(kNow, update->sequence);
       if (const auto* send = std::get_if<SendMessage>(&output))
-        packets.emplace_back(name, send->to, send->message);
-      if (const auto* one = std::get_if<Committed>(&output)) {
-        const auto [it, first] = committed.try_emplace(one->entry.index, one->entry);
-        kept = kept && (first || it->second == one->entry);
+        in_flight_.push_back({id, send->to, send->message});
+      if (const auto* delivered = std::get_if<Committed>(&output)) {
+        const Entry& entry = delivered->entry;
+        const auto [it, inserted] = committed_.try_emplace(entry.index, entry);
+        safe_ = safe_ && (inserted || it->second == entry);
       }
     }
-  };
-  // Delivers what passes between the two, so many rounds; all else is lost.
-  const auto between = [&](const NodeId& a, const NodeId& b, int rounds) {
-    for (int i = 0; i < rounds; ++i) {
-      std::vector<std::tuple<NodeId, NodeId, Message>> now;
-      now.swap(packets);
-      for (const auto& [from, to, message] : now) {
-        if ((from != a && from != b) || (to != a && to != b)) continue;
-        rafts.at(to).Receive(start, from, message);
-        carry(to);
-      }
-    }
-    packets.clear();
-  };
-  const auto elect = [&](const NodeId& who, const NodeId& by, int rounds) {
-    rafts.at(who).Tick(rafts.at(who).NextDeadline());
-    carry(who);
-    between(who, by, rounds);
-  };
-  const auto beat = [&](const NodeId& who, const NodeId& with, int rounds) {
-    rafts.at(who).Tick(rafts.at(who).NextDeadline());
-    carry(who);
-    between(who, with, rounds);
-  };
-  elect("A", "B", 2);  // leads term 1; its entry reaches nobody
-  elect("C", "B", 2);  // of that term B has voted
-  elect("C", "B", 2);  // leads term 2 with an entry of its own
-  beat("A", "B", 2);   // hears of term 2
-  elect("A", "B", 2);  // leads term 3
-  beat("A", "B", 2);   // its old entry is on two of three, the new one on none but its own
-  beat("C", "B", 2);   // hears of term 3
-  elect("C", "B", 2);  // leads term 4: its log ends in a later term than B's
-  beat("C", "B", 12);
-  return kept;
+  }
+
+  std::map<NodeId, Raft> rafts_;
+  std::vector<AddressedMessage> in_flight_;
+  std::map<Index, Entry> committed_;
+  bool safe_ = true;
+};
+
+// The paper's figure 8: an entry of an earlier term that a majority holds may still be overwritten.
+bool FigureEight(const SafetyChecks& safety_checks) {
+  Options options;
+  options.safety_checks = safety_checks;
+  options.safety_checks.pre_vote = false;
+  options.safety_checks.leader_stickiness = false;
+  options.safety_checks.vote_delay_after_restart = false;
+  options.max_batch_entries = 1;
+  ManualCluster cluster(options);
+  cluster.Fire("A", "B", 2);   // A leads term 1; its entry reaches nobody
+  cluster.Fire("C", "B", 2);   // B has voted in that term
+  cluster.Fire("C", "B", 2);   // C leads term 2 with an entry of its own
+  cluster.Fire("A", "B", 2);   // A learns of term 2
+  cluster.Fire("A", "B", 2);   // A leads term 3
+  cluster.Fire("A", "B", 2);   // its old entry is on two of three voters, the new one on A alone
+  cluster.Fire("C", "B", 2);   // C learns of term 3
+  cluster.Fire("C", "B", 2);   // C leads term 4: its log ends in a later term than B's
+  cluster.Fire("C", "B", 12);  // C replicates its log to B
+  return cluster.StateMachineSafety();
 }
 
 struct SafetyCheckCase {
   const char* name;
   bool SafetyChecks::*check;
-  std::function<bool(const SafetyChecks&)> holds;
+  std::function<bool(const SafetyChecks&)> holds;  // whether a scenario finds no failure
 };
 
 bool SearchHolds(const SafetyChecks& safety_checks, model_check::RaftModelBudget budget) {
-  const model_check::SearchResult found =
+  const model_check::SearchResult result =
       model_check::SearchRaftModel(safety_checks, budget, safety_checks == SafetyChecks() ? 15'000 : 100'000);
-  return found.violation.empty();
+  return result.violation.empty();
 }
 
 const SafetyCheckCase kSafetyCheckCases[] = {
-    {"durable before told", &SafetyChecks::persist_before_send,
+    {"persist before send", &SafetyChecks::persist_before_send,
      [](const SafetyChecks& safety_checks) {
        return SearchHolds(safety_checks,
                           {.elections = 2, .proposals = 0, .crashes = 1, .duplicates = 0, .heartbeats = 0});
      }},
-    {"one vote a term", &SafetyChecks::single_vote_per_term,
+    {"single vote per term", &SafetyChecks::single_vote_per_term,
      [](const SafetyChecks& safety_checks) {
        return SearchHolds(safety_checks,
                           {.elections = 2, .proposals = 0, .crashes = 0, .duplicates = 0, .heartbeats = 0});
      }},
-    {"votes for logs as long", &SafetyChecks::require_up_to_date_log,
+    {"up-to-date log", &SafetyChecks::require_up_to_date_log,
      [](const SafetyChecks& safety_checks) {
        return SearchHolds(safety_checks,
                           {.elections = 2, .proposals = 0, .crashes = 0, .duplicates = 0, .heartbeats = 1});
      }},
-    {"entries on the same log", &SafetyChecks::log_matching,
+    {"log matching", &SafetyChecks::log_matching,
      [](const SafetyChecks& safety_checks) {
        return SearchHolds(safety_checks,
                           {.elections = 2, .proposals = 1, .crashes = 0, .duplicates = 0, .heartbeats = 1});
      }},
-    {"its own entries once kept", &SafetyChecks::count_durable_entries_only,
+    {"count durable entries only", &SafetyChecks::count_durable_entries_only,
      [](const SafetyChecks& safety_checks) {
        return SearchHolds(safety_checks,
                           {.elections = 2, .proposals = 0, .crashes = 1, .duplicates = 0, .heartbeats = 0});
      }},
-    {"commitment of its own term", &SafetyChecks::commit_current_term_only, FigureEight},
+    {"commit current term only", &SafetyChecks::commit_current_term_only, FigureEight},
     {"pre-vote", &SafetyChecks::pre_vote,
      [](const SafetyChecks& safety_checks) {
        Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
-       cluster.Isolate((leader + 1) % 3, 3, true);
+       cluster.Isolate((leader + 1) % 3, 3);
        cluster.RunFor(5s);
        const Term before = cluster.raft(leader).term();
        cluster.links().Heal();
        cluster.RunFor(2s);
        return cluster.raft(leader).term() == before && cluster.HoldsLeaderLease(leader);
      }},
-    {"who hears a leader votes for nobody", &SafetyChecks::leader_stickiness,
+    {"leader stickiness", &SafetyChecks::leader_stickiness,
      [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 10; ++seed) {
          Cluster cluster(seed, safety_checks);
@@ -344,7 +367,7 @@
        }
        return true;
      }},
-    {"waits after a start", &SafetyChecks::vote_delay_after_restart,
+    {"vote delay after restart", &SafetyChecks::vote_delay_after_restart,
      [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 20; ++seed) {
          Cluster cluster(seed, safety_checks);
@@ -359,30 +382,30 @@
        }
        return true;
      }},
-    {"gives its lease up before it hands over", &SafetyChecks::release_lease_on_transfer,
+    {"release lease on transfer", &SafetyChecks::release_lease_on_transfer,
      [](const SafetyChecks& safety_checks) {
        Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
-       for (simulation::Node i = 0; i < 3; ++i)  // it won't hear who comes after it
+       for (simulation::Node i = 0; i < 3; ++i)  // it does not hear its successor
          if (i != leader) cluster.links().Cut(i, static_cast<simulation::Node>(leader), true);
        cluster.TransferLeadership(leader);
        cluster.RunFor(2s);
        return cluster.violations().empty();
      }},
-    {"steps down without a majority", &SafetyChecks::check_quorum,
+    {"check quorum", &SafetyChecks::check_quorum,
      [](const SafetyChecks& safety_checks) {
        Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
-       cluster.Isolate(leader, 3, true);
+       cluster.Isolate(leader, 3);
        cluster.RunFor(3s);
        return cluster.raft(leader).role() != Role::kLeader;
      }},
-    {"one change of voters at a time", &SafetyChecks::single_membership_change,
+    {"single membership change", &SafetyChecks::single_membership_change,
      [](const SafetyChecks& safety_checks) {
        Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
        cluster.RunFor(500ms);
-       cluster.Isolate(leader, 3, true);
+       cluster.Isolate(leader, 3);
        cluster.ChangeVoters(leader, RaftCluster::NameOf((leader + 1) % 3), false);
        cluster.ChangeVoters(leader, RaftCluster::NameOf((leader + 2) % 3), false);
        cluster.Propose(leader, "alone");
@@ -394,19 +417,19 @@
      }},
 };
 
-TEST(AgreementGuards, EachIsNeeded) {
+TEST(RaftSafetyChecks, EachDisabled_AFailureIsFound) {
   for (const SafetyCheckCase& check_case : kSafetyCheckCases) {
-    EXPECT_TRUE(check_case.holds(SafetyChecks())) << check_case.name << ": fails with the guard in place";
+    EXPECT_TRUE(check_case.holds(SafetyChecks())) << check_case.name << ": fails with all checks enabled";
     SafetyChecks without;
     without.*check_case.check = false;
-    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": taken away, and nothing fails";
+    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": taken isolated, and nothing fails";
   }
 }
 
-TEST(AgreementModel, NoStateOfTheLogBreaksARule) {
-  const model_check::SearchResult found = model_check::SearchRaftModel({}, {}, 60'000);
-  EXPECT_EQ(found.violation, "");
-  EXPECT_GE(found.states, 60'000u);
+TEST(RaftModelCheck, AllStates_ViolateNoInvariant) {
+  const model_check::SearchResult result = model_check::SearchRaftModel({}, {}, 60'000);
+  EXPECT_EQ(result.violation, "");
+  EXPECT_GE(result.states, 60'000u);
 }
 
 }  // namespace
