--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -11,10 +11,10 @@
 
 #include "testing/benchmark/peers.h"
 #include "testing/model_check/lease_world.h"
-#include "testing/model_check/log_world.h"
+#include "testing/model_check/raft_model.h"
 #include "testing/simulation/keeper_fleet.h"
-#include "testing/simulation/slow_disk.h"
-#include "testing/simulation/store_plays.h"
+#include "testing/simulation/loop_stall.h"
+#include "testing/simulation/store_workload.h"
 
 namespace lemoncroft::benchmark {
 namespace {
@@ -155,21 +155,21 @@
 ordered_json MeasureAgreement(const AgreementPlan& plan) {
   ordered_json out = {{"measurement", "agreement"}, {"seed", plan.seed}};
   if (plan.real) PlayReal(plan, out);
-  const model_check::Found found = model_check::SearchLog(
-      {}, {.elections = 3, .proposals = 2, .crashes = 1, .doubled = 1, .beats = 1}, plan.states);
-  const model_check::Found leases = model_check::SearchLeases({}, {}, plan.states);
+  const model_check::SearchResult found = model_check::SearchRaftModel(
+      {}, {.elections = 3, .proposals = 2, .crashes = 1, .duplicates = 1, .heartbeats = 1}, plan.states);
+  const model_check::SearchResult leases = model_check::SearchLeases({}, {}, plan.states);
   out["states"] = found.states + leases.states;
   out["states_of_log"] = found.states;
   out["states_of_leases"] = leases.states;
-  out["states_bad"] = (found.broken.empty() ? 0 : 1) + (leases.broken.empty() ? 0 : 1);
-  for (const std::string& broken : {found.broken, leases.broken})
+  out["states_bad"] = (found.violation.empty() ? 0 : 1) + (leases.violation.empty() ? 0 : 1);
+  for (const std::string& broken : {found.violation, leases.violation})
     if (!broken.empty()) out["states_broken"] = broken;
-  const simulation::CrashPoints points = simulation::CrashAtEachOperation(3);
-  out["crash_points"] = points.points;
-  out["crash_points_bad"] = points.bad;
-  simulation::Disk disk;
-  disk.set_sync_takes(5s);
-  out["loop_stall_ms_max"] = simulation::LoopStallBesideWrites(disk, 2).longest_ms;
+  const simulation::CrashTestResult points = simulation::CrashAtEachOperation(3);
+  out["crash_points"] = points.crashes;
+  out["crash_points_bad"] = points.failures;
+  simulation::SimulatedDisk disk;
+  disk.set_sync_duration(5s);
+  out["loop_stall_ms_max"] = simulation::MeasureLoopStallDuringWrites(disk, 2).longest_ms;
   out["lease_cost_percent"] = LeaseCostPercent(plan.seed);
   return out;
 }
--- a/src/testing/simulation/slow_disk.cpp
+++ b/src/testing/simulation/loop_stall.cpp
@@ -1,23 +1,24 @@
-#include "testing/simulation/slow_disk.h"
+#include "testing/simulation/loop_stall.h"
 
 #include <algorithm>
+#include <tuple>
 
 #include "storage/worker.h"
-#include "testing/simulation/store_plays.h"
+#include "testing/simulation/store_workload.h"
 
 namespace lemoncroft::simulation {
 
 using namespace std::chrono_literals;
 using runtime::Now;
 
-LoopStall LoopStallBesideWrites(Disk& disk, int writes) {
+LoopStall MeasureLoopStallDuringWrites(SimulatedDisk& disk, int writes) {
   runtime::Loop loop;
-  storage::Worker worker(loop, StoreOn(disk));
+  storage::Worker worker(loop, StoreOptionsOn(disk));
   std::vector<double> late;
-  bool over = false;
+  bool finished = false;
   LoopStall out;
   const auto tick = [&]() -> runtime::Task<> {
-    while (!over) {
+    while (!finished) {
       const runtime::Time due = Now() + 1ms;
       co_await loop.SleepUntil(due);
       late.push_back(std::chrono::duration<double, std::milli>(Now() - due).count());
@@ -27,11 +28,12 @@
   const auto write = [&]() -> runtime::Task<> {
     const runtime::Time begun = Now();
     worker.Open();
-    co_await worker.Next();
-    for (int i = 0; i < writes; ++i) worker.Write(static_cast<std::uint64_t>(i) + 1, StoreChange(i));
-    for (int i = 0; i < writes; ++i) co_await worker.Next();
-    out.syncs_ms = std::chrono::duration<double, std::milli>(Now() - begun).count();
-    over = true;
+    co_await worker.NextCompletion();
+    for (int i = 0; i < writes; ++i)
+      std::ignore = worker.Write(static_cast<std::uint64_t>(i) + 1, WorkloadBatch(i));
+    for (int i = 0; i < writes; ++i) co_await worker.NextCompletion();
+    out.writes_ms = std::chrono::duration<double, std::milli>(Now() - begun).count();
+    finished = true;
   };
   loop.Spawn(tick());
   loop.Spawn(write());
