--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -113,13 +113,14 @@
   VoterStore() : path_(folder_.path() / "voter.db") {
     fs::copy_file(kFixtures / "store/voter.db", path_);
     fs::permissions(path_, fs::perms::owner_write, fs::perm_options::add);
-    std::string why;
-    EXPECT_EQ(storage::Database({path_, kOwner}).Open(contents_, why), storage::Health::kDone) << why;
+    auto contents = storage::Database({path_, kOwner}).Open();
+    EXPECT_TRUE(contents) << contents.error().ToString();
+    if (contents) contents_ = std::move(*contents);
   }
 
   TemporaryFolder folder_;
   fs::path path_;
-  storage::Contents contents_;
+  storage::StoreContents contents_;
 };
 
 TEST_F(VoterStore, OfAnEarlierProcess_Opened_GivesEachRecord) {
@@ -132,21 +133,22 @@
 }
 
 TEST_F(VoterStore, OfAnEarlierProcess_OpenedByAnother_IsForeign) {
-  std::string why;
-  EXPECT_EQ(storage::Database({path_, "f1/n2"}).Open(contents_, why), storage::Health::kForeign);
+  const auto contents = storage::Database({path_, "f1/n2"}).Open();
+  ASSERT_FALSE(contents);
+  EXPECT_EQ(contents.error().code, storage::StoreErrorCode::kForeign);
 }
 
 TEST_F(VoterStore, SameContentsWrittenToday_HaveTheSameTablesRowsAndChecksums) {
   const fs::path today = folder_.path() / "today.db";
-  storage::Batch batch;
+  storage::WriteBatch batch;
   for (const auto& [name, value] : contents_.records)
     if (!name.starts_with('@')) batch.records.emplace_back(name, value);
-  batch.log.assign(contents_.log.begin(), contents_.log.end());
-  storage::Contents fresh;
-  std::string why;
+  for (const auto& [index, value] : contents_.log) batch.log.emplace_back(index, value);
   storage::Database database({today, kOwner});
-  ASSERT_EQ(database.Open(fresh, why), storage::Health::kDone) << why;
-  ASSERT_EQ(database.Write(batch, why), storage::Health::kDone) << why;
+  const auto fresh = database.Open();
+  ASSERT_TRUE(fresh) << fresh.error().ToString();
+  const auto written = database.Write(batch);
+  ASSERT_TRUE(written) << written.error().ToString();
   database.Close();
   const std::string dump = DumpOf(today);
   EXPECT_NE(dump.find("CREATE TABLE records"), std::string::npos) << dump;
