--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Broker::Broker(runtime::Loop& loop, const settings::InForce& site, std::uint64_t seed,
+Broker::Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed,
                backend::Engines& engines, metrics::Counters& counters, Limits limits)
     : loop_(loop),
       site_(site),
@@ -68,8 +68,8 @@
   host_.Post(Siblings{serving, place});
 }
 
-settings::Used Broker::used() const {
-  settings::Used used;
+settings::ReferencedNumbers Broker::used() const {
+  settings::ReferencedNumbers used;
   for (const auto& [id, life] : lives_) {
     used.classes.insert(life->request.klass);
     used.tenants.insert(life->request.tenant);
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -22,7 +22,7 @@
 #include "metrics/counters.h"
 #include "runtime/loop.h"
 #include "settings/settings.h"
-#include "settings/succession.h"
+#include "settings/migration.h"
 
 namespace lemoncroft::broker {
 
@@ -33,7 +33,7 @@
     std::size_t bytes = std::size_t{48} << 20;  // that they hold
   };
 
-  Broker(runtime::Loop& loop, const settings::InForce& site, std::uint64_t seed, backend::Engines& engines,
+  Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed, backend::Engines& engines,
          metrics::Counters& counters, Limits limits);
 
   // Puts a waiting line ahead of the module; before Start. Without one, requests go to the module as they
@@ -56,7 +56,7 @@
   void TellBeside(int parts) { host_.Post(Beside{parts}); }
   // How many proxies serve, and this one's place among them, as the view of the fleet has it.
   void TellSiblings(int serving, int place);
-  settings::Used used() const;  // by requests under way
+  settings::ReferencedNumbers used() const;  // by requests under way
   // From now on new requests are refused: the process is about to end.
   void Close() { closed_ = true; }
   bool idle() const { return lives_.empty() && !engines_.giving_up(); }  // nothing is out any more
@@ -118,7 +118,7 @@
   Event Described(const Life& life) const;
 
   runtime::Loop& loop_;
-  const settings::InForce& site_;
+  const settings::ActiveSettings& site_;
   backend::Engines& engines_;
   metrics::Counters& counters_;
   Limits limits_;
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -132,7 +132,7 @@
 // What a reload may change.
 struct Running {
   Config config;  // in force, but for its site
-  settings::InForce& site;
+  settings::ActiveSettings& site;
   frontend::FrameServer& server;
   broker::Broker& broker;
   backend::Engines& engines;
@@ -148,9 +148,10 @@
   bool tidying = false;
 };
 
-void PutInForce(Running& running, settings::Succession succession) {
-  running.site.Replace(std::move(succession.site));
-  running.broker.Retune(std::move(succession.like), MostRequests(*running.site, running.most));
+void PutInForce(Running& running, settings::Migration migration) {
+  running.site.Replace(std::move(migration.site));
+  running.broker.Retune(std::move(migration.inherits_estimates_from),
+                        MostRequests(*running.site, running.most));
   running.directory.RenumberKindsAndZones(running.tell);
   running.engines.set_connect_timeout(decision::ToSpan(running.site->module.connect_timeout));
   running.engines.set_report_fields(running.site->report_fields);
@@ -193,9 +194,9 @@
     } catch (const ConfigError& e) {
       throw ConfigError(paths.config + ": " + e.what());
     }
-    settings::Succession succession =
-        Succeed(*running.site, UnderRules(running, config.site), running.broker.used());
-    operator_config::OperatorFile file = ReadOperator(paths, succession.site);
+    settings::Migration migration =
+        MigrateSettings(*running.site, UnderRules(running, config.site), running.broker.used());
+    operator_config::OperatorFile file = ReadOperator(paths, migration.site);
     if (file.waiting.has_value() != (running.broker.line() != nullptr))
       throw ConfigError(paths.operator_file + ": waiting is switched on and off by a restart only");
     if (file.fleet.has_value() != (running.fleet != nullptr))
@@ -213,7 +214,7 @@
       spdlog::warn("{}: fleet changes by a restart only; it stays as it was", paths.operator_file);
     TellWhatStays(config, running.config);
     LogFindings(config);
-    PutInForce(running, std::move(succession));
+    PutInForce(running, std::move(migration));
     if (file.waiting) {
       running.own_line = std::move(file.waiting->line);
       PutLineInForce(running, running.rules == nullptr ? nullptr : &running.rules->document());
@@ -238,8 +239,8 @@
   if (std::exchange(running.tidying, true)) co_return;
   while (settings::HasRetired(*running.site)) {
     co_await loop.Sleep(kTidyBeat);
-    settings::Succession now =
-        Succeed(*running.site, settings::WithoutRetired(*running.site), running.broker.used());
+    settings::Migration now =
+        MigrateSettings(*running.site, settings::RemoveRetired(*running.site), running.broker.used());
     if (now.site.module.classes != running.site->module.classes) PutInForce(running, std::move(now));
   }
   running.tidying = false;
@@ -258,7 +259,7 @@
 // Lets what was taken come to its end. Who comes meanwhile is another process's where that holds the
 // listening socket too.
 Task<> End(runtime::Loop& loop, frontend::FrameServer& server, broker::Broker& broker,
-           const settings::InForce& site, bool shared, Fleet* fleet) {
+           const settings::ActiveSettings& site, bool shared, Fleet* fleet) {
   using Queue = frontend::FrameServer::Queue;
   const Time since = Now();
   spdlog::info("ending: {} requests open", broker.open());
@@ -356,7 +357,7 @@
   if (shared) inherited = runtime::InheritedListener(DescriptorNumber(paths.inherited));
   runtime::Loop loop;
   Signals signals(loop);
-  settings::InForce site(config.site);
+  settings::ActiveSettings site(config.site);
   discovery::EndpointDirectory directory(site);
   // Another process may live beside this one at any time, and bytes can't be handed back at once.
   const std::size_t memory_mb = shared ? config.memory_mb / 2 : config.memory_mb;
@@ -431,8 +432,9 @@
   }
   if (file.rules) {
     const auto put_in_force = [&](const replicated_config::Document& document) {
-      PutInForce(running, Succeed(*running.site, replicated_config::Applied(document, running.config.site),
-                                  running.broker.used()));
+      PutInForce(running,
+                 MigrateSettings(*running.site, replicated_config::Applied(document, running.config.site),
+                                 running.broker.used()));
       PutLineInForce(running, &document);
       loop.Spawn(Tidy(loop, running));
     };
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -49,7 +49,7 @@
   static constexpr std::size_t kMaxEjectedEngines = 4096;  // as many as a replicated configuration can name
 
   // `site` outlives this object.
-  explicit EndpointDirectory(const settings::InForce& site) : site_(site) {}
+  explicit EndpointDirectory(const settings::ActiveSettings& site) : site_(site) {}
 
   // Applies the events of {"n":LAST,"events":[...]} that are newer than last_event(), in order, and passes
   // each resulting update to `on_update`. Returns false if the document is not of that form.
@@ -99,7 +99,7 @@
   void EndIncarnation(EngineId engine);
   void Remove(EngineId engine);
 
-  const settings::InForce& site_;
+  const settings::ActiveSettings& site_;
   std::map<std::string, EngineId> ids_;
   std::map<EngineId, std::string> names_;
   std::map<EngineId, Endpoint> endpoints_;
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -139,7 +139,7 @@
 };
 
 FrameServer::FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener,
-                         const settings::InForce& site, broker::Broker& broker, metrics::Counters& counters,
+                         const settings::ActiveSettings& site, broker::Broker& broker, metrics::Counters& counters,
                          Limits limits)
     : loop_(loop),
       site_(site),
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -26,7 +26,7 @@
     std::size_t unparsed_of_all = std::size_t{48} << 20;  // bytes of frames that have not come whole
   };
 
-  FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener, const settings::InForce& site,
+  FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener, const settings::ActiveSettings& site,
               broker::Broker& broker, metrics::Counters& counters, Limits limits);
   ~FrameServer();
 
@@ -80,7 +80,7 @@
   bool Count(Connection& connection);  // its half frame in the total; false: that is too much
 
   runtime::Loop& loop_;
-  const settings::InForce& site_;
+  const settings::ActiveSettings& site_;
   broker::Broker& broker_;
   metrics::Counters& counters_;
   Limits limits_;
--- a/src/settings/check.h
+++ b/src/settings/check.h
@@ -1,7 +1,6 @@
-// What is wrong or doubtful in a site's settings: values out of range, values that contradict each other, and
-// keys that nothing reads.
+// Checks a site's settings for values out of range, contradictions between values, and unknown keys.
 //
-// Contract. No I/O, no clock. Owner: none. Source: docs/settings.md, which has a row for each key.
+// Contract. No I/O, no clock. Owner: none. docs/settings.md has a row for each key.
 #ifndef LEMONCROFT_SETTINGS_CHECK_H_
 #define LEMONCROFT_SETTINGS_CHECK_H_
 
@@ -13,19 +12,20 @@
 namespace lemoncroft::settings {
 
 enum class Severity {
-  kWarning,  // all is served; something is without effect, or another value than the one told is used
-  kError,    // refused where other settings are in force; a start, which has none, serves what can be served
-  kFatal,    // no request could be served: refused by a start as well
+  kWarning,  // all classes are served; a value has no effect or another one is used in its place
+  kError,    // a reload refuses the settings; a start serves the classes that can be served
+  kFatal,    // no class can be served: a start refuses the settings too
 };
 
 struct Finding {
   Severity severity = Severity::kWarning;
-  std::string text;  // one plain line that names the key
+  std::string text;  // one line that names the key
 
   bool operator==(const Finding&) const = default;
 };
 
-// Findings of settings that ParseSite has read, the worst first and else in the order of the settings' page.
+// Checks settings that ParseSite has read. The worst findings come first, then those in the order of
+// docs/settings.md.
 std::vector<Finding> Check(const Pairs& in, const Site& site);
 
 }  // namespace lemoncroft::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -199,7 +199,7 @@
 
 }  // namespace
 
-std::optional<std::uint16_t> Site::Place(const std::vector<std::string>& names, std::string_view name) {
+std::optional<std::uint16_t> Site::NumberOf(const std::vector<std::string>& names, std::string_view name) {
   const auto it = name.empty() ? names.end() : std::find(names.begin(), names.end(), name);
   if (it == names.end()) return std::nullopt;
   return static_cast<std::uint16_t>(it - names.begin());
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -106,7 +106,7 @@
   }
 
   runtime::Loop loop_;
-  settings::InForce site_{settings::Site()};
+  settings::ActiveSettings site_{settings::Site()};
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 2500ms, counters_};
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -76,7 +76,7 @@
   std::shared_ptr<spdlog::logger> before_;
   spdlog::level::level_enum level_;
   runtime::Loop loop_;
-  settings::InForce site_{SomeSite()};
+  settings::ActiveSettings site_{SomeSite()};
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 250ms, counters_};
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -168,7 +168,7 @@
 
   std::mt19937 random_;
   runtime::Loop loop_;
-  settings::InForce site_{TwoClasses()};
+  settings::ActiveSettings site_{TwoClasses()};
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines back_{loop_, directory_, {64, 1s, {}}, 100ms, counters_};
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -18,7 +18,7 @@
 using namespace std::chrono_literals;
 
 TEST(EndpointDirectory, EnginesThatLeft_AreNotRetained) {
-  settings::InForce site{settings::Site()};
+  settings::ActiveSettings site{settings::Site()};
   discovery::EndpointDirectory directory(site);
   const auto announce = [&](int n, const std::string& id, const std::string& phase) {
     const std::string number = std::to_string(n);
@@ -40,7 +40,7 @@
 
 TEST(EndpointWatch, FeedIsDown_ReconnectsWithBackoff) {
   runtime::Loop loop;
-  settings::InForce site{settings::Site()};
+  settings::ActiveSettings site{settings::Site()};
   discovery::EndpointDirectory directory(site);
   // A listening socket that closes each connection at once.
   runtime::Listener feed(loop, *runtime::Address::Parse("127.0.0.1:0"));
@@ -79,7 +79,7 @@
             R"("phase":")" + phase + R"(","up_since_ms":)" + std::to_string(up_since_ms) + "}]}}]}"),
         on_update_);
   }
-  settings::InForce site_{settings::Site()};
+  settings::ActiveSettings site_{settings::Site()};
   discovery::EndpointDirectory directory_{site_};
   EngineEntry last_update_;
   int revision_ = 0, ended_incarnations_ = 0;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -19,7 +19,7 @@
 #include "replicated_config/document.h"
 #include "runtime/loop.h"
 #include "runtime/socket.h"
-#include "settings/succession.h"
+#include "settings/migration.h"
 
 namespace lemoncroft {
 namespace {
@@ -78,7 +78,7 @@
     return directory_.Apply(codec::Json::Parse(document), [this](const EngineList& list) { told_ = list; });
   }
 
-  settings::InForce site_{settings::Site()};
+  settings::ActiveSettings site_{settings::Site()};
   discovery::EndpointDirectory directory_{site_};
   EngineList told_;
 };
@@ -91,7 +91,7 @@
   ASSERT_EQ(config.site.classes.size(), static_cast<std::size_t>(kNames));
   EXPECT_EQ(config.site.module.classes[kNames - 1].zones, std::vector<std::uint16_t>{kNames - 1});
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
-  settings::InForce site(config.site);
+  settings::ActiveSettings site(config.site);
   discovery::EndpointDirectory directory(site);
   EngineList told;
   ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { told = list; }));
@@ -103,10 +103,10 @@
 TEST(Scale, AReloadThatChangesFifteenHundredNames) {
   const settings::Site before = cli::ReadConfig(ConfigText("a", Document(0, ""))).site;
   const settings::Site after = cli::ReadConfig(ConfigText("b", Document(0, ""))).site;
-  settings::Used used;
+  settings::ReferencedNumbers used;
   for (std::uint16_t i = 0; i < kNames; ++i) used.classes.insert(i), used.tenants.insert(i);
-  const settings::Succession succession = settings::Succeed(before, after, used);
-  const settings::Site& site = succession.site;
+  const settings::Migration migration = settings::MigrateSettings(before, after, used);
+  const settings::Site& site = migration.site;
   EXPECT_EQ(site.classes.size(), static_cast<std::size_t>(2 * kNames));
   std::set<std::uint16_t> numbers;
   for (int i = 0; i < kNames; ++i) {
@@ -138,7 +138,7 @@
   EXPECT_EQ(directory_.CountEjected({}), static_cast<std::size_t>(kEngines));
   std::set<std::string> out;
   for (int i = 0; i < kEngines; ++i) out.insert(Name("s", i));
-  settings::InForce site{settings::Site()};
+  settings::ActiveSettings site{settings::Site()};
   discovery::EndpointDirectory successor(site);
   successor.ImportEjections(out, {}, tell);
   for (const std::string& id : out) EXPECT_TRUE(successor.IsEjected(id));
@@ -228,7 +228,7 @@
   ASSERT_GT(body.size(), std::size_t{4} << 20) << "some MB";
   runtime::Loop loop;
   SlowFeed server(loop, body, 12, 50ms);
-  settings::InForce site{settings::Site()};
+  settings::ActiveSettings site{settings::Site()};
   discovery::EndpointDirectory directory(site);
   int lists = 0, connections = 0;
   discovery::EndpointWatch feed(
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -7,7 +7,6 @@
 #include "admin/call.h"
 #include "cli/config.h"
 #include "metrics/counters.h"
-#include "settings/succession.h"
 
 namespace lemoncroft {
 namespace {
@@ -35,79 +34,6 @@
   EXPECT_LE(reader.line().size(), admin::kLineMost + 1);
 }
 
-// ---- Settings that change ----
-
-settings::Site SiteOf(const std::vector<std::pair<std::string, Nanos>>& classes,
-                      const std::vector<std::string>& tenants = {"acme"}) {
-  settings::Site site;
-  for (const auto& [name, deadline] : classes) {
-    site.classes.push_back(name);
-    site.module.classes.emplace_back().deadline = deadline;
-  }
-  site.tenants = tenants;
-  site.module.tenants.resize(tenants.size());
-  return site;
-}
-
-using Names = std::vector<std::string>;
-
-TEST(Succession, WhatStaysKeepsItsNumberInWhateverOrderItComes) {
-  const auto next = Succeed(SiteOf({{"a", 1}, {"b", 2}}, {"x", "y"}),
-                            SiteOf({{"c", 3}, {"b", 2}, {"a", 1}}, {"y", "z", "x"}), {});
-  EXPECT_EQ(next.site.classes, (Names{"a", "b", "c"}));
-  EXPECT_EQ(next.like, (std::vector<int>{0, 1, -1}));
-  EXPECT_EQ(next.site.tenants, (Names{"x", "y", "z"}));
-}
-
-TEST(Succession, AClassThatChangesLeavesItsNumberToThoseThatCameWithIt) {
-  const auto next = Succeed(SiteOf({{"a", 1}}), SiteOf({{"a", 9}}), {{0}, {0}});
-  EXPECT_EQ(next.site.classes, (Names{"", "a"}));
-  EXPECT_EQ(next.site.module.classes[0].deadline, 1);
-  EXPECT_EQ(next.site.module.classes[1].deadline, 9);
-  EXPECT_EQ(next.like, (std::vector<int>{0, 0})) << "it goes on from the old one's estimates";
-  EXPECT_FALSE(next.site.ClassOf(""));
-  EXPECT_EQ(next.site.ClassOf("a"), 1);
-  // Once they have ended, the number is free; a class that comes takes it.
-  const auto later = Succeed(next.site, SiteOf({{"b", 2}, {"a", 9}}), {{1}, {0}});
-  EXPECT_EQ(later.site.classes, (Names{"b", "a"}));
-  EXPECT_EQ(later.like, (std::vector<int>{-1, 1}));
-}
-
-TEST(Succession, ReloadsDoNotAddUp) {
-  settings::Site site = SiteOf({{"a", 1}, {"b", 2}}, {"x"});
-  for (int i = 0; i < 50; ++i) {
-    const std::string n = std::to_string(i);
-    const auto used = settings::Used{{static_cast<std::uint16_t>(*site.ClassOf("a"))}, {0}};
-    site = Succeed(site, SiteOf({{"a", 100 + i}, {"c" + n, 2}}, {"x", "t" + n}), used).site;
-    EXPECT_LE(site.classes.size(), 4u);
-    EXPECT_LE(site.tenants.size(), 3u);
-  }
-  EXPECT_TRUE(settings::HasRetired(site));
-  site = Succeed(site, settings::WithoutRetired(site), {}).site;
-  EXPECT_EQ(std::count_if(site.module.classes.begin(), site.module.classes.end(),
-                          [](const ClassSettings& c) { return c.deadline > 0; }),
-            2);
-}
-
-TEST(Succession, KindsAndZonesKeepTheirNumbersAndAreBounded) {
-  settings::Site from = SiteOf({{"a", 1}}), to = SiteOf({{"a", 1}});
-  from.kinds = {"small", "large"};
-  from.module.kinds = {{8, 1}, {12, 2}};
-  to.kinds = {"huge", "large"};
-  to.module.kinds = {{32, 4}, {16, 2}};
-  to.module.classes[0].kinds = {1};
-  const auto next = Succeed(from, to, {});
-  EXPECT_EQ(next.site.kinds, (Names{"small", "large", "huge"}));
-  EXPECT_EQ(next.site.module.kinds[1].cores, 16);
-  EXPECT_EQ(next.site.module.kinds[2].cores, 32);
-  EXPECT_EQ(next.site.module.classes[0].kinds, (std::vector<std::uint16_t>{1}));
-  to.kinds.clear();
-  for (int i = 0; i < 1500; ++i) to.kinds.push_back("k" + std::to_string(i));
-  EXPECT_EQ(Succeed(from, to, {}).site.kinds.size(), 1502u);
-  for (int i = 1500; i < 5000; ++i) to.kinds.push_back("k" + std::to_string(i));
-  EXPECT_THROW(Succeed(from, to, {}), settings::SettingsError);
-}
-
 // ---- Files that are broken ----
 
 constexpr const char* kFile =
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -11,7 +11,7 @@
 #include "discovery/endpoint_directory.h"
 #include "lemoncroft/gateway.h"
 #include "settings/check.h"
-#include "settings/succession.h"
+#include "settings/migration.h"
 
 namespace lemoncroft {
 namespace {
@@ -299,7 +299,7 @@
   std::size_t Avoided(const std::vector<EngineId>& avoided) const { return directory_.CountEjected(avoided); }
 
  private:
-  settings::InForce site_;
+  settings::ActiveSettings site_;
   discovery::EndpointDirectory directory_;
   int n_ = 0;
   EngineList last_;
