--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -149,12 +149,12 @@
 // kLost: it may have run, but its answer was lost or spoilt on the way from an engine that is there.
 enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot, kLost };
 
-inline constexpr std::size_t kReportFieldsMost = 4;
+inline constexpr std::size_t kMaxReportFields = 4;
 
 struct LoadReport {
   std::uint8_t count =
       0;  // 0 = no report; else the values of Settings::report_fields, NaN where one is missing
-  std::array<float, kReportFieldsMost> values{};
+  std::array<float, kMaxReportFields> values{};
 };
 
 struct AttemptEnded {
--- a/src/admin/call.h
+++ b/src/admin/call.h
@@ -9,7 +9,7 @@
 
 namespace lemoncroft::admin {
 
-constexpr std::size_t kLineMost = 256;  // bytes of a call, its end not counted
+constexpr std::size_t kMaxLineBytes = 256;  // bytes of a call, its end not counted
 
 enum class Verb { kReadyz, kTelemetry, kExclude, kInclude };
 
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -36,7 +36,7 @@
       co_await loop_.Sleep(kNoDescriptorsPause);
       continue;
     }
-    while (callers_.size() >= kCallersMost) {
+    while (callers_.size() >= kMaxConnections) {
       MakeRoom();
       co_await loop_.Sleep(kRoomPause);
     }
--- a/src/admin/listener.h
+++ b/src/admin/listener.h
@@ -24,14 +24,14 @@
 
 class Listener {
  public:
-  static constexpr std::size_t kCallersMost = 16;  // descriptors that it may take beside its own
+  static constexpr std::size_t kMaxConnections = 16;  // descriptors that it may take beside its own
 
   // Throws std::system_error where it cannot listen.
   Listener(runtime::Loop& loop, const runtime::Address& address, std::function<Reply(const Call&)> answer)
       : loop_(loop), listener_(loop, address), answer_(std::move(answer)) {}
 
   // What is done behind an answer before it is given, within `kAfterMost`; none: nothing.
-  static constexpr auto kAfterMost = std::chrono::milliseconds(900);
+  static constexpr auto kMaxFollowUps = std::chrono::milliseconds(900);
   std::function<runtime::Task<Reply>(Call, Reply)> after;
 
   runtime::Task<> Run();
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -26,12 +26,12 @@
 constexpr auto kWithoutLease = 10ms;
 // An engine ends a query that nobody has asked for within this time; the margin is for what was under way.
 constexpr auto kUnaskedFor = 2000ms, kUnaskedMargin = 100ms;
-constexpr auto kWithdrawPauseLeast = 50ms, kWithdrawPauseMost = 400ms;  // between tries; doubles with each
+constexpr auto kMinCancelBackoff = 50ms, kMaxCancelBackoff = 400ms;  // between tries; doubles with each
 constexpr auto kLinger = 400ms;  // for the answer to a question that no longer matters
-constexpr int kPagesMost = 256;
-constexpr std::size_t kPageMost = 6000;
-constexpr std::size_t kRowsMost = 64 * 1024;  // a result has 48,000 bytes at most
-constexpr double kMemoryMost = 1e6;           // MB: past this it is no measurement
+constexpr int kMaxPages = 256;
+constexpr std::size_t kMaxPageBytes = 6000;
+constexpr std::size_t kMaxRows = 64 * 1024;  // a result has 48,000 bytes at most
+constexpr double kMaxMemoryMb = 1e6;         // MB: past this it is no measurement
 constexpr std::size_t kColumns = 3;
 constexpr std::string_view kGaugesHeader = "X-Gauges";
 constexpr const char* kHealthPath = "/healthz";
@@ -51,7 +51,7 @@
 
 // Whole rows of text, as a page must hold them: noise of the right length, or a page that was cut, is none.
 bool HasRows(std::string_view page) {
-  if (page.size() > kPageMost || (!page.empty() && page.back() != '\n')) return false;
+  if (page.size() > kMaxPageBytes || (!page.empty() && page.back() != '\n')) return false;
   std::size_t columns = 1;
   for (const char c : page) {
     if (c == '\t') ++columns;
@@ -68,7 +68,7 @@
   const auto number = response.Number("Chunk"), pages = response.Number("Chunks");
   if (page > 0) return response.status == 200 && number == page && HasRows(response.body);
   if (response.status == 202 || response.status == 503 || response.status == 504) return true;
-  const bool counted = pages && *pages >= 1 && *pages <= kPagesMost && *pages == std::floor(*pages);
+  const bool counted = pages && *pages >= 1 && *pages <= kMaxPages && *pages == std::floor(*pages);
   return response.status == 200 && counted && !number && HasRows(response.body);
 }
 
@@ -247,14 +247,14 @@
   const auto pages = static_cast<int>(*query.response.Number("Chunks"));
   const double work_ms = std::clamp(query.response.Number("Elapsed-Work").value_or(0), 0.0, 1e9);
   result.work = std::chrono::duration_cast<runtime::Span>(std::chrono::duration<double, std::milli>(work_ms));
-  result.memory_mb = std::clamp(query.response.Number("High-Water").value_or(0), 0.0, kMemoryMost);
+  result.memory_mb = std::clamp(query.response.Number("High-Water").value_or(0), 0.0, kMaxMemoryMb);
   result.rows = std::move(query.response.body);
   for (int page = 1; page < pages; ++page) {
     const Outcome asked = co_await Ask(query, page);
     if (asked != Outcome::kOk) co_return asked;
     if (query.response.status != 200) co_return query.lost ? Outcome::kLost : Outcome::kError;
     result.rows += query.response.body;
-    if (result.rows.size() > kRowsMost) co_return Outcome::kError;
+    if (result.rows.size() > kMaxRows) co_return Outcome::kError;
   }
   co_return Outcome::kOk;
 }
@@ -291,12 +291,12 @@
 Task<> Engines::Withdraw(Query& query) {
   query.lease = Lease();
   const runtime::Time over = query.asked + kUnaskedFor + kUnaskedMargin;
-  runtime::Span pause = kWithdrawPauseLeast;
+  runtime::Span pause = kMinCancelBackoff;
   while (Now() < over) {
     const Io io = co_await Call(query.attempt.engine, "DELETE", query.attempt.passed->id, {});
     if (io == Io::kOk) co_return;
     co_await loop_.SleepUntil(std::min(over, Now() + pause));
-    pause = std::min<runtime::Span>(2 * pause, kWithdrawPauseMost);
+    pause = std::min<runtime::Span>(2 * pause, kMaxCancelBackoff);
   }
 }
 
--- a/src/backend/load_report.cpp
+++ b/src/backend/load_report.cpp
@@ -40,7 +40,7 @@
 LoadReport ParseLoadReport(std::string_view gauges, const std::vector<std::string>& names) {
   LoadReport report;
   report.values.fill(kMissing);
-  const std::size_t fields = std::min(names.size(), kReportFieldsMost);
+  const std::size_t fields = std::min(names.size(), kMaxReportFields);
   bool any = false;
   while (!gauges.empty()) {
     const std::string_view item = TakeItem(gauges);
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -61,7 +61,7 @@
 // What this proxy may hold, however many processes it is.
 hot_restart::ProxyLimits ProxyLimitsOf(const Config& config) {
   const std::size_t sockets = config.sockets > 0 ? config.sockets : kSocketsUntold;
-  const std::size_t operators = config.management ? admin::Listener::kCallersMost + 1 : 0;
+  const std::size_t operators = config.management ? admin::Listener::kMaxConnections + 1 : 0;
   return {sockets, sockets * 2 / 5, kOwnDescriptors + operators};  // clients hold a third; some reconnect
 }
 
--- a/src/codec/frame.cpp
+++ b/src/codec/frame.cpp
@@ -31,11 +31,11 @@
   if (rest.size() < 4) return Result::kNeedMore;
   const std::size_t length = Little(rest.substr(0, 4));
   // Checked before the rest has come, so that no buffer grows for a length that can't be right.
-  if (length < kFrameLeast || length > kFrameMost) return Result::kBadLength;
+  if (length < kMinFrameBytes || length > kMaxFrameBytes) return Result::kBadLength;
   if (rest.size() < 4 + length) return Result::kNeedMore;
   frame.type = static_cast<std::uint8_t>(rest[4]);
   frame.stream = Little(rest.substr(5, 4));
-  frame.payload = rest.substr(9, length - kFrameLeast);
+  frame.payload = rest.substr(9, length - kMinFrameBytes);
   taken_ += 4 + length;
   return Result::kFrame;
 }
@@ -69,7 +69,7 @@
 }
 
 void WriteFrame(std::string& out, std::uint8_t type, std::uint32_t stream, std::string_view payload) {
-  PutLittle(out, kFrameLeast + payload.size(), 4);
+  PutLittle(out, kMinFrameBytes + payload.size(), 4);
   out.push_back(static_cast<char>(type));
   PutLittle(out, stream, 4);
   out.append(payload);
--- a/src/codec/frame.h
+++ b/src/codec/frame.h
@@ -12,7 +12,7 @@
 
 namespace lemoncroft::codec {
 
-inline constexpr std::size_t kFrameLeast = 5, kFrameMost = 262'144;  // what `length` may say
+inline constexpr std::size_t kMinFrameBytes = 5, kMaxFrameBytes = 262'144;  // what `length` may say
 
 enum FrameType : std::uint8_t {
   kRequestFrame = 65,
--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -57,7 +57,7 @@
 class Input {
  public:
   explicit Input(std::string_view text) {
-    if (text.size() > kKdlBytesMost) throw KdlError(KdlPlace(), "the document is too large");
+    if (text.size() > kMaxKdlBytes) throw KdlError(KdlPlace(), "the document is too large");
     points_.reserve(text.size());
     KdlPlace place;
     for (std::size_t i = 0; i < text.size();) {
@@ -136,7 +136,7 @@
 
  private:
   std::vector<KdlNode> Nodes(int depth) {
-    if (depth > kKdlDepthMost) in_.Fail("nested too deeply");
+    if (depth > kMaxKdlDepth) in_.Fail("nested too deeply");
     std::vector<KdlNode> nodes;
     for (;;) {
       while (SkipBlank() || in_.SkipNewline() || in_.Skip(U";")) {
@@ -149,7 +149,7 @@
   }
 
   KdlNode Node(int depth) {
-    if (++count_ > kKdlNodesMost) in_.Fail("too many nodes");
+    if (++count_ > kMaxKdlNodes) in_.Fail("too many nodes");
     KdlNode node;
     node.place = in_.place();
     node.type = Annotation();
--- a/src/codec/kdl.h
+++ b/src/codec/kdl.h
@@ -46,9 +46,9 @@
   KdlPlace place;
 };
 
-inline constexpr std::size_t kKdlBytesMost = 1 << 20;
-inline constexpr int kKdlDepthMost = 32;
-inline constexpr std::size_t kKdlNodesMost = 100'000;
+inline constexpr std::size_t kMaxKdlBytes = 1 << 20;
+inline constexpr int kMaxKdlDepth = 32;
+inline constexpr std::size_t kMaxKdlNodes = 100'000;
 
 // Throws KdlError for anything that is not one whole document, or is too large or nested too deeply.
 std::vector<KdlNode> ReadKdl(std::string_view text);
--- a/src/codec/order_key.cpp
+++ b/src/codec/order_key.cpp
@@ -17,7 +17,8 @@
 
 bool IsOrderKey(std::string_view text) {
   const auto printable = [](char c) { return c > ' ' && c < 0x7f; };
-  return !text.empty() && text.size() <= kOrderKeyMost && std::all_of(text.begin(), text.end(), printable);
+  return !text.empty() && text.size() <= kMaxOrderKeyBytes &&
+         std::all_of(text.begin(), text.end(), printable);
 }
 
 std::uint64_t OrderKeyNumber(std::string_view text) {
--- a/src/codec/order_key.h
+++ b/src/codec/order_key.h
@@ -8,7 +8,7 @@
 
 namespace lemoncroft::codec {
 
-inline constexpr std::size_t kOrderKeyMost = 128;  // characters
+inline constexpr std::size_t kMaxOrderKeyBytes = 128;  // characters
 
 // Whether a text can be an order key: printable ASCII without blanks, 1 to kOrderKeyMost characters.
 bool IsOrderKey(std::string_view text);
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -48,7 +48,7 @@
 constexpr double kUsualLoad = 0.85;    // of the fleet's cores: demand of all gateways before any is seen
 constexpr double kFleetPressed = 1.3;  // times the best latency, in the mean of recent answers
 constexpr double kIdleLevel = 1;       // threads a core, the query's own counted: an engine seen to be idle
-constexpr double kCreditMost = 2;      // times a mean heavy query's thread seconds, or seconds of the share
+constexpr double kMaxCredit = 2;       // times a mean heavy query's thread seconds, or seconds of the share
 // Pressure: when the bound binds.
 constexpr double kPressureLatency = 2.5;  // times the best latency: well past noise, before thrash is deep
 constexpr double kCrowded = 1.5;          // threads a core past which an engine takes no first heavy query
@@ -63,23 +63,24 @@
 constexpr double kFast = 0.1;   // an engine's latency: some ten answers
 constexpr double kSlow = 0.03;  // the mix of what runs: outlasts bursts
 // Health.
-constexpr double kErrorWeight = 0.15;   // of the newest outcome in the share that failed: two eject
-constexpr double kBrokenWeight = 0.4;   // likewise for a lost connection, or one gone silent
-constexpr double kLostWeight = 0.05;    // for an answer lost on the way, as happens at all engines alike
-constexpr std::size_t kErrorsMost = 3;  // engines that find an error in a query: then it is the query's
-constexpr Nanos kFullFor = 500 * kMs;   // an engine that said full rests: refusals are work for it
-constexpr double kEjectMost = 0.5;      // share of the fleet that may be out for errors
-constexpr double kSlowest = 0.08;       // least relative speed believed
-constexpr double kHungWeight = 0.02;    // of the newest light attempt in the share that hang
-constexpr double kHungNoise = 0.015;    // share above the fleet's that chance brings
-constexpr double kHungCost = 60;        // times the expected time: what a hung heavy attempt costs
+constexpr double kErrorWeight = 0.15;  // of the newest outcome in the share that failed: two eject
+constexpr double kBrokenWeight = 0.4;  // likewise for a lost connection, or one gone silent
+constexpr double kLostWeight = 0.05;   // for an answer lost on the way, as happens at all engines alike
+constexpr std::size_t kMaxEnginesInError =
+    3;                                    // engines that find an error in a query: then it is the query's
+constexpr Nanos kFullFor = 500 * kMs;     // an engine that said full rests: refusals are work for it
+constexpr double kMaxEjectedShare = 0.5;  // share of the fleet that may be out for errors
+constexpr double kSlowest = 0.08;         // least relative speed believed
+constexpr double kHungWeight = 0.02;      // of the newest light attempt in the share that hang
+constexpr double kHungNoise = 0.015;      // share above the fleet's that chance brings
+constexpr double kHungCost = 60;          // times the expected time: what a hung heavy attempt costs
 // Cold engines.
 constexpr double kUntold = 2;          // a heavy query's weight in it where costs aren't told
 constexpr double kColdSafety = 0.75;   // of the allowed budget: slow cores, bad estimates
 constexpr double kColdDeviations = 3;  // of chance arrivals from all gateways that the budget has room for
 // Runaway attempts.
-constexpr double kRunawayLeast = 2.5;   // times the expected duration, at the least
-constexpr double kRunawayMost = 8;      // and at the most
+constexpr double kMinRunawayFactor = 2.5;  // times the expected duration, at the least
+constexpr double kMaxRunawayFactor = 8;    // and at the most
 constexpr double kRunawayLight = 4;     // for light classes, unless their times scatter more: little is lost
 constexpr double kRunawayKeyed = 4;     // at the least for keyed ones: much is, and loads block each other
 constexpr double kRunawayNoted = 5;     // times the expected duration, as its notes project
@@ -87,17 +88,17 @@
 constexpr int kKills = 2;               // cancels of one request: then it is held to be heavy itself
 constexpr double kSameAgain = 0.4;      // a second projection above this share of the first: heavy itself
 // Choice of engine.
-constexpr double kWarmGain = 0.5;       // of a query's work saved by a warm group (assumed)
-constexpr std::size_t kHomes = 2;       // engines that keep a table group warm for all gateways
-constexpr double kHomeLoad = 1.25;      // times the mean load, at the least, up to which a home is preferred
-constexpr double kOverdue = 2;          // times its expected time: an attempt hints at a sick engine
-constexpr double kNearPart = 0.8;       // of a cold engine's budget, to those whose subsets hold it
-constexpr double kLoadSide = 0.5;       // share of engines that take a table group's loads, not its readers
-constexpr std::size_t kSplitLeast = 4;  // engines to split: two a side, since one leaves no choice
+constexpr double kWarmGain = 0.5;   // of a query's work saved by a warm group (assumed)
+constexpr std::size_t kHomes = 2;   // engines that keep a table group warm for all gateways
+constexpr double kHomeLoad = 1.25;  // times the mean load, at the least, up to which a home is preferred
+constexpr double kOverdue = 2;      // times its expected time: an attempt hints at a sick engine
+constexpr double kNearPart = 0.8;   // of a cold engine's budget, to those whose subsets hold it
+constexpr double kLoadSide = 0.5;   // share of engines that take a table group's loads, not its readers
+constexpr std::size_t kMinEnginesToSplit = 4;  // engines to split: two a side, since one leaves no choice
 // Held queries.
 constexpr int kTries = 4;                  // held queries of a group tried in one decision
 constexpr int kTrials = 4;                 // in the time of a class's aim, at the most
-constexpr double kLateLeast = 0.15;        // late worth below this share isn't waited for
+constexpr double kMinLateShare = 0.15;     // late worth below this share isn't waited for
 constexpr Nanos kBeat = 20 * kMs;          // clock of the checks
 constexpr Nanos kAnswerMargin = 40 * kMs;  // before a try's deadline: two beats
 // Tenants.
@@ -384,7 +385,7 @@
   // A held query's aim has come out of reach: it is worth its late share, or turned away at once.
   void Overdue(Query& q) {
     aim_missed_ = true;
-    const bool waits = !q.late && Class(q).late_worth >= kLateLeast;
+    const bool waits = !q.late && Class(q).late_worth >= kMinLateShare;
     if (q.where == Where::kHeld) Unhold(q);
     if (now_ >= RepeatUntil(q)) return Answer(q);  // no further attempt may leave: nothing to wait for
     q.trial = !q.late && TrialDue(q);
@@ -461,7 +462,7 @@
     const double load = demand_ / std::max(1.0, near);
     part_ = std::min(1.0, load / std::max(1.0, fleet_latency_));
     home_load_ = std::max(kHomeLoad, 1 / std::max(0.1, load * Sharing())) / std::max(1.0, near);
-    const double share = kSeedFactor * demand_, most = kCreditMost * std::max(share, heaviest_);
+    const double share = kSeedFactor * demand_, most = kMaxCredit * std::max(share, heaviest_);
     if (!earning_) credit_ = Random() * most;
     earning_ = earning_ || cores > 0;
     credit_ = std::clamp(credit_ + share * seconds, -most, most);
@@ -709,7 +710,7 @@
         rankings_.Rank(engines_, subset::Mix(q.in.tables), [&](const Engine& e) { return Allowed(q, e); });
     const bool load = Class(q).holds_tables;
     const std::size_t readers = ranked - static_cast<std::size_t>(kLoadSide * ranked);
-    if (ranked >= kSplitLeast && (load ? loads_block_ : Class(q).blocked_by_loads))
+    if (ranked >= kMinEnginesToSplit && (load ? loads_block_ : Class(q).blocked_by_loads))
       std::erase_if(able, [&](const Engine* e) { return load == (e->rank < readers); });
     // Loads of one group stand still behind each other: each gateway begins with engines that are its alone.
     const auto others = [this](const Engine* e) { return (e->rank + set_.self) % set_.gateways != 0; };
@@ -776,8 +777,8 @@
   Nanos RunawayAfter(const Query& q) {
     if (!set_.may_cancel || !MayRepeat(q) || (set_.progress_every > 0 && !Light(q))) return 0;
     const double spread = std::exp(kRunawaySpread * Estimates(q).deviation());
-    const double most = Light(q) ? std::clamp(spread, kRunawayLight, kRunawayMost) : kRunawayMost;
-    const double times = std::clamp(1.5 * spread, kRunawayLeast, most);
+    const double most = Light(q) ? std::clamp(spread, kRunawayLight, kMaxRunawayFactor) : kMaxRunawayFactor;
+    const double times = std::clamp(1.5 * spread, kMinRunawayFactor, most);
     if (Class(q).effect != Effect::kKeyed) return ToNanos(ExpectedSeconds(q) * times);
     const auto e = engines_.find(q.engine);  // a cold one has a pace of its own
     const bool known = Estimates(q).known() && e != engines_.end() && !Cold(e->second);
@@ -853,7 +854,7 @@
     if (end.finished || q.where == Where::kDone) return Forget(q);
     // Another attempt, or the final answer at once.
     const bool in_time = now_ < q.deadline - kAnswerMargin - ToNanos(q.work / q.threads);
-    const bool hopeless = q.sent >= set_.max_attempts || q.erred.size() >= kErrorsMost;
+    const bool hopeless = q.sent >= set_.max_attempts || q.erred.size() >= kMaxEnginesInError;
     if (!in_time || hopeless || !RepeatSafe(q)) return Answer(q);
     q.late = q.late || now_ > q.aim_at;
     Enter(q);
@@ -921,7 +922,7 @@
       all += other.listed;
       out += other.listed && other.breaker.IsOpen(now_);
     }
-    if (out > kEjectMost * all) return;  // the trouble is not this engine's own
+    if (out > kMaxEjectedShare * all) return;  // the trouble is not this engine's own
     e.breaker.Open(now_, 0.8 + 0.4 * Random());
     out_->push_back(LogLine{"engine " + std::to_string(e.entry.engine) + " ejected: attempts fail"});
   }
--- a/src/decision/limits/circuit_breaker.h
+++ b/src/decision/limits/circuit_breaker.h
@@ -15,13 +15,13 @@
 
 class CircuitBreaker {
  public:
-  static constexpr double kOpensAt = 0.25;              // share of recent attempts that failed
-  static constexpr Nanos kBackoffLeast = 500'000'000;   // of the first opening ...
-  static constexpr Nanos kBackoffMost = 4'000'000'000;  // ... and the most: troubles last 5 to 30 s
+  static constexpr double kOpensAt = 0.25;             // share of recent attempts that failed
+  static constexpr Nanos kMinBackoff = 500'000'000;    // of the first opening ...
+  static constexpr Nanos kMaxBackoff = 4'000'000'000;  // ... and the most: troubles last 5 to 30 s
 
   void Succeeded(double weight) {
     failing_ -= weight * failing_;
-    if (failing_ < kOpensAt / 2) backoff_ = kBackoffLeast;
+    if (failing_ < kOpensAt / 2) backoff_ = kMinBackoff;
   }
 
   // Returns whether it should be opened now.
@@ -33,7 +33,7 @@
   // `jitter` scales the backoff, so that callers don't try again together.
   void Open(Nanos now, double jitter) {
     open_until_ = now + static_cast<Nanos>(static_cast<double>(backoff_) * jitter);
-    backoff_ = std::min(kBackoffMost, 2 * backoff_);
+    backoff_ = std::min(kMaxBackoff, 2 * backoff_);
     failing_ = kOpensAt;
   }
 
@@ -42,12 +42,12 @@
 
   bool IsOpen(Nanos now) const { return open_until_ > now; }
   // Half open after an opening: one attempt at a time, until successes have brought the share down.
-  bool OnTrial() const { return failing_ >= kOpensAt && backoff_ > kBackoffLeast; }
+  bool OnTrial() const { return failing_ >= kOpensAt && backoff_ > kMinBackoff; }
 
  private:
   double failing_ = 0;
   Nanos open_until_ = 0;
-  Nanos backoff_ = kBackoffLeast;
+  Nanos backoff_ = kMinBackoff;
 };
 
 }  // namespace lemoncroft::limits
--- a/src/decision/reports/reported_load.cpp
+++ b/src/decision/reports/reported_load.cpp
@@ -9,7 +9,7 @@
 std::optional<std::size_t> PlaceOf(ReportField field, const std::vector<ReportField>& fields) {
   const auto found = std::find(fields.begin(), fields.end(), field);
   const auto place = static_cast<std::size_t>(found - fields.begin());
-  if (place >= std::min(fields.size(), kReportFieldsMost)) return std::nullopt;
+  if (place >= std::min(fields.size(), kMaxReportFields)) return std::nullopt;
   return place;
 }
 
--- a/src/decision/reports/reported_load.h
+++ b/src/decision/reports/reported_load.h
@@ -30,12 +30,12 @@
   // told the engine's load.
   bool Take(const Promise& promise, const LoadReport& report, double own, Nanos now);
   // A report was due and none came.
-  void Missed() { missed_ += missed_ < kMissedMost; }
+  void Missed() { missed_ += missed_ < kMaxMissedReports; }
 
   // Whether the last report is young enough to decide by.
   bool Fresh(Nanos now) const { return at_ >= 0 && now - at_ < kFreshFor; }
   // Whether the engine doesn't keep the promise: what depends on its reports goes on without them.
-  bool Silent() const { return missed_ >= kMissedMost; }
+  bool Silent() const { return missed_ >= kMaxMissedReports; }
   // Queries that other gateways run there, by the last report.
   double others() const { return others_; }
   // The same now, when this gateway has `own` there: the others have read the same report, and each is taken
@@ -49,7 +49,7 @@
 
  private:
   static constexpr Nanos kFreshFor = 1'000'000'000;  // a load older than this has changed
-  static constexpr int kMissedMost = 3;              // in a row: one or two may be lost with their answers
+  static constexpr int kMaxMissedReports = 3;        // in a row: one or two may be lost with their answers
 
   Nanos at_ = -1;
   double others_ = 0, own_ = 0;
--- a/src/decision/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -25,7 +25,7 @@
 template <typename Engine>
 class RankingCache {
  public:
-  static constexpr std::size_t kPlacesMost = std::size_t{1} << 20;  // 8 MB
+  static constexpr std::size_t kMaxCachedPlaces = std::size_t{1} << 20;  // 8 MB
 
   void Clear() {
     orders_.clear();
@@ -47,7 +47,7 @@
   const std::vector<Engine*>& Ordered(std::map<EngineId, Engine>& engines, std::uint64_t key) {
     const auto known = orders_.find(key);
     if (known != orders_.end()) return known->second;
-    if (places_ + engines.size() > kPlacesMost) Clear();
+    if (places_ + engines.size() > kMaxCachedPlaces) Clear();
     const std::vector<Engine*>& order = orders_.emplace(key, Sorted(engines, key)).first->second;
     places_ += order.size();
     return order;
--- a/src/decision/subset/subset.cpp
+++ b/src/decision/subset/subset.cpp
@@ -7,8 +7,8 @@
 namespace lemoncroft::subset {
 namespace {
 
-constexpr double kShared = 25;            // gateways that share an engine: enough to smooth out their bursts
-constexpr std::size_t kSubsetLeast = 10;  // engines in a subset: room for cold and sick ones among them
+constexpr double kShared = 25;  // gateways that share an engine: enough to smooth out their bursts
+constexpr std::size_t kMinSubsetSize = 10;  // engines in a subset: room for cold and sick ones among them
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 
 std::size_t Size(std::size_t engines, int gateways) {
   const double wanted = std::ceil(static_cast<double>(engines) * kShared / std::max(1, gateways));
-  return std::min(engines, std::max(kSubsetLeast, static_cast<std::size_t>(wanted)));
+  return std::min(engines, std::max(kMinSubsetSize, static_cast<std::size_t>(wanted)));
 }
 
 std::vector<EngineId> ByNumber(const std::vector<EngineId>& engines, int gateways, int self) {
--- a/src/decision/subset/warm_tables.h
+++ b/src/decision/subset/warm_tables.h
@@ -17,14 +17,14 @@
   void Read(std::uint32_t group) {
     std::erase(groups_, group);
     groups_.push_front(group);
-    if (groups_.size() > kGroupsMost) groups_.pop_back();
+    if (groups_.size() > kMaxGroups) groups_.pop_back();
   }
   bool Holds(std::uint32_t group) const {
     return std::find(groups_.begin(), groups_.end(), group) != groups_.end();
   }
 
  private:
-  static constexpr std::size_t kGroupsMost = 4;  // assumed to fit into an engine's memory
+  static constexpr std::size_t kMaxGroups = 4;  // assumed to fit into an engine's memory
 
   std::deque<std::uint32_t> groups_;  // newest first
 };
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -25,8 +25,8 @@
 namespace {
 
 constexpr std::size_t kReadAtOnce = 16 * 1024;
-constexpr std::size_t kStreamsMost = 32;  // requests open on a connection
-constexpr auto kStalled = 5s;             // a client that takes nothing for so long is cut off
+constexpr std::size_t kMaxStreams = 32;  // requests open on a connection
+constexpr auto kStalled = 5s;            // a client that takes nothing for so long is cut off
 constexpr auto kNoDescriptorsPause = 20ms;
 constexpr int kAcceptsATurn = 16;
 // A client that says nothing, or leaves a frame half, is let go: by then it is owed an answer or a close.
@@ -35,14 +35,14 @@
 constexpr auto kRoomWithin = 500ms, kRoomPause = 10ms;  // of a newcomer that finds all connections busy
 constexpr auto kTellEvery = 10s;                        // in the log, at the most
 constexpr auto kLinger = 500ms;                         // for a client's own end, once its connection is shut
-constexpr auto kLingerLeast = 50ms;  // likewise where descriptors are short: a round trip and more
+constexpr auto kMinLinger = 50ms;  // likewise where descriptors are short: a round trip and more
 // One that goes on sending what can't be used is read this much more slowly, so that others are not.
 constexpr int kErrorsFree = 8;
 constexpr auto kErrorPause = 25ms;
 
-constexpr double kWorkMost = 100;   // estimates past this many times the class's deadline are no figures
-constexpr double kMemoryMost = 16;  // likewise, times the largest engine's memory
-constexpr double kLimitMost = 10;   // likewise, a client's patience, times the class's deadline
+constexpr double kMaxWorkFactor = 100;   // estimates past this many times the class's deadline are no figures
+constexpr double kMaxMemoryFactor = 16;  // likewise, times the largest engine's memory
+constexpr double kMaxTimeoutFactor = 10;  // likewise, a client's patience, times the class's deadline
 
 std::optional<double> ReadNumber(std::string_view text) {
   double value = 0;
@@ -139,8 +139,8 @@
 };
 
 FrameServer::FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener,
-                         const settings::ActiveSettings& site, broker::Broker& broker, metrics::Counters& counters,
-                         Limits limits)
+                         const settings::ActiveSettings& site, broker::Broker& broker,
+                         metrics::Counters& counters, Limits limits)
     : loop_(loop),
       site_(site),
       broker_(broker),
@@ -209,7 +209,7 @@
     const ConnectionPtr c = weak.lock();
     if (!c) continue;
     going += c->shut;
-    if (c->shut && !c->cut.cancelled() && now - c->shut_at > kLingerLeast && !lingers) lingers = c;
+    if (c->shut && !c->cut.cancelled() && now - c->shut_at > kMinLinger && !lingers) lingers = c;
     if (c->closed || c->stop_reading.cancelled() || !c->rests()) continue;
     const bool first = c->asked ? c->in.empty() && (!idle || c->active < idle->active)
                                 : now - c->opened > kNewFor && !silent;
@@ -414,7 +414,7 @@
   }
   c.asked = true;
   c.active = Now();
-  if (c.streams.size() >= kStreamsMost) {
+  if (c.streams.size() >= kMaxStreams) {
     ++c.errors;
     CountEnd(request.passed.lane, metrics::End::kShed);
     return Append(c, codec::kAnswerFrame, frame.stream, codec::kRefusedCode, {}, "too many open requests");
@@ -448,9 +448,9 @@
   const double deadline_ms = static_cast<double>(rules.deadline) / 1e6;
   double memory = 0;
   for (const KindSettings& kind : site_->module.kinds) memory = std::max(memory, kind.memory_mb);
-  const auto limit = figure("limit", deadline_ms, kLimitMost * deadline_ms);
-  const auto cpu = figure("cpu", 0, kWorkMost * deadline_ms);
-  const auto heap = figure("heap_mb", 0, kMemoryMost * memory);
+  const auto limit = figure("limit", deadline_ms, kMaxTimeoutFactor * deadline_ms);
+  const auto cpu = figure("cpu", 0, kMaxWorkFactor * deadline_ms);
+  const auto heap = figure("heap_mb", 0, kMaxMemoryFactor * memory);
   if (!limit || !cpu || !heap) return "figure unreadable or out of range";
   out.klass = *klass;
   out.tenant = *tenant;
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -23,7 +23,7 @@
 OfClass& Counters::Of(const std::string& klass) {
   const auto it = classes_.find(klass);
   if (it != classes_.end()) return it->second;
-  return classes_.size() < kClassesMost ? classes_[klass] : further_;
+  return classes_.size() < kMaxClasses ? classes_[klass] : further_;
 }
 
 std::string Counters::Text(const Gauges& gauges) const {
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -32,7 +32,7 @@
 
 class Counters {
  public:
-  static constexpr std::size_t kClassesMost = 4096;  // names kept; requests of further ones aren't told
+  static constexpr std::size_t kMaxClasses = 4096;  // names kept; requests of further ones aren't told
 
   // So that its figures are told before its first request; those of a class that has vanished stay.
   void Know(const std::string& klass) { Of(klass); }
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -15,7 +15,7 @@
 namespace lemoncroft::runtime {
 namespace {
 
-constexpr std::size_t kReadMost = std::size_t{16} * 1024;
+constexpr std::size_t kMaxReadBytes = std::size_t{16} * 1024;
 
 bool WouldBlock(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
@@ -91,7 +91,7 @@
 
 Task<Io> Socket::Read(std::string& into, std::size_t most, Time deadline, Cancellation* cancel) {
   // One for all sockets: a buffer grows by what has come, so that hundreds which wait hold no memory for it.
-  static thread_local std::array<char, kReadMost> scratch;
+  static thread_local std::array<char, kMaxReadBytes> scratch;
   for (;;) {
     const ssize_t n = ::recv(fd_.get(), scratch.data(), std::min(most, scratch.size()), 0);
     if (n > 0) into.append(scratch.data(), static_cast<std::size_t>(n));
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -9,13 +9,13 @@
 namespace lemoncroft::settings {
 namespace {
 
-constexpr std::size_t kNameMost = 64;                // characters
-constexpr std::size_t kNamesMost = 16'384;           // of one kind: well below what a 16-bit number can tell
-constexpr Nanos kDeadlineMost = 86'400'000'000'000;  // a day: past it, it is no figure
-constexpr Nanos kTickMost = 1'000'000'000;
-constexpr double kFigureMost = 1e9;
-constexpr int kAttemptsMost = 100;
-constexpr std::size_t kUnknownTold = 16;  // keys that nothing reads, named one by one
+constexpr std::size_t kMaxNameLength = 64;          // characters
+constexpr std::size_t kMaxNames = 16'384;           // of one kind: well below what a 16-bit number can tell
+constexpr Nanos kMaxDeadline = 86'400'000'000'000;  // a day: past it, it is no figure
+constexpr Nanos kMaxTick = 1'000'000'000;
+constexpr double kMaxValue = 1e9;
+constexpr int kMaxAttempts = 100;
+constexpr std::size_t kMaxUnknownKeysListed = 16;  // keys that nothing reads, named one by one
 
 // Every key of the settings' page. Members of lists are written with [] in the place of their number.
 constexpr std::string_view kKnownKeys[] = {
@@ -125,7 +125,7 @@
 
 // Names become fields of frames, headers and figures.
 bool IsName(const std::string& name) {
-  return !name.empty() && name.size() <= kNameMost &&
+  return !name.empty() && name.size() <= kMaxNameLength &&
          std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 0x7f && c != '='; });
 }
 
@@ -168,7 +168,7 @@
         Add(Severity::kError, what + ": '" + name + "' is there twice");
     }
     if (unusable) Add(Severity::kError, what + ": a name is missing or unusable");
-    if (names.size() > kNamesMost) Add(Severity::kError, what + ": more than " + std::to_string(kNamesMost));
+    if (names.size() > kMaxNames) Add(Severity::kError, what + ": more than " + std::to_string(kMaxNames));
   }
 
   void Word(Severity severity, const std::string& key, const std::string& where,
@@ -182,11 +182,11 @@
     const ClassSettings& c = site_.module.classes[i];
     const std::string key = "requestClasses." + std::to_string(i) + ".";
     const std::string where = "requestClasses '" + site_.classes[i] + "' ";
-    if (c.deadline <= 0 || c.deadline > kDeadlineMost) OutOfRange(where + "deadlineNs");
-    if (c.aim > kDeadlineMost) OutOfRange(where + "promiseNs");
-    if (!(c.worth >= 0 && c.worth <= kFigureMost)) OutOfRange(where + "credit");
+    if (c.deadline <= 0 || c.deadline > kMaxDeadline) OutOfRange(where + "deadlineNs");
+    if (c.aim > kMaxDeadline) OutOfRange(where + "promiseNs");
+    if (!(c.worth >= 0 && c.worth <= kMaxValue)) OutOfRange(where + "credit");
     if (!(c.late_worth >= 0 && c.late_worth <= 1)) OutOfRange(where + "lateWorth");
-    if (!(c.aim_stretch >= 0 && c.aim_stretch <= kFigureMost)) OutOfRange(where + "aimStretch");
+    if (!(c.aim_stretch >= 0 && c.aim_stretch <= kMaxValue)) OutOfRange(where + "aimStretch");
     Word(Severity::kError, key + "effect", where + "effect", {"pure", "token", "side_effect"}, "side_effect");
     Word(Severity::kError, key + "group", where + "group", {"all", "zone", "cell"}, "cell");
     if (in_.Time(key + "promiseNs") == 0 && c.aim_stretch <= 0)
@@ -220,14 +220,14 @@
   void Tenants() {
     for (std::size_t i = 0; i < site_.tenants.size(); ++i) {
       const double quota = site_.module.tenants[i].quota_per_s;
-      if (!(quota >= 0 && quota <= kFigureMost)) OutOfRange("tenants '" + site_.tenants[i] + "' quotaPerS");
+      if (!(quota >= 0 && quota <= kMaxValue)) OutOfRange("tenants '" + site_.tenants[i] + "' quotaPerS");
     }
     const double worth = site_.module.over_share_worth;
     if (!(worth >= 0 && worth <= 1)) Warn("overShareWorth: not between 0 and 1");
   }
 
   void Attempts() {
-    if (site_.module.max_attempts < 1 || site_.module.max_attempts > kAttemptsMost)
+    if (site_.module.max_attempts < 1 || site_.module.max_attempts > kMaxAttempts)
       OutOfRange("limits.maxAttempts");
     const bool window = in_.Has("guarantees.lookBackNs");
     const bool budget = in_.Has("guarantees.freeResends") || in_.Has("guarantees.extraRatio");
@@ -257,8 +257,8 @@
     if (!reports && !fields.empty()) Warn("report.fields: no source brings them");
     if (source == "probe" && !site_.module.may_probe)
       Warn("report.source: reports come with probes alone, and limits.probing allows none");
-    const bool too_many = fields.size() > kReportFieldsMost;
-    const auto read_end = too_many ? fields.begin() + kReportFieldsMost : fields.end();
+    const bool too_many = fields.size() > kMaxReportFields;
+    const auto read_end = too_many ? fields.begin() + kMaxReportFields : fields.end();
     if (too_many) Warn("report.fields: only the first four are read");
     if (reports && !fields.empty() && std::find(fields.begin(), read_end, "inflight") == read_end)
       Warn("report.fields: without inflight a report tells nothing that is used");
@@ -270,7 +270,7 @@
     if (in_.Has("siblings") && in_.Count("siblings") == 0) Warn("siblings: 0 is taken as 1");
     if (s.self >= std::max(1, s.gateways)) Warn("me: not below siblings");
     if (zones > 0 && s.zone >= zones) Warn("zone: the settings list no such zone");
-    if (s.tick > kTickMost) OutOfRange("tickNs");
+    if (s.tick > kMaxTick) OutOfRange("tickNs");
     const std::string mode = in_.Text("membershipMode");
     if (!mode.empty() && mode != "pushed" && mode != "on_request")
       Warn("membershipMode: '" + mode + "' is neither pushed nor on_request");
@@ -296,7 +296,7 @@
 
   void Sockets() {
     const Settings& s = site_.module;
-    if (s.connect_timeout > kDeadlineMost) OutOfRange("limits.connectTimeoutNs");
+    if (s.connect_timeout > kMaxDeadline) OutOfRange("limits.connectTimeoutNs");
     if (in_.Time("limits.connectTimeoutNs") == 0)
       Warn("limits.connectTimeoutNs: none; 250 ms is taken in its place");
     if (s.progress_every > 0)
@@ -312,11 +312,11 @@
     }
     std::size_t told = 0;
     for (const std::string& key : unknown) {
-      if (++told > kUnknownTold) break;
+      if (++told > kMaxUnknownKeysListed) break;
       Warn(key + ": unknown, without effect");
     }
-    if (unknown.size() > kUnknownTold)
-      Warn("*: " + std::to_string(unknown.size() - kUnknownTold) + " further keys are unknown");
+    if (unknown.size() > kMaxUnknownKeysListed)
+      Warn("*: " + std::to_string(unknown.size() - kMaxUnknownKeysListed) + " further keys are unknown");
   }
 
   const Pairs& in_;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1153,10 +1153,10 @@
 TEST(RankingCache, IsBoundedHoweverManyKeysThereAre) {
   RankedEngines engines = EnginesTo(4400);
   subset::RankingCache<RankedEngine> cache;
-  const std::size_t keys = 2 * cache.kPlacesMost / engines.size();
+  const std::size_t keys = 2 * cache.kMaxCachedPlaces / engines.size();
   for (std::uint64_t key = 0; key < keys; ++key) {
     cache.Rank(engines, key, [](const RankedEngine&) { return true; });
-    ASSERT_LE(cache.places(), cache.kPlacesMost);
+    ASSERT_LE(cache.places(), cache.kMaxCachedPlaces);
   }
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -19,13 +19,13 @@
   EXPECT_FALSE(breaker.Failed(0.15, 0));
   EXPECT_TRUE(breaker.Failed(0.15, 0));
   breaker.Open(0, 1);
-  EXPECT_TRUE(breaker.IsOpen(limits::CircuitBreaker::kBackoffLeast - 1));
-  EXPECT_FALSE(breaker.IsOpen(limits::CircuitBreaker::kBackoffLeast));
+  EXPECT_TRUE(breaker.IsOpen(limits::CircuitBreaker::kMinBackoff - 1));
+  EXPECT_FALSE(breaker.IsOpen(limits::CircuitBreaker::kMinBackoff));
   EXPECT_TRUE(breaker.OnTrial());
   const Nanos later = kSecond;
   EXPECT_TRUE(breaker.Failed(0.15, later)) << "the trial failed";
   breaker.Open(later, 1);
-  EXPECT_TRUE(breaker.IsOpen(later + 2 * limits::CircuitBreaker::kBackoffLeast - 1));
+  EXPECT_TRUE(breaker.IsOpen(later + 2 * limits::CircuitBreaker::kMinBackoff - 1));
   for (int i = 0; i < 10; ++i) breaker.Succeeded(0.15);
   EXPECT_FALSE(breaker.OnTrial());
 }
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -91,9 +91,9 @@
   std::string deep;
   for (int i = 0; i < 10'000; ++i) deep += "a {";
   EXPECT_NE(Shown(deep).find("nested too deeply"), std::string::npos);
-  EXPECT_NE(Shown(std::string(codec::kKdlBytesMost + 1, ' ')).find("too large"), std::string::npos);
+  EXPECT_NE(Shown(std::string(codec::kMaxKdlBytes + 1, ' ')).find("too large"), std::string::npos);
   std::string many;
-  for (std::size_t i = 0; i <= codec::kKdlNodesMost; ++i) many += "a\n";
+  for (std::size_t i = 0; i <= codec::kMaxKdlNodes; ++i) many += "a\n";
   EXPECT_NE(Shown(many).find("too many nodes"), std::string::npos);
 }
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -29,9 +29,9 @@
 
 TEST(Call, IsBounded) {
   admin::LineReader reader;
-  EXPECT_EQ(reader.Feed(std::string(admin::kLineMost, 'x')), admin::LineReader::State::kNeedMore);
+  EXPECT_EQ(reader.Feed(std::string(admin::kMaxLineBytes, 'x')), admin::LineReader::State::kNeedMore);
   EXPECT_EQ(reader.Feed("xx"), admin::LineReader::State::kTooLong);
-  EXPECT_LE(reader.line().size(), admin::kLineMost + 1);
+  EXPECT_LE(reader.line().size(), admin::kMaxLineBytes + 1);
 }
 
 // ---- Files that are broken ----
@@ -97,7 +97,7 @@
 TEST(Counters, AreBounded) {
   metrics::Counters counters;
   for (int i = 0; i < 10'000; ++i) counters.Taken("class-" + std::to_string(i));
-  EXPECT_EQ(counters.classes().size(), metrics::Counters::kClassesMost);
+  EXPECT_EQ(counters.classes().size(), metrics::Counters::kMaxClasses);
 }
 
 }  // namespace
