--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -130,7 +130,7 @@
     const runtime::Span left = attempt.deadline - Now();
     if (left <= runtime::Span::zero()) co_return Outcome::kMoot;
     // This process may have been stopped since the request was taken, for longer than its lease.
-    if (authority_ != nullptr && !authority_->Acts(passed.lane, attempt.engine, attempt.again)) {
+    if (lease_fence_ != nullptr && !lease_fence_->RecordSend(passed.lane, attempt.engine, attempt.again)) {
       co_await loop_.Sleep(kWithoutLease, &query.cancel);  // the module may try another at once
       co_return Outcome::kMoot;
     }
--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "backend/pool.h"
-#include "broker/authority.h"
+#include "broker/lease_fence.h"
 #include "broker/request.h"
 #include "lemoncroft/gateway.h"
 #include "metrics/counters.h"
@@ -62,7 +62,7 @@
   bool giving_up() const { return orders_ > 0; }  // an engine is still to be told of something
   Pool& pool() { return pool_; }
   // Asked just before each statement goes out; null: none is.
-  void set_authority(broker::Authority* authority) { authority_ = authority; }
+  void set_lease_fence(broker::LeaseFence* lease_fence) { lease_fence_ = lease_fence; }
   void set_connect_timeout(runtime::Span span) { connect_timeout_ = span; }
   // Names of the values in load reports, in the order of Settings::report_fields; empty: there are no
   // reports.
@@ -88,7 +88,7 @@
   metrics::Counters& counters_;
   Pool pool_;
   runtime::Span connect_timeout_;
-  broker::Authority* authority_ = nullptr;
+  broker::LeaseFence* lease_fence_ = nullptr;
   std::vector<std::string> report_fields_;
   int orders_ = 0;  // under way
 };
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -88,7 +88,7 @@
   counters_.Taken(lane);
   const std::size_t bytes = request.passed.bytes();
   // Refused before the module hears of it: nothing ran, and the process lives.
-  const bool allowed = authority_ == nullptr || authority_->Takes(lane);
+  const bool allowed = lease_fence_ == nullptr || lease_fence_->AdmitsClass(lane);
   if (closed_ || !allowed || lives_.size() >= limits_.requests || bytes_ + bytes > limits_.bytes) {
     Finish(lane, *sink, {Verdict::kRefused, ComeBackMost(), {}});
     return 0;
@@ -254,10 +254,10 @@
 
 // Cut off from the rules, and nothing of the request can have run: it gets its answer at once.
 bool Broker::Forbidden(const Life& life, const Send& send) const {
-  if (authority_ == nullptr) return false;
+  if (lease_fence_ == nullptr) return false;
   const bool again =
       std::any_of(life.attempts.begin(), life.attempts.end(), [](const auto& a) { return a->out || a->ran; });
-  return !again && !authority_->Allows(life.request.passed.lane, send.engine);
+  return !again && !lease_fence_->PermitsSend(life.request.passed.lane, send.engine);
 }
 
 // An attempt that the module counts and that was never made.
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "backend/engines.h"
-#include "broker/authority.h"
+#include "broker/lease_fence.h"
 #include "broker/line_host.h"
 #include "broker/module_host.h"
 #include "broker/request.h"
@@ -41,9 +41,9 @@
   void PutLineAhead(admission_queue::Settings settings);
   LineHost* line() { return line_.get(); }  // null without one
   // What allows acts under the rules; before Start. Null: all are allowed.
-  void set_authority(Authority* authority) {
-    authority_ = authority;
-    engines_.set_authority(authority);
+  void set_lease_fence(LeaseFence* lease_fence) {
+    lease_fence_ = lease_fence;
+    engines_.set_lease_fence(lease_fence);
   }
   void Start();
   // Takes a request; its answer may come within the call. Returns the number to abandon it by.
@@ -130,7 +130,7 @@
   std::size_t open_ = 0;
   std::size_t bytes_ = 0;
   bool closed_ = false;
-  Authority* authority_ = nullptr;
+  LeaseFence* lease_fence_ = nullptr;
 };
 
 }  // namespace lemoncroft::broker
--- a/src/broker/authority.h
+++ b/src/broker/lease_fence.h
@@ -3,8 +3,8 @@
 //
 // Contract. Answers for this instant and this turn of the loop alone. Without one every act is allowed.
 // Owner: the proxy's wiring.
-#ifndef LEMONCROFT_BROKER_AUTHORITY_H_
-#define LEMONCROFT_BROKER_AUTHORITY_H_
+#ifndef LEMONCROFT_BROKER_LEASE_FENCE_H_
+#define LEMONCROFT_BROKER_LEASE_FENCE_H_
 
 #include <string>
 
@@ -12,18 +12,18 @@
 
 namespace lemoncroft::broker {
 
-class Authority {
+class LeaseFence {
  public:
-  virtual ~Authority() = default;
+  virtual ~LeaseFence() = default;
   // Whether requests of that class are taken at all.
-  virtual bool Takes(const std::string& klass) = 0;
+  virtual bool AdmitsClass(const std::string& klass) = 0;
   // Whether a statement of that class might go to the engine at this instant.
-  virtual bool Allows(const std::string& klass, EngineId engine) = 0;
+  virtual bool PermitsSend(const std::string& klass, EngineId engine) = 0;
   // The same in the turn in which it goes: a yes is an act, and is noted. `again`: engines may have it
   // already.
-  virtual bool Acts(const std::string& klass, EngineId engine, bool again) = 0;
+  virtual bool RecordSend(const std::string& klass, EngineId engine, bool again) = 0;
 };
 
 }  // namespace lemoncroft::broker
 
-#endif  // LEMONCROFT_BROKER_AUTHORITY_H_
+#endif  // LEMONCROFT_BROKER_LEASE_FENCE_H_
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -17,7 +17,7 @@
 #include "broker/broker.h"
 #include "cli/fleet.h"
 #include "cli/operations.h"
-#include "cli/rules.h"
+#include "cli/replicated_config_service.h"
 #include "cli/state.h"
 #include "cli/state_writer.h"
 #include "discovery/directory.h"
@@ -144,7 +144,7 @@
   std::string state;                                      // file; empty: none
   const operator_config::FleetSettings* fleet = nullptr;  // null: off
   std::optional<admission_queue::Settings> own_line;  // as the operator's file has it; none: no waiting line
-  Rules* rules = nullptr;                             // null: off
+  ReplicatedConfigService* rules = nullptr;           // null: off
   bool tidying = false;
 };
 
@@ -161,13 +161,14 @@
 
 // Settings of this proxy's own, as the rules that the fleet agrees on change them.
 settings::Site UnderRules(const Running& running, const settings::Site& own) {
-  return running.rules == nullptr ? own : replicated_config::Applied(running.rules->document(), own);
+  return running.rules == nullptr ? own : replicated_config::ApplyDocument(running.rules->document(), own);
 }
 
 void PutLineInForce(Running& running, const replicated_config::Document* document) {
   if (!running.own_line) return;
-  running.broker.line()->Configure(
-      document == nullptr ? *running.own_line : replicated_config::Applied(*document, *running.own_line));
+  running.broker.line()->Configure(document == nullptr
+                                       ? *running.own_line
+                                       : replicated_config::ApplyDocument(*document, *running.own_line));
 }
 
 // A process is started with these for good.
@@ -206,7 +207,7 @@
       spdlog::warn("{}: rules changes by a restart only; it stays as it was", paths.operator_file);
     if (running.rules != nullptr) {
       const std::string why =
-          running.rules->WhyNot(config.site, file.waiting ? &file.waiting->line : nullptr);
+          running.rules->CheckCompatible(config.site, file.waiting ? &file.waiting->line : nullptr);
       if (!why.empty()) throw ConfigError("the rules in force can't be carried: " + why);
     }
     if (file.fleet && *file.fleet != *running.fleet)
@@ -385,7 +386,7 @@
   // Before the list: what a cold engine takes may have been sent it just now.
   if (census && census->Look().holding.serves > 0) broker.TellBeside(2);
   std::unique_ptr<Fleet> fleet;
-  std::unique_ptr<Rules> rules;
+  std::unique_ptr<ReplicatedConfigService> rules;
   if (file.fleet) {
     fleet = std::make_unique<Fleet>(
         loop, *file.fleet, config.name, config.seed,
@@ -394,7 +395,7 @@
     operations.AddFigures([&] {
       auto figures = fleet->Figures();
       if (rules == nullptr) return figures;
-      const auto more = rules->Figures();
+      const auto more = rules->Metrics();
       figures.insert(figures.end(), more.begin(), more.end());
       return figures;
     });
@@ -414,19 +415,21 @@
   }
   if (file.rules) {
     const auto put_in_force = [&](const replicated_config::Document& document) {
-      PutInForce(running, Succeed(*running.site, replicated_config::Applied(document, running.config.site),
-                                  running.broker.used()));
+      PutInForce(running,
+                 Succeed(*running.site, replicated_config::ApplyDocument(document, running.config.site),
+                         running.broker.used()));
       PutLineInForce(running, &document);
       loop.Spawn(Tidy(loop, running));
     };
-    rules = std::make_unique<Rules>(loop, *fleet, *file.rules, config.name, directory, tell,
-                                    Rules::Own{[&]() -> const settings::Site& { return running.config.site; },
-                                               [&]() -> const admission_queue::Settings* {
-                                                 return running.own_line ? &*running.own_line : nullptr;
-                                               },
-                                               put_in_force});
+    rules = std::make_unique<ReplicatedConfigService>(
+        loop, *fleet, *file.rules, config.name, directory, tell,
+        ReplicatedConfigService::LocalConfig{[&]() -> const settings::Site& { return running.config.site; },
+                                             [&]() -> const admission_queue::Settings* {
+                                               return running.own_line ? &*running.own_line : nullptr;
+                                             },
+                                             put_in_force});
     running.rules = rules.get();
-    broker.set_authority(rules.get());
+    broker.set_lease_fence(rules.get());
     operations.set_agreed();
     operations.may_serve = [&] { return rules->ready(); };
     rules->Start();
@@ -448,7 +451,7 @@
         loop, *config.management, [&](const admin::Call& call) { return operations.Answer(call); });
     if (rules != nullptr)
       operators->after = [&](admin::Call call, admin::Reply reply) {
-        return rules->ByHand(std::move(call), std::move(reply));
+        return rules->ReplicateManualEjection(std::move(call), std::move(reply));
       };
     loop.Spawn(operators->Run());
   }
@@ -459,7 +462,7 @@
       loop.Spawn(Tidy(loop, running));
     }
     operations.set_phase(Operations::Phase::kEnding);
-    if (rules != nullptr) rules->End();
+    if (rules != nullptr) rules->Shutdown();
     co_await End(loop, server, broker, site, shared, fleet.get());
   };
   loop.Spawn(handle_signals());
--- /dev/null
+++ b/src/cli/replicated_config_service.cpp
@@ -0,0 +1,720 @@
+#include "cli/replicated_config_service.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <charconv>
+#include <nlohmann/json.hpp>
+#include <random>
+#include <sstream>
+
+#include "cli/config.h"
+#include "cli/state.h"
+#include "raft/codec.h"
+
+namespace lemoncroft::cli {
+
+using nlohmann::ordered_json;
+using replicated_config::Document;
+using replicated_config::Version;
+using runtime::Now;
+using runtime::Span;
+using runtime::Task;
+using runtime::Time;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr auto kPublishInterval = 50ms;             // of what the others are told of this proxy
+constexpr auto kHeldStoreRetryInterval = 200ms;     // a store that another process of this proxy still has
+constexpr auto kFailedStoreRetryInterval = 2000ms;  // one that failed
+constexpr auto kManualEjectionTimeout = 850ms;      // of an operator's call
+constexpr auto kReconcileRetryInterval = 100ms, kRejectedRetryInterval = 2000ms;
+constexpr auto kChangeTimeout = 4000ms, kForwardTimeout = 1500ms;
+constexpr std::size_t kMaxPendingCalls = 64;
+constexpr std::uint64_t kBootstrapVotersWrite = (std::uint64_t{1} << 40) - 1, kEpochShift = 40;
+constexpr const char* kStoreAttribute = "store";
+constexpr const char* kStateAttribute = "rules";
+
+std::uint64_t Draw() {
+  std::random_device device;
+  return (std::uint64_t{device()} << 32 | device()) | 1;
+}
+
+std::int64_t MonoUs(Time at) {
+  return std::chrono::duration_cast<std::chrono::microseconds>(at.time_since_epoch()).count();
+}
+
+// ---- A voter's store: records "store", "founders", "promise", "snapshot", and the log ----
+
+std::string FoundersText(const replicated_config::BootstrapVoters& bootstrap_voters) {
+  std::string out;
+  for (const auto& [name, store] : bootstrap_voters) out += name + " " + std::to_string(store) + "\n";
+  return out;
+}
+
+replicated_config::BootstrapVoters ReadFounders(const std::string& text) {
+  replicated_config::BootstrapVoters bootstrap_voters;
+  std::istringstream in(text);
+  std::string name;
+  for (std::uint64_t store = 0; in >> name >> store;) bootstrap_voters[name] = store;
+  return bootstrap_voters;
+}
+
+storage::Batch BatchOf(const raft::StorageUpdate& store) {
+  storage::Batch batch;
+  batch.records.emplace_back("promise", raft::Encode(store.hard_state));
+  if (store.replaces_log) {
+    batch.records.emplace_back("snapshot", raft::Encode(store.snapshot));
+    batch.cut_before = store.snapshot.index;
+  }
+  batch.cut_behind = store.replaces_log ? store.snapshot.index : store.truncate_after;
+  for (const raft::Entry& entry : store.entries) batch.log.emplace_back(entry.index, raft::Encode(entry));
+  return batch;
+}
+
+// Nothing where it holds what is none of ours.
+std::optional<replicated_config::StoredState> StoredOf(const storage::Contents& contents) {
+  replicated_config::StoredState out;
+  const auto record = [&](const char* name) -> std::string {
+    const auto it = contents.records.find(name);
+    return it == contents.records.end() ? std::string() : it->second;
+  };
+  const std::string store = record("store"), promise = record("promise"), snapshot = record("snapshot");
+  std::from_chars(store.data(), store.data() + store.size(), out.store);
+  out.bootstrap_voters = ReadFounders(record("founders"));
+  if (!promise.empty()) {
+    const auto read = raft::DecodeHardState(promise);
+    if (!read) return std::nullopt;
+    out.persistent_state.hard_state = *read;
+  }
+  if (!snapshot.empty()) {
+    auto read = raft::DecodeSnapshot(snapshot);
+    if (!read) return std::nullopt;
+    out.persistent_state.snapshot = std::move(*read);
+  }
+  for (const auto& [number, bytes] : contents.log) {
+    auto entry = raft::DecodeEntry(bytes);
+    const raft::Index before = out.persistent_state.log.empty() ? out.persistent_state.snapshot.index
+                                                                : out.persistent_state.log.back().index;
+    if (!entry || entry->index != number || number != before + 1) return std::nullopt;
+    out.persistent_state.log.push_back(std::move(*entry));
+  }
+  return out;
+}
+
+ordered_json Json(const replicated_config::ChangeOutcome& outcome) {
+  return {{"id", outcome.id},
+          {"verdict", replicated_config::NameOf(outcome.status)},
+          {"version", outcome.version},
+          {"why", outcome.reason}};
+}
+
+std::string Dump(const ordered_json& json) {
+  return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
+}
+
+std::string Error(const std::string& text) { return Dump({{"error", text}}); }
+
+}  // namespace
+
+replicated_config::ConfigReplicaOptions ReplicatedConfigService::ReplicaOptionsOf(
+    const operator_config::RulesSettings& settings, const std::string& name) {
+  replicated_config::ConfigReplicaOptions options;
+  options.self = name;
+  options.initial_voters = settings.voters;
+  options.lease.duration = settings.lease;
+  options.lease.renewal_interval = settings.beat;
+  options.format = replicated_config::kNewestDocumentFormat;
+  return options;
+}
+
+replicated_config::ConfigReplica::DocumentChecks ReplicatedConfigService::MakeDocumentChecks() {
+  replicated_config::ConfigReplica::DocumentChecks checks;
+  checks.check_successor = [](const replicated_config::VersionRecord* from,
+                              const std::string& text) -> std::string {
+    const auto to = replicated_config::ParseDocument(text);
+    if (const auto* wrong = std::get_if<std::string>(&to)) return *wrong;
+    if (from == nullptr) return {};
+    const auto before = replicated_config::ParseDocument(from->document);
+    const auto* good = std::get_if<Document>(&before);
+    return good == nullptr ? std::string() : replicated_config::CheckSuccessor(*good, std::get<Document>(to));
+  };
+  checks.check_compatible = [this](const std::string& text) -> std::string {
+    const auto to = replicated_config::ParseDocument(text);
+    if (const auto* wrong = std::get_if<std::string>(&to)) return *wrong;
+    return replicated_config::CheckCompatible(std::get<Document>(to), local_config_.site(),
+                                              local_config_.queue());
+  };
+  checks.required_format = [](const std::string& text) -> std::uint64_t {
+    const auto document = replicated_config::ParseDocument(text);
+    const auto* good = std::get_if<Document>(&document);
+    return good == nullptr ? 0 : good->format;
+  };
+  checks.isolation_duration = [](const std::string& text) -> Span {
+    const auto document = replicated_config::ParseDocument(text);
+    const auto* good = std::get_if<Document>(&document);
+    return good == nullptr ? Span() : good->isolation.duration;
+  };
+  return checks;
+}
+
+ReplicatedConfigService::ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
+                                                 const operator_config::RulesSettings& settings,
+                                                 const std::string& name, discovery::Directory& directory,
+                                                 discovery::Directory::Tell tell, LocalConfig own)
+    : loop_(loop),
+      fleet_(fleet),
+      settings_(settings),
+      name_(name),
+      directory_(directory),
+      tell_(std::move(tell)),
+      local_config_(std::move(own)),
+      replica_(ReplicaOptionsOf(settings, name), fleet.view().roster().self(), MakeDocumentChecks(), Draw(),
+               Now()),
+      notification_pacer_(Draw()) {
+  const bool votes = std::find(settings.voters.begin(), settings.voters.end(), name) != settings.voters.end();
+  if (votes && settings.store.empty())
+    throw ConfigError("rules: " + name + " is one of the voters: it needs a `store`");
+  if (!settings.store.empty())
+    worker_ = std::make_unique<storage::Worker>(
+        loop, storage::Database::Terms{settings.store, fleet.settings().name + "/" + name});
+  fleet_.link().on_parcel = [this](const peer_transport::Parcel& parcel) {
+    if (parcel.part != peer_transport::Part::kRules) return;
+    if (const auto message = replicated_config::DecodeMessage(parcel.bytes)) {
+      replica_.Receive(Now(), parcel.from, *message);
+      DispatchOutputs();
+    }
+  };
+  fleet_.link().on_call = [this](std::string bytes) { return HandleCall(std::move(bytes)); };
+}
+
+void ReplicatedConfigService::Start() {
+  if (worker_) {
+    opening_store_ = true;
+    worker_->Open();
+    loop_.Spawn(RunStore());
+  }
+  loop_.Spawn(RunTimers());
+  loop_.Spawn(PublishState());
+  loop_.Spawn(ReconcileManualEjections());
+}
+
+void ReplicatedConfigService::Shutdown() {
+  replica_.Resign(Now());
+  DispatchOutputs();
+}
+
+Task<> ReplicatedConfigService::RunTimers() {
+  for (;;) {
+    planned_at_ = replica_.due();
+    if (planned_at_ > Now()) co_await runtime::Waiter(loop_, &timer_changed_, planned_at_);
+    planned_at_ = runtime::kNever;
+    if (replica_.due() <= Now()) {
+      replica_.Step(Now());
+      DispatchOutputs();
+    }
+    co_await loop_.NextTurn();
+  }
+}
+
+void ReplicatedConfigService::DispatchOutputs() {
+  for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
+    for (const replicated_config::ConfigReplicaOutput& output : outputs) HandleOutput(output);
+  if (replica_.due() < planned_at_) timer_changed_.Open();
+}
+
+// The process of that name that has the store, where two live.
+const gossip::Member* ReplicatedConfigService::FindProcess(const raft::NodeId& name) const {
+  const gossip::Member* best = nullptr;
+  const auto rank = [](const gossip::Member& m) {
+    const bool store = std::any_of(m.record.attributes.begin(), m.record.attributes.end(),
+                                   [](const gossip::Attribute& a) { return a.key == kStoreAttribute; });
+    const bool lives = m.status == gossip::Status::kAlive || m.status == gossip::Status::kSuspect;
+    return std::tuple(lives, store, m.record.generation);
+  };
+  for (const auto& [id, member] : fleet_.view().roster().all())
+    if (member.record.name == name && (best == nullptr || rank(member) > rank(*best))) best = &member;
+  return best;
+}
+
+void ReplicatedConfigService::HandleOutput(const replicated_config::ConfigReplicaOutput& output) {
+  if (const auto* post = std::get_if<replicated_config::SendMessage>(&output)) {
+    const auto* name = std::get_if<raft::NodeId>(&post->to);
+    const gossip::Member* to =
+        name != nullptr ? FindProcess(*name)
+                        : fleet_.view().roster().Find(std::get<replicated_config::Instance>(post->to));
+    if (to != nullptr)
+      fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
+                         replicated_config::Encode(post->message));
+  } else if (const auto* keep = std::get_if<replicated_config::Persist>(&output)) {
+    WriteBatch(keep->update.number, BatchOf(keep->update));
+  } else if (const auto* bootstrap_voters = std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
+    storage::Batch batch;
+    batch.records.emplace_back("founders", FoundersText(bootstrap_voters->bootstrap_voters));
+    WriteBatch(kBootstrapVotersWrite, std::move(batch));
+  } else if (const auto* learnt = std::get_if<replicated_config::DocumentReceived>(&output)) {
+    const auto document = replicated_config::ParseDocument(learnt->document);
+    const auto* wrong = std::get_if<std::string>(&document);
+    const std::string why =
+        wrong != nullptr ? *wrong
+                         : replicated_config::CheckCompatible(std::get<Document>(document),
+                                                              local_config_.site(), local_config_.queue());
+    if (why.empty()) {
+      spdlog::info("rules event=prepared version={} mono_us={}", learnt->version, MonoUs(Now()));
+      replica_.MarkPrepared(Now(), learnt->version);
+    } else {
+      spdlog::error("rules: this proxy can't carry version {}: {}", learnt->version, why);
+      replica_.MarkIncompatible(learnt->version);
+    }
+  } else if (const auto* active_version = std::get_if<replicated_config::VersionActivated>(&output)) {
+    Activate(active_version->version);
+  } else if (const auto* finished = std::get_if<replicated_config::RequestCompleted>(&output)) {
+    const auto it = pending_calls_.find(finished->outcome.id);
+    if (it == pending_calls_.end()) return;
+    it->second->finished = *finished;
+    it->second->gate.Open();
+  } else if (const auto* say = std::get_if<replicated_config::LogEvent>(&output)) {
+    spdlog::log(say->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", say->text,
+                MonoUs(Now()));
+  }
+}
+
+// ---- The store ----
+
+void ReplicatedConfigService::WriteBatch(std::uint64_t number, storage::Batch batch) {
+  if (!worker_->Write(epoch_ << kEpochShift | number, std::move(batch)))
+    StepDown("the disk is too slow: " + std::to_string(worker_->queued()) + " batches wait for it");
+}
+
+void ReplicatedConfigService::StepDown(const std::string& why) {
+  if (opening_store_) return;
+  ++step_downs_;
+  spdlog::error("rules: this voter steps back: {}", why);
+  replica_.CloseStore();
+  opening_store_ = true;
+  loop_.Spawn(ReopenStore(kFailedStoreRetryInterval));
+}
+
+Task<> ReplicatedConfigService::ReopenStore(Span after) {
+  co_await loop_.Sleep(after);
+  worker_->Open();
+}
+
+Task<> ReplicatedConfigService::RunStore() {
+  for (;;) {
+    storage::Worker::Done done = co_await worker_->Next();
+    if (done.opened) {
+      OnStoreOpened(done);
+    } else if (done.number >> kEpochShift == epoch_ && !opening_store_) {
+      slowest_sync_ = std::max(slowest_sync_, done.took);
+      if (done.health != storage::Health::kDone)
+        StepDown(std::string(storage::NameOf(done.health)) + ": " + done.why);
+      else if (const std::uint64_t number = done.number & kBootstrapVotersWrite;
+               number == kBootstrapVotersWrite)
+        replica_.OnBootstrapVotersStored(Now());
+      else if (number > 0)
+        replica_.OnStored(Now(), number);
+    }
+    DispatchOutputs();
+  }
+}
+
+void ReplicatedConfigService::OnStoreOpened(storage::Worker::Done& done) {
+  std::optional<replicated_config::StoredState> stored;
+  if (done.health == storage::Health::kDone) {
+    stored = StoredOf(done.contents);
+    if (!stored)
+      done.why = settings_.store + ": holds what is none of ours", done.health = storage::Health::kDamaged;
+  }
+  if (!stored) {
+    if (!std::exchange(reported_unavailable_, true))
+      spdlog::warn("rules: the store can't be opened, this voter waits: {}: {}", storage::NameOf(done.health),
+                   done.why);
+    loop_.Spawn(ReopenStore(done.health == storage::Health::kHeld ? Span(kHeldStoreRetryInterval)
+                                                                  : Span(kFailedStoreRetryInterval)));
+    return;
+  }
+  opening_store_ = reported_unavailable_ = false;
+  ++epoch_;
+  if (stored->store == 0) {
+    stored->store = Draw();
+    storage::Batch batch;
+    batch.records.emplace_back("store", std::to_string(stored->store));
+    WriteBatch(0, std::move(batch));
+  }
+  spdlog::info("rules: store {} opened, log up to {}", settings_.store,
+               stored->persistent_state.log.empty() ? stored->persistent_state.snapshot.index
+                                                    : stored->persistent_state.log.back().index);
+  fleet_.link().SetAttribute(kStoreAttribute, "1");
+  replica_.OpenStore(Now(), std::move(*stored));
+}
+
+// ---- What is in force ----
+
+void ReplicatedConfigService::Activate(Version version) {
+  const std::string* text = replica_.FindDocument(version);
+  const auto read = text == nullptr ? std::variant<Document, std::string>(Document())
+                                    : replicated_config::ParseDocument(*text);
+  const auto* document = std::get_if<Document>(&read);
+  if (document == nullptr || (text == nullptr && version > 0)) return;
+  try {
+    local_config_.activate(*document);
+  } catch (const std::exception& e) {
+    spdlog::error("rules: version {} can't be put in force here: {}", version, e.what());
+    return;
+  }
+  document_ = *document;
+  active_version_ = version;
+  std::erase_if(manual_ejections_, [&](const auto& ejection) {
+    return ejection.second.committed_version > 0 && ejection.second.committed_version <= version;
+  });
+  ApplyEjections();
+  spdlog::info("rules event=in_force version={} mono_us={}", version, MonoUs(Now()));
+}
+
+void ReplicatedConfigService::ApplyEjections() {
+  // What is asked for here holds here at once where it sends less, and once it is in force where it sends
+  // more.
+  std::set<std::string> out = document_.ejected_engines;
+  for (const auto& [engine, ejection] : manual_ejections_)
+    if (ejection.ejected) out.insert(engine);
+  directory_.TakeOver(out, {}, tell_);
+}
+
+std::optional<Version> ReplicatedConfigService::UsableVersion() const {
+  const std::optional<Version> version = replica_.UsableVersion(Now());
+  return version && *version == active_version_ ? version : std::nullopt;
+}
+
+// Cut off: what the version itself lets go on, for the time that it says.
+bool ReplicatedConfigService::PermittedInIsolation(const std::string& class_name, EngineId engine) const {
+  const replicated_config::IsolationPolicy& cut_off = document_.isolation;
+  const replicated_config::LeaseHolder& holder = replica_.holder();
+  if (!cut_off.classes.contains(class_name) || active_version_ != holder.active_version() ||
+      holder.clock_rates_differ())
+    return false;
+  if (Now() >= holder.lease_expiry() + cut_off.duration) return false;
+  if (engine == 0) return true;
+  const discovery::Member* member = directory_.Find(engine);
+  return member != nullptr && cut_off.engines.contains(member->name);
+}
+
+bool ReplicatedConfigService::AdmitsClass(const std::string& class_name) {
+  if (UsableVersion() || PermittedInIsolation(class_name, 0)) return true;
+  ++rejected_sends_;
+  return false;
+}
+
+bool ReplicatedConfigService::PermitsSend(const std::string& class_name, EngineId engine) {
+  return UsableVersion() || PermittedInIsolation(class_name, engine);
+}
+
+bool ReplicatedConfigService::RecordSend(const std::string& class_name, EngineId engine, bool again) {
+  const std::optional<Version> version = UsableVersion();
+  const bool kept =
+      !version && PermittedInIsolation(class_name, engine) && !again;  // once, where it is cut off
+  if (!version && !kept) {
+    ++rejected_sends_;
+    return false;
+  }
+  ++(kept ? isolated_sends_ : sends_);
+  const discovery::Member* member = directory_.Find(engine);
+  spdlog::debug("rules act={} version={} class={} engine={} mono_us={}",
+                kept    ? "kept"
+                : again ? "again"
+                        : "send",
+                version.value_or(active_version_), class_name, member == nullptr ? "-" : member->name,
+                MonoUs(Now()));
+  return true;
+}
+
+std::string ReplicatedConfigService::CheckCompatible(const settings::Site& site,
+                                                     const admission_queue::Settings* queue) const {
+  return replicated_config::CheckCompatible(document_, site, queue);
+}
+
+// What the others are told of this proxy, and the log of its being cut off.
+Task<> ReplicatedConfigService::PublishState() {
+  for (;; co_await loop_.Sleep(kPublishInterval)) {
+    const bool cut_off = !UsableVersion();
+    if (std::exchange(isolated_, cut_off) != cut_off)
+      spdlog::log(
+          cut_off ? spdlog::level::warn : spdlog::level::info,
+          "rules event={} version={} lease_ms={} mono_us={}", cut_off ? "cut_off" : "leased", active_version_,
+          std::chrono::duration_cast<std::chrono::milliseconds>(replica_.holder().lease_expiry() - Now())
+              .count(),
+          MonoUs(Now()));
+    const std::string state = std::to_string(active_version_) + "/" +
+                              std::to_string(replica_.holder().prepared_version()) +
+                              (cut_off ? "/cut-off" : "");
+    const gossip::Roster& roster = fleet_.view().roster();
+    if (notification_pacer_.ShouldNotify(Now(), state != published_state_, roster.living())) {
+      published_state_ = state;
+      fleet_.link().SetAttribute(kStateAttribute, state);
+    }
+    if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) UpdatePeers();
+  }
+}
+
+void ReplicatedConfigService::UpdatePeers() {
+  std::vector<replicated_config::Instance> others;
+  const gossip::Roster& roster = fleet_.view().roster();
+  for (const auto& [id, member] : roster.all())
+    if (member.status == gossip::Status::kAlive && id != roster.self()) others.push_back(id);
+  replica_.SetPeers(std::move(others));
+}
+
+std::vector<std::pair<std::string, std::uint64_t>> ReplicatedConfigService::Metrics() const {
+  const replicated_config::LeaseHolder& holder = replica_.holder();
+  const auto left =
+      std::chrono::duration_cast<std::chrono::milliseconds>(holder.lease_expiry() - Now()).count();
+  return {{"rules.version", active_version_},
+          {"rules.newest", holder.latest_version()},
+          {"rules.prepared", holder.prepared_version()},
+          {"rules.leased", UsableVersion() ? 1 : 0},
+          {"rules.lease_left_ms", static_cast<std::uint64_t>(std::max<std::int64_t>(0, left))},
+          {"rules.leads", replica_.Leads(Now()) ? 1 : 0},
+          {"rules.votes", replica_.raft() != nullptr ? 1 : 0},
+          {"rules.acts", sends_},
+          {"rules.acts_kept", isolated_sends_},
+          {"rules.forbidden", rejected_sends_},
+          {"rules.stepped_back", step_downs_},
+          {"rules.slowest_sync_ms",
+           static_cast<std::uint64_t>(
+               std::chrono::duration_cast<std::chrono::milliseconds>(slowest_sync_).count())}};
+}
+
+// ---- Changes ----
+
+std::string ReplicatedConfigService::DrawId() const {
+  return fmt::format("{}-{:08x}-{}", name_.substr(0, 24),
+                     static_cast<std::uint32_t>(fleet_.view().roster().self() >> 32), ++last_change_number_);
+}
+
+Task<replicated_config::RequestCompleted> ReplicatedConfigService::AwaitCompletion(std::string id) {
+  const auto waiting = pending_calls_.at(id);
+  while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->gate, runtime::kNever);
+  pending_calls_.erase(id);
+  co_return *waiting->finished;
+}
+
+Task<replicated_config::RequestCompleted> ReplicatedConfigService::Propose(
+    replicated_config::ConfigChange change, Span timeout) {
+  std::string id = change.id;
+  if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
+    co_return replicated_config::RequestCompleted{
+        {id, replicated_config::ChangeStatus::kRejected, 0, "too many calls at once"}, {}};
+  pending_calls_[id] = std::make_shared<PendingCall>();
+  replica_.ProposeChange(Now(), change, Now() + timeout);
+  DispatchOutputs();
+  co_return co_await AwaitCompletion(id);
+}
+
+Document ReplicatedConfigService::LatestDocument() const {
+  const std::string* text = replica_.FindDocument(replica_.holder().latest_version());
+  if (text == nullptr) return {};
+  auto read = replicated_config::ParseDocument(*text);
+  const auto* good = std::get_if<Document>(&read);
+  return good == nullptr ? Document() : *good;
+}
+
+// Until the fleet has agreed on what was asked for here.
+Task<> ReplicatedConfigService::ReconcileManualEjections() {
+  for (;;) {
+    const bool open = std::any_of(manual_ejections_.begin(), manual_ejections_.end(),
+                                  [](const auto& h) { return h.second.committed_version == 0; });
+    if (!open) {
+      co_await runtime::Waiter(loop_, &ejections_changed_, runtime::kNever);
+      continue;
+    }
+    const Version latest_version = replica_.holder().latest_version();
+    if (latest_version > 0 && replica_.FindDocument(latest_version) == nullptr) {
+      co_await loop_.Sleep(kReconcileRetryInterval);
+      continue;
+    }
+    const std::map<std::string, ManualEjection> wanted = manual_ejections_;
+    Document document = LatestDocument();
+    const Document before = document;
+    std::string by = name_;
+    for (const auto& [engine, ejection] : wanted) {
+      if (ejection.ejected ? document.ejected_engines.insert(engine).second
+                           : document.ejected_engines.erase(engine) > 0)
+        by += std::string(ejection.ejected ? " exclude " : " include ") + engine;
+    }
+    replicated_config::RequestCompleted finished;
+    finished.outcome.status = replicated_config::ChangeStatus::kCommitted;
+    finished.outcome.version = latest_version;
+    if (document != before) {
+      replicated_config::ConfigChange change;
+      change.id = DrawId();
+      change.base_version = latest_version;
+      change.document = replicated_config::SerializeDocument(document);
+      change.author = by.substr(0, replicated_config::kMaxAuthorBytes);
+      change.proposed_at_unix_ms = UnixMs();
+      finished = co_await Propose(std::move(change), kChangeTimeout);
+    }
+    if (finished.outcome.status == replicated_config::ChangeStatus::kCommitted) {
+      for (const auto& [engine, ejection] : wanted) {
+        const auto it = manual_ejections_.find(engine);
+        if (it == manual_ejections_.end() || it->second.ejected != ejection.ejected) continue;
+        it->second.committed_version = std::max<Version>(1, finished.outcome.version);
+        if (it->second.committed_version <= active_version_) manual_ejections_.erase(it);
+      }
+      ApplyEjections();
+      continue;
+    }
+    const bool refused = finished.outcome.status == replicated_config::ChangeStatus::kRejected;
+    for (const auto& [engine, ejection] : wanted)
+      if (const auto it = manual_ejections_.find(engine); it != manual_ejections_.end())
+        it->second.why = finished.outcome.reason;
+    co_await loop_.Sleep(refused ? Span(kRejectedRetryInterval) : Span(kReconcileRetryInterval));
+  }
+}
+
+Task<admin::Reply> ReplicatedConfigService::ReplicateManualEjection(admin::Call call, admin::Reply reply) {
+  using admin::Verb;
+  if (!reply.yes || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
+  manual_ejections_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
+  ejections_changed_.Open();
+  const Time last = Now() + kManualEjectionTimeout;
+  for (;;) {
+    const auto it = manual_ejections_.find(call.engine);
+    if (it == manual_ejections_.end() || it->second.committed_version > 0) {
+      const Version version =
+          it == manual_ejections_.end() ? replica_.holder().latest_version() : it->second.committed_version;
+      reply.why = "for the fleet, version " + std::to_string(version);
+      co_return reply;
+    }
+    if (Now() >= last || !it->second.why.empty()) break;
+    co_await loop_.Sleep(10ms);
+  }
+  const auto it = manual_ejections_.find(call.engine);
+  reply.why =
+      std::string(call.verb == Verb::kExclude ? "here; " : "later; ") +
+      "the fleet has not agreed yet and is asked again until it does" +
+      (it == manual_ejections_.end() || it->second.why.empty() ? std::string() : ": " + it->second.why);
+  std::replace(reply.why.begin(), reply.why.end(), '\n', ' ');
+  co_return reply;
+}
+
+// ---- Operators' calls ----
+
+std::string ReplicatedConfigService::StatusText() const {
+  const replicated_config::LeaseHolder& holder = replica_.holder();
+  const Time now = Now();
+  const auto ms = [](Span span) { return std::chrono::duration<double, std::milli>(span).count(); };
+  ordered_json out = {{"proxy", name_},
+                      {"fleet", fleet_.settings().name},
+                      {"at_unix_ms", UnixMs()},
+                      {"mono_us", MonoUs(now)},
+                      {"version", active_version_},
+                      {"in_force", holder.active_version()},
+                      {"newest", holder.latest_version()},
+                      {"prepared", holder.prepared_version()},
+                      {"cut_off", !UsableVersion()},
+                      {"lease_left_ms", ms(holder.lease_expiry() - now)},
+                      {"rates_apart", holder.clock_rates_differ()},
+                      {"leader", replica_.leader()},
+                      {"leads", replica_.Leads(now)},
+                      {"votes", replica_.raft() != nullptr},
+                      {"asked_by_hand", ordered_json::object()},
+                      {"proxies", ordered_json::array()}};
+  for (const auto& [engine, ejection] : manual_ejections_)
+    out["asked_by_hand"][engine] = ejection.ejected ? "exclude" : "include";
+  if (const raft::Raft* raft = replica_.raft()) {
+    out["voters"] = raft->voters();
+    out["term"] = raft->term();
+    out["commit"] = raft->commit();
+    out["holders"] = replica_.HoldersByName(now);
+  }
+  for (const auto& [id, member] : fleet_.view().roster().all()) {
+    std::string told;
+    for (const gossip::Attribute& a : member.record.attributes)
+      if (a.key == kStateAttribute) told = a.value;
+    const bool self = id == fleet_.view().roster().self();
+    out["proxies"].push_back({{"name", member.record.name},
+                              {"generation", member.record.generation},
+                              {"alive", member.status == gossip::Status::kAlive},
+                              {"rules", self ? published_state_ : told}});
+  }
+  return Dump(out);
+}
+
+// What only voters have, asked of one.
+Task<std::string> ReplicatedConfigService::ForwardToVoter(std::string bytes) {
+  for (const std::string& name : settings_.voters) {
+    const gossip::Member* voter = FindProcess(name);
+    if (voter == nullptr || voter->status == gossip::Status::kFailed || name == name_) continue;
+    auto answer = co_await peer_transport::Call(
+        loop_, fleet_.settings().name, peer_transport::ToAddress(voter->record.address), bytes,
+        Now() + kForwardTimeout, peer_transport::ToAddress(fleet_.link().address()));
+    if (answer) co_return std::move(*answer);
+  }
+  co_return Error("no voter answers");
+}
+
+Task<std::string> ReplicatedConfigService::HandleCall(std::string bytes) {
+  const ordered_json call = ordered_json::parse(bytes, nullptr, false);
+  if (!call.is_object()) co_return Error("not a call");
+  const auto text = [&](const char* key) {
+    const auto it = call.find(key);
+    return it != call.end() && it->is_string() ? it->get<std::string>() : std::string();
+  };
+  const auto number = [&](const char* key) -> std::uint64_t {
+    const auto it = call.find(key);
+    return it != call.end() && it->is_number_unsigned() ? it->get<std::uint64_t>() : 0;
+  };
+  const std::string what = text("call");
+  if (what == "status") co_return StatusText();
+  if (what == "propose" || what == "voters" || what == "read") {
+    std::string id = text("id").empty() ? DrawId() : text("id");
+    const Span timeout = std::clamp<Span>(std::chrono::milliseconds(number("patience_ms")), 100ms, 10s);
+    if (what == "propose") {
+      const replicated_config::ConfigChange change{id, number("from"), text("text"),
+                                                   text("by").substr(0, replicated_config::kMaxAuthorBytes),
+                                                   UnixMs()};
+      co_return Dump(Json((co_await Propose(change, timeout)).outcome));
+    }
+    if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
+      co_return Error("too many calls at once");
+    pending_calls_[id] = std::make_shared<PendingCall>();
+    if (what == "read")
+      replica_.ReadCommitted(Now(), id, Now() + timeout);
+    else
+      replica_.ChangeVoters(Now(), {id, text("who"), text("way") == "in"}, Now() + timeout);
+    DispatchOutputs();
+    const replicated_config::RequestCompleted finished = co_await AwaitCompletion(id);
+    ordered_json out = Json(finished.outcome);
+    if (finished.read)
+      out.update({{"newest", finished.read->latest_version},
+                  {"in_force", finished.read->active_version},
+                  {"voters", finished.read->voters}});
+    co_return Dump(out);
+  }
+  if (what == "text") {
+    const Version version = number("version");
+    if (const std::string* found = replica_.FindDocument(version))
+      co_return Dump({{"version", version}, {"text", *found}});
+  }
+  if (what == "history" && replica_.state_machine() != nullptr) {
+    ordered_json out = {{"versions", ordered_json::array()}};
+    for (const auto& [version, written] : replica_.state_machine()->versions())
+      out["versions"].push_back({{"version", version},
+                                 {"by", written.author},
+                                 {"at_unix_ms", written.proposed_at_unix_ms},
+                                 {"bytes", written.document.size()},
+                                 {"in_force", version == replica_.state_machine()->active_version()}});
+    co_return Dump(out);
+  }
+  const bool forwarded = call.contains("forwarded");
+  if ((what == "text" || what == "history") && !forwarded) {
+    ordered_json on = call;
+    on["forwarded"] = true;
+    co_return co_await ForwardToVoter(Dump(on));
+  }
+  if (what == "text") co_return Error("version " + std::to_string(number("version")) + " isn't kept");
+  co_return Error("unknown call '" + what + "'");
+}
+
+}  // namespace lemoncroft::cli
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -60,7 +60,7 @@
 }
 
 Document Parsed(const std::string& text, const char* of) {
-  auto read = replicated_config::ReadDocument(text);
+  auto read = replicated_config::ParseDocument(text);
   if (const auto* wrong = std::get_if<std::string>(&read))
     throw ConfigError(std::string(of) + ":\n" + *wrong);
   return std::get<Document>(std::move(read));
@@ -147,7 +147,7 @@
   const char* user = std::getenv("USER");
   const ordered_json call = {{"call", "propose"},
                              {"from", from},
-                             {"text", replicated_config::WriteDocument(to)},
+                             {"text", replicated_config::SerializeDocument(to)},
                              {"by", user == nullptr ? "an operator" : user},
                              {"patience_ms", static_cast<std::uint64_t>(1000 * command.patience_s)}};
   return Told(command, Ask(command, call));
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -14,184 +14,185 @@
 
 namespace {
 
-constexpr std::size_t kNameMost = 128;
-constexpr double kRateMost = 1e9;
-constexpr Span kLastsMost = 1h;
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr double kMaxRate = 1e9;
+constexpr Span kMaxIsolationDuration = 1h;
 constexpr const char* kEffects[] = {"pure", "token", "side_effect"};
 constexpr const char* kGroups[] = {"all", "zone", "cell"};
 
-bool Plain(const std::string& name) {
-  return !name.empty() && name.size() <= kNameMost && std::all_of(name.begin(), name.end(), [](char c) {
+bool IsValidName(const std::string& name) {
+  return !name.empty() && name.size() <= kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char c) {
     return c > ' ' && c < 0x7f && c != '"' && c != '\\';
   });
 }
 
 // ---- Reading ----
 
-class Text {
+class DocumentParser {
  public:
-  std::variant<Document, std::string> Read(std::string_view text) {
+  std::variant<Document, std::string> Parse(std::string_view text) {
     try {
       const operator_config::Known known = {
-          {"format", [&](const KdlNode& n) { Count(n, 1e6, out_.format); }},
-          {"attempts", [&](const KdlNode& n) { out_.attempts = Whole(n, 1, 100); }},
-          {"open-most", [&](const KdlNode& n) { out_.open_most = Whole(n, 1, 1e6); }},
-          {"further-attempts", [&](const KdlNode& n) { Further(n); }},
+          {"format", [&](const KdlNode& n) { Count(n, 1e6, document_.format); }},
+          {"attempts", [&](const KdlNode& n) { document_.max_attempts = Integer(n, 1, 100); }},
+          {"open-most", [&](const KdlNode& n) { document_.max_open_requests = Integer(n, 1, 1e6); }},
+          {"further-attempts", [&](const KdlNode& n) { RetryBudgetNode(n); }},
           {"class", [&](const KdlNode& n) { Class(n); }},
           {"tenant", [&](const KdlNode& n) { Tenant(n); }},
           {"team", [&](const KdlNode& n) { Team(n); }},
-          {"out", [&](const KdlNode& n) { Names(n, out_.out); }},
-          {"cut-off", [&](const KdlNode& n) { CutOffBlock(n); }},
+          {"out", [&](const KdlNode& n) { Names(n, document_.ejected_engines); }},
+          {"cut-off", [&](const KdlNode& n) { IsolationBlock(n); }},
       };
-      operator_config::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, faults_);
+      operator_config::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, errors_);
     } catch (const codec::KdlError& e) {
       return std::string(e.what());
     }
-    for (const std::size_t count :
-         {out_.classes.size(), out_.tenants.size(), out_.teams.size(), out_.out.size()})
-      if (count > kNamesMost)
-        faults_.Add({}, std::to_string(count) + " of one kind: at most " + std::to_string(kNamesMost));
-    if (faults_.all().empty()) return std::move(out_);
-    return operator_config::OperatorError("rules", faults_.all()).what();
+    for (const std::size_t count : {document_.classes.size(), document_.tenants.size(),
+                                    document_.teams.size(), document_.ejected_engines.size()})
+      if (count > kMaxNames)
+        errors_.Add({}, std::to_string(count) + " of one kind: at most " + std::to_string(kMaxNames));
+    if (errors_.all().empty()) return std::move(document_);
+    return operator_config::OperatorError("rules", errors_.all()).what();
   }
 
  private:
   void Count(const KdlNode& n, double most, std::uint64_t& out) {
     std::size_t value = out;
-    operator_config::ReadCount(n, most, value, faults_);
+    operator_config::ReadCount(n, most, value, errors_);
     out = value;
   }
-  int Whole(const KdlNode& n, double least, double most) {
+  int Integer(const KdlNode& n, double least, double most) {
     double value = least;
-    operator_config::ReadNumber(n, least, most, value, faults_);
-    if (value != std::floor(value)) faults_.Add(n.place, n.name + ": expected a whole number");
+    operator_config::ReadNumber(n, least, most, value, errors_);
+    if (value != std::floor(value)) errors_.Add(n.place, n.name + ": expected a whole number");
     return static_cast<int>(value);
   }
   std::size_t Size(const KdlNode& n, double most) {
     std::size_t value = 0;
-    operator_config::ReadCount(n, most, value, faults_);
+    operator_config::ReadCount(n, most, value, errors_);
     return value;
   }
   double Number(const KdlNode& n) {
     double value = 0;
-    operator_config::ReadNumber(n, 0, kRateMost, value, faults_);
+    operator_config::ReadNumber(n, 0, kMaxRate, value, errors_);
     return value;
   }
   Span Time(const KdlNode& n, Span least = 0s, Span most = 24h) {
     Span value{};
-    operator_config::ReadSpan(n, least, most, value, faults_);
+    operator_config::ReadSpan(n, least, most, value, errors_);
     return value;
   }
   // The one name of a block, that isn't given yet.
-  template <typename Rule>
-  Rule& Named(const KdlNode& n, std::map<std::string, Rule>& into) {
+  template <typename Override>
+  Override& Named(const KdlNode& n, std::map<std::string, Override>& into) {
     KdlNode head = n;
     head.children.clear();
     std::string name;
-    operator_config::ReadText(head, name, faults_);
-    if (!Plain(name)) faults_.Add(n.place, n.name + ": a name is 1 to 128 plain characters without blanks");
+    operator_config::ReadText(head, name, errors_);
+    if (!IsValidName(name))
+      errors_.Add(n.place, n.name + ": a name is 1 to 128 plain characters without blanks");
     const auto [it, fresh] = into.try_emplace(name);
-    if (!fresh) faults_.Add(n.place, n.name + " '" + name + "': given twice");
+    if (!fresh) errors_.Add(n.place, n.name + " '" + name + "': given twice");
     return it->second;
   }
   template <typename E, std::size_t N>
   std::optional<E> OneOf(const KdlNode& n, const char* const (&names)[N]) {
     std::string name;
-    operator_config::ReadText(n, name, faults_);
+    operator_config::ReadText(n, name, errors_);
     for (std::size_t i = 0; i < N; ++i)
       if (name == names[i]) return static_cast<E>(i);
-    faults_.Add(n.place, n.name + ": '" + name + "' is none of those there are");
+    errors_.Add(n.place, n.name + ": '" + name + "' is none of those there are");
     return std::nullopt;
   }
   void Names(const KdlNode& n, std::set<std::string>& into) {
-    if (!n.properties.empty() || !n.children.empty()) faults_.Add(n.place, n.name + ": takes names alone");
+    if (!n.properties.empty() || !n.children.empty()) errors_.Add(n.place, n.name + ": takes names alone");
     for (const KdlValue& value : n.arguments) {
-      if (value.kind != KdlValue::Kind::kText || !Plain(value.text))
-        faults_.Add(value.place, n.name + ": a name is 1 to 128 plain characters without blanks");
+      if (value.kind != KdlValue::Kind::kText || !IsValidName(value.text))
+        errors_.Add(value.place, n.name + ": a name is 1 to 128 plain characters without blanks");
       else if (!into.insert(value.text).second)
-        faults_.Add(value.place, n.name + ": '" + value.text + "' is given twice");
+        errors_.Add(value.place, n.name + ": '" + value.text + "' is given twice");
     }
   }
   void Class(const KdlNode& node) {
-    ClassRule& rule = Named(node, out_.classes);
+    ClassOverride& entry = Named(node, document_.classes);
     operator_config::ReadBlock(
         node.children,
-        {{"effect", [&](const KdlNode& n) { rule.effect = OneOf<Effect>(n, kEffects); }},
-         {"group", [&](const KdlNode& n) { rule.group = OneOf<RepeatGroup>(n, kGroups); }},
-         {"repeat-window", [&](const KdlNode& n) { rule.repeat_window = Time(n); }}},
-        {}, faults_);
+        {{"effect", [&](const KdlNode& n) { entry.effect = OneOf<Effect>(n, kEffects); }},
+         {"group", [&](const KdlNode& n) { entry.group = OneOf<RepeatGroup>(n, kGroups); }},
+         {"repeat-window", [&](const KdlNode& n) { entry.repeat_window = Time(n); }}},
+        {}, errors_);
   }
   void Tenant(const KdlNode& node) {
-    TenantRule& rule = Named(node, out_.tenants);
+    TenantOverride& entry = Named(node, document_.tenants);
     operator_config::ReadBlock(
-        node.children, {{"quota", [&](const KdlNode& n) { rule.quota_per_s = Number(n); }}}, {}, faults_);
+        node.children, {{"quota", [&](const KdlNode& n) { entry.quota_per_s = Number(n); }}}, {}, errors_);
   }
   void Team(const KdlNode& node) {
-    TeamRule& rule = Named(node, out_.teams);
+    TeamOverride& entry = Named(node, document_.teams);
     operator_config::ReadBlock(node.children,
-                               {{"cores", [&](const KdlNode& n) { rule.cores = Number(n); }},
-                                {"burst", [&](const KdlNode& n) { rule.burst = Time(n, 0s, 1h); }},
-                                {"threads", [&](const KdlNode& n) { rule.threads = Size(n, 1e7); }},
-                                {"waiting", [&](const KdlNode& n) { rule.waiting = Size(n, 2e6); }}},
-                               {}, faults_);
+                               {{"cores", [&](const KdlNode& n) { entry.cores = Number(n); }},
+                                {"burst", [&](const KdlNode& n) { entry.burst = Time(n, 0s, 1h); }},
+                                {"threads", [&](const KdlNode& n) { entry.threads = Size(n, 1e7); }},
+                                {"waiting", [&](const KdlNode& n) { entry.max_waiting = Size(n, 2e6); }}},
+                               {}, errors_);
   }
-  void Further(const KdlNode& node) {
-    Budget budget;
+  void RetryBudgetNode(const KdlNode& node) {
+    RetryBudget budget;
     for (const auto& [name, value] : node.properties) {
       const bool number =
-          value.kind == KdlValue::Kind::kNumber && value.number >= 0 && value.number <= kRateMost;
-      const bool span = operator_config::ParseSpan(value.text, budget.look_back);
+          value.kind == KdlValue::Kind::kNumber && value.number >= 0 && value.number <= kMaxRate;
+      const bool span = operator_config::ParseSpan(value.text, budget.window);
       if (name == "free" && number)
         budget.free = value.number;
       else if (name == "ratio" && number)
         budget.ratio = value.number;
       else if (name != "over" || !span)
-        faults_.Add(value.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
+        errors_.Add(value.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
     }
-    if (budget.look_back <= 0s || !node.arguments.empty() || !node.children.empty())
-      faults_.Add(node.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
-    out_.further_attempts = budget;
+    if (budget.window <= 0s || !node.arguments.empty() || !node.children.empty())
+      errors_.Add(node.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
+    document_.retry_budget = budget;
   }
-  void CutOffBlock(const KdlNode& node) {
+  void IsolationBlock(const KdlNode& node) {
     KdlNode head = node;
     head.children.clear();
-    out_.cut_off.lasts = Time(head, 1s, kLastsMost);
+    document_.isolation.duration = Time(head, 1s, kMaxIsolationDuration);
     operator_config::ReadBlock(node.children,
-                               {{"class", [&](const KdlNode& n) { Names(n, out_.cut_off.classes); }},
-                                {"engine", [&](const KdlNode& n) { Names(n, out_.cut_off.engines); }}},
-                               {}, faults_);
-    const CutOff& c = out_.cut_off;
+                               {{"class", [&](const KdlNode& n) { Names(n, document_.isolation.classes); }},
+                                {"engine", [&](const KdlNode& n) { Names(n, document_.isolation.engines); }}},
+                               {}, errors_);
+    const IsolationPolicy& c = document_.isolation;
     if (c.classes.empty() || c.engines.empty())
-      faults_.Add(node.place, "cut-off: name the classes that go on and the engines that they go on at");
+      errors_.Add(node.place, "cut-off: name the classes that go on and the engines that they go on at");
     for (const std::string& engine : c.engines)
-      if (out_.out.contains(engine))
-        faults_.Add(node.place, "cut-off: engine '" + engine + "' is out by hand");
+      if (document_.ejected_engines.contains(engine))
+        errors_.Add(node.place, "cut-off: engine '" + engine + "' is out by hand");
   }
 
-  Document out_;
-  operator_config::Faults faults_;
+  Document document_;
+  operator_config::Faults errors_;
 };
 
 // ---- Writing ----
 
 std::string Quoted(const std::string& name) { return "\"" + name + "\""; }
-std::string Of(double value) {
+std::string Format(double value) {
   char text[40];
   std::snprintf(text, sizeof text, "%.12g", value);
   return text;
 }
-std::string Of(Span span) {
+std::string Format(Span span) {
   const auto us = std::chrono::duration_cast<std::chrono::microseconds>(span).count();
   return us % 1000 == 0 ? std::to_string(us / 1000) + "ms" : std::to_string(us) + "us";
 }
-std::string Of(std::size_t value) { return std::to_string(value); }
-std::string Of(int value) { return std::to_string(value); }
-std::string Of(Effect effect) { return kEffects[static_cast<std::size_t>(effect)]; }
-std::string Of(RepeatGroup group) { return kGroups[static_cast<std::size_t>(group)]; }
-std::string Of(const Budget& b) {
-  return "free=" + Of(b.free) + " ratio=" + Of(b.ratio) + " over=" + Quoted(Of(b.look_back));
+std::string Format(std::size_t value) { return std::to_string(value); }
+std::string Format(int value) { return std::to_string(value); }
+std::string Format(Effect effect) { return kEffects[static_cast<std::size_t>(effect)]; }
+std::string Format(RepeatGroup group) { return kGroups[static_cast<std::size_t>(group)]; }
+std::string Format(const RetryBudget& b) {
+  return "free=" + Format(b.free) + " ratio=" + Format(b.ratio) + " over=" + Quoted(Format(b.window));
 }
-std::string Of(const std::set<std::string>& names) {
+std::string Format(const std::set<std::string>& names) {
   std::string out;
   for (const std::string& name : names) out += (out.empty() ? "" : " ") + Quoted(name);
   return out;
@@ -202,93 +203,95 @@
 
 template <typename T>
 void Put(Lines& lines, const std::string& what, const std::optional<T>& value) {
-  if (value) lines[what] = Of(*value);
+  if (value) lines[what] = Format(*value);
 }
 
-Lines ClassLines(const ClassRule& rule) {
+Lines ClassLines(const ClassOverride& entry) {
   Lines lines;
-  Put(lines, "effect", rule.effect);
-  Put(lines, "group", rule.group);
-  Put(lines, "repeat-window", rule.repeat_window);
+  Put(lines, "effect", entry.effect);
+  Put(lines, "group", entry.group);
+  Put(lines, "repeat-window", entry.repeat_window);
   return lines;
 }
-Lines TenantLines(const TenantRule& rule) {
+Lines TenantLines(const TenantOverride& entry) {
   Lines lines;
-  Put(lines, "quota", rule.quota_per_s);
+  Put(lines, "quota", entry.quota_per_s);
   return lines;
 }
-Lines TeamLines(const TeamRule& rule) {
+Lines TeamLines(const TeamOverride& entry) {
   Lines lines;
-  Put(lines, "cores", rule.cores);
-  Put(lines, "burst", rule.burst);
-  Put(lines, "threads", rule.threads);
-  Put(lines, "waiting", rule.waiting);
+  Put(lines, "cores", entry.cores);
+  Put(lines, "burst", entry.burst);
+  Put(lines, "threads", entry.threads);
+  Put(lines, "waiting", entry.max_waiting);
   return lines;
 }
 
-Lines LinesOf(const Document& document, const std::string& klass) {
-  const auto it = document.classes.find(klass);
+Lines ClassLinesOf(const Document& document, const std::string& class_name) {
+  const auto it = document.classes.find(class_name);
   return it == document.classes.end() ? Lines() : ClassLines(it->second);
 }
 
-bool IsText(const std::string& what) {
+bool IsQuotedField(const std::string& what) {
   return what == "effect" || what == "group" || what == "repeat-window" || what == "burst";
 }
 
 std::string Block(const std::string& kind, const std::string& name, const Lines& lines) {
   std::string out = kind + " " + Quoted(name) + " {";
   for (const auto& [what, value] : lines)
-    out += " " + what + " " + (IsText(what) ? Quoted(value) : value) + ";";
+    out += " " + what + " " + (IsQuotedField(what) ? Quoted(value) : value) + ";";
   return out + " }\n";
 }
 
-Lines AllLines(const Document& d) {
+Lines DocumentLines(const Document& d) {
   Lines all;
-  const auto put = [&](const std::string& kind, const auto& rules, auto of) {
-    for (const auto& [name, rule] : rules) {
-      const Lines lines = of(rule);
+  const auto put = [&](const std::string& kind, const auto& overrides, auto of) {
+    for (const auto& [name, entry] : overrides) {
+      const Lines lines = of(entry);
       all[kind + " " + name];  // it is there, even if it says nothing
       for (const auto& [what, value] : lines) all[kind + " " + name + " " + what] = value;
     }
   };
-  Put(all, "attempts", d.attempts);
-  Put(all, "open-most", d.open_most);
-  Put(all, "further-attempts", d.further_attempts);
+  Put(all, "attempts", d.max_attempts);
+  Put(all, "open-most", d.max_open_requests);
+  Put(all, "further-attempts", d.retry_budget);
   put("class", d.classes, ClassLines);
   put("tenant", d.tenants, TenantLines);
   put("team", d.teams, TeamLines);
-  for (const std::string& engine : d.out) all["out " + engine];
-  if (d.cut_off.lasts > 0s) {
-    all["cut-off lasts"] = Of(d.cut_off.lasts);
-    all["cut-off class"] = Of(d.cut_off.classes);
-    all["cut-off engine"] = Of(d.cut_off.engines);
+  for (const std::string& engine : d.ejected_engines) all["out " + engine];
+  if (d.isolation.duration > 0s) {
+    all["cut-off lasts"] = Format(d.isolation.duration);
+    all["cut-off class"] = Format(d.isolation.classes);
+    all["cut-off engine"] = Format(d.isolation.engines);
   }
   return all;
 }
 
 }  // namespace
 
-std::variant<Document, std::string> ReadDocument(std::string_view text) { return Text().Read(text); }
+std::variant<Document, std::string> ParseDocument(std::string_view text) {
+  return DocumentParser().Parse(text);
+}
 
-std::string WriteDocument(const Document& d) {
+std::string SerializeDocument(const Document& d) {
   std::string out = "format " + std::to_string(d.format) + "\n";
-  if (d.attempts) out += "attempts " + Of(*d.attempts) + "\n";
-  if (d.open_most) out += "open-most " + Of(*d.open_most) + "\n";
-  if (d.further_attempts) out += "further-attempts " + Of(*d.further_attempts) + "\n";
-  for (const auto& [name, rule] : d.classes) out += Block("class", name, ClassLines(rule));
-  for (const auto& [name, rule] : d.tenants) out += Block("tenant", name, TenantLines(rule));
-  for (const auto& [name, rule] : d.teams) out += Block("team", name, TeamLines(rule));
-  if (!d.out.empty()) out += "out " + Of(d.out) + "\n";
-  if (d.cut_off.lasts > 0s)
-    out += "cut-off " + Quoted(Of(d.cut_off.lasts)) + " { class " + Of(d.cut_off.classes) + "; engine " +
-           Of(d.cut_off.engines) + "; }\n";
+  if (d.max_attempts) out += "attempts " + Format(*d.max_attempts) + "\n";
+  if (d.max_open_requests) out += "open-most " + Format(*d.max_open_requests) + "\n";
+  if (d.retry_budget) out += "further-attempts " + Format(*d.retry_budget) + "\n";
+  for (const auto& [name, entry] : d.classes) out += Block("class", name, ClassLines(entry));
+  for (const auto& [name, entry] : d.tenants) out += Block("tenant", name, TenantLines(entry));
+  for (const auto& [name, entry] : d.teams) out += Block("team", name, TeamLines(entry));
+  if (!d.ejected_engines.empty()) out += "out " + Format(d.ejected_engines) + "\n";
+  if (d.isolation.duration > 0s)
+    out += "cut-off " + Quoted(Format(d.isolation.duration)) + " { class " + Format(d.isolation.classes) +
+           "; engine " + Format(d.isolation.engines) + "; }\n";
   return out;
 }
 
 std::vector<std::string> Differences(const Document& from, const Document& to) {
   std::vector<std::string> out;
-  Lines before = AllLines(from);
-  for (const auto& [what, value] : AllLines(to)) {
+  Lines before = DocumentLines(from);
+  for (const auto& [what, value] : DocumentLines(to)) {
     const auto it = before.find(what);
     if (it == before.end())
       out.push_back("+ " + what + (value.empty() ? "" : ": " + value));
@@ -303,37 +306,38 @@
 }
 
 std::string CheckSuccessor(const Document& from, const Document& to) {
-  const CutOff& kept = from.cut_off;
-  for (const std::string& engine : kept.engines)
-    if (to.out.contains(engine))
-      return "proxies that are cut off may go on at engine '" + engine + "' for " + Of(kept.lasts) +
+  const IsolationPolicy& policy = from.isolation;
+  for (const std::string& engine : policy.engines)
+    if (to.ejected_engines.contains(engine))
+      return "proxies that are cut off may go on at engine '" + engine + "' for " + Format(policy.duration) +
              ": take it from `cut-off` first";
-  for (const std::string& name : kept.classes) {
-    if (LinesOf(from, name) != LinesOf(to, name))
-      return "proxies that are cut off may go on with class '" + name + "' for " + Of(kept.lasts) +
+  for (const std::string& name : policy.classes) {
+    if (ClassLinesOf(from, name) != ClassLinesOf(to, name))
+      return "proxies that are cut off may go on with class '" + name + "' for " + Format(policy.duration) +
              ": take it from `cut-off` before its rules change";
   }
   return {};
 }
 
-std::string WhyNot(const Document& document, const settings::Site& own,
-                   const admission_queue::Settings* line) {
-  if (document.format > kFormat)
-    return "its program reads format " + std::to_string(kFormat) + ", not " + std::to_string(document.format);
-  for (const auto& [name, rule] : document.classes)
+std::string CheckCompatible(const Document& document, const settings::Site& own,
+                            const admission_queue::Settings* line) {
+  if (document.format > kNewestDocumentFormat)
+    return "its program reads format " + std::to_string(kNewestDocumentFormat) + ", not " +
+           std::to_string(document.format);
+  for (const auto& [name, entry] : document.classes)
     if (!own.ClassOf(name)) return "its settings have no class '" + name + "'";
-  for (const std::string& name : document.cut_off.classes)
+  for (const std::string& name : document.isolation.classes)
     if (!own.ClassOf(name)) return "its settings have no class '" + name + "'";
-  for (const auto& [name, rule] : document.tenants)
+  for (const auto& [name, entry] : document.tenants)
     if (!own.TenantOf(name)) return "its settings have no tenant '" + name + "'";
-  if (document.attempts && *document.attempts > own.module.max_attempts)
+  if (document.max_attempts && *document.max_attempts > own.module.max_attempts)
     return "its settings allow " + std::to_string(own.module.max_attempts) + " attempts, not " +
-           std::to_string(*document.attempts);
-  if (document.open_most && own.max_open > 0 && *document.open_most > own.max_open)
+           std::to_string(*document.max_attempts);
+  if (document.max_open_requests && own.max_open > 0 && *document.max_open_requests > own.max_open)
     return "its settings allow " + std::to_string(own.max_open) + " open requests, not " +
-           std::to_string(*document.open_most);
+           std::to_string(*document.max_open_requests);
   if (!document.teams.empty() && line == nullptr) return "it has no waiting line for team budgets";
-  for (const auto& [name, rule] : document.teams) {
+  for (const auto& [name, entry] : document.teams) {
     const bool known =
         std::any_of(line->teams.begin(), line->teams.end(),
                     [&, n = name](const admission_queue::TeamBudget& t) { return t.name == n; });
@@ -342,35 +346,35 @@
   return {};
 }
 
-settings::Site Applied(const Document& document, const settings::Site& own) {
+settings::Site ApplyDocument(const Document& document, const settings::Site& own) {
   settings::Site site = own;
   lemoncroft::Settings& s = site.module;
-  if (document.attempts) s.max_attempts = *document.attempts;
-  if (document.open_most) site.max_open = *document.open_most;
-  if (document.further_attempts)
-    s.attempt_budget = AttemptBudget{document.further_attempts->free, document.further_attempts->ratio,
-                                     document.further_attempts->look_back.count()};
-  for (const auto& [name, rule] : document.classes) {
+  if (document.max_attempts) s.max_attempts = *document.max_attempts;
+  if (document.max_open_requests) site.max_open = *document.max_open_requests;
+  if (document.retry_budget)
+    s.attempt_budget = AttemptBudget{document.retry_budget->free, document.retry_budget->ratio,
+                                     document.retry_budget->window.count()};
+  for (const auto& [name, entry] : document.classes) {
     ClassSettings& c = s.classes.at(site.ClassOf(name).value());
-    if (rule.effect) c.effect = *rule.effect;
-    if (rule.group) c.group = *rule.group;
-    if (rule.repeat_window) c.repeat_window = rule.repeat_window->count();
+    if (entry.effect) c.effect = *entry.effect;
+    if (entry.group) c.group = *entry.group;
+    if (entry.repeat_window) c.repeat_window = entry.repeat_window->count();
   }
-  for (const auto& [name, rule] : document.tenants)
-    if (rule.quota_per_s) s.tenants.at(site.TenantOf(name).value()).quota_per_s = *rule.quota_per_s;
+  for (const auto& [name, entry] : document.tenants)
+    if (entry.quota_per_s) s.tenants.at(site.TenantOf(name).value()).quota_per_s = *entry.quota_per_s;
   return site;
 }
 
-admission_queue::Settings Applied(const Document& document, const admission_queue::Settings& own) {
+admission_queue::Settings ApplyDocument(const Document& document, const admission_queue::Settings& own) {
   admission_queue::Settings line = own;
   for (admission_queue::TeamBudget& team : line.teams) {
     const auto it = document.teams.find(team.name);
     if (it == document.teams.end()) continue;
-    const TeamRule& rule = it->second;
-    if (rule.cores) team.cores = *rule.cores;
-    if (rule.burst) team.burst = *rule.burst;
-    if (rule.threads) team.threads = static_cast<int>(*rule.threads);
-    if (rule.waiting) team.waiting = *rule.waiting;
+    const TeamOverride& entry = it->second;
+    if (entry.cores) team.cores = *entry.cores;
+    if (entry.burst) team.burst = *entry.burst;
+    if (entry.threads) team.threads = static_cast<int>(*entry.threads);
+    if (entry.max_waiting) team.waiting = *entry.max_waiting;
   }
   return line;
 }
--- a/src/replicated_config/document.h
+++ b/src/replicated_config/document.h
@@ -4,8 +4,8 @@
 // Contract. Plain values, no I/O. The text (KDL, docs/operating-rules.md) is what versions hold; the same
 // document has one canonical text. Owner: none. Units: spans, cores, requests a second. Errors: all that is
 // wrong with a text, a line each.
-#ifndef LEMONCROFT_RULES_DOCUMENT_H_
-#define LEMONCROFT_RULES_DOCUMENT_H_
+#ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
+#define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 
 #include <cstdint>
 #include <map>
@@ -22,55 +22,55 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr std::uint64_t kFormat = 1;      // the newest that this program reads
-inline constexpr std::size_t kNamesMost = 4096;  // classes, tenants, teams: of each
+inline constexpr std::uint64_t kNewestDocumentFormat = 1;  // the newest that this program reads
+inline constexpr std::size_t kMaxNames = 4096;             // classes, tenants, teams: of each
 
 // What is left out stays as each proxy's own settings have it.
-struct ClassRule {
+struct ClassOverride {
   std::optional<Effect> effect;  // what may be repeated
   std::optional<RepeatGroup> group;
   std::optional<Span> repeat_window;
-  bool operator==(const ClassRule&) const = default;
+  bool operator==(const ClassOverride&) const = default;
 };
-struct TenantRule {
+struct TenantOverride {
   std::optional<double> quota_per_s;
-  bool operator==(const TenantRule&) const = default;
+  bool operator==(const TenantOverride&) const = default;
 };
-struct TeamRule {
+struct TeamOverride {
   std::optional<double> cores;
   std::optional<Span> burst;
-  std::optional<std::size_t> threads, waiting;
-  bool operator==(const TeamRule&) const = default;
+  std::optional<std::size_t> threads, max_waiting;
+  bool operator==(const TeamOverride&) const = default;
 };
-struct Budget {
+struct RetryBudget {
   double free = 0, ratio = 0;
-  Span look_back{};
-  bool operator==(const Budget&) const = default;
+  Span window{};
+  bool operator==(const RetryBudget&) const = default;
 };
 // For a proxy that can't renew its lease: these classes go on, at these engines, for so long; all else is
 // refused. A successor may change neither while anybody may go on so.
-struct CutOff {
+struct IsolationPolicy {
   std::set<std::string> classes, engines;
-  Span lasts{};
-  bool operator==(const CutOff&) const = default;
+  Span duration{};
+  bool operator==(const IsolationPolicy&) const = default;
 };
 
 struct Document {
   std::uint64_t format = 1;
-  std::optional<int> attempts;  // of a request
-  std::optional<Budget> further_attempts;
-  std::optional<int> open_most;
-  std::map<std::string, ClassRule> classes;
-  std::map<std::string, TenantRule> tenants;
-  std::map<std::string, TeamRule> teams;
-  std::set<std::string> out;  // engines, by hand
-  CutOff cut_off;
+  std::optional<int> max_attempts;  // of a request
+  std::optional<RetryBudget> retry_budget;
+  std::optional<int> max_open_requests;
+  std::map<std::string, ClassOverride> classes;
+  std::map<std::string, TenantOverride> tenants;
+  std::map<std::string, TeamOverride> teams;
+  std::set<std::string> ejected_engines;  // engines, by hand
+  IsolationPolicy isolation;
   bool operator==(const Document&) const = default;
 };
 
 // The document, or what is wrong with the text.
-std::variant<Document, std::string> ReadDocument(std::string_view text);
-std::string WriteDocument(const Document& document);
+std::variant<Document, std::string> ParseDocument(std::string_view text);
+std::string SerializeDocument(const Document& document);
 
 // Why the one can't follow the other; nothing where it can.
 std::string CheckSuccessor(const Document& from, const Document& to);
@@ -80,13 +80,13 @@
 
 // Why a proxy with these settings of its own can't carry it; nothing where it can. `teams`: of its waiting
 // line; null: it has none.
-std::string WhyNot(const Document& document, const settings::Site& own,
-                   const admission_queue::Settings* line);
+std::string CheckCompatible(const Document& document, const settings::Site& own,
+                            const admission_queue::Settings* line);
 
 // Its own settings as the document changes them. WhyNot has nothing against it.
-settings::Site Applied(const Document& document, const settings::Site& own);
-admission_queue::Settings Applied(const Document& document, const admission_queue::Settings& own);
+settings::Site ApplyDocument(const Document& document, const settings::Site& own);
+admission_queue::Settings ApplyDocument(const Document& document, const admission_queue::Settings& own);
 
 }  // namespace lemoncroft::replicated_config
 
-#endif  // LEMONCROFT_RULES_DOCUMENT_H_
+#endif  // LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
--- a/src/replicated_config/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -6,10 +6,11 @@
 namespace lemoncroft::replicated_config {
 namespace {
 
-constexpr std::size_t kAskedMost = 16;                  // renewals without an answer
-constexpr std::size_t kBooksSwept = 64;                 // from so many on, those that are over are dropped
-constexpr std::size_t kPairsMost = 11;                  // ten beats of comparing clocks
-constexpr Span kNoise = std::chrono::milliseconds(20);  // a message's way, in a comparison of clocks
+constexpr std::size_t kMaxPendingRenewals = 16;    // renewals without an answer
+constexpr std::size_t kExpirySweepThreshold = 64;  // from so many on, those that are over are dropped
+constexpr std::size_t kMaxClockSamples = 11;       // ten beats of comparing clocks
+constexpr Span kMessageDelayTolerance =
+    std::chrono::milliseconds(20);  // a message's way, in a comparison of clocks
 
 Span Scaled(Span span, double by) {
   return Span(static_cast<Span::rep>(static_cast<double>(span.count()) * by));
@@ -19,142 +20,150 @@
 
 // ---- Holder ----
 
-Renewal Holder::Ask(Time now) {
-  asked_[++number_] = now;
-  while (asked_.size() > kAskedMost) asked_.erase(asked_.begin());
-  return {number_, prepared_};
+LeaseRenewal LeaseHolder::RequestRenewal(Time now) {
+  pending_renewals_[++last_sequence_] = now;
+  while (pending_renewals_.size() > kMaxPendingRenewals) pending_renewals_.erase(pending_renewals_.begin());
+  return {last_sequence_, prepared_version_};
 }
 
-void Holder::Take(Time now, const Grant& grant) {
-  const auto asked = asked_.find(grant.number);
-  if (asked == asked_.end()) return;  // not asked for, answered before, or too long ago
-  const Time since = terms_.guards.from_asking ? asked->second : now;
-  asked_.erase(asked_.begin(), std::next(asked));
-  CompareRates(now, grant);
-  newest_ = std::max(newest_, grant.newest);
-  if (grant.in_force < in_force_ && terms_.guards.never_back) return;  // of a leader that was
-  in_force_ = grant.in_force;
-  const Span lease =
-      terms_.guards.shorter_by_rates ? Scaled(terms_.lease, 1 - terms_.rates_differ) : terms_.lease;
+void LeaseHolder::HandleGrant(Time now, const LeaseGrant& grant) {
+  const auto asked = pending_renewals_.find(grant.sequence);
+  if (asked == pending_renewals_.end()) return;  // not asked for, answered before, or too long ago
+  const Time since = options_.safety_checks.start_at_request ? asked->second : now;
+  pending_renewals_.erase(pending_renewals_.begin(), std::next(asked));
+  CompareClockRates(now, grant);
+  latest_version_ = std::max(latest_version_, grant.latest_version);
+  if (grant.active_version < active_version_ && options_.safety_checks.monotonic_versions)
+    return;  // of a leader that was
+  active_version_ = grant.active_version;
+  const Span lease = options_.safety_checks.allow_for_clock_rates
+                         ? Scaled(options_.duration, 1 - options_.max_clock_rate_difference)
+                         : options_.duration;
   const Time ends = since + lease;
-  ends_ = std::max(ends_, ends);
-  ticked_ = true;
+  expiry_ = std::max(expiry_, ends);
+  unexpired_at_last_tick_ = true;
 }
 
-void Holder::CompareRates(Time now, const Grant& grant) {
-  if (reign_ != grant.reign) pairs_.clear();
-  reign_ = grant.reign;
-  pairs_.push_back({now, grant.leaders_clock});
-  if (pairs_.size() > kPairsMost) pairs_.pop_front();
-  if (pairs_.size() < kPairsMost) return;
-  const Span own = pairs_.back().own - pairs_.front().own;
-  const Span leaders = pairs_.back().leaders - pairs_.front().leaders;
-  const Span apart = own > leaders ? own - leaders : leaders - own;
-  apart_ = apart > Scaled(own, terms_.rates_differ) + kNoise;
+void LeaseHolder::CompareClockRates(Time now, const LeaseGrant& grant) {
+  if (leadership_epoch_ != grant.leadership_epoch) clock_samples_.clear();
+  leadership_epoch_ = grant.leadership_epoch;
+  clock_samples_.push_back({now, grant.leader_clock});
+  if (clock_samples_.size() > kMaxClockSamples) clock_samples_.pop_front();
+  if (clock_samples_.size() < kMaxClockSamples) return;
+  const Span local = clock_samples_.back().local - clock_samples_.front().local;
+  const Span leader = clock_samples_.back().leader - clock_samples_.front().leader;
+  const Span apart = local > leader ? local - leader : leader - local;
+  clock_rates_differ_ = apart > Scaled(local, options_.max_clock_rate_difference) + kMessageDelayTolerance;
 }
 
-void Holder::Prepared(Version version) { prepared_ = std::max(prepared_, version); }
+void LeaseHolder::MarkPrepared(Version version) { prepared_version_ = std::max(prepared_version_, version); }
 
-std::optional<Version> Holder::MayAct(Time now) const {
-  const bool leased = terms_.guards.checked_at_act ? now < ends_ : ticked_;
-  if (!leased || apart_ || prepared_ < in_force_) return std::nullopt;
-  return in_force_;
+std::optional<Version> LeaseHolder::UsableVersion(Time now) const {
+  const bool leased = options_.safety_checks.check_expiry_on_use ? now < expiry_ : unexpired_at_last_tick_;
+  if (!leased || clock_rates_differ_ || prepared_version_ < active_version_) return std::nullopt;
+  return active_version_;
 }
 
 // ---- Granter ----
 
-void Granter::Begin(Time now, std::uint64_t reign) {
-  begun_ = now;
-  reign_ = reign;
-  books_.clear();
-  by_prepared_.clear();
+void LeaseGrantor::BeginLeadership(Time now, std::uint64_t leadership_epoch) {
+  leading_since_ = now;
+  leadership_epoch_ = leadership_epoch;
+  leases_.clear();
+  leases_by_prepared_version_.clear();
 }
 
-void Granter::Book(const std::string& holder, const Booked& booked) {
-  const auto known = books_.find(holder);
-  if (known != books_.end()) {
-    const auto group = by_prepared_.find(known->second.prepared);
-    group->second.erase({known->second.until, holder});
-    if (group->second.empty()) by_prepared_.erase(group);
+void LeaseGrantor::RecordLease(const std::string& holder, const RecordedLease& recorded_leases) {
+  const auto known = leases_.find(holder);
+  if (known != leases_.end()) {
+    const auto group = leases_by_prepared_version_.find(known->second.prepared_version);
+    group->second.erase({known->second.expiry, holder});
+    if (group->second.empty()) leases_by_prepared_version_.erase(group);
   }
-  books_[holder] = booked;
-  by_prepared_[booked.prepared].emplace(booked.until, holder);
+  leases_[holder] = recorded_leases;
+  leases_by_prepared_version_[recorded_leases.prepared_version].emplace(recorded_leases.expiry, holder);
 }
 
-void Granter::DropOver(Time now) {
-  for (auto group = by_prepared_.begin(); group != by_prepared_.end();) {
-    std::set<Until>& leases = group->second;
+void LeaseGrantor::DropExpired(Time now) {
+  for (auto group = leases_by_prepared_version_.begin(); group != leases_by_prepared_version_.end();) {
+    std::set<ExpiryAndHolder>& leases = group->second;
     while (!leases.empty() && leases.begin()->first <= now) {
-      books_.erase(leases.begin()->second);
+      leases_.erase(leases.begin()->second);
       leases.erase(leases.begin());
     }
-    group = leases.empty() ? by_prepared_.erase(group) : std::next(group);
+    group = leases.empty() ? leases_by_prepared_version_.erase(group) : std::next(group);
   }
 }
 
-bool Granter::AnyBehind(Time now, Version version) const {
-  for (const auto& [prepared, leases] : by_prepared_) {
-    if (prepared >= version) return false;
+bool LeaseGrantor::AnyHolderBehind(Time now, Version version) const {
+  for (const auto& [prepared_version, leases] : leases_by_prepared_version_) {
+    if (prepared_version >= version) return false;
     if (leases.rbegin()->first > now) return true;
   }
   return false;
 }
 
-std::optional<Grant> Granter::Answer(Time now, bool leads, const std::string& from, const Renewal& renewal,
-                                     Version in_force, Version newest) {
-  if (!leads && terms_.guards.only_while_leading) return std::nullopt;
+std::optional<LeaseGrant> LeaseGrantor::HandleRenewal(Time now, bool leads, const std::string& from,
+                                                      const LeaseRenewal& renewal, Version active_version,
+                                                      Version latest_version) {
+  if (!leads && options_.safety_checks.grant_only_while_leading) return std::nullopt;
   // It holds from when it asked, which was before now; its clock may be slower than this one.
-  const Span lease =
-      terms_.guards.shorter_by_rates ? Scaled(terms_.lease, 1 + terms_.rates_differ) : terms_.lease;
-  if (books_.size() > kBooksSwept) DropOver(now);
-  const auto known = books_.find(from);
-  const Version before = known == books_.end() ? 0 : known->second.prepared;
-  Book(from, {now + lease, std::max(before, renewal.prepared)});
-  return Grant{renewal.number, in_force, newest, now - begun_, reign_};
+  const Span lease = options_.safety_checks.allow_for_clock_rates
+                         ? Scaled(options_.duration, 1 + options_.max_clock_rate_difference)
+                         : options_.duration;
+  if (leases_.size() > kExpirySweepThreshold) DropExpired(now);
+  const auto known = leases_.find(from);
+  const Version before = known == leases_.end() ? 0 : known->second.prepared_version;
+  RecordLease(from, {now + lease, std::max(before, renewal.prepared_version)});
+  return LeaseGrant{renewal.sequence, active_version, latest_version, now - leading_since_,
+                    leadership_epoch_};
 }
 
-bool Granter::MayEnforce(Time now, bool leads, Version version) const {
-  if (!leads && terms_.guards.only_while_leading) return false;
-  const Span books = Scaled(terms_.lease, 1 + 2 * terms_.rates_differ);
-  if (now < begun_ + books && terms_.guards.wait_after_election) return false;
-  return !terms_.guards.wait_for_prepared || !AnyBehind(now, version);
+bool LeaseGrantor::MayActivate(Time now, bool leads, Version version) const {
+  if (!leads && options_.safety_checks.grant_only_while_leading) return false;
+  const Span books = Scaled(options_.duration, 1 + 2 * options_.max_clock_rate_difference);
+  if (now < leading_since_ + books && options_.safety_checks.wait_after_election) return false;
+  return !options_.safety_checks.wait_for_all_prepared || !AnyHolderBehind(now, version);
 }
 
-std::map<std::string, Version> Granter::Missing(Time now, Version version) const {
+std::map<std::string, Version> LeaseGrantor::HoldersWithout(Time now, Version version) const {
   std::map<std::string, Version> missing;
-  for (const auto& [name, booked] : books_)
-    if (booked.until > now && booked.prepared < version) missing[name] = booked.prepared;
+  for (const auto& [name, recorded_leases] : leases_)
+    if (recorded_leases.expiry > now && recorded_leases.prepared_version < version)
+      missing[name] = recorded_leases.prepared_version;
   return missing;
 }
 
-std::map<std::string, Version> Granter::Live(Time now) const {
+std::map<std::string, Version> LeaseGrantor::LiveHolders(Time now) const {
   std::map<std::string, Version> live;
-  for (const auto& [name, booked] : books_)
-    if (booked.until > now) live[name] = booked.prepared;
+  for (const auto& [name, recorded_leases] : leases_)
+    if (recorded_leases.expiry > now) live[name] = recorded_leases.prepared_version;
   return live;
 }
 
 // ---- For a search of states ----
 
-std::string Holder::Canonical(Time now) const {
+std::string LeaseHolder::StateText(Time now) const {
   const auto left = [now](Time at) { return std::to_string(std::max<Span::rep>(0, (at - now).count())); };
-  std::string out = std::to_string(number_) + "," + std::to_string(in_force_) + "," +
-                    std::to_string(newest_) + "," + std::to_string(prepared_) + "," + left(ends_) +
-                    (ticked_ ? "t" : "");
-  for (const auto& [number, at] : asked_)
-    out += ";" + std::to_string(number) + ":" + std::to_string((now - at).count());
+  std::string out = std::to_string(last_sequence_) + "," + std::to_string(active_version_) + "," +
+                    std::to_string(latest_version_) + "," + std::to_string(prepared_version_) + "," +
+                    left(expiry_) + (unexpired_at_last_tick_ ? "t" : "");
+  for (const auto& [sequence, at] : pending_renewals_)
+    out += ";" + std::to_string(sequence) + ":" + std::to_string((now - at).count());
   return out;
 }
 
-std::string Granter::Canonical(Time now, const std::string& holder) const {
-  const Span longest = 2 * terms_.lease;  // past it nothing differs any more
+std::string LeaseGrantor::StateText(Time now, const std::string& holder) const {
+  const Span longest = 2 * options_.duration;  // past it nothing differs any more
   if (holder.empty())
-    return std::to_string(std::min(longest, now - begun_).count()) + "," + std::to_string(reign_);
-  const auto it = books_.find(holder);
-  if (it == books_.end()) return "-";
-  const bool live = it->second.until > now;
-  return live ? std::to_string((it->second.until - now).count()) + ":" + std::to_string(it->second.prepared)
-              : "over:" + std::to_string(it->second.prepared);
+    return std::to_string(std::min(longest, now - leading_since_).count()) + "," +
+           std::to_string(leadership_epoch_);
+  const auto it = leases_.find(holder);
+  if (it == leases_.end()) return "-";
+  const bool live = it->second.expiry > now;
+  return live ? std::to_string((it->second.expiry - now).count()) + ":" +
+                    std::to_string(it->second.prepared_version)
+              : "over:" + std::to_string(it->second.prepared_version);
 }
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/notes.cpp
+++ b/src/replicated_config/messages.cpp
@@ -1,4 +1,4 @@
-#include "replicated_config/notes.h"
+#include "replicated_config/messages.h"
 
 #include "codec/msgpack_fields.h"
 #include "raft/codec.h"
@@ -9,75 +9,76 @@
 using codec::MsgpackPacker;
 using codec::MsgpackReader;
 
-Verdict LastOf(Verdict) { return Verdict::kUnknown; }
-Welcome LastOf(Welcome) { return Welcome::kStranger; }
+ChangeStatus LastOf(ChangeStatus) { return ChangeStatus::kUnknown; }
+StoreOpinion LastOf(StoreOpinion) { return StoreOpinion::kUnknownStore; }
 
 namespace {
 
 constexpr codec::MsgpackBounds kBounds{4096, 128, raft::kSnapshotMost + 4096, 8};
 
-template <typename V, Is<Logged> E>
+template <typename V, Is<RaftMessage> E>
 void Fields(V& v, E& e) {
   v(e.message);
 }
-template <typename V, Is<Renew> E>
+template <typename V, Is<LeaseRequest> E>
 void Fields(V& v, E& e) {
-  v(e.renewal.number), v(e.renewal.prepared), v(e.format), v(e.refuses);
+  v(e.renewal.sequence), v(e.renewal.prepared_version), v(e.format), v(e.incompatible_version);
 }
-template <typename V, Is<Granted> E>
+template <typename V, Is<LeaseResponse> E>
 void Fields(V& v, E& e) {
-  v(e.grant.number), v(e.grant.in_force), v(e.grant.newest), v(e.grant.leaders_clock), v(e.grant.reign),
-      v(e.voters);
+  v(e.grant.sequence), v(e.grant.active_version), v(e.grant.latest_version), v(e.grant.leader_clock),
+      v(e.grant.leadership_epoch), v(e.voters);
 }
-template <typename V, Is<Elsewhere> E>
+template <typename V, Is<NotLeader> E>
 void Fields(V& v, E& e) {
-  v(e.leader);
+  v(e.leader_hint);
 }
-template <typename V, Is<Fetch> E>
+template <typename V, Is<DocumentRequest> E>
 void Fields(V& v, E& e) {
   v(e.version);
 }
-template <typename V, Is<Fetched> E>
+template <typename V, Is<DocumentResponse> E>
 void Fields(V& v, E& e) {
-  v(e.version), v(e.text);
+  v(e.version), v(e.document);
 }
-template <typename V, Is<Propose> E>
+template <typename V, Is<ProposeRequest> E>
 void Fields(V& v, E& e) {
-  v(e.change.id), v(e.change.from), v(e.change.text), v(e.change.by), v(e.change.at_unix_ms);
+  v(e.change.id), v(e.change.base_version), v(e.change.document), v(e.change.author),
+      v(e.change.proposed_at_unix_ms);
 }
-template <typename V, Is<Told> E>
+template <typename V, Is<ProposalResult> E>
 void Fields(V& v, E& e) {
-  v(e.outcome.id), v(e.outcome.verdict), v(e.outcome.version), v(e.outcome.why);
+  v(e.outcome.id), v(e.outcome.status), v(e.outcome.version), v(e.outcome.reason);
 }
-template <typename V, Is<Ask> E>
+template <typename V, Is<ValidateRequest> E>
 void Fields(V& v, E& e) {
-  v(e.id), v(e.text);
+  v(e.id), v(e.document);
 }
-template <typename V, Is<Answer> E>
+template <typename V, Is<ValidateResponse> E>
 void Fields(V& v, E& e) {
-  v(e.id), v(e.why);
+  v(e.id), v(e.reason);
 }
-template <typename V, Is<Voters> E>
+template <typename V, Is<VoterChange> E>
 void Fields(V& v, E& e) {
-  v(e.id), v(e.who), v(e.in);
+  v(e.id), v(e.voter), v(e.add);
 }
-template <typename V, Is<Read> E>
+template <typename V, Is<ReadRequest> E>
 void Fields(V& v, E& e) {
   v(e.id);
 }
-template <typename V, Is<ReadOut> E>
+template <typename V, Is<ReadResponse> E>
 void Fields(V& v, E& e) {
-  v(e.id), v(e.newest), v(e.in_force), v(e.voters);
+  v(e.id), v(e.latest_version), v(e.active_version), v(e.voters);
 }
-template <typename V, Is<Hello> E>
+template <typename V, Is<StoreHello> E>
 void Fields(V& v, E& e) {
-  v(e.store), v(e.founded), v(e.term), v(e.last_term), v(e.last);
+  v(e.store), v(e.bootstrapped), v(e.term), v(e.last_term), v(e.last_index);
 }
-template <typename V, Is<HelloAnswer> E>
+template <typename V, Is<StoreHelloResponse> E>
 void Fields(V& v, E& e) {
-  v(e.to_store), v(e.store), v(e.welcome), v(e.founders);
+  v(e.in_reply_to_store), v(e.store), v(e.opinion), v(e.bootstrap_voters);
 }
-template <typename V, Is<Invite> E>
+template <typename V, Is<AdmitVoter> E>
 void Fields(V& v, E& e) {
   v(e.store);
 }
@@ -111,7 +112,7 @@
 
 }  // namespace
 
-std::string Encode(const Note& note) {
+std::string Encode(const Message& message) {
   msgpack::sbuffer body;
   MsgpackPacker to(body);
   std::visit(
@@ -119,22 +120,22 @@
         codec::FieldCounting counting;
         Fields(counting, b);
         to.pack_array(counting.count + 2);
-        codec::PackBytes(to, note.from);
-        to.pack(static_cast<std::uint8_t>(note.body.index()));
+        codec::PackBytes(to, message.sender);
+        to.pack(static_cast<std::uint8_t>(message.body.index()));
         Packing packing{{to}};
         Fields(packing, b);
       },
-      note.body);
+      message.body);
   return {body.data(), body.size()};
 }
 
-std::optional<Note> DecodeNote(std::string_view bytes) {
+std::optional<Message> DecodeMessage(std::string_view bytes) {
   return codec::Guarded(bytes, kBounds, [](MsgpackReader& in) {
-    Note note;
-    note.from = in.Bytes();
+    Message message;
+    message.sender = in.Bytes();
     const auto index = in.Take<std::uint8_t>();
-    note.body = codec::ReadAlternative<Reading, NoteBody>(index, in);
-    return note;
+    message.body = codec::ReadAlternative<Reading, MessageBody>(index, in);
+    return message;
   });
 }
 
--- a/src/replicated_config/tell_pace.h
+++ b/src/replicated_config/notification_pacer.h
@@ -4,8 +4,8 @@
 // Contract. No I/O, no clock, deterministic for a seed. A fleet of n tells at most one such change in
 // kTellApart, in the mean, however often changes come; only the newest is told. Owner: one thread. Units:
 // spans of time. Errors: none.
-#ifndef LEMONCROFT_RULES_TELL_PACE_H_
-#define LEMONCROFT_RULES_TELL_PACE_H_
+#ifndef LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
+#define LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -17,36 +17,37 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr Span kTellApart = std::chrono::milliseconds(250);  // of the whole fleet's
+inline constexpr Span kMeanNotificationInterval = std::chrono::milliseconds(250);  // of the whole fleet's
 
-class TellPace {
+class NotificationPacer {
  public:
-  explicit TellPace(std::uint64_t seed) : random_(seed) {}
+  explicit NotificationPacer(std::uint64_t seed) : random_(seed) {}
 
   // `changed`: what was told last isn't so any more. True where it is to be told now.
-  bool MayTell(Time now, bool changed, std::size_t members) {
+  bool ShouldNotify(Time now, bool changed, std::size_t members) {
     if (!changed) {
-      due_.reset();
+      due_at_.reset();
       return false;
     }
-    if (!due_) due_ = now + Delay(members);
-    if (now < *due_) return false;
-    due_.reset();
+    if (!due_at_) due_at_ = now + DrawDelay(members);
+    if (now < *due_at_) return false;
+    due_at_.reset();
     return true;
   }
 
  private:
   // Between nothing and twice the mean: those who heard of a change together don't tell of it together.
-  Span Delay(std::size_t members) {
-    const double mean = std::chrono::duration<double>(kTellApart).count() * static_cast<double>(members);
+  Span DrawDelay(std::size_t members) {
+    const double mean =
+        std::chrono::duration<double>(kMeanNotificationInterval).count() * static_cast<double>(members);
     const double drawn = 2 * mean * static_cast<double>(random_() >> 11) * 0x1.0p-53;
     return Span(static_cast<Span::rep>(drawn * 1e9));
   }
 
   std::mt19937_64 random_;
-  std::optional<Time> due_;
+  std::optional<Time> due_at_;
 };
 
 }  // namespace lemoncroft::replicated_config
 
-#endif  // LEMONCROFT_RULES_TELL_PACE_H_
+#endif  // LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
--- /dev/null
+++ b/src/replicated_config/voter_admission.cpp
@@ -0,0 +1,149 @@
+#include "replicated_config/voter_admission.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace lemoncroft::replicated_config {
+
+namespace {
+constexpr std::size_t kMaxTrackedStores = 64;  // of voters that wait to be let in
+}
+
+void VoterAdmission::Open(std::uint64_t store, BootstrapVoters bootstrap_voters,
+                          const std::vector<raft::NodeId>& voters, StoreHello hello) {
+  hello_ = hello;
+  hello_.store = store;
+  hello_.bootstrapped = !bootstrap_voters.empty();
+  bootstrap_voters_ = std::move(bootstrap_voters);
+  responses_.clear();
+  other_voters_.clear();
+  other_voters_.insert(initial_voters_.begin(), initial_voters_.end());
+  other_voters_.insert(voters.begin(), voters.end());
+  other_voters_.erase(self_);
+  state_ = State::kQueryingVoters;
+  // Nobody else could know better.
+  if (hello_.bootstrapped && (voters.empty() || voters == std::vector<raft::NodeId>{self_}))
+    state_ = State::kAdmitted;
+  if (!hello_.bootstrapped && initial_voters_ == std::vector<raft::NodeId>{self_}) {
+    bootstrap_voters_ = {{self_, store}};
+    state_ = State::kBootstrapping;
+  }
+}
+
+StoreHelloResponse VoterAdmission::AnswerHello(const raft::NodeId& from, const StoreHello& hello) {
+  StoreHelloResponse response;
+  response.in_reply_to_store = hello.store;
+  response.store = hello_.store;
+  if (!hello.bootstrapped &&
+      (unadmitted_stores_.contains(from) || unadmitted_stores_.size() < kMaxTrackedStores)) {
+    unadmitted_stores_[from] = hello.store;
+    acknowledged_.erase(from);  // that was of another store
+  }
+  const auto founder = bootstrap_voters_.find(from);
+  if (hello.bootstrapped) {
+    const auto it = acknowledged_.find(from);
+    const bool stale =
+        it != acknowledged_.end() && (hello.term < it->second.term ||
+                                      (hello.term == it->second.term && hello.last_index < it->second.match));
+    response.opinion = stale ? StoreOpinion::kStaleStore : StoreOpinion::kNoObjection;
+  } else if (bootstrap_voters_.empty()) {
+    response.opinion = StoreOpinion::kEmptyStore;
+  } else if (founder != bootstrap_voters_.end() && founder->second == hello.store) {
+    response.opinion = StoreOpinion::kBootstrapVoter;
+    response.bootstrap_voters = bootstrap_voters_;
+  } else {
+    response.opinion = StoreOpinion::kUnknownStore;
+  }
+  return response;
+}
+
+void VoterAdmission::HandleResponse(const raft::NodeId& from, const StoreHelloResponse& response) {
+  const bool awaiting_responses =
+      state_ && (*state_ == State::kQueryingVoters || *state_ == State::kEmptyStore);
+  if (!awaiting_responses || response.in_reply_to_store != hello_.store || !other_voters_.contains(from))
+    return;
+  responses_[from] = response;
+  if (hello_.bootstrapped) {
+    if (response.opinion == StoreOpinion::kStaleStore && safety_checks_.exclude_stale_store) {
+      state_ = State::kStaleStore;
+      return;
+    }
+    Decide(true);
+    return;
+  }
+  if (response.opinion == StoreOpinion::kBootstrapVoter) {
+    bootstrap_voters_ = response.bootstrap_voters;
+    state_ = State::kBootstrapping;
+  } else if (response.opinion == StoreOpinion::kUnknownStore) {
+    state_ = State::kEmptyStore;
+    if (!safety_checks_.exclude_empty_store) {
+      bootstrap_voters_ = {{self_, hello_.store}};
+      state_ = State::kBootstrapping;
+    }
+  } else {
+    BootstrapVoters all = {{self_, hello_.store}};
+    for (const raft::NodeId& name : initial_voters_) {
+      const auto it = responses_.find(name);
+      if (it != responses_.end() && it->second.opinion == StoreOpinion::kEmptyStore)
+        all[name] = it->second.store;
+    }
+    const bool one_of =
+        std::find(initial_voters_.begin(), initial_voters_.end(), self_) != initial_voters_.end();
+    if (one_of && all.size() == initial_voters_.size()) {
+      bootstrap_voters_ = std::move(all);
+      state_ = State::kBootstrapping;
+    }
+  }
+}
+
+// Any one of the others may be the only one that knows what it answered for, so all are waited for a while.
+// Those that can't be reached can't be waited for longer: two of three must go on without the third.
+void VoterAdmission::Decide(bool wait_for_all) {
+  if (!state_ || *state_ != State::kQueryingVoters || !hello_.bootstrapped) return;
+  std::size_t without_objection = 0;
+  for (const auto& [name, one] : responses_) without_objection += one.opinion == StoreOpinion::kNoObjection;
+  const std::size_t majority = (other_voters_.size() + 1) / 2 + 1;
+  const std::size_t required =
+      wait_for_all && safety_checks_.exclude_stale_store ? other_voters_.size() : majority - 1;
+  if (without_objection >= required) state_ = State::kAdmitted;
+}
+
+void VoterAdmission::HandleAdmitVoter(const AdmitVoter& admission) {
+  if (!state_ || hello_.bootstrapped || admission.store != hello_.store) return;
+  if (*state_ != State::kQueryingVoters && *state_ != State::kEmptyStore) return;
+  bootstrap_voters_ = {{self_, hello_.store}};
+  state_ = State::kBootstrapping;
+}
+
+void VoterAdmission::OnBootstrapVotersStored() {
+  hello_.bootstrapped = true;
+  state_ = State::kAdmitted;
+}
+
+void VoterAdmission::ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message) {
+  raft::Term term = 0;
+  raft::Index match = 0;
+  if (const auto* answer = std::get_if<raft::AppendEntriesResponse>(&message)) {
+    term = answer->term;
+    match = answer->ok ? answer->match : 0;
+  } else if (const auto* vote = std::get_if<raft::VoteResponse>(&message)) {
+    if (vote->pre_vote) return;
+    term = vote->term;
+  } else if (const auto* append = std::get_if<raft::AppendEntriesRequest>(&message)) {
+    term = append->term;
+    match = append->kept;
+  } else {
+    return;
+  }
+  Acknowledged& acknowledged = acknowledged_[from];
+  if (term > acknowledged.term) acknowledged = {term, 0};
+  if (term == acknowledged.term) acknowledged.match = std::max(acknowledged.match, match);
+  if (acknowledged_.size() > kMaxTrackedStores) acknowledged_.erase(acknowledged_.begin());
+}
+
+std::optional<std::uint64_t> VoterAdmission::UnadmittedStore(const raft::NodeId& name) const {
+  const auto it = unadmitted_stores_.find(name);
+  return it == unadmitted_stores_.end() ? std::nullopt : std::optional(it->second);
+}
+
+}  // namespace lemoncroft::replicated_config
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -12,7 +12,7 @@
 #include "testing/benchmark/peers.h"
 #include "testing/model_check/lease_world.h"
 #include "testing/model_check/log_world.h"
-#include "testing/simulation/keeper_fleet.h"
+#include "testing/simulation/config_replica_fleet.h"
 #include "testing/simulation/slow_disk.h"
 #include "testing/simulation/store_plays.h"
 
@@ -20,8 +20,8 @@
 namespace {
 
 using nlohmann::ordered_json;
+using simulation::ConfigReplicaFleet;
 using simulation::Instant;
-using simulation::KeeperFleet;
 using namespace std::chrono_literals;
 
 constexpr int kRigs = 3, kTrialsEach = 14;
@@ -138,10 +138,10 @@
 
 // What the leases of a hundred proxies cost, all of them together, as a part of one core for each.
 double LeaseCostPercent(std::uint64_t seed) {
-  KeeperFleet::Plan plan;
+  ConfigReplicaFleet::Plan plan;
   plan.seed = seed;
   plan.proxies = 100;
-  KeeperFleet fleet(plan);
+  ConfigReplicaFleet fleet(plan);
   fleet.RunFor(3s);
   const std::clock_t begun = std::clock();
   fleet.RunFor(20s);
--- a/src/testing/benchmark/agreement.h
+++ b/src/testing/benchmark/agreement.h
@@ -2,8 +2,8 @@
 // search of states, on a disk that goes away at each operation, and against each proxy having its own file.
 //
 // Owner: the command line. Units: milliseconds, parts.
-#ifndef LEMONCROFT_MEASURE_AGREEMENT_H_
-#define LEMONCROFT_MEASURE_AGREEMENT_H_
+#ifndef LEMONCROFT_BENCHMARK_AGREEMENT_H_
+#define LEMONCROFT_BENCHMARK_AGREEMENT_H_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -22,4 +22,4 @@
 
 }  // namespace lemoncroft::benchmark
 
-#endif  // LEMONCROFT_MEASURE_AGREEMENT_H_
+#endif  // LEMONCROFT_BENCHMARK_AGREEMENT_H_
--- a/src/testing/benchmark/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "peer_transport/link.h"
-#include "replicated_config/keeper.h"
+#include "replicated_config/config_replica.h"
 #include "testing/benchmark/allocated_bytes.h"
 #include "testing/simulation/processor_time.h"
 
@@ -47,15 +47,15 @@
   return terms;
 }
 
-replicated_config::KeeperTerms KeeperTermsOf(const HollowPlan& plan, std::size_t i) {
-  replicated_config::KeeperTerms terms;
+replicated_config::ConfigReplicaOptions ReplicaOptionsOf(const HollowPlan& plan, std::size_t i) {
+  replicated_config::ConfigReplicaOptions terms;
   terms.self = NameOf(i);
-  for (std::size_t voter = 0; voter < plan.voters; ++voter) terms.first.push_back(NameOf(voter));
+  for (std::size_t voter = 0; voter < plan.voters; ++voter) terms.initial_voters.push_back(NameOf(voter));
   return terms;
 }
 
-replicated_config::Keeper::Checks ChecksOf() {
-  return {[](const replicated_config::Written*, const std::string&) { return std::string(); },
+replicated_config::ConfigReplica::DocumentChecks ChecksOf() {
+  return {[](const replicated_config::VersionRecord*, const std::string&) { return std::string(); },
           [](const std::string&) { return std::string(); },
           [](const std::string&) { return std::uint64_t{1}; },
           [](const std::string&) { return replicated_config::Span(); }};
@@ -67,12 +67,12 @@
   HollowProxy(runtime::Loop& loop, const HollowPlan& plan, std::size_t i)
       : loop_(loop),
         link_(loop, TermsOf(plan, i), plan.seed + i, [](const gossip::Event&) {}),
-        keeper_(KeeperTermsOf(plan, i), link_.view().roster().self(), ChecksOf(), plan.seed + i, Now()),
+        replica_(ReplicaOptionsOf(plan, i), link_.view().roster().self(), ChecksOf(), plan.seed + i, Now()),
         store_(i < plan.voters ? i + 1 : 0) {
     link_.on_parcel = [this](const peer_transport::Parcel& parcel) {
-      const auto note = replicated_config::DecodeNote(parcel.bytes);
-      if (!note) return;
-      keeper_.Receive(Now(), parcel.from, *note);
+      const auto message = replicated_config::DecodeMessage(parcel.bytes);
+      if (!message) return;
+      replica_.Receive(Now(), parcel.from, *message);
       CarryOut();
     };
   }
@@ -80,26 +80,26 @@
   void Start() {
     link_.Start();
     link_.SetPhase(gossip::Phase::kServing);
-    if (store_ != 0) keeper_.OpenStore(Now(), {store_, {}, {}});
+    if (store_ != 0) replica_.OpenStore(Now(), {store_, {}, {}});
     CarryOut();
     loop_.Spawn(Beat());
   }
-  void Propose(const replicated_config::Change& change) {
-    keeper_.ProposeChange(Now(), change, Now() + kChangePatience);
+  void Propose(const replicated_config::ConfigChange& change) {
+    replica_.ProposeChange(Now(), change, Now() + kChangePatience);
     CarryOut();
   }
   const gossip::View& view() const { return link_.view(); }
   const peer_transport::Figures& figures() const { return link_.figures(); }
-  bool ActsOn(replicated_config::Version version) const { return keeper_.MayAct(Now()) == version; }
+  bool ActsOn(replicated_config::Version version) const { return replica_.UsableVersion(Now()) == version; }
 
  private:
   Task<> Beat() {
     for (;;) {
-      planned_ = keeper_.due();
+      planned_ = replica_.due();
       if (planned_ > Now()) co_await runtime::Waiter(loop_, &sooner_, planned_);
       planned_ = runtime::kNever;
-      if (keeper_.due() <= Now()) {
-        keeper_.Step(Now());
+      if (replica_.due() <= Now()) {
+        replica_.Step(Now());
         CarryOut();
       }
       co_await loop_.NextTurn();
@@ -108,22 +108,23 @@
 
   void CarryOut() {
     const gossip::Roster& roster = view().roster();
-    if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) keeper_.SetPeers(roster.others());
-    for (auto outputs = keeper_.Take(); !outputs.empty(); outputs = keeper_.Take())
-      for (const replicated_config::KeeperOutput& output : outputs) CarryOut(output);
-    if (keeper_.due() < planned_) sooner_.Open();
+    if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) replica_.SetPeers(roster.others());
+    for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
+      for (const replicated_config::ConfigReplicaOutput& output : outputs) CarryOut(output);
+    if (replica_.due() < planned_) sooner_.Open();
   }
 
-  void CarryOut(const replicated_config::KeeperOutput& output) {
-    if (const auto* post = std::get_if<replicated_config::Post>(&output)) {
+  void CarryOut(const replicated_config::ConfigReplicaOutput& output) {
+    if (const auto* post = std::get_if<replicated_config::SendMessage>(&output)) {
       if (const gossip::Member* to = Reach(post->to))
-        link_.Post(to->record.address, peer_transport::Part::kRules, replicated_config::Encode(post->note));
-    } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
-      keeper_.Durable(Now(), keep->store.number);
-    } else if (std::holds_alternative<replicated_config::KeepFounders>(output)) {
-      keeper_.FoundersKept(Now());
-    } else if (const auto* learnt = std::get_if<replicated_config::Learnt>(&output)) {
-      keeper_.Prepared(Now(), learnt->version);
+        link_.Post(to->record.address, peer_transport::Part::kRules,
+                   replicated_config::Encode(post->message));
+    } else if (const auto* keep = std::get_if<replicated_config::Persist>(&output)) {
+      replica_.OnStored(Now(), keep->update.number);
+    } else if (std::holds_alternative<replicated_config::PersistBootstrapVoters>(output)) {
+      replica_.OnBootstrapVotersStored(Now());
+    } else if (const auto* learnt = std::get_if<replicated_config::DocumentReceived>(&output)) {
+      replica_.MarkPrepared(Now(), learnt->version);
     }
   }
 
@@ -137,7 +138,7 @@
 
   runtime::Loop& loop_;
   peer_transport::Link link_;
-  replicated_config::Keeper keeper_;
+  replicated_config::ConfigReplica replica_;
   std::uint64_t store_;
   std::uint64_t peers_as_of_ = 0;  // the roster's changes when the keeper was told its peers
   runtime::Gate sooner_;
@@ -199,11 +200,11 @@
   }
 
   Task<> MeasureChange(std::size_t number) {
-    replicated_config::Change change;
+    replicated_config::ConfigChange change;
     change.id = "c" + std::to_string(number);
-    change.from = number;
-    change.text.assign(plan_.document_bytes, static_cast<char>('a' + number % 26));
-    change.by = NameOf(0);
+    change.base_version = number;
+    change.document.assign(plan_.document_bytes, static_cast<char>('a' + number % 26));
+    change.author = NameOf(0);
     const Time since = Now();
     proxies_[number * 7919 % proxies_.size()]->Propose(change);
     while (!AllActOn(number + 1) && Now() < since + kChangePatience) co_await loop_.Sleep(kLook);
--- a/src/testing/benchmark/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -3,14 +3,14 @@
 #include <algorithm>
 #include <string>
 
-#include "testing/simulation/keeper_fleet.h"
+#include "testing/simulation/config_replica_fleet.h"
 
 namespace lemoncroft::benchmark {
 namespace {
 
 using namespace std::chrono_literals;
+using simulation::ConfigReplicaFleet;
 using simulation::Instant;
-using simulation::KeeperFleet;
 
 constexpr Instant kBeginPatience = 30s, kChangePatience = 20s, kLook = 5ms;
 constexpr Instant kBetweenChanges = 500ms;
@@ -23,10 +23,10 @@
   double bytes = 0, leader_bytes = 0, leader_us = 0, others_us = 0;
 };
 
-Totals TotalsOf(const KeeperFleet& fleet, std::size_t leader) {
+Totals TotalsOf(const ConfigReplicaFleet& fleet, std::size_t leader) {
   Totals totals;
   for (std::size_t i = 0; i < fleet.size(); ++i) {
-    const KeeperFleet::Sent& sent = fleet.sent(i);
+    const ConfigReplicaFleet::Sent& sent = fleet.sent(i);
     totals.bytes += static_cast<double>(sent.bytes);
     if (i != leader) totals.others_us += sent.processor_us;
   }
@@ -40,10 +40,10 @@
           after.leader_us - before.leader_us, after.others_us - before.others_us};
 }
 
-bool RunUntilAllActOn(KeeperFleet& fleet, replicated_config::Version version, Instant patience) {
+bool RunUntilAllActOn(ConfigReplicaFleet& fleet, replicated_config::Version version, Instant patience) {
   const Instant until = fleet.now() + patience;
   while (fleet.now() < until) {
-    if (fleet.AllOn(version)) return true;
+    if (fleet.AllUse(version)) return true;
     fleet.RunFor(kLook);
   }
   return false;
@@ -58,12 +58,12 @@
 }  // namespace
 
 LeaseCost MeasureLeases(const LeasePlan& plan) {
-  KeeperFleet::Plan setup;
+  ConfigReplicaFleet::Plan setup;
   setup.seed = plan.seed;
   setup.voters = plan.voters;
   setup.proxies = plan.members;
   setup.timed = true;
-  KeeperFleet fleet(setup);
+  ConfigReplicaFleet fleet(setup);
   fleet.links().usual().delay = plan.delay;
   fleet.links().usual().spread = plan.spread;
   LeaseCost cost;
--- a/src/testing/benchmark/scale_leases.h
+++ b/src/testing/benchmark/scale_leases.h
@@ -3,8 +3,8 @@
 //
 // Contract. Deterministic for a seed but for processor time. Owner: none. Units: bytes of frames, without the
 // headers of UDP, TCP and IP; milliseconds; percent of one core. Not modelled: that steps take time.
-#ifndef LEMONCROFT_MEASURE_SCALE_LEASES_H_
-#define LEMONCROFT_MEASURE_SCALE_LEASES_H_
+#ifndef LEMONCROFT_BENCHMARK_SCALE_LEASES_H_
+#define LEMONCROFT_BENCHMARK_SCALE_LEASES_H_
 
 #include <chrono>
 #include <cstddef>
@@ -40,4 +40,4 @@
 
 }  // namespace lemoncroft::benchmark
 
-#endif  // LEMONCROFT_MEASURE_SCALE_LEASES_H_
+#endif  // LEMONCROFT_BENCHMARK_SCALE_LEASES_H_
--- a/src/testing/benchmark/scale_view.cpp
+++ b/src/testing/benchmark/scale_view.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "replicated_config/tell_pace.h"
+#include "replicated_config/notification_pacer.h"
 #include "testing/benchmark/allocated_bytes.h"
 #include "testing/simulation/peer_fleet.h"
 #include "testing/simulation/processor_time.h"
@@ -137,7 +137,7 @@
 // As cli::Rules does at each change: every proxy tells the version that it acts on, at its pace.
 void TellAttributes(PeerFleet& fleet, const ViewPlan& plan) {
   const Instant begun = fleet.now(), until = begun + Seconds(plan.tell_seconds);
-  std::vector<replicated_config::TellPace> paces;
+  std::vector<replicated_config::NotificationPacer> paces;
   for (Process p = 0; p < fleet.size(); ++p) paces.emplace_back(plan.seed + p);
   std::vector<int> told(fleet.size(), 0);
   while (fleet.now() < until) {
@@ -146,7 +146,7 @@
     for (Process p = 0; p < fleet.size(); ++p) {
       const bool changed = told[p] != version;
       if (!changed ||
-          (plan.tell_pace && !paces[p].MayTell(replicated_config::Time(passed), true, fleet.living())))
+          (plan.tell_pace && !paces[p].ShouldNotify(replicated_config::Time(passed), true, fleet.living())))
         continue;
       told[p] = version;
       fleet.SetAttribute(p, "rules", std::to_string(version) + "/" + std::to_string(version));
--- a/src/testing/model_check/lease_world.cpp
+++ b/src/testing/model_check/lease_world.cpp
@@ -6,53 +6,56 @@
 
 using replicated_config::Version;
 
-LeaseWorld::LeaseWorld(const replicated_config::Guards& guards, const LeaseBudget& budget) : left_(budget) {
-  terms_.guards = guards;
-  for (std::size_t i = 0; i < kHolders; ++i) holders_.emplace_back(terms_);
-  for (std::size_t i = 0; i < kLeaders; ++i) leaders_.push_back({replicated_config::Granter(terms_), 0});
-  leaders_[0].granter.Begin(At() - 2 * kLeaseBeats * kBeat, reign_);
+LeaseWorld::LeaseWorld(const replicated_config::LeaseSafetyChecks& safety_checks, const LeaseBudget& budget)
+    : remaining_(budget) {
+  options_.safety_checks = safety_checks;
+  for (std::size_t i = 0; i < kHolders; ++i) holders_.emplace_back(options_);
+  for (std::size_t i = 0; i < kLeaders; ++i)
+    leaders_.push_back({replicated_config::LeaseGrantor(options_), 0});
+  leaders_[0].grantor.BeginLeadership(At() - 2 * kLeaseTicks * kTick, leadership_epoch_);
   leaders_[0].lease_until = 2;
-  in_force_at_ = {0};
+  activated_at_ = {0};
 }
 
-void LeaseWorld::Deliver(const Letter& letter) {
-  if (letter.grant) {
-    holders_[letter.holder].Take(At(), letter.granted);
+void LeaseWorld::Deliver(const InTransitMessage& message) {
+  if (message.grant) {
+    holders_[message.holder].HandleGrant(At(), message.granted);
     return;
   }
-  Leader& leader = leaders_[letter.leader];
-  const auto grant = leader.granter.Answer(At(), Leads(letter.leader), std::to_string(letter.holder),
-                                           letter.renewal, leader.in_force, leader.newest);
-  if (!grant || letters_.size() >= left_.on_their_way) return;
-  Letter answer = letter;
+  Leader& leader = leaders_[message.leader];
+  const auto grant =
+      leader.grantor.HandleRenewal(At(), Leads(message.leader), std::to_string(message.holder),
+                                   message.renewal, leader.active_version, leader.latest_version);
+  if (!grant || messages_.size() >= remaining_.in_transit) return;
+  InTransitMessage answer = message;
   answer.grant = true;
   answer.granted = *grant;
-  letters_.push_back(answer);
+  messages_.push_back(answer);
 }
 
 void LeaseWorld::Learn() {
   for (std::size_t i = 0; i < kLeaders; ++i)
-    if (Leads(i)) leaders_[i].newest = newest_, leaders_[i].in_force = in_force_;
+    if (Leads(i)) leaders_[i].latest_version = latest_version_, leaders_[i].active_version = active_version_;
 }
 
 void LeaseWorld::Check() {
   for (std::size_t i = 0; i < kHolders; ++i) {
-    const auto version = holders_[i].MayAct(At());
-    if (!version || *version >= in_force_) continue;
-    if (now_ - in_force_at_[*version + 1] >= kLeaseBeats)
+    const auto version = holders_[i].UsableVersion(At());
+    if (!version || *version >= active_version_) continue;
+    if (now_ - activated_at_[*version + 1] >= kLeaseTicks)
       wrong_ = "a version is acted on a lease after its successor came into force";
   }
 }
 
 void LeaseWorld::Next(std::vector<LeaseWorld>& into) const {
   const auto fork = [&]() -> LeaseWorld& { return into.emplace_back(*this); };
-  if (left_.beats > 0) {
+  if (remaining_.ticks > 0) {
     LeaseWorld& world = fork();
-    --world.left_.beats;
+    --world.remaining_.ticks;
     ++world.now_;
     // Without the check at the act it is a timer that tells, and that of a stopped process doesn't run.
-    if (terms_.guards.checked_at_act)
-      for (replicated_config::Holder& holder : world.holders_) holder.Tick(world.At());
+    if (options_.safety_checks.check_expiry_on_use)
+      for (replicated_config::LeaseHolder& holder : world.holders_) holder.Tick(world.At());
     world.Check();
     // The newest leader reaches a majority, or not.
     if (world.Leads(leader_)) {
@@ -60,105 +63,113 @@
       renewed.leaders_[leader_].lease_until = renewed.now_ + 2;
     }
   }
-  for (std::size_t k = 0; k < letters_.size(); ++k) {
-    for (const bool doubled : {false, true}) {
-      if (doubled && left_.doubled == 0) continue;
+  for (std::size_t k = 0; k < messages_.size(); ++k) {
+    for (const bool duplicates : {false, true}) {
+      if (duplicates && remaining_.duplicates == 0) continue;
       LeaseWorld& world = fork();
-      const Letter letter = letters_[k];
-      if (doubled)
-        --world.left_.doubled;
+      const InTransitMessage message = messages_[k];
+      if (duplicates)
+        --world.remaining_.duplicates;
       else
-        world.letters_.erase(world.letters_.begin() + static_cast<std::ptrdiff_t>(k));
-      world.Deliver(letter);
+        world.messages_.erase(world.messages_.begin() + static_cast<std::ptrdiff_t>(k));
+      world.Deliver(message);
       world.Check();
     }
   }
   for (std::size_t i = 0; i < kHolders; ++i) {
     for (std::size_t leader = 0; leader < kLeaders; ++leader) {
-      if (asks_[i] >= left_.asks || letters_.size() >= left_.on_their_way) continue;
+      if (renewals_[i] >= remaining_.renewals || messages_.size() >= remaining_.in_transit) continue;
       LeaseWorld& world = fork();
-      ++world.asks_[i];
-      Letter letter;
-      letter.holder = i;
-      letter.leader = leader;
-      letter.renewal = world.holders_[i].Ask(At());
-      world.letters_.push_back(letter);
+      ++world.renewals_[i];
+      InTransitMessage message;
+      message.holder = i;
+      message.leader = leader;
+      message.renewal = world.holders_[i].RequestRenewal(At());
+      world.messages_.push_back(message);
     }
-    if (holders_[i].newest() > holders_[i].prepared()) {
+    if (holders_[i].latest_version() > holders_[i].prepared_version()) {
       LeaseWorld& world = fork();
-      world.holders_[i].Prepared(holders_[i].newest());
+      world.holders_[i].MarkPrepared(holders_[i].latest_version());
       world.Check();
     }
-    if (left_.crashes > 0) {
+    if (remaining_.crashes > 0) {
       LeaseWorld& world = fork();
-      --world.left_.crashes;
-      world.holders_[i] = replicated_config::Holder(terms_);
-      std::erase_if(world.letters_, [i](const Letter& letter) { return letter.holder == i; });
+      --world.remaining_.crashes;
+      world.holders_[i] = replicated_config::LeaseHolder(options_);
+      std::erase_if(world.messages_, [i](const InTransitMessage& message) { return message.holder == i; });
     }
   }
-  if (Leads(leader_) && left_.versions > 0) {
+  if (Leads(leader_) && remaining_.versions > 0) {
     LeaseWorld& world = fork();
-    --world.left_.versions;
-    ++world.newest_;
+    --world.remaining_.versions;
+    ++world.latest_version_;
     world.Learn();
   }
   for (std::size_t leader = 0; leader < kLeaders; ++leader) {
-    if (newest_ <= in_force_ || !leaders_[leader].granter.MayEnforce(At(), Leads(leader), newest_)) continue;
+    if (latest_version_ <= active_version_ ||
+        !leaders_[leader].grantor.MayActivate(At(), Leads(leader), latest_version_))
+      continue;
     if (!Leads(leader)) continue;  // nobody would commit it
     LeaseWorld& world = fork();
-    while (world.in_force_at_.size() <= newest_) world.in_force_at_.push_back(now_);
-    world.in_force_ = newest_;
+    while (world.activated_at_.size() <= latest_version_) world.activated_at_.push_back(now_);
+    world.active_version_ = latest_version_;
     world.Learn();
     world.Check();
   }
-  if (left_.elections > 0 && !Leads(leader_)) {
+  if (remaining_.elections > 0 && !Leads(leader_)) {
     LeaseWorld& world = fork();
-    --world.left_.elections;
+    --world.remaining_.elections;
     world.leader_ = 1 - leader_;
-    world.leaders_[world.leader_].granter = replicated_config::Granter(terms_);
-    world.leaders_[world.leader_].granter.Begin(At(), ++world.reign_);
+    world.leaders_[world.leader_].grantor = replicated_config::LeaseGrantor(options_);
+    world.leaders_[world.leader_].grantor.BeginLeadership(At(), ++world.leadership_epoch_);
     world.leaders_[world.leader_].lease_until = now_ + 2;
     world.Learn();
   }
 }
 
 std::string LeaseWorld::TextOf(std::size_t holder) const {
-  std::string out = holders_[holder].Canonical(At()) + "," + std::to_string(asks_[holder]);
-  for (const Leader& leader : leaders_) out += "|" + leader.granter.Canonical(At(), std::to_string(holder));
+  std::string out = holders_[holder].StateText(At()) + "," + std::to_string(renewals_[holder]);
+  for (const Leader& leader : leaders_) out += "|" + leader.grantor.StateText(At(), std::to_string(holder));
   return out;
 }
 
 std::string LeaseWorld::Canonical() const {
   std::string common;
-  for (const int left : {left_.beats, left_.versions, left_.elections, left_.doubled, left_.crashes})
+  for (const int left : {remaining_.ticks, remaining_.versions, remaining_.elections, remaining_.duplicates,
+                         remaining_.crashes})
     common += std::to_string(left) + ",";
-  common += std::to_string(newest_) + "," + std::to_string(in_force_) + "," + std::to_string(leader_) + ",";
-  for (const int at : in_force_at_) common += std::to_string(std::min(now_ - at, kLeaseBeats + 1)) + ",";
+  common += std::to_string(latest_version_) + "," + std::to_string(active_version_) + "," +
+            std::to_string(leader_) + ",";
+  for (const int at : activated_at_) common += std::to_string(std::min(now_ - at, kLeaseTicks + 1)) + ",";
   for (const Leader& leader : leaders_)
-    common += std::to_string(std::max(0, leader.lease_until - now_)) + "," + std::to_string(leader.newest) +
-              "," + std::to_string(leader.in_force) + "," + leader.granter.Canonical(At(), "") + ",";
-  std::string least;
+    common += std::to_string(std::max(0, leader.lease_until - now_)) + "," +
+              std::to_string(leader.latest_version) + "," + std::to_string(leader.active_version) + "," +
+              leader.grantor.StateText(At(), "") + ",";
+  std::string smallest;
   for (const bool swapped : {false, true}) {
     std::string text = common;
     for (std::size_t i = 0; i < kHolders; ++i) text += "#" + TextOf(swapped ? 1 - i : i);
-    std::vector<std::string> letters;
-    for (const Letter& l : letters_) {
+    std::vector<std::string> messages;
+    for (const InTransitMessage& l : messages_) {
       std::string one = std::to_string(swapped ? 1 - l.holder : l.holder) + std::to_string(l.leader);
-      one += l.grant ? "g" + std::to_string(l.granted.number) + "," + std::to_string(l.granted.in_force) +
-                           "," + std::to_string(l.granted.newest)
-                     : "r" + std::to_string(l.renewal.number) + "," + std::to_string(l.renewal.prepared);
-      letters.push_back(std::move(one));
+      one +=
+          l.grant
+              ? "g" + std::to_string(l.granted.sequence) + "," + std::to_string(l.granted.active_version) +
+                    "," + std::to_string(l.granted.latest_version)
+              : "r" + std::to_string(l.renewal.sequence) + "," + std::to_string(l.renewal.prepared_version);
+      messages.push_back(std::move(one));
     }
-    std::sort(letters.begin(), letters.end());
-    for (const std::string& letter : letters) text += "/" + letter;
-    if (least.empty() || text < least) least = std::move(text);
+    std::sort(messages.begin(), messages.end());
+    for (const std::string& message : messages) text += "/" + message;
+    if (smallest.empty() || text < smallest) smallest = std::move(text);
   }
-  return least;
+  return smallest;
 }
 
-Found SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget, std::uint64_t most) {
+Found SearchLeases(const replicated_config::LeaseSafetyChecks& safety_checks, const LeaseBudget& budget,
+                   std::uint64_t most) {
   return Search(
-      LeaseWorld(guards, budget),
+      LeaseWorld(safety_checks, budget),
       [](const LeaseWorld& world, std::vector<LeaseWorld>& into) { world.Next(into); },
       [](const LeaseWorld& world) { return world.Wrong(); },
       [](const LeaseWorld& world) { return world.Canonical(); }, most);
--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -6,8 +6,8 @@
 // leads knows all that is committed (both are what the search of the log and its tests are for). Checked at
 // every state: once a version is in force nobody acts on an older one for longer than a lease. Budgets bound
 // it. Owner: a search.
-#ifndef LEMONCROFT_MODEL_LEASE_WORLD_H_
-#define LEMONCROFT_MODEL_LEASE_WORLD_H_
+#ifndef LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
+#define LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
 
 #include <array>
 #include <string>
@@ -19,15 +19,15 @@
 namespace lemoncroft::model_check {
 
 struct LeaseBudget {
-  int beats = 9, asks = 4, versions = 2, elections = 1, doubled = 1, crashes = 1;
-  std::size_t on_their_way = 3;
+  int ticks = 9, renewals = 4, versions = 2, elections = 1, duplicates = 1, crashes = 1;
+  std::size_t in_transit = 3;
 };
 
 class LeaseWorld {
  public:
   static constexpr std::size_t kHolders = 2, kLeaders = 2;
 
-  LeaseWorld(const replicated_config::Guards& guards, const LeaseBudget& budget);
+  LeaseWorld(const replicated_config::LeaseSafetyChecks& safety_checks, const LeaseBudget& budget);
 
   void Next(std::vector<LeaseWorld>& into) const;
   std::string Wrong() const { return wrong_; }
@@ -35,43 +35,44 @@
 
  private:
   struct Leader {
-    replicated_config::Granter granter;
-    int lease_until = 0;                                  // beats
-    replicated_config::Version newest = 0, in_force = 0;  // committed, as far as it knows
+    replicated_config::LeaseGrantor grantor;
+    int lease_until = 0;                                                // beats
+    replicated_config::Version latest_version = 0, active_version = 0;  // committed, as far as it knows
   };
-  struct Letter {
+  struct InTransitMessage {
     bool grant = false;
     std::size_t holder = 0, leader = 0;
-    replicated_config::Renewal renewal;
-    replicated_config::Grant granted;
+    replicated_config::LeaseRenewal renewal;
+    replicated_config::LeaseGrant granted;
   };
 
-  replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kBeat); }
+  replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kTick); }
   bool Leads(std::size_t leader) const { return now_ < leaders_[leader].lease_until; }
-  void Deliver(const Letter& letter);
+  void Deliver(const InTransitMessage& message);
   void Learn();  // who leads knows all that is committed
   void Check();
   std::string TextOf(std::size_t holder) const;
 
-  static constexpr replicated_config::Span kBeat = std::chrono::milliseconds(250);
-  static constexpr int kLeaseBeats = 4;
+  static constexpr replicated_config::Span kTick = std::chrono::milliseconds(250);
+  static constexpr int kLeaseTicks = 4;
 
-  replicated_config::Terms terms_;
-  LeaseBudget left_;
+  replicated_config::LeaseOptions options_;
+  LeaseBudget remaining_;
   int now_ = 0;
-  std::vector<replicated_config::Holder> holders_;
-  std::array<int, kHolders> asks_{};
+  std::vector<replicated_config::LeaseHolder> holders_;
+  std::array<int, kHolders> renewals_{};
   std::vector<Leader> leaders_;
   std::size_t leader_ = 0;  // the newest
-  std::uint64_t reign_ = 1;
-  std::vector<Letter> letters_;
-  replicated_config::Version newest_ = 0, in_force_ = 0;
-  std::vector<int> in_force_at_;  // of each version, from 0 on
+  std::uint64_t leadership_epoch_ = 1;
+  std::vector<InTransitMessage> messages_;
+  replicated_config::Version latest_version_ = 0, active_version_ = 0;
+  std::vector<int> activated_at_;  // of each version, from 0 on
   std::string wrong_;
 };
 
-Found SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget, std::uint64_t most);
+Found SearchLeases(const replicated_config::LeaseSafetyChecks& safety_checks, const LeaseBudget& budget,
+                   std::uint64_t most);
 
 }  // namespace lemoncroft::model_check
 
-#endif  // LEMONCROFT_MODEL_LEASE_WORLD_H_
+#endif  // LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
--- /dev/null
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -0,0 +1,285 @@
+#include "testing/simulation/config_replica_fleet.h"
+
+#include <algorithm>
+#include <charconv>
+
+#include "peer_transport/frame.h"
+#include "testing/simulation/processor_time.h"
+#include "testing/simulation/voters.h"
+
+namespace lemoncroft::simulation {
+
+using namespace std::chrono_literals;
+using replicated_config::Version;
+
+namespace {
+constexpr Instant kTick = 5ms;  // at which acts are noted
+constexpr const char* kFleet = "trial";
+
+// Bytes that the way between proxies puts around a note (peerlink/frame.h).
+std::size_t FrameBytes() {
+  const std::string note(100, 'x');
+  return peer_transport::Encode(kFleet,
+                                peer_transport::Parcel{UINT64_MAX, peer_transport::Part::kRules, note})
+             .size() -
+         note.size();
+}
+}  // namespace
+
+ConfigReplicaFleet::ConfigReplicaFleet(const Plan& plan)
+    : plan_(plan), random_(plan.seed), links_(random_()) {
+  while (instances_per_incarnation_ <= plan.proxies) instances_per_incarnation_ *= 10;
+  machines_.resize(plan.proxies);
+  for (std::size_t i = 0; i < plan.proxies; ++i) {
+    Machine& m = machines_[i];
+    m.sync = plan.sync;
+    m.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
+    m.origin = raft::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
+    Restart(i);
+  }
+}
+
+raft::Time ConfigReplicaFleet::Local(const Machine& m) const {
+  return m.origin + Instant(static_cast<Instant::rep>(static_cast<double>(now_.count()) * m.rate));
+}
+
+void ConfigReplicaFleet::Push(Instant at, std::size_t machine, ScheduledEvent::Kind kind,
+                              std::uint64_t incarnation) {
+  queue_.push({at, order_++, machine, incarnation, kind, 0, nullptr});
+}
+
+void ConfigReplicaFleet::Crash(std::size_t i) {
+  Machine& m = machines_[i];
+  m.replica.reset();
+  m.pending_writes.clear();
+  m.stalled_until = now_;
+}
+
+void ConfigReplicaFleet::Restart(std::size_t i) {
+  Machine& m = machines_[i];
+  ++m.incarnation;
+  m.active_version = 0;
+  replicated_config::ConfigReplicaOptions options;
+  options.self = NameOf(i);
+  for (std::size_t v = 0; v < plan_.voters; ++v) options.initial_voters.push_back(NameOf(v));
+  options.log = plan_.log;
+  options.lease = plan_.lease_options;
+  options.safety_checks = plan_.safety_checks;
+  replicated_config::ConfigReplica::DocumentChecks checks;
+  checks.check_successor = [](const replicated_config::VersionRecord*, const std::string& text) {
+    return text.starts_with("wrong") ? std::string("it is wrong") : std::string();
+  };
+  checks.check_compatible = [i](const std::string& text) {
+    return text.starts_with("not for " + NameOf(i)) ? std::string("so it says") : std::string();
+  };
+  checks.required_format = [](const std::string&) { return std::uint64_t{1}; };
+  checks.isolation_duration = [](const std::string&) { return replicated_config::Span(); };
+  m.replica =
+      std::make_unique<replicated_config::ConfigReplica>(options, InstanceOf(i), checks, random_(), Local(m));
+  const bool votes = i < plan_.voters || m.disk.store != 0;
+  if (votes) {
+    if (m.disk.store == 0) m.disk.store = random_() | 1;
+    m.replica->OpenStore(Local(m), {m.disk.store, m.disk.bootstrap_voters, m.disk.persistent_state});
+  }
+  HandleOutputs(i);
+}
+
+void ConfigReplicaFleet::Stall(std::size_t i, Instant span) { machines_[i].stalled_until = now_ + span; }
+
+void ConfigReplicaFleet::BreakDisk(std::size_t i) {
+  Machine& m = machines_[i];
+  if (m.replica == nullptr) return;
+  m.pending_writes.clear();
+  m.replica->CloseStore();
+  HandleOutputs(i);
+}
+
+std::optional<std::size_t> ConfigReplicaFleet::Leader() const {
+  for (std::size_t i = 0; i < machines_.size(); ++i)
+    if (IsRunning(i) && machines_[i].replica->Leads(Local(machines_[i]))) return i;
+  return std::nullopt;
+}
+
+std::string ConfigReplicaFleet::Propose(std::size_t at, Version from, const std::string& text,
+                                        Instant patience) {
+  Machine& m = machines_[at];
+  replicated_config::ConfigChange change;
+  change.id = "c" + std::to_string(++ids_);
+  change.base_version = from;
+  change.document = text;
+  change.author = NameOf(at);
+  proposed_[change.id] = text;
+  if (m.replica == nullptr) return change.id;
+  m.replica->ProposeChange(Local(m), change, Local(m) + patience);
+  HandleOutputs(at);
+  return change.id;
+}
+
+void ConfigReplicaFleet::ChangeVoters(std::size_t at, const std::string& who, bool in) {
+  Machine& m = machines_[at];
+  m.replica->ChangeVoters(Local(m), {"v" + std::to_string(++ids_), who, in}, Local(m) + 5s);
+  HandleOutputs(at);
+}
+
+void ConfigReplicaFleet::Post(std::size_t from, std::size_t to, const replicated_config::Message& message) {
+  static const std::size_t kFrameBytes = FrameBytes();
+  const auto bytes = std::make_shared<const std::string>(replicated_config::Encode(message));
+  ++message_count_;
+  ++machines_[from].sent.messages;
+  machines_[from].sent.bytes += bytes->size() + kFrameBytes;
+  links_.Send(now_, static_cast<Node>(from), static_cast<Node>(to), *bytes,
+              [&](Instant at, const std::string& b) {
+                queue_.push({at, order_++, to, 0, ScheduledEvent::Kind::kMessage, InstanceOf(from),
+                             b == *bytes ? bytes : std::make_shared<const std::string>(b)});
+              });
+}
+
+void ConfigReplicaFleet::HandleOutputs(std::size_t i) {
+  Machine& m = machines_[i];
+  for (auto outputs = m.replica->TakeOutputs(); !outputs.empty(); outputs = m.replica->TakeOutputs()) {
+    for (replicated_config::ConfigReplicaOutput& output : outputs) {
+      if (const auto* post = std::get_if<replicated_config::SendMessage>(&output)) {
+        const std::optional<std::size_t> to = MachineOf(post->to);
+        if (to && *to != i) Post(i, *to, post->message);
+      } else if (std::holds_alternative<replicated_config::Persist>(output) ||
+                 std::holds_alternative<replicated_config::PersistBootstrapVoters>(output)) {
+        const Instant begun = m.pending_writes.empty() ? now_ : std::max(now_, m.pending_writes.back().first);
+        Push(begun + m.sync, i, ScheduledEvent::Kind::kSynced, m.incarnation);
+        m.pending_writes.emplace_back(begun + m.sync, std::move(output));
+      } else if (const auto* learnt = std::get_if<replicated_config::DocumentReceived>(&output)) {
+        const auto [it, fresh] = documents_.try_emplace(learnt->version, learnt->document);
+        if (!fresh && it->second != learnt->document)
+          violations_.push_back("version " + std::to_string(learnt->version) + " has two texts");
+        if (learnt->document.starts_with("not for " + NameOf(i)))
+          m.replica->MarkIncompatible(learnt->version);
+        else
+          m.replica->MarkPrepared(Local(m), learnt->version);
+      } else if (const auto* active_version = std::get_if<replicated_config::VersionActivated>(&output)) {
+        if (active_version->version < m.active_version)
+          violations_.push_back(NameOf(i) + " went back to an older version");
+        m.active_version = active_version->version;
+      } else if (const auto* finished = std::get_if<replicated_config::RequestCompleted>(&output)) {
+        outcomes_[finished->outcome.id] = finished->outcome;
+      }
+    }
+  }
+  const raft::Time due = m.replica->due();
+  if (due == raft::kNever) return;
+  const auto at =
+      Instant(static_cast<Instant::rep>(static_cast<double>((due - m.origin).count()) / m.rate) + 1);
+  Push(std::max(at, now_ + 1us), i, ScheduledEvent::Kind::kStep, m.incarnation);
+}
+
+std::optional<std::size_t> ConfigReplicaFleet::MachineOf(
+    const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
+  std::size_t machine = machines_.size();
+  if (const auto* name = std::get_if<raft::NodeId>(&to)) {
+    if (!name->empty()) std::from_chars(name->data() + 1, name->data() + name->size(), machine);
+  } else {
+    machine = static_cast<std::size_t>((std::get<replicated_config::Instance>(to) - 1) %
+                                       instances_per_incarnation_);
+  }
+  if (machine >= machines_.size()) return std::nullopt;
+  const bool same = std::holds_alternative<raft::NodeId>(to)
+                        ? std::get<raft::NodeId>(to) == NameOf(machine)
+                        : std::get<replicated_config::Instance>(to) == InstanceOf(machine);
+  return same ? std::optional(machine) : std::nullopt;
+}
+
+void ConfigReplicaFleet::HandleTimed(const ScheduledEvent& h) {
+  const double begun = ProcessorMicroseconds();
+  Handle(h);
+  machines_[h.machine].sent.processor_us += ProcessorMicroseconds() - begun;
+}
+
+void ConfigReplicaFleet::Handle(const ScheduledEvent& h) {
+  Machine& m = machines_[h.machine];
+  if (m.replica == nullptr || (h.incarnation != 0 && h.incarnation != m.incarnation)) return;
+  if (m.stalled_until > now_ && h.kind != ScheduledEvent::Kind::kSynced) {
+    ScheduledEvent later = h;
+    later.at = m.stalled_until;
+    later.order = order_++;
+    queue_.push(std::move(later));
+    return;
+  }
+  switch (h.kind) {
+    case ScheduledEvent::Kind::kStep:
+      if (m.replica->due() > Local(m)) return;  // planned anew since
+      m.replica->Step(Local(m));
+      break;
+    case ScheduledEvent::Kind::kMessage:
+      if (const auto note = replicated_config::DecodeMessage(*h.bytes))
+        m.replica->Receive(Local(m), h.from, *note);
+      break;
+    case ScheduledEvent::Kind::kSynced: {
+      if (m.pending_writes.empty() || m.pending_writes.front().first > now_) return;
+      const replicated_config::ConfigReplicaOutput output = std::move(m.pending_writes.front().second);
+      m.pending_writes.erase(m.pending_writes.begin());
+      if (const auto* keep = std::get_if<replicated_config::Persist>(&output)) {
+        Apply(keep->update, m.disk.persistent_state);
+        m.replica->OnStored(Local(m), keep->update.number);
+      } else if (const auto* bootstrap_voters =
+                     std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
+        m.disk.bootstrap_voters = bootstrap_voters->bootstrap_voters;
+        m.replica->OnBootstrapVotersStored(Local(m));
+      }
+      break;
+    }
+  }
+  HandleOutputs(h.machine);
+}
+
+void ConfigReplicaFleet::RunFor(Instant span) {
+  const Instant until = now_ + span;
+  while (now_ < until) {
+    const Instant tick = std::min(until, now_ + kTick);
+    while (!queue_.empty() && queue_.top().at <= tick) {
+      const ScheduledEvent h = queue_.top();
+      queue_.pop();
+      now_ = std::max(now_, h.at);
+      if (plan_.timed)
+        HandleTimed(h);
+      else
+        Handle(h);
+    }
+    now_ = tick;
+    RecordUse();
+  }
+}
+
+std::optional<Version> ConfigReplicaFleet::UsableVersion(std::size_t i) const {
+  const Machine& m = machines_[i];
+  if (m.replica == nullptr || m.stalled_until > now_) return std::nullopt;
+  const auto version = m.replica->UsableVersion(Local(m));
+  return version && *version == m.active_version ? version : std::nullopt;
+}
+
+void ConfigReplicaFleet::RecordUse() {
+  std::set<Version> versions;
+  std::size_t leaders = 0;
+  for (std::size_t i = 0; i < machines_.size(); ++i) {
+    leaders += IsRunning(i) && machines_[i].stalled_until <= now_ &&
+               machines_[i].replica->Leads(Local(machines_[i]));
+    const auto version = UsableVersion(i);
+    if (!version) continue;
+    versions.insert(*version);
+    first_acted_.try_emplace(*version, now_);
+    const auto later = first_acted_.upper_bound(*version);
+    if (later != first_acted_.end() && now_ - later->second > plan_.stale_limit) ++stale_;
+  }
+  if (leaders > 1) violations_.push_back("two lead at once");
+  if (versions.size() < 2) {
+    contradiction_since_.reset();
+    return;
+  }
+  if (!contradiction_since_) contradiction_since_ = now_;
+  longest_contradiction_ = std::max(longest_contradiction_, now_ - *contradiction_since_ + kTick);
+}
+
+bool ConfigReplicaFleet::AllUse(Version version) const {
+  for (std::size_t i = 0; i < machines_.size(); ++i)
+    if (IsRunning(i) && UsableVersion(i) != version) return false;
+  return true;
+}
+
+}  // namespace lemoncroft::simulation
--- /dev/null
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -0,0 +1,139 @@
+// A fleet that agrees on rules in virtual time: the real Keepers of all proxies, on stand-in links, clocks
+// that run apart, and disks that take their time, lose what was not synced, or fail.
+//
+// Deterministic for a seed. Owned by one test or measurement. The first machines vote. Notes travel as bytes.
+// Times are true time. A process that wakes acts first, and looks at its messages and timers then.
+#ifndef LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
+#define LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <queue>
+#include <random>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "replicated_config/config_replica.h"
+#include "testing/simulation/links.h"
+
+namespace lemoncroft::simulation {
+
+class ConfigReplicaFleet {
+ public:
+  struct Plan {
+    std::uint64_t seed = 1;
+    std::size_t voters = 3, proxies = 7;
+    replicated_config::LeaseOptions lease_options;
+    raft::Options log;
+    replicated_config::ConfigReplicaSafetyChecks safety_checks;
+    double drift = 0.005;                                   // of each clock from true time
+    Instant sync = std::chrono::milliseconds(2);            // of a disk
+    Instant stale_limit = std::chrono::milliseconds(1200);  // T of docs/agreement.md
+    bool timed = false;  // the processor time of each machine's steps is counted
+  };
+  explicit ConfigReplicaFleet(const Plan& plan);
+
+  static std::string NameOf(std::size_t i) { return "p" + std::to_string(i); }
+  void Crash(std::size_t i);
+  void Restart(std::size_t i);
+  void EraseDisk(std::size_t i) { machines_[i].disk = {}; }
+  struct Disk {
+    std::uint64_t store = 0;
+    replicated_config::BootstrapVoters bootstrap_voters;
+    raft::PersistentState persistent_state;
+  };
+  Disk& disk(std::size_t i) { return machines_[i].disk; }
+  void Stall(std::size_t i, Instant span);
+  void SlowDisk(std::size_t i, Instant sync) { machines_[i].sync = sync; }
+  void BreakDisk(std::size_t i);  // this voter steps back; a restart mends it
+  void Rate(std::size_t i, double rate) { machines_[i].rate = rate; }
+  // A text that begins with "not for " and this name can't be carried there.
+  void RunFor(Instant span);
+
+  std::string Propose(std::size_t at, replicated_config::Version from, const std::string& text,
+                      Instant patience = std::chrono::seconds(3));
+  void ChangeVoters(std::size_t at, const std::string& who, bool in);
+  const std::map<std::string, replicated_config::ChangeOutcome>& outcomes() const { return outcomes_; }
+
+  std::optional<std::size_t> Leader() const;
+  std::optional<replicated_config::Version> UsableVersion(std::size_t i) const;
+  const replicated_config::ConfigReplica& replica(std::size_t i) const { return *machines_[i].replica; }
+  bool IsRunning(std::size_t i) const { return machines_[i].replica != nullptr; }
+  bool AllUse(replicated_config::Version version) const;  // that live
+  Links& links() { return links_; }
+  Instant now() const { return now_; }
+
+  Instant contradiction() const { return longest_contradiction_; }
+  std::uint64_t stale() const { return stale_; }
+  const std::vector<std::string>& violations() const { return violations_; }
+  std::uint64_t messages() const { return message_count_; }
+  struct Sent {
+    std::uint64_t messages = 0, bytes = 0;  // frames and all
+    double processor_us = 0;                // within its Keeper and the codec of notes; 0: not timed
+  };
+  const Sent& sent(std::size_t i) const { return machines_[i].sent; }
+  std::size_t size() const { return machines_.size(); }
+
+ private:
+  struct Machine {
+    std::unique_ptr<replicated_config::ConfigReplica> replica;
+    Disk disk;
+    std::vector<std::pair<Instant, replicated_config::ConfigReplicaOutput>> pending_writes;
+    double rate = 1;
+    raft::Time origin{};
+    Instant stalled_until{}, sync{};
+    std::uint64_t incarnation = 0;
+    replicated_config::Version active_version = 0;
+    Sent sent;
+  };
+  struct ScheduledEvent {
+    Instant at{};
+    std::uint64_t order = 0;
+    std::size_t machine = 0;
+    std::uint64_t incarnation = 0;  // 0: of any
+    enum class Kind { kStep, kMessage, kSynced } kind = Kind::kStep;
+    replicated_config::Instance from = 0;
+    std::shared_ptr<const std::string> bytes;
+    bool operator>(const ScheduledEvent& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
+  };
+
+  raft::Time Local(const Machine& m) const;
+  replicated_config::Instance InstanceOf(std::size_t i) const {
+    return instances_per_incarnation_ * machines_[i].incarnation + i + 1;
+  }
+  // The machine whose process now has that name or instance.
+  std::optional<std::size_t> MachineOf(
+      const std::variant<raft::NodeId, replicated_config::Instance>& to) const;
+  void Push(Instant at, std::size_t machine, ScheduledEvent::Kind kind, std::uint64_t incarnation);
+  void Handle(const ScheduledEvent& happening);
+  void HandleTimed(const ScheduledEvent& happening);
+  void HandleOutputs(std::size_t i);
+  void Post(std::size_t from, std::size_t to, const replicated_config::Message& message);
+  void RecordUse();
+
+  Plan plan_;
+  std::mt19937_64 random_;
+  Links links_;
+  Instant now_{};
+  std::uint64_t order_ = 0, message_count_ = 0, ids_ = 0;
+  replicated_config::Instance instances_per_incarnation_ =
+      1000;  // between the instances of two lives of a machine
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  std::vector<Machine> machines_;
+  std::map<std::string, replicated_config::ChangeOutcome> outcomes_;
+  std::map<replicated_config::Version, std::string> documents_;  // as first seen anywhere
+  std::map<std::string, std::string> proposed_;
+  std::optional<Instant> contradiction_since_;
+  Instant longest_contradiction_{};
+  std::map<replicated_config::Version, Instant> first_acted_;
+  std::uint64_t stale_ = 0;
+  std::vector<std::string> violations_;
+};
+
+}  // namespace lemoncroft::simulation
+
+#endif  // LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
--- a/src/testing/simulation/deciders.h
+++ b/src/testing/simulation/deciders.h
@@ -3,8 +3,8 @@
 //
 // Contract. As the module's interface has it (lemoncroft/gateway.h): no I/O, no clock, deterministic for its
 // settings and seed. Errors: none.
-#ifndef LEMONCROFT_STANDIN_DECIDERS_H_
-#define LEMONCROFT_STANDIN_DECIDERS_H_
+#ifndef LEMONCROFT_SIMULATION_DECIDERS_H_
+#define LEMONCROFT_SIMULATION_DECIDERS_H_
 
 #include <cstdint>
 #include <functional>
@@ -33,4 +33,4 @@
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_DECIDERS_H_
+#endif  // LEMONCROFT_SIMULATION_DECIDERS_H_
--- a/src/testing/simulation/rule_fleet.cpp
+++ b/src/testing/simulation/lease_fleet.cpp
@@ -1,4 +1,4 @@
-#include "testing/simulation/rule_fleet.h"
+#include "testing/simulation/lease_fleet.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 constexpr Instant kTick = 5ms;  // at which acts are noted
 
-Voters::Plan VotersOf(const RuleFleet::Plan& plan) {
+Voters::Plan VotersOf(const LeaseFleet::Plan& plan) {
   Voters::Plan out;
   out.seed = plan.seed;
   out.members = out.voting = plan.voters;
@@ -23,71 +23,71 @@
 
 }  // namespace
 
-RuleFleet::RuleFleet(const Plan& plan) : plan_(plan), voters_(VotersOf(plan)), random_(plan.seed + 1) {
-  leaders_.assign(plan.voters, Leader(plan.terms));
+LeaseFleet::LeaseFleet(const Plan& plan) : plan_(plan), voters_(VotersOf(plan)), random_(plan.seed + 1) {
+  leaders_.assign(plan.voters, Leader(plan.lease_options));
   for (std::size_t i = 0; i < plan.proxies; ++i) {
-    Proxy& proxy = proxies_.emplace_back(plan.terms);
+    Proxy& proxy = proxies_.emplace_back(plan.lease_options);
     proxy.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
     proxy.origin = replicated_config::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
     proxy.ask_at = Instant(static_cast<Instant::rep>(random_() % 250'000'000));
-    proxy.fetch = plan.fetch;
+    proxy.fetch_delay = plan.fetch_delay;
   }
   voters_.on_committed = [this](std::size_t i, const raft::Entry& entry) {
     if (entry.kind != raft::EntryKind::kData) return;
     Leader& leader = leaders_[i];
-    Version& version = entry.data.starts_with("doc") ? leader.newest : leader.in_force;
+    Version& version = entry.data.starts_with("doc") ? leader.latest_version : leader.active_version;
     version = std::max(version, Number(entry.data));
   };
 }
 
-replicated_config::Time RuleFleet::Local(const Proxy& proxy) const {
+replicated_config::Time LeaseFleet::Local(const Proxy& proxy) const {
   return proxy.origin +
          Instant(static_cast<Instant::rep>(static_cast<double>(voters_.now().count()) * proxy.rate));
 }
 
-std::optional<Version> RuleFleet::Propose() {
+std::optional<Version> LeaseFleet::Propose() {
   const auto leader = voters_.Leader();
   if (!leader) return std::nullopt;
   voters_.Propose(*leader, "doc " + std::to_string(++proposed_));
   return proposed_;
 }
 
-void RuleFleet::Stall(std::size_t proxy, Instant span) {
-  proxies_[proxy].held_until = now() + span;
+void LeaseFleet::Stall(std::size_t proxy, Instant span) {
+  proxies_[proxy].stalled_until = now() + span;
   if (proxy < plan_.voters) voters_.Stall(proxy, span);
 }
 
-void RuleFleet::RestartVoter(std::size_t i) {
-  leaders_[i] = Leader(plan_.terms);
+void LeaseFleet::RestartVoter(std::size_t i) {
+  leaders_[i] = Leader(plan_.lease_options);
   if (!voters_.Lives(i)) voters_.Restart(i);
 }
 
-void RuleFleet::Lead(std::size_t i) {
+void LeaseFleet::RunLeaderDuties(std::size_t i) {
   Leader& leader = leaders_[i];
   if (!voters_.Lives(i) || voters_.raft(i).role() != raft::Role::kLeader) return;
   const replicated_config::Time local = voters_.LocalNow(i);
   if (leader.term != voters_.raft(i).term()) {
     leader.term = voters_.raft(i).term();
-    leader.forcing = 0;
-    leader.granter.Begin(local, leader.term);
+    leader.activating_version = 0;
+    leader.grantor.BeginLeadership(local, leader.term);
   }
-  if (leader.newest <= std::max(leader.in_force, leader.forcing)) return;
-  if (!leader.granter.MayEnforce(local, voters_.Leads(i), leader.newest)) return;
-  leader.forcing = leader.newest;
-  voters_.Propose(i, "for " + std::to_string(leader.newest));
+  if (leader.latest_version <= std::max(leader.active_version, leader.activating_version)) return;
+  if (!leader.grantor.MayActivate(local, voters_.Leads(i), leader.latest_version)) return;
+  leader.activating_version = leader.latest_version;
+  voters_.Propose(i, "for " + std::to_string(leader.latest_version));
 }
 
-void RuleFleet::Handle(const Happening& h) {
+void LeaseFleet::Handle(const ScheduledEvent& h) {
   Proxy& proxy = proxies_[h.proxy];
   const auto voter = static_cast<Node>(h.voter), machine = static_cast<Node>(h.proxy);
   if (h.renewal) {
     Leader& leader = leaders_[h.voter];
     if (!voters_.Lives(h.voter) || leader.term != voters_.raft(h.voter).term()) return;
-    const auto grant =
-        leader.granter.Answer(voters_.LocalNow(h.voter), voters_.Leads(h.voter), std::to_string(h.proxy),
-                              *h.renewal, leader.in_force, leader.newest);
+    const auto grant = leader.grantor.HandleRenewal(voters_.LocalNow(h.voter), voters_.Leads(h.voter),
+                                                    std::to_string(h.proxy), *h.renewal,
+                                                    leader.active_version, leader.latest_version);
     if (!grant) return;
-    Happening answer;
+    ScheduledEvent answer;
     answer.proxy = h.proxy;
     answer.voter = h.voter;
     answer.grant = grant;
@@ -102,48 +102,48 @@
       links().Send(now(), voter, machine, {}, put);
     return;
   }
-  if (proxy.held_until > now()) {
-    Happening later = h;
-    later.at = proxy.held_until;
+  if (proxy.stalled_until > now()) {
+    ScheduledEvent later = h;
+    later.at = proxy.stalled_until;
     later.order = order_++;
     queue_.push(later);
     return;
   }
-  if (h.fetched > 0) {
-    proxy.fetching = 0;
-    proxy.holder.Prepared(h.fetched);
+  if (h.fetched_version > 0) {
+    proxy.fetching_version = 0;
+    proxy.holder.MarkPrepared(h.fetched_version);
     proxy.ask_at = now();  // the leader need not wait for a beat to hear of it
     return;
   }
-  proxy.holder.Take(Local(proxy), *h.grant);
-  if (proxy.holder.newest() > proxy.holder.prepared() && proxy.fetching == 0 &&
+  proxy.holder.HandleGrant(Local(proxy), *h.grant);
+  if (proxy.holder.latest_version() > proxy.holder.prepared_version() && proxy.fetching_version == 0 &&
       links().Open(machine, voter)) {
-    proxy.fetching = proxy.holder.newest();
-    Happening fetched;
-    fetched.at = now() + proxy.fetch;
-    fetched.order = order_++;
-    fetched.proxy = h.proxy;
-    fetched.fetched = proxy.fetching;
-    queue_.push(fetched);
+    proxy.fetching_version = proxy.holder.latest_version();
+    ScheduledEvent fetched_version;
+    fetched_version.at = now() + proxy.fetch_delay;
+    fetched_version.order = order_++;
+    fetched_version.proxy = h.proxy;
+    fetched_version.fetched_version = proxy.fetching_version;
+    queue_.push(fetched_version);
   }
 }
 
-void RuleFleet::RunFor(Instant span) {
+void LeaseFleet::RunFor(Instant span) {
   const Instant until = now() + span;
   while (now() < until) {
     voters_.RunFor(kTick);
-    for (std::size_t i = 0; i < plan_.voters; ++i) Lead(i);
+    for (std::size_t i = 0; i < plan_.voters; ++i) RunLeaderDuties(i);
     // A process that wakes acts first, and looks at its messages and timers then.
-    Note();
+    RecordUse();
     for (std::size_t p = 0; p < proxies_.size(); ++p) {
       Proxy& proxy = proxies_[p];
-      if (proxy.held_until > now()) continue;
+      if (proxy.stalled_until > now()) continue;
       proxy.holder.Tick(Local(proxy));
       if (proxy.ask_at > now()) continue;
-      proxy.ask_at = now() + plan_.terms.beat;
-      Happening ask;
+      proxy.ask_at = now() + plan_.lease_options.renewal_interval;
+      ScheduledEvent ask;
       ask.proxy = p;
-      ask.renewal = proxy.holder.Ask(Local(proxy));
+      ask.renewal = proxy.holder.RequestRenewal(Local(proxy));
       for (std::size_t v = 0; v < plan_.voters; ++v) {
         ask.voter = v;
         const auto put = [&](Instant at, const std::string&) {
@@ -158,42 +158,42 @@
       }
     }
     while (!queue_.empty() && queue_.top().at <= now()) {
-      const Happening h = queue_.top();
+      const ScheduledEvent h = queue_.top();
       queue_.pop();
       Handle(h);
     }
   }
 }
 
-std::optional<Version> RuleFleet::MayAct(std::size_t proxy) const {
+std::optional<Version> LeaseFleet::UsableVersion(std::size_t proxy) const {
   const Proxy& one = proxies_[proxy];
-  return one.held_until > now() ? std::nullopt : one.holder.MayAct(Local(one));
+  return one.stalled_until > now() ? std::nullopt : one.holder.UsableVersion(Local(one));
 }
 
-void RuleFleet::Note() {
+void LeaseFleet::RecordUse() {
   std::set<Version> versions;
   for (std::size_t p = 0; p < proxies_.size(); ++p) {
-    if (const auto version = MayAct(p)) {
+    if (const auto version = UsableVersion(p)) {
       versions.insert(*version);
       first_acted_.try_emplace(*version, now());
       const auto later = first_acted_.upper_bound(*version);
-      if (later != first_acted_.end() && now() - later->second > plan_.stated) ++stale_;
+      if (later != first_acted_.end() && now() - later->second > plan_.stale_limit) ++stale_;
     }
     const Proxy& one = proxies_[p];
-    const bool leased = Local(one) < one.holder.lease_ends() && one.held_until <= now();
-    if (leased && one.holder.prepared() < one.holder.in_force()) ++without_;
+    const bool leased = Local(one) < one.holder.lease_expiry() && one.stalled_until <= now();
+    if (leased && one.holder.prepared_version() < one.holder.active_version()) ++uses_without_document_;
   }
   if (versions.size() < 2) {
-    apart_since_.reset();
+    contradiction_since_.reset();
     return;
   }
-  if (!apart_since_) apart_since_ = now();
-  longest_ = std::max(longest_, now() - *apart_since_ + kTick);
+  if (!contradiction_since_) contradiction_since_ = now();
+  longest_contradiction_ = std::max(longest_contradiction_, now() - *contradiction_since_ + kTick);
 }
 
-bool RuleFleet::InForceEverywhere(Version version) const {
+bool LeaseFleet::ActiveEverywhere(Version version) const {
   for (std::size_t p = 0; p < proxies_.size(); ++p)
-    if (MayAct(p) != version) return false;
+    if (UsableVersion(p) != version) return false;
   return true;
 }
 
--- a/src/testing/simulation/rule_fleet.h
+++ b/src/testing/simulation/lease_fleet.h
@@ -3,8 +3,8 @@
 //
 // Deterministic for a seed. Owned by one test or measurement. The first machines are the voters'. Documents
 // are numbers alone here: what is in them is the business of others. Times are true time.
-#ifndef LEMONCROFT_STANDIN_RULE_FLEET_H_
-#define LEMONCROFT_STANDIN_RULE_FLEET_H_
+#ifndef LEMONCROFT_SIMULATION_LEASE_FLEET_H_
+#define LEMONCROFT_SIMULATION_LEASE_FLEET_H_
 
 #include <map>
 #include <optional>
@@ -18,87 +18,87 @@
 
 namespace lemoncroft::simulation {
 
-class RuleFleet {
+class LeaseFleet {
  public:
   struct Plan {
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
-    replicated_config::Terms terms;
-    double drift = 0.005;                              // of each clock from true time
-    Instant fetch = std::chrono::milliseconds(20);     // of a document
-    Instant stated = std::chrono::milliseconds(1200);  // T of docs/agreement.md
+    replicated_config::LeaseOptions lease_options;
+    double drift = 0.005;                                   // of each clock from true time
+    Instant fetch_delay = std::chrono::milliseconds(20);    // of a document
+    Instant stale_limit = std::chrono::milliseconds(1200);  // T of docs/agreement.md
   };
-  explicit RuleFleet(const Plan& plan);
+  explicit LeaseFleet(const Plan& plan);
 
   // A new document, at whoever leads; its version, none where nobody leads.
   std::optional<replicated_config::Version> Propose();
   void Stall(std::size_t proxy, Instant span);  // its voter too
   void CrashVoter(std::size_t i) { voters_.Crash(i); }
   void RestartVoter(std::size_t i);
-  void SlowFetch(std::size_t proxy, Instant span) { proxies_[proxy].fetch = span; }
+  void SetFetchDelay(std::size_t proxy, Instant span) { proxies_[proxy].fetch_delay = span; }
   void Rate(std::size_t proxy, double rate) { proxies_[proxy].rate = rate; }
   void RunFor(Instant span);
   Voters& voters() { return voters_; }
   Links& links() { return voters_.links(); }
   Instant now() const { return voters_.now(); }
 
-  std::optional<replicated_config::Version> MayAct(std::size_t proxy) const;
-  const replicated_config::Holder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
+  std::optional<replicated_config::Version> UsableVersion(std::size_t proxy) const;
+  const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
   // The longest time in which two proxies could act on different versions.
-  Instant contradiction() const { return longest_; }
+  Instant contradiction() const { return longest_contradiction_; }
   // Instants at which a proxy could act on a version for longer than `stated` after a later one was first
   // acted on.
   std::uint64_t stale() const { return stale_; }
   // Instants at which a proxy was leased and in touch, and lacked the document in force.
-  std::uint64_t without() const { return without_; }
-  bool InForceEverywhere(replicated_config::Version version) const;
+  std::uint64_t uses_without_document() const { return uses_without_document_; }
+  bool ActiveEverywhere(replicated_config::Version version) const;
 
  private:
   struct Proxy {
-    explicit Proxy(const replicated_config::Terms& terms) : holder(terms) {}
-    replicated_config::Holder holder;
+    explicit Proxy(const replicated_config::LeaseOptions& lease_options) : holder(lease_options) {}
+    replicated_config::LeaseHolder holder;
     double rate = 1;
     replicated_config::Time origin{};
-    Instant held_until{}, ask_at{}, fetch{};
-    replicated_config::Version fetching = 0;
+    Instant stalled_until{}, ask_at{}, fetch_delay{};
+    replicated_config::Version fetching_version = 0;
   };
   struct Leader {
-    explicit Leader(const replicated_config::Terms& terms) : granter(terms) {}
-    replicated_config::Granter granter;
+    explicit Leader(const replicated_config::LeaseOptions& lease_options) : grantor(lease_options) {}
+    replicated_config::LeaseGrantor grantor;
     raft::Term term = 0;
-    replicated_config::Version newest = 0, in_force = 0, forcing = 0;
+    replicated_config::Version latest_version = 0, active_version = 0, activating_version = 0;
   };
-  struct Happening {
+  struct ScheduledEvent {
     Instant at{};
     std::uint64_t order = 0;
     std::size_t proxy = 0, voter = 0;
-    std::optional<replicated_config::Renewal> renewal;
-    std::optional<replicated_config::Grant> grant;
-    replicated_config::Version fetched = 0;
-    bool operator>(const Happening& other) const {
+    std::optional<replicated_config::LeaseRenewal> renewal;
+    std::optional<replicated_config::LeaseGrant> grant;
+    replicated_config::Version fetched_version = 0;
+    bool operator>(const ScheduledEvent& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
 
   replicated_config::Time Local(const Proxy& proxy) const;
-  void Handle(const Happening& happening);
-  void Lead(std::size_t i);
-  void Note();
+  void Handle(const ScheduledEvent& happening);
+  void RunLeaderDuties(std::size_t i);
+  void RecordUse();
 
   Plan plan_;
   Voters voters_;
   std::mt19937_64 random_;
-  std::uint64_t order_ = 0, without_ = 0;
+  std::uint64_t order_ = 0, uses_without_document_ = 0;
   replicated_config::Version proposed_ = 0;
   std::vector<Proxy> proxies_;
   std::vector<Leader> leaders_;
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
-  std::optional<Instant> apart_since_;
-  Instant longest_{};
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  std::optional<Instant> contradiction_since_;
+  Instant longest_contradiction_{};
   std::map<replicated_config::Version, Instant> first_acted_;
   std::uint64_t stale_ = 0;
 };
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_RULE_FLEET_H_
+#endif  // LEMONCROFT_SIMULATION_LEASE_FLEET_H_
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -10,7 +10,7 @@
 
 #include "decision/subset/subset.h"
 #include "testing/simulation/query_engine.h"
-#include "testing/simulation/rule_checker.h"
+#include "testing/simulation/site_invariant_checker.h"
 
 namespace lemoncroft::simulation {
 namespace {
@@ -526,7 +526,7 @@
   Nanos length_ = 0;
   Nanos now_ = kStart;
   std::mt19937_64 random_;  // the clients'
-  RuleChecker checker_;
+  SiteInvariantChecker checker_;
   std::vector<std::unique_ptr<QueryEngine>> engines_;  // engine number i + 1
   std::vector<Proxy> gateways_;
   std::multimap<Nanos, std::function<void()>> timeline_;
--- a/src/testing/simulation/rule_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "testing/simulation/rule_checker.h"
+#include "testing/simulation/site_invariant_checker.h"
 
 #include <algorithm>
 
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-RuleChecker::RuleChecker(const Site& site)
+SiteInvariantChecker::SiteInvariantChecker(const Site& site)
     : site_(site), gateways_(static_cast<std::size_t>(site.settings.gateways)) {}
 
-bool RuleChecker::Life::out() const {
+bool SiteInvariantChecker::Life::out() const {
   return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
 }
 
-void RuleChecker::Breach(Nanos now, RequestId id, const std::string& what) {
+void SiteInvariantChecker::Breach(Nanos now, RequestId id, const std::string& what) {
   ++count_;
   if (breaches_.size() >= kBreachesKept) return;
   std::string text = "at " + std::to_string(now / kMs) + " ms: " + what;
@@ -40,14 +40,14 @@
   breaches_.push_back(text);
 }
 
-RuleChecker::Life* RuleChecker::Find(Nanos now, RequestId id, const char* what) {
+SiteInvariantChecker::Life* SiteInvariantChecker::Find(Nanos now, RequestId id, const char* what) {
   const auto it = lives_.find(id);
   if (it != lives_.end()) return &it->second;
   Breach(now, id, std::string(what) + " for a request that is over or was never taken");
   return nullptr;
 }
 
-void RuleChecker::Listed(Nanos now, int gateway, const std::vector<EngineEntry>& entries) {
+void SiteInvariantChecker::Listed(Nanos now, int gateway, const std::vector<EngineEntry>& entries) {
   GatewayState& state = gateways_[static_cast<std::size_t>(gateway)];
   for (const EngineEntry& entry : entries) {
     state.listed[entry.engine] = entry;
@@ -58,7 +58,7 @@
   }
 }
 
-void RuleChecker::Taken(Nanos now, int gateway, const Request& request) {
+void SiteInvariantChecker::Taken(Nanos now, int gateway, const Request& request) {
   Life& life = lives_[request.id];
   life.request = request;
   life.gateway = gateway;
@@ -70,7 +70,7 @@
   if (Ordered(life)) state.keys[request.key].order.push_back(request.id);
 }
 
-void RuleChecker::Sent(Nanos now, const Send& send) {
+void SiteInvariantChecker::Sent(Nanos now, const Send& send) {
   Life* life = Find(now, send.id, "an attempt");
   if (life == nullptr) return;
   if (life->answered) Breach(now, send.id, "an attempt after the answer");
@@ -82,13 +82,13 @@
   life->attempts.push_back({send.engine, now});
 }
 
-void RuleChecker::CheckAttempts(Nanos now, const Life& life) {
+void SiteInvariantChecker::CheckAttempts(Nanos now, const Life& life) {
   const auto most = static_cast<std::size_t>(std::max(1, site_.settings.max_attempts));
   if (life.attempts.size() >= most) Breach(now, life.request.id, "more attempts than allowed");
   if (!site_.settings.may_copy && life.out()) Breach(now, life.request.id, "two attempts out at once");
 }
 
-void RuleChecker::CheckRepeat(Nanos now, const Life& life, EngineId engine) {
+void SiteInvariantChecker::CheckRepeat(Nanos now, const Life& life, EngineId engine) {
   const ClassSettings& c = Class(life);
   if (c.effect == Effect::kSafe) return;
   for (const Attempt& before : life.attempts) {
@@ -101,7 +101,7 @@
   }
 }
 
-bool RuleChecker::SameGroup(const Life& life, EngineId a, EngineId b) const {
+bool SiteInvariantChecker::SameGroup(const Life& life, EngineId a, EngineId b) const {
   const EngineEntry& x = site_.engines[a - 1];
   const EngineEntry& y = site_.engines[b - 1];
   const RepeatGroup group = Class(life).group;
@@ -110,7 +110,7 @@
   return true;
 }
 
-void RuleChecker::CheckOrder(Nanos now, const Life& life) {
+void SiteInvariantChecker::CheckOrder(Nanos now, const Life& life) {
   if (!Ordered(life)) return;
   const KeyLine& line = gateways_[static_cast<std::size_t>(life.gateway)].keys[life.request.key];
   if (line.order.empty() || line.order.front() != life.request.id)
@@ -118,7 +118,7 @@
   if (now < line.rest_until) Breach(now, life.request.id, "an attempt while its key rests");
 }
 
-void RuleChecker::CheckPlace(Nanos now, const Life& life, EngineId engine) {
+void SiteInvariantChecker::CheckPlace(Nanos now, const Life& life, EngineId engine) {
   const std::vector<EngineId>& allowed = site_.may_take[life.request.klass];
   if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end())
     Breach(now, life.request.id, "an engine that the class's placement forbids");
@@ -129,7 +129,7 @@
     Breach(now, life.request.id, "an engine that drains or is gone");
 }
 
-std::size_t RuleChecker::BudgetLeft(Nanos now, GatewayState& gateway) const {
+std::size_t SiteInvariantChecker::BudgetLeft(Nanos now, GatewayState& gateway) const {
   const AttemptBudget& budget = *site_.settings.attempt_budget;
   const Nanos from = now - budget.look_back;
   while (!gateway.taken.empty() && gateway.taken.front() <= from) gateway.taken.pop_front();
@@ -139,14 +139,14 @@
   return left < 1 ? 0 : static_cast<std::size_t>(left);
 }
 
-void RuleChecker::CheckBudget(Nanos now, const Life& life) {
+void SiteInvariantChecker::CheckBudget(Nanos now, const Life& life) {
   if (!site_.settings.attempt_budget) return;
   GatewayState& state = gateways_[static_cast<std::size_t>(life.gateway)];
   if (BudgetLeft(now, state) == 0) Breach(now, life.request.id, "a further attempt past the budget");
   state.further.push_back(now);
 }
 
-void RuleChecker::Ended(Nanos now, RequestId id, int attempt, Outcome outcome) {
+void SiteInvariantChecker::Ended(Nanos now, RequestId id, int attempt, Outcome outcome) {
   const auto it = lives_.find(id);
   if (it == lives_.end()) return;
   Life& life = it->second;
@@ -161,7 +161,7 @@
   Leave(now, id);
 }
 
-void RuleChecker::Leave(Nanos now, RequestId id) {
+void SiteInvariantChecker::Leave(Nanos now, RequestId id) {
   const auto it = lives_.find(id);
   if (it == lives_.end() || !it->second.answered || it->second.out()) return;
   if (Ordered(it->second)) {
@@ -173,7 +173,7 @@
   lives_.erase(it);
 }
 
-void RuleChecker::Cancelled(Nanos now, const Cancel& cancel) {
+void SiteInvariantChecker::Cancelled(Nanos now, const Cancel& cancel) {
   if (!site_.settings.may_cancel) Breach(now, cancel.id, "a cancel that is not allowed");
   const auto it = lives_.find(cancel.id);
   if (it == lives_.end()) return;  // over in the meantime
@@ -181,29 +181,29 @@
   if (cancel.attempt < 0 || cancel.attempt >= attempts) Breach(now, cancel.id, "a cancel of no attempt");
 }
 
-void RuleChecker::Probed(Nanos now, const Probe&) {
+void SiteInvariantChecker::Probed(Nanos now, const Probe&) {
   if (!site_.settings.may_probe) Breach(now, 0, "a probe that is not allowed");
 }
 
-void RuleChecker::Termed(Nanos now, const Terms& terms) {
+void SiteInvariantChecker::Termed(Nanos now, const Terms& terms) {
   if (terms.priority < 0 || terms.priority > 3) Breach(now, terms.id, "a priority that does not exist");
 }
 
-void RuleChecker::Answered(Nanos now, RequestId id, Life& life) {
+void SiteInvariantChecker::Answered(Nanos now, RequestId id, Life& life) {
   if (life.answered) return Breach(now, id, "a second answer");
   life.answered = true;
   if (now > life.deadline + kAnswerSlack) Breach(now, id, "an answer past the deadline");
   open_.erase(id);
 }
 
-void RuleChecker::Served(Nanos now, RequestId id) {
+void SiteInvariantChecker::Served(Nanos now, RequestId id) {
   if (Life* life = Find(now, id, "served"); life != nullptr) {
     Answered(now, id, *life);
     Leave(now, id);
   }
 }
 
-void RuleChecker::Refused(Nanos now, const Refuse& refuse) {
+void SiteInvariantChecker::Refused(Nanos now, const Refuse& refuse) {
   Life* life = Find(now, refuse.id, "a refusal");
   if (life == nullptr) return;
   const bool may_have_run = std::any_of(life->attempts.begin(), life->attempts.end(),
@@ -217,14 +217,14 @@
   Leave(now, refuse.id);
 }
 
-void RuleChecker::Failed(Nanos now, const Fail& fail) {
+void SiteInvariantChecker::Failed(Nanos now, const Fail& fail) {
   if (Life* life = Find(now, fail.id, "a failure"); life != nullptr) {
     Answered(now, fail.id, *life);
     Leave(now, fail.id);
   }
 }
 
-void RuleChecker::Withdrawn(Nanos now, RequestId id) {
+void SiteInvariantChecker::Withdrawn(Nanos now, RequestId id) {
   const auto it = lives_.find(id);
   if (it == lives_.end()) return;
   it->second.answered = true;
@@ -232,20 +232,20 @@
   Leave(now, id);
 }
 
-void RuleChecker::GaveUp(Nanos now, RequestId id) {
+void SiteInvariantChecker::GaveUp(Nanos now, RequestId id) {
   if (!open_.contains(id)) return;
   Breach(now, id, "no answer by the deadline");
   Withdrawn(now, id);
 }
 
 // Whether a rule holds the request back.
-bool RuleChecker::MayWait(Nanos now, const Life& life) {
+bool SiteInvariantChecker::MayWait(Nanos now, const Life& life) {
   GatewayState& state = gateways_[static_cast<std::size_t>(life.gateway)];
   if (Ordered(life) && state.keys[life.request.key].order.front() != life.request.id) return true;
   return !life.attempts.empty() && site_.settings.attempt_budget && BudgetLeft(now, state) == 0;
 }
 
-bool RuleChecker::MayTake(Nanos now, const Life& life, EngineId engine) {
+bool SiteInvariantChecker::MayTake(Nanos now, const Life& life, EngineId engine) {
   const std::vector<EngineId>& allowed = site_.may_take[life.request.klass];
   if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end()) return false;
   for (const Attempt& before : life.attempts)
@@ -259,8 +259,8 @@
   return it->second.started_at == 0 || now > warm_at;
 }
 
-void RuleChecker::CheckIdle(Nanos now, const std::vector<IdleEngine>& idle,
-                            const std::vector<std::vector<EngineId>>& avoided) {
+void SiteInvariantChecker::CheckIdle(Nanos now, const std::vector<IdleEngine>& idle,
+                                     const std::vector<std::vector<EngineId>>& avoided) {
   for (const auto& [id, gateway] : open_) {
     Life& life = lives_.at(id);
     if (life.idle_told || life.out()) continue;
--- a/src/testing/simulation/rule_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -2,8 +2,8 @@
 // request, attempt, answer and list, and keeps a line of text for each breach.
 //
 // Contract. Deterministic; the caller's times never run backwards. It judges and changes nothing.
-#ifndef LEMONCROFT_STANDIN_RULE_CHECKER_H_
-#define LEMONCROFT_STANDIN_RULE_CHECKER_H_
+#ifndef LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
+#define LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -24,9 +24,9 @@
   Nanos since = 0;
 };
 
-class RuleChecker {
+class SiteInvariantChecker {
  public:
-  explicit RuleChecker(const Site& site);
+  explicit SiteInvariantChecker(const Site& site);
 
   void Listed(Nanos now, int gateway, const std::vector<EngineEntry>& entries);
   void Taken(Nanos now, int gateway, const Request& request);
@@ -104,4 +104,4 @@
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_RULE_CHECKER_H_
+#endif  // LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -10,7 +10,7 @@
 
 #include "gossip/view.h"
 #include "replicated_config/lease.h"
-#include "replicated_config/tell_pace.h"
+#include "replicated_config/notification_pacer.h"
 #include "testing/benchmark/hollow_fleet.h"
 #include "testing/benchmark/scale_leases.h"
 #include "testing/benchmark/scale_view.h"
@@ -29,10 +29,10 @@
 // ---- Leases ----
 
 // A leader that grants to so many, one of which has not prepared the version that waits.
-class BusyGranter {
+class BusyGrantor {
  public:
-  explicit BusyGranter(int holders) : holders_(holders) {
-    granter_.Begin(now_, 1);
+  explicit BusyGrantor(int holders) : holders_(holders) {
+    grantor_.BeginLeadership(now_, 1);
     now_ += 5s;
     for (int i = 0; i < holders_; ++i) Renew(i);
   }
@@ -54,56 +54,58 @@
   void Renew(int holder) {
     now_ += replicated_config::Span(250ms) / holders_;
     const replicated_config::Version prepared = holder == 0 ? 1 : 2;
-    granter_.Answer(now_, true, std::to_string(holder), {1, prepared}, 1, 2);
-    enforceable_ += granter_.MayEnforce(now_, true, 2);
+    grantor_.HandleRenewal(now_, true, std::to_string(holder), {1, prepared}, 1, 2);
+    enforceable_ += grantor_.MayActivate(now_, true, 2);
   }
 
   int holders_;
-  replicated_config::Granter granter_{replicated_config::Terms()};
+  replicated_config::LeaseGrantor grantor_{replicated_config::LeaseOptions()};
   replicated_config::Time now_{1h};
   int enforceable_ = 0;
 };
 
-TEST(Granter, ARenewalCostsAboutTheSameHoweverManyHoldersThereAre) {
-  const double few = BusyGranter(250).MicrosecondsARenewal();
-  BusyGranter busy(4000);
+TEST(LeaseGrantor, ARenewalCostsAboutTheSameHoweverManyHoldersThereAre) {
+  const double few = BusyGrantor(250).MicrosecondsARenewal();
+  BusyGrantor busy(4000);
   const double many = busy.MicrosecondsARenewal();
   EXPECT_EQ(busy.enforceable(), 0) << "one has not prepared it";
   EXPECT_LE(many, kGrowthMost * few) << few << " us with 250 holders, " << many << " us with 4,000";
 }
 
 // What may be put in force by the index is what may be by a walk of all books, whatever comes in between.
-TEST(Granter, TheIndexOfBooksAgreesWithTheBooks) {
+TEST(LeaseGrantor, TheIndexOfBooksAgreesWithTheBooks) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
-    replicated_config::Granter granter{replicated_config::Terms()};
+    replicated_config::LeaseGrantor grantor{replicated_config::LeaseOptions()};
     replicated_config::Time now{1h};
-    granter.Begin(now, 1);
+    grantor.BeginLeadership(now, 1);
     now += 5s;
-    replicated_config::Version newest = 1;
+    replicated_config::Version latest_version = 1;
     for (int step = 0; step < 5000; ++step) {
       now += replicated_config::Span(random() % 20'000'000);
-      if (random() % 200 == 0) ++newest;
+      if (random() % 200 == 0) ++latest_version;
       const std::string holder = std::to_string(random() % (step % 1000 < 500 ? 150 : 5));
       const replicated_config::Version prepared =
-          newest - std::min<replicated_config::Version>(newest, random() % 3);
-      granter.Answer(now, true, holder, {1, prepared}, 1, newest);
-      for (const replicated_config::Version version : {newest - 1, newest, newest + 1})
-        ASSERT_EQ(granter.MayEnforce(now, true, version), granter.Missing(now, version).empty())
+          latest_version - std::min<replicated_config::Version>(latest_version, random() % 3);
+      grantor.HandleRenewal(now, true, holder, {1, prepared}, 1, latest_version);
+      for (const replicated_config::Version version :
+           {latest_version - 1, latest_version, latest_version + 1})
+        ASSERT_EQ(grantor.MayActivate(now, true, version), grantor.HoldersWithout(now, version).empty())
             << "seed " << seed << " step " << step << " version " << version;
     }
   }
 }
 
-TEST(Granter, BooksOfHoldersThatWentAreDropped) {
-  replicated_config::Granter granter{replicated_config::Terms()};
+TEST(LeaseGrantor, BooksOfHoldersThatWentAreDropped) {
+  replicated_config::LeaseGrantor grantor{replicated_config::LeaseOptions()};
   replicated_config::Time now{1h};
-  granter.Begin(now, 1);
+  grantor.BeginLeadership(now, 1);
   for (int i = 0; i < 20'000; ++i) {
     now += 1ms;
-    granter.Answer(now, true, std::to_string(i), {1, static_cast<replicated_config::Version>(i % 3)}, 1, 2);
+    grantor.HandleRenewal(now, true, std::to_string(i), {1, static_cast<replicated_config::Version>(i % 3)},
+                          1, 2);
   }
-  EXPECT_LE(granter.booked(), 1100u) << "a lease of 1 s, a new holder each millisecond";
+  EXPECT_LE(grantor.recorded_leases(), 1100u) << "a lease of 1 s, a new holder each millisecond";
 }
 
 // ---- The view ----
@@ -230,22 +232,22 @@
 }
 
 TEST(TellPace, TellsTheNewestOnceAndSoon) {
-  replicated_config::TellPace pace(1);
+  replicated_config::NotificationPacer pace(1);
   replicated_config::Time now{1h};
-  EXPECT_FALSE(pace.MayTell(now, false, 7));
+  EXPECT_FALSE(pace.ShouldNotify(now, false, 7));
   int told = 0;
-  for (int beat = 0; beat < 200; ++beat, now += 50ms) told += pace.MayTell(now, told == 0, 7);
+  for (int beat = 0; beat < 200; ++beat, now += 50ms) told += pace.ShouldNotify(now, told == 0, 7);
   EXPECT_EQ(told, 1) << "within ten seconds in a fleet of seven";
 }
 
 TEST(TellPace, AFleetTellsFourTimesASecondInTheMeanHoweverOftenChangesCome) {
   constexpr std::size_t kMembers = 500;
-  std::vector<replicated_config::TellPace> paces;
+  std::vector<replicated_config::NotificationPacer> paces;
   for (std::size_t i = 0; i < kMembers; ++i) paces.emplace_back(i);
   replicated_config::Time now{1h};
   int told = 0;
   for (const replicated_config::Time until = now + 600s; now < until; now += 50ms)
-    for (replicated_config::TellPace& pace : paces) told += pace.MayTell(now, true, kMembers);
+    for (replicated_config::NotificationPacer& pace : paces) told += pace.ShouldNotify(now, true, kMembers);
   EXPECT_NEAR(told / 600.0, 4, 0.8);
 }
 
--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -12,12 +12,12 @@
 using namespace std::chrono_literals;
 
 Document Good(std::string_view text) {
-  const auto read = ReadDocument(text);
+  const auto read = ParseDocument(text);
   if (const auto* wrong = std::get_if<std::string>(&read)) ADD_FAILURE() << *wrong;
   return std::holds_alternative<Document>(read) ? std::get<Document>(read) : Document();
 }
 std::string Wrong(std::string_view text) {
-  const auto read = ReadDocument(text);
+  const auto read = ParseDocument(text);
   return std::holds_alternative<std::string>(read) ? std::get<std::string>(read) : "nothing is wrong";
 }
 
@@ -31,15 +31,15 @@
 cut-off "10s" { class "lookup"; engine "e1" }
 )";
 
-TEST(RulesDocument, ItsTextComesBackAsItWas) {
+TEST(ConfigDocumentTest, ItsTextComesBackAsItWas) {
   const Document document = Good(kWhole);
-  EXPECT_EQ(Good(WriteDocument(document)), document);
-  EXPECT_EQ(WriteDocument(Good(WriteDocument(document))), WriteDocument(document));
+  EXPECT_EQ(Good(SerializeDocument(document)), document);
+  EXPECT_EQ(SerializeDocument(Good(SerializeDocument(document))), SerializeDocument(document));
   EXPECT_EQ(document.classes.at("lookup").repeat_window, Span(1500us));
   EXPECT_EQ(Good(""), Document());
 }
 
-TEST(RulesDocument, WhatIsWrongIsTold) {
+TEST(ConfigDocumentTest, WhatIsWrongIsTold) {
   EXPECT_NE(Wrong("attempts 0").find("not from 1 to 100"), std::string::npos);
   EXPECT_NE(Wrong("colour 1").find("not known here"), std::string::npos);
   EXPECT_NE(Wrong("class \"a\" { effect \"maybe\" }").find("none of those"), std::string::npos);
@@ -53,41 +53,42 @@
   EXPECT_NE(Wrong(many).find("at most 4096"), std::string::npos);
 }
 
-TEST(RulesDocument, WhoIsCutOffMayGoOnOnlyByWhatNoSuccessorChanges) {
+TEST(ConfigDocumentTest, WhoIsCutOffMayGoOnOnlyByWhatNoSuccessorChanges) {
   const Document from = Good(kWhole);
   EXPECT_EQ(CheckSuccessor(from, Good(std::string(kWhole) + "tenant \"b\" {}")), "");
   Document out = from;
-  out.out.insert("e1");
+  out.ejected_engines.insert("e1");
   EXPECT_NE(CheckSuccessor(from, out).find("engine 'e1'"), std::string::npos);
   Document changed = from;
   changed.classes["lookup"].effect = Effect::kSafe;
   EXPECT_NE(CheckSuccessor(from, changed).find("class 'lookup'"), std::string::npos);
-  changed.cut_off = {};
+  changed.isolation = {};
   EXPECT_NE(CheckSuccessor(from, changed), "") << "taken from `cut-off` and changed at once";
 }
 
-TEST(RulesDocument, DifferencesAreToldByLine) {
+TEST(ConfigDocumentTest, DifferencesAreToldByLine) {
   Document to = Good(kWhole);
-  to.attempts = 4;
-  to.out = {"e8", "e9"};
+  to.max_attempts = 4;
+  to.ejected_engines = {"e8", "e9"};
   EXPECT_EQ(Differences(Good(kWhole), to),
             (std::vector<std::string>{"~ attempts: 3 -> 4", "- out e7", "+ out e9"}));
 }
 
-TEST(RulesDocument, WhatAProxyCantCarryIsToldByItsOwnSettings) {
+TEST(ConfigDocumentTest, WhatAProxyCantCarryIsToldByItsOwnSettings) {
   settings::Site own;
   own.classes = {"lookup"};
   own.tenants = {"acme"};
   own.module.classes.resize(1);
   own.module.tenants.resize(1);
   own.module.max_attempts = 3;
-  EXPECT_EQ(WhyNot(Good("attempts 3"), own, nullptr), "");
-  EXPECT_NE(WhyNot(Good("attempts 4"), own, nullptr).find("allow 3 attempts"), std::string::npos);
-  EXPECT_NE(WhyNot(Good("format 2"), own, nullptr).find("reads format 1"), std::string::npos);
-  EXPECT_NE(WhyNot(Good("class \"report\" {}"), own, nullptr).find("no class 'report'"), std::string::npos);
-  EXPECT_NE(WhyNot(Good("team \"acme\" { cores 1 }"), own, nullptr).find("no waiting line"),
+  EXPECT_EQ(CheckCompatible(Good("attempts 3"), own, nullptr), "");
+  EXPECT_NE(CheckCompatible(Good("attempts 4"), own, nullptr).find("allow 3 attempts"), std::string::npos);
+  EXPECT_NE(CheckCompatible(Good("format 2"), own, nullptr).find("reads format 1"), std::string::npos);
+  EXPECT_NE(CheckCompatible(Good("class \"report\" {}"), own, nullptr).find("no class 'report'"),
             std::string::npos);
-  const settings::Site applied = Applied(
+  EXPECT_NE(CheckCompatible(Good("team \"acme\" { cores 1 }"), own, nullptr).find("no waiting line"),
+            std::string::npos);
+  const settings::Site applied = ApplyDocument(
       Good("attempts 2\nclass \"lookup\" { effect \"side_effect\" }\ntenant \"acme\" { quota 7 }"), own);
   EXPECT_EQ(applied.module.max_attempts, 2);
   EXPECT_EQ(applied.module.classes[0].effect, Effect::kUnsafe);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -15,7 +15,7 @@
 #include "gossip/view.h"
 #include "hot_restart/hand_marks.h"
 #include "peer_transport/frame.h"
-#include "replicated_config/book.h"
+#include "replicated_config/config_state_machine.h"
 #include "replicated_config/document.h"
 #include "runtime/loop.h"
 #include "runtime/socket.h"
@@ -269,11 +269,11 @@
   for (int i = 0; i < kNames; ++i) {
     document.classes[Name("class", i)].effect = Effect::kKeyed;
     document.tenants[Name("tenant", i)].quota_per_s = 12.5;
-    document.out.insert(Name("s", i));
+    document.ejected_engines.insert(Name("s", i));
   }
-  const std::string text = replicated_config::WriteDocument(document);
-  EXPECT_LE(text.size(), replicated_config::kTextMost);
-  const auto read = replicated_config::ReadDocument(text);
+  const std::string text = replicated_config::SerializeDocument(document);
+  EXPECT_LE(text.size(), replicated_config::kMaxDocumentBytes);
+  const auto read = replicated_config::ParseDocument(text);
   ASSERT_TRUE(std::holds_alternative<replicated_config::Document>(read)) << std::get<std::string>(read);
   EXPECT_EQ(std::get<replicated_config::Document>(read), document);
 }
