--- a/src/broker/lease_fence.h
+++ b/src/broker/lease_fence.h
@@ -1,8 +1,8 @@
-// Whether this proxy may act on the rules that it holds: asked at the act itself, since a process that was
-// stopped may wake anywhere.
+// Fences requests with the lease on the replicated configuration: a proxy acts only while its lease is valid.
+// The lease is checked in the turn of the action, since a process may be stopped and resumed anywhere.
 //
-// Contract. Answers for this instant and this turn of the loop alone. Without one every act is allowed.
-// Owner: the proxy's wiring.
+// Contract: an answer is valid for the current turn of the event loop only. Without a fence every action is
+// permitted. Owner: the proxy's wiring. Thread safety: none.
 #ifndef LEMONCROFT_BROKER_LEASE_FENCE_H_
 #define LEMONCROFT_BROKER_LEASE_FENCE_H_
 
@@ -15,13 +15,13 @@
 class LeaseFence {
  public:
   virtual ~LeaseFence() = default;
-  // Whether requests of that class are taken at all.
-  virtual bool AdmitsClass(const std::string& klass) = 0;
-  // Whether a statement of that class might go to the engine at this instant.
-  virtual bool PermitsSend(const std::string& klass, EngineId engine) = 0;
-  // The same in the turn in which it goes: a yes is an act, and is noted. `again`: engines may have it
-  // already.
-  virtual bool RecordSend(const std::string& klass, EngineId engine, bool again) = 0;
+  // Whether requests of a class are admitted at all.
+  virtual bool AdmitsClass(const std::string& class_name) = 0;
+  // Whether an attempt of a class might be sent to an engine now.
+  virtual bool PermitsSend(const std::string& class_name, EngineId engine) = 0;
+  // Permits an attempt in the turn in which it is sent, and records it if permitted. `again`: an engine may
+  // have received the request before.
+  virtual bool RecordSend(const std::string& class_name, EngineId engine, bool again) = 0;
 };
 
 }  // namespace lemoncroft::broker
--- a/src/cli/replicated_config_service.cpp
+++ b/src/cli/replicated_config_service.cpp
@@ -25,9 +25,9 @@
 
 namespace {
 
-constexpr auto kPublishInterval = 50ms;             // of what the others are told of this proxy
-constexpr auto kHeldStoreRetryInterval = 200ms;     // a store that another process of this proxy still has
-constexpr auto kFailedStoreRetryInterval = 2000ms;  // one that failed
+constexpr auto kPublishInterval = 50ms;             // of this proxy's published state
+constexpr auto kHeldStoreRetryInterval = 200ms;     // the store is held by another process of this proxy
+constexpr auto kFailedStoreRetryInterval = 2000ms;  // the store has failed
 constexpr auto kManualEjectionTimeout = 850ms;      // of an operator's call
 constexpr auto kReconcileRetryInterval = 100ms, kRejectedRetryInterval = 2000ms;
 constexpr auto kChangeTimeout = 4000ms, kForwardTimeout = 1500ms;
@@ -73,7 +73,7 @@
   return batch;
 }
 
-// Nothing where it holds what is none of ours.
+// Returns nullopt for contents that this program did not write.
 std::optional<replicated_config::StoredState> StoredOf(const storage::Contents& contents) {
   replicated_config::StoredState out;
   const auto record = [&](const char* name) -> std::string {
@@ -162,14 +162,14 @@
 ReplicatedConfigService::ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
                                                  const operator_config::RulesSettings& settings,
                                                  const std::string& name, discovery::Directory& directory,
-                                                 discovery::Directory::Tell tell, LocalConfig own)
+                                                 discovery::Directory::Tell tell, LocalConfig local_config)
     : loop_(loop),
       fleet_(fleet),
       settings_(settings),
       name_(name),
       directory_(directory),
       tell_(std::move(tell)),
-      local_config_(std::move(own)),
+      local_config_(std::move(local_config)),
       replica_(ReplicaOptionsOf(settings, name), fleet.view().roster().self(), MakeDocumentChecks(), Draw(),
                Now()),
       notification_pacer_(Draw()) {
@@ -224,7 +224,7 @@
   if (replica_.due() < planned_at_) timer_changed_.Open();
 }
 
-// The process of that name that has the store, where two live.
+// Returns the process of that name; where two live, the one that has the store.
 const gossip::Member* ReplicatedConfigService::FindProcess(const raft::NodeId& name) const {
   const gossip::Member* best = nullptr;
   const auto rank = [](const gossip::Member& m) {
@@ -239,43 +239,43 @@
 }
 
 void ReplicatedConfigService::HandleOutput(const replicated_config::ConfigReplicaOutput& output) {
-  if (const auto* post = std::get_if<replicated_config::SendMessage>(&output)) {
-    const auto* name = std::get_if<raft::NodeId>(&post->to);
+  if (const auto* send = std::get_if<replicated_config::SendMessage>(&output)) {
+    const auto* name = std::get_if<raft::NodeId>(&send->to);
     const gossip::Member* to =
         name != nullptr ? FindProcess(*name)
-                        : fleet_.view().roster().Find(std::get<replicated_config::Instance>(post->to));
+                        : fleet_.view().roster().Find(std::get<replicated_config::Instance>(send->to));
     if (to != nullptr)
       fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
-                         replicated_config::Encode(post->message));
-  } else if (const auto* keep = std::get_if<replicated_config::Persist>(&output)) {
-    WriteBatch(keep->update.number, BatchOf(keep->update));
+                         replicated_config::Encode(send->message));
+  } else if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
+    WriteBatch(persist->update.number, BatchOf(persist->update));
   } else if (const auto* bootstrap_voters = std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
     storage::Batch batch;
     batch.records.emplace_back("founders", FoundersText(bootstrap_voters->bootstrap_voters));
     WriteBatch(kBootstrapVotersWrite, std::move(batch));
-  } else if (const auto* learnt = std::get_if<replicated_config::DocumentReceived>(&output)) {
-    const auto document = replicated_config::ParseDocument(learnt->document);
+  } else if (const auto* received = std::get_if<replicated_config::DocumentReceived>(&output)) {
+    const auto document = replicated_config::ParseDocument(received->document);
     const auto* wrong = std::get_if<std::string>(&document);
     const std::string why =
         wrong != nullptr ? *wrong
                          : replicated_config::CheckCompatible(std::get<Document>(document),
                                                               local_config_.site(), local_config_.queue());
     if (why.empty()) {
-      spdlog::info("rules event=prepared version={} mono_us={}", learnt->version, MonoUs(Now()));
-      replica_.MarkPrepared(Now(), learnt->version);
+      spdlog::info("rules event=prepared version={} mono_us={}", received->version, MonoUs(Now()));
+      replica_.MarkPrepared(Now(), received->version);
     } else {
-      spdlog::error("rules: this proxy can't carry version {}: {}", learnt->version, why);
-      replica_.MarkIncompatible(learnt->version);
+      spdlog::error("rules: this proxy can't carry version {}: {}", received->version, why);
+      replica_.MarkIncompatible(received->version);
     }
-  } else if (const auto* active_version = std::get_if<replicated_config::VersionActivated>(&output)) {
-    Activate(active_version->version);
+  } else if (const auto* activated = std::get_if<replicated_config::VersionActivated>(&output)) {
+    Activate(activated->version);
   } else if (const auto* finished = std::get_if<replicated_config::RequestCompleted>(&output)) {
     const auto it = pending_calls_.find(finished->outcome.id);
     if (it == pending_calls_.end()) return;
     it->second->finished = *finished;
     it->second->gate.Open();
-  } else if (const auto* say = std::get_if<replicated_config::LogEvent>(&output)) {
-    spdlog::log(say->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", say->text,
+  } else if (const auto* event = std::get_if<replicated_config::LogEvent>(&output)) {
+    spdlog::log(event->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", event->text,
                 MonoUs(Now()));
   }
 }
@@ -350,7 +350,7 @@
   replica_.OpenStore(Now(), std::move(*stored));
 }
 
-// ---- What is in force ----
+// ---- The active version ----
 
 void ReplicatedConfigService::Activate(Version version) {
   const std::string* text = replica_.FindDocument(version);
@@ -374,8 +374,7 @@
 }
 
 void ReplicatedConfigService::ApplyEjections() {
-  // What is asked for here holds here at once where it sends less, and once it is in force where it sends
-  // more.
+  // An ejection requested here takes effect here at once, the end of one only with the version that ends it.
   std::set<std::string> out = document_.ejected_engines;
   for (const auto& [engine, ejection] : manual_ejections_)
     if (ejection.ejected) out.insert(engine);
@@ -387,17 +386,17 @@
   return version && *version == active_version_ ? version : std::nullopt;
 }
 
-// Cut off: what the version itself lets go on, for the time that it says.
+// Whether the active version lets an isolated proxy send this.
 bool ReplicatedConfigService::PermittedInIsolation(const std::string& class_name, EngineId engine) const {
-  const replicated_config::IsolationPolicy& cut_off = document_.isolation;
+  const replicated_config::IsolationPolicy& policy = document_.isolation;
   const replicated_config::LeaseHolder& holder = replica_.holder();
-  if (!cut_off.classes.contains(class_name) || active_version_ != holder.active_version() ||
+  if (!policy.classes.contains(class_name) || active_version_ != holder.active_version() ||
       holder.clock_rates_differ())
     return false;
-  if (Now() >= holder.lease_expiry() + cut_off.duration) return false;
+  if (Now() >= holder.lease_expiry() + policy.duration) return false;
   if (engine == 0) return true;
   const discovery::Member* member = directory_.Find(engine);
-  return member != nullptr && cut_off.engines.contains(member->name);
+  return member != nullptr && policy.engines.contains(member->name);
 }
 
 bool ReplicatedConfigService::AdmitsClass(const std::string& class_name) {
@@ -412,18 +411,18 @@
 
 bool ReplicatedConfigService::RecordSend(const std::string& class_name, EngineId engine, bool again) {
   const std::optional<Version> version = UsableVersion();
-  const bool kept =
-      !version && PermittedInIsolation(class_name, engine) && !again;  // once, where it is cut off
-  if (!version && !kept) {
+  const bool in_isolation =
+      !version && PermittedInIsolation(class_name, engine) && !again;  // an isolated proxy never retries
+  if (!version && !in_isolation) {
     ++rejected_sends_;
     return false;
   }
-  ++(kept ? isolated_sends_ : sends_);
+  ++(in_isolation ? isolated_sends_ : sends_);
   const discovery::Member* member = directory_.Find(engine);
   spdlog::debug("rules act={} version={} class={} engine={} mono_us={}",
-                kept    ? "kept"
-                : again ? "again"
-                        : "send",
+                in_isolation ? "kept"
+                : again      ? "again"
+                             : "send",
                 version.value_or(active_version_), class_name, member == nullptr ? "-" : member->name,
                 MonoUs(Now()));
   return true;
@@ -434,20 +433,21 @@
   return replicated_config::CheckCompatible(document_, site, queue);
 }
 
-// What the others are told of this proxy, and the log of its being cut off.
+// Publishes this proxy's versions through gossip, and logs when it becomes isolated.
 Task<> ReplicatedConfigService::PublishState() {
   for (;; co_await loop_.Sleep(kPublishInterval)) {
-    const bool cut_off = !UsableVersion();
-    if (std::exchange(isolated_, cut_off) != cut_off)
+    const bool isolated = !UsableVersion();
+    if (std::exchange(isolated_, isolated) != isolated)
       spdlog::log(
-          cut_off ? spdlog::level::warn : spdlog::level::info,
-          "rules event={} version={} lease_ms={} mono_us={}", cut_off ? "cut_off" : "leased", active_version_,
+          isolated ? spdlog::level::warn : spdlog::level::info,
+          "rules event={} version={} lease_ms={} mono_us={}", isolated ? "cut_off" : "leased",
+          active_version_,
           std::chrono::duration_cast<std::chrono::milliseconds>(replica_.holder().lease_expiry() - Now())
               .count(),
           MonoUs(Now()));
     const std::string state = std::to_string(active_version_) + "/" +
                               std::to_string(replica_.holder().prepared_version()) +
-                              (cut_off ? "/cut-off" : "");
+                              (isolated ? "/cut-off" : "");
     const gossip::Roster& roster = fleet_.view().roster();
     if (notification_pacer_.ShouldNotify(Now(), state != published_state_, roster.living())) {
       published_state_ = state;
@@ -519,7 +519,7 @@
   return good == nullptr ? Document() : *good;
 }
 
-// Until the fleet has agreed on what was asked for here.
+// Proposes the ejections requested here until the fleet has committed them.
 Task<> ReplicatedConfigService::ReconcileManualEjections() {
   for (;;) {
     const bool open = std::any_of(manual_ejections_.begin(), manual_ejections_.end(),
@@ -641,7 +641,7 @@
   return Dump(out);
 }
 
-// What only voters have, asked of one.
+// Forwards a call for data that only voters have.
 Task<std::string> ReplicatedConfigService::ForwardToVoter(std::string bytes) {
   for (const std::string& name : settings_.voters) {
     const gossip::Member* voter = FindProcess(name);
--- a/src/cli/replicated_config_service.h
+++ b/src/cli/replicated_config_service.h
@@ -1,10 +1,12 @@
-// The rules that the fleet agrees on, in the running proxy: a replicated_config::Keeper on the peers' way,
-// the store of a voter, the version in force put into the settings, engines out by hand, and the operators'
-// calls. Made only where the operator's file has a `rules`.
+// The replicated configuration in a running proxy: connects a ConfigReplica to the peer transport, a voter's
+// store, the proxy's settings, the endpoint directory and the operators' calls. Made only where the
+// operator's file has a `rules` block.
 //
-// Contract. MayAct is asked at each act, in its turn. Nothing here waits for the disk: a voter whose store
-// fails steps back and tries it again. Owner: the proxy's wiring; one loop. Errors: ConfigError from the
-// constructor where this proxy is to vote and has no store. Source: docs/agreement.md.
+// Contract: the lease is checked in the turn of each action. Nothing here waits for the disk: a voter whose
+// store fails steps down and reopens it later. Owner: the proxy's wiring. Thread safety: none; it runs on one
+// event loop.
+// Errors: the constructor throws ConfigError where this proxy is a voter without a store.
+// Design: docs/agreement.md.
 #ifndef LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
 #define LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
 
@@ -31,29 +33,32 @@
 class ReplicatedConfigService : public broker::LeaseFence {
  public:
   struct LocalConfig {
-    std::function<const settings::Site&()> site;                       // as this proxy's configuration has it
-    std::function<const admission_queue::Settings*()> queue;           // likewise; null: no waiting line
-    std::function<void(const replicated_config::Document&)> activate;  // may throw; then it isn't carried
+    std::function<const settings::Site&()> site;                       // from this proxy's own configuration
+    std::function<const admission_queue::Settings*()> queue;           // likewise; null: no admission queue
+    std::function<void(const replicated_config::Document&)> activate;  // applies a document; may throw
   };
 
   ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
                           const std::string& name, discovery::Directory& directory,
-                          discovery::Directory::Tell tell, LocalConfig own);
+                          discovery::Directory::Tell tell, LocalConfig local_config);
 
   void Start();
-  // Hands leadership over, if it has it: this process ends.
+  // Transfers leadership, if this proxy has it, because the process ends.
   void Shutdown();
 
   bool AdmitsClass(const std::string& class_name) override;
   bool PermitsSend(const std::string& class_name, EngineId engine) override;
   bool RecordSend(const std::string& class_name, EngineId engine, bool again) override;
 
-  // New settings of this proxy's own: why they can't carry the version in force; nothing where they can.
+  // Checks that the active version can be applied to new settings of this proxy.
   std::string CheckCompatible(const settings::Site& site, const admission_queue::Settings* queue) const;
-  const replicated_config::Document& document() const { return document_; }  // in force here; empty: none yet
+  const replicated_config::Document& document() const {
+    return document_;
+  }  // active here; empty before the first
   const operator_config::RulesSettings& settings() const { return settings_; }
 
-  // A call `exclude` or `include`, done here, becomes a change for the fleet; what the answer can say of it.
+  // Proposes to the fleet an `exclude` or `include` that was carried out here. Returns `reply` with what the
+  // fleet has decided so far.
   runtime::Task<admin::Reply> ReplicateManualEjection(admin::Call call, admin::Reply reply);
   bool ready() const { return replica_.UsableVersion(runtime::Now()).has_value(); }
   std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
@@ -61,8 +66,8 @@
  private:
   struct ManualEjection {
     bool ejected = false;
-    replicated_config::Version committed_version = 0;  // agreed on as this version, not in force here yet
-    std::string why;                                   // why the fleet has not agreed yet
+    replicated_config::Version committed_version = 0;  // 0: not committed yet
+    std::string why;                                   // why the last proposal was not committed
   };
   struct PendingCall {
     runtime::Gate gate;
@@ -84,9 +89,9 @@
   void StepDown(const std::string& why);
   runtime::Task<> ReopenStore(runtime::Span after);
   const gossip::Member* FindProcess(const raft::NodeId& name) const;
-  void UpdatePeers();  // to those that live, whom the keeper may ask for texts
+  void UpdatePeers();  // the live members, from which the replica may fetch documents
   void Activate(replicated_config::Version version);
-  void ApplyEjections();  // engines by hand: of the version in force, and what was asked for here since
+  void ApplyEjections();  // of the active version, and those requested here since
   std::optional<replicated_config::Version> UsableVersion() const;
   bool PermittedInIsolation(const std::string& class_name, EngineId engine) const;
   replicated_config::Document LatestDocument() const;
@@ -108,12 +113,12 @@
   LocalConfig local_config_;
   replicated_config::ConfigReplica replica_;
   replicated_config::NotificationPacer notification_pacer_;
-  std::uint64_t peers_as_of_ = 0;  // the roster's changes when the keeper was told its peers
+  std::uint64_t peers_as_of_ = 0;  // value of the roster's changes() at the last UpdatePeers
   runtime::Gate timer_changed_, ejections_changed_;
   runtime::Time planned_at_ = runtime::kNever;
 
   std::unique_ptr<storage::Worker> worker_;
-  std::uint64_t epoch_ = 0;  // of openings: what was reported of an earlier one counts for nothing
+  std::uint64_t epoch_ = 0;  // number of openings; results of earlier ones are ignored
   std::uint64_t store_ = 0;
   bool opening_store_ = false, reported_unavailable_ = false;
   runtime::Span slowest_sync_{};
@@ -121,7 +126,7 @@
   replicated_config::Document document_;
   replicated_config::Version active_version_ = 0;
   std::map<std::string, ManualEjection>
-      manual_ejections_;  // engines: asked for here, and not in force by a version yet
+      manual_ejections_;  // by engine; requested here, not in an active version yet
   std::map<std::string, std::shared_ptr<PendingCall>> pending_calls_;
   mutable std::uint64_t last_change_number_ = 0;
   std::uint64_t sends_ = 0, isolated_sends_ = 0, rejected_sends_ = 0, step_downs_ = 0;
--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -1,13 +1,15 @@
-// One proxy's part in agreeing on the rules: the lease on the version in force, the texts of versions,
-// changes that were proposed here and, at a voter, the log, the book that it comes to and, while it leads,
-// the leases that it grants.
+// One proxy's replica of the fleet's configuration: it holds a lease on the active version, fetches the
+// documents of versions, and carries out requests made here. A voter also replicates the log and applies it
+// to the state machine; the leader among them grants leases, validates changes and activates versions.
 //
-// Contract. No I/O, no clock, deterministic: every call is passed the time of one monotonic clock; what has
-// to be stored, sent or told comes as outputs, in order. MayAct is asked in the turn of the act. What a store
-// must hold before anything that rests on it is sent is kept apart (Post::after), as raft::Send has it.
-// docs/agreement.md is the design. Owner: one thread at a time. Units: spans of time, versions. Errors: notes
-// may be lost, late, doubled and out of order; a store that fails makes the voter step back (CloseStore).
-// Source: Raft (Ongaro, Ousterhout 2014); leases (Gray, Cheriton 1989).
+// Contract: no I/O, no clock, deterministic for a seed. Every call is passed the time of one monotonic clock.
+// What has to be persisted, sent or reported is returned by TakeOutputs, in order, and has to be carried out
+// in that order. Messages that depend on a write are held back until OnStored confirms it. UsableVersion must
+// be called in the same turn as the action that it permits. Thread safety: none; an object belongs to one
+// thread. Errors: messages may be lost, delayed, duplicated and reordered. After a failed write the owner
+// calls CloseStore, which makes this voter step down until OpenStore. Design: docs/agreement.md. Sources:
+// Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Gray and Cheriton,
+// "Leases" (1989).
 #ifndef LEMONCROFT_REPLICATED_CONFIG_CONFIG_REPLICA_H_
 #define LEMONCROFT_REPLICATED_CONFIG_CONFIG_REPLICA_H_
 
@@ -30,27 +32,27 @@
 
 namespace lemoncroft::replicated_config {
 
-using Instance = std::uint64_t;  // one process of the fleet
+using Instance = std::uint64_t;  // identifies one process of the fleet
 
-// Taken away by tests, one at a time.
+// Disabled one at a time by mutation tests; nothing else changes them.
 struct ConfigReplicaSafetyChecks {
-  bool wait_for_settled_log = true;  // a leader grants once it knows all that was committed before it
-  bool validate_on_holders = true;   // a change is put to those who would have to carry it
-  bool expire_laggards = true;       // who doesn't prepare what is committed isn't granted for ever
+  bool wait_for_settled_log = true;  // a leader grants only after it has applied all earlier terms
+  bool validate_on_holders = true;   // lease holders validate a change before it is proposed
+  bool expire_laggards = true;       // who does not prepare the latest version loses its lease
   StateMachineSafetyChecks state_machine;
   AdmissionSafetyChecks admission;
 };
 
 struct ConfigReplicaOptions {
   raft::NodeId self;
-  std::vector<raft::NodeId> initial_voters;  // the voters that the operator's file names
+  std::vector<raft::NodeId> initial_voters;  // the voters named in the operator's file
   raft::Options log;
   LeaseOptions lease;
-  std::uint64_t format = 1;  // the newest documents that this program reads
+  std::uint64_t format = 1;  // the newest document format that this program reads
   ConfigReplicaSafetyChecks safety_checks;
 };
 
-// What the store held when it was opened.
+// The contents of a voter's store when it was opened.
 struct StoredState {
   std::uint64_t store = 0;
   BootstrapVoters bootstrap_voters;
@@ -59,30 +61,32 @@
 
 // ---- Outputs ----
 
-struct Persist {  // make it durable, then call Durable(number)
+struct Persist {  // write and sync it, then call OnStored(update.number)
   raft::StorageUpdate update;
 };
-struct PersistBootstrapVoters {  // likewise, then call FoundersKept
+struct PersistBootstrapVoters {  // write and sync it, then call OnBootstrapVotersStored
   BootstrapVoters bootstrap_voters;
 };
 struct SendMessage {
   std::variant<raft::NodeId, Instance> to;
   Message message;
 };
-// A text is here: Prepared() or CantCarry() is due.
+// A document has arrived: the owner answers with MarkPrepared or MarkIncompatible.
 struct DocumentReceived {
   Version version = 0;
   std::string document;
 };
-// The version that this proxy is granted leases on is another.
+// Leases are now for this version, whose document is prepared here.
 struct VersionActivated {
   Version version = 0;
 };
-struct RequestCompleted {  // a change, a change of voters or a read that was asked for here
+// A request made here has ended: ProposeChange, ChangeVoters or ReadCommitted.
+struct RequestCompleted {
   ChangeOutcome outcome;
   std::optional<ReadResponse> read;
 };
-struct LogEvent {  // for the log
+// A line for the program's log.
+struct LogEvent {
   bool warn = false;
   std::string text;
 };
@@ -92,12 +96,12 @@
 class ConfigReplica {
  public:
   struct DocumentChecks {
-    // What is wrong with a text as a successor of another (null: the first); nothing where it is good.
+    // Checks that a document is valid and may follow the version `from` (null: it is the first).
     std::function<std::string(const VersionRecord* from, const std::string& document)> check_successor;
-    // Why this proxy can't carry it; nothing where it can.
+    // Checks that this proxy can apply a document.
     std::function<std::string(const std::string& document)> check_compatible;
-    std::function<std::uint64_t(const std::string& document)> required_format;  // that a reader must know
-    // For how long who is cut off may go on by it.
+    std::function<std::uint64_t(const std::string& document)> required_format;  // needed to read it
+    // How long an isolated proxy may continue under a document.
     std::function<Span(const std::string& document)> isolation_duration;
   };
 
@@ -109,50 +113,51 @@
   void Receive(raft::Time now, Instance from, const Message& message);
   std::vector<ConfigReplicaOutput> TakeOutputs();
 
-  // A voter's store.
+  // A voter's store: opened by the owner, which also carries out the writes.
   void OpenStore(raft::Time now, StoredState stored);
-  void CloseStore();  // it failed: this voter steps back until it is opened again
+  void CloseStore();  // this voter steps down until the next OpenStore
   void OnStored(raft::Time now, std::uint64_t number);
   void OnBootstrapVotersStored(raft::Time now);
 
-  // Asked for here: Finished comes for each, at the latest at `until`.
-  void ProposeChange(raft::Time now, const ConfigChange& change, raft::Time until);
-  void ChangeVoters(raft::Time now, const VoterChange& voters, raft::Time until);
-  void ReadCommitted(raft::Time now, const std::string& id, raft::Time until);
-  // Leads on no more, if it does: this process ends.
+  // Requests of an operator. Each ends with one RequestCompleted, at `deadline` at the latest.
+  void ProposeChange(raft::Time now, const ConfigChange& change, raft::Time deadline);
+  void ChangeVoters(raft::Time now, const VoterChange& change, raft::Time deadline);
+  void ReadCommitted(raft::Time now, const std::string& id, raft::Time deadline);
+  // Gives up leadership, because this process ends.
   void Resign(raft::Time now);
 
-  // Other processes of the fleet, which may have texts.
+  // Sets the other live processes of the fleet, from which documents may be fetched.
   void SetPeers(std::vector<Instance> peers) { peers_ = std::move(peers); }
 
+  // Answers to DocumentReceived.
   void MarkPrepared(raft::Time now, Version version);
   void MarkIncompatible(Version version);
 
-  // The version that it may act on at this instant; none where it is cut off.
+  // Returns the version that may be acted on at this instant; nullopt while this proxy is isolated.
   std::optional<Version> UsableVersion(raft::Time now) const;
   const LeaseHolder& holder() const { return holder_; }
-  // Of a version that was in force or may come; null where it isn't here.
+  // Null where the document of that version is not stored here.
   const std::string* FindDocument(Version version) const;
-  const ConfigStateMachine* state_machine() const {
-    return raft_ ? &state_machine_ : nullptr;
-  }                                                       // of a voter that votes
+  // Null unless this proxy is a voter that takes part.
+  const ConfigStateMachine* state_machine() const { return raft_ ? &state_machine_ : nullptr; }
   const raft::Raft* raft() const { return raft_.get(); }  // likewise
   const VoterAdmission& admission() const { return admission_; }
+  // Whether this voter leads and may grant leases at this instant.
   bool Leads(raft::Time now) const {
     return raft_ && raft_->Leads(now) && (raft_->Settled() || !options_.safety_checks.wait_for_settled_log);
   }
-  const raft::NodeId& leader() const { return leader_; }  // as far as known
-  // By a leader's books: who holds a lease, and what each has prepared.
+  const raft::NodeId& leader() const { return leader_; }  // empty: unknown
+  // On a leader: the lease holders as "name/instance", with the version that each has prepared.
   std::map<std::string, Version> HoldersByName(raft::Time now) const;
 
  private:
   using Time = raft::Time;
 
-  struct PendingRequest {  // of this proxy, by an operator
+  struct PendingRequest {  // made here by an operator; repeated until the leader answers
     MessageBody body;
     Time deadline{}, next_attempt{};
   };
-  struct InFlightChange {  // a leader's: checked, put to the holders, then proposed
+  struct InFlightChange {  // on a leader: validated by the holders, then proposed
     ConfigChange change;
     std::set<Instance> awaiting;
     Time deadline{};
@@ -162,10 +167,10 @@
   struct InFlightVoterChange {
     VoterChange change;
     Instance reply_to = 0;
-    std::uint64_t store = 0;  // that it was let in with, and no other
+    std::uint64_t store = 0;  // the store that was added; another store of that voter is not admitted
   };
 
-  struct DeferredMessage {  // until what it rests on is durable
+  struct DeferredMessage {  // sent once a write is durable
     raft::NodeId to;
     raft::Message message;
     std::uint64_t after_update = 0;
@@ -174,21 +179,23 @@
   void EmitLogEvent(bool warn, std::string text) { outputs_.push_back(LogEvent{warn, std::move(text)}); }
   void Send(const std::variant<raft::NodeId, Instance>& to, MessageBody body);
   void SendToLeader(MessageBody body);
-  void DrainRaftOutputs(Time now);  // the log's outputs
+  void DrainRaftOutputs(Time now);
   void StartVoting(Time now);
   void RunLeaderDuties(Time now);
   void ActivateLatestVersion(Time now);
   void RenewLease(Time now);
   void RunAdmission(Time now);
   void RetryRequests(Time now);
-  void SubmitRequest(Time now, const std::string& id, MessageBody body, Time until);
+  void SubmitRequest(Time now, const std::string& id, MessageBody body, Time deadline);
   void CompleteRequest(const ChangeOutcome& outcome, std::optional<ReadResponse> read = std::nullopt);
   void FetchMissingDocuments(Time now);
   void StoreDocument(Version version, const std::string& document);
   void ApplyCommitted(const raft::Entry& entry);
   void CompactLog();
   void ReleaseStoredMessages(Time now);
-  void DispatchPendingOutputs(Time now);  // what follows from a call, before it returns
+  // Processes queued outputs until none remain; called at the end of every public call. Bounded by
+  // kMaxDispatchRounds.
+  void DispatchPendingOutputs(Time now);
   void SendOutcome(const std::set<Instance>& to, const ChangeOutcome& outcome);
   void AbandonInFlight();
   std::string CheckAgainstHeldVersions(Time now, const std::string& document) const;
--- a/src/replicated_config/config_state_machine.cpp
+++ b/src/replicated_config/config_state_machine.cpp
@@ -76,7 +76,7 @@
   return outcome.value_or(std::nullopt);
 }
 
-// The oldest go first; never the one in force or the newest.
+// Drops the oldest first; never the active version or the latest one.
 void ConfigStateMachine::DropOldVersions() {
   for (; outcome_order_.size() > kMaxOutcomes; outcome_order_.pop_front())
     outcomes_.erase(outcome_order_.front());
@@ -86,13 +86,13 @@
     const bool over = bytes > kMaxStoredDocumentBytes || versions_.size() > kMaxVersions;
     if (!over) break;
     if (it->first >= active_version_) {
-      ++it;  // what is to come, or holds
+      ++it;  // the active version, or one that may become active
       continue;
     }
     bytes -= it->second.document.size();
     it = versions_.erase(it);
   }
-  // Between the one in force and the newest: none of them will ever be in force.
+  // Versions between the active and the latest one are never activated.
   while ((bytes > kMaxStoredDocumentBytes || versions_.size() > kMaxVersions) && versions_.size() > 2) {
     const auto it = std::next(versions_.begin());
     if (it->first == latest_version_) break;
--- a/src/replicated_config/config_state_machine.h
+++ b/src/replicated_config/config_state_machine.h
@@ -1,10 +1,11 @@
-// What the log comes to: the versions of the rules, which one is in force, and what became of each change.
+// The replicated state machine behind the Raft log: the configuration versions, which of them is active, and
+// the outcome of each proposed change.
 //
-// Contract. No I/O, no clock, deterministic: the same entries give the same book at every voter. A change
-// names the version it was made from and is taken only where that is still the newest; one that comes twice
-// under its id counts once. Bounded: texts of at most kTextMost, those of old versions go once all are over
-// kTextsMost, and outcomes of old changes. Owner: one thread. Errors: an entry that can't be read changes
-// nothing. Source: docs/agreement.md.
+// Contract: no I/O, no clock, deterministic. Replicas that apply the same entries hold equal state. A change
+// names the version that it was made from and is committed only if that is still the latest (compare and
+// set); a change that is applied twice under one id takes effect once. Memory is bounded by the constants
+// below. Thread safety: none; an object belongs to one thread. Errors: an entry that cannot be decoded
+// changes nothing. Design: docs/agreement.md.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_CONFIG_STATE_MACHINE_H_
 #define LEMONCROFT_REPLICATED_CONFIG_CONFIG_STATE_MACHINE_H_
 
@@ -19,67 +20,76 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr std::size_t kMaxDocumentBytes = std::size_t{256} << 10;        // of one document
-inline constexpr std::size_t kMaxStoredDocumentBytes = std::size_t{768} << 10;  // of all that are kept
+inline constexpr std::size_t kMaxDocumentBytes = std::size_t{256} << 10;  // of one version
+// Of all versions together; above it the oldest inactive ones are dropped.
+inline constexpr std::size_t kMaxStoredDocumentBytes = std::size_t{768} << 10;
 inline constexpr std::size_t kMaxVersions = 64, kMaxOutcomes = 512;
 inline constexpr std::size_t kMaxChangeIdBytes = 64, kMaxAuthorBytes = 64;
 
-// A change of the document, as its proposer wants it.
+// A proposed new configuration.
 struct ConfigChange {
-  std::string id;            // drawn by the proposer; the same where it asks again
-  Version base_version = 0;  // the version it was made from; 0: there is none yet
+  std::string id;            // drawn by the proposer; a retry has the same id
+  Version base_version = 0;  // the version that the change was made from; 0: there is none yet
   std::string document;
-  std::string author;  // who, for the history
+  std::string author;  // for the history
   std::int64_t proposed_at_unix_ms = 0;
   bool operator==(const ConfigChange&) const = default;
 };
 
+// What became of a change. The values are part of the wire and snapshot formats.
 enum class ChangeStatus : std::uint8_t {
-  kCommitted,  // it is the version told
-  kConflict,   // made from a version that isn't the newest any more
-  kRejected,   // by the checks, or by a proxy that can't carry it
-  kUnknown,    // nobody who could tell answered in time: it may or may not be taken
+  kCommitted,
+  kConflict,  // its base version is not the latest any more
+  kRejected,  // invalid, or incompatible with a proxy
+  kUnknown,   // no leader answered in time: it may or may not be committed
 };
+// Returns the status as it appears in JSON.
 const char* NameOf(ChangeStatus status);
 
 struct ChangeOutcome {
   std::string id;
   ChangeStatus status = ChangeStatus::kUnknown;
-  Version version = 0;  // of kTaken its own; else the newest
-  std::string reason;
+  Version version = 0;  // kCommitted: the version of the change; otherwise the latest one
+  std::string reason;   // for an operator; empty where the status says it all
 };
 
+// One committed version.
 struct VersionRecord {
   std::string document, author;
   std::int64_t proposed_at_unix_ms = 0;
   bool operator==(const VersionRecord&) const = default;
 };
 
-// Parts of it that a test takes away.
+// Disabled one at a time by mutation tests; nothing else changes them.
 struct StateMachineSafetyChecks {
-  bool compare_and_set = true;  // a change is taken from the newest version alone
-  bool idempotent = true;       // under one id, once
+  bool compare_and_set = true;  // a change is committed only from the latest version
+  bool idempotent = true;       // a change takes effect once under one id
 };
 
-// The log's entries.
+// Encodes a log entry that proposes `change`.
 std::string EncodeEntry(const ConfigChange& change);
+// Encodes a log entry that activates a version.
 std::string EncodeEntry(Version active_version);
 
 class ConfigStateMachine {
  public:
   explicit ConfigStateMachine(StateMachineSafetyChecks safety_checks = {}) : safety_checks_(safety_checks) {}
 
-  // Of a change, what became of it; of a version put in force, or of anything else, nothing.
+  // Applies a committed log entry. Returns the outcome of a change; nullopt for any other entry.
   std::optional<ChangeOutcome> Apply(const std::string& entry);
 
   Version latest_version() const { return latest_version_; }
   Version active_version() const { return active_version_; }
+  // Null where the version does not exist or was dropped.
   const VersionRecord* Find(Version version) const;
   const std::map<Version, VersionRecord>& versions() const { return versions_; }
+  // Null where the change was never applied, or so long ago that its outcome was dropped.
   const ChangeOutcome* FindOutcome(const std::string& id) const;
 
   std::string Snapshot() const;
-  bool Restore(std::string_view snapshot);
+  // Replaces the state by that of a snapshot; an empty one is the initial state. Returns false, and changes
+  // nothing, where it cannot be decoded.
+  [[nodiscard]] bool Restore(std::string_view snapshot);
   bool operator==(const ConfigStateMachine& other) const { return Snapshot() == other.Snapshot(); }
 
  private:
@@ -89,7 +99,7 @@
   Version latest_version_ = 0, active_version_ = 0;
   std::map<Version, VersionRecord> versions_;
   std::map<std::string, ChangeOutcome> outcomes_;
-  std::deque<std::string> outcome_order_;  // of the outcomes, the oldest first
+  std::deque<std::string> outcome_order_;  // keys of outcomes_, the oldest first
 };
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/document.h
+++ b/src/replicated_config/document.h
@@ -1,9 +1,9 @@
-// The document of rules that a fleet agrees on, read: what it changes of each proxy's own settings, which
-// engines are out by hand, and what a proxy that is cut off may go on with.
+// The fleet-wide configuration document: overrides of each proxy's own settings, manually ejected engines,
+// and what an isolated proxy may continue to do.
 //
-// Contract. Plain values, no I/O. The text (KDL, docs/operating-rules.md) is what versions hold; the same
-// document has one canonical text. Owner: none. Units: spans, cores, requests a second. Errors: all that is
-// wrong with a text, a line each.
+// Contract: plain values and pure functions; no I/O. A version of the replicated configuration is a
+// document's KDL text (docs/operating-rules.md); equal documents have one canonical text. Units: spans of
+// time, cores, requests per second. Errors: all faults of a text are reported together.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 #define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 
@@ -23,11 +23,11 @@
 namespace lemoncroft::replicated_config {
 
 inline constexpr std::uint64_t kNewestDocumentFormat = 1;  // the newest that this program reads
-inline constexpr std::size_t kMaxNames = 4096;             // classes, tenants, teams: of each
+inline constexpr std::size_t kMaxNames = 4096;  // of classes, tenants, teams and ejected engines each
 
-// What is left out stays as each proxy's own settings have it.
+// An absent field leaves the proxy's own setting unchanged.
 struct ClassOverride {
-  std::optional<Effect> effect;  // what may be repeated
+  std::optional<Effect> effect;  // whether a retry is safe
   std::optional<RepeatGroup> group;
   std::optional<Span> repeat_window;
   bool operator==(const ClassOverride&) const = default;
@@ -47,8 +47,9 @@
   Span window{};
   bool operator==(const RetryBudget&) const = default;
 };
-// For a proxy that can't renew its lease: these classes go on, at these engines, for so long; all else is
-// refused. A successor may change neither while anybody may go on so.
+// What a proxy may continue after its lease has expired: requests of these classes on these engines, for
+// `duration`. All others are rejected. A successor must not change the overrides of these classes, nor eject
+// these engines, because isolated proxies may still act on them.
 struct IsolationPolicy {
   std::set<std::string> classes, engines;
   Span duration{};
@@ -57,33 +58,34 @@
 
 struct Document {
   std::uint64_t format = 1;
-  std::optional<int> max_attempts;  // of a request
+  std::optional<int> max_attempts;  // attempts per request
   std::optional<RetryBudget> retry_budget;
   std::optional<int> max_open_requests;
   std::map<std::string, ClassOverride> classes;
   std::map<std::string, TenantOverride> tenants;
   std::map<std::string, TeamOverride> teams;
-  std::set<std::string> ejected_engines;  // engines, by hand
+  std::set<std::string> ejected_engines;  // manually ejected
   IsolationPolicy isolation;
   bool operator==(const Document&) const = default;
 };
 
-// The document, or what is wrong with the text.
+// Parses and validates a text.
 std::variant<Document, std::string> ParseDocument(std::string_view text);
 std::string SerializeDocument(const Document& document);
 
-// Why the one can't follow the other; nothing where it can.
+// Checks that `to` may follow `from`.
 std::string CheckSuccessor(const Document& from, const Document& to);
 
-// What differs, a line each: "class lookup effect: pure -> token".
+// Returns the differences, a line each: "~ class lookup effect: pure -> token". Lines begin with "+", "-" or
+// "~" for added, removed and changed.
 std::vector<std::string> Differences(const Document& from, const Document& to);
 
-// Why a proxy with these settings of its own can't carry it; nothing where it can. `teams`: of its waiting
-// line; null: it has none.
+// Checks that a proxy with these settings can apply a document. `queue`: the settings of its admission queue;
+// null: it has none.
 std::string CheckCompatible(const Document& document, const settings::Site& own,
-                            const admission_queue::Settings* line);
+                            const admission_queue::Settings* queue);
 
-// Its own settings as the document changes them. WhyNot has nothing against it.
+// Returns a proxy's settings with the document's overrides. CheckCompatible must hold.
 settings::Site ApplyDocument(const Document& document, const settings::Site& own);
 admission_queue::Settings ApplyDocument(const Document& document, const admission_queue::Settings& own);
 
--- a/src/replicated_config/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -6,11 +6,11 @@
 namespace lemoncroft::replicated_config {
 namespace {
 
-constexpr std::size_t kMaxPendingRenewals = 16;    // renewals without an answer
-constexpr std::size_t kExpirySweepThreshold = 64;  // from so many on, those that are over are dropped
-constexpr std::size_t kMaxClockSamples = 11;       // ten beats of comparing clocks
+constexpr std::size_t kMaxPendingRenewals = 16;    // unanswered renewals
+constexpr std::size_t kExpirySweepThreshold = 64;  // records; above it, expired ones are dropped
+constexpr std::size_t kMaxClockSamples = 11;       // spans ten renewal intervals
 constexpr Span kMessageDelayTolerance =
-    std::chrono::milliseconds(20);  // a message's way, in a comparison of clocks
+    std::chrono::milliseconds(20);  // network jitter in a comparison of clocks
 
 Span Scaled(Span span, double by) {
   return Span(static_cast<Span::rep>(static_cast<double>(span.count()) * by));
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-// ---- Holder ----
+// ---- LeaseHolder ----
 
 LeaseRenewal LeaseHolder::RequestRenewal(Time now) {
   pending_renewals_[++last_sequence_] = now;
@@ -28,13 +28,13 @@
 
 void LeaseHolder::HandleGrant(Time now, const LeaseGrant& grant) {
   const auto asked = pending_renewals_.find(grant.sequence);
-  if (asked == pending_renewals_.end()) return;  // not asked for, answered before, or too long ago
+  if (asked == pending_renewals_.end()) return;  // answered before, or dropped as too old
   const Time since = options_.safety_checks.start_at_request ? asked->second : now;
   pending_renewals_.erase(pending_renewals_.begin(), std::next(asked));
   CompareClockRates(now, grant);
   latest_version_ = std::max(latest_version_, grant.latest_version);
   if (grant.active_version < active_version_ && options_.safety_checks.monotonic_versions)
-    return;  // of a leader that was
+    return;  // from a former leader
   active_version_ = grant.active_version;
   const Span lease = options_.safety_checks.allow_for_clock_rates
                          ? Scaled(options_.duration, 1 - options_.max_clock_rate_difference)
@@ -64,7 +64,7 @@
   return active_version_;
 }
 
-// ---- Granter ----
+// ---- LeaseGrantor ----
 
 void LeaseGrantor::BeginLeadership(Time now, std::uint64_t leadership_epoch) {
   leading_since_ = now;
@@ -73,15 +73,15 @@
   leases_by_prepared_version_.clear();
 }
 
-void LeaseGrantor::RecordLease(const std::string& holder, const RecordedLease& recorded_leases) {
+void LeaseGrantor::RecordLease(const std::string& holder, const RecordedLease& lease) {
   const auto known = leases_.find(holder);
   if (known != leases_.end()) {
     const auto group = leases_by_prepared_version_.find(known->second.prepared_version);
     group->second.erase({known->second.expiry, holder});
     if (group->second.empty()) leases_by_prepared_version_.erase(group);
   }
-  leases_[holder] = recorded_leases;
-  leases_by_prepared_version_[recorded_leases.prepared_version].emplace(recorded_leases.expiry, holder);
+  leases_[holder] = lease;
+  leases_by_prepared_version_[lease.prepared_version].emplace(lease.expiry, holder);
 }
 
 void LeaseGrantor::DropExpired(Time now) {
@@ -107,7 +107,7 @@
                                                       const LeaseRenewal& renewal, Version active_version,
                                                       Version latest_version) {
   if (!leads && options_.safety_checks.grant_only_while_leading) return std::nullopt;
-  // It holds from when it asked, which was before now; its clock may be slower than this one.
+  // The holder counts from its request, which was earlier than now; its clock may be slower than this one.
   const Span lease = options_.safety_checks.allow_for_clock_rates
                          ? Scaled(options_.duration, 1 + options_.max_clock_rate_difference)
                          : options_.duration;
@@ -128,20 +128,19 @@
 
 std::map<std::string, Version> LeaseGrantor::HoldersWithout(Time now, Version version) const {
   std::map<std::string, Version> missing;
-  for (const auto& [name, recorded_leases] : leases_)
-    if (recorded_leases.expiry > now && recorded_leases.prepared_version < version)
-      missing[name] = recorded_leases.prepared_version;
+  for (const auto& [name, lease] : leases_)
+    if (lease.expiry > now && lease.prepared_version < version) missing[name] = lease.prepared_version;
   return missing;
 }
 
 std::map<std::string, Version> LeaseGrantor::LiveHolders(Time now) const {
   std::map<std::string, Version> live;
-  for (const auto& [name, recorded_leases] : leases_)
-    if (recorded_leases.expiry > now) live[name] = recorded_leases.prepared_version;
+  for (const auto& [name, lease] : leases_)
+    if (lease.expiry > now) live[name] = lease.prepared_version;
   return live;
 }
 
-// ---- For a search of states ----
+// ---- For the model checker ----
 
 std::string LeaseHolder::StateText(Time now) const {
   const auto left = [now](Time at) { return std::to_string(std::max<Span::rep>(0, (at - now).count())); };
@@ -154,7 +153,7 @@
 }
 
 std::string LeaseGrantor::StateText(Time now, const std::string& holder) const {
-  const Span longest = 2 * options_.duration;  // past it nothing differs any more
+  const Span longest = 2 * options_.duration;  // older differences have no effect
   if (holder.empty())
     return std::to_string(std::min(longest, now - leading_since_).count()) + "," +
            std::to_string(leadership_epoch_);
--- a/src/replicated_config/lease.h
+++ b/src/replicated_config/lease.h
@@ -1,12 +1,13 @@
-// Leases on the version in force: what lets a proxy act on it, and what a leader must wait for before it puts
-// the next one in force.
+// Leases on the active configuration version. A LeaseHolder (every proxy) may act on a version only while its
+// lease runs; a LeaseGrantor (the Raft leader) activates the next version only once every holder of a live
+// lease has prepared it.
 //
-// Contract. No I/O, no clock: each call is passed the time of its own process's monotonic clock; clocks'
-// rates differ by at most Terms::rates_differ. A Holder never may act once its lease could be over, wherever
-// it was stopped in between: MayAct is asked in the turn of the act. A Granter grants only while its log says
-// that it leads. docs/agreement.md is the design. Owner: one thread each. Errors: grants that were not asked
-// for, or asked for too long ago, are dropped. Source: Gray, Cheriton, "Leases" (SOSP 1989); Ongaro's thesis
-// (2014), section 6.4.
+// Contract: no I/O and no clock. Every call is passed the monotonic time of its own process; the clock rates
+// of two processes differ by at most LeaseOptions::max_clock_rate_difference. UsableVersion must be called in
+// the same turn as the action that it permits, because a process may be stopped anywhere in between. A
+// grantor grants only while its log confirms its leadership. Thread safety: none; each object belongs to one
+// thread. Errors: a grant that answers no pending renewal is ignored. Design: docs/agreement.md. Sources:
+// Gray and Cheriton, "Leases" (SOSP 1989); Ongaro's thesis (2014), section 6.4.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_LEASE_H_
 #define LEMONCROFT_REPLICATED_CONFIG_LEASE_H_
 
@@ -23,98 +24,113 @@
 
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
-using Version = std::uint64_t;
+using Version = std::uint64_t;  // 0: before the first configuration
 
-// Taken away by tests, one at a time; nothing else sets them.
+// Disabled one at a time by mutation tests; nothing else changes them.
 struct LeaseSafetyChecks {
-  bool check_expiry_on_use = true;       // the lease's end is looked at in the act, not by a timer
-  bool start_at_request = true;          // a lease runs from when it was asked for, not from when it came
-  bool wait_after_election = true;       // a new leader has no books: it waits for those of the last one
-  bool grant_only_while_leading = true;  // grants and changes only under the leader's own lease
-  bool wait_for_all_prepared = true;     // nobody is left without the document that comes into force
-  bool monotonic_versions = true;        // an older version never comes into force again at a holder
-  bool allow_for_clock_rates = true;     // holders end early by what clocks may differ, books late
+  bool check_expiry_on_use = true;       // expiry is compared with the clock at each use, not by a timer
+  bool start_at_request = true;          // a lease runs from when it was requested, not from when it arrived
+  bool wait_after_election = true;       // a new leader waits until leases of its predecessor have expired
+  bool grant_only_while_leading = true;  // leases and activations need the leader's own Raft lease
+  bool wait_for_all_prepared = true;     // a version is activated once all holders have its document
+  bool monotonic_versions = true;        // a holder never returns to an older version
+  bool allow_for_clock_rates = true;     // holders expire early, and the grantor's records late
 };
 
 struct LeaseOptions {
   Span duration = std::chrono::milliseconds(1000);
-  Span renewal_interval = std::chrono::milliseconds(250);  // of renewals
-  double max_clock_rate_difference = 0.01;
+  Span renewal_interval = std::chrono::milliseconds(250);
+  double max_clock_rate_difference = 0.01;  // relative, between any two processes
   LeaseSafetyChecks safety_checks;
 };
 
+// A holder's request for a lease, or for more time on the one that it has.
 struct LeaseRenewal {
-  std::uint64_t sequence = 0;    // of the asking
-  Version prepared_version = 0;  // the newest document that it has read and checked whole
+  std::uint64_t sequence = 0;    // of this holder's renewals; the grant repeats it
+  Version prepared_version = 0;  // the newest version whose document is stored and validated here
 };
+
+// The grantor's response to a LeaseRenewal.
 struct LeaseGrant {
   std::uint64_t sequence = 0;
-  Version active_version = 0;
-  Version latest_version = 0;          // committed, to be prepared
-  Span leader_clock{};                 // since some start of the leader's: for comparing rates
-  std::uint64_t leadership_epoch = 0;  // of one leader in one term: its clock is one clock
+  Version active_version = 0;          // the version that the lease is for
+  Version latest_version = 0;          // committed and to be prepared; at least active_version
+  Span leader_clock{};                 // since the start of this leadership; used to compare clock rates
+  std::uint64_t leadership_epoch = 0;  // leader_clock values of one epoch come from one clock
 };
 
+// One proxy's lease.
 class LeaseHolder {
  public:
   explicit LeaseHolder(const LeaseOptions& options) : options_(options) {}
 
+  // Returns the renewal to send to the leader. The lease runs from this call if it is granted.
   LeaseRenewal RequestRenewal(Time now);
+  // Extends the lease, unless the grant answers no pending renewal or is for an older version.
   void HandleGrant(Time now, const LeaseGrant& grant);
-  // The document of that version is here, whole and checked.
+  // Records that the document of `version` is stored here and valid.
   void MarkPrepared(Version version);
 
-  // The version that it may act on at this instant, 0 before there is any; none where it is cut off.
+  // Returns the version that may be acted on at this instant (0 before the first), or nullopt without a valid
+  // lease, without the version's document, or while the clock rates differ.
   std::optional<Version> UsableVersion(Time now) const;
+  // The active version as of the last grant, whether or not the lease still runs.
   Version active_version() const { return active_version_; }
+  // The latest committed version as of the last grant.
   Version latest_version() const { return latest_version_; }
   Version prepared_version() const { return prepared_version_; }
   Time lease_expiry() const { return expiry_; }
-  // Its clock and the leader's run apart by more than they may: it takes itself for cut off.
+  // Whether this clock and the leader's differ in rate by more than the options allow. No version is usable
+  // meanwhile.
   bool clock_rates_differ() const { return clock_rates_differ_; }
-  // All that decides what it does next, times as spans from now, for a search of states. Clocks run alike
-  // there.
+
+  // Returns all state that influences later calls, with times relative to `now`, for the model checker. Clock
+  // samples are left out: clocks have one rate there.
   std::string StateText(Time now) const;
-  // For the guard that is no guard: what a timer would have believed when it last ran.
+  // Runs the timer that stands in for check_expiry_on_use when a mutation test disables it.
   void Tick(Time now) { unexpired_at_last_tick_ = now < expiry_; }
 
  private:
   void CompareClockRates(Time now, const LeaseGrant& grant);
 
+  struct ClockSample {
+    Time local{};
+    Span leader{};
+  };
+
   LeaseOptions options_;
   std::uint64_t last_sequence_ = 0;
-  std::map<std::uint64_t, Time> pending_renewals_;
+  std::map<std::uint64_t, Time> pending_renewals_;  // when each was requested, by sequence
   Version active_version_ = 0, latest_version_ = 0, prepared_version_ = 0;
   Time expiry_{};
   bool unexpired_at_last_tick_ = false;
   bool clock_rates_differ_ = false;
-  struct ClockSample {
-    Time local{};
-    Span leader{};
-  };
-  std::deque<ClockSample> clock_samples_;
+  std::deque<ClockSample> clock_samples_;  // of one leadership epoch
   std::uint64_t leadership_epoch_ = 0;
 };
 
+// The leases that a leader has granted in its current term.
 class LeaseGrantor {
  public:
   explicit LeaseGrantor(const LeaseOptions& options) : options_(options) {}
 
-  // A leadership begins: what the last one granted isn't known.
+  // Starts a leadership. Leases of earlier leaders are unknown: nothing is activated until they have expired.
   void BeginLeadership(Time now, std::uint64_t leadership_epoch);
-  // `leads`: by the log's own lease, at this instant. None where it may not grant.
+  // Records and returns a lease for `from`, or nullopt where none may be granted. `leads`: the leader's own
+  // Raft lease is valid at this instant.
   std::optional<LeaseGrant> HandleRenewal(Time now, bool leads, const std::string& from,
                                           const LeaseRenewal& renewal, Version active_version,
                                           Version latest_version);
-  // Whether that version may be put in force now: all that may act have prepared it. Asked with each renewal
-  // while a version waits: as good as independent of the number of holders.
+  // Whether every holder of a live lease has prepared `version`. It is called for each renewal while a
+  // version waits, so its cost does not grow with the number of holders.
   bool MayActivate(Time now, bool leads, Version version) const;
-  // Those that it waits for.
+  // The live holders that have not prepared `version`, with the version that each has prepared.
   std::map<std::string, Version> HoldersWithout(Time now, Version version) const;
-  // Who may act by its books, and what each has prepared.
+  // The live holders, with the version that each has prepared.
   std::map<std::string, Version> LiveHolders(Time now) const;
+  // The number of leases on record, including expired ones that were not dropped yet.
   std::size_t recorded_leases() const { return leases_.size(); }
-  // For a search of states: what it has booked of one holder; of none: since when it grants.
+  // Returns the record of one holder for the model checker; for an empty name, that of the leadership.
   std::string StateText(Time now, const std::string& holder) const;
 
  private:
@@ -122,18 +138,17 @@
     Time expiry{};
     Version prepared_version = 0;
   };
-  using ExpiryAndHolder = std::pair<Time, std::string>;  // when a holder's lease is over, and whose it is
+  using ExpiryAndHolder = std::pair<Time, std::string>;
 
-  void RecordLease(const std::string& holder, const RecordedLease& recorded_leases);
+  void RecordLease(const std::string& holder, const RecordedLease& lease);
   void DropExpired(Time now);
   bool AnyHolderBehind(Time now, Version version) const;
 
   LeaseOptions options_;
   Time leading_since_{};
   std::uint64_t leadership_epoch_ = 0;
-  std::map<std::string, RecordedLease> leases_;
-  std::map<Version, std::set<ExpiryAndHolder>>
-      leases_by_prepared_version_;  // the same, by what each has prepared
+  std::map<std::string, RecordedLease> leases_;                              // by holder
+  std::map<Version, std::set<ExpiryAndHolder>> leases_by_prepared_version_;  // index of leases_
 };
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/messages.h
+++ b/src/replicated_config/messages.h
@@ -1,8 +1,9 @@
-// What proxies tell each other to agree on rules, beside the log's own messages.
+// Messages between proxies about the replicated configuration, and their encoding. Raft's own messages travel
+// inside RaftMessage.
 //
-// Contract. Plain values and their form on the wire: no I/O. What is read is bounded; anything that isn't
-// whole and well formed is nothing; a note of a later version is passed over. Owner: none. Units: the
-// sender's monotonic clock, in spans since some start of its own. Source: docs/agreement.md.
+// Contract: plain values; no I/O. Decoding is bounded; a message that is incomplete, malformed or of a newer
+// kind decodes to nothing. The order of MessageBody's alternatives and of their fields is the wire format.
+// Times are spans on the sender's monotonic clock. Design: docs/agreement.md.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_MESSAGES_H_
 #define LEMONCROFT_REPLICATED_CONFIG_MESSAGES_H_
 
@@ -20,24 +21,28 @@
 
 namespace lemoncroft::replicated_config {
 
-// A message of the log, from voter to voter.
+// From voter to voter.
 struct RaftMessage {
   raft::Message message;
 };
-// A proxy asks for a lease: to whoever leads.
+
+// From a proxy to the leader: requests or renews its lease.
 struct LeaseRequest {
   LeaseRenewal renewal;
-  std::uint64_t format = 0;          // the newest documents that its program reads
-  Version incompatible_version = 0;  // the newest version that it has seen and can't carry
+  std::uint64_t format = 0;          // the newest document format that this program reads
+  Version incompatible_version = 0;  // the newest version that was received and cannot be applied here
 };
 struct LeaseResponse {
   LeaseGrant grant;
-  std::vector<raft::NodeId> voters;  // as they are now
+  std::vector<raft::NodeId> voters;  // the current ones
 };
-// Whoever was asked doesn't lead; this voter may. Empty: none is known.
+
+// The receiver of a request does not lead.
 struct NotLeader {
-  raft::NodeId leader_hint;
+  raft::NodeId leader_hint;  // empty: unknown
 };
+
+// Asks any proxy for the document of a version.
 struct DocumentRequest {
   Version version = 0;
 };
@@ -45,26 +50,32 @@
   Version version = 0;
   std::string document;
 };
+
+// From a proxy to the leader: proposes a change.
 struct ProposeRequest {
   ConfigChange change;
 };
+// Ends a ProposeRequest or a VoterChange.
 struct ProposalResult {
   ChangeOutcome outcome;
 };
-// The leader, of a change that is not committed yet: could you carry it? And the answer; empty: yes.
+
+// From the leader to each lease holder, before it proposes a change: can the document be applied there?
 struct ValidateRequest {
-  std::string id, document;
+  std::string id, document;  // the id of the change
 };
 struct ValidateResponse {
-  std::string id, reason;
+  std::string id, reason;  // reason: why it cannot be applied; empty: it can
 };
-// A voter asked for a change of the voters.
+
+// Adds or removes a voter; answered by ProposalResult.
 struct VoterChange {
   std::string id;
   raft::NodeId voter;
   bool add = false;
 };
-// What is agreed on: asked of the leader, and its answer, true at some instant between.
+
+// Linearizable read of the current versions and voters, answered by the leader.
 struct ReadRequest {
   std::string id;
 };
@@ -73,28 +84,31 @@
   Version latest_version = 0, active_version = 0;
   std::vector<raft::NodeId> voters;
 };
-// A voter that has opened its store, to the others; and what they know of it (rules/admission.h).
+
+// From a voter that has opened its store to the other voters (voter_admission.h).
 struct StoreHello {
-  std::uint64_t store = 0;  // drawn when the store was made
-  bool bootstrapped = false;
+  std::uint64_t store = 0;    // id of the store, drawn when it was created
+  bool bootstrapped = false;  // the store has voted before
   raft::Term term = 0, last_term = 0;
   raft::Index last_index = 0;
 };
+// What a voter knows about the store of another.
 enum class StoreOpinion : std::uint8_t {
-  kEmptyStore,      // I have nothing either
-  kNoObjection,     // I know nothing against it
-  kStaleStore,      // it has answered me for more than it holds now
-  kBootstrapVoter,  // the fleet was founded with this store: see `founders`
-  kUnknownStore,    // the fleet was founded without this store
+  kEmptyStore,      // the responder's store is empty, too
+  kNoObjection,     // nothing is known against it
+  kStaleStore,      // it acknowledged more to the responder than it holds now
+  kBootstrapVoter,  // the fleet was bootstrapped with this store
+  kUnknownStore,    // the fleet was bootstrapped without this store
 };
 struct StoreHelloResponse {
   std::uint64_t in_reply_to_store = 0, store = 0;
   StoreOpinion opinion = StoreOpinion::kEmptyStore;
-  std::map<raft::NodeId, std::uint64_t> bootstrap_voters;
+  std::map<raft::NodeId, std::uint64_t> bootstrap_voters;  // their stores; with kBootstrapVoter
 };
-// The leader, to a voter with an empty store that an operator has let in.
+
+// From the leader to a voter with an empty store that an operator has added.
 struct AdmitVoter {
-  std::uint64_t store = 0;
+  std::uint64_t store = 0;  // the store that was added
 };
 
 using MessageBody =
@@ -102,11 +116,12 @@
                  ProposeRequest, ProposalResult, ValidateRequest, ValidateResponse, VoterChange, ReadRequest,
                  ReadResponse, StoreHello, StoreHelloResponse, AdmitVoter>;
 struct Message {
-  raft::NodeId sender;  // the proxy's name
+  raft::NodeId sender;  // the name of the proxy
   MessageBody body;
 };
 
 std::string Encode(const Message& message);
+// Returns nullopt for anything that is not one complete, well-formed message.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/notification_pacer.h
+++ b/src/replicated_config/notification_pacer.h
@@ -1,9 +1,9 @@
-// When a proxy tells the fleet something of itself that all others have to tell at the same time: a version
-// that came into force, a lease that ran out. Told at once by thousands it would be a news of each to each.
+// Spreads notifications that all members of a fleet have to publish at the same time, such as an activated
+// version or an expired lease. Published at once they would be a broadcast from everybody to everybody.
 //
-// Contract. No I/O, no clock, deterministic for a seed. A fleet of n tells at most one such change in
-// kTellApart, in the mean, however often changes come; only the newest is told. Owner: one thread. Units:
-// spans of time. Errors: none.
+// Contract: no I/O, no clock, deterministic for a seed. A fleet publishes one notification per
+// kMeanNotificationInterval on average, however often its state changes; each member publishes only its
+// newest state. Thread safety: none. Errors: none.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
 #define LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
 
@@ -17,13 +17,14 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr Span kMeanNotificationInterval = std::chrono::milliseconds(250);  // of the whole fleet's
+inline constexpr Span kMeanNotificationInterval = std::chrono::milliseconds(250);  // fleet-wide
 
 class NotificationPacer {
  public:
   explicit NotificationPacer(std::uint64_t seed) : random_(seed) {}
 
-  // `changed`: what was told last isn't so any more. True where it is to be told now.
+  // Whether to publish now. `changed`: the state differs from the one published last. `members`: of the
+  // fleet.
   bool ShouldNotify(Time now, bool changed, std::size_t members) {
     if (!changed) {
       due_at_.reset();
@@ -36,7 +37,7 @@
   }
 
  private:
-  // Between nothing and twice the mean: those who heard of a change together don't tell of it together.
+  // Uniform between zero and twice the mean, so that members which change together publish apart.
   Span DrawDelay(std::size_t members) {
     const double mean =
         std::chrono::duration<double>(kMeanNotificationInterval).count() * static_cast<double>(members);
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -6,7 +6,7 @@
 namespace lemoncroft::replicated_config {
 
 namespace {
-constexpr std::size_t kMaxTrackedStores = 64;  // of voters that wait to be let in
+constexpr std::size_t kMaxTrackedStores = 64;  // of voters without a vote
 }
 
 void VoterAdmission::Open(std::uint64_t store, BootstrapVoters bootstrap_voters,
@@ -21,7 +21,7 @@
   other_voters_.insert(voters.begin(), voters.end());
   other_voters_.erase(self_);
   state_ = State::kQueryingVoters;
-  // Nobody else could know better.
+  // There is no other voter to ask.
   if (hello_.bootstrapped && (voters.empty() || voters == std::vector<raft::NodeId>{self_}))
     state_ = State::kAdmitted;
   if (!hello_.bootstrapped && initial_voters_ == std::vector<raft::NodeId>{self_}) {
@@ -37,9 +37,9 @@
   if (!hello.bootstrapped &&
       (unadmitted_stores_.contains(from) || unadmitted_stores_.size() < kMaxTrackedStores)) {
     unadmitted_stores_[from] = hello.store;
-    acknowledged_.erase(from);  // that was of another store
+    acknowledged_.erase(from);  // it referred to another store
   }
-  const auto founder = bootstrap_voters_.find(from);
+  const auto bootstrap = bootstrap_voters_.find(from);
   if (hello.bootstrapped) {
     const auto it = acknowledged_.find(from);
     const bool stale =
@@ -48,7 +48,7 @@
     response.opinion = stale ? StoreOpinion::kStaleStore : StoreOpinion::kNoObjection;
   } else if (bootstrap_voters_.empty()) {
     response.opinion = StoreOpinion::kEmptyStore;
-  } else if (founder != bootstrap_voters_.end() && founder->second == hello.store) {
+  } else if (bootstrap != bootstrap_voters_.end() && bootstrap->second == hello.store) {
     response.opinion = StoreOpinion::kBootstrapVoter;
     response.bootstrap_voters = bootstrap_voters_;
   } else {
@@ -71,6 +71,10 @@
     Decide(true);
     return;
   }
+  HandleResponseToEmptyStore(response);
+}
+
+void VoterAdmission::HandleResponseToEmptyStore(const StoreHelloResponse& response) {
   if (response.opinion == StoreOpinion::kBootstrapVoter) {
     bootstrap_voters_ = response.bootstrap_voters;
     state_ = State::kBootstrapping;
@@ -87,21 +91,22 @@
       if (it != responses_.end() && it->second.opinion == StoreOpinion::kEmptyStore)
         all[name] = it->second.store;
     }
-    const bool one_of =
+    const bool is_initial_voter =
         std::find(initial_voters_.begin(), initial_voters_.end(), self_) != initial_voters_.end();
-    if (one_of && all.size() == initial_voters_.size()) {
+    if (is_initial_voter && all.size() == initial_voters_.size()) {
       bootstrap_voters_ = std::move(all);
       state_ = State::kBootstrapping;
     }
   }
 }
 
-// Any one of the others may be the only one that knows what it answered for, so all are waited for a while.
-// Those that can't be reached can't be waited for longer: two of three must go on without the third.
+// Any single voter may be the only one that knows what this store has acknowledged, so all are waited for at
+// first. Later a majority has to do: two of three voters must be able to continue without the third.
 void VoterAdmission::Decide(bool wait_for_all) {
   if (!state_ || *state_ != State::kQueryingVoters || !hello_.bootstrapped) return;
   std::size_t without_objection = 0;
-  for (const auto& [name, one] : responses_) without_objection += one.opinion == StoreOpinion::kNoObjection;
+  for (const auto& [name, response] : responses_)
+    without_objection += response.opinion == StoreOpinion::kNoObjection;
   const std::size_t majority = (other_voters_.size() + 1) / 2 + 1;
   const std::size_t required =
       wait_for_all && safety_checks_.exclude_stale_store ? other_voters_.size() : majority - 1;
@@ -123,9 +128,9 @@
 void VoterAdmission::ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message) {
   raft::Term term = 0;
   raft::Index match = 0;
-  if (const auto* answer = std::get_if<raft::AppendEntriesResponse>(&message)) {
-    term = answer->term;
-    match = answer->ok ? answer->match : 0;
+  if (const auto* appended = std::get_if<raft::AppendEntriesResponse>(&message)) {
+    term = appended->term;
+    match = appended->ok ? appended->match : 0;
   } else if (const auto* vote = std::get_if<raft::VoteResponse>(&message)) {
     if (vote->pre_vote) return;
     term = vote->term;
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -1,10 +1,12 @@
-// Whether a voter whose store has just been opened may vote: not with a store that is empty though the fleet
-// was founded with another, nor with one that is older than what it once answered for.
+// Decides whether a voter may vote with the store that it has just opened. It may not with an empty store
+// that the fleet was not bootstrapped with, nor with a store that holds less than it acknowledged before:
+// either could lose committed entries.
 //
-// Contract. No I/O, no clock: the owner sends Hello to the other voters now and then and hands over the
-// answers. A fleet is founded once: when the first voters, all of them, have empty stores. Each then keeps
-// the founders' stores durably. Owner: a Keeper. Errors: answers that are not to this store are dropped.
-// Source: docs/agreement.md, after the log-loss rules of Ongaro's thesis (2014), section 11.
+// Contract: no I/O and no clock. The owner sends hello() to other_voters() periodically and passes the
+// responses on. A fleet is bootstrapped once, when all initial voters have empty stores; each then persists
+// the stores of all of them. Thread safety: none. Owner: a ConfigReplica.
+// Errors: a response to another store is ignored.
+// Design: docs/agreement.md, after the log-loss rules of Ongaro's thesis (2014), section 11.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_VOTER_ADMISSION_H_
 #define LEMONCROFT_REPLICATED_CONFIG_VOTER_ADMISSION_H_
 
@@ -17,58 +19,65 @@
 
 namespace lemoncroft::replicated_config {
 
-using BootstrapVoters = std::map<raft::NodeId, std::uint64_t>;  // the store of each
+using BootstrapVoters = std::map<raft::NodeId, std::uint64_t>;  // store ids by voter
 
-// Taken away by tests.
+// Disabled one at a time by mutation tests; nothing else changes them.
 struct AdmissionSafetyChecks {
-  bool exclude_empty_store = true;  // an empty store that the fleet doesn't know
-  bool exclude_stale_store = true;  // one that held more before
+  bool exclude_empty_store = true;  // an empty store that the fleet was not bootstrapped with
+  bool exclude_stale_store = true;  // a store that holds less than it acknowledged before
 };
 
 class VoterAdmission {
  public:
   enum class State {
     kQueryingVoters,
-    kBootstrapping,  // `founders` must be made durable, then it may vote
-    kAdmitted,       // it may vote
-    kEmptyStore,     // its store is empty, and the fleet goes on without: an operator must let it in
-    kStaleStore,     // its store is older than what it answered for: it must be replaced
+    kBootstrapping,  // may vote once bootstrap_voters() is persisted
+    kAdmitted,       // may vote
+    kEmptyStore,     // the store is empty and the fleet exists: an operator has to add the voter
+    kStaleStore,     // the store holds less than it acknowledged: it has to be replaced
   };
 
   VoterAdmission(raft::NodeId self, std::vector<raft::NodeId> initial_voters,
                  AdmissionSafetyChecks safety_checks = {})
       : self_(std::move(self)), initial_voters_(std::move(initial_voters)), safety_checks_(safety_checks) {}
 
-  // The store is open. `founders`: as kept; empty: it has never voted. `voters`: of its log.
+  // Starts admission for a store. `bootstrap_voters`: as persisted in it; empty where it never voted.
+  // `voters`: of its log.
   void Open(std::uint64_t store, BootstrapVoters bootstrap_voters, const std::vector<raft::NodeId>& voters,
             StoreHello hello);
   void Close() { state_.reset(); }
-  const std::optional<State>& state() const { return state_; }  // none: no store is open
+  // Nullopt while no store is open.
+  const std::optional<State>& state() const { return state_; }
   const BootstrapVoters& bootstrap_voters() const { return bootstrap_voters_; }
   std::uint64_t store() const { return hello_.store; }
   const StoreHello& hello() const { return hello_; }
   const std::set<raft::NodeId>& other_voters() const { return other_voters_; }
 
+  // Answers the hello of another voter.
   StoreHelloResponse AnswerHello(const raft::NodeId& from, const StoreHello& hello);
+  // Handles another voter's answer to hello().
   void HandleResponse(const raft::NodeId& from, const StoreHelloResponse& response);
-  // `patient`: there is still time to hear of all others.
+  // Admits a store that has voted before if enough voters have no objection: all others with `wait_for_all`,
+  // otherwise a majority.
   void Decide(bool wait_for_all);
-  // An operator has let it in, with this store.
+  // An operator has added this voter.
   void HandleAdmitVoter(const AdmitVoter& admission);
-  // The founders, or the invitation, are durable.
+  // bootstrap_voters() is persisted.
   void OnBootstrapVotersStored();
 
-  // What another voter has answered for while this process lives, so that it can be told if it holds less.
+  // Remembers what another voter has acknowledged to this process, to recognise a stale store of its later.
   void ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message);
-  // The store that a voter which isn't let in told last.
+  // The store that a voter without a vote announced last.
   std::optional<std::uint64_t> UnadmittedStore(const raft::NodeId& name) const;
 
  private:
   struct Acknowledged {
     raft::Term term = 0;
-    raft::Index match = 0;  // in that term
+    raft::Index match = 0;  // the highest in that term
   };
 
+  void HandleResponseToEmptyStore(const StoreHelloResponse& response);
+
   raft::NodeId self_;
   std::vector<raft::NodeId> initial_voters_;
   AdmissionSafetyChecks safety_checks_;
--- a/src/testing/benchmark/agreement.h
+++ b/src/testing/benchmark/agreement.h
@@ -1,7 +1,7 @@
-// The rules that a fleet agrees on, measured: on real processes with the trial rig, in virtual time, by a
-// search of states, on a disk that goes away at each operation, and against each proxy having its own file.
+// Measures the replicated configuration: on real processes with the fault-test program, in virtual time, by a
+// state search, on a disk that fails at each operation, and against proxies with independent files.
 //
-// Owner: the command line. Units: milliseconds, parts.
+// Owner: the command line. Units: milliseconds, fractions.
 #ifndef LEMONCROFT_BENCHMARK_AGREEMENT_H_
 #define LEMONCROFT_BENCHMARK_AGREEMENT_H_
 
--- a/src/testing/benchmark/scale_leases.h
+++ b/src/testing/benchmark/scale_leases.h
@@ -1,8 +1,8 @@
-// What leases and documents cost at a size, in virtual time: bytes, the leader's processor time, and how long
-// a change takes until it is in force everywhere.
+// Measures what leases and documents cost at a fleet's size, in virtual time: bytes, the leader's processor
+// time, and how long a change takes until it is active everywhere.
 //
-// Contract. Deterministic for a seed but for processor time. Owner: none. Units: bytes of frames, without the
-// headers of UDP, TCP and IP; milliseconds; percent of one core. Not modelled: that steps take time.
+// Contract: deterministic for a seed, except for processor time. Not modelled: that processing takes time.
+// Units: bytes of frames without UDP, TCP and IP headers; milliseconds; percent of one core.
 #ifndef LEMONCROFT_BENCHMARK_SCALE_LEASES_H_
 #define LEMONCROFT_BENCHMARK_SCALE_LEASES_H_
 
--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -1,11 +1,10 @@
-// Leases as a system to be searched: the real Holder and Granter under all orders of asking, granting,
-// losing, doubling, delaying, preparing, putting in force, lapsing and changing leaders.
+// Model of leases for exhaustive search: real LeaseHolders and LeaseGrantors under every order of requesting,
+// granting, losing, duplicating, delaying, preparing, activating, expiring and changing leaders.
 //
-// Contract. Time goes in beats of a quarter of a lease; anything may happen any number of times within one.
-// Of the log only what leases rest on is kept: nobody leads before the last leader's lease is over, and who
-// leads knows all that is committed (both are what the search of the log and its tests are for). Checked at
-// every state: once a version is in force nobody acts on an older one for longer than a lease. Budgets bound
-// it. Owner: a search.
+// Contract: time advances in ticks of a quarter of a lease, with any number of events in one tick. Of the log
+// only what leases rely on is modelled: a leader starts after its predecessor's lease has expired, and knows
+// all that is committed. Invariant checked in each state: no holder acts on an older version for longer than
+// a lease after its successor was activated. LeaseBudget bounds the search. Owner: a search.
 #ifndef LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
 #define LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
 
@@ -31,7 +30,7 @@
 
   void Next(std::vector<LeaseWorld>& into) const;
   std::string Wrong() const { return wrong_; }
-  std::string Canonical() const;  // the least of the texts under both ways to name the holders
+  std::string Canonical() const;  // the smaller of the texts under both orders of the holders
 
  private:
   struct Leader {
@@ -49,7 +48,7 @@
   replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kTick); }
   bool Leads(std::size_t leader) const { return now_ < leaders_[leader].lease_until; }
   void Deliver(const InTransitMessage& message);
-  void Learn();  // who leads knows all that is committed
+  void Learn();  // a leader knows all that is committed
   void Check();
   std::string TextOf(std::size_t holder) const;
 
--- a/src/testing/simulation/config_replica_fleet.h
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -1,8 +1,9 @@
-// A fleet that agrees on rules in virtual time: the real Keepers of all proxies, on stand-in links, clocks
-// that run apart, and disks that take their time, lose what was not synced, or fail.
+// A simulated fleet of ConfigReplicas in virtual time, on simulated links, with clocks that drift, and with
+// disks that are slow, lose unsynced writes, or fail. It checks the fleet's invariants while it runs.
 //
-// Deterministic for a seed. Owned by one test or measurement. The first machines vote. Notes travel as bytes.
-// Times are true time. A process that wakes acts first, and looks at its messages and timers then.
+// Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Messages
+// travel encoded. All times are true time. A process that is resumed acts first, and handles its messages and
+// timers afterwards.
 #ifndef LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
 #define LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
 
@@ -31,7 +32,7 @@
     double drift = 0.005;                                   // of each clock from true time
     Instant sync = std::chrono::milliseconds(2);            // of a disk
     Instant stale_limit = std::chrono::milliseconds(1200);  // T of docs/agreement.md
-    bool timed = false;  // the processor time of each machine's steps is counted
+    bool timed = false;                                     // measure the processor time of each machine
   };
   explicit ConfigReplicaFleet(const Plan& plan);
 
@@ -47,11 +48,12 @@
   Disk& disk(std::size_t i) { return machines_[i].disk; }
   void Stall(std::size_t i, Instant span);
   void SlowDisk(std::size_t i, Instant sync) { machines_[i].sync = sync; }
-  void BreakDisk(std::size_t i);  // this voter steps back; a restart mends it
+  void BreakDisk(std::size_t i);  // this voter steps down; a restart heals it
   void Rate(std::size_t i, double rate) { machines_[i].rate = rate; }
-  // A text that begins with "not for " and this name can't be carried there.
   void RunFor(Instant span);
 
+  // A document that begins with "not for " and a machine's name is incompatible there; one that begins with
+  // "wrong" is invalid.
   std::string Propose(std::size_t at, replicated_config::Version from, const std::string& text,
                       Instant patience = std::chrono::seconds(3));
   void ChangeVoters(std::size_t at, const std::string& who, bool in);
@@ -61,7 +63,7 @@
   std::optional<replicated_config::Version> UsableVersion(std::size_t i) const;
   const replicated_config::ConfigReplica& replica(std::size_t i) const { return *machines_[i].replica; }
   bool IsRunning(std::size_t i) const { return machines_[i].replica != nullptr; }
-  bool AllUse(replicated_config::Version version) const;  // that live
+  bool AllUse(replicated_config::Version version) const;  // all running machines
   Links& links() { return links_; }
   Instant now() const { return now_; }
 
@@ -70,8 +72,8 @@
   const std::vector<std::string>& violations() const { return violations_; }
   std::uint64_t messages() const { return message_count_; }
   struct Sent {
-    std::uint64_t messages = 0, bytes = 0;  // frames and all
-    double processor_us = 0;                // within its Keeper and the codec of notes; 0: not timed
+    std::uint64_t messages = 0, bytes = 0;  // with frames
+    double processor_us = 0;                // in its replica and the message codec; 0: not timed
   };
   const Sent& sent(std::size_t i) const { return machines_[i].sent; }
   std::size_t size() const { return machines_.size(); }
@@ -92,7 +94,7 @@
     Instant at{};
     std::uint64_t order = 0;
     std::size_t machine = 0;
-    std::uint64_t incarnation = 0;  // 0: of any
+    std::uint64_t incarnation = 0;  // 0: any
     enum class Kind { kStep, kMessage, kSynced } kind = Kind::kStep;
     replicated_config::Instance from = 0;
     std::shared_ptr<const std::string> bytes;
@@ -120,12 +122,11 @@
   Links links_;
   Instant now_{};
   std::uint64_t order_ = 0, message_count_ = 0, ids_ = 0;
-  replicated_config::Instance instances_per_incarnation_ =
-      1000;  // between the instances of two lives of a machine
+  replicated_config::Instance instances_per_incarnation_ = 1000;  // distance of a machine's instances
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
   std::vector<Machine> machines_;
   std::map<std::string, replicated_config::ChangeOutcome> outcomes_;
-  std::map<replicated_config::Version, std::string> documents_;  // as first seen anywhere
+  std::map<replicated_config::Version, std::string> documents_;  // as first seen
   std::map<std::string, std::string> proposed_;
   std::optional<Instant> contradiction_since_;
   Instant longest_contradiction_{};
--- a/src/testing/simulation/lease_fleet.h
+++ b/src/testing/simulation/lease_fleet.h
@@ -1,8 +1,8 @@
-// Proxies that act on versions in virtual time: voters that agree on the log, all proxies that renew leases,
-// and the notes of who could act on which version when.
+// A simulated fleet of LeaseHolders in virtual time, with a Raft log among voters and a LeaseGrantor at each.
+// It records which proxy could act on which version when.
 //
-// Deterministic for a seed. Owned by one test or measurement. The first machines are the voters'. Documents
-// are numbers alone here: what is in them is the business of others. Times are true time.
+// Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Versions have
+// no documents here, only numbers. All times are true time.
 #ifndef LEMONCROFT_SIMULATION_LEASE_FLEET_H_
 #define LEMONCROFT_SIMULATION_LEASE_FLEET_H_
 
@@ -30,9 +30,9 @@
   };
   explicit LeaseFleet(const Plan& plan);
 
-  // A new document, at whoever leads; its version, none where nobody leads.
+  // Proposes a version at the leader. Returns it, or nullopt where nobody leads.
   std::optional<replicated_config::Version> Propose();
-  void Stall(std::size_t proxy, Instant span);  // its voter too
+  void Stall(std::size_t proxy, Instant span);  // and the voter on the same machine
   void CrashVoter(std::size_t i) { voters_.Crash(i); }
   void RestartVoter(std::size_t i);
   void SetFetchDelay(std::size_t proxy, Instant span) { proxies_[proxy].fetch_delay = span; }
@@ -44,12 +44,12 @@
 
   std::optional<replicated_config::Version> UsableVersion(std::size_t proxy) const;
   const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
-  // The longest time in which two proxies could act on different versions.
+  // The longest time for which two proxies could act on different versions.
   Instant contradiction() const { return longest_contradiction_; }
   // Instants at which a proxy could act on a version for longer than `stated` after a later one was first
   // acted on.
   std::uint64_t stale() const { return stale_; }
-  // Instants at which a proxy was leased and in touch, and lacked the document in force.
+  // Number of instants at which a running proxy had a lease but not the document of the active version.
   std::uint64_t uses_without_document() const { return uses_without_document_; }
   bool ActiveEverywhere(replicated_config::Version version) const;
 
