--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -26,14 +26,14 @@
 
 #include "raft/raft.h"
 #include "replicated_config/config_state_machine.h"
+#include "replicated_config/document_cache.h"
 #include "replicated_config/lease.h"
 #include "replicated_config/messages.h"
 #include "replicated_config/voter_admission.h"
+#include "replicated_config/voter_processes.h"
 
 namespace lemoncroft::replicated_config {
 
-using Instance = std::uint64_t;  // identifies one process of the fleet
-
 // Disabled one at a time by mutation tests; nothing else changes them.
 struct ConfigReplicaSafetyChecks {
   bool wait_for_settled_log = true;  // a leader grants only after it has applied all earlier terms
@@ -170,108 +170,117 @@
     std::uint64_t store = 0;  // the store that was added; another store of that voter is not admitted
   };
 
+  struct HolderInfo {
+    raft::NodeId name;
+    std::uint64_t format = 0;  // the newest document format that it reads
+  };
+
   struct DeferredMessage {  // sent once a write is durable
     raft::NodeId to;
     raft::Message message;
     std::uint64_t after_update = 0;
   };
 
+  // Common (config_replica.cpp).
   void EmitLogEvent(bool warn, std::string text) { outputs_.push_back(LogEvent{warn, std::move(text)}); }
   void Send(const std::variant<raft::NodeId, Instance>& to, MessageBody body);
+  // Sends to the known leader, or to the voters in turn.
   void SendToLeader(MessageBody body);
-  void DrainRaftOutputs(Time now);
-  void StartVoting(Time now);
-  void RunLeaderDuties(Time now);
-  void ActivateLatestVersion(Time now);
-  void RenewLease(Time now);
-  void RunAdmission(Time now);
-  void RetryRequests(Time now);
-  void SubmitRequest(Time now, const std::string& id, MessageBody body, Time deadline);
-  void CompleteRequest(const ChangeOutcome& outcome, std::optional<ReadResponse> read = std::nullopt);
-  void FetchMissingDocuments(Time now);
-  void StoreDocument(Version version, const std::string& document);
-  void ApplyCommitted(const raft::Entry& entry);
-  void CompactLog();
-  void ReleaseStoredMessages(Time now);
   // Processes queued outputs until none remain; called at the end of every public call. Bounded by
   // kMaxDispatchRounds.
   void DispatchPendingOutputs(Time now);
-  void SendOutcome(const std::set<Instance>& to, const ChangeOutcome& outcome);
-  void AbandonInFlight();
-  std::string CheckAgainstHeldVersions(Time now, const std::string& document) const;
-  void ProposeInFlight(Time now);
+  // Reports a new active version, and a change of clock_rates_differ.
+  void ReportLeaseChanges();
 
-  void Handle(Time now, Instance from, const Message& message, const RaftMessage& body);
-  void Handle(Time now, Instance from, const Message& message, const LeaseRequest& body);
+  // Lease holder (config_replica_holder.cpp).
+  void RenewLease(Time now);
+  void StoreDocument(Version version, const std::string& document);
+  void FetchMissingDocuments(Time now);
   void Handle(Time now, Instance from, const Message& message, const LeaseResponse& body);
   void Handle(Time now, Instance from, const Message& message, const NotLeader& body);
   void Handle(Time now, Instance from, const Message& message, const DocumentRequest& body);
   void Handle(Time now, Instance from, const Message& message, const DocumentResponse& body);
-  void Handle(Time now, Instance from, const Message& message, const ProposeRequest& body);
-  void Handle(Time now, Instance from, const Message& message, const ProposalResult& body);
   void Handle(Time now, Instance from, const Message& message, const ValidateRequest& body);
-  void Handle(Time now, Instance from, const Message& message, const ValidateResponse& body);
-  void Handle(Time now, Instance from, const Message& message, const VoterChange& body);
-  void Handle(Time now, Instance from, const Message& message, const ReadRequest& body);
+
+  // Requests of operators (config_replica_requests.cpp).
+  void SubmitRequest(Time now, const std::string& id, MessageBody body, Time deadline);
+  void RetryRequests(Time now);
+  void CompleteRequest(const ChangeOutcome& outcome, std::optional<ReadResponse> read = std::nullopt);
+  void Handle(Time now, Instance from, const Message& message, const ProposalResult& body);
   void Handle(Time now, Instance from, const Message& message, const ReadResponse& body);
+
+  // Voter (config_replica_voter.cpp).
+  void RunAdmission(Time now);
+  void StartVoting(Time now);
+  void DrainRaftOutputs(Time now);
+  void ApplyCommitted(const raft::Entry& entry);
+  void CompactLog();
+  void ReleaseStoredMessages(Time now);
+  void Handle(Time now, Instance from, const Message& message, const RaftMessage& body);
   void Handle(Time now, Instance from, const Message& message, const StoreHello& body);
   void Handle(Time now, Instance from, const Message& message, const StoreHelloResponse& body);
   void Handle(Time now, Instance from, const Message& message, const AdmitVoter& body);
 
+  // Leader (config_replica_leader.cpp).
+  void RunLeaderDuties(Time now);
+  void BeginLeadership(Time now);
+  void EndLeadership();
+  void ActivateLatestVersion(Time now);
+  std::string CheckAgainstHeldVersions(Time now, const std::string& document) const;
+  void ProposeInFlight(Time now);
+  void AdvanceVoterChange(Time now);
+  void AbandonInFlight();
+  void SendOutcome(const std::set<Instance>& to, const ChangeOutcome& outcome);
+  void Handle(Time now, Instance from, const Message& message, const LeaseRequest& body);
+  void Handle(Time now, Instance from, const Message& message, const ProposeRequest& body);
+  void Handle(Time now, Instance from, const Message& message, const ValidateResponse& body);
+  void Handle(Time now, Instance from, const Message& message, const VoterChange& body);
+  void Handle(Time now, Instance from, const Message& message, const ReadRequest& body);
+
   ConfigReplicaOptions options_;
   Instance self_;
   DocumentChecks document_checks_;
   std::mt19937_64 random_;
   std::vector<ConfigReplicaOutput> outputs_;
 
-  // Every proxy's.
+  // Lease holder.
   LeaseHolder holder_;
-  std::map<Version, std::string> documents_;
-  std::set<Version> prepared_versions_;   // prepared, and their texts are here
-  std::set<Version> delivered_versions_;  // handed to the owner
-  Version announced_version_ = 0;
-  Time last_grant_at_{}, last_renewal_at_{};
-  bool leader_hint_is_fresh_ = false;  // whom to ask was told since the last asking
-  std::vector<Instance> peers_;
-  std::vector<Message> messages_to_self_;
-  raft::NodeId leader_;
-  std::vector<raft::NodeId> voters_;  // as far as known
+  DocumentCache documents_;
+  Version announced_version_ = 0;     // of the last VersionActivated
+  Version incompatible_version_ = 0;  // the newest that the owner could not apply
+  Time last_grant_at_{}, last_renewal_at_{}, next_renewal_at_{};
+  bool clock_rates_differ_ = false;    // as last reported
+  raft::NodeId leader_;                // empty: unknown
+  bool leader_hint_is_fresh_ = false;  // NotLeader named leader_ after the last renewal
+  std::vector<raft::NodeId> voters_;   // as of the last grant
   std::size_t next_voter_ = 0;
-  Time next_renewal_at_{};
-  Version incompatible_version_ = 0;
+  std::vector<Instance> peers_;
   std::size_t fetch_attempts_ = 0;
   Time next_fetch_at_{};
   std::map<std::string, PendingRequest> pending_requests_;
-  bool clock_rates_differ_ = false;
+  std::vector<Message> messages_to_self_;
 
-  // A voter's.
+  // Voter.
   VoterAdmission admission_;
-  std::unique_ptr<raft::Raft> raft_;
-  raft::PersistentState restored_state_;
+  std::unique_ptr<raft::Raft> raft_;      // null until the store is admitted
+  raft::PersistentState restored_state_;  // of the store, until raft_ takes it
   ConfigStateMachine state_machine_;
   Time next_hello_at_{}, admission_started_at_{};
   std::vector<DeferredMessage> deferred_messages_;
   std::uint64_t last_stored_update_ = 0;
+  VoterProcesses processes_;
 
-  // A leader's.
+  // Leader.
   LeaseGrantor grantor_;
-  raft::Term leading_term_ = 0;
-  Version activating_version_ = 0;
-  Time latest_version_since_{};
+  raft::Term leading_term_ = 0;     // 0: does not lead
+  Version activating_version_ = 0;  // proposed to be activated
   Version observed_latest_version_ = 0;
-  std::map<Version, Time> superseded_at_;  // since when, as far as this leader knows, another is in force
+  Time latest_version_since_{};
+  std::map<Version, Time> superseded_at_;  // when this leader found that a later version is active
   std::optional<InFlightChange> in_flight_change_;
   std::optional<InFlightVoterChange> in_flight_voter_change_;
   Time next_admit_message_at_{};
-  struct HolderInfo {
-    raft::NodeId name;
-    std::uint64_t format = 0;
-  };
   std::map<Instance, HolderInfo> holder_info_;
-
-  // Processes of voters: a message of one that another has followed, with another store perhaps, is too late.
-  std::map<raft::NodeId, Instance> current_processes_;
-  std::set<Instance> replaced_processes_;
 };
 
 }  // namespace lemoncroft::replicated_config
--- /dev/null
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -0,0 +1,259 @@
+// The leader in a ConfigReplica: grants leases, validates and proposes changes, activates versions, and
+// changes the voters.
+#include <algorithm>
+#include <cstdlib>
+#include <utility>
+
+#include "replicated_config/config_replica.h"
+
+namespace lemoncroft::replicated_config {
+
+using raft::NodeId;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr Span kValidationTimeout = 300ms;    // after which a change is proposed without missing responses
+constexpr Span kPreparationTimeout = 2000ms;  // after which a holder that lags loses its lease
+constexpr Span kAdmitVoterInterval = 200ms;
+constexpr int kClockRateMarginDivisor = 50;  // 1/50 of a span: more than clock rates may differ by
+constexpr std::size_t kMaxHolderInfo = 8192;
+
+std::string HolderKey(Instance instance) { return std::to_string(instance); }
+Instance InstanceOf(const std::string& holder_key) { return std::strtoull(holder_key.c_str(), nullptr, 10); }
+
+bool Contains(const std::vector<NodeId>& names, const NodeId& name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
+}
+
+}  // namespace
+
+void ConfigReplica::RunLeaderDuties(Time now) {
+  if (!raft_ || raft_->role() != raft::Role::kLeader) return EndLeadership();
+  if (leading_term_ != raft_->term()) BeginLeadership(now);
+  if (state_machine_.latest_version() != observed_latest_version_) {
+    observed_latest_version_ = state_machine_.latest_version();
+    latest_version_since_ = now;
+  }
+  for (const auto& [version, record] : state_machine_.versions())
+    if (version < state_machine_.active_version()) superseded_at_.try_emplace(version, now);
+  ActivateLatestVersion(now);
+  if (in_flight_change_ && !in_flight_change_->proposed &&
+      (in_flight_change_->awaiting.empty() || now >= in_flight_change_->deadline))
+    ProposeInFlight(now);
+  if (in_flight_voter_change_) AdvanceVoterChange(now);
+}
+
+void ConfigReplica::BeginLeadership(Time now) {
+  leading_term_ = raft_->term();
+  activating_version_ = 0;
+  holder_info_.clear();
+  AbandonInFlight();
+  grantor_.BeginLeadership(now, leading_term_);
+  superseded_at_.clear();
+  EmitLogEvent(false, "leads in term " + std::to_string(leading_term_));
+}
+
+void ConfigReplica::EndLeadership() {
+  if (std::exchange(leading_term_, 0) == 0) return;
+  AbandonInFlight();
+  EmitLogEvent(false, "leads no more");
+}
+
+// The proposers retry at the next leader.
+void ConfigReplica::AbandonInFlight() {
+  in_flight_change_.reset();
+  in_flight_voter_change_.reset();
+}
+
+std::map<std::string, Version> ConfigReplica::HoldersByName(Time now) const {
+  std::map<std::string, Version> out;
+  for (const auto& [key, prepared] : grantor_.LiveHolders(now)) {
+    const auto it = holder_info_.find(InstanceOf(key));
+    out[it == holder_info_.end() ? key : it->second.name + "/" + key] = prepared;
+  }
+  return out;
+}
+
+void ConfigReplica::Handle(Time now, Instance from, const Message&, const ReadRequest& body) {
+  if (Leads(now))
+    return Send(from, ReadResponse{body.id, state_machine_.latest_version(), state_machine_.active_version(),
+                                   raft_->voters()});
+  if (from != self_) Send(from, NotLeader{raft_ ? raft_->leader() : leader_});
+}
+
+// ---- Leases and activation ----
+
+void ConfigReplica::Handle(Time now, Instance from, const Message& message, const LeaseRequest& body) {
+  if (!Leads(now)) {
+    const NodeId& other = raft_ ? raft_->leader() : leader_;
+    if (from != self_) Send(from, NotLeader{other == options_.self ? NodeId() : other});
+    return;
+  }
+  if (holder_info_.size() >= kMaxHolderInfo) holder_info_.clear();
+  holder_info_[from] = {message.sender, body.format};
+  // A proxy that cannot or does not prepare the latest version must not delay all others: its lease expires.
+  const Version latest_version = state_machine_.latest_version();
+  const bool lags =
+      latest_version > state_machine_.active_version() && body.renewal.prepared_version < latest_version;
+  if (options_.safety_checks.expire_laggards && lags &&
+      (body.incompatible_version >= latest_version || now > latest_version_since_ + kPreparationTimeout))
+    return;
+  const auto grant = grantor_.HandleRenewal(now, true, HolderKey(from), body.renewal,
+                                            state_machine_.active_version(), latest_version);
+  if (grant) Send(from, LeaseResponse{*grant, raft_->voters()});
+}
+
+// Activates the latest version once all live lease holders have prepared it.
+void ConfigReplica::ActivateLatestVersion(Time now) {
+  const Version latest_version = state_machine_.latest_version();
+  if (latest_version <= std::max(state_machine_.active_version(), activating_version_)) return;
+  if (!grantor_.MayActivate(now, Leads(now), latest_version)) return;
+  activating_version_ = latest_version;
+  raft_->Propose(now, EncodeEntry(latest_version));
+}
+
+// ---- Changes of the configuration ----
+
+void ConfigReplica::Handle(Time now, Instance from, const Message&, const ProposeRequest& body) {
+  if (!Leads(now)) {
+    const NodeId& other = raft_ ? raft_->leader() : leader_;
+    if (from != self_) Send(from, NotLeader{other == options_.self ? NodeId() : other});
+    return;
+  }
+  const ConfigChange& change = body.change;
+  const auto reject = [&](ChangeStatus status, std::string reason) {
+    Send(from, ProposalResult{{change.id, status, state_machine_.latest_version(), std::move(reason)}});
+  };
+  if (const ChangeOutcome* known = state_machine_.FindOutcome(change.id))
+    return Send(from, ProposalResult{*known});
+  if (in_flight_change_ && in_flight_change_->change.id == change.id) {
+    in_flight_change_->reply_to.insert(from);
+    return;
+  }
+  if (change.base_version != state_machine_.latest_version() &&
+      options_.safety_checks.state_machine.compare_and_set)
+    return reject(ChangeStatus::kConflict, {});
+  if (in_flight_change_) return;  // the proposer retries, and conflicts with the version in flight
+  if (change.document.size() > kMaxDocumentBytes)
+    return reject(ChangeStatus::kRejected, "a document of " + std::to_string(change.document.size()) +
+                                               " bytes is too long: at most " +
+                                               std::to_string(kMaxDocumentBytes));
+  if (change.id.empty() || change.id.size() > kMaxChangeIdBytes || change.author.size() > kMaxAuthorBytes)
+    return reject(ChangeStatus::kRejected, "a change needs an id, and names of at most 64 bytes");
+  if (std::string reason = CheckAgainstHeldVersions(now, change.document); !reason.empty())
+    return reject(ChangeStatus::kRejected, std::move(reason));
+  InFlightChange fresh;
+  fresh.change = change;
+  fresh.reply_to = {from};
+  fresh.deadline = now + kValidationTimeout;
+  if (options_.safety_checks.validate_on_holders) {
+    const std::uint64_t format = document_checks_.required_format(change.document);
+    if (std::string reason = document_checks_.check_compatible(change.document); !reason.empty())
+      return reject(ChangeStatus::kRejected, options_.self + " can't carry it: " + reason);
+    for (const auto& [key, prepared] : grantor_.LiveHolders(now)) {
+      const Instance holder = InstanceOf(key);
+      const auto info = holder_info_.find(holder);
+      if (holder == self_ || info == holder_info_.end()) continue;
+      if (info->second.format < format)
+        return reject(ChangeStatus::kRejected,
+                      info->second.name + " can't carry it: its program reads format " +
+                          std::to_string(info->second.format) + ", not " + std::to_string(format));
+      fresh.awaiting.insert(holder);
+    }
+  }
+  in_flight_change_ = std::move(fresh);
+  for (const Instance holder : in_flight_change_->awaiting)
+    Send(holder, ValidateRequest{change.id, change.document});
+}
+
+// Checks a document against the latest version, and against each earlier one that an isolated proxy may still
+// act on.
+std::string ConfigReplica::CheckAgainstHeldVersions(Time now, const std::string& document) const {
+  if (state_machine_.versions().empty()) return document_checks_.check_successor(nullptr, document);
+  for (const auto& [version, record] : state_machine_.versions()) {
+    const auto superseded = superseded_at_.find(version);
+    const Span isolation = document_checks_.isolation_duration(record.document);
+    const Span longest_use = options_.lease.duration + isolation;
+    if (version != state_machine_.latest_version() && isolation <= Span::zero()) continue;
+    if (version != state_machine_.latest_version() && superseded != superseded_at_.end() &&
+        now > superseded->second + longest_use + longest_use / kClockRateMarginDivisor)
+      continue;
+    if (std::string reason = document_checks_.check_successor(&record, document); !reason.empty())
+      return reason;
+  }
+  return {};
+}
+
+void ConfigReplica::Handle(Time, Instance from, const Message& message, const ValidateResponse& body) {
+  if (!in_flight_change_ || in_flight_change_->change.id != body.id || in_flight_change_->proposed) return;
+  if (body.reason.empty()) {
+    in_flight_change_->awaiting.erase(from);
+    return;
+  }
+  SendOutcome(in_flight_change_->reply_to, {body.id, ChangeStatus::kRejected, state_machine_.latest_version(),
+                                            message.sender + " can't carry it: " + body.reason});
+  in_flight_change_.reset();
+}
+
+void ConfigReplica::ProposeInFlight(Time now) {
+  in_flight_change_->proposed = true;
+  const bool up_to_date = in_flight_change_->change.base_version == state_machine_.latest_version() ||
+                          !options_.safety_checks.state_machine.compare_and_set;
+  if (!Leads(now) || !up_to_date) {
+    in_flight_change_.reset();  // the proposer retries and receives the outcome then
+    return;
+  }
+  const raft::ProposalResult proposed = raft_->Propose(now, EncodeEntry(in_flight_change_->change));
+  if (proposed.refusal != raft::ProposalError::kNone) in_flight_change_.reset();
+}
+
+void ConfigReplica::SendOutcome(const std::set<Instance>& to, const ChangeOutcome& outcome) {
+  for (const Instance instance : to) Send(instance, ProposalResult{outcome});
+}
+
+// ---- Changes of the voters ----
+
+// Completes the voter change in flight once it is committed; until then tells the new voter that it may vote.
+void ConfigReplica::AdvanceVoterChange(Time now) {
+  const VoterChange& wanted = in_flight_voter_change_->change;
+  if (Contains(raft_->voters(), wanted.voter) == wanted.add && raft_->VotersCommitted()) {
+    Send(in_flight_voter_change_->reply_to,
+         ProposalResult{{wanted.id, ChangeStatus::kCommitted, state_machine_.latest_version(), {}}});
+    EmitLogEvent(false, "voter " + wanted.voter + (wanted.add ? " is let in" : " is out"));
+    in_flight_voter_change_.reset();
+    return;
+  }
+  if (now < next_admit_message_at_) return;
+  next_admit_message_at_ = now + kAdmitVoterInterval;
+  // Not once it is a voter: it may have acknowledged entries since, and must not vote with another store.
+  if (wanted.add && !Contains(raft_->voters(), wanted.voter))
+    Send(wanted.voter, AdmitVoter{in_flight_voter_change_->store});
+}
+
+void ConfigReplica::Handle(Time now, Instance from, const Message&, const VoterChange& body) {
+  if (!Leads(now)) {
+    if (from != self_) Send(from, NotLeader{raft_ ? raft_->leader() : leader_});
+    return;
+  }
+  const auto reject = [&](std::string reason) {
+    Send(from, ProposalResult{
+                   {body.id, ChangeStatus::kRejected, state_machine_.latest_version(), std::move(reason)}});
+  };
+  if (Contains(raft_->voters(), body.voter) == body.add && raft_->VotersCommitted())
+    return Send(from, ProposalResult{{body.id, ChangeStatus::kCommitted, state_machine_.latest_version(),
+                                      body.add ? "it votes already" : "it has no vote"}});
+  if (body.add && !admission_.UnadmittedStore(body.voter))
+    return reject(body.voter + " has not told of an empty store: is it running, with a `store`?");
+  if (!body.add && raft_->voters().size() == 1) return reject("it is the last voter");
+  if (in_flight_voter_change_ && in_flight_voter_change_->change.id != body.id)
+    return;  // the proposer retries
+  raft_->ChangeVoters(now, body.voter, body.add);
+  if (!in_flight_voter_change_)
+    in_flight_voter_change_ =
+        InFlightVoterChange{body, from, admission_.UnadmittedStore(body.voter).value_or(0)};
+  in_flight_voter_change_->reply_to = from;
+  next_admit_message_at_ = now;
+}
+
+}  // namespace lemoncroft::replicated_config
--- /dev/null
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -0,0 +1,204 @@
+// The voter in a ConfigReplica: admits its store, and runs Raft on it.
+#include <algorithm>
+#include <utility>
+
+#include "replicated_config/config_replica.h"
+
+namespace lemoncroft::replicated_config {
+
+using raft::NodeId;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr Span kHelloInterval = 200ms;
+constexpr Span kEmptyStoreHelloInterval = 1000ms;               // while an operator has to add the voter
+constexpr Span kVoterAdmissionTimeout = 1000ms;                 // after which a majority of opinions suffices
+constexpr std::size_t kMaxLogEntries = 96;                      // before a snapshot
+constexpr std::uint64_t kMaxLogBytes = std::uint64_t{1} << 20;  // likewise
+
+std::vector<NodeId> NamesOf(const BootstrapVoters& bootstrap_voters) {
+  std::vector<NodeId> names;
+  for (const auto& [name, store] : bootstrap_voters) names.push_back(name);
+  return names;
+}
+
+}  // namespace
+
+// ---- Store and admission ----
+
+void ConfigReplica::OpenStore(Time now, StoredState stored) {
+  CloseStore();
+  restored_state_ = std::move(stored.persistent_state);
+  std::vector<NodeId> voters = restored_state_.snapshot.voters;
+  for (const raft::Entry& entry : restored_state_.log)
+    if (entry.kind == raft::EntryKind::kVoters) voters = entry.voters;
+  if (voters.empty() && stored.bootstrap_voters.size() > 1) voters = NamesOf(stored.bootstrap_voters);
+  StoreHello hello;
+  hello.term = restored_state_.hard_state.term;
+  hello.last_index =
+      restored_state_.log.empty() ? restored_state_.snapshot.index : restored_state_.log.back().index;
+  hello.last_term =
+      restored_state_.log.empty() ? restored_state_.snapshot.term : restored_state_.log.back().term;
+  admission_.Open(stored.store, std::move(stored.bootstrap_voters), voters, hello);
+  if (admission_.state() == VoterAdmission::State::kBootstrapping)
+    outputs_.push_back(PersistBootstrapVoters{admission_.bootstrap_voters()});
+  next_hello_at_ = admission_started_at_ = now;
+  RunAdmission(now);
+  DispatchPendingOutputs(now);
+}
+
+void ConfigReplica::CloseStore() {
+  raft_.reset();
+  deferred_messages_.clear();
+  last_stored_update_ = 0;
+  admission_.Close();
+  AbandonInFlight();
+  leading_term_ = 0;
+}
+
+void ConfigReplica::RunAdmission(Time now) {
+  using State = VoterAdmission::State;
+  const auto& state = admission_.state();
+  if (!state || raft_) return;
+  if (*state == State::kQueryingVoters && now >= admission_started_at_ + kVoterAdmissionTimeout)
+    admission_.Decide(false);
+  if (*state == State::kBootstrapping) return;
+  if (*state == State::kAdmitted) return StartVoting(now);
+  if (*state == State::kStaleStore || now < next_hello_at_) return;
+  next_hello_at_ = now + (*state == State::kQueryingVoters ? kHelloInterval : kEmptyStoreHelloInterval);
+  for (const NodeId& other : admission_.other_voters()) Send(other, admission_.hello());
+}
+
+void ConfigReplica::OnBootstrapVotersStored(Time now) {
+  admission_.OnBootstrapVotersStored();
+  RunAdmission(now);
+  DispatchPendingOutputs(now);
+}
+
+void ConfigReplica::StartVoting(Time now) {
+  const BootstrapVoters& bootstrap_voters = admission_.bootstrap_voters();
+  // Before the first snapshot the log begins with the bootstrap voters. A voter that was added later learns
+  // the voters from the log.
+  const bool log_is_complete = restored_state_.snapshot.index == 0 && restored_state_.snapshot.voters.empty();
+  if (log_is_complete && bootstrap_voters.size() == options_.initial_voters.size())
+    restored_state_.snapshot.voters = NamesOf(bootstrap_voters);
+  if (!state_machine_.Restore(restored_state_.snapshot.data)) {
+    EmitLogEvent(true, "the snapshot in the store can't be read: this voter steps back");
+    admission_.Close();
+    return;
+  }
+  raft_ =
+      std::make_unique<raft::Raft>(options_.log, options_.self, std::move(restored_state_), random_(), now);
+  restored_state_ = {};
+  EmitLogEvent(false, "voter " + options_.self + " takes part, term " + std::to_string(raft_->term()) +
+                          ", log up to " + std::to_string(raft_->last()));
+}
+
+void ConfigReplica::Handle(Time, Instance from, const Message& message, const StoreHello& body) {
+  if (processes_.IsReplaced(from)) return;
+  processes_.Replace(message.sender, from);
+  if (admission_.state()) Send(from, admission_.AnswerHello(message.sender, body));
+}
+
+void ConfigReplica::Handle(Time now, Instance, const Message& message, const StoreHelloResponse& body) {
+  using State = VoterAdmission::State;
+  const auto before = admission_.state();
+  admission_.HandleResponse(message.sender, body);
+  const auto after = admission_.state();
+  if (before == after) return;
+  if (after == State::kBootstrapping)
+    outputs_.push_back(PersistBootstrapVoters{admission_.bootstrap_voters()});
+  if (after == State::kEmptyStore)
+    EmitLogEvent(
+        true,
+        "this store is empty, and the fleet was founded without it: it does not vote until an operator "
+        "lets it in (lemoncroft rules voters out NAME, if it voted before; then in NAME)");
+  if (after == State::kStaleStore)
+    EmitLogEvent(true,
+                 "this voter's store is older than what it once answered for: it does not vote; remove the "
+                 "store and have the voter replaced");
+  RunAdmission(now);
+}
+
+void ConfigReplica::Handle(Time, Instance, const Message&, const AdmitVoter& body) {
+  const auto before = admission_.state();
+  admission_.HandleAdmitVoter(body);
+  if (before != admission_.state()) outputs_.push_back(PersistBootstrapVoters{admission_.bootstrap_voters()});
+}
+
+// ---- Raft ----
+
+void ConfigReplica::OnStored(Time now, std::uint64_t number) {
+  if (!raft_) return;
+  last_stored_update_ = std::max(last_stored_update_, number);
+  raft_->Stored(now, number);
+  ReleaseStoredMessages(now);
+  DispatchPendingOutputs(now);
+}
+
+void ConfigReplica::ReleaseStoredMessages(Time now) {
+  std::vector<DeferredMessage> ready;
+  std::erase_if(deferred_messages_, [&](DeferredMessage& deferred) {
+    if (deferred.after_update > last_stored_update_) return false;
+    ready.push_back(std::move(deferred));
+    return true;
+  });
+  for (DeferredMessage& deferred : ready) {
+    if (deferred.to == options_.self)
+      raft_->Receive(now, deferred.to, deferred.message);
+    else
+      Send(deferred.to, RaftMessage{std::move(deferred.message)});
+  }
+}
+
+void ConfigReplica::DrainRaftOutputs(Time now) {
+  while (raft_) {
+    const std::vector<raft::Output> outputs = raft_->Take();
+    if (outputs.empty()) return;
+    for (const raft::Output& output : outputs) {
+      if (const auto* store = std::get_if<raft::StorageUpdate>(&output))
+        outputs_.push_back(Persist{*store});
+      else if (const auto* send = std::get_if<raft::SendMessage>(&output))
+        deferred_messages_.push_back({send->to, send->message, send->after});
+      else if (const auto* committed = std::get_if<raft::Committed>(&output))
+        ApplyCommitted(committed->entry);
+      else if (const auto* restored = std::get_if<raft::SnapshotInstalled>(&output))
+        // The leader's state machine wrote it; one that could not be decoded would leave the state as it is.
+        static_cast<void>(state_machine_.Restore(restored->snapshot.data));
+    }
+    CompactLog();
+    ReleaseStoredMessages(now);
+  }
+}
+
+void ConfigReplica::ApplyCommitted(const raft::Entry& entry) {
+  if (entry.kind != raft::EntryKind::kData) return;
+  const Version before = state_machine_.active_version();
+  const std::optional<ChangeOutcome> outcome = state_machine_.Apply(entry.data);
+  if (state_machine_.active_version() != before)
+    EmitLogEvent(false, "version " + std::to_string(state_machine_.active_version()) + " is in force");
+  if (!outcome) return;
+  if (outcome->status == ChangeStatus::kCommitted)
+    EmitLogEvent(false,
+                 "version " + std::to_string(outcome->version) + " is committed, change " + outcome->id);
+  if (!in_flight_change_ || in_flight_change_->change.id != outcome->id) return;
+  SendOutcome(in_flight_change_->reply_to, *outcome);
+  in_flight_change_.reset();
+}
+
+void ConfigReplica::CompactLog() {
+  std::uint64_t bytes = 0;
+  for (const raft::Entry& entry : raft_->log()) bytes += entry.data.size();
+  if (raft_->log().size() <= kMaxLogEntries && bytes <= kMaxLogBytes) return;
+  raft_->Compact(raft_->commit(), state_machine_.Snapshot());
+}
+
+void ConfigReplica::Handle(Time now, Instance from, const Message& message, const RaftMessage& body) {
+  if (!raft_ || processes_.IsReplaced(from)) return;
+  processes_.Observe(message.sender, from);
+  admission_.ObserveRaftMessage(message.sender, body.message);
+  raft_->Receive(now, message.sender, body.message);
+}
+
+}  // namespace lemoncroft::replicated_config
