--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -206,9 +206,9 @@
     if (file.rules && *file.rules != running.rules->settings())
       spdlog::warn("{}: rules changes by a restart only; it stays as it was", paths.operator_file);
     if (running.rules != nullptr) {
-      const std::string why =
+      const auto compatible =
           running.rules->CheckCompatible(config.site, file.waiting ? &file.waiting->line : nullptr);
-      if (!why.empty()) throw ConfigError("the rules in force can't be carried: " + why);
+      if (!compatible) throw ConfigError("the rules in force can't be carried: " + compatible.error().Text());
     }
     if (file.fleet && *file.fleet != *running.fleet)
       spdlog::warn("{}: fleet changes by a restart only; it stays as it was", paths.operator_file);
--- a/src/cli/replicated_config_service.cpp
+++ b/src/cli/replicated_config_service.cpp
@@ -129,32 +129,37 @@
   return options;
 }
 
-replicated_config::ConfigReplica::DocumentChecks ReplicatedConfigService::MakeDocumentChecks() {
-  replicated_config::ConfigReplica::DocumentChecks checks;
+replicated_config::DocumentChecks ReplicatedConfigService::MakeDocumentChecks() {
+  using replicated_config::DocumentRejection;
+  using Cause = DocumentRejection::Cause;
+  using Checked = tl::expected<void, DocumentRejection>;
+  replicated_config::DocumentChecks checks;
   checks.check_successor = [](const replicated_config::VersionRecord* from,
-                              const std::string& text) -> std::string {
+                              const std::string& text) -> Checked {
     const auto to = replicated_config::ParseDocument(text);
-    if (const auto* wrong = std::get_if<std::string>(&to)) return *wrong;
+    if (!to) return tl::unexpected(DocumentRejection{Cause::kInvalid, to.error().Text()});
     if (from == nullptr) return {};
     const auto before = replicated_config::ParseDocument(from->document);
-    const auto* good = std::get_if<Document>(&before);
-    return good == nullptr ? std::string() : replicated_config::CheckSuccessor(*good, std::get<Document>(to));
+    if (!before) return {};
+    const auto checked = replicated_config::CheckSuccessor(*before, *to);
+    if (!checked) return tl::unexpected(DocumentRejection{Cause::kConflicts, checked.error().Text()});
+    return {};
   };
-  checks.check_compatible = [this](const std::string& text) -> std::string {
-    const auto to = replicated_config::ParseDocument(text);
-    if (const auto* wrong = std::get_if<std::string>(&to)) return *wrong;
-    return replicated_config::CheckCompatible(std::get<Document>(to), local_config_.site(),
-                                              local_config_.queue());
+  checks.check_compatible = [this](const std::string& text) -> Checked {
+    const auto document = replicated_config::ParseDocument(text);
+    if (!document) return tl::unexpected(DocumentRejection{Cause::kInvalid, document.error().Text()});
+    const auto checked =
+        replicated_config::CheckCompatible(*document, local_config_.site(), local_config_.queue());
+    if (!checked) return tl::unexpected(DocumentRejection{Cause::kIncompatible, checked.error().Text()});
+    return {};
   };
   checks.required_format = [](const std::string& text) -> std::uint64_t {
     const auto document = replicated_config::ParseDocument(text);
-    const auto* good = std::get_if<Document>(&document);
-    return good == nullptr ? 0 : good->format;
+    return document ? document->format : 0;
   };
   checks.isolation_duration = [](const std::string& text) -> Span {
     const auto document = replicated_config::ParseDocument(text);
-    const auto* good = std::get_if<Document>(&document);
-    return good == nullptr ? Span() : good->isolation.duration;
+    return document ? document->isolation.duration : Span();
   };
   return checks;
 }
@@ -170,7 +175,8 @@
       directory_(directory),
       tell_(std::move(tell)),
       local_config_(std::move(local_config)),
-      replica_(ReplicaOptionsOf(settings, name), fleet.view().roster().self(), MakeDocumentChecks(), Draw(),
+      document_checks_(MakeDocumentChecks()),
+      replica_(ReplicaOptionsOf(settings, name), fleet.view().roster().self(), document_checks_, Draw(),
                Now()),
       notification_pacer_(Draw()) {
   const bool votes = std::find(settings.voters.begin(), settings.voters.end(), name) != settings.voters.end();
@@ -254,17 +260,12 @@
     batch.records.emplace_back("founders", FoundersText(bootstrap_voters->bootstrap_voters));
     WriteBatch(kBootstrapVotersWrite, std::move(batch));
   } else if (const auto* received = std::get_if<replicated_config::DocumentReceived>(&output)) {
-    const auto document = replicated_config::ParseDocument(received->document);
-    const auto* wrong = std::get_if<std::string>(&document);
-    const std::string why =
-        wrong != nullptr ? *wrong
-                         : replicated_config::CheckCompatible(std::get<Document>(document),
-                                                              local_config_.site(), local_config_.queue());
-    if (why.empty()) {
+    if (const auto checked = document_checks_.check_compatible(received->document)) {
       spdlog::info("rules event=prepared version={} mono_us={}", received->version, MonoUs(Now()));
       replica_.MarkPrepared(Now(), received->version);
     } else {
-      spdlog::error("rules: this proxy can't carry version {}: {}", received->version, why);
+      spdlog::error("rules: this proxy can't carry version {}: {}", received->version,
+                    checked.error().reason);
       replica_.MarkIncompatible(received->version);
     }
   } else if (const auto* activated = std::get_if<replicated_config::VersionActivated>(&output)) {
@@ -354,10 +355,9 @@
 
 void ReplicatedConfigService::Activate(Version version) {
   const std::string* text = replica_.FindDocument(version);
-  const auto read = text == nullptr ? std::variant<Document, std::string>(Document())
-                                    : replicated_config::ParseDocument(*text);
-  const auto* document = std::get_if<Document>(&read);
-  if (document == nullptr || (text == nullptr && version > 0)) return;
+  if (text == nullptr && version > 0) return;
+  const auto document = replicated_config::ParseDocument(text == nullptr ? std::string_view() : *text);
+  if (!document) return;
   try {
     local_config_.activate(*document);
   } catch (const std::exception& e) {
@@ -428,8 +428,8 @@
   return true;
 }
 
-std::string ReplicatedConfigService::CheckCompatible(const settings::Site& site,
-                                                     const admission_queue::Settings* queue) const {
+tl::expected<void, replicated_config::IncompatibleDocument> ReplicatedConfigService::CheckCompatible(
+    const settings::Site& site, const admission_queue::Settings* queue) const {
   return replicated_config::CheckCompatible(document_, site, queue);
 }
 
@@ -514,9 +514,7 @@
 Document ReplicatedConfigService::LatestDocument() const {
   const std::string* text = replica_.FindDocument(replica_.holder().latest_version());
   if (text == nullptr) return {};
-  auto read = replicated_config::ParseDocument(*text);
-  const auto* good = std::get_if<Document>(&read);
-  return good == nullptr ? Document() : *good;
+  return replicated_config::ParseDocument(*text).value_or(Document());
 }
 
 // Proposes the ejections requested here until the fleet has committed them.
--- a/src/cli/replicated_config_service.h
+++ b/src/cli/replicated_config_service.h
@@ -15,6 +15,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <tl/expected.hpp>
 #include <utility>
 #include <vector>
 
@@ -51,7 +52,8 @@
   bool RecordSend(const std::string& class_name, EngineId engine, bool again) override;
 
   // Checks that the active version can be applied to new settings of this proxy.
-  std::string CheckCompatible(const settings::Site& site, const admission_queue::Settings* queue) const;
+  [[nodiscard]] tl::expected<void, replicated_config::IncompatibleDocument> CheckCompatible(
+      const settings::Site& site, const admission_queue::Settings* queue) const;
   const replicated_config::Document& document() const {
     return document_;
   }  // active here; empty before the first
@@ -76,7 +78,7 @@
 
   static replicated_config::ConfigReplicaOptions ReplicaOptionsOf(
       const operator_config::RulesSettings& settings, const std::string& name);
-  replicated_config::ConfigReplica::DocumentChecks MakeDocumentChecks();
+  replicated_config::DocumentChecks MakeDocumentChecks();
 
   runtime::Task<> RunTimers();
   runtime::Task<> RunStore();
@@ -111,6 +113,7 @@
   discovery::Directory& directory_;
   discovery::Directory::Tell tell_;
   LocalConfig local_config_;
+  replicated_config::DocumentChecks document_checks_;
   replicated_config::ConfigReplica replica_;
   replicated_config::NotificationPacer notification_pacer_;
   std::uint64_t peers_as_of_ = 0;  // value of the roster's changes() at the last UpdatePeers
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -61,9 +61,8 @@
 
 Document Parsed(const std::string& text, const char* of) {
   auto read = replicated_config::ParseDocument(text);
-  if (const auto* wrong = std::get_if<std::string>(&read))
-    throw ConfigError(std::string(of) + ":\n" + *wrong);
-  return std::get<Document>(std::move(read));
+  if (!read) throw ConfigError(std::string(of) + ":\n" + read.error().Text());
+  return std::move(*read);
 }
 
 std::string TextOf(const RulesCommand& command, std::uint64_t version) {
--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -14,19 +14,20 @@
 #define LEMONCROFT_REPLICATED_CONFIG_CONFIG_REPLICA_H_
 
 #include <cstdint>
-#include <functional>
 #include <map>
 #include <memory>
 #include <optional>
 #include <random>
 #include <set>
 #include <string>
+#include <tl/expected.hpp>
 #include <variant>
 #include <vector>
 
 #include "raft/raft.h"
 #include "replicated_config/config_state_machine.h"
 #include "replicated_config/document_cache.h"
+#include "replicated_config/document_checks.h"
 #include "replicated_config/lease.h"
 #include "replicated_config/messages.h"
 #include "replicated_config/voter_admission.h"
@@ -95,16 +96,6 @@
 
 class ConfigReplica {
  public:
-  struct DocumentChecks {
-    // Checks that a document is valid and may follow the version `from` (null: it is the first).
-    std::function<std::string(const VersionRecord* from, const std::string& document)> check_successor;
-    // Checks that this proxy can apply a document.
-    std::function<std::string(const std::string& document)> check_compatible;
-    std::function<std::uint64_t(const std::string& document)> required_format;  // needed to read it
-    // How long an isolated proxy may continue under a document.
-    std::function<Span(const std::string& document)> isolation_duration;
-  };
-
   ConfigReplica(ConfigReplicaOptions options, Instance self, DocumentChecks checks, std::uint64_t seed,
                 raft::Time now);
 
@@ -164,6 +155,10 @@
     bool proposed = false;
     std::set<Instance> reply_to;
   };
+  struct ChangeRejection {
+    ChangeStatus status = ChangeStatus::kRejected;
+    std::string reason;
+  };
   struct InFlightVoterChange {
     VoterChange change;
     Instance reply_to = 0;
@@ -226,7 +221,11 @@
   void BeginLeadership(Time now);
   void EndLeadership();
   void ActivateLatestVersion(Time now);
-  std::string CheckAgainstHeldVersions(Time now, const std::string& document) const;
+  tl::expected<void, ChangeRejection> CheckProposal(Time now, const ConfigChange& change) const;
+  tl::expected<void, DocumentRejection> CheckAgainstUsableVersions(Time now,
+                                                                   const std::string& document) const;
+  tl::expected<std::set<Instance>, ChangeRejection> FindValidators(Time now,
+                                                                   const std::string& document) const;
   void ProposeInFlight(Time now);
   void AdvanceVoterChange(Time now);
   void AbandonInFlight();
--- a/src/replicated_config/config_replica_holder.cpp
+++ b/src/replicated_config/config_replica_holder.cpp
@@ -108,7 +108,8 @@
 }
 
 void ConfigReplica::Handle(Time, Instance from, const Message&, const ValidateRequest& body) {
-  Send(from, ValidateResponse{body.id, document_checks_.check_compatible(body.document)});
+  const auto checked = document_checks_.check_compatible(body.document);
+  Send(from, ValidateResponse{body.id, checked ? std::string() : checked.error().reason});
 }
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -122,8 +122,9 @@
     return;
   }
   const ConfigChange& change = body.change;
-  const auto reject = [&](ChangeStatus status, std::string reason) {
-    Send(from, ProposalResult{{change.id, status, state_machine_.latest_version(), std::move(reason)}});
+  const auto reject = [&](ChangeRejection rejection) {
+    Send(from, ProposalResult{{change.id, rejection.status, state_machine_.latest_version(),
+                               std::move(rejection.reason)}});
   };
   if (const ChangeOutcome* known = state_machine_.FindOutcome(change.id))
     return Send(from, ProposalResult{*known});
@@ -133,43 +134,41 @@
   }
   if (change.base_version != state_machine_.latest_version() &&
       options_.safety_checks.state_machine.compare_and_set)
-    return reject(ChangeStatus::kConflict, {});
+    return reject({ChangeStatus::kConflict, {}});
   if (in_flight_change_) return;  // the proposer retries, and conflicts with the version in flight
-  if (change.document.size() > kMaxDocumentBytes)
-    return reject(ChangeStatus::kRejected, "a document of " + std::to_string(change.document.size()) +
-                                               " bytes is too long: at most " +
-                                               std::to_string(kMaxDocumentBytes));
-  if (change.id.empty() || change.id.size() > kMaxChangeIdBytes || change.author.size() > kMaxAuthorBytes)
-    return reject(ChangeStatus::kRejected, "a change needs an id, and names of at most 64 bytes");
-  if (std::string reason = CheckAgainstHeldVersions(now, change.document); !reason.empty())
-    return reject(ChangeStatus::kRejected, std::move(reason));
+  if (auto checked = CheckProposal(now, change); !checked) return reject(std::move(checked.error()));
+  auto validators = FindValidators(now, change.document);
+  if (!validators) return reject(std::move(validators.error()));
   InFlightChange fresh;
   fresh.change = change;
   fresh.reply_to = {from};
   fresh.deadline = now + kValidationTimeout;
-  if (options_.safety_checks.validate_on_holders) {
-    const std::uint64_t format = document_checks_.required_format(change.document);
-    if (std::string reason = document_checks_.check_compatible(change.document); !reason.empty())
-      return reject(ChangeStatus::kRejected, options_.self + " can't carry it: " + reason);
-    for (const auto& [key, prepared] : grantor_.LiveHolders(now)) {
-      const Instance holder = InstanceOf(key);
-      const auto info = holder_info_.find(holder);
-      if (holder == self_ || info == holder_info_.end()) continue;
-      if (info->second.format < format)
-        return reject(ChangeStatus::kRejected,
-                      info->second.name + " can't carry it: its program reads format " +
-                          std::to_string(info->second.format) + ", not " + std::to_string(format));
-      fresh.awaiting.insert(holder);
-    }
-  }
+  fresh.awaiting = std::move(*validators);
   in_flight_change_ = std::move(fresh);
   for (const Instance holder : in_flight_change_->awaiting)
     Send(holder, ValidateRequest{change.id, change.document});
 }
 
+// Checks what a leader can check by itself.
+tl::expected<void, ConfigReplica::ChangeRejection> ConfigReplica::CheckProposal(
+    Time now, const ConfigChange& change) const {
+  const auto rejected = [](std::string reason) {
+    return tl::unexpected(ChangeRejection{ChangeStatus::kRejected, std::move(reason)});
+  };
+  if (change.document.size() > kMaxDocumentBytes)
+    return rejected("a document of " + std::to_string(change.document.size()) +
+                    " bytes is too long: at most " + std::to_string(kMaxDocumentBytes));
+  if (change.id.empty() || change.id.size() > kMaxChangeIdBytes || change.author.size() > kMaxAuthorBytes)
+    return rejected("a change needs an id, and names of at most 64 bytes");
+  if (auto checked = CheckAgainstUsableVersions(now, change.document); !checked)
+    return rejected(std::move(checked.error().reason));
+  return {};
+}
+
 // Checks a document against the latest version, and against each earlier one that an isolated proxy may still
 // act on.
-std::string ConfigReplica::CheckAgainstHeldVersions(Time now, const std::string& document) const {
+tl::expected<void, DocumentRejection> ConfigReplica::CheckAgainstUsableVersions(
+    Time now, const std::string& document) const {
   if (state_machine_.versions().empty()) return document_checks_.check_successor(nullptr, document);
   for (const auto& [version, record] : state_machine_.versions()) {
     const auto superseded = superseded_at_.find(version);
@@ -179,12 +178,35 @@
     if (version != state_machine_.latest_version() && superseded != superseded_at_.end() &&
         now > superseded->second + longest_use + longest_use / kClockRateMarginDivisor)
       continue;
-    if (std::string reason = document_checks_.check_successor(&record, document); !reason.empty())
-      return reason;
+    if (auto checked = document_checks_.check_successor(&record, document); !checked) return checked;
   }
   return {};
 }
 
+// Returns the live lease holders that have to validate a document, unless this proxy or one of them is
+// already known to be unable to apply it.
+tl::expected<std::set<Instance>, ConfigReplica::ChangeRejection> ConfigReplica::FindValidators(
+    Time now, const std::string& document) const {
+  std::set<Instance> validators;
+  if (!options_.safety_checks.validate_on_holders) return validators;
+  const std::uint64_t format = document_checks_.required_format(document);
+  if (auto checked = document_checks_.check_compatible(document); !checked)
+    return tl::unexpected(ChangeRejection{ChangeStatus::kRejected,
+                                          options_.self + " can't carry it: " + checked.error().reason});
+  for (const auto& [key, prepared] : grantor_.LiveHolders(now)) {
+    const Instance holder = InstanceOf(key);
+    const auto info = holder_info_.find(holder);
+    if (holder == self_ || info == holder_info_.end()) continue;
+    if (info->second.format < format)
+      return tl::unexpected(ChangeRejection{ChangeStatus::kRejected,
+                                            info->second.name + " can't carry it: its program reads format " +
+                                                std::to_string(info->second.format) + ", not " +
+                                                std::to_string(format)});
+    validators.insert(holder);
+  }
+  return validators;
+}
+
 void ConfigReplica::Handle(Time, Instance from, const Message& message, const ValidateResponse& body) {
   if (!in_flight_change_ || in_flight_change_->change.id != body.id || in_flight_change_->proposed) return;
   if (body.reason.empty()) {
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -30,7 +30,7 @@
 
 class DocumentParser {
  public:
-  std::variant<Document, std::string> Parse(std::string_view text) {
+  tl::expected<Document, InvalidDocument> Parse(std::string_view text) {
     try {
       const operator_config::Known known = {
           {"format", [&](const KdlNode& n) { Count(n, 1e6, document_.format); }},
@@ -45,14 +45,19 @@
       };
       operator_config::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, errors_);
     } catch (const codec::KdlError& e) {
-      return std::string(e.what());
+      const std::string what = e.what();  // "line N, column N: message"
+      return tl::unexpected(
+          InvalidDocument{true, {{e.place().line, e.place().column, what.substr(what.find(": ") + 2)}}});
     }
     for (const std::size_t count : {document_.classes.size(), document_.tenants.size(),
                                     document_.teams.size(), document_.ejected_engines.size()})
       if (count > kMaxNames)
         errors_.Add({}, std::to_string(count) + " of one kind: at most " + std::to_string(kMaxNames));
     if (errors_.all().empty()) return std::move(document_);
-    return operator_config::OperatorError("rules", errors_.all()).what();
+    InvalidDocument invalid;
+    for (const operator_config::Problem& problem : errors_.all())
+      invalid.faults.push_back({problem.place.line, problem.place.column, problem.text});
+    return tl::unexpected(std::move(invalid));
   }
 
  private:
@@ -269,7 +274,7 @@
 
 }  // namespace
 
-std::variant<Document, std::string> ParseDocument(std::string_view text) {
+tl::expected<Document, InvalidDocument> ParseDocument(std::string_view text) {
   return DocumentParser().Parse(text);
 }
 
@@ -305,43 +310,87 @@
   return out;
 }
 
-std::string CheckSuccessor(const Document& from, const Document& to) {
+tl::expected<void, SuccessorConflict> CheckSuccessor(const Document& from, const Document& to) {
+  using Kind = SuccessorConflict::Kind;
   const IsolationPolicy& policy = from.isolation;
   for (const std::string& engine : policy.engines)
     if (to.ejected_engines.contains(engine))
-      return "proxies that are cut off may go on at engine '" + engine + "' for " + Format(policy.duration) +
-             ": take it from `cut-off` first";
-  for (const std::string& name : policy.classes) {
+      return tl::unexpected(SuccessorConflict{Kind::kEjectsEngine, engine, policy.duration});
+  for (const std::string& name : policy.classes)
     if (ClassLinesOf(from, name) != ClassLinesOf(to, name))
-      return "proxies that are cut off may go on with class '" + name + "' for " + Format(policy.duration) +
-             ": take it from `cut-off` before its rules change";
-  }
+      return tl::unexpected(SuccessorConflict{Kind::kChangesClass, name, policy.duration});
   return {};
 }
 
-std::string CheckCompatible(const Document& document, const settings::Site& own,
-                            const admission_queue::Settings* line) {
+tl::expected<void, IncompatibleDocument> CheckCompatible(const Document& document, const settings::Site& own,
+                                                         const admission_queue::Settings* queue) {
+  using Cause = IncompatibleDocument::Cause;
+  const auto unknown = [](Cause cause, const std::string& name) {
+    return tl::unexpected(IncompatibleDocument{cause, name});
+  };
+  const auto over = [](Cause cause, auto supported, auto requested) {
+    return tl::unexpected(IncompatibleDocument{
+        cause, {}, static_cast<std::uint64_t>(supported), static_cast<std::uint64_t>(requested)});
+  };
   if (document.format > kNewestDocumentFormat)
-    return "its program reads format " + std::to_string(kNewestDocumentFormat) + ", not " +
-           std::to_string(document.format);
+    return over(Cause::kFormat, kNewestDocumentFormat, document.format);
   for (const auto& [name, entry] : document.classes)
-    if (!own.ClassOf(name)) return "its settings have no class '" + name + "'";
+    if (!own.ClassOf(name)) return unknown(Cause::kUnknownClass, name);
   for (const std::string& name : document.isolation.classes)
-    if (!own.ClassOf(name)) return "its settings have no class '" + name + "'";
+    if (!own.ClassOf(name)) return unknown(Cause::kUnknownClass, name);
   for (const auto& [name, entry] : document.tenants)
-    if (!own.TenantOf(name)) return "its settings have no tenant '" + name + "'";
+    if (!own.TenantOf(name)) return unknown(Cause::kUnknownTenant, name);
   if (document.max_attempts && *document.max_attempts > own.module.max_attempts)
-    return "its settings allow " + std::to_string(own.module.max_attempts) + " attempts, not " +
-           std::to_string(*document.max_attempts);
+    return over(Cause::kMaxAttempts, own.module.max_attempts, *document.max_attempts);
   if (document.max_open_requests && own.max_open > 0 && *document.max_open_requests > own.max_open)
-    return "its settings allow " + std::to_string(own.max_open) + " open requests, not " +
-           std::to_string(*document.max_open_requests);
-  if (!document.teams.empty() && line == nullptr) return "it has no waiting line for team budgets";
+    return over(Cause::kMaxOpenRequests, own.max_open, *document.max_open_requests);
+  if (!document.teams.empty() && queue == nullptr) return unknown(Cause::kNoAdmissionQueue, {});
   for (const auto& [name, entry] : document.teams) {
     const bool known =
-        std::any_of(line->teams.begin(), line->teams.end(),
+        std::any_of(queue->teams.begin(), queue->teams.end(),
                     [&, n = name](const admission_queue::TeamBudget& t) { return t.name == n; });
-    if (!known) return "its waiting line has no team '" + name + "'";
+    if (!known) return unknown(Cause::kUnknownTeam, name);
+  }
+  return {};
+}
+
+// ---- Texts of errors ----
+
+std::string InvalidDocument::Text() const {
+  std::string text;
+  for (const Fault& fault : faults) {
+    if (!text.empty()) text += "\n";
+    const std::string line = std::to_string(fault.line), column = std::to_string(fault.column);
+    text += is_syntax_error ? "line " + line + ", column " + column : "rules:" + line + ":" + column;
+    text += ": " + fault.message;
+  }
+  return text;
+}
+
+std::string SuccessorConflict::Text() const {
+  const std::string in_use = "proxies that are cut off may go on ";
+  const std::string duration = " for " + Format(isolation_duration) + ": take it from `cut-off` ";
+  if (kind == Kind::kEjectsEngine) return in_use + "at engine '" + name + "'" + duration + "first";
+  return in_use + "with class '" + name + "'" + duration + "before its rules change";
+}
+
+std::string IncompatibleDocument::Text() const {
+  const std::string supported_text = std::to_string(supported), wanted = std::to_string(requested);
+  switch (cause) {
+    case Cause::kFormat:
+      return "its program reads format " + supported_text + ", not " + wanted;
+    case Cause::kUnknownClass:
+      return "its settings have no class '" + name + "'";
+    case Cause::kUnknownTenant:
+      return "its settings have no tenant '" + name + "'";
+    case Cause::kMaxAttempts:
+      return "its settings allow " + supported_text + " attempts, not " + wanted;
+    case Cause::kMaxOpenRequests:
+      return "its settings allow " + supported_text + " open requests, not " + wanted;
+    case Cause::kNoAdmissionQueue:
+      return "it has no waiting line for team budgets";
+    case Cause::kUnknownTeam:
+      return "its waiting line has no team '" + name + "'";
   }
   return {};
 }
--- a/src/replicated_config/document.h
+++ b/src/replicated_config/document.h
@@ -13,7 +13,7 @@
 #include <set>
 #include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "admission_queue/types.h"
@@ -69,12 +69,51 @@
   bool operator==(const Document&) const = default;
 };
 
+// What is wrong with a text.
+struct InvalidDocument {
+  struct Fault {
+    int line = 0, column = 0;  // from 1
+    std::string message;       // names the key and its value
+  };
+  bool is_syntax_error = false;  // the text is not KDL; otherwise what it says is wrong
+  std::vector<Fault> faults;     // in the order found; one of a syntax error
+  // For an operator, a line each.
+  std::string Text() const;
+};
+
+// Why a document must not follow another: proxies that are isolated may still act on the other.
+struct SuccessorConflict {
+  enum class Kind { kEjectsEngine, kChangesClass };
+  Kind kind = Kind::kEjectsEngine;
+  std::string name;           // of the engine or class
+  Span isolation_duration{};  // of the other document
+  std::string Text() const;
+};
+
+// Why a proxy cannot apply a document.
+struct IncompatibleDocument {
+  enum class Cause {
+    kFormat,
+    kUnknownClass,
+    kUnknownTenant,
+    kMaxAttempts,
+    kMaxOpenRequests,
+    kNoAdmissionQueue,
+    kUnknownTeam,
+  };
+  Cause cause = Cause::kFormat;
+  std::string name;             // of the unknown class, tenant or team
+  std::uint64_t supported = 0;  // by the proxy; with kFormat, kMaxAttempts and kMaxOpenRequests
+  std::uint64_t requested = 0;  // by the document; likewise
+  std::string Text() const;
+};
+
 // Parses and validates a text.
-std::variant<Document, std::string> ParseDocument(std::string_view text);
+[[nodiscard]] tl::expected<Document, InvalidDocument> ParseDocument(std::string_view text);
 std::string SerializeDocument(const Document& document);
 
 // Checks that `to` may follow `from`.
-std::string CheckSuccessor(const Document& from, const Document& to);
+[[nodiscard]] tl::expected<void, SuccessorConflict> CheckSuccessor(const Document& from, const Document& to);
 
 // Returns the differences, a line each: "~ class lookup effect: pure -> token". Lines begin with "+", "-" or
 // "~" for added, removed and changed.
@@ -82,8 +121,8 @@
 
 // Checks that a proxy with these settings can apply a document. `queue`: the settings of its admission queue;
 // null: it has none.
-std::string CheckCompatible(const Document& document, const settings::Site& own,
-                            const admission_queue::Settings* queue);
+[[nodiscard]] tl::expected<void, IncompatibleDocument> CheckCompatible(
+    const Document& document, const settings::Site& own, const admission_queue::Settings* queue);
 
 // Returns a proxy's settings with the document's overrides. CheckCompatible must hold.
 settings::Site ApplyDocument(const Document& document, const settings::Site& own);
--- a/src/testing/benchmark/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -54,10 +54,10 @@
   return terms;
 }
 
-replicated_config::ConfigReplica::DocumentChecks ChecksOf() {
-  return {[](const replicated_config::VersionRecord*, const std::string&) { return std::string(); },
-          [](const std::string&) { return std::string(); },
-          [](const std::string&) { return std::uint64_t{1}; },
+replicated_config::DocumentChecks AcceptAllDocuments() {
+  using Checked = tl::expected<void, replicated_config::DocumentRejection>;
+  return {[](const replicated_config::VersionRecord*, const std::string&) { return Checked(); },
+          [](const std::string&) { return Checked(); }, [](const std::string&) { return std::uint64_t{1}; },
           [](const std::string&) { return replicated_config::Span(); }};
 }
 
@@ -67,7 +67,8 @@
   HollowProxy(runtime::Loop& loop, const HollowPlan& plan, std::size_t i)
       : loop_(loop),
         link_(loop, TermsOf(plan, i), plan.seed + i, [](const gossip::Event&) {}),
-        replica_(ReplicaOptionsOf(plan, i), link_.view().roster().self(), ChecksOf(), plan.seed + i, Now()),
+        replica_(ReplicaOptionsOf(plan, i), link_.view().roster().self(), AcceptAllDocuments(), plan.seed + i,
+                 Now()),
         store_(i < plan.voters ? i + 1 : 0) {
     link_.on_parcel = [this](const peer_transport::Parcel& parcel) {
       const auto message = replicated_config::DecodeMessage(parcel.bytes);
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -65,12 +65,18 @@
   options.log = plan_.log;
   options.lease = plan_.lease_options;
   options.safety_checks = plan_.safety_checks;
-  replicated_config::ConfigReplica::DocumentChecks checks;
-  checks.check_successor = [](const replicated_config::VersionRecord*, const std::string& text) {
-    return text.starts_with("wrong") ? std::string("it is wrong") : std::string();
+  using replicated_config::DocumentRejection;
+  using Cause = DocumentRejection::Cause;
+  using Checked = tl::expected<void, DocumentRejection>;
+  replicated_config::DocumentChecks checks;
+  checks.check_successor = [](const replicated_config::VersionRecord*, const std::string& text) -> Checked {
+    if (text.starts_with("wrong")) return tl::unexpected(DocumentRejection{Cause::kInvalid, "it is wrong"});
+    return {};
   };
-  checks.check_compatible = [i](const std::string& text) {
-    return text.starts_with("not for " + NameOf(i)) ? std::string("so it says") : std::string();
+  checks.check_compatible = [i](const std::string& text) -> Checked {
+    if (text.starts_with("not for " + NameOf(i)))
+      return tl::unexpected(DocumentRejection{Cause::kIncompatible, "so it says"});
+    return {};
   };
   checks.required_format = [](const std::string&) { return std::uint64_t{1}; };
   checks.isolation_duration = [](const std::string&) { return replicated_config::Span(); };
--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -1,4 +1,4 @@
-// The document of rules: its text, what follows what, what a proxy can't carry; and the checks of histories.
+// The configuration document: its text, successors and compatibility; and the fault tests' history checks.
 #include "replicated_config/document.h"
 
 #include <gtest/gtest.h>
@@ -13,15 +13,20 @@
 
 Document Good(std::string_view text) {
   const auto read = ParseDocument(text);
-  if (const auto* wrong = std::get_if<std::string>(&read)) ADD_FAILURE() << *wrong;
-  return std::holds_alternative<Document>(read) ? std::get<Document>(read) : Document();
+  if (!read) ADD_FAILURE() << read.error().Text();
+  return read.value_or(Document());
 }
 std::string Wrong(std::string_view text) {
   const auto read = ParseDocument(text);
-  return std::holds_alternative<std::string>(read) ? std::get<std::string>(read) : "nothing is wrong";
+  return read ? "nothing is wrong" : read.error().Text();
+}
+// The text of an error, empty for success.
+template <typename Checked>
+std::string ErrorText(const Checked& checked) {
+  return checked ? std::string() : checked.error().Text();
 }
 
-constexpr const char* kWhole = R"(attempts 3
+constexpr const char* kCompleteText = R"(attempts 3
 open-most 900
 further-attempts free=2 ratio=0.1 over="10s"
 class "lookup" { effect "token"; group "zone"; repeat-window "1500us" }
@@ -31,15 +36,15 @@
 cut-off "10s" { class "lookup"; engine "e1" }
 )";
 
-TEST(ConfigDocumentTest, ItsTextComesBackAsItWas) {
-  const Document document = Good(kWhole);
+TEST(ConfigDocument, RoundTrip) {
+  const Document document = Good(kCompleteText);
   EXPECT_EQ(Good(SerializeDocument(document)), document);
   EXPECT_EQ(SerializeDocument(Good(SerializeDocument(document))), SerializeDocument(document));
   EXPECT_EQ(document.classes.at("lookup").repeat_window, Span(1500us));
   EXPECT_EQ(Good(""), Document());
 }
 
-TEST(ConfigDocumentTest, WhatIsWrongIsTold) {
+TEST(ConfigDocument, InvalidText_ErrorNamesTheFault) {
   EXPECT_NE(Wrong("attempts 0").find("not from 1 to 100"), std::string::npos);
   EXPECT_NE(Wrong("colour 1").find("not known here"), std::string::npos);
   EXPECT_NE(Wrong("class \"a\" { effect \"maybe\" }").find("none of those"), std::string::npos);
@@ -53,41 +58,66 @@
   EXPECT_NE(Wrong(many).find("at most 4096"), std::string::npos);
 }
 
-TEST(ConfigDocumentTest, WhoIsCutOffMayGoOnOnlyByWhatNoSuccessorChanges) {
-  const Document from = Good(kWhole);
-  EXPECT_EQ(CheckSuccessor(from, Good(std::string(kWhole) + "tenant \"b\" {}")), "");
+TEST(ConfigDocument, SuccessorChangesTheIsolationPolicy_Conflicts) {
+  const Document from = Good(kCompleteText);
+  EXPECT_EQ(ErrorText(CheckSuccessor(from, Good(std::string(kCompleteText) + "tenant \"b\" {}"))), "");
   Document out = from;
   out.ejected_engines.insert("e1");
-  EXPECT_NE(CheckSuccessor(from, out).find("engine 'e1'"), std::string::npos);
+  EXPECT_NE(ErrorText(CheckSuccessor(from, out)).find("engine 'e1'"), std::string::npos);
   Document changed = from;
   changed.classes["lookup"].effect = Effect::kSafe;
-  EXPECT_NE(CheckSuccessor(from, changed).find("class 'lookup'"), std::string::npos);
+  EXPECT_NE(ErrorText(CheckSuccessor(from, changed)).find("class 'lookup'"), std::string::npos);
   changed.isolation = {};
-  EXPECT_NE(CheckSuccessor(from, changed), "") << "taken from `cut-off` and changed at once";
+  EXPECT_NE(ErrorText(CheckSuccessor(from, changed)), "") << "taken from `cut-off` and changed at once";
 }
 
-TEST(ConfigDocumentTest, DifferencesAreToldByLine) {
-  Document to = Good(kWhole);
+TEST(ConfigDocument, DifferencesByLine) {
+  Document to = Good(kCompleteText);
   to.max_attempts = 4;
   to.ejected_engines = {"e8", "e9"};
-  EXPECT_EQ(Differences(Good(kWhole), to),
+  EXPECT_EQ(Differences(Good(kCompleteText), to),
             (std::vector<std::string>{"~ attempts: 3 -> 4", "- out e7", "+ out e9"}));
 }
 
-TEST(ConfigDocumentTest, WhatAProxyCantCarryIsToldByItsOwnSettings) {
+TEST(ConfigDocument, ErrorsKeepPlaceAndCause) {
+  const auto syntax = ParseDocument("attempts 1\nclass \"a\" {");
+  ASSERT_FALSE(syntax.has_value());
+  EXPECT_TRUE(syntax.error().is_syntax_error);
+  ASSERT_EQ(syntax.error().faults.size(), 1u);
+  EXPECT_EQ(syntax.error().faults[0].line, 2);
+  EXPECT_EQ(syntax.error().Text().rfind("line 2, column ", 0), 0u) << syntax.error().Text();
+  const auto content = ParseDocument("attempts 0\n  colour 1");
+  ASSERT_FALSE(content.has_value());
+  EXPECT_FALSE(content.error().is_syntax_error);
+  ASSERT_EQ(content.error().faults.size(), 2u);
+  EXPECT_EQ(content.error().faults[1].line, 2);
+  EXPECT_NE(content.error().Text().find("\nrules:2:3: "), std::string::npos) << content.error().Text();
+  settings::Site own;
+  own.module.max_attempts = 3;
+  const auto incompatible = CheckCompatible(Good("attempts 4"), own, nullptr);
+  ASSERT_FALSE(incompatible.has_value());
+  EXPECT_EQ(incompatible.error().cause, IncompatibleDocument::Cause::kMaxAttempts);
+  EXPECT_EQ(incompatible.error().supported, 3u);
+  EXPECT_EQ(incompatible.error().requested, 4u);
+}
+
+TEST(ConfigDocument, IncompatibleSettings_ErrorNamesTheCause) {
   settings::Site own;
   own.classes = {"lookup"};
   own.tenants = {"acme"};
   own.module.classes.resize(1);
   own.module.tenants.resize(1);
   own.module.max_attempts = 3;
-  EXPECT_EQ(CheckCompatible(Good("attempts 3"), own, nullptr), "");
-  EXPECT_NE(CheckCompatible(Good("attempts 4"), own, nullptr).find("allow 3 attempts"), std::string::npos);
-  EXPECT_NE(CheckCompatible(Good("format 2"), own, nullptr).find("reads format 1"), std::string::npos);
-  EXPECT_NE(CheckCompatible(Good("class \"report\" {}"), own, nullptr).find("no class 'report'"),
+  EXPECT_EQ(ErrorText(CheckCompatible(Good("attempts 3"), own, nullptr)), "");
+  EXPECT_NE(ErrorText(CheckCompatible(Good("attempts 4"), own, nullptr)).find("allow 3 attempts"),
+            std::string::npos);
+  EXPECT_NE(ErrorText(CheckCompatible(Good("format 2"), own, nullptr)).find("reads format 1"),
             std::string::npos);
-  EXPECT_NE(CheckCompatible(Good("team \"acme\" { cores 1 }"), own, nullptr).find("no waiting line"),
+  EXPECT_NE(ErrorText(CheckCompatible(Good("class \"report\" {}"), own, nullptr)).find("no class 'report'"),
             std::string::npos);
+  EXPECT_NE(
+      ErrorText(CheckCompatible(Good("team \"acme\" { cores 1 }"), own, nullptr)).find("no waiting line"),
+      std::string::npos);
   const settings::Site applied = ApplyDocument(
       Good("attempts 2\nclass \"lookup\" { effect \"side_effect\" }\ntenant \"acme\" { quota 7 }"), own);
   EXPECT_EQ(applied.module.max_attempts, 2);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -274,8 +274,8 @@
   const std::string text = replicated_config::SerializeDocument(document);
   EXPECT_LE(text.size(), replicated_config::kMaxDocumentBytes);
   const auto read = replicated_config::ParseDocument(text);
-  ASSERT_TRUE(std::holds_alternative<replicated_config::Document>(read)) << std::get<std::string>(read);
-  EXPECT_EQ(std::get<replicated_config::Document>(read), document);
+  ASSERT_TRUE(read.has_value()) << read.error().Text();
+  EXPECT_EQ(*read, document);
 }
 
 // As long as a record may be.
