--- a/tests/config_replica_test.cpp
+++ b/tests/config_replica_test.cpp
@@ -1,4 +1,4 @@
-// Agreement as proxies run it: whole Keepers in virtual time, the book, and who may vote with which store.
+// ConfigReplicas in simulated fleets, the state machine, the message encoding, and voter admission.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -14,7 +14,7 @@
 using simulation::Node;
 using namespace std::chrono_literals;
 
-constexpr Instant kStated = 1200ms;  // T of docs/agreement.md
+constexpr Instant kMaxContradiction = 1200ms;  // T of docs/agreement.md
 
 struct World : ConfigReplicaFleet {
   explicit World(std::uint64_t seed = 1, const ConfigReplicaSafetyChecks& safety_checks = {},
@@ -27,14 +27,14 @@
           return plan;
         }()) {
     for (int i = 0; i < 100 && !AllUse(0); ++i) RunFor(50ms);
-    EXPECT_TRUE(AllUse(0)) << "nobody begins, seed " << seed;
+    EXPECT_TRUE(AllUse(0)) << "no lease, seed " << seed;
   }
   const ChangeOutcome& Wait(const std::string& id) {
     for (int i = 0; i < 600 && !outcomes().contains(id); ++i) RunFor(10ms);
     static const ChangeOutcome kNone;
     return outcomes().contains(id) ? outcomes().at(id) : kNone;
   }
-  Version Put(std::size_t at, Version from, const std::string& text) {
+  Version Commit(std::size_t at, Version from, const std::string& text) {
     const ChangeOutcome outcome = Wait(Propose(at, from, text));
     EXPECT_EQ(outcome.status, ChangeStatus::kCommitted) << outcome.reason;
     for (int i = 0; i < 600 && !AllUse(outcome.version); ++i) RunFor(10ms);
@@ -45,7 +45,7 @@
     links().Cut(static_cast<Node>(a), static_cast<Node>(b), cut);
     links().Cut(static_cast<Node>(b), static_cast<Node>(a), cut);
   }
-  void CutOff(std::size_t who, std::size_t of = 7, bool cut = true) {
+  void Isolate(std::size_t who, std::size_t of = 7, bool cut = true) {
     for (std::size_t i = 0; i < of; ++i)
       if (i != who) Cut(who, i, cut);
   }
@@ -77,27 +77,29 @@
     }
     return out;
   }
-  bool Keeps() const { return contradiction() <= kStated && stale() == 0 && violations().empty(); }
+  bool InvariantsHold() const {
+    return contradiction() <= kMaxContradiction && stale() == 0 && violations().empty();
+  }
 };
 
-TEST(ConfigReplicaTest, AChangeIsInForceEverywhereSoon) {
+TEST(ConfigReplica, Change_ActiveEverywhereSoon) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     World world(seed);
-    world.Put(seed % 7, 0, "one");  // a new leader waits for the leases of the one before
+    world.Commit(seed % 7, 0, "one");  // a new leader waits until its predecessor's leases have expired
     const Instant since = world.now();
-    world.Put((seed + 3) % 7, 1, "two");
+    world.Commit((seed + 3) % 7, 1, "two");
     EXPECT_LE(world.now() - since, Instant(700ms)) << seed;
     EXPECT_EQ(world.TextAt(6, 2), "two");
-    EXPECT_LE(world.contradiction(), Instant(300ms)) << "a beat and a delivery";
+    EXPECT_LE(world.contradiction(), Instant(300ms)) << "a renewal interval and a delivery";
     EXPECT_TRUE(world.violations().empty());
   }
 }
 
-TEST(ConfigReplicaTest, TheLeaderIsKilledAtEachStepOfAChange) {
+TEST(ConfigReplica, LeaderCrashesAtAnyStepOfAChange_ChangeIsAtomic) {
   int taken = 0, unknown = 0;
   for (int after = 0; after < 700; after += 9) {
     World world(static_cast<std::uint64_t>(after) + 1);
-    world.Put(5, 0, "one");
+    world.Commit(5, 0, "one");
     const std::size_t leader = world.Elect();
     const std::string id = world.Propose(5, 1, "two", 4s);
     world.RunFor(Instant(1ms) * after);
@@ -115,17 +117,17 @@
       ++unknown;
       EXPECT_EQ(outcome.status, ChangeStatus::kUnknown) << after;
     }
-    EXPECT_TRUE(world.AllUse(now)) << after << ": whole or not at all";
-    EXPECT_TRUE(world.Keeps()) << after << " " << world.contradiction().count();
+    EXPECT_TRUE(world.AllUse(now)) << after << ": complete or not at all";
+    EXPECT_TRUE(world.InvariantsHold()) << after << " " << world.contradiction().count();
   }
-  EXPECT_GT(taken, 50) << "a change outlives its leader: it is asked for again under its id";
+  EXPECT_GT(taken, 50) << "a change outlives its leader: it is retried under its id";
   RecordProperty("unknown", unknown);
 }
 
-TEST(ConfigReplicaTest, OfTwoOperatorsAtBothSidesOfACutOneAtMostIsTaken) {
+TEST(ConfigReplica, ProposalsOnBothSidesOfAPartition_MajorityCommits) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     World world(seed);
-    world.Put(5, 0, "one");
+    world.Commit(5, 0, "one");
     const std::size_t leader = world.Elect();
     for (std::size_t i = 0; i < 7; ++i)
       world.links().Side(static_cast<Node>(i), i == leader || i > 4 ? 0 : 1);
@@ -136,13 +138,13 @@
     const bool taken_a = world.outcomes().at(a).status == ChangeStatus::kCommitted;
     const bool taken_b = world.outcomes().at(b).status == ChangeStatus::kCommitted;
     EXPECT_FALSE(taken_a && taken_b) << seed;
-    EXPECT_TRUE(taken_b) << seed << ": the majority goes on";
+    EXPECT_TRUE(taken_b) << seed << ": the majority continues";
     EXPECT_EQ(world.TextAt(6, 2), "b");
-    EXPECT_TRUE(world.Keeps()) << seed;
+    EXPECT_TRUE(world.InvariantsHold()) << seed;
   }
 }
 
-TEST(ConfigReplicaTest, RandomFaultsKeepEveryRule) {
+TEST(ConfigReplica, RandomFaults_InvariantsHold) {
   std::uint64_t taken = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     World world(seed);
@@ -200,9 +202,9 @@
       if (outcome.status != ChangeStatus::kCommitted || texts.at(id).empty()) continue;
       ++taken;
       const std::string there = world.TextAt(0, outcome.version);
-      if (!there.empty()) EXPECT_EQ(there, texts.at(id)) << seed << ": a change that was taken is lost";
+      if (!there.empty()) EXPECT_EQ(there, texts.at(id)) << seed << ": a committed change is lost";
     }
-    EXPECT_LE(world.contradiction(), kStated) << seed;
+    EXPECT_LE(world.contradiction(), kMaxContradiction) << seed;
     EXPECT_EQ(world.stale(), 0u) << seed;
     EXPECT_TRUE(world.violations().empty())
         << seed << " " << (world.violations().empty() ? "" : world.violations().front());
@@ -210,7 +212,7 @@
   EXPECT_GT(taken, 300u);
 }
 
-TEST(ConfigReplicaTest, WhatAProxyCannotCarryIsRefusedByName) {
+TEST(ConfigReplica, IncompatibleDocument_RejectionNamesTheProxy) {
   World world;
   const ChangeOutcome outcome = world.Wait(world.Propose(2, 0, "not for p5"));
   EXPECT_EQ(outcome.status, ChangeStatus::kRejected);
@@ -218,16 +220,16 @@
   EXPECT_EQ(world.Wait(world.Propose(2, 0, "wrong")).status, ChangeStatus::kRejected);
   EXPECT_EQ(world.Wait(world.Propose(2, 0, std::string(kMaxDocumentBytes + 1, 'x'))).status,
             ChangeStatus::kRejected);
-  EXPECT_EQ(world.Put(2, 0, "right"), 1u);
+  EXPECT_EQ(world.Commit(2, 0, "right"), 1u);
 }
 
-// Out of reach when it was asked: it is left behind, and keeps nobody from the next version.
-TEST(ConfigReplicaTest, WhoCannotCarryAVersionLapsesAndTheOthersGoOn) {
+// The proxy is unreachable during validation, and must not delay the next version.
+TEST(ConfigReplica, ProxyCannotPrepare_LeaseExpiresAndOthersContinue) {
   World world;
-  world.CutOff(5);
+  world.Isolate(5);
   world.RunFor(1500ms);
   EXPECT_EQ(world.Wait(world.Propose(2, 0, "not for p5")).status, ChangeStatus::kCommitted);
-  world.CutOff(5, 7, false);
+  world.Isolate(5, 7, false);
   world.RunFor(5s);
   EXPECT_EQ(world.UsableVersion(5), std::nullopt);
   for (const std::size_t i : {0u, 1u, 2u, 3u, 4u, 6u}) EXPECT_EQ(world.UsableVersion(i), Version{1}) << i;
@@ -236,7 +238,7 @@
   EXPECT_TRUE(world.AllUse(2));
 }
 
-TEST(ConfigReplicaTest, AVoterIsReplacedWhileAChangeIsUnderWayAndALinkIsCut) {
+TEST(ConfigReplica, VoterReplacedDuringAChangeWithALinkCut_BothComplete) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     World world(seed);
     const std::size_t leader = world.Elect(), other = (leader + 1) % 3, out = (leader + 2) % 3;
@@ -256,18 +258,18 @@
     EXPECT_EQ(std::count(voters.begin(), voters.end(), ConfigReplicaFleet::NameOf(4)), 1) << seed;
     world.links().Heal();
     const raft::Term term = world.replica(world.Elect()).raft()->term();
-    world.RunFor(5s);  // who was removed goes on asking for votes
+    world.RunFor(5s);  // the removed voter continues to request votes
     EXPECT_EQ(world.replica(world.Elect()).raft()->term(), term) << seed;
-    world.Put(5, 1, "two");
-    EXPECT_TRUE(world.Keeps()) << seed;
+    world.Commit(5, 1, "two");
+    EXPECT_TRUE(world.InvariantsHold()) << seed;
   }
 }
 
-// What it had answered for before it was removed must not be counted as held by its new, empty store.
-TEST(ConfigReplicaTest, AVoterThatIsRemovedAndLetInAgainWithAnEmptyStoreCatchesUp) {
+// What it acknowledged before its removal must not be counted as stored by its new, empty store.
+TEST(ConfigReplica, VoterAddedAgainWithAnEmptyStore_CatchesUp) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     World world(seed);
-    world.Put(5, 0, "one");
+    world.Commit(5, 0, "one");
     const std::size_t leader = world.Elect(), who = (leader + 1) % 3;
     world.ChangeVoters(6, ConfigReplicaFleet::NameOf(who), false);
     world.RunFor(1s);
@@ -282,44 +284,44 @@
         << seed << world.Describe();
     EXPECT_EQ(world.TextAt(who, 1), "one") << seed;
     world.Crash((who + 1) % 3 == leader ? (who + 2) % 3 : (who + 1) % 3);  // the third: it is needed now
-    world.Put(5, 1, "two");
-    EXPECT_TRUE(world.Keeps()) << seed;
+    world.Commit(5, 1, "two");
+    EXPECT_TRUE(world.InvariantsHold()) << seed;
   }
 }
 
-// What a leader held itself counted towards what was committed, though it answered nobody for it.
-TEST(ConfigReplicaTest, ALeaderThatComesBackWithAnOldStoreStaysOut) {
+// Entries in a leader's own log count towards commitment, although it acknowledges them to nobody.
+TEST(ConfigReplica, LeaderRestartsWithAStaleStore_IsNotAdmitted) {
   World world;
   const std::size_t leader = world.Elect();
   const ConfigReplicaFleet::Disk before = world.disk(leader);
-  world.Put(5, 0, "one");
+  world.Commit(5, 0, "one");
   world.Crash(leader);
   world.disk(leader) = before;
   world.Restart(leader);
   world.RunFor(3s);
   EXPECT_EQ(world.replica(leader).admission().state(), VoterAdmission::State::kStaleStore)
       << world.Describe();
-  world.Put(5, 1, "two");
+  world.Commit(5, 1, "two");
 }
 
-TEST(ConfigReplicaTest, AVoterWhoseDiskFailsStepsBackAndTheOthersGoOn) {
+TEST(ConfigReplica, DiskFails_VoterStepsDownAndOthersContinue) {
   World world;
   world.BreakDisk(world.Elect());
   world.RunFor(3s);
-  world.Put(5, 0, "one");
-  EXPECT_TRUE(world.Keeps());
+  world.Commit(5, 0, "one");
+  EXPECT_TRUE(world.InvariantsHold());
 }
 
-TEST(ConfigReplicaTest, TheCostOfLeasesIsAFewNotesASecond) {
+TEST(ConfigReplica, Idle_FewMessagesPerSecond) {
   World world(1, {}, 30);
   const std::uint64_t before = world.messages();
   world.RunFor(10s);
   EXPECT_LT(static_cast<double>(world.messages() - before) / 10 / 30, 12);
 }
 
-// ---- The book ----
+// ---- The state machine ----
 
-TEST(ConfigStateMachineTest, ComparesAndSetsAndKeepsWhatHolds) {
+TEST(ConfigStateMachine, CompareAndSet_KeepsActiveAndLatestVersions) {
   ConfigStateMachine state_machine;
   const auto change = [](const std::string& id, Version from, const std::string& text) {
     return EncodeEntry(ConfigChange{id, from, text, "by", 1});
@@ -330,11 +332,11 @@
   EXPECT_EQ(state_machine.latest_version(), 1u);
   EXPECT_EQ(state_machine.Apply(EncodeEntry(Version{1})), std::nullopt);
   EXPECT_EQ(state_machine.Apply(EncodeEntry(Version{9})), std::nullopt);
-  EXPECT_EQ(state_machine.active_version(), 1u) << "what isn't there can't come into force";
+  EXPECT_EQ(state_machine.active_version(), 1u) << "an unknown version cannot be activated";
   EXPECT_EQ(state_machine.Apply("garbage"), std::nullopt);
   for (Version v = 1; v < 200; ++v)
     state_machine.Apply(change("c" + std::to_string(v), v, std::string(10000, 'z')));
-  EXPECT_NE(state_machine.Find(1), nullptr) << "in force";
+  EXPECT_NE(state_machine.Find(1), nullptr) << "active";
   EXPECT_NE(state_machine.Find(200), nullptr);
   EXPECT_LE(state_machine.versions().size(), kMaxVersions + 1);
   ConfigStateMachine again;
@@ -344,7 +346,7 @@
   EXPECT_FALSE(again.Restore("garbage"));
 }
 
-TEST(ConfigMessagesTest, ComeBackAsTheyWereAndGarbageIsNothing) {
+TEST(ConfigMessages, RoundTripAndTruncation) {
   raft::AppendEntriesRequest append{3, 4, 5, 2, 5, 5, {{3, 6, raft::EntryKind::kVoters, "data", {"a", "b"}}}};
   const std::string bytes = Encode(Message{"n1", RaftMessage{append}});
   const auto message = DecodeMessage(bytes);
@@ -357,7 +359,7 @@
   EXPECT_EQ(std::get<StoreHelloResponse>(hello->body).bootstrap_voters.at("a"), 7u);
 }
 
-// ---- Guards ----
+// ---- Safety checks ----
 
 struct SwitchedCheck {
   const char* name;
@@ -365,13 +367,14 @@
   std::function<bool(const ConfigReplicaSafetyChecks&)> keeps;
 };
 
-// Commits a version with two of three voters, loses what one of them held in one of two ways, and lets it and
-// the third, which knows nothing of the version, go on. Whether the version stays.
-bool OutlivesALostDisk(const ConfigReplicaSafetyChecks& safety_checks, bool old) {
+// Commits a version with two of three voters, loses the store of one of them in one of two ways, and
+// continues with it and the third voter, which does not know the version. Returns whether the version
+// survives.
+bool SurvivesLostStore(const ConfigReplicaSafetyChecks& safety_checks, bool old) {
   World world(3, safety_checks);
   const std::size_t leader = world.Elect(), loses = (leader + 1) % 3, behind = (leader + 2) % 3;
   const ConfigReplicaFleet::Disk before = world.disk(loses);
-  world.CutOff(behind);
+  world.Isolate(behind);
   world.Wait(world.Propose(5, 0, "one"));
   world.RunFor(1s);
   world.Crash(loses);
@@ -382,7 +385,7 @@
   world.Restart(loses);
   world.RunFor(old ? 20ms : 3s);  // an old store is brought up to date soon, if it is let in
   world.Crash(leader);
-  world.CutOff(behind, 7, false);
+  world.Isolate(behind, 7, false);
   world.Cut(behind, leader);
   world.RunFor(4s);
   const ChangeOutcome other = world.Wait(world.Propose(6, 0, "another"));
@@ -405,38 +408,37 @@
        return state_machine.Apply(EncodeEntry(ConfigChange{"a", 0, "x", "by", 1}))->status ==
               ChangeStatus::kCommitted;
      }},
-    {"those who must carry it are asked",
-     [](ConfigReplicaSafetyChecks& g) -> bool& { return g.validate_on_holders; },
+    {"holders validate a change", [](ConfigReplicaSafetyChecks& g) -> bool& { return g.validate_on_holders; },
      [](const ConfigReplicaSafetyChecks& safety_checks) {
        World world(1, safety_checks);
        return world.Wait(world.Propose(2, 0, "not for p5")).status == ChangeStatus::kRejected;
      }},
-    {"who doesn't prepare lapses", [](ConfigReplicaSafetyChecks& g) -> bool& { return g.expire_laggards; },
+    {"laggards expire", [](ConfigReplicaSafetyChecks& g) -> bool& { return g.expire_laggards; },
      [](const ConfigReplicaSafetyChecks& safety_checks) {
        World world(1, safety_checks);
-       world.CutOff(5);
+       world.Isolate(5);
        world.RunFor(1500ms);
        world.Wait(world.Propose(2, 0, "not for p5"));
-       world.CutOff(5, 7, false);
+       world.Isolate(5, 7, false);
        world.RunFor(1ms);
        const Instant since = world.now();
        while (world.UsableVersion(6) != Version{1} && world.now() - since < 8s) world.RunFor(50ms);
        return world.UsableVersion(6) == Version{1};
      }},
-    {"an empty store stays out",
+    {"an empty store is not admitted",
      [](ConfigReplicaSafetyChecks& g) -> bool& { return g.admission.exclude_empty_store; },
-     [](const ConfigReplicaSafetyChecks& safety_checks) { return OutlivesALostDisk(safety_checks, false); }},
-    {"an old store stays out",
+     [](const ConfigReplicaSafetyChecks& safety_checks) { return SurvivesLostStore(safety_checks, false); }},
+    {"a stale store is not admitted",
      [](ConfigReplicaSafetyChecks& g) -> bool& { return g.admission.exclude_stale_store; },
-     [](const ConfigReplicaSafetyChecks& safety_checks) { return OutlivesALostDisk(safety_checks, true); }},
+     [](const ConfigReplicaSafetyChecks& safety_checks) { return SurvivesLostStore(safety_checks, true); }},
 };
 
-TEST(ConfigReplicaSafetyChecksTest, EachIsNeeded) {
+TEST(ConfigReplicaSafetyChecks, Disabled_FaultIsFound) {
   for (const SwitchedCheck& check : kSwitchedChecks) {
-    EXPECT_TRUE(check.keeps(ConfigReplicaSafetyChecks())) << check.name << ": fails with the guard in place";
+    EXPECT_TRUE(check.keeps(ConfigReplicaSafetyChecks())) << check.name << ": fails with the check enabled";
     ConfigReplicaSafetyChecks without;
     check.check_field(without) = false;
-    EXPECT_FALSE(check.keeps(without)) << check.name << ": taken away, and nothing fails";
+    EXPECT_FALSE(check.keeps(without)) << check.name << ": disabled, and nothing fails";
   }
 }
 
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,4 +1,5 @@
-// Versions in force: leases by themselves, and proxies that act on versions under faults, in virtual time.
+// Leases: holders and grantors alone, simulated fleets of holders under faults, and a search of all event
+// orders.
 #include "replicated_config/lease.h"
 
 #include <gtest/gtest.h>
@@ -16,9 +17,9 @@
 using simulation::LeaseFleet;
 using namespace std::chrono_literals;
 
-constexpr Instant kStated = 1200ms;  // T of docs/agreement.md
+constexpr Instant kMaxContradiction = 1200ms;  // T of docs/agreement.md
 
-TEST(Lease, RunsFromWhenItWasAskedFor) {
+TEST(LeaseHolder, LateGrant_LeaseRunsFromTheRequest) {
   LeaseHolder holder{LeaseOptions()};
   const Time start{1h};
   const LeaseRenewal first = holder.RequestRenewal(start);
@@ -28,10 +29,10 @@
   EXPECT_EQ(holder.UsableVersion(start + 980ms), Version{1});
   EXPECT_EQ(holder.UsableVersion(start + 990ms), std::nullopt);
   holder.HandleGrant(start + 950ms, {first.sequence, 1, 1, 0ms, 1});
-  EXPECT_EQ(holder.UsableVersion(start + 995ms), std::nullopt) << "one answer to one asking";
+  EXPECT_EQ(holder.UsableVersion(start + 995ms), std::nullopt) << "a renewal is answered once";
 }
 
-TEST(Lease, AnOlderVersionNeverComesBack) {
+TEST(LeaseHolder, GrantForOlderVersion_KeepsTheNewerVersion) {
   LeaseHolder holder{LeaseOptions()};
   const Time start{1h};
   holder.MarkPrepared(2);
@@ -40,7 +41,7 @@
   EXPECT_EQ(holder.UsableVersion(start + 20ms), Version{2});
 }
 
-TEST(Lease, NobodyActsWithoutTheDocument) {
+TEST(LeaseHolder, DocumentNotPrepared_NoUsableVersion) {
   LeaseHolder holder{LeaseOptions()};
   const Time start{1h};
   holder.MarkPrepared(1);
@@ -50,8 +51,7 @@
   EXPECT_EQ(holder.UsableVersion(start), Version{2});
 }
 
-// However far clocks' rates differ within the bound, the leader's books outlast the lease they are of.
-TEST(Lease, TheBooksOutlastTheLease) {
+TEST(LeaseGrantor, ClockRatesWithinBound_RecordOutlastsTheLease) {
   for (const double slow : {0.99, 0.995, 1.0}) {
     LeaseOptions options;
     LeaseGrantor grantor(options);
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(Lease, RatesThatDifferByMoreAreNoticed) {
+TEST(LeaseHolder, ClockRatesBeyondBound_NoUsableVersion) {
   for (const double rate : {1.005, 1.1, 0.9}) {
     LeaseHolder holder{LeaseOptions()};
     holder.MarkPrepared(1);
@@ -88,7 +88,7 @@
   }
 }
 
-// ---- Proxies that act ----
+// ---- Simulated fleets ----
 
 struct World : LeaseFleet {
   explicit World(std::uint64_t seed = 1, const LeaseSafetyChecks& safety_checks = {}, std::size_t proxies = 7)
@@ -110,18 +110,18 @@
   }
 };
 
-TEST(LeaseFleetTest, AVersionComesIntoForceEverywhereWithinABeatAndADelivery) {
+TEST(LeaseFleet, Proposal_ActiveEverywhereWithinARenewalAndADelivery) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     World world(seed);
     const Instant since = world.now();
     world.ProposeAndWait();
-    EXPECT_LE(world.now() - since, Instant(700ms)) << "to tell, to prepare, to put in force: seed " << seed;
-    EXPECT_LE(world.contradiction(), Instant(300ms)) << "a beat and a delivery: seed " << seed;
+    EXPECT_LE(world.now() - since, Instant(700ms)) << "to announce, prepare and activate: seed " << seed;
+    EXPECT_LE(world.contradiction(), Instant(300ms)) << "a renewal interval and a delivery: seed " << seed;
     EXPECT_EQ(world.uses_without_document(), 0u);
   }
 }
 
-TEST(LeaseFleetTest, WhoIsCutOffStopsWithinTheStatedTime) {
+TEST(LeaseFleet, IsolatedProxy_StopsWithinTheMaximumContradiction) {
   World world;
   for (std::size_t p = 0; p < 7; ++p)
     for (const std::size_t cut : {5u, 6u})
@@ -138,10 +138,10 @@
   world.links().Heal();
   world.RunFor(2s);
   EXPECT_TRUE(world.ActiveEverywhere(2));
-  EXPECT_LE(world.contradiction(), kStated);
+  EXPECT_LE(world.contradiction(), kMaxContradiction);
 }
 
-TEST(LeaseFleetTest, ThousandsOfRandomFaultsNeverContradictForLongerThanStated) {
+TEST(LeaseFleet, RandomFaults_ContradictionStaysBounded) {
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     World world(seed, {}, 7);
     std::mt19937_64 random(seed);
@@ -179,13 +179,13 @@
       world.Propose();
       world.RunFor(Instant(1ms) * static_cast<int>(below(1500)));
     }
-    EXPECT_LE(world.contradiction(), kStated) << "seed " << seed;
+    EXPECT_LE(world.contradiction(), kMaxContradiction) << "seed " << seed;
     EXPECT_EQ(world.stale(), 0u) << "seed " << seed;
     EXPECT_TRUE(world.voters().broken().empty()) << "seed " << seed;
   }
 }
 
-// ---- Guards ----
+// ---- Safety checks ----
 
 struct SwitchedCheck {
   const char* name;
@@ -194,20 +194,21 @@
 };
 
 bool Keeps(const LeaseFleet& world) {
-  return world.contradiction() <= kStated && world.stale() == 0 && world.uses_without_document() == 0;
+  return world.contradiction() <= kMaxContradiction && world.stale() == 0 &&
+         world.uses_without_document() == 0;
 }
 
 const SwitchedCheck kSwitchedChecks[] = {
-    {"the lease is looked at in the act", &LeaseSafetyChecks::check_expiry_on_use,
+    {"expiry is checked on use", &LeaseSafetyChecks::check_expiry_on_use,
      [](const LeaseSafetyChecks& safety_checks) {
        World world(1, safety_checks);
        world.Stall(6, 4s);
        world.RunFor(2s);
        world.Propose();
-       world.RunFor(4s);  // it wakes, and acts before any timer of its has run
-       return world.stale() == 0 && world.contradiction() <= kStated;
+       world.RunFor(4s);  // it is resumed, and acts before any of its timers has run
+       return world.stale() == 0 && world.contradiction() <= kMaxContradiction;
      }},
-    {"a lease runs from its asking", &LeaseSafetyChecks::start_at_request,
+    {"a lease runs from its request", &LeaseSafetyChecks::start_at_request,
      [](const LeaseSafetyChecks& safety_checks) {
        World world(1, safety_checks);
        for (std::size_t v = 0; v < 3; ++v) {
@@ -220,7 +221,7 @@
        world.RunFor(5s);
        return Keeps(world);
      }},
-    {"grants only while it leads", &LeaseSafetyChecks::grant_only_while_leading,
+    {"grants only while leading", &LeaseSafetyChecks::grant_only_while_leading,
      [](const LeaseSafetyChecks& safety_checks) {
        World world(1, safety_checks);
        const std::size_t leader = *world.voters().Leader();
@@ -245,7 +246,7 @@
        }
        return true;
      }},
-    {"waits for all to have prepared", &LeaseSafetyChecks::wait_for_all_prepared,
+    {"waits for all holders to prepare", &LeaseSafetyChecks::wait_for_all_prepared,
      [](const LeaseSafetyChecks& safety_checks) {
        World world(1, safety_checks);
        world.SetFetchDelay(6, 900ms);
@@ -253,7 +254,7 @@
        world.RunFor(3s);
        return Keeps(world);
      }},
-    {"an older version never comes back", &LeaseSafetyChecks::monotonic_versions,
+    {"versions are monotonic", &LeaseSafetyChecks::monotonic_versions,
      [](const LeaseSafetyChecks& safety_checks) {
        LeaseOptions options;
        options.safety_checks = safety_checks;
@@ -264,7 +265,7 @@
        holder.HandleGrant(start + 10ms, {holder.RequestRenewal(start + 5ms).sequence, 1, 2, 0ms, 1});
        return holder.UsableVersion(start + 20ms) == Version{2};
      }},
-    {"ends early by the rates", &LeaseSafetyChecks::allow_for_clock_rates,
+    {"allows for clock rates", &LeaseSafetyChecks::allow_for_clock_rates,
      [](const LeaseSafetyChecks& safety_checks) {
        LeaseOptions options;
        options.safety_checks = safety_checks;
@@ -284,25 +285,25 @@
      }},
 };
 
-TEST(LeaseSafetyChecksTest, EachIsNeeded) {
+TEST(LeaseSafetyChecks, Disabled_FaultIsFound) {
   for (const SwitchedCheck& check : kSwitchedChecks) {
-    EXPECT_TRUE(check.keeps(LeaseSafetyChecks())) << check.name << ": fails with the guard in place";
+    EXPECT_TRUE(check.keeps(LeaseSafetyChecks())) << check.name << ": fails with the check enabled";
     LeaseSafetyChecks uses_without_document;
     uses_without_document.*check.check_field = false;
-    EXPECT_FALSE(check.keeps(uses_without_document)) << check.name << ": taken away, and nothing fails";
+    EXPECT_FALSE(check.keeps(uses_without_document)) << check.name << ": disabled, and nothing fails";
   }
 }
 
-// ---- All orders of events, within bounds ----
+// ---- Bounded search of all event orders ----
 
-TEST(LeaseModel, NoStateBreaksTheStatedTime) {
+TEST(LeaseModel, AllChecksEnabled_NoStateViolatesTheInvariant) {
   const model_check::Found found = model_check::SearchLeases({}, {}, 60'000);
   EXPECT_EQ(found.broken, "");
   EXPECT_GE(found.states, 60'000u);
 }
 
-TEST(LeaseModel, FindsEachGuardThatIsTakenAway) {
-  // Few events and many beats: a version comes into force some five beats after its proposal.
+TEST(LeaseModel, CheckDisabled_ViolationIsFound) {
+  // Few events and many ticks: a version is activated some five ticks after its proposal.
   const model_check::LeaseBudget one{.ticks = 12,
                                      .renewals = 1,
                                      .versions = 1,
@@ -313,9 +314,9 @@
   model_check::LeaseBudget two = one;
   two.elections = 1;
   const std::tuple<const char*, bool LeaseSafetyChecks::*, model_check::LeaseBudget> safety_checks[] = {
-      {"the lease is looked at in the act", &LeaseSafetyChecks::check_expiry_on_use, one},
-      {"a lease runs from its asking", &LeaseSafetyChecks::start_at_request, one},
-      {"granted only while it leads", &LeaseSafetyChecks::grant_only_while_leading, two}};
+      {"expiry is checked on use", &LeaseSafetyChecks::check_expiry_on_use, one},
+      {"a lease runs from its request", &LeaseSafetyChecks::start_at_request, one},
+      {"grants only while leading", &LeaseSafetyChecks::grant_only_while_leading, two}};
   for (const auto& [name, check_field, budget] : safety_checks) {
     LeaseSafetyChecks uses_without_document;
     uses_without_document.*check_field = false;
