--- a/src/replicated_config/config_replica.cpp
+++ b/src/replicated_config/config_replica.cpp
@@ -98,10 +98,9 @@
     documents_.DropBefore(active_version);
   }
   if (std::exchange(clock_rates_differ_, holder_.clock_rates_differ()) != holder_.clock_rates_differ())
-    EmitLogEvent(true,
-                 holder_.clock_rates_differ()
-                     ? "this proxy's clock and the leader's run apart by more than they may: it is cut off"
-                     : "this proxy's clock and the leader's run alike again");
+    EmitLogEvent(true, holder_.clock_rates_differ() ? "clock rates of this proxy and the leader differ by "
+                                                      "more than is allowed: this proxy is isolated"
+                                                    : "clock rates of this proxy and the leader agree again");
 }
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -57,7 +57,7 @@
 void ConfigReplica::EndLeadership() {
   if (std::exchange(leading_term_, 0) == 0) return;
   AbandonInFlight();
-  EmitLogEvent(false, "leads no more");
+  EmitLogEvent(false, "no longer leads");
 }
 
 // The proposers retry at the next leader.
@@ -242,7 +242,7 @@
   if (Contains(raft_->voters(), wanted.voter) == wanted.add && raft_->VotersCommitted()) {
     Send(in_flight_voter_change_->reply_to,
          ProposalResult{{wanted.id, ChangeStatus::kCommitted, state_machine_.latest_version(), {}}});
-    EmitLogEvent(false, "voter " + wanted.voter + (wanted.add ? " is let in" : " is out"));
+    EmitLogEvent(false, "voter " + wanted.voter + (wanted.add ? " is added" : " is removed"));
     in_flight_voter_change_.reset();
     return;
   }
--- a/src/replicated_config/config_replica_voter.cpp
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -84,7 +84,7 @@
   if (log_is_complete && bootstrap_voters.size() == options_.initial_voters.size())
     restored_state_.snapshot.voters = NamesOf(bootstrap_voters);
   if (!state_machine_.Restore(restored_state_.snapshot.data)) {
-    EmitLogEvent(true, "the snapshot in the store can't be read: this voter steps back");
+    EmitLogEvent(true, "the snapshot in the store cannot be decoded: this voter steps down");
     admission_.Close();
     return;
   }
@@ -112,12 +112,13 @@
   if (after == State::kEmptyStore)
     EmitLogEvent(
         true,
-        "this store is empty, and the fleet was founded without it: it does not vote until an operator "
-        "lets it in (lemoncroft rules voters out NAME, if it voted before; then in NAME)");
+        "this store is empty, and the fleet was bootstrapped without it: it does not vote until an operator "
+        "adds it (lemoncroft rules voters out NAME, if it voted before; then in NAME)");
   if (after == State::kStaleStore)
-    EmitLogEvent(true,
-                 "this voter's store is older than what it once answered for: it does not vote; remove the "
-                 "store and have the voter replaced");
+    EmitLogEvent(
+        true,
+        "this voter's store is stale, it holds less than it acknowledged: it does not vote; remove the "
+        "store and have the voter replaced");
   RunAdmission(now);
 }
 
@@ -177,7 +178,7 @@
   const Version before = state_machine_.active_version();
   const std::optional<ChangeOutcome> outcome = state_machine_.Apply(entry.data);
   if (state_machine_.active_version() != before)
-    EmitLogEvent(false, "version " + std::to_string(state_machine_.active_version()) + " is in force");
+    EmitLogEvent(false, "version " + std::to_string(state_machine_.active_version()) + " is active");
   if (!outcome) return;
   if (outcome->status == ChangeStatus::kCommitted)
     EmitLogEvent(false,
