--- /dev/null
+++ b/src/cli/replicated_config_calls.cpp
@@ -0,0 +1,162 @@
+// Calls of operators to a ReplicatedConfigService: JSON objects, carried by the peer transport.
+#include <algorithm>
+#include <nlohmann/json.hpp>
+
+#include "cli/replicated_config_service.h"
+#include "cli/state.h"
+
+namespace lemoncroft::cli {
+
+using nlohmann::ordered_json;
+using replicated_config::Version;
+using runtime::Now;
+using runtime::Span;
+using runtime::Task;
+using runtime::Time;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr auto kForwardTimeout = 1500ms;
+
+ordered_json Json(const replicated_config::ChangeOutcome& outcome) {
+  return {{"id", outcome.id},
+          {"verdict", replicated_config::NameOf(outcome.status)},
+          {"version", outcome.version},
+          {"why", outcome.reason}};
+}
+
+std::string Dump(const ordered_json& json) {
+  return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
+}
+
+std::string Error(const std::string& text) { return Dump({{"error", text}}); }
+
+std::string TextField(const ordered_json& call, const char* key) {
+  const auto it = call.find(key);
+  return it != call.end() && it->is_string() ? it->get<std::string>() : std::string();
+}
+
+std::uint64_t NumberField(const ordered_json& call, const char* key) {
+  const auto it = call.find(key);
+  return it != call.end() && it->is_number_unsigned() ? it->get<std::uint64_t>() : 0;
+}
+
+}  // namespace
+
+std::string ReplicatedConfigService::StatusText() const {
+  const replicated_config::LeaseHolder& holder = replica_.holder();
+  const Time now = Now();
+  const auto ms = [](Span span) { return std::chrono::duration<double, std::milli>(span).count(); };
+  ordered_json out = {{"proxy", name_},
+                      {"fleet", fleet_.settings().name},
+                      {"at_unix_ms", UnixMs()},
+                      {"mono_us", MonoUs(now)},
+                      {"version", active_version_},
+                      {"in_force", holder.active_version()},
+                      {"newest", holder.latest_version()},
+                      {"prepared", holder.prepared_version()},
+                      {"cut_off", !UsableVersion()},
+                      {"lease_left_ms", ms(holder.lease_expiry() - now)},
+                      {"rates_apart", holder.clock_rates_differ()},
+                      {"leader", replica_.leader()},
+                      {"leads", replica_.Leads(now)},
+                      {"votes", replica_.raft() != nullptr},
+                      {"asked_by_hand", ordered_json::object()},
+                      {"proxies", ordered_json::array()}};
+  for (const auto& [engine, ejection] : manual_ejections_)
+    out["asked_by_hand"][engine] = ejection.ejected ? "exclude" : "include";
+  if (const raft::Raft* raft = replica_.raft()) {
+    out["voters"] = raft->voters();
+    out["term"] = raft->term();
+    out["commit"] = raft->commit();
+    out["holders"] = replica_.HoldersByName(now);
+  }
+  for (const auto& [id, member] : fleet_.view().roster().all()) {
+    std::string told;
+    for (const gossip::Attribute& a : member.record.attributes)
+      if (a.key == kStateAttribute) told = a.value;
+    const bool self = id == fleet_.view().roster().self();
+    out["proxies"].push_back({{"name", member.record.name},
+                              {"generation", member.record.generation},
+                              {"alive", member.status == gossip::Status::kAlive},
+                              {"rules", self ? published_state_ : told}});
+  }
+  return Dump(out);
+}
+
+// On a voter: the stored versions without their documents.
+std::string ReplicatedConfigService::HistoryText() const {
+  const replicated_config::ConfigStateMachine& state_machine = *replica_.state_machine();
+  ordered_json out = {{"versions", ordered_json::array()}};
+  for (const auto& [version, record] : state_machine.versions())
+    out["versions"].push_back({{"version", version},
+                               {"by", record.author},
+                               {"at_unix_ms", record.proposed_at_unix_ms},
+                               {"bytes", record.document.size()},
+                               {"in_force", version == state_machine.active_version()}});
+  return Dump(out);
+}
+
+// Forwards a call for data that only voters have.
+Task<std::string> ReplicatedConfigService::ForwardToVoter(std::string bytes) {
+  for (const std::string& name : settings_.voters) {
+    const gossip::Member* voter = FindProcess(name);
+    if (voter == nullptr || voter->status == gossip::Status::kFailed || name == name_) continue;
+    auto answer = co_await peer_transport::Call(
+        loop_, fleet_.settings().name, peer_transport::ToAddress(voter->record.address), bytes,
+        Now() + kForwardTimeout, peer_transport::ToAddress(fleet_.link().address()));
+    if (answer) co_return std::move(*answer);
+  }
+  co_return Error("no voter answers");
+}
+
+Task<std::string> ReplicatedConfigService::HandleCall(std::string bytes) {
+  const ordered_json call = ordered_json::parse(bytes, nullptr, false);
+  if (!call.is_object()) co_return Error("not a call");
+  const auto text = [&](const char* key) { return TextField(call, key); };
+  const auto number = [&](const char* key) { return NumberField(call, key); };
+  const std::string what = text("call");
+  if (what == "status") co_return StatusText();
+  if (what == "propose" || what == "voters" || what == "read") {
+    std::string id = text("id").empty() ? DrawId() : text("id");
+    const Span timeout = std::clamp<Span>(std::chrono::milliseconds(number("patience_ms")), 100ms, 10s);
+    if (what == "propose") {
+      const replicated_config::ConfigChange change{id, number("from"), text("text"),
+                                                   text("by").substr(0, replicated_config::kMaxAuthorBytes),
+                                                   UnixMs()};
+      co_return Dump(Json((co_await Propose(change, timeout)).outcome));
+    }
+    if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
+      co_return Error("too many calls at once");
+    pending_calls_[id] = std::make_shared<PendingCall>();
+    if (what == "read")
+      replica_.ReadCommitted(Now(), id, Now() + timeout);
+    else
+      replica_.ChangeVoters(Now(), {id, text("who"), text("way") == "in"}, Now() + timeout);
+    DispatchOutputs();
+    const replicated_config::RequestCompleted finished = co_await AwaitCompletion(id);
+    ordered_json out = Json(finished.outcome);
+    if (finished.read)
+      out.update({{"newest", finished.read->latest_version},
+                  {"in_force", finished.read->active_version},
+                  {"voters", finished.read->voters}});
+    co_return Dump(out);
+  }
+  if (what == "text") {
+    const Version version = number("version");
+    if (const std::string* found = replica_.FindDocument(version))
+      co_return Dump({{"version", version}, {"text", *found}});
+  }
+  if (what == "history" && replica_.state_machine() != nullptr) co_return HistoryText();
+  const bool forwarded = call.contains("forwarded");
+  if ((what == "text" || what == "history") && !forwarded) {
+    ordered_json on = call;
+    on["forwarded"] = true;
+    co_return co_await ForwardToVoter(Dump(on));
+  }
+  if (what == "text") co_return Error("version " + std::to_string(number("version")) + " isn't kept");
+  co_return Error("unknown call '" + what + "'");
+}
+
+}  // namespace lemoncroft::cli
--- /dev/null
+++ b/src/cli/replicated_config_ejections.cpp
@@ -0,0 +1,118 @@
+// Manual ejections in a ReplicatedConfigService: takes effect here first, then becomes a change of the fleet.
+#include <algorithm>
+
+#include "cli/replicated_config_service.h"
+#include "cli/state.h"
+
+namespace lemoncroft::cli {
+
+using replicated_config::Document;
+using replicated_config::Version;
+using runtime::Now;
+using runtime::Span;
+using runtime::Task;
+using runtime::Time;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr auto kManualEjectionTimeout = 850ms;  // of an operator's call
+constexpr auto kChangeTimeout = 4000ms;
+constexpr auto kReconcileRetryInterval = 100ms, kRejectedRetryInterval = 2000ms;
+
+}  // namespace
+
+void ReplicatedConfigService::ApplyEjections() {
+  // An ejection requested here takes effect here at once, the end of one only with the version that ends it.
+  std::set<std::string> out = document_.ejected_engines;
+  for (const auto& [engine, ejection] : manual_ejections_)
+    if (ejection.ejected) out.insert(engine);
+  directory_.TakeOver(out, {}, tell_);
+}
+
+Document ReplicatedConfigService::LatestDocument() const {
+  const std::string* text = replica_.FindDocument(replica_.holder().latest_version());
+  if (text == nullptr) return {};
+  return replicated_config::ParseDocument(*text).value_or(Document());
+}
+
+// Proposes the ejections requested here until the fleet has committed them.
+Task<> ReplicatedConfigService::ReconcileManualEjections() {
+  for (;;) {
+    const bool open = std::any_of(manual_ejections_.begin(), manual_ejections_.end(),
+                                  [](const auto& h) { return h.second.committed_version == 0; });
+    if (!open) {
+      co_await runtime::Waiter(loop_, &ejections_changed_, runtime::kNever);
+      continue;
+    }
+    const Version latest_version = replica_.holder().latest_version();
+    if (latest_version > 0 && replica_.FindDocument(latest_version) == nullptr) {
+      co_await loop_.Sleep(kReconcileRetryInterval);
+      continue;
+    }
+    const std::map<std::string, ManualEjection> wanted = manual_ejections_;
+    Document document = LatestDocument();
+    const Document before = document;
+    std::string by = name_;
+    for (const auto& [engine, ejection] : wanted) {
+      if (ejection.ejected ? document.ejected_engines.insert(engine).second
+                           : document.ejected_engines.erase(engine) > 0)
+        by += std::string(ejection.ejected ? " exclude " : " include ") + engine;
+    }
+    replicated_config::RequestCompleted finished;
+    finished.outcome.status = replicated_config::ChangeStatus::kCommitted;
+    finished.outcome.version = latest_version;
+    if (document != before) {
+      replicated_config::ConfigChange change;
+      change.id = DrawId();
+      change.base_version = latest_version;
+      change.document = replicated_config::SerializeDocument(document);
+      change.author = by.substr(0, replicated_config::kMaxAuthorBytes);
+      change.proposed_at_unix_ms = UnixMs();
+      finished = co_await Propose(std::move(change), kChangeTimeout);
+    }
+    if (finished.outcome.status == replicated_config::ChangeStatus::kCommitted) {
+      for (const auto& [engine, ejection] : wanted) {
+        const auto it = manual_ejections_.find(engine);
+        if (it == manual_ejections_.end() || it->second.ejected != ejection.ejected) continue;
+        it->second.committed_version = std::max<Version>(1, finished.outcome.version);
+        if (it->second.committed_version <= active_version_) manual_ejections_.erase(it);
+      }
+      ApplyEjections();
+      continue;
+    }
+    const bool refused = finished.outcome.status == replicated_config::ChangeStatus::kRejected;
+    for (const auto& [engine, ejection] : wanted)
+      if (const auto it = manual_ejections_.find(engine); it != manual_ejections_.end())
+        it->second.why = finished.outcome.reason;
+    co_await loop_.Sleep(refused ? Span(kRejectedRetryInterval) : Span(kReconcileRetryInterval));
+  }
+}
+
+Task<admin::Reply> ReplicatedConfigService::ReplicateManualEjection(admin::Call call, admin::Reply reply) {
+  using admin::Verb;
+  if (!reply.yes || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
+  manual_ejections_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
+  ejections_changed_.Open();
+  const Time last = Now() + kManualEjectionTimeout;
+  for (;;) {
+    const auto it = manual_ejections_.find(call.engine);
+    if (it == manual_ejections_.end() || it->second.committed_version > 0) {
+      const Version version =
+          it == manual_ejections_.end() ? replica_.holder().latest_version() : it->second.committed_version;
+      reply.why = "for the fleet, version " + std::to_string(version);
+      co_return reply;
+    }
+    if (Now() >= last || !it->second.why.empty()) break;
+    co_await loop_.Sleep(10ms);
+  }
+  const auto it = manual_ejections_.find(call.engine);
+  reply.why =
+      std::string(call.verb == Verb::kExclude ? "here; " : "later; ") +
+      "the fleet has not agreed yet and is asked again until it does" +
+      (it == manual_ejections_.end() || it->second.why.empty() ? std::string() : ": " + it->second.why);
+  std::replace(reply.why.begin(), reply.why.end(), '\n', ' ');
+  co_return reply;
+}
+
+}  // namespace lemoncroft::cli
--- a/src/cli/replicated_config_service.cpp
+++ b/src/cli/replicated_config_service.cpp
@@ -3,18 +3,14 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <charconv>
-#include <nlohmann/json.hpp>
 #include <random>
-#include <sstream>
 
 #include "cli/config.h"
 #include "cli/state.h"
-#include "raft/codec.h"
+#include "cli/voter_store.h"
 
 namespace lemoncroft::cli {
 
-using nlohmann::ordered_json;
 using replicated_config::Document;
 using replicated_config::Version;
 using runtime::Now;
@@ -28,94 +24,14 @@
 constexpr auto kPublishInterval = 50ms;             // of this proxy's published state
 constexpr auto kHeldStoreRetryInterval = 200ms;     // the store is held by another process of this proxy
 constexpr auto kFailedStoreRetryInterval = 2000ms;  // the store has failed
-constexpr auto kManualEjectionTimeout = 850ms;      // of an operator's call
-constexpr auto kReconcileRetryInterval = 100ms, kRejectedRetryInterval = 2000ms;
-constexpr auto kChangeTimeout = 4000ms, kForwardTimeout = 1500ms;
-constexpr std::size_t kMaxPendingCalls = 64;
 constexpr std::uint64_t kBootstrapVotersWrite = (std::uint64_t{1} << 40) - 1, kEpochShift = 40;
 constexpr const char* kStoreAttribute = "store";
-constexpr const char* kStateAttribute = "rules";
 
 std::uint64_t Draw() {
   std::random_device device;
   return (std::uint64_t{device()} << 32 | device()) | 1;
 }
 
-std::int64_t MonoUs(Time at) {
-  return std::chrono::duration_cast<std::chrono::microseconds>(at.time_since_epoch()).count();
-}
-
-// ---- A voter's store: records "store", "founders", "promise", "snapshot", and the log ----
-
-std::string FoundersText(const replicated_config::BootstrapVoters& bootstrap_voters) {
-  std::string out;
-  for (const auto& [name, store] : bootstrap_voters) out += name + " " + std::to_string(store) + "\n";
-  return out;
-}
-
-replicated_config::BootstrapVoters ReadFounders(const std::string& text) {
-  replicated_config::BootstrapVoters bootstrap_voters;
-  std::istringstream in(text);
-  std::string name;
-  for (std::uint64_t store = 0; in >> name >> store;) bootstrap_voters[name] = store;
-  return bootstrap_voters;
-}
-
-storage::Batch BatchOf(const raft::StorageUpdate& store) {
-  storage::Batch batch;
-  batch.records.emplace_back("promise", raft::Encode(store.hard_state));
-  if (store.replaces_log) {
-    batch.records.emplace_back("snapshot", raft::Encode(store.snapshot));
-    batch.cut_before = store.snapshot.index;
-  }
-  batch.cut_behind = store.replaces_log ? store.snapshot.index : store.truncate_after;
-  for (const raft::Entry& entry : store.entries) batch.log.emplace_back(entry.index, raft::Encode(entry));
-  return batch;
-}
-
-// Returns nullopt for contents that this program did not write.
-std::optional<replicated_config::StoredState> StoredOf(const storage::Contents& contents) {
-  replicated_config::StoredState out;
-  const auto record = [&](const char* name) -> std::string {
-    const auto it = contents.records.find(name);
-    return it == contents.records.end() ? std::string() : it->second;
-  };
-  const std::string store = record("store"), promise = record("promise"), snapshot = record("snapshot");
-  std::from_chars(store.data(), store.data() + store.size(), out.store);
-  out.bootstrap_voters = ReadFounders(record("founders"));
-  if (!promise.empty()) {
-    const auto read = raft::DecodeHardState(promise);
-    if (!read) return std::nullopt;
-    out.persistent_state.hard_state = *read;
-  }
-  if (!snapshot.empty()) {
-    auto read = raft::DecodeSnapshot(snapshot);
-    if (!read) return std::nullopt;
-    out.persistent_state.snapshot = std::move(*read);
-  }
-  for (const auto& [number, bytes] : contents.log) {
-    auto entry = raft::DecodeEntry(bytes);
-    const raft::Index before = out.persistent_state.log.empty() ? out.persistent_state.snapshot.index
-                                                                : out.persistent_state.log.back().index;
-    if (!entry || entry->index != number || number != before + 1) return std::nullopt;
-    out.persistent_state.log.push_back(std::move(*entry));
-  }
-  return out;
-}
-
-ordered_json Json(const replicated_config::ChangeOutcome& outcome) {
-  return {{"id", outcome.id},
-          {"verdict", replicated_config::NameOf(outcome.status)},
-          {"version", outcome.version},
-          {"why", outcome.reason}};
-}
-
-std::string Dump(const ordered_json& json) {
-  return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
-}
-
-std::string Error(const std::string& text) { return Dump({{"error", text}}); }
-
 }  // namespace
 
 replicated_config::ConfigReplicaOptions ReplicatedConfigService::ReplicaOptionsOf(
@@ -254,17 +170,15 @@
       fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
                          replicated_config::Encode(send->message));
   } else if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
-    WriteBatch(persist->update.number, BatchOf(persist->update));
+    WriteBatch(persist->update.number, EncodeUpdate(persist->update));
   } else if (const auto* bootstrap_voters = std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
-    storage::Batch batch;
-    batch.records.emplace_back("founders", FoundersText(bootstrap_voters->bootstrap_voters));
-    WriteBatch(kBootstrapVotersWrite, std::move(batch));
+    WriteBatch(kBootstrapVotersWrite, EncodeBootstrapVoters(bootstrap_voters->bootstrap_voters));
   } else if (const auto* received = std::get_if<replicated_config::DocumentReceived>(&output)) {
     if (const auto checked = document_checks_.check_compatible(received->document)) {
       spdlog::info("rules event=prepared version={} mono_us={}", received->version, MonoUs(Now()));
       replica_.MarkPrepared(Now(), received->version);
     } else {
-      spdlog::error("rules: this proxy can't carry version {}: {}", received->version,
+      spdlog::error("rules: this proxy cannot apply version {}: {}", received->version,
                     checked.error().reason);
       replica_.MarkIncompatible(received->version);
     }
@@ -291,7 +205,7 @@
 void ReplicatedConfigService::StepDown(const std::string& why) {
   if (opening_store_) return;
   ++step_downs_;
-  spdlog::error("rules: this voter steps back: {}", why);
+  spdlog::error("rules: this voter steps down: {}", why);
   replica_.CloseStore();
   opening_store_ = true;
   loop_.Spawn(ReopenStore(kFailedStoreRetryInterval));
@@ -324,14 +238,15 @@
 void ReplicatedConfigService::OnStoreOpened(storage::Worker::Done& done) {
   std::optional<replicated_config::StoredState> stored;
   if (done.health == storage::Health::kDone) {
-    stored = StoredOf(done.contents);
+    stored = DecodeStore(done.contents);
     if (!stored)
-      done.why = settings_.store + ": holds what is none of ours", done.health = storage::Health::kDamaged;
+      done.why = settings_.store + ": holds contents of another format",
+      done.health = storage::Health::kDamaged;
   }
   if (!stored) {
     if (!std::exchange(reported_unavailable_, true))
-      spdlog::warn("rules: the store can't be opened, this voter waits: {}: {}", storage::NameOf(done.health),
-                   done.why);
+      spdlog::warn("rules: the store cannot be opened, this voter waits: {}: {}",
+                   storage::NameOf(done.health), done.why);
     loop_.Spawn(ReopenStore(done.health == storage::Health::kHeld ? Span(kHeldStoreRetryInterval)
                                                                   : Span(kFailedStoreRetryInterval)));
     return;
@@ -340,9 +255,7 @@
   ++epoch_;
   if (stored->store == 0) {
     stored->store = Draw();
-    storage::Batch batch;
-    batch.records.emplace_back("store", std::to_string(stored->store));
-    WriteBatch(0, std::move(batch));
+    WriteBatch(0, EncodeStoreId(stored->store));
   }
   spdlog::info("rules: store {} opened, log up to {}", settings_.store,
                stored->persistent_state.log.empty() ? stored->persistent_state.snapshot.index
@@ -361,7 +274,7 @@
   try {
     local_config_.activate(*document);
   } catch (const std::exception& e) {
-    spdlog::error("rules: version {} can't be put in force here: {}", version, e.what());
+    spdlog::error("rules: version {} cannot be activated here: {}", version, e.what());
     return;
   }
   document_ = *document;
@@ -373,14 +286,6 @@
   spdlog::info("rules event=in_force version={} mono_us={}", version, MonoUs(Now()));
 }
 
-void ReplicatedConfigService::ApplyEjections() {
-  // An ejection requested here takes effect here at once, the end of one only with the version that ends it.
-  std::set<std::string> out = document_.ejected_engines;
-  for (const auto& [engine, ejection] : manual_ejections_)
-    if (ejection.ejected) out.insert(engine);
-  directory_.TakeOver(out, {}, tell_);
-}
-
 std::optional<Version> ReplicatedConfigService::UsableVersion() const {
   const std::optional<Version> version = replica_.UsableVersion(Now());
   return version && *version == active_version_ ? version : std::nullopt;
@@ -511,208 +416,4 @@
   co_return co_await AwaitCompletion(id);
 }
 
-Document ReplicatedConfigService::LatestDocument() const {
-  const std::string* text = replica_.FindDocument(replica_.holder().latest_version());
-  if (text == nullptr) return {};
-  return replicated_config::ParseDocument(*text).value_or(Document());
-}
-
-// Proposes the ejections requested here until the fleet has committed them.
-Task<> ReplicatedConfigService::ReconcileManualEjections() {
-  for (;;) {
-    const bool open = std::any_of(manual_ejections_.begin(), manual_ejections_.end(),
-                                  [](const auto& h) { return h.second.committed_version == 0; });
-    if (!open) {
-      co_await runtime::Waiter(loop_, &ejections_changed_, runtime::kNever);
-      continue;
-    }
-    const Version latest_version = replica_.holder().latest_version();
-    if (latest_version > 0 && replica_.FindDocument(latest_version) == nullptr) {
-      co_await loop_.Sleep(kReconcileRetryInterval);
-      continue;
-    }
-    const std::map<std::string, ManualEjection> wanted = manual_ejections_;
-    Document document = LatestDocument();
-    const Document before = document;
-    std::string by = name_;
-    for (const auto& [engine, ejection] : wanted) {
-      if (ejection.ejected ? document.ejected_engines.insert(engine).second
-                           : document.ejected_engines.erase(engine) > 0)
-        by += std::string(ejection.ejected ? " exclude " : " include ") + engine;
-    }
-    replicated_config::RequestCompleted finished;
-    finished.outcome.status = replicated_config::ChangeStatus::kCommitted;
-    finished.outcome.version = latest_version;
-    if (document != before) {
-      replicated_config::ConfigChange change;
-      change.id = DrawId();
-      change.base_version = latest_version;
-      change.document = replicated_config::SerializeDocument(document);
-      change.author = by.substr(0, replicated_config::kMaxAuthorBytes);
-      change.proposed_at_unix_ms = UnixMs();
-      finished = co_await Propose(std::move(change), kChangeTimeout);
-    }
-    if (finished.outcome.status == replicated_config::ChangeStatus::kCommitted) {
-      for (const auto& [engine, ejection] : wanted) {
-        const auto it = manual_ejections_.find(engine);
-        if (it == manual_ejections_.end() || it->second.ejected != ejection.ejected) continue;
-        it->second.committed_version = std::max<Version>(1, finished.outcome.version);
-        if (it->second.committed_version <= active_version_) manual_ejections_.erase(it);
-      }
-      ApplyEjections();
-      continue;
-    }
-    const bool refused = finished.outcome.status == replicated_config::ChangeStatus::kRejected;
-    for (const auto& [engine, ejection] : wanted)
-      if (const auto it = manual_ejections_.find(engine); it != manual_ejections_.end())
-        it->second.why = finished.outcome.reason;
-    co_await loop_.Sleep(refused ? Span(kRejectedRetryInterval) : Span(kReconcileRetryInterval));
-  }
-}
-
-Task<admin::Reply> ReplicatedConfigService::ReplicateManualEjection(admin::Call call, admin::Reply reply) {
-  using admin::Verb;
-  if (!reply.yes || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
-  manual_ejections_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
-  ejections_changed_.Open();
-  const Time last = Now() + kManualEjectionTimeout;
-  for (;;) {
-    const auto it = manual_ejections_.find(call.engine);
-    if (it == manual_ejections_.end() || it->second.committed_version > 0) {
-      const Version version =
-          it == manual_ejections_.end() ? replica_.holder().latest_version() : it->second.committed_version;
-      reply.why = "for the fleet, version " + std::to_string(version);
-      co_return reply;
-    }
-    if (Now() >= last || !it->second.why.empty()) break;
-    co_await loop_.Sleep(10ms);
-  }
-  const auto it = manual_ejections_.find(call.engine);
-  reply.why =
-      std::string(call.verb == Verb::kExclude ? "here; " : "later; ") +
-      "the fleet has not agreed yet and is asked again until it does" +
-      (it == manual_ejections_.end() || it->second.why.empty() ? std::string() : ": " + it->second.why);
-  std::replace(reply.why.begin(), reply.why.end(), '\n', ' ');
-  co_return reply;
-}
-
-// ---- Operators' calls ----
-
-std::string ReplicatedConfigService::StatusText() const {
-  const replicated_config::LeaseHolder& holder = replica_.holder();
-  const Time now = Now();
-  const auto ms = [](Span span) { return std::chrono::duration<double, std::milli>(span).count(); };
-  ordered_json out = {{"proxy", name_},
-                      {"fleet", fleet_.settings().name},
-                      {"at_unix_ms", UnixMs()},
-                      {"mono_us", MonoUs(now)},
-                      {"version", active_version_},
-                      {"in_force", holder.active_version()},
-                      {"newest", holder.latest_version()},
-                      {"prepared", holder.prepared_version()},
-                      {"cut_off", !UsableVersion()},
-                      {"lease_left_ms", ms(holder.lease_expiry() - now)},
-                      {"rates_apart", holder.clock_rates_differ()},
-                      {"leader", replica_.leader()},
-                      {"leads", replica_.Leads(now)},
-                      {"votes", replica_.raft() != nullptr},
-                      {"asked_by_hand", ordered_json::object()},
-                      {"proxies", ordered_json::array()}};
-  for (const auto& [engine, ejection] : manual_ejections_)
-    out["asked_by_hand"][engine] = ejection.ejected ? "exclude" : "include";
-  if (const raft::Raft* raft = replica_.raft()) {
-    out["voters"] = raft->voters();
-    out["term"] = raft->term();
-    out["commit"] = raft->commit();
-    out["holders"] = replica_.HoldersByName(now);
-  }
-  for (const auto& [id, member] : fleet_.view().roster().all()) {
-    std::string told;
-    for (const gossip::Attribute& a : member.record.attributes)
-      if (a.key == kStateAttribute) told = a.value;
-    const bool self = id == fleet_.view().roster().self();
-    out["proxies"].push_back({{"name", member.record.name},
-                              {"generation", member.record.generation},
-                              {"alive", member.status == gossip::Status::kAlive},
-                              {"rules", self ? published_state_ : told}});
-  }
-  return Dump(out);
-}
-
-// Forwards a call for data that only voters have.
-Task<std::string> ReplicatedConfigService::ForwardToVoter(std::string bytes) {
-  for (const std::string& name : settings_.voters) {
-    const gossip::Member* voter = FindProcess(name);
-    if (voter == nullptr || voter->status == gossip::Status::kFailed || name == name_) continue;
-    auto answer = co_await peer_transport::Call(
-        loop_, fleet_.settings().name, peer_transport::ToAddress(voter->record.address), bytes,
-        Now() + kForwardTimeout, peer_transport::ToAddress(fleet_.link().address()));
-    if (answer) co_return std::move(*answer);
-  }
-  co_return Error("no voter answers");
-}
-
-Task<std::string> ReplicatedConfigService::HandleCall(std::string bytes) {
-  const ordered_json call = ordered_json::parse(bytes, nullptr, false);
-  if (!call.is_object()) co_return Error("not a call");
-  const auto text = [&](const char* key) {
-    const auto it = call.find(key);
-    return it != call.end() && it->is_string() ? it->get<std::string>() : std::string();
-  };
-  const auto number = [&](const char* key) -> std::uint64_t {
-    const auto it = call.find(key);
-    return it != call.end() && it->is_number_unsigned() ? it->get<std::uint64_t>() : 0;
-  };
-  const std::string what = text("call");
-  if (what == "status") co_return StatusText();
-  if (what == "propose" || what == "voters" || what == "read") {
-    std::string id = text("id").empty() ? DrawId() : text("id");
-    const Span timeout = std::clamp<Span>(std::chrono::milliseconds(number("patience_ms")), 100ms, 10s);
-    if (what == "propose") {
-      const replicated_config::ConfigChange change{id, number("from"), text("text"),
-                                                   text("by").substr(0, replicated_config::kMaxAuthorBytes),
-                                                   UnixMs()};
-      co_return Dump(Json((co_await Propose(change, timeout)).outcome));
-    }
-    if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
-      co_return Error("too many calls at once");
-    pending_calls_[id] = std::make_shared<PendingCall>();
-    if (what == "read")
-      replica_.ReadCommitted(Now(), id, Now() + timeout);
-    else
-      replica_.ChangeVoters(Now(), {id, text("who"), text("way") == "in"}, Now() + timeout);
-    DispatchOutputs();
-    const replicated_config::RequestCompleted finished = co_await AwaitCompletion(id);
-    ordered_json out = Json(finished.outcome);
-    if (finished.read)
-      out.update({{"newest", finished.read->latest_version},
-                  {"in_force", finished.read->active_version},
-                  {"voters", finished.read->voters}});
-    co_return Dump(out);
-  }
-  if (what == "text") {
-    const Version version = number("version");
-    if (const std::string* found = replica_.FindDocument(version))
-      co_return Dump({{"version", version}, {"text", *found}});
-  }
-  if (what == "history" && replica_.state_machine() != nullptr) {
-    ordered_json out = {{"versions", ordered_json::array()}};
-    for (const auto& [version, written] : replica_.state_machine()->versions())
-      out["versions"].push_back({{"version", version},
-                                 {"by", written.author},
-                                 {"at_unix_ms", written.proposed_at_unix_ms},
-                                 {"bytes", written.document.size()},
-                                 {"in_force", version == replica_.state_machine()->active_version()}});
-    co_return Dump(out);
-  }
-  const bool forwarded = call.contains("forwarded");
-  if ((what == "text" || what == "history") && !forwarded) {
-    ordered_json on = call;
-    on["forwarded"] = true;
-    co_return co_await ForwardToVoter(Dump(on));
-  }
-  if (what == "text") co_return Error("version " + std::to_string(number("version")) + " isn't kept");
-  co_return Error("unknown call '" + what + "'");
-}
-
 }  // namespace lemoncroft::cli
--- a/src/cli/replicated_config_service.h
+++ b/src/cli/replicated_config_service.h
@@ -1,11 +1,16 @@
-// The replicated configuration in a running proxy: connects a ConfigReplica to the peer transport, a voter's
-// store, the proxy's settings, the endpoint directory and the operators' calls. Made only where the
-// operator's file has a `rules` block.
+// The replicated configuration in a running proxy: connects a ConfigReplica to the peer transport, a
+// voter's store, the proxy's settings, the endpoint directory and the operators' calls. Made only where
+// the operator's file has a `rules` block.
+//
+// Contract: the lease is checked in the turn of each action. Nothing here waits for the disk: a voter
+// whose store fails steps down and reopens it later.
+//
+// Owner: the proxy's wiring.
+//
+// Thread safety: none; it runs on one event loop.
 //
-// Contract: the lease is checked in the turn of each action. Nothing here waits for the disk: a voter whose
-// store fails steps down and reopens it later. Owner: the proxy's wiring. Thread safety: none; it runs on one
-// event loop.
 // Errors: the constructor throws ConfigError where this proxy is a voter without a store.
+//
 // Design: docs/agreement.md.
 #ifndef LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
 #define LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
@@ -66,6 +71,9 @@
   std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
 
  private:
+  static constexpr std::size_t kMaxPendingCalls = 64;
+  static constexpr const char* kStateAttribute = "rules";  // gossip attribute: versions in use here
+
   struct ManualEjection {
     bool ejected = false;
     replicated_config::Version committed_version = 0;  // 0: not committed yet
@@ -105,6 +113,10 @@
   runtime::Task<std::string> HandleCall(std::string bytes);
   runtime::Task<std::string> ForwardToVoter(std::string bytes);
   std::string StatusText() const;
+  std::string HistoryText() const;
+  static std::int64_t MonoUs(runtime::Time at) {
+    return std::chrono::duration_cast<std::chrono::microseconds>(at.time_since_epoch()).count();
+  }
 
   runtime::Loop& loop_;
   Fleet& fleet_;
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -26,10 +26,10 @@
 
 namespace {
 
-constexpr auto kAnswerWithin = 12s;
-constexpr auto kWaitBeat = 200ms;
+constexpr auto kCallTimeout = 12s;
+constexpr auto kWaitPollInterval = 200ms;
 
-// One call and its answer; an object with "error" where there is none.
+// Makes one call and returns the response; an object with "error" without one.
 ordered_json Ask(const RulesCommand& command, const ordered_json& call) {
   ordered_json answer = {{"error", "no proxy answers"}};
   for (const std::string& at : command.at) {
@@ -39,7 +39,7 @@
     bool answered = false;
     const auto ask = [&]() -> runtime::Task<> {
       const auto bytes =
-          co_await peer_transport::Call(loop, command.fleet, *address, call.dump(), Now() + kAnswerWithin);
+          co_await peer_transport::Call(loop, command.fleet, *address, call.dump(), Now() + kCallTimeout);
       if (bytes) {
         answer = ordered_json::parse(*bytes, nullptr, false);
         answered = answer.is_object();
@@ -54,12 +54,12 @@
   return answer;
 }
 
-int Nobody(const ordered_json& answer) {
+int ReportNoResponse(const ordered_json& answer) {
   std::fprintf(stderr, "lemoncroft: rules: %s\n", answer.value("error", std::string("no answer")).c_str());
-  return kRulesNobody;
+  return kRulesNoResponse;
 }
 
-Document Parsed(const std::string& text, const char* of) {
+Document ParseOrThrow(const std::string& text, const char* of) {
   auto read = replicated_config::ParseDocument(text);
   if (!read) throw ConfigError(std::string(of) + ":\n" + read.error().Text());
   return std::move(*read);
@@ -83,7 +83,7 @@
 
 int Show(const RulesCommand& command) {
   const ordered_json status = Ask(command, {{"call", "status"}});
-  if (status.contains("error")) return Nobody(status);
+  if (status.contains("error")) return ReportNoResponse(status);
   if (command.json) return std::printf("%s\n", status.dump().c_str()) < 0;
   const auto version = status.at("version").get<std::uint64_t>();
   std::printf("%s of fleet %s: acts on version %llu%s; newest %llu; lease for %.0f ms; leader %s%s\n",
@@ -100,12 +100,12 @@
                 p.at("generation").get<unsigned>(), p.at("alive").get<bool>() ? "alive" : "gone",
                 p.at("rules").get<std::string>().c_str());
   if (version > 0) std::printf("\n%s", TextOf(command, version).c_str());
-  return status.at("cut_off").get<bool>() ? kRulesNotYet : kRulesDone;
+  return status.at("cut_off").get<bool>() ? kRulesIncomplete : kRulesDone;
 }
 
 int History(const RulesCommand& command) {
   const ordered_json answer = Ask(command, {{"call", "history"}});
-  if (answer.contains("error")) return Nobody(answer);
+  if (answer.contains("error")) return ReportNoResponse(answer);
   if (command.json) return std::printf("%s\n", answer.dump().c_str()) < 0;
   for (const ordered_json& v : answer.at("versions"))
     std::printf("%6llu %s %7zu bytes %s%s\n", v.at("version").get<unsigned long long>(),
@@ -114,8 +114,8 @@
   return kRulesDone;
 }
 
-int Told(const RulesCommand& command, const ordered_json& answer) {
-  if (answer.contains("error")) return Nobody(answer);
+int ReportOutcome(const RulesCommand& command, const ordered_json& answer) {
+  if (answer.contains("error")) return ReportNoResponse(answer);
   const std::string verdict = answer.at("verdict").get<std::string>(),
                     why = answer.at("why").get<std::string>();
   if (command.json)
@@ -125,7 +125,7 @@
                 why.empty() ? "" : ": ", why.c_str());
   return verdict == "taken"      ? kRulesDone
          : verdict == "conflict" ? kRulesConflict
-         : verdict == "refused"  ? kRulesRefused
+         : verdict == "refused"  ? kRulesRejected
                                  : kRulesUnknown;
 }
 
@@ -133,11 +133,11 @@
   std::uint64_t from = command.first;
   if (from == 0) {
     const ordered_json read = Ask(command, {{"call", "read"}, {"patience_ms", 2000}});
-    if (read.contains("error")) return Nobody(read);
-    if (read.at("verdict") != "taken") return Told(command, read);
+    if (read.contains("error")) return ReportNoResponse(read);
+    if (read.at("verdict") != "taken") return ReportOutcome(command, read);
     from = read.at("newest").get<std::uint64_t>();
   }
-  const Document before = Parsed(TextOf(command, from), "the version it is made from");
+  const Document before = ParseOrThrow(TextOf(command, from), "the version it is made from");
   const std::vector<std::string> differences = replicated_config::Differences(before, to);
   if (!command.json) {
     std::printf("from version %llu:\n", static_cast<unsigned long long>(from));
@@ -148,17 +148,17 @@
                              {"from", from},
                              {"text", replicated_config::SerializeDocument(to)},
                              {"by", user == nullptr ? "an operator" : user},
-                             {"patience_ms", static_cast<std::uint64_t>(1000 * command.patience_s)}};
-  return Told(command, Ask(command, call));
+                             {"patience_ms", static_cast<std::uint64_t>(1000 * command.timeout_s)}};
+  return ReportOutcome(command, Ask(command, call));
 }
 
 int Wait(const RulesCommand& command) {
   const auto last =
-      Now() + std::chrono::duration_cast<runtime::Span>(std::chrono::duration<double>(command.patience_s));
+      Now() + std::chrono::duration_cast<runtime::Span>(std::chrono::duration<double>(command.timeout_s));
   std::string before;
   for (;;) {
     const ordered_json status = Ask(command, {{"call", "status"}});
-    if (status.contains("error")) return Nobody(status);
+    if (status.contains("error")) return ReportNoResponse(status);
     std::size_t alive = 0, there = 0;
     std::string missing;
     for (const ordered_json& p : status.at("proxies")) {
@@ -179,15 +179,15 @@
     if (done || Now() >= last) {
       if (command.json)
         std::printf("%s\n", ordered_json{{"on", there}, {"alive", alive}, {"done", done}}.dump().c_str());
-      return done ? kRulesDone : kRulesNotYet;
+      return done ? kRulesDone : kRulesIncomplete;
     }
-    std::this_thread::sleep_for(kWaitBeat);
+    std::this_thread::sleep_for(kWaitPollInterval);
   }
 }
 
-// A majority of the voters' stores is gone for good: what this one holds becomes the fleet's, with itself as
-// the only voter; others are let in after that. What was committed and is not in this store is lost.
-int Refound(const RulesCommand& command) {
+// Recovers from the permanent loss of a majority of the stores: makes this store the fleet's, with its proxy
+// as the only voter. Entries that were committed and are not in this store are lost.
+int RecoverFromOneStore(const RulesCommand& command) {
   storage::Database::Terms terms;
   terms.path = command.store;
   terms.owner = command.fleet + "/" + command.who;
@@ -213,7 +213,7 @@
         "lacks is lost, and a voter of the old fleet that is started again must be kept away.\n"
         "Do it only where a majority of the voters' stores is gone for good, then say: --confirm %s\n",
         command.who.c_str(), wanted.c_str());
-    return kRulesRefused;
+    return kRulesRejected;
   }
   raft::Entry entry;
   entry.term = promise.term + 1;
@@ -236,7 +236,7 @@
 }  // namespace
 
 int RunRules(const RulesCommand& command) {
-  if (command.what == "refound") return Refound(command);
+  if (command.what == "refound") return RecoverFromOneStore(command);
   if (command.what == "history") return History(command);
   if (command.what == "wait") return Wait(command);
   if (command.what == "propose") {
@@ -248,16 +248,17 @@
       if (!file) throw ConfigError(command.file + ": cannot be read");
       text << file.rdbuf();
     }
-    return Propose(command, Parsed(text.str(), command.file.c_str()));
+    return Propose(command, ParseOrThrow(text.str(), command.file.c_str()));
   }
   if (command.what == "revert") {
     RulesCommand from = command;
     from.first = 0;
-    return Propose(from, Parsed(TextOf(command, command.first), "the version to go back to"));
+    return Propose(from, ParseOrThrow(TextOf(command, command.first), "the version to go back to"));
   }
   if (command.what == "diff") {
-    const auto lines = replicated_config::Differences(Parsed(TextOf(command, command.first), "the first"),
-                                                      Parsed(TextOf(command, command.second), "the second"));
+    const auto lines =
+        replicated_config::Differences(ParseOrThrow(TextOf(command, command.first), "the first"),
+                                       ParseOrThrow(TextOf(command, command.second), "the second"));
     for (const std::string& line : lines) std::printf("%s\n", line.c_str());
     return kRulesDone;
   }
@@ -265,8 +266,8 @@
     const ordered_json call = {{"call", "voters"},
                                {"way", command.way},
                                {"who", command.who},
-                               {"patience_ms", static_cast<std::uint64_t>(1000 * command.patience_s)}};
-    return Told(command, Ask(command, call));
+                               {"patience_ms", static_cast<std::uint64_t>(1000 * command.timeout_s)}};
+    return ReportOutcome(command, Ask(command, call));
   }
   return Show(command);
 }
--- a/src/cli/rules_command.h
+++ b/src/cli/rules_command.h
@@ -1,5 +1,7 @@
-// `lemoncroft rules ...`: what the fleet agrees on, asked of a running proxy on the peers' way; and the way
-// back where a majority of the voters is lost for good.
+// The `lemoncroft rules` sub-commands: show and change the replicated configuration through a running proxy,
+// and recover from the permanent loss of a majority of the voters.
+//
+// Errors: ConfigError for unusable input; otherwise an exit code.
 #ifndef LEMONCROFT_CLI_RULES_COMMAND_H_
 #define LEMONCROFT_CLI_RULES_COMMAND_H_
 
@@ -12,18 +14,18 @@
 struct RulesCommand {
   std::string what;  // show, history, propose, diff, revert, wait, voters, refound
   std::string fleet;
-  std::vector<std::string> at;  // addresses of the proxy, the first that answers is taken
+  std::vector<std::string> at;  // addresses of proxies; the first that responds is used
   bool json = false;
-  std::string file;                     // of propose; "-": standard input
-  std::uint64_t first = 0, second = 0;  // versions; of propose the one that it was made from, 0: the newest
-  std::string way, who;                 // of voters: in or out
-  std::string store, confirm;           // of refound
-  double patience_s = 10;
+  std::string file;                     // propose: "-" is standard input
+  std::uint64_t first = 0, second = 0;  // versions; propose: the base version, 0: the latest
+  std::string way, who;                 // voters: "in" or "out"
+  std::string store, confirm;           // refound
+  double timeout_s = 10;
 };
 
-// Exit codes that a script can use.
-inline constexpr int kRulesDone = 0, kRulesNobody = 1, kRulesConflict = 3, kRulesRefused = 4,
-                     kRulesUnknown = 5, kRulesNotYet = 6;
+// Exit codes, documented in docs/operating-rules.md.
+inline constexpr int kRulesDone = 0, kRulesNoResponse = 1, kRulesConflict = 3, kRulesRejected = 4,
+                     kRulesUnknown = 5, kRulesIncomplete = 6;
 
 int RunRules(const RulesCommand& command);
 
--- /dev/null
+++ b/src/cli/voter_store.cpp
@@ -0,0 +1,83 @@
+#include "cli/voter_store.h"
+
+#include <charconv>
+#include <sstream>
+#include <string>
+#include <utility>
+
+#include "raft/codec.h"
+
+namespace lemoncroft::cli {
+
+namespace {
+
+std::string FoundersText(const replicated_config::BootstrapVoters& bootstrap_voters) {
+  std::string out;
+  for (const auto& [name, store] : bootstrap_voters) out += name + " " + std::to_string(store) + "\n";
+  return out;
+}
+
+replicated_config::BootstrapVoters ReadFounders(const std::string& text) {
+  replicated_config::BootstrapVoters bootstrap_voters;
+  std::istringstream in(text);
+  std::string name;
+  for (std::uint64_t store = 0; in >> name >> store;) bootstrap_voters[name] = store;
+  return bootstrap_voters;
+}
+
+}  // namespace
+
+storage::Batch EncodeStoreId(std::uint64_t store) {
+  storage::Batch batch;
+  batch.records.emplace_back("store", std::to_string(store));
+  return batch;
+}
+
+storage::Batch EncodeBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters) {
+  storage::Batch batch;
+  batch.records.emplace_back("founders", FoundersText(bootstrap_voters));
+  return batch;
+}
+
+storage::Batch EncodeUpdate(const raft::StorageUpdate& update) {
+  storage::Batch batch;
+  batch.records.emplace_back("promise", raft::Encode(update.hard_state));
+  if (update.replaces_log) {
+    batch.records.emplace_back("snapshot", raft::Encode(update.snapshot));
+    batch.cut_before = update.snapshot.index;
+  }
+  batch.cut_behind = update.replaces_log ? update.snapshot.index : update.truncate_after;
+  for (const raft::Entry& entry : update.entries) batch.log.emplace_back(entry.index, raft::Encode(entry));
+  return batch;
+}
+
+std::optional<replicated_config::StoredState> DecodeStore(const storage::Contents& contents) {
+  replicated_config::StoredState out;
+  const auto record = [&](const char* name) -> std::string {
+    const auto it = contents.records.find(name);
+    return it == contents.records.end() ? std::string() : it->second;
+  };
+  const std::string store = record("store"), promise = record("promise"), snapshot = record("snapshot");
+  std::from_chars(store.data(), store.data() + store.size(), out.store);
+  out.bootstrap_voters = ReadFounders(record("founders"));
+  if (!promise.empty()) {
+    const auto read = raft::DecodeHardState(promise);
+    if (!read) return std::nullopt;
+    out.persistent_state.hard_state = *read;
+  }
+  if (!snapshot.empty()) {
+    auto read = raft::DecodeSnapshot(snapshot);
+    if (!read) return std::nullopt;
+    out.persistent_state.snapshot = std::move(*read);
+  }
+  for (const auto& [number, bytes] : contents.log) {
+    auto entry = raft::DecodeEntry(bytes);
+    const raft::Index before = out.persistent_state.log.empty() ? out.persistent_state.snapshot.index
+                                                                : out.persistent_state.log.back().index;
+    if (!entry || entry->index != number || number != before + 1) return std::nullopt;
+    out.persistent_state.log.push_back(std::move(*entry));
+  }
+  return out;
+}
+
+}  // namespace lemoncroft::cli
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -98,7 +98,7 @@
   rules->require_subcommand(0, 1);
   rules->add_option("--at", command.at, "where the proxy is reached by its peers");
   rules->add_option("--fleet", command.fleet, "the fleet's name");
-  rules->add_option("--patience", command.patience_s, "seconds to wait for an answer")
+  rules->add_option("--patience", command.timeout_s, "seconds to wait for an answer")
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
   rules->add_flag("--json", command.json, "as JSON");
