--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -1,15 +1,21 @@
 // One proxy's replica of the fleet's configuration: it holds a lease on the active version, fetches the
-// documents of versions, and carries out requests made here. A voter also replicates the log and applies it
-// to the state machine; the leader among them grants leases, validates changes and activates versions.
+// documents of versions, and carries out requests made here. A voter also replicates the log and applies
+// it to the state machine; the leader among them grants leases, validates changes and activates versions.
 //
-// Contract: no I/O, no clock, deterministic for a seed. Every call is passed the time of one monotonic clock.
-// What has to be persisted, sent or reported is returned by TakeOutputs, in order, and has to be carried out
-// in that order. Messages that depend on a write are held back until OnStored confirms it. UsableVersion must
-// be called in the same turn as the action that it permits. Thread safety: none; an object belongs to one
-// thread. Errors: messages may be lost, delayed, duplicated and reordered. After a failed write the owner
-// calls CloseStore, which makes this voter step down until OpenStore. Design: docs/agreement.md. Sources:
-// Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Gray and Cheriton,
-// "Leases" (1989).
+// Contract: no I/O, no clock, deterministic for a seed. Every call is passed the time of one monotonic
+// clock. What has to be persisted, sent or reported is returned by TakeOutputs, in order, and has to be
+// carried out in that order. Messages that depend on a write are held back until OnStored confirms it.
+// UsableVersion must be called in the same turn as the action that it permits.
+//
+// Thread safety: none; an object belongs to one thread.
+//
+// Errors: messages may be lost, delayed, duplicated and reordered. After a failed write the owner calls
+// CloseStore, which makes this voter step down until OpenStore.
+//
+// Design: docs/agreement.md.
+//
+// Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Gray and
+// Cheriton, "Leases" (1989).
 #ifndef LEMONCROFT_REPLICATED_CONFIG_CONFIG_REPLICA_H_
 #define LEMONCROFT_REPLICATED_CONFIG_CONFIG_REPLICA_H_
 
@@ -68,6 +74,7 @@
 struct PersistBootstrapVoters {  // write and sync it, then call OnBootstrapVotersStored
   BootstrapVoters bootstrap_voters;
 };
+// To a process, or to a voter's current process by name. May be lost.
 struct SendMessage {
   std::variant<raft::NodeId, Instance> to;
   Message message;
@@ -99,14 +106,19 @@
   ConfigReplica(ConfigReplicaOptions options, Instance self, DocumentChecks checks, std::uint64_t seed,
                 raft::Time now);
 
+  // Runs the timers that are due.
   void Step(raft::Time now);
+  // When Step has to be called next.
   raft::Time due() const;
+  // Handles a message of process `from`.
   void Receive(raft::Time now, Instance from, const Message& message);
+  // Returns and clears the outputs of all calls so far.
   std::vector<ConfigReplicaOutput> TakeOutputs();
 
   // A voter's store: opened by the owner, which also carries out the writes.
   void OpenStore(raft::Time now, StoredState stored);
   void CloseStore();  // this voter steps down until the next OpenStore
+  // The update with that number, and all before it, are durable.
   void OnStored(raft::Time now, std::uint64_t number);
   void OnBootstrapVotersStored(raft::Time now);
 
--- a/src/replicated_config/config_state_machine.h
+++ b/src/replicated_config/config_state_machine.h
@@ -1,11 +1,16 @@
-// The replicated state machine behind the Raft log: the configuration versions, which of them is active, and
-// the outcome of each proposed change.
+// The replicated state machine behind the Raft log: the configuration versions, which of them is active,
+// and the outcome of each proposed change.
 //
-// Contract: no I/O, no clock, deterministic. Replicas that apply the same entries hold equal state. A change
-// names the version that it was made from and is committed only if that is still the latest (compare and
-// set); a change that is applied twice under one id takes effect once. Memory is bounded by the constants
-// below. Thread safety: none; an object belongs to one thread. Errors: an entry that cannot be decoded
-// changes nothing. Design: docs/agreement.md.
+// Contract: no I/O, no clock, deterministic. Replicas that apply the same entries hold equal state. A
+// change names the version that it was made from and is committed only if that is still the latest
+// (compare and set); a change that is applied twice under one id takes effect once. Memory is bounded by
+// the constants below.
+//
+// Thread safety: none; an object belongs to one thread.
+//
+// Errors: an entry that cannot be decoded changes nothing.
+//
+// Design: docs/agreement.md.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_CONFIG_STATE_MACHINE_H_
 #define LEMONCROFT_REPLICATED_CONFIG_CONFIG_STATE_MACHINE_H_
 
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -87,7 +87,7 @@
     operator_config::ReadSpan(n, least, most, value, errors_);
     return value;
   }
-  // The one name of a block, that isn't given yet.
+  // Reads the name of a block and returns its new entry; a duplicate is a fault.
   template <typename Override>
   Override& Named(const KdlNode& n, std::map<std::string, Override>& into) {
     KdlNode head = n;
@@ -203,7 +203,7 @@
   return out;
 }
 
-// A document as lines "what" -> value: one form for its text and for what differs between two.
+// A document as key -> value: the common form behind its text and the differences of two.
 using Lines = std::map<std::string, std::string>;
 
 template <typename T>
@@ -253,7 +253,7 @@
   const auto put = [&](const std::string& kind, const auto& overrides, auto of) {
     for (const auto& [name, entry] : overrides) {
       const Lines lines = of(entry);
-      all[kind + " " + name];  // it is there, even if it says nothing
+      all[kind + " " + name];  // present even if it overrides nothing
       for (const auto& [what, value] : lines) all[kind + " " + name + " " + what] = value;
     }
   };
--- a/src/replicated_config/document.h
+++ b/src/replicated_config/document.h
@@ -1,9 +1,12 @@
-// The fleet-wide configuration document: overrides of each proxy's own settings, manually ejected engines,
-// and what an isolated proxy may continue to do.
+// The fleet-wide configuration document: overrides of each proxy's own settings, manually ejected
+// engines, and what an isolated proxy may continue to do.
 //
 // Contract: plain values and pure functions; no I/O. A version of the replicated configuration is a
-// document's KDL text (docs/operating-rules.md); equal documents have one canonical text. Units: spans of
-// time, cores, requests per second. Errors: all faults of a text are reported together.
+// document's KDL text (docs/operating-rules.md); equal documents have one canonical text.
+//
+// Units: spans of time, cores, requests per second.
+//
+// Errors: all faults of a text are reported together.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 #define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 
@@ -22,7 +25,7 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr std::uint64_t kNewestDocumentFormat = 1;  // the newest that this program reads
+inline constexpr std::uint64_t kNewestDocumentFormat = 1;  // that this program reads
 inline constexpr std::size_t kMaxNames = 4096;  // of classes, tenants, teams and ejected engines each
 
 // An absent field leaves the proxy's own setting unchanged.
@@ -42,6 +45,7 @@
   std::optional<std::size_t> threads, max_waiting;
   bool operator==(const TeamOverride&) const = default;
 };
+// Retries per proxy and window: `free`, and `ratio` of its requests.
 struct RetryBudget {
   double free = 0, ratio = 0;
   Span window{};
--- a/src/replicated_config/document_cache.h
+++ b/src/replicated_config/document_cache.h
@@ -1,7 +1,13 @@
-// The documents of versions that a proxy has fetched, and how far each has got: delivered to the owner for
-// validation, then prepared.
+// The documents of versions that a proxy has fetched, and how far each has got: delivered to the owner
+// for validation, then prepared.
 //
-// Contract: plain container; no I/O. Owner: a ConfigReplica. Thread safety: none. Errors: none.
+// Contract: plain container; no I/O.
+//
+// Owner: a ConfigReplica.
+//
+// Thread safety: none.
+//
+// Errors: none.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_CACHE_H_
 #define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_CACHE_H_
 
--- a/src/replicated_config/document_checks.h
+++ b/src/replicated_config/document_checks.h
@@ -1,5 +1,5 @@
-// What a ConfigReplica has to know about documents, which are opaque texts to it: whether one may become the
-// next version, and whether this proxy can apply it.
+// What a ConfigReplica has to know about documents, which are opaque texts to it: whether one may become
+// the next version, and whether this proxy can apply it.
 //
 // Contract: the owner supplies the functions; they are pure but for the proxy's current settings.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_CHECKS_H_
--- a/src/replicated_config/lease.h
+++ b/src/replicated_config/lease.h
@@ -1,13 +1,19 @@
-// Leases on the active configuration version. A LeaseHolder (every proxy) may act on a version only while its
-// lease runs; a LeaseGrantor (the Raft leader) activates the next version only once every holder of a live
-// lease has prepared it.
+// Leases on the active configuration version. A LeaseHolder (every proxy) may act on a version only while
+// its lease runs; a LeaseGrantor (the Raft leader) activates the next version only once every holder of a
+// live lease has prepared it.
 //
-// Contract: no I/O and no clock. Every call is passed the monotonic time of its own process; the clock rates
-// of two processes differ by at most LeaseOptions::max_clock_rate_difference. UsableVersion must be called in
-// the same turn as the action that it permits, because a process may be stopped anywhere in between. A
-// grantor grants only while its log confirms its leadership. Thread safety: none; each object belongs to one
-// thread. Errors: a grant that answers no pending renewal is ignored. Design: docs/agreement.md. Sources:
-// Gray and Cheriton, "Leases" (SOSP 1989); Ongaro's thesis (2014), section 6.4.
+// Contract: no I/O and no clock. Every call is passed the monotonic time of its own process; the clock
+// rates of two processes differ by at most LeaseOptions::max_clock_rate_difference. UsableVersion must be
+// called in the same turn as the action that it permits, because a process may be stopped anywhere in
+// between. A grantor grants only while its log confirms its leadership.
+//
+// Thread safety: none; each object belongs to one thread.
+//
+// Errors: a grant that answers no pending renewal is ignored.
+//
+// Design: docs/agreement.md.
+//
+// Sources: Gray and Cheriton, "Leases" (SOSP 1989); Ongaro's thesis (2014), section 6.4.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_LEASE_H_
 #define LEMONCROFT_REPLICATED_CONFIG_LEASE_H_
 
--- a/src/replicated_config/messages.h
+++ b/src/replicated_config/messages.h
@@ -1,9 +1,11 @@
-// Messages between proxies about the replicated configuration, and their encoding. Raft's own messages travel
-// inside RaftMessage.
+// Messages between proxies about the replicated configuration, and their encoding. Raft's own messages
+// travel inside RaftMessage.
 //
-// Contract: plain values; no I/O. Decoding is bounded; a message that is incomplete, malformed or of a newer
-// kind decodes to nothing. The order of MessageBody's alternatives and of their fields is the wire format.
-// Times are spans on the sender's monotonic clock. Design: docs/agreement.md.
+// Contract: plain values; no I/O. Decoding is bounded; a message that is incomplete, malformed or of a
+// newer kind decodes to nothing. The order of MessageBody's alternatives and of their fields is the wire
+// format. Times are spans on the sender's monotonic clock.
+//
+// Design: docs/agreement.md.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_MESSAGES_H_
 #define LEMONCROFT_REPLICATED_CONFIG_MESSAGES_H_
 
--- a/src/replicated_config/notification_pacer.h
+++ b/src/replicated_config/notification_pacer.h
@@ -1,9 +1,14 @@
-// Spreads notifications that all members of a fleet have to publish at the same time, such as an activated
-// version or an expired lease. Published at once they would be a broadcast from everybody to everybody.
+// Spreads notifications that all members of a fleet have to publish at the same time, such as an
+// activated version or an expired lease. Published at once they would be a broadcast from everybody to
+// everybody.
 //
 // Contract: no I/O, no clock, deterministic for a seed. A fleet publishes one notification per
 // kMeanNotificationInterval on average, however often its state changes; each member publishes only its
-// newest state. Thread safety: none. Errors: none.
+// newest state.
+//
+// Thread safety: none.
+//
+// Errors: none.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
 #define LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
 
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -3,9 +3,15 @@
 // either could lose committed entries.
 //
 // Contract: no I/O and no clock. The owner sends hello() to other_voters() periodically and passes the
-// responses on. A fleet is bootstrapped once, when all initial voters have empty stores; each then persists
-// the stores of all of them. Thread safety: none. Owner: a ConfigReplica.
+// responses on. A fleet is bootstrapped once, when all initial voters have empty stores; each then
+// persists the stores of all of them.
+//
+// Thread safety: none.
+//
+// Owner: a ConfigReplica.
+//
 // Errors: a response to another store is ignored.
+//
 // Design: docs/agreement.md, after the log-loss rules of Ongaro's thesis (2014), section 11.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_VOTER_ADMISSION_H_
 #define LEMONCROFT_REPLICATED_CONFIG_VOTER_ADMISSION_H_
--- a/src/replicated_config/voter_processes.h
+++ b/src/replicated_config/voter_processes.h
@@ -1,7 +1,13 @@
 // Which process of each voter is current. A message from a process that a later one has replaced must be
 // ignored: the later one may have another store.
 //
-// Contract: plain container, bounded. Owner: a ConfigReplica. Thread safety: none. Errors: none.
+// Contract: plain container, bounded.
+//
+// Owner: a ConfigReplica.
+//
+// Thread safety: none.
+//
+// Errors: none.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_VOTER_PROCESSES_H_
 #define LEMONCROFT_REPLICATED_CONFIG_VOTER_PROCESSES_H_
 
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -27,7 +27,7 @@
 constexpr int kRigs = 3, kTrialsEach = 14;
 constexpr double kStatedMs = 1200;
 
-// The trials that figures are taken of, on seven proxies.
+// The fault tests that are measured, on seven proxies.
 constexpr const char* kChanges = R"(trial "changes, no faults" {
   proxies 7; voters "n1" "n2" "n3"; load 20; changes 2; each-once #true; seed SEED
   at "20s" { heal }
@@ -136,7 +136,7 @@
   out["independent_files"] = {{"contradiction_ms_max", files.value("files_contradiction_ms", 0.0)}};
 }
 
-// What the leases of a hundred proxies cost, all of them together, as a part of one core for each.
+// The processor time of the leases of a hundred proxies, in percent of one core per proxy.
 double LeaseCostPercent(std::uint64_t seed) {
   ConfigReplicaFleet::Plan plan;
   plan.seed = seed;
--- a/src/testing/model_check/lease_world.cpp
+++ b/src/testing/model_check/lease_world.cpp
@@ -53,11 +53,11 @@
     LeaseWorld& world = fork();
     --world.remaining_.ticks;
     ++world.now_;
-    // Without the check at the act it is a timer that tells, and that of a stopped process doesn't run.
+    // With check_expiry_on_use disabled a timer marks expiry; the timer of a stopped process does not run.
     if (options_.safety_checks.check_expiry_on_use)
       for (replicated_config::LeaseHolder& holder : world.holders_) holder.Tick(world.At());
     world.Check();
-    // The newest leader reaches a majority, or not.
+    // The newest leader may or may not reach a majority and renew its own lease.
     if (world.Leads(leader_)) {
       LeaseWorld& renewed = into.emplace_back(into.back());
       renewed.leaders_[leader_].lease_until = renewed.now_ + 2;
@@ -109,7 +109,7 @@
     if (latest_version_ <= active_version_ ||
         !leaders_[leader].grantor.MayActivate(At(), Leads(leader), latest_version_))
       continue;
-    if (!Leads(leader)) continue;  // nobody would commit it
+    if (!Leads(leader)) continue;  // could not be committed
     LeaseWorld& world = fork();
     while (world.activated_at_.size() <= latest_version_) world.activated_at_.push_back(now_);
     world.active_version_ = latest_version_;
--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -35,7 +35,7 @@
  private:
   struct Leader {
     replicated_config::LeaseGrantor grantor;
-    int lease_until = 0;                                                // beats
+    int lease_until = 0;                                                // in ticks
     replicated_config::Version latest_version = 0, active_version = 0;  // committed, as far as it knows
   };
   struct InTransitMessage {
@@ -61,7 +61,7 @@
   std::vector<replicated_config::LeaseHolder> holders_;
   std::array<int, kHolders> renewals_{};
   std::vector<Leader> leaders_;
-  std::size_t leader_ = 0;  // the newest
+  std::size_t leader_ = 0;  // the latest one
   std::uint64_t leadership_epoch_ = 1;
   std::vector<InTransitMessage> messages_;
   replicated_config::Version latest_version_ = 0, active_version_ = 0;
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -13,16 +13,16 @@
 using replicated_config::Version;
 
 namespace {
-constexpr Instant kTick = 5ms;  // at which acts are noted
+constexpr Instant kTick = 5ms;  // interval at which usable versions are recorded
 constexpr const char* kFleet = "trial";
 
-// Bytes that the way between proxies puts around a note (peerlink/frame.h).
+// The overhead of a frame (peer_transport/frame.h).
 std::size_t FrameBytes() {
-  const std::string note(100, 'x');
+  const std::string payload(100, 'x');
   return peer_transport::Encode(kFleet,
-                                peer_transport::Parcel{UINT64_MAX, peer_transport::Part::kRules, note})
+                                peer_transport::Parcel{UINT64_MAX, peer_transport::Part::kRules, payload})
              .size() -
-         note.size();
+         payload.size();
 }
 }  // namespace
 
@@ -210,7 +210,7 @@
   }
   switch (h.kind) {
     case ScheduledEvent::Kind::kStep:
-      if (m.replica->due() > Local(m)) return;  // planned anew since
+      if (m.replica->due() > Local(m)) return;  // rescheduled since
       m.replica->Step(Local(m));
       break;
     case ScheduledEvent::Kind::kMessage:
--- a/src/testing/simulation/lease_fleet.cpp
+++ b/src/testing/simulation/lease_fleet.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Instant kTick = 5ms;  // at which acts are noted
+constexpr Instant kTick = 5ms;  // interval at which usable versions are recorded
 
 Voters::Plan VotersOf(const LeaseFleet::Plan& plan) {
   Voters::Plan out;
@@ -112,7 +112,7 @@
   if (h.fetched_version > 0) {
     proxy.fetching_version = 0;
     proxy.holder.MarkPrepared(h.fetched_version);
-    proxy.ask_at = now();  // the leader need not wait for a beat to hear of it
+    proxy.ask_at = now();  // reports it at once
     return;
   }
   proxy.holder.HandleGrant(Local(proxy), *h.grant);
@@ -133,7 +133,7 @@
   while (now() < until) {
     voters_.RunFor(kTick);
     for (std::size_t i = 0; i < plan_.voters; ++i) RunLeaderDuties(i);
-    // A process that wakes acts first, and looks at its messages and timers then.
+    // A process that is resumed acts first, and handles its messages and timers afterwards.
     RecordUse();
     for (std::size_t p = 0; p < proxies_.size(); ++p) {
       Proxy& proxy = proxies_[p];
--- a/src/testing/simulation/lease_fleet.h
+++ b/src/testing/simulation/lease_fleet.h
@@ -46,8 +46,8 @@
   const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
   // The longest time for which two proxies could act on different versions.
   Instant contradiction() const { return longest_contradiction_; }
-  // Instants at which a proxy could act on a version for longer than `stated` after a later one was first
-  // acted on.
+  // Number of instants at which a proxy could act on a version more than `stale_limit` after a later one was
+  // first usable.
   std::uint64_t stale() const { return stale_; }
   // Number of instants at which a running proxy had a lease but not the document of the active version.
   std::uint64_t uses_without_document() const { return uses_without_document_; }
