--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -61,7 +61,7 @@
 
   bool giving_up() const { return orders_ > 0; }  // an engine is still to be told of something
   Pool& pool() { return pool_; }
-  // Asked just before each statement goes out; null: none is.
+  // Checked in the turn in which each statement is sent; null: every statement is permitted.
   void set_lease_fence(broker::LeaseFence* lease_fence) { lease_fence_ = lease_fence; }
   void set_connect_timeout(runtime::Span span) { connect_timeout_ = span; }
   // Names of the values in load reports, in the order of Settings::report_fields; empty: there are no
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -252,7 +252,7 @@
   loop_.Spawn(RunAttempt(life, number, attempt));
 }
 
-// Cut off from the rules, and nothing of the request can have run: it gets its answer at once.
+// Whether an isolated proxy has to reject the request at once: no attempt of it can have been executed.
 bool Broker::Forbidden(const Life& life, const Send& send) const {
   if (lease_fence_ == nullptr) return false;
   const bool again =
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -40,7 +40,7 @@
   // come.
   void PutLineAhead(admission_queue::Settings settings);
   LineHost* line() { return line_.get(); }  // null without one
-  // What allows acts under the rules; before Start. Null: all are allowed.
+  // Fences requests with the configuration lease; set before Start. Null: every action is permitted.
   void set_lease_fence(LeaseFence* lease_fence) {
     lease_fence_ = lease_fence;
     engines_.set_lease_fence(lease_fence);
--- a/src/testing/simulation/deciders.h
+++ b/src/testing/simulation/deciders.h
@@ -1,7 +1,7 @@
-// Who decides in the place of one gateway in a day that is played: the decision module, or a reference that
+// The decision logic behind one gateway of a simulated day: the decision module itself, or a reference that
 // it is compared with.
 //
-// Contract. As the module's interface has it (lemoncroft/gateway.h): no I/O, no clock, deterministic for its
+// Contract: that of the module's interface (lemoncroft/gateway.h): no I/O, no clock, deterministic for its
 // settings and seed. Errors: none.
 #ifndef LEMONCROFT_SIMULATION_DECIDERS_H_
 #define LEMONCROFT_SIMULATION_DECIDERS_H_
--- a/src/testing/simulation/site_invariant_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -1,7 +1,7 @@
-// Checks what the gateways of a site do against the site's rules, from the outside: it hears of every
-// request, attempt, answer and list, and keeps a line of text for each breach.
+// Checks the invariants of a simulated site from the outside: it observes every request, attempt, response
+// and endpoint list of its gateways, and records a line of text for each violation.
 //
-// Contract. Deterministic; the caller's times never run backwards. It judges and changes nothing.
+// Contract: deterministic; the caller's times never decrease. It changes nothing that it observes.
 #ifndef LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
 #define LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
 
