--- a/src/cli/replicated_config_calls.cpp
+++ b/src/cli/replicated_config_calls.cpp
@@ -73,14 +73,14 @@
     out["holders"] = replica_.HoldersByName(now);
   }
   for (const auto& [id, member] : fleet_.view().roster().all()) {
-    std::string told;
+    std::string published;
     for (const gossip::Attribute& a : member.record.attributes)
-      if (a.key == kStateAttribute) told = a.value;
+      if (a.key == kStateAttribute) published = a.value;
     const bool self = id == fleet_.view().roster().self();
     out["proxies"].push_back({{"name", member.record.name},
                               {"generation", member.record.generation},
                               {"alive", member.status == gossip::Status::kAlive},
-                              {"rules", self ? published_state_ : told}});
+                              {"rules", self ? published_state_ : published}});
   }
   return Dump(out);
 }
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -164,9 +164,9 @@
     for (const ordered_json& p : status.at("proxies")) {
       if (!p.at("alive").get<bool>()) continue;
       ++alive;
-      const std::string told = p.at("rules").get<std::string>();
-      const bool on = std::strtoull(told.c_str(), nullptr, 10) >= command.first &&
-                      told.find("cut-off") == std::string::npos && !told.empty();
+      const std::string published = p.at("rules").get<std::string>();
+      const bool on = std::strtoull(published.c_str(), nullptr, 10) >= command.first &&
+                      published.find("cut-off") == std::string::npos && !published.empty();
       there += on;
       if (!on) missing += " " + p.at("name").get<std::string>();
     }
--- a/src/replicated_config/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -121,8 +121,8 @@
 
 bool LeaseGrantor::MayActivate(Time now, bool leads, Version version) const {
   if (!leads && options_.safety_checks.grant_only_while_leading) return false;
-  const Span books = Scaled(options_.duration, 1 + 2 * options_.max_clock_rate_difference);
-  if (now < leading_since_ + books && options_.safety_checks.wait_after_election) return false;
+  const Span longest_lease = Scaled(options_.duration, 1 + 2 * options_.max_clock_rate_difference);
+  if (now < leading_since_ + longest_lease && options_.safety_checks.wait_after_election) return false;
   return !options_.safety_checks.wait_for_all_prepared || !AnyHolderBehind(now, version);
 }
 
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -107,7 +107,7 @@
 }
 
 std::string ConfigReplicaFleet::Propose(std::size_t at, Version from, const std::string& text,
-                                        Instant patience) {
+                                        Instant timeout) {
   Machine& m = machines_[at];
   replicated_config::ConfigChange change;
   change.id = "c" + std::to_string(++ids_);
@@ -116,7 +116,7 @@
   change.author = NameOf(at);
   proposed_[change.id] = text;
   if (m.replica == nullptr) return change.id;
-  m.replica->ProposeChange(Local(m), change, Local(m) + patience);
+  m.replica->ProposeChange(Local(m), change, Local(m) + timeout);
   HandleOutputs(at);
   return change.id;
 }
@@ -214,8 +214,8 @@
       m.replica->Step(Local(m));
       break;
     case ScheduledEvent::Kind::kMessage:
-      if (const auto note = replicated_config::DecodeMessage(*h.bytes))
-        m.replica->Receive(Local(m), h.from, *note);
+      if (const auto message = replicated_config::DecodeMessage(*h.bytes))
+        m.replica->Receive(Local(m), h.from, *message);
       break;
     case ScheduledEvent::Kind::kSynced: {
       if (m.pending_writes.empty() || m.pending_writes.front().first > now_) return;
--- a/src/testing/simulation/config_replica_fleet.h
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -55,7 +55,7 @@
   // A document that begins with "not for " and a machine's name is incompatible there; one that begins with
   // "wrong" is invalid.
   std::string Propose(std::size_t at, replicated_config::Version from, const std::string& text,
-                      Instant patience = std::chrono::seconds(3));
+                      Instant timeout = std::chrono::seconds(3));
   void ChangeVoters(std::size_t at, const std::string& who, bool in);
   const std::map<std::string, replicated_config::ChangeOutcome>& outcomes() const { return outcomes_; }
 
