--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -14,15 +14,15 @@
 #include <vector>
 
 #include "backend/engines.h"
-#include "broker/authority.h"
+#include "broker/lease_fence.h"
 #include "broker/line_host.h"
 #include "broker/module_host.h"
 #include "broker/request.h"
 #include "lemoncroft/gateway.h"
 #include "metrics/counters.h"
 #include "runtime/loop.h"
-#include "settings/settings.h"
 #include "settings/migration.h"
+#include "settings/settings.h"
 
 namespace lemoncroft::broker {
 
@@ -33,17 +33,17 @@
     std::size_t bytes = std::size_t{48} << 20;  // that they hold
   };
 
-  Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed, backend::Engines& engines,
-         metrics::Counters& counters, Limits limits);
+  Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed,
+         backend::Engines& engines, metrics::Counters& counters, Limits limits);
 
   // Puts a waiting line ahead of the module; before Start. Without one, requests go to the module as they
   // come.
   void PutLineAhead(admission_queue::Settings settings);
   LineHost* line() { return line_.get(); }  // null without one
-  // What allows acts under the rules; before Start. Null: all are allowed.
-  void set_authority(Authority* authority) {
-    authority_ = authority;
-    engines_.set_authority(authority);
+  // Fences requests with the configuration lease; set before Start. Null: every action is permitted.
+  void set_lease_fence(LeaseFence* lease_fence) {
+    lease_fence_ = lease_fence;
+    engines_.set_lease_fence(lease_fence);
   }
   void Start();
   // Takes a request; its answer may come within the call. Returns the number to abandon it by.
@@ -130,7 +130,7 @@
   std::size_t open_ = 0;
   std::size_t bytes_ = 0;
   bool closed_ = false;
-  Authority* authority_ = nullptr;
+  LeaseFence* lease_fence_ = nullptr;
 };
 
 }  // namespace lemoncroft::broker
--- /dev/null
+++ b/src/broker/lease_fence.h
@@ -0,0 +1,29 @@
+// Fences requests with the lease on the replicated configuration: a proxy acts only while its lease is valid.
+// The lease is checked in the turn of the action, since a process may be stopped and resumed anywhere.
+//
+// Contract: an answer is valid for the current turn of the event loop only. Without a fence every action is
+// permitted. Owner: the proxy's wiring. Thread safety: none.
+#ifndef LEMONCROFT_BROKER_LEASE_FENCE_H_
+#define LEMONCROFT_BROKER_LEASE_FENCE_H_
+
+#include <string>
+
+#include "lemoncroft/gateway.h"
+
+namespace lemoncroft::broker {
+
+class LeaseFence {
+ public:
+  virtual ~LeaseFence() = default;
+  // Whether requests of a class are admitted at all.
+  virtual bool AdmitsClass(const std::string& class_name) = 0;
+  // Whether an attempt of a class might be sent to an engine now.
+  virtual bool PermitsSend(const std::string& class_name, EngineId engine) = 0;
+  // Permits an attempt in the turn in which it is sent, and records it if permitted. `again`: an engine may
+  // have received the request before.
+  virtual bool RecordSend(const std::string& class_name, EngineId engine, bool again) = 0;
+};
+
+}  // namespace lemoncroft::broker
+
+#endif  // LEMONCROFT_BROKER_LEASE_FENCE_H_
--- /dev/null
+++ b/src/cli/replicated_config_service.cpp
@@ -0,0 +1,422 @@
+#include "cli/replicated_config_service.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <random>
+
+#include "cli/config.h"
+#include "cli/state.h"
+#include "cli/voter_store.h"
+
+namespace lemoncroft::cli {
+
+using replicated_config::Document;
+using replicated_config::Version;
+using runtime::Now;
+using runtime::Span;
+using runtime::Task;
+using runtime::Time;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr auto kPublishInterval = 50ms;             // of this proxy's published state
+constexpr auto kHeldStoreRetryInterval = 200ms;     // the store is held by another process of this proxy
+constexpr auto kFailedStoreRetryInterval = 2000ms;  // the store has failed
+constexpr std::uint64_t kBootstrapVotersWrite = (std::uint64_t{1} << 40) - 1, kEpochShift = 40;
+constexpr const char* kStoreAttribute = "store";
+
+std::uint64_t Draw() {
+  std::random_device device;
+  return (std::uint64_t{device()} << 32 | device()) | 1;
+}
+
+}  // namespace
+
+replicated_config::ConfigReplicaOptions ReplicatedConfigService::ReplicaOptionsOf(
+    const operator_config::RulesSettings& settings, const std::string& name) {
+  replicated_config::ConfigReplicaOptions options;
+  options.self = name;
+  options.initial_voters = settings.voters;
+  options.lease.duration = settings.lease;
+  options.lease.renewal_interval = settings.beat;
+  options.format = replicated_config::kNewestDocumentFormat;
+  return options;
+}
+
+replicated_config::DocumentChecks ReplicatedConfigService::MakeDocumentChecks() {
+  using replicated_config::DocumentRejection;
+  using Cause = DocumentRejection::Cause;
+  using Checked = tl::expected<void, DocumentRejection>;
+  replicated_config::DocumentChecks checks;
+  checks.check_successor = [](const replicated_config::VersionRecord* from,
+                              const std::string& text) -> Checked {
+    const auto to = replicated_config::ParseDocument(text);
+    if (!to) return tl::unexpected(DocumentRejection{Cause::kInvalid, to.error().Text()});
+    if (from == nullptr) return {};
+    const auto before = replicated_config::ParseDocument(from->document);
+    if (!before) return {};
+    const auto checked = replicated_config::CheckSuccessor(*before, *to);
+    if (!checked) return tl::unexpected(DocumentRejection{Cause::kConflicts, checked.error().Text()});
+    return {};
+  };
+  checks.check_compatible = [this](const std::string& text) -> Checked {
+    const auto document = replicated_config::ParseDocument(text);
+    if (!document) return tl::unexpected(DocumentRejection{Cause::kInvalid, document.error().Text()});
+    const auto checked =
+        replicated_config::CheckCompatible(*document, local_config_.site(), local_config_.queue());
+    if (!checked) return tl::unexpected(DocumentRejection{Cause::kIncompatible, checked.error().Text()});
+    return {};
+  };
+  checks.required_format = [](const std::string& text) -> std::uint64_t {
+    const auto document = replicated_config::ParseDocument(text);
+    return document ? document->format : 0;
+  };
+  checks.isolation_duration = [](const std::string& text) -> Span {
+    const auto document = replicated_config::ParseDocument(text);
+    return document ? document->isolation.duration : Span();
+  };
+  return checks;
+}
+
+ReplicatedConfigService::ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
+                                                 const operator_config::RulesSettings& settings,
+                                                 const std::string& name,
+                                                 discovery::EndpointDirectory& directory,
+                                                 discovery::EndpointDirectory::UpdateCallback tell,
+                                                 LocalConfig local_config)
+    : loop_(loop),
+      fleet_(fleet),
+      settings_(settings),
+      name_(name),
+      directory_(directory),
+      tell_(std::move(tell)),
+      local_config_(std::move(local_config)),
+      document_checks_(MakeDocumentChecks()),
+      replica_(ReplicaOptionsOf(settings, name), fleet.view().roster().self(), document_checks_, Draw(),
+               Now()),
+      notification_pacer_(Draw()) {
+  const bool votes = std::find(settings.voters.begin(), settings.voters.end(), name) != settings.voters.end();
+  if (votes && settings.store.empty())
+    throw ConfigError("rules: " + name + " is one of the voters: it needs a `store`");
+  if (!settings.store.empty())
+    worker_ = std::make_unique<storage::Worker>(
+        loop, storage::Database::Options{settings.store, fleet.settings().name + "/" + name});
+  fleet_.link().on_parcel = [this](const peer_transport::Parcel& parcel) {
+    if (parcel.part != peer_transport::Part::kRules) return;
+    if (const auto message = replicated_config::DecodeMessage(parcel.bytes)) {
+      replica_.Receive(Now(), parcel.from, *message);
+      DispatchOutputs();
+    }
+  };
+  fleet_.link().on_call = [this](std::string bytes) { return HandleCall(std::move(bytes)); };
+}
+
+void ReplicatedConfigService::Start() {
+  if (worker_) {
+    opening_store_ = true;
+    worker_->Open();
+    loop_.Spawn(RunStore());
+  }
+  loop_.Spawn(RunTimers());
+  loop_.Spawn(PublishState());
+  loop_.Spawn(ReconcileManualEjections());
+}
+
+void ReplicatedConfigService::Shutdown() {
+  replica_.Resign(Now());
+  DispatchOutputs();
+}
+
+Task<> ReplicatedConfigService::RunTimers() {
+  for (;;) {
+    planned_at_ = replica_.due();
+    if (planned_at_ > Now()) co_await runtime::Waiter(loop_, &timer_changed_, planned_at_);
+    planned_at_ = runtime::kNever;
+    if (replica_.due() <= Now()) {
+      replica_.Step(Now());
+      DispatchOutputs();
+    }
+    co_await loop_.NextTurn();
+  }
+}
+
+void ReplicatedConfigService::DispatchOutputs() {
+  for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
+    for (const replicated_config::ConfigReplicaOutput& output : outputs) HandleOutput(output);
+  if (replica_.due() < planned_at_) timer_changed_.Open();
+}
+
+// Returns the process of that name; where two live, the one that has the store.
+const gossip::Member* ReplicatedConfigService::FindProcess(const raft::NodeId& name) const {
+  const gossip::Member* best = nullptr;
+  const auto rank = [](const gossip::Member& m) {
+    const bool store = std::any_of(m.record.attributes.begin(), m.record.attributes.end(),
+                                   [](const gossip::Attribute& a) { return a.key == kStoreAttribute; });
+    const bool lives = m.status == gossip::Status::kAlive || m.status == gossip::Status::kSuspect;
+    return std::tuple(lives, store, m.record.generation);
+  };
+  for (const auto& [id, member] : fleet_.view().roster().all())
+    if (member.record.name == name && (best == nullptr || rank(member) > rank(*best))) best = &member;
+  return best;
+}
+
+void ReplicatedConfigService::HandleOutput(const replicated_config::ConfigReplicaOutput& output) {
+  if (const auto* send = std::get_if<replicated_config::SendMessage>(&output)) {
+    const auto* name = std::get_if<raft::NodeId>(&send->to);
+    const gossip::Member* to =
+        name != nullptr ? FindProcess(*name)
+                        : fleet_.view().roster().Find(std::get<replicated_config::Instance>(send->to));
+    if (to != nullptr)
+      fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
+                         replicated_config::Encode(send->message));
+  } else if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
+    WriteBatch(persist->update.sequence, EncodeUpdate(persist->update));
+  } else if (const auto* bootstrap_voters = std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
+    WriteBatch(kBootstrapVotersWrite, EncodeBootstrapVoters(bootstrap_voters->bootstrap_voters));
+  } else if (const auto* received = std::get_if<replicated_config::DocumentReceived>(&output)) {
+    if (const auto checked = document_checks_.check_compatible(received->document)) {
+      spdlog::info("rules event=prepared version={} mono_us={}", received->version, MonoUs(Now()));
+      replica_.MarkPrepared(Now(), received->version);
+    } else {
+      spdlog::error("rules: this proxy cannot apply version {}: {}", received->version,
+                    checked.error().reason);
+      replica_.MarkIncompatible(received->version);
+    }
+  } else if (const auto* activated = std::get_if<replicated_config::VersionActivated>(&output)) {
+    Activate(activated->version);
+  } else if (const auto* finished = std::get_if<replicated_config::RequestCompleted>(&output)) {
+    const auto it = pending_calls_.find(finished->outcome.id);
+    if (it == pending_calls_.end()) return;
+    it->second->finished = *finished;
+    it->second->gate.Open();
+  } else if (const auto* event = std::get_if<replicated_config::LogEvent>(&output)) {
+    spdlog::log(event->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", event->text,
+                MonoUs(Now()));
+  }
+}
+
+// ---- The store ----
+
+void ReplicatedConfigService::WriteBatch(std::uint64_t number, storage::WriteBatch batch) {
+  if (!worker_->Write(epoch_ << kEpochShift | number, std::move(batch)))
+    StepDown("the disk is too slow: " + std::to_string(worker_->queue_size()) + " batches wait for it");
+}
+
+void ReplicatedConfigService::StepDown(const std::string& why) {
+  if (opening_store_) return;
+  ++step_downs_;
+  spdlog::error("rules: this voter steps down: {}", why);
+  replica_.CloseStore();
+  opening_store_ = true;
+  loop_.Spawn(ReopenStore(kFailedStoreRetryInterval));
+}
+
+Task<> ReplicatedConfigService::ReopenStore(Span after) {
+  co_await loop_.Sleep(after);
+  worker_->Open();
+}
+
+Task<> ReplicatedConfigService::RunStore() {
+  for (;;) {
+    storage::Worker::Completion done = co_await worker_->NextCompletion();
+    if (done.is_open) {
+      OnStoreOpened(done);
+    } else if (done.sequence >> kEpochShift == epoch_ && !opening_store_) {
+      slowest_sync_ = std::max(slowest_sync_, done.duration);
+      if (done.error.code != storage::StoreErrorCode::kNone)
+        StepDown(std::string(storage::NameOf(done.error.code)) + ": " + done.error.message);
+      else if (const std::uint64_t number = done.sequence & kBootstrapVotersWrite;
+               number == kBootstrapVotersWrite)
+        replica_.OnBootstrapVotersStored(Now());
+      else if (number > 0)
+        replica_.OnStored(Now(), number);
+    }
+    DispatchOutputs();
+  }
+}
+
+void ReplicatedConfigService::OnStoreOpened(storage::Worker::Completion& done) {
+  std::optional<replicated_config::StoredState> stored;
+  if (done.error.code == storage::StoreErrorCode::kNone) {
+    stored = DecodeStore(done.contents);
+    if (!stored)
+      done.error.message = settings_.store + ": holds contents of another format",
+      done.error.code = storage::StoreErrorCode::kDamaged;
+  }
+  if (!stored) {
+    if (!std::exchange(reported_unavailable_, true))
+      spdlog::warn("rules: the store cannot be opened, this voter waits: {}: {}",
+                   storage::NameOf(done.error.code), done.error.message);
+    loop_.Spawn(ReopenStore(done.error.code == storage::StoreErrorCode::kLocked
+                                ? Span(kHeldStoreRetryInterval)
+                                : Span(kFailedStoreRetryInterval)));
+    return;
+  }
+  opening_store_ = reported_unavailable_ = false;
+  ++epoch_;
+  if (stored->store == 0) {
+    stored->store = Draw();
+    WriteBatch(0, EncodeStoreId(stored->store));
+  }
+  spdlog::info("rules: store {} opened, log up to {}", settings_.store,
+               stored->persistent_state.log.empty() ? stored->persistent_state.snapshot.index
+                                                    : stored->persistent_state.log.back().index);
+  fleet_.link().SetAttribute(kStoreAttribute, "1");
+  replica_.OpenStore(Now(), std::move(*stored));
+}
+
+// ---- The active version ----
+
+void ReplicatedConfigService::Activate(Version version) {
+  const std::string* text = replica_.FindDocument(version);
+  if (text == nullptr && version > 0) return;
+  const auto document = replicated_config::ParseDocument(text == nullptr ? std::string_view() : *text);
+  if (!document) return;
+  try {
+    local_config_.activate(*document);
+  } catch (const std::exception& e) {
+    spdlog::error("rules: version {} cannot be activated here: {}", version, e.what());
+    return;
+  }
+  document_ = *document;
+  active_version_ = version;
+  std::erase_if(manual_ejections_, [&](const auto& ejection) {
+    return ejection.second.committed_version > 0 && ejection.second.committed_version <= version;
+  });
+  ApplyEjections();
+  spdlog::info("rules event=in_force version={} mono_us={}", version, MonoUs(Now()));
+}
+
+std::optional<Version> ReplicatedConfigService::UsableVersion() const {
+  const std::optional<Version> version = replica_.UsableVersion(Now());
+  return version && *version == active_version_ ? version : std::nullopt;
+}
+
+// Whether the active version lets an isolated proxy send this.
+bool ReplicatedConfigService::PermittedInIsolation(const std::string& class_name, EngineId engine) const {
+  const replicated_config::IsolationPolicy& policy = document_.isolation;
+  const replicated_config::LeaseHolder& holder = replica_.holder();
+  if (!policy.classes.contains(class_name) || active_version_ != holder.active_version() ||
+      holder.clock_rates_differ())
+    return false;
+  if (Now() >= holder.lease_expiry() + policy.duration) return false;
+  if (engine == 0) return true;
+  const discovery::Endpoint* member = directory_.Find(engine);
+  return member != nullptr && policy.engines.contains(member->name);
+}
+
+bool ReplicatedConfigService::AdmitsClass(const std::string& class_name) {
+  if (UsableVersion() || PermittedInIsolation(class_name, 0)) return true;
+  ++rejected_sends_;
+  return false;
+}
+
+bool ReplicatedConfigService::PermitsSend(const std::string& class_name, EngineId engine) {
+  return UsableVersion() || PermittedInIsolation(class_name, engine);
+}
+
+bool ReplicatedConfigService::RecordSend(const std::string& class_name, EngineId engine, bool again) {
+  const std::optional<Version> version = UsableVersion();
+  const bool in_isolation =
+      !version && PermittedInIsolation(class_name, engine) && !again;  // an isolated proxy never retries
+  if (!version && !in_isolation) {
+    ++rejected_sends_;
+    return false;
+  }
+  ++(in_isolation ? isolated_sends_ : sends_);
+  const discovery::Endpoint* member = directory_.Find(engine);
+  spdlog::debug("rules act={} version={} class={} engine={} mono_us={}",
+                in_isolation ? "kept"
+                : again      ? "again"
+                             : "send",
+                version.value_or(active_version_), class_name, member == nullptr ? "-" : member->name,
+                MonoUs(Now()));
+  return true;
+}
+
+tl::expected<void, replicated_config::IncompatibleDocument> ReplicatedConfigService::CheckCompatible(
+    const settings::Site& site, const admission_queue::Settings* queue) const {
+  return replicated_config::CheckCompatible(document_, site, queue);
+}
+
+// Publishes this proxy's versions through gossip, and logs when it becomes isolated.
+Task<> ReplicatedConfigService::PublishState() {
+  for (;; co_await loop_.Sleep(kPublishInterval)) {
+    const bool isolated = !UsableVersion();
+    if (std::exchange(isolated_, isolated) != isolated)
+      spdlog::log(
+          isolated ? spdlog::level::warn : spdlog::level::info,
+          "rules event={} version={} lease_ms={} mono_us={}", isolated ? "cut_off" : "leased",
+          active_version_,
+          std::chrono::duration_cast<std::chrono::milliseconds>(replica_.holder().lease_expiry() - Now())
+              .count(),
+          MonoUs(Now()));
+    const std::string state = std::to_string(active_version_) + "/" +
+                              std::to_string(replica_.holder().prepared_version()) +
+                              (isolated ? "/cut-off" : "");
+    const gossip::Roster& roster = fleet_.view().roster();
+    if (notification_pacer_.ShouldNotify(Now(), state != published_state_, roster.living())) {
+      published_state_ = state;
+      fleet_.link().SetAttribute(kStateAttribute, state);
+    }
+    if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) UpdatePeers();
+  }
+}
+
+void ReplicatedConfigService::UpdatePeers() {
+  std::vector<replicated_config::Instance> others;
+  const gossip::Roster& roster = fleet_.view().roster();
+  for (const auto& [id, member] : roster.all())
+    if (member.status == gossip::Status::kAlive && id != roster.self()) others.push_back(id);
+  replica_.SetPeers(std::move(others));
+}
+
+std::vector<std::pair<std::string, std::uint64_t>> ReplicatedConfigService::Metrics() const {
+  const replicated_config::LeaseHolder& holder = replica_.holder();
+  const auto left =
+      std::chrono::duration_cast<std::chrono::milliseconds>(holder.lease_expiry() - Now()).count();
+  return {{"rules.version", active_version_},
+          {"rules.newest", holder.latest_version()},
+          {"rules.prepared", holder.prepared_version()},
+          {"rules.leased", UsableVersion() ? 1 : 0},
+          {"rules.lease_left_ms", static_cast<std::uint64_t>(std::max<std::int64_t>(0, left))},
+          {"rules.leads", replica_.Leads(Now()) ? 1 : 0},
+          {"rules.votes", replica_.raft() != nullptr ? 1 : 0},
+          {"rules.acts", sends_},
+          {"rules.acts_kept", isolated_sends_},
+          {"rules.forbidden", rejected_sends_},
+          {"rules.stepped_back", step_downs_},
+          {"rules.slowest_sync_ms",
+           static_cast<std::uint64_t>(
+               std::chrono::duration_cast<std::chrono::milliseconds>(slowest_sync_).count())}};
+}
+
+// ---- Changes ----
+
+std::string ReplicatedConfigService::DrawId() const {
+  return fmt::format("{}-{:08x}-{}", name_.substr(0, 24),
+                     static_cast<std::uint32_t>(fleet_.view().roster().self() >> 32), ++last_change_number_);
+}
+
+Task<replicated_config::RequestCompleted> ReplicatedConfigService::AwaitCompletion(std::string id) {
+  const auto waiting = pending_calls_.at(id);
+  while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->gate, runtime::kNever);
+  pending_calls_.erase(id);
+  co_return *waiting->finished;
+}
+
+Task<replicated_config::RequestCompleted> ReplicatedConfigService::Propose(
+    replicated_config::ConfigChange change, Span timeout) {
+  std::string id = change.id;
+  if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
+    co_return replicated_config::RequestCompleted{
+        {id, replicated_config::ChangeStatus::kRejected, 0, "too many calls at once"}, {}};
+  pending_calls_[id] = std::make_shared<PendingCall>();
+  replica_.ProposeChange(Now(), change, Now() + timeout);
+  DispatchOutputs();
+  co_return co_await AwaitCompletion(id);
+}
+
+}  // namespace lemoncroft::cli
--- /dev/null
+++ b/src/cli/replicated_config_service.h
@@ -0,0 +1,154 @@
+// The replicated configuration in a running proxy: connects a ConfigReplica to the peer transport, a
+// voter's store, the proxy's settings, the endpoint directory and the operators' calls. Made only where
+// the operator's file has a `rules` block.
+//
+// Contract: the lease is checked in the turn of each action. Nothing here waits for the disk: a voter
+// whose store fails steps down and reopens it later.
+//
+// Owner: the proxy's wiring.
+//
+// Thread safety: none; it runs on one event loop.
+//
+// Errors: the constructor throws ConfigError where this proxy is a voter without a store.
+//
+// Design: docs/agreement.md.
+#ifndef LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
+#define LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <tl/expected.hpp>
+#include <utility>
+#include <vector>
+
+#include "admin/listener.h"
+#include "broker/lease_fence.h"
+#include "cli/fleet.h"
+#include "discovery/endpoint_directory.h"
+#include "operator_config/operator_file.h"
+#include "replicated_config/config_replica.h"
+#include "replicated_config/document.h"
+#include "replicated_config/notification_pacer.h"
+#include "storage/worker.h"
+
+namespace lemoncroft::cli {
+
+class ReplicatedConfigService : public broker::LeaseFence {
+ public:
+  struct LocalConfig {
+    std::function<const settings::Site&()> site;                       // from this proxy's own configuration
+    std::function<const admission_queue::Settings*()> queue;           // likewise; null: no admission queue
+    std::function<void(const replicated_config::Document&)> activate;  // applies a document; may throw
+  };
+
+  ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
+                          const std::string& name, discovery::EndpointDirectory& directory,
+                          discovery::EndpointDirectory::UpdateCallback tell, LocalConfig local_config);
+
+  void Start();
+  // Transfers leadership, if this proxy has it, because the process ends.
+  void Shutdown();
+
+  bool AdmitsClass(const std::string& class_name) override;
+  bool PermitsSend(const std::string& class_name, EngineId engine) override;
+  bool RecordSend(const std::string& class_name, EngineId engine, bool again) override;
+
+  // Checks that the active version can be applied to new settings of this proxy.
+  [[nodiscard]] tl::expected<void, replicated_config::IncompatibleDocument> CheckCompatible(
+      const settings::Site& site, const admission_queue::Settings* queue) const;
+  const replicated_config::Document& document() const {
+    return document_;
+  }  // active here; empty before the first
+  const operator_config::RulesSettings& settings() const { return settings_; }
+
+  // Proposes to the fleet an `exclude` or `include` that was carried out here. Returns `reply` with what the
+  // fleet has decided so far.
+  runtime::Task<admin::Reply> ReplicateManualEjection(admin::Call call, admin::Reply reply);
+  bool ready() const { return replica_.UsableVersion(runtime::Now()).has_value(); }
+  std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
+
+ private:
+  static constexpr std::size_t kMaxPendingCalls = 64;
+  static constexpr const char* kStateAttribute = "rules";  // gossip attribute: versions in use here
+
+  struct ManualEjection {
+    bool ejected = false;
+    replicated_config::Version committed_version = 0;  // 0: not committed yet
+    std::string why;                                   // why the last proposal was not committed
+  };
+  struct PendingCall {
+    runtime::Gate gate;
+    std::optional<replicated_config::RequestCompleted> finished;
+  };
+
+  static replicated_config::ConfigReplicaOptions ReplicaOptionsOf(
+      const operator_config::RulesSettings& settings, const std::string& name);
+  replicated_config::DocumentChecks MakeDocumentChecks();
+
+  runtime::Task<> RunTimers();
+  runtime::Task<> RunStore();
+  runtime::Task<> PublishState();
+  runtime::Task<> ReconcileManualEjections();
+  void DispatchOutputs();
+  void HandleOutput(const replicated_config::ConfigReplicaOutput& output);
+  void OnStoreOpened(storage::Worker::Completion& done);
+  void WriteBatch(std::uint64_t number, storage::WriteBatch batch);
+  void StepDown(const std::string& why);
+  runtime::Task<> ReopenStore(runtime::Span after);
+  const gossip::Member* FindProcess(const raft::NodeId& name) const;
+  void UpdatePeers();  // the live members, from which the replica may fetch documents
+  void Activate(replicated_config::Version version);
+  void ApplyEjections();  // of the active version, and those requested here since
+  std::optional<replicated_config::Version> UsableVersion() const;
+  bool PermittedInIsolation(const std::string& class_name, EngineId engine) const;
+  replicated_config::Document LatestDocument() const;
+
+  std::string DrawId() const;
+  runtime::Task<replicated_config::RequestCompleted> AwaitCompletion(std::string id);
+  runtime::Task<replicated_config::RequestCompleted> Propose(replicated_config::ConfigChange change,
+                                                             runtime::Span timeout);
+  runtime::Task<std::string> HandleCall(std::string bytes);
+  runtime::Task<std::string> ForwardToVoter(std::string bytes);
+  std::string StatusText() const;
+  std::string HistoryText() const;
+  static std::int64_t MonoUs(runtime::Time at) {
+    return std::chrono::duration_cast<std::chrono::microseconds>(at.time_since_epoch()).count();
+  }
+
+  runtime::Loop& loop_;
+  Fleet& fleet_;
+  operator_config::RulesSettings settings_;
+  std::string name_;
+  discovery::EndpointDirectory& directory_;
+  discovery::EndpointDirectory::UpdateCallback tell_;
+  LocalConfig local_config_;
+  replicated_config::DocumentChecks document_checks_;
+  replicated_config::ConfigReplica replica_;
+  replicated_config::NotificationPacer notification_pacer_;
+  std::uint64_t peers_as_of_ = 0;  // value of the roster's changes() at the last UpdatePeers
+  runtime::Gate timer_changed_, ejections_changed_;
+  runtime::Time planned_at_ = runtime::kNever;
+
+  std::unique_ptr<storage::Worker> worker_;
+  std::uint64_t epoch_ = 0;  // number of openings; results of earlier ones are ignored
+  std::uint64_t store_ = 0;
+  bool opening_store_ = false, reported_unavailable_ = false;
+  runtime::Span slowest_sync_{};
+
+  replicated_config::Document document_;
+  replicated_config::Version active_version_ = 0;
+  std::map<std::string, ManualEjection>
+      manual_ejections_;  // by engine; requested here, not in an active version yet
+  std::map<std::string, std::shared_ptr<PendingCall>> pending_calls_;
+  mutable std::uint64_t last_change_number_ = 0;
+  std::uint64_t sends_ = 0, isolated_sends_ = 0, rejected_sends_ = 0, step_downs_ = 0;
+  std::string published_state_;
+  bool isolated_ = false;
+};
+
+}  // namespace lemoncroft::cli
+
+#endif  // LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
--- a/src/replicated_config/document.h
+++ b/src/replicated_config/document.h
@@ -1,11 +1,14 @@
-// The document of rules that a fleet agrees on, read: what it changes of each proxy's own settings, which
-// engines are out by hand, and what a proxy that is cut off may go on with.
+// The fleet-wide configuration document: overrides of each proxy's own settings, manually ejected
+// engines, and what an isolated proxy may continue to do.
 //
-// Contract. Plain values, no I/O. The text (KDL, docs/operating-rules.md) is what versions hold; the same
-// document has one canonical text. Owner: none. Units: spans, cores, requests a second. Errors: all that is
-// wrong with a text, a line each.
-#ifndef LEMONCROFT_RULES_DOCUMENT_H_
-#define LEMONCROFT_RULES_DOCUMENT_H_
+// Contract: plain values and pure functions; no I/O. A version of the replicated configuration is a
+// document's KDL text (docs/operating-rules.md); equal documents have one canonical text.
+//
+// Units: spans of time, cores, requests per second.
+//
+// Errors: all faults of a text are reported together.
+#ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
+#define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +16,7 @@
 #include <set>
 #include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "admission_queue/types.h"
@@ -22,71 +25,113 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr std::uint64_t kFormat = 1;      // the newest that this program reads
-inline constexpr std::size_t kNamesMost = 4096;  // classes, tenants, teams: of each
+inline constexpr std::uint64_t kNewestDocumentFormat = 1;  // that this program reads
+inline constexpr std::size_t kMaxNames = 4096;  // of classes, tenants, teams and ejected engines each
 
-// What is left out stays as each proxy's own settings have it.
-struct ClassRule {
-  std::optional<Effect> effect;  // what may be repeated
+// An absent field leaves the proxy's own setting unchanged.
+struct ClassOverride {
+  std::optional<Effect> effect;  // whether a retry is safe
   std::optional<RepeatGroup> group;
   std::optional<Span> repeat_window;
-  bool operator==(const ClassRule&) const = default;
+  bool operator==(const ClassOverride&) const = default;
 };
-struct TenantRule {
+struct TenantOverride {
   std::optional<double> quota_per_s;
-  bool operator==(const TenantRule&) const = default;
+  bool operator==(const TenantOverride&) const = default;
 };
-struct TeamRule {
+struct TeamOverride {
   std::optional<double> cores;
   std::optional<Span> burst;
-  std::optional<std::size_t> threads, waiting;
-  bool operator==(const TeamRule&) const = default;
+  std::optional<std::size_t> threads, max_waiting;
+  bool operator==(const TeamOverride&) const = default;
 };
-struct Budget {
+// Retries per proxy and window: `free`, and `ratio` of its requests.
+struct RetryBudget {
   double free = 0, ratio = 0;
-  Span look_back{};
-  bool operator==(const Budget&) const = default;
+  Span window{};
+  bool operator==(const RetryBudget&) const = default;
 };
-// For a proxy that can't renew its lease: these classes go on, at these engines, for so long; all else is
-// refused. A successor may change neither while anybody may go on so.
-struct CutOff {
+// What a proxy may continue after its lease has expired: requests of these classes on these engines, for
+// `duration`. All others are rejected. A successor must not change the overrides of these classes, nor eject
+// these engines, because isolated proxies may still act on them.
+struct IsolationPolicy {
   std::set<std::string> classes, engines;
-  Span lasts{};
-  bool operator==(const CutOff&) const = default;
+  Span duration{};
+  bool operator==(const IsolationPolicy&) const = default;
 };
 
 struct Document {
   std::uint64_t format = 1;
-  std::optional<int> attempts;  // of a request
-  std::optional<Budget> further_attempts;
-  std::optional<int> open_most;
-  std::map<std::string, ClassRule> classes;
-  std::map<std::string, TenantRule> tenants;
-  std::map<std::string, TeamRule> teams;
-  std::set<std::string> out;  // engines, by hand
-  CutOff cut_off;
+  std::optional<int> max_attempts;  // attempts per request
+  std::optional<RetryBudget> retry_budget;
+  std::optional<int> max_open_requests;
+  std::map<std::string, ClassOverride> classes;
+  std::map<std::string, TenantOverride> tenants;
+  std::map<std::string, TeamOverride> teams;
+  std::set<std::string> ejected_engines;  // manually ejected
+  IsolationPolicy isolation;
   bool operator==(const Document&) const = default;
 };
 
-// The document, or what is wrong with the text.
-std::variant<Document, std::string> ReadDocument(std::string_view text);
-std::string WriteDocument(const Document& document);
+// What is wrong with a text.
+struct InvalidDocument {
+  struct Fault {
+    int line = 0, column = 0;  // from 1
+    std::string message;       // names the key and its value
+  };
+  bool is_syntax_error = false;  // the text is not KDL; otherwise what it says is wrong
+  std::vector<Fault> faults;     // in the order found; one of a syntax error
+  // For an operator, a line each.
+  std::string Text() const;
+};
+
+// Why a document must not follow another: proxies that are isolated may still act on the other.
+struct SuccessorConflict {
+  enum class Kind { kEjectsEngine, kChangesClass };
+  Kind kind = Kind::kEjectsEngine;
+  std::string name;           // of the engine or class
+  Span isolation_duration{};  // of the other document
+  std::string Text() const;
+};
+
+// Why a proxy cannot apply a document.
+struct IncompatibleDocument {
+  enum class Cause {
+    kFormat,
+    kUnknownClass,
+    kUnknownTenant,
+    kMaxAttempts,
+    kMaxOpenRequests,
+    kNoAdmissionQueue,
+    kUnknownTeam,
+  };
+  Cause cause = Cause::kFormat;
+  std::string name;             // of the unknown class, tenant or team
+  std::uint64_t supported = 0;  // by the proxy; with kFormat, kMaxAttempts and kMaxOpenRequests
+  std::uint64_t requested = 0;  // by the document; likewise
+  std::string Text() const;
+};
+
+// Parses and validates a text.
+[[nodiscard]] tl::expected<Document, InvalidDocument> ParseDocument(std::string_view text);
+std::string SerializeDocument(const Document& document);
 
-// Why the one can't follow the other; nothing where it can.
-std::string CheckSuccessor(const Document& from, const Document& to);
+// Checks that `to` may follow `from`.
+[[nodiscard]] tl::expected<void, SuccessorConflict> CheckSuccessor(const Document& from, const Document& to);
 
-// What differs, a line each: "class lookup effect: pure -> token".
+// Returns the differences, a line each: "~ class lookup effect: pure -> token". Lines begin with "+", "-" or
+// "~" for added, removed and changed.
 std::vector<std::string> Differences(const Document& from, const Document& to);
 
-// Why a proxy with these settings of its own can't carry it; nothing where it can. `teams`: of its waiting
-// line; null: it has none.
-std::string WhyNot(const Document& document, const settings::Site& own,
-                   const admission_queue::Settings* line);
+// Checks that a proxy with these settings can apply a document. `queue`: the settings of its admission queue;
+// null: it has none.
+[[nodiscard]] tl::expected<void, IncompatibleDocument> CheckCompatible(
+    const Document& document, const settings::Site& own, const admission_queue::Settings* queue);
 
-// Its own settings as the document changes them. WhyNot has nothing against it.
-settings::Site Applied(const Document& document, const settings::Site& own);
-admission_queue::Settings Applied(const Document& document, const admission_queue::Settings& own);
+// Returns a proxy's settings with the document's overrides. CheckCompatible must hold.
+settings::Site ApplyDocument(const Document& document, const settings::Site& own);
+admission_queue::Settings ApplyDocument(const Document& document, const admission_queue::Settings& own);
 
 }  // namespace lemoncroft::replicated_config
 
-#endif  // LEMONCROFT_RULES_DOCUMENT_H_
+#endif  // LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -12,7 +12,7 @@
 #include "testing/benchmark/peers.h"
 #include "testing/model_check/lease_world.h"
 #include "testing/model_check/raft_model.h"
-#include "testing/simulation/keeper_fleet.h"
+#include "testing/simulation/config_replica_fleet.h"
 #include "testing/simulation/loop_stall.h"
 #include "testing/simulation/store_workload.h"
 
@@ -20,14 +20,14 @@
 namespace {
 
 using nlohmann::ordered_json;
+using simulation::ConfigReplicaFleet;
 using simulation::Instant;
-using simulation::KeeperFleet;
 using namespace std::chrono_literals;
 
 constexpr int kRigs = 3, kTrialsEach = 14;
 constexpr double kStatedMs = 1200;
 
-// The trials that figures are taken of, on seven proxies.
+// The fault tests that are measured, on seven proxies.
 constexpr const char* kChanges = R"(trial "changes, no faults" {
   proxies 7; voters "n1" "n2" "n3"; load 20; changes 2; each-once #true; seed SEED
   at "20s" { heal }
@@ -87,7 +87,6 @@
   std::vector<std::string> outputs(kRigs);
   {
     std::vector<std::jthread> rigs;
-    rigs.reserve(kRigs);
     for (int i = 0; i < kRigs; ++i)
       rigs.emplace_back([&, i] {
         outputs[static_cast<std::size_t>(i)] =
@@ -137,12 +136,12 @@
   out["independent_files"] = {{"contradiction_ms_max", files.value("files_contradiction_ms", 0.0)}};
 }
 
-// What the leases of a hundred proxies cost, all of them together, as a part of one core for each.
+// The processor time of the leases of a hundred proxies, in percent of one core per proxy.
 double LeaseCostPercent(std::uint64_t seed) {
-  KeeperFleet::Plan plan;
+  ConfigReplicaFleet::Plan plan;
   plan.seed = seed;
   plan.proxies = 100;
-  KeeperFleet fleet(plan);
+  ConfigReplicaFleet fleet(plan);
   fleet.RunFor(3s);
   const std::clock_t begun = std::clock();
   fleet.RunFor(20s);
--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -1,13 +1,12 @@
-// Leases as a system to be searched: the real Holder and Granter under all orders of asking, granting,
-// losing, doubling, delaying, preparing, putting in force, lapsing and changing leaders.
+// Model of leases for exhaustive search: real LeaseHolders and LeaseGrantors under every order of requesting,
+// granting, losing, duplicating, delaying, preparing, activating, expiring and changing leaders.
 //
-// Contract. Time goes in beats of a quarter of a lease; anything may happen any number of times within one.
-// Of the log only what leases rest on is kept: nobody leads before the last leader's lease is over, and who
-// leads knows all that is committed (both are what the search of the log and its tests are for). Checked at
-// every state: once a version is in force nobody acts on an older one for longer than a lease. Budgets bound
-// it. Owner: a search.
-#ifndef LEMONCROFT_MODEL_LEASE_WORLD_H_
-#define LEMONCROFT_MODEL_LEASE_WORLD_H_
+// Contract: time advances in ticks of a quarter of a lease, with any number of events in one tick. Of the log
+// only what leases rely on is modelled: a leader starts after its predecessor's lease has expired, and knows
+// all that is committed. Invariant checked in each state: no holder acts on an older version for longer than
+// a lease after its successor was activated. LeaseBudget bounds the search. Owner: a search.
+#ifndef LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
+#define LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
 
 #include <array>
 #include <string>
@@ -19,60 +18,60 @@
 namespace lemoncroft::model_check {
 
 struct LeaseBudget {
-  int beats = 9, asks = 4, versions = 2, elections = 1, doubled = 1, crashes = 1;
-  std::size_t on_their_way = 3;
+  int ticks = 9, renewals = 4, versions = 2, elections = 1, duplicates = 1, crashes = 1;
+  std::size_t in_transit = 3;
 };
 
 class LeaseWorld {
  public:
   static constexpr std::size_t kHolders = 2, kLeaders = 2;
 
-  LeaseWorld(const replicated_config::Guards& guards, const LeaseBudget& budget);
+  LeaseWorld(const replicated_config::LeaseSafetyChecks& safety_checks, const LeaseBudget& budget);
 
   void Next(std::vector<LeaseWorld>& into) const;
   std::string Wrong() const { return wrong_; }
-  std::string Canonical() const;  // the least of the texts under both ways to name the holders
+  std::string Canonical() const;  // the smaller of the texts under both orders of the holders
 
  private:
   struct Leader {
-    replicated_config::Granter granter;
-    int lease_until = 0;                                  // beats
-    replicated_config::Version newest = 0, in_force = 0;  // committed, as far as it knows
+    replicated_config::LeaseGrantor grantor;
+    int lease_until = 0;                                                // in ticks
+    replicated_config::Version latest_version = 0, active_version = 0;  // committed, as far as it knows
   };
-  struct Letter {
+  struct InTransitMessage {
     bool grant = false;
     std::size_t holder = 0, leader = 0;
-    replicated_config::Renewal renewal;
-    replicated_config::Grant granted;
+    replicated_config::LeaseRenewal renewal;
+    replicated_config::LeaseGrant granted;
   };
 
-  replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kBeat); }
+  replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kTick); }
   bool Leads(std::size_t leader) const { return now_ < leaders_[leader].lease_until; }
-  void Deliver(const Letter& letter);
-  void Learn();  // who leads knows all that is committed
+  void Deliver(const InTransitMessage& message);
+  void Learn();  // a leader knows all that is committed
   void Check();
   std::string TextOf(std::size_t holder) const;
 
-  static constexpr replicated_config::Span kBeat = std::chrono::milliseconds(250);
-  static constexpr int kLeaseBeats = 4;
+  static constexpr replicated_config::Span kTick = std::chrono::milliseconds(250);
+  static constexpr int kLeaseTicks = 4;
 
-  replicated_config::Terms terms_;
-  LeaseBudget left_;
+  replicated_config::LeaseOptions options_;
+  LeaseBudget remaining_;
   int now_ = 0;
-  std::vector<replicated_config::Holder> holders_;
-  std::array<int, kHolders> asks_{};
+  std::vector<replicated_config::LeaseHolder> holders_;
+  std::array<int, kHolders> renewals_{};
   std::vector<Leader> leaders_;
-  std::size_t leader_ = 0;  // the newest
-  std::uint64_t reign_ = 1;
-  std::vector<Letter> letters_;
-  replicated_config::Version newest_ = 0, in_force_ = 0;
-  std::vector<int> in_force_at_;  // of each version, from 0 on
+  std::size_t leader_ = 0;  // the latest one
+  std::uint64_t leadership_epoch_ = 1;
+  std::vector<InTransitMessage> messages_;
+  replicated_config::Version latest_version_ = 0, active_version_ = 0;
+  std::vector<int> activated_at_;  // of each version, from 0 on
   std::string wrong_;
 };
 
-SearchResult SearchLeases(const replicated_config::Guards& guards, const LeaseBudget& budget,
-                          std::uint64_t most);
+SearchResult SearchLeases(const replicated_config::LeaseSafetyChecks& safety_checks,
+                          const LeaseBudget& budget, std::uint64_t most);
 
 }  // namespace lemoncroft::model_check
 
-#endif  // LEMONCROFT_MODEL_LEASE_WORLD_H_
+#endif  // LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
--- /dev/null
+++ b/src/testing/simulation/lease_fleet.h
@@ -0,0 +1,104 @@
+// A simulated fleet of LeaseHolders in virtual time, with a Raft log among voters and a LeaseGrantor at each.
+// It records which proxy could act on which version when.
+//
+// Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Versions have
+// no documents here, only numbers. All times are true time.
+#ifndef LEMONCROFT_SIMULATION_LEASE_FLEET_H_
+#define LEMONCROFT_SIMULATION_LEASE_FLEET_H_
+
+#include <map>
+#include <optional>
+#include <queue>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "replicated_config/lease.h"
+#include "testing/simulation/raft_cluster.h"
+
+namespace lemoncroft::simulation {
+
+class LeaseFleet {
+ public:
+  struct Plan {
+    std::uint64_t seed = 1;
+    std::size_t voters = 3, proxies = 7;
+    replicated_config::LeaseOptions lease_options;
+    double drift = 0.005;                                   // of each clock from true time
+    Instant fetch_delay = std::chrono::milliseconds(20);    // of a document
+    Instant stale_limit = std::chrono::milliseconds(1200);  // T of docs/agreement.md
+  };
+  explicit LeaseFleet(const Plan& plan);
+
+  // Proposes a version at the leader. Returns it, or nullopt where nobody leads.
+  std::optional<replicated_config::Version> Propose();
+  void Stall(std::size_t proxy, Instant span);  // and the voter on the same machine
+  void CrashVoter(std::size_t i) { voters_.Crash(i); }
+  void RestartVoter(std::size_t i);
+  void SetFetchDelay(std::size_t proxy, Instant span) { proxies_[proxy].fetch_delay = span; }
+  void Rate(std::size_t proxy, double rate) { proxies_[proxy].rate = rate; }
+  void RunFor(Instant span);
+  RaftCluster& voters() { return voters_; }
+  Links& links() { return voters_.links(); }
+  Instant now() const { return voters_.now(); }
+
+  std::optional<replicated_config::Version> UsableVersion(std::size_t proxy) const;
+  const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
+  // The longest time for which two proxies could act on different versions.
+  Instant contradiction() const { return longest_contradiction_; }
+  // Number of instants at which a proxy could act on a version more than `stale_limit` after a later one was
+  // first usable.
+  std::uint64_t stale() const { return stale_; }
+  // Number of instants at which a running proxy had a lease but not the document of the active version.
+  std::uint64_t uses_without_document() const { return uses_without_document_; }
+  bool ActiveEverywhere(replicated_config::Version version) const;
+
+ private:
+  struct Proxy {
+    explicit Proxy(const replicated_config::LeaseOptions& lease_options) : holder(lease_options) {}
+    replicated_config::LeaseHolder holder;
+    double rate = 1;
+    replicated_config::Time origin{};
+    Instant stalled_until{}, ask_at{}, fetch_delay{};
+    replicated_config::Version fetching_version = 0;
+  };
+  struct Leader {
+    explicit Leader(const replicated_config::LeaseOptions& lease_options) : grantor(lease_options) {}
+    replicated_config::LeaseGrantor grantor;
+    raft::Term term = 0;
+    replicated_config::Version latest_version = 0, active_version = 0, activating_version = 0;
+  };
+  struct ScheduledEvent {
+    Instant at{};
+    std::uint64_t order = 0;
+    std::size_t proxy = 0, voter = 0;
+    std::optional<replicated_config::LeaseRenewal> renewal;
+    std::optional<replicated_config::LeaseGrant> grant;
+    replicated_config::Version fetched_version = 0;
+    bool operator>(const ScheduledEvent& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
+  };
+
+  replicated_config::Time Local(const Proxy& proxy) const;
+  void Handle(const ScheduledEvent& happening);
+  void RunLeaderDuties(std::size_t i);
+  void RecordUse();
+
+  Plan plan_;
+  RaftCluster voters_;
+  std::mt19937_64 random_;
+  std::uint64_t order_ = 0, uses_without_document_ = 0;
+  replicated_config::Version proposed_ = 0;
+  std::vector<Proxy> proxies_;
+  std::vector<Leader> leaders_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  std::optional<Instant> contradiction_since_;
+  Instant longest_contradiction_{};
+  std::map<replicated_config::Version, Instant> first_acted_;
+  std::uint64_t stale_ = 0;
+};
+
+}  // namespace lemoncroft::simulation
+
+#endif  // LEMONCROFT_SIMULATION_LEASE_FLEET_H_
--- a/src/testing/simulation/rule_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -1,9 +1,9 @@
-// Checks what the gateways of a site do against the site's rules, from the outside: it hears of every
-// request, attempt, answer and list, and keeps a line of text for each breach.
+// Checks the invariants of a simulated site from the outside: it observes every request, attempt, response
+// and endpoint list of its gateways, and records a line of text for each violation.
 //
-// Contract. Deterministic; the caller's times never run backwards. It judges and changes nothing.
-#ifndef LEMONCROFT_STANDIN_RULE_CHECKER_H_
-#define LEMONCROFT_STANDIN_RULE_CHECKER_H_
+// Contract: deterministic; the caller's times never decrease. It changes nothing that it observes.
+#ifndef LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
+#define LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -24,9 +24,9 @@
   Nanos since = 0;
 };
 
-class RuleChecker {
+class SiteInvariantChecker {
  public:
-  explicit RuleChecker(const Site& site);
+  explicit SiteInvariantChecker(const Site& site);
 
   void Listed(Nanos now, int gateway, const std::vector<EngineEntry>& entries);
   void Taken(Nanos now, int gateway, const Request& request);
@@ -104,4 +104,4 @@
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_RULE_CHECKER_H_
+#endif  // LEMONCROFT_SIMULATION_SITE_INVARIANT_CHECKER_H_
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -278,21 +278,20 @@
 )";
 
 std::string Rewritten(std::string_view text) {
-  const auto read = replicated_config::ReadDocument(text);
-  if (const auto* wrong = std::get_if<std::string>(&read)) return *wrong;
-  return replicated_config::WriteDocument(std::get<replicated_config::Document>(read));
+  const auto read = replicated_config::ParseDocument(text);
+  return read ? replicated_config::SerializeDocument(*read) : read.error().Text();
 }
 
-TEST(RulesDocument_CanonicalText, ComesBackByteForByte) {
+TEST(ConfigDocument_CanonicalText, ComesBackByteForByte) {
   EXPECT_EQ(Rewritten(kWholeDocument), kWholeDocument);
   EXPECT_EQ(Rewritten(""), "format 1\n");
   EXPECT_EQ(Rewritten("format 2"), "format 2\n");
 }
 
-TEST(RulesDocument_WholeAgainstEmpty, DiffersInTheseLines) {
-  const auto whole = std::get<replicated_config::Document>(replicated_config::ReadDocument(kWholeDocument));
+TEST(ConfigDocument_WholeAgainstEmpty, DiffersInTheseLines) {
+  const replicated_config::Document whole = replicated_config::ParseDocument(kWholeDocument).value();
   replicated_config::Document changed = whole;
-  changed.attempts = 4;
+  changed.max_attempts = 4;
   EXPECT_EQ(replicated_config::Differences(whole, changed), std::vector<std::string>{"~ attempts: 3 -> 4"});
   std::string added;
   for (const std::string& line : replicated_config::Differences({}, whole)) added += line + "\n";
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -1,12 +1,12 @@
 // Pins the bytes between proxies and in the store: frames of the peer protocol, messages and durable records
-// of the log, notes on rules, entries and snapshots of the book of versions.
+// of the log, messages about the replicated configuration, entries and snapshots of its state machine.
 #include <gtest/gtest.h>
 
 #include "golden.h"
 #include "peer_transport/frame.h"
 #include "raft/codec.h"
-#include "replicated_config/book.h"
-#include "replicated_config/notes.h"
+#include "replicated_config/config_state_machine.h"
+#include "replicated_config/messages.h"
 
 namespace lemoncroft {
 namespace {
@@ -164,102 +164,104 @@
                 DurableCase("snapshot_full", FullSnapshot(), raft::DecodeSnapshot)});
 }
 
-// ---- Notes on rules ----
+// ---- Messages about the replicated configuration ----
 
-Case NoteCase(const std::string& name, replicated_config::NoteBody body,
-              const std::string& from = "proxy-1") {
-  return {name, replicated_config::Encode(replicated_config::Note{from, std::move(body)}),
+Case ConfigMessageCase(const std::string& name, replicated_config::MessageBody body,
+                       const std::string& from = "proxy-1") {
+  return {name, replicated_config::Encode(replicated_config::Message{from, std::move(body)}),
           [](std::string_view bytes) {
-            const auto read = replicated_config::DecodeNote(bytes);
+            const auto read = replicated_config::DecodeMessage(bytes);
             return read ? replicated_config::Encode(*read) : kUndecodable;
           }};
 }
 
 // Of each alternative the empty value, in the order of their numbers on the wire.
 template <std::size_t I = 0>
-void AddMinimalNotes(std::vector<Case>& cases) {
-  if constexpr (I < std::variant_size_v<replicated_config::NoteBody>) {
-    cases.push_back(NoteCase("minimal_" + std::to_string(I),
-                             std::variant_alternative_t<I, replicated_config::NoteBody>{}, ""));
-    AddMinimalNotes<I + 1>(cases);
+void AddMinimalMessages(std::vector<Case>& cases) {
+  if constexpr (I < std::variant_size_v<replicated_config::MessageBody>) {
+    cases.push_back(ConfigMessageCase("minimal_" + std::to_string(I),
+                                      std::variant_alternative_t<I, replicated_config::MessageBody>{}, ""));
+    AddMinimalMessages<I + 1>(cases);
   }
 }
 
-TEST(RulesNote_EachKind, HasGoldenBytes) {
+TEST(ConfigMessage_EachKind, HasGoldenBytes) {
   using namespace replicated_config;
   const std::vector<std::string> voters = {"proxy-1", "proxy-2"};
-  const Change change{"id-1", 70000, kBinary, "someone", 1700000000000};
+  const ConfigChange change{"id-1", 70000, kBinary, "someone", 1700000000000};
   std::vector<Case> cases = {
-      NoteCase("logged", Logged{raft::VoteRequest{true, false, kBig, 70000, 300}}),
-      NoteCase("renew", Renew{{kBig, 70000}, 2, 300}),
-      NoteCase("granted", Granted{{kBig, 70000, 70001, Span(-5'000'000'000), 300}, voters}),
-      NoteCase("elsewhere", Elsewhere{"proxy-2"}),
-      NoteCase("fetch", Fetch{70000}),
-      NoteCase("fetched", Fetched{70000, kBinary}),
-      NoteCase("propose", Propose{change}),
-      NoteCase("told_taken", Told{{"id-1", Verdict::kTaken, 70000, "why"}}),
-      NoteCase("told_conflict", Told{{"id-1", Verdict::kConflict, 70000, "why"}}),
-      NoteCase("told_refused", Told{{"id-1", Verdict::kRefused, 70000, "why"}}),
-      NoteCase("told_unknown", Told{{"id-1", Verdict::kUnknown, 70000, "why"}}),
-      NoteCase("ask", Ask{"id-1", kBinary}),
-      NoteCase("answer", Answer{"id-1", "why"}),
-      NoteCase("voters", Voters{"id-1", "proxy-2", true}),
-      NoteCase("read", Read{"id-1"}),
-      NoteCase("read_out", ReadOut{"id-1", 70001, 70000, voters}),
-      NoteCase("hello", Hello{kBig, true, 300, 200, 70000}),
-      NoteCase("hello_answer_blank", HelloAnswer{kBig, 300, Welcome::kBlank, {}}),
-      NoteCase("hello_answer_fine", HelloAnswer{kBig, 300, Welcome::kFine, {}}),
-      NoteCase("hello_answer_older", HelloAnswer{kBig, 300, Welcome::kOlder, {}}),
-      NoteCase("hello_answer_founded",
-               HelloAnswer{kBig, 300, Welcome::kFounded, {{"proxy-2", 2}, {"proxy-1", kBig}}}),
-      NoteCase("hello_answer_stranger", HelloAnswer{kBig, 300, Welcome::kStranger, {}}),
-      NoteCase("invite", Invite{kBig})};
-  AddMinimalNotes(cases);
+      ConfigMessageCase("logged", RaftMessage{raft::VoteRequest{true, false, kBig, 70000, 300}}),
+      ConfigMessageCase("renew", LeaseRequest{{kBig, 70000}, 2, 300}),
+      ConfigMessageCase("granted", LeaseResponse{{kBig, 70000, 70001, Span(-5'000'000'000), 300}, voters}),
+      ConfigMessageCase("elsewhere", NotLeader{"proxy-2"}),
+      ConfigMessageCase("fetch", DocumentRequest{70000}),
+      ConfigMessageCase("fetched", DocumentResponse{70000, kBinary}),
+      ConfigMessageCase("propose", ProposeRequest{change}),
+      ConfigMessageCase("told_taken", ProposalResult{{"id-1", ChangeStatus::kCommitted, 70000, "why"}}),
+      ConfigMessageCase("told_conflict", ProposalResult{{"id-1", ChangeStatus::kConflict, 70000, "why"}}),
+      ConfigMessageCase("told_refused", ProposalResult{{"id-1", ChangeStatus::kRejected, 70000, "why"}}),
+      ConfigMessageCase("told_unknown", ProposalResult{{"id-1", ChangeStatus::kUnknown, 70000, "why"}}),
+      ConfigMessageCase("ask", ValidateRequest{"id-1", kBinary}),
+      ConfigMessageCase("answer", ValidateResponse{"id-1", "why"}),
+      ConfigMessageCase("voters", VoterChange{"id-1", "proxy-2", true}),
+      ConfigMessageCase("read", ReadRequest{"id-1"}),
+      ConfigMessageCase("read_out", ReadResponse{"id-1", 70001, 70000, voters}),
+      ConfigMessageCase("hello", StoreHello{kBig, true, 300, 200, 70000}),
+      ConfigMessageCase("hello_answer_blank", StoreHelloResponse{kBig, 300, StoreOpinion::kEmptyStore, {}}),
+      ConfigMessageCase("hello_answer_fine", StoreHelloResponse{kBig, 300, StoreOpinion::kNoObjection, {}}),
+      ConfigMessageCase("hello_answer_older", StoreHelloResponse{kBig, 300, StoreOpinion::kStaleStore, {}}),
+      ConfigMessageCase(
+          "hello_answer_founded",
+          StoreHelloResponse{kBig, 300, StoreOpinion::kBootstrapVoter, {{"proxy-2", 2}, {"proxy-1", kBig}}}),
+      ConfigMessageCase("hello_answer_stranger",
+                        StoreHelloResponse{kBig, 300, StoreOpinion::kUnknownStore, {}}),
+      ConfigMessageCase("invite", AdmitVoter{kBig})};
+  AddMinimalMessages(cases);
   ExpectGolden("rules_notes.txt", cases);
 }
 
-// ---- The book of versions ----
+// ---- The state machine of versions ----
 
-replicated_config::Change ChangeFrom(replicated_config::Version from, const std::string& id) {
+replicated_config::ConfigChange ChangeFrom(replicated_config::Version from, const std::string& id) {
   return {id, from, "attempts " + std::to_string(from + 2) + "\n", "someone", 1700000000000};
 }
 
-Case BookCase(const std::string& name, const replicated_config::Book& book) {
-  return {name, book.Snapshot(), [](std::string_view bytes) {
-            replicated_config::Book read;
+Case StateMachineCase(const std::string& name, const replicated_config::ConfigStateMachine& state_machine) {
+  return {name, state_machine.Snapshot(), [](std::string_view bytes) {
+            replicated_config::ConfigStateMachine read;
             return read.Restore(bytes) ? read.Snapshot() : kUndecodable;
           }};
 }
 
-TEST(Book_EntriesAndSnapshots, HaveGoldenBytes) {
-  const std::string first = replicated_config::EntryOf(ChangeFrom(0, "id-1"));
-  const std::string second = replicated_config::EntryOf(ChangeFrom(1, "id-2"));
-  const std::string conflicting = replicated_config::EntryOf(ChangeFrom(1, "id-0"));
-  replicated_config::Book book;
+TEST(ConfigStateMachine_EntriesAndSnapshots, HaveGoldenBytes) {
+  const std::string first = replicated_config::EncodeEntry(ChangeFrom(0, "id-1"));
+  const std::string second = replicated_config::EncodeEntry(ChangeFrom(1, "id-2"));
+  const std::string conflicting = replicated_config::EncodeEntry(ChangeFrom(1, "id-0"));
+  replicated_config::ConfigStateMachine state_machine;
   for (const std::string& entry :
-       {first, replicated_config::EntryOf(replicated_config::Version{1}), second, conflicting})
-    book.Apply(entry);
+       {first, replicated_config::EncodeEntry(replicated_config::Version{1}), second, conflicting})
+    state_machine.Apply(entry);
   ExpectGolden("rules_book.txt",
-               {{"change_minimal", replicated_config::EntryOf(replicated_config::Change{}), {}},
-                {"change_full", replicated_config::EntryOf({"id-1", kBig, kBinary, "someone", -1}), {}},
-                {"force_minimal", replicated_config::EntryOf(replicated_config::Version{0}), {}},
-                {"force_full", replicated_config::EntryOf(replicated_config::Version{kBig}), {}},
-                BookCase("snapshot_minimal", replicated_config::Book()),
-                BookCase("snapshot_full", book)});
+               {{"change_minimal", replicated_config::EncodeEntry(replicated_config::ConfigChange{}), {}},
+                {"change_full", replicated_config::EncodeEntry({"id-1", kBig, kBinary, "someone", -1}), {}},
+                {"force_minimal", replicated_config::EncodeEntry(replicated_config::Version{0}), {}},
+                {"force_full", replicated_config::EncodeEntry(replicated_config::Version{kBig}), {}},
+                StateMachineCase("snapshot_minimal", replicated_config::ConfigStateMachine()),
+                StateMachineCase("snapshot_full", state_machine)});
 }
 
-TEST(Book_GoldenEntriesApplied, GiveTheGoldenSnapshot) {
+TEST(ConfigStateMachine_GoldenEntriesApplied, GiveTheGoldenSnapshot) {
   auto golden = golden::ReadFixture("rules_book.txt");
-  replicated_config::Book book;
-  const auto outcome = book.Apply(golden::FromHex(golden["change_minimal"]));
+  replicated_config::ConfigStateMachine state_machine;
+  const auto outcome = state_machine.Apply(golden::FromHex(golden["change_minimal"]));
   ASSERT_TRUE(outcome);
-  EXPECT_STREQ(replicated_config::NameOf(outcome->verdict), "taken");
-  EXPECT_EQ(book.newest(), 1u);
-  EXPECT_FALSE(book.Apply(golden::FromHex(golden["force_full"]))) << "of a version that isn't there";
-  EXPECT_EQ(book.in_force(), 0u);
-  const auto conflict = book.Apply(golden::FromHex(golden["change_full"]));
+  EXPECT_STREQ(replicated_config::NameOf(outcome->status), "taken");
+  EXPECT_EQ(state_machine.latest_version(), 1u);
+  EXPECT_FALSE(state_machine.Apply(golden::FromHex(golden["force_full"]))) << "of a version that isn't there";
+  EXPECT_EQ(state_machine.active_version(), 0u);
+  const auto conflict = state_machine.Apply(golden::FromHex(golden["change_full"]));
   ASSERT_TRUE(conflict);
-  EXPECT_STREQ(replicated_config::NameOf(conflict->verdict), "conflict");
+  EXPECT_STREQ(replicated_config::NameOf(conflict->status), "conflict");
   EXPECT_EQ(conflict->id, "id-1");
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -17,7 +17,7 @@
 #include "hot_restart/ejection_store.h"
 #include "hot_restart/process_registry.h"
 #include "raft/codec.h"
-#include "replicated_config/book.h"
+#include "replicated_config/config_state_machine.h"
 #include "storage/database.h"
 
 namespace lemoncroft {
@@ -162,21 +162,22 @@
   durable.snapshot.index = 5;
   durable.snapshot.term = 4;
   durable.snapshot.voters = {"n1", "n2", "n3"};
-  replicated_config::Book book;
+  replicated_config::ConfigStateMachine state_machine;
   for (const auto& change :
-       {replicated_config::Change{"n1-1", 0, kFirstText, "ada", 1700000000000},
-        replicated_config::Change{"n2-1", 1, kSecondText, "n2 exclude e7", 1700000001000},
-        replicated_config::Change{"n3-1", 1, kThirdText, "eve", 1700000002000}}) {
-    book.Apply(replicated_config::EntryOf(change));
-    if (change.from == 0) book.Apply(replicated_config::EntryOf(replicated_config::Version{1}));
+       {replicated_config::ConfigChange{"n1-1", 0, kFirstText, "ada", 1700000000000},
+        replicated_config::ConfigChange{"n2-1", 1, kSecondText, "n2 exclude e7", 1700000001000},
+        replicated_config::ConfigChange{"n3-1", 1, kThirdText, "eve", 1700000002000}}) {
+    state_machine.Apply(replicated_config::EncodeEntry(change));
+    if (change.base_version == 0)
+      state_machine.Apply(replicated_config::EncodeEntry(replicated_config::Version{1}));
   }
-  durable.snapshot.data = book.Snapshot();
+  durable.snapshot.data = state_machine.Snapshot();
   using raft::EntryKind;
-  const replicated_config::Change last{"n1-2", 2, kThirdText, "ada", 1700000003000};
+  const replicated_config::ConfigChange last{"n1-2", 2, kThirdText, "ada", 1700000003000};
   durable.log = {{5, 6, EntryKind::kNoOp, "", {}},
-                 {5, 7, EntryKind::kData, replicated_config::EntryOf(replicated_config::Version{2}), {}},
+                 {5, 7, EntryKind::kData, replicated_config::EncodeEntry(replicated_config::Version{2}), {}},
                  {6, 8, EntryKind::kVoters, "", {"n1", "n2", "n3", "n4"}},
-                 {6, 9, EntryKind::kData, replicated_config::EntryOf(last), {}}};
+                 {6, 9, EntryKind::kData, replicated_config::EncodeEntry(last), {}}};
   return durable;
 }
 
@@ -198,21 +199,22 @@
 }
 
 TEST_F(VoterStore, OfAnEarlierProcess_Restored_GivesTheDocumentsAndTheOutcomes) {
-  replicated_config::Book book;
-  ASSERT_TRUE(book.Restore(raft::DecodeSnapshot(contents_.records["snapshot"])->data));
-  EXPECT_EQ(book.newest(), 2u);
-  EXPECT_EQ(book.in_force(), 1u);
-  EXPECT_EQ(*book.Find(1), (replicated_config::Written{kFirstText, "ada", 1700000000000}));
-  EXPECT_EQ(*book.Find(2), (replicated_config::Written{kSecondText, "n2 exclude e7", 1700000001000}));
-  EXPECT_EQ(book.OutcomeOf("n2-1")->verdict, replicated_config::Verdict::kTaken);
-  EXPECT_EQ(book.OutcomeOf("n3-1")->verdict, replicated_config::Verdict::kConflict);
+  replicated_config::ConfigStateMachine state_machine;
+  ASSERT_TRUE(state_machine.Restore(raft::DecodeSnapshot(contents_.records["snapshot"])->data));
+  EXPECT_EQ(state_machine.latest_version(), 2u);
+  EXPECT_EQ(state_machine.active_version(), 1u);
+  EXPECT_EQ(*state_machine.Find(1), (replicated_config::VersionRecord{kFirstText, "ada", 1700000000000}));
+  EXPECT_EQ(*state_machine.Find(2),
+            (replicated_config::VersionRecord{kSecondText, "n2 exclude e7", 1700000001000}));
+  EXPECT_EQ(state_machine.FindOutcome("n2-1")->status, replicated_config::ChangeStatus::kCommitted);
+  EXPECT_EQ(state_machine.FindOutcome("n3-1")->status, replicated_config::ChangeStatus::kConflict);
   for (const auto& [number, bytes] : contents_.log) {
     const auto entry = raft::DecodeEntry(bytes);
-    if (entry->kind == raft::EntryKind::kData) book.Apply(entry->data);
+    if (entry->kind == raft::EntryKind::kData) state_machine.Apply(entry->data);
   }
-  EXPECT_EQ(book.newest(), 3u);
-  EXPECT_EQ(book.in_force(), 2u);
-  EXPECT_EQ(*book.Find(3), (replicated_config::Written{kThirdText, "ada", 1700000003000}));
+  EXPECT_EQ(state_machine.latest_version(), 3u);
+  EXPECT_EQ(state_machine.active_version(), 2u);
+  EXPECT_EQ(*state_machine.Find(3), (replicated_config::VersionRecord{kThirdText, "ada", 1700000003000}));
 }
 
 // ---- Engines that are out by hand ----
