--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -16,16 +16,17 @@
 namespace {
 
 using namespace std::chrono_literals;
-using gossip::Change;
+using gossip::EventType;
 using gossip::Member;
 using gossip::Status;
 using nlohmann::ordered_json;
 
-constexpr auto kStateBeat = 200ms;                        // of a file whose view has changed
-constexpr int kStateEvery = 5;                            // beats, where it has not
-constexpr int kTroubled = 3;                              // exit code
-constexpr double kHearsayLines = 50, kHearsayDepth = 10;  // of the log, a second; seconds of them at once
-constexpr std::uint64_t kUnloggedTold = 1000;
+constexpr auto kStateCheckInterval = 200ms;  // of a file whose view has changed
+constexpr int kStateRefreshChecks = 5;       // beats, where it has not
+constexpr int kExitUnhealthy = 3;            // exit code
+constexpr double kUnconfirmedLogLinesPerSecond = 50,
+                 kUnconfirmedLogBurstSeconds = 10;  // of the log, a second; seconds of them at once
+constexpr std::uint64_t kSuppressedLogInterval = 1000;
 
 const char* NameOf(Status status) {
   constexpr const char* kNames[] = {"alive", "suspected", "failed", "left"};
@@ -44,21 +45,22 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(runtime::Now().time_since_epoch()).count();
 }
 
-spdlog::level::level_enum LevelOf(Change change) {
+spdlog::level::level_enum LevelOf(EventType change) {
   switch (change) {
-    case Change::kChanged:
-    case Change::kFreed:
+    case EventType::kChanged:
+    case EventType::kReaped:
       return spdlog::level::debug;
-    case Change::kFailed:
-    case Change::kContested:
-    case Change::kHeld:
+    case EventType::kFailed:
+    case EventType::kNameConflict:
+    case EventType::kPaused:
       return spdlog::level::warn;
     default:
       return spdlog::level::info;
   }
 }
 
-peer_transport::Terms TermsOf(const operator_config::FleetSettings& settings, const std::string& name) {
+peer_transport::LinkOptions LinkOptionsOf(const operator_config::FleetSettings& settings,
+                                          const std::string& name) {
   return {settings.name, name, settings.zone, settings.listen, settings.advertise, settings.view};
 }
 
@@ -87,97 +89,99 @@
     std::printf("CONTESTED: two processes serve as %s\n", name.get<std::string>().c_str());
   const bool calm = state.at("suspected") == 0 && state.at("failed") == 0 && state.at("contested").empty() &&
                     state.at("views_differ") == 0;
-  return calm ? 0 : kTroubled;
+  return calm ? 0 : kExitUnhealthy;
 }
 
 }  // namespace
 
 Fleet::Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
-             std::uint64_t seed, std::function<void(const gossip::Standing&)> standing)
+             std::uint64_t seed, std::function<void(const gossip::ServingRank&)> serving_rank)
     : loop_(loop),
       settings_(settings),
-      standing_(std::move(standing)),
-      link_(loop, TermsOf(settings, name), seed, [this](const gossip::Event& event) { Heard(event); }) {}
+      on_serving_rank_(std::move(serving_rank)),
+      link_(loop, LinkOptionsOf(settings, name), seed,
+            [this](const gossip::Event& event) { HandleEvent(event); }) {}
 
 void Fleet::Start() {
   link_.Start();
-  spdlog::info("fleet {}: listens on {}, id {}", settings_.name, peer_transport::Text(link_.address()),
-               Hex(link_.view().roster().self()));
+  spdlog::info("fleet {}: listens on {}, id {}", settings_.name,
+               peer_transport::ToString(link_.listen_address()), Hex(link_.view().members().self()));
   loop_.Spawn(WriteState());
 }
 
 void Fleet::SetPhase(Operations::Phase phase) {
   link_.SetPhase(phase == Operations::Phase::kServing  ? gossip::Phase::kServing
-                 : phase == Operations::Phase::kEnding ? gossip::Phase::kEnding
+                 : phase == Operations::Phase::kEnding ? gossip::Phase::kDraining
                                                        : gossip::Phase::kStarting);
-  TellStanding();
+  NotifyServingRank();
 }
 
-void Fleet::TellStanding() {
+void Fleet::NotifyServingRank() {
   changed_ = true;
-  const gossip::Standing now = link_.view().standing();
-  if (now == told_ || now.place < 0) return;
-  told_ = now;
-  standing_(now);
+  const gossip::ServingRank now = link_.view().serving_rank();
+  if (now == notified_rank_ || now.rank < 0) return;
+  notified_rank_ = now;
+  on_serving_rank_(now);
 }
 
-void Fleet::Heard(const gossip::Event& event) {
-  const gossip::Record& r = event.record;
-  TellStanding();
+void Fleet::HandleEvent(const gossip::Event& event) {
+  const gossip::MemberRecord& r = event.record;
+  NotifyServingRank();
   // Who may have been invented must not fill the log.
-  const Member* about = link_.view().roster().Find(r.id);
-  if (about != nullptr && !about->proof && r.id != link_.view().roster().self() &&
-      !hearsay_.Take(runtime::Now().time_since_epoch().count(), kHearsayLines, kHearsayDepth)) {
-    if (unlogged_++ % kUnloggedTold == 0)
+  const Member* about = link_.view().members().Find(r.id);
+  if (about != nullptr && !about->last_direct_contact && r.id != link_.view().members().self() &&
+      !unconfirmed_log_budget_.Take(runtime::Now().time_since_epoch().count(), kUnconfirmedLogLinesPerSecond,
+                                    kUnconfirmedLogBurstSeconds)) {
+    if (suppressed_events_++ % kSuppressedLogInterval == 0)
       spdlog::warn("fleet: many members that gave no proof of life; {} events of them are not logged",
-                   unlogged_);
+                   suppressed_events_);
     return;
   }
-  const Member* by = link_.view().roster().Find(event.by);
+  const Member* by = link_.view().members().Find(event.reported_by);
   spdlog::log(
-      LevelOf(event.change),
+      LevelOf(event.type),
       "peers event={} name={} id={} generation={} incarnation={} phase={} address={} by={} mono_us={}",
-      gossip::NameOf(event.change), r.name, Hex(r.id), r.generation, r.incarnation, NameOf(r.phase),
-      peer_transport::Text(r.address), by == nullptr ? "-" : by->record.name, MonotonicUs());
-  if (event.change == Change::kContested)
+      gossip::NameOf(event.type), r.name, Hex(r.id), r.generation, r.incarnation, NameOf(r.phase),
+      peer_transport::ToString(r.address), by == nullptr ? "-" : by->record.name, MonotonicUs());
+  if (event.type == EventType::kNameConflict)
     spdlog::error("fleet: another process serves as {} too, at {}: one of the two has a wrong name", r.name,
-                  peer_transport::Text(r.address));
+                  peer_transport::ToString(r.address));
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> Fleet::Figures() const {
-  const gossip::View& view = link_.view();
-  const peer_transport::Figures& f = link_.figures();
+std::vector<std::pair<std::string, std::uint64_t>> Fleet::Metrics() const {
+  const gossip::MembershipView& view = link_.view();
+  const peer_transport::LinkMetrics& f = link_.metrics();
   std::uint64_t suspected = 0, faults = 0;
-  for (const auto& [id, member] : view.roster().all()) suspected += member.status == Status::kSuspect;
-  for (const std::uint64_t count : f.faults) faults += count;
-  return {{"fleet.alive", view.roster().living() - suspected},
+  for (const auto& [id, member] : view.members().all()) suspected += member.status == Status::kSuspect;
+  for (const std::uint64_t count : f.frame_errors) faults += count;
+  return {{"fleet.alive", view.members().live_count() - suspected},
           {"fleet.suspected", suspected},
-          {"fleet.failed", view.roster().failed().size()},
-          {"fleet.serving", static_cast<std::uint64_t>(view.standing().serving)},
-          {"fleet.differing", view.differing()},
-          {"fleet.health", static_cast<std::uint64_t>(view.health())},
+          {"fleet.failed", view.members().failed().size()},
+          {"fleet.serving", static_cast<std::uint64_t>(view.serving_rank().serving_count)},
+          {"fleet.differing", view.diverged_count()},
+          {"fleet.health", static_cast<std::uint64_t>(view.local_health())},
           {"fleet.sent", f.sent},
           {"fleet.sent_bytes", f.sent_bytes},
-          {"fleet.unsent", f.unsent},
+          {"fleet.unsent", f.send_failures},
           {"fleet.received", f.received},
-          {"fleet.exchanges", f.exchanges},
-          {"fleet.exchanges_failed", f.exchanges_failed},
-          {"fleet.exchange_bytes", f.exchange_bytes},
-          {"fleet.parcel_bytes", f.parcel_bytes},
-          {"fleet.refused", view.refused()},
+          {"fleet.exchanges", f.syncs},
+          {"fleet.exchanges_failed", f.syncs_failed},
+          {"fleet.exchange_bytes", f.sync_bytes},
+          {"fleet.parcel_bytes", f.app_message_bytes},
+          {"fleet.refused", view.rejected()},
           {"fleet.dropped", faults}};
 }
 
 std::string Fleet::StateText() const {
-  const gossip::View& view = link_.view();
-  const gossip::Roster& roster = view.roster();
+  const gossip::MembershipView& view = link_.view();
+  const gossip::MemberTable& table = view.members();
   const runtime::Time now = runtime::Now();
   const auto seconds = [now](runtime::Time since) {
     return std::chrono::duration<double>(now - since).count();
   };
   std::vector<const Member*> members;
   std::size_t suspected = 0;
-  for (const auto& [id, member] : roster.all()) {
+  for (const auto& [id, member] : table.all()) {
     members.push_back(&member);
     suspected += member.status == Status::kSuspect;
   }
@@ -185,51 +189,52 @@
     return std::tie(a->record.name, a->record.generation, a->record.id) <
            std::tie(b->record.name, b->record.generation, b->record.id);
   });
-  const gossip::Standing standing = view.standing();
-  ordered_json out = {{"proxy", roster.own().record.name},
+  const gossip::ServingRank serving_rank = view.serving_rank();
+  ordered_json out = {{"proxy", table.own().record.name},
                       {"fleet", settings_.name},
                       {"at_unix_ms", UnixMs()},
                       {"mono_us", MonotonicUs()},
-                      {"id", Hex(roster.self())},
-                      {"digest", Hex(roster.digest())},
-                      {"alive", roster.living() - suspected},
+                      {"id", Hex(table.self())},
+                      {"digest", Hex(table.digest())},
+                      {"alive", table.live_count() - suspected},
                       {"suspected", suspected},
-                      {"failed", roster.failed().size()},
-                      {"serving", standing.serving},
-                      {"place", standing.place},
-                      {"health", view.health()},
-                      {"views_differ", view.differing()},
+                      {"failed", table.failed().size()},
+                      {"serving", serving_rank.serving_count},
+                      {"place", serving_rank.rank},
+                      {"health", view.local_health()},
+                      {"views_differ", view.diverged_count()},
                       {"turn_us_p99", link_.turns().Percentile(0.99)},
-                      {"contested", view.contested()},
+                      {"contested", view.name_conflicts()},
                       {"members", ordered_json::array()}};
   for (const Member* m : members) {
-    const gossip::Record& r = m->record;
+    const gossip::MemberRecord& r = m->record;
     ordered_json by = ordered_json::array();
     if (m->status == Status::kSuspect) {
-      for (const gossip::InstanceId id : m->accusers) {
-        const Member* accuser = roster.Find(id);
+      for (const gossip::InstanceId id : m->suspected_by) {
+        const Member* accuser = table.Find(id);
         by.push_back(accuser == nullptr ? Hex(id) : accuser->record.name);
       }
     }
     ordered_json attributes = ordered_json::object();
     for (const gossip::Attribute& a : r.attributes) attributes[a.key] = a.value;
-    const bool self = r.id == roster.self();
-    out["members"].push_back({{"name", r.name},
-                              {"id", Hex(r.id)},
-                              {"self", self},
-                              {"status", NameOf(m->status)},
-                              {"phase", NameOf(r.phase)},
-                              {"generation", r.generation},
-                              {"incarnation", r.incarnation},
-                              {"zone", r.zone},
-                              {"address", peer_transport::Text(r.address)},
-                              {"proof_s", self       ? ordered_json(0.0)
-                                          : m->proof ? ordered_json(seconds(*m->proof))
-                                                     : ordered_json()},
-                              {"since_s", self ? 0.0 : seconds(m->since)},
-                              {"suspected_by", std::move(by)},
-                              {"differs", view.Differs(r.id)},
-                              {"attributes", std::move(attributes)}});
+    const bool self = r.id == table.self();
+    out["members"].push_back(
+        {{"name", r.name},
+         {"id", Hex(r.id)},
+         {"self", self},
+         {"status", NameOf(m->status)},
+         {"phase", NameOf(r.phase)},
+         {"generation", r.generation},
+         {"incarnation", r.incarnation},
+         {"zone", r.zone},
+         {"address", peer_transport::ToString(r.address)},
+         {"proof_s", self                     ? ordered_json(0.0)
+                     : m->last_direct_contact ? ordered_json(seconds(*m->last_direct_contact))
+                                              : ordered_json()},
+         {"since_s", self ? 0.0 : seconds(m->status_since)},
+         {"suspected_by", std::move(by)},
+         {"differs", view.HasDiverged(r.id)},
+         {"attributes", std::move(attributes)}});
   }
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace) + "\n";
 }
@@ -237,8 +242,8 @@
 runtime::Task<> Fleet::WriteState() {
   if (settings_.state.empty()) co_return;
   StateWriter writer;
-  for (int beat = 0;; ++beat, co_await loop_.Sleep(kStateBeat)) {
-    if (!changed_ && beat % kStateEvery != 0) continue;
+  for (int beat = 0;; ++beat, co_await loop_.Sleep(kStateCheckInterval)) {
+    if (!changed_ && beat % kStateRefreshChecks != 0) continue;
     changed_ = false;
     writer.Write(settings_.state, StateText());
   }
--- a/src/cli/fleet.h
+++ b/src/cli/fleet.h
@@ -20,30 +20,30 @@
  public:
   // `standing`: called at each change of how many proxies serve and of this one's place among them.
   Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
-        std::uint64_t seed, std::function<void(const gossip::Standing&)> standing);
+        std::uint64_t seed, std::function<void(const gossip::ServingRank&)> serving_rank);
 
   void Start();
   void SetPhase(Operations::Phase phase);
   runtime::Task<> Leave() { return link_.Leave(); }
-  std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
+  std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
   const operator_config::FleetSettings& settings() const { return settings_; }
   peer_transport::Link& link() { return link_; }
-  const gossip::View& view() const { return link_.view(); }
+  const gossip::MembershipView& view() const { return link_.view(); }
 
  private:
-  void Heard(const gossip::Event& event);
-  void TellStanding();
+  void HandleEvent(const gossip::Event& event);
+  void NotifyServingRank();
   std::string StateText() const;
   runtime::Task<> WriteState();
 
   runtime::Loop& loop_;
   operator_config::FleetSettings settings_;
-  std::function<void(const gossip::Standing&)> standing_;
-  gossip::Standing told_;
+  std::function<void(const gossip::ServingRank&)> on_serving_rank_;
+  gossip::ServingRank notified_rank_;
   peer_transport::Link link_;
-  bool changed_ = true;          // since the file was written
-  limits::TokenBucket hearsay_;  // log lines of members that gave no proof of life
-  std::uint64_t unlogged_ = 0;
+  bool changed_ = true;                         // since the file was written
+  limits::TokenBucket unconfirmed_log_budget_;  // log lines of members that gave no proof of life
+  std::uint64_t suppressed_events_ = 0;
 };
 
 // Prints what the file tells; 0, or 1 where there is none, it can't be read or is no longer kept up to date,
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -389,10 +389,10 @@
   if (file.fleet) {
     fleet = std::make_unique<Fleet>(
         loop, *file.fleet, config.name, config.seed,
-        [&](const gossip::Standing& standing) { broker.TellSiblings(standing.serving, standing.place); });
+        [&](const gossip::ServingRank& own) { broker.TellSiblings(own.serving_count, own.rank); });
     operations.on_phase = [&](Operations::Phase phase) { fleet->SetPhase(phase); };
     operations.AddFigures([&] {
-      auto figures = fleet->Figures();
+      auto figures = fleet->Metrics();
       if (rules == nullptr) return figures;
       const auto more = rules->Figures();
       figures.insert(figures.end(), more.begin(), more.end());
--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -167,7 +167,7 @@
       directory_(directory),
       tell_(std::move(tell)),
       own_(std::move(own)),
-      keeper_(TermsOf(settings, name), fleet.view().roster().self(), ChecksOf(), Draw(), Now()),
+      keeper_(TermsOf(settings, name), fleet.view().members().self(), ChecksOf(), Draw(), Now()),
       tell_pace_(Draw()) {
   const bool votes = std::find(settings.voters.begin(), settings.voters.end(), name) != settings.voters.end();
   if (votes && settings.store.empty())
@@ -175,10 +175,10 @@
   if (!settings.store.empty())
     worker_ = std::make_unique<storage::Worker>(
         loop, storage::Database::Terms{settings.store, fleet.settings().name + "/" + name});
-  fleet_.link().on_parcel = [this](const peer_transport::Parcel& parcel) {
-    if (parcel.part != peer_transport::Part::kRules) return;
-    if (const auto note = replicated_config::DecodeNote(parcel.bytes)) {
-      keeper_.Receive(Now(), parcel.from, *note);
+  fleet_.link().on_app_message = [this](const peer_transport::AppMessage& message) {
+    if (message.subsystem != peer_transport::Subsystem::kReplicatedConfig) return;
+    if (const auto note = replicated_config::DecodeNote(message.bytes)) {
+      keeper_.Receive(Now(), message.sender, *note);
       Pump();
     }
   };
@@ -229,7 +229,7 @@
     const bool lives = m.status == gossip::Status::kAlive || m.status == gossip::Status::kSuspect;
     return std::tuple(lives, store, m.record.generation);
   };
-  for (const auto& [id, member] : fleet_.view().roster().all())
+  for (const auto& [id, member] : fleet_.view().members().all())
     if (member.record.name == name && (best == nullptr || rank(member) > rank(*best))) best = &member;
   return best;
 }
@@ -239,9 +239,9 @@
     const auto* name = std::get_if<raft::NodeId>(&post->to);
     const gossip::Member* to =
         name != nullptr ? Reach(*name)
-                        : fleet_.view().roster().Find(std::get<replicated_config::Instance>(post->to));
+                        : fleet_.view().members().Find(std::get<replicated_config::Instance>(post->to));
     if (to != nullptr)
-      fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
+      fleet_.link().Send(to->record.address, peer_transport::Subsystem::kReplicatedConfig,
                          replicated_config::Encode(post->note));
   } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
     Write(keep->store.number, BatchOf(keep->store));
@@ -432,20 +432,20 @@
                   MonoUs(Now()));
     const std::string shown = std::to_string(applied_) + "/" + std::to_string(keeper_.holder().prepared()) +
                               (cut_off ? "/cut-off" : "");
-    const gossip::Roster& roster = fleet_.view().roster();
-    if (tell_pace_.MayTell(Now(), shown != shown_, roster.living())) {
+    const gossip::MemberTable& members = fleet_.view().members();
+    if (tell_pace_.MayTell(Now(), shown != shown_, members.live_count())) {
       shown_ = shown;
       fleet_.link().SetAttribute(kRulesKey, shown);
     }
-    if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) SetPeers();
+    if (std::exchange(peers_as_of_, members.change_count()) != members.change_count()) SetPeers();
   }
 }
 
 void Rules::SetPeers() {
   std::vector<replicated_config::Instance> others;
-  const gossip::Roster& roster = fleet_.view().roster();
-  for (const auto& [id, member] : roster.all())
-    if (member.status == gossip::Status::kAlive && id != roster.self()) others.push_back(id);
+  const gossip::MemberTable& members = fleet_.view().members();
+  for (const auto& [id, member] : members.all())
+    if (member.status == gossip::Status::kAlive && id != members.self()) others.push_back(id);
   keeper_.SetPeers(std::move(others));
 }
 
@@ -473,7 +473,7 @@
 
 std::string Rules::DrawId() const {
   return fmt::format("{}-{:08x}-{}", name_.substr(0, 24),
-                     static_cast<std::uint32_t>(fleet_.view().roster().self() >> 32), ++ids_);
+                     static_cast<std::uint32_t>(fleet_.view().members().self() >> 32), ++ids_);
 }
 
 Task<replicated_config::Finished> Rules::Await(std::string id) {
@@ -606,11 +606,11 @@
     out["commit"] = raft->commit();
     out["holders"] = keeper_.Holders(now);
   }
-  for (const auto& [id, member] : fleet_.view().roster().all()) {
+  for (const auto& [id, member] : fleet_.view().members().all()) {
     std::string told;
     for (const gossip::Attribute& a : member.record.attributes)
       if (a.key == kRulesKey) told = a.value;
-    const bool self = id == fleet_.view().roster().self();
+    const bool self = id == fleet_.view().members().self();
     out["proxies"].push_back({{"name", member.record.name},
                               {"generation", member.record.generation},
                               {"alive", member.status == gossip::Status::kAlive},
@@ -624,9 +624,9 @@
   for (const std::string& name : settings_.voters) {
     const gossip::Member* voter = Reach(name);
     if (voter == nullptr || voter->status == gossip::Status::kFailed || name == name_) continue;
-    auto answer = co_await peer_transport::Call(
+    auto answer = co_await peer_transport::CallPeer(
         loop_, fleet_.settings().name, peer_transport::ToAddress(voter->record.address), bytes,
-        Now() + kForwardPatience, peer_transport::ToAddress(fleet_.link().address()));
+        Now() + kForwardPatience, peer_transport::ToAddress(fleet_.link().listen_address()));
     if (answer) co_return std::move(*answer);
   }
   co_return Error("no voter answers");
--- a/src/cli/rules.h
+++ b/src/cli/rules.h
@@ -107,7 +107,7 @@
   Own own_;
   replicated_config::Keeper keeper_;
   replicated_config::TellPace tell_pace_;
-  std::uint64_t peers_as_of_ = 0;  // the roster's changes when the keeper was told its peers
+  std::uint64_t peers_as_of_ = 0;  // the members's changes when the keeper was told its peers
   runtime::Gate sooner_, hands_changed_;
   runtime::Time planned_ = runtime::kNever;
 
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -38,8 +38,8 @@
     runtime::Loop loop;
     bool answered = false;
     const auto ask = [&]() -> runtime::Task<> {
-      const auto bytes =
-          co_await peer_transport::Call(loop, command.fleet, *address, call.dump(), Now() + kAnswerWithin);
+      const auto bytes = co_await peer_transport::CallPeer(loop, command.fleet, *address, call.dump(),
+                                                           Now() + kAnswerWithin);
       if (bytes) {
         answer = ordered_json::parse(*bytes, nullptr, false);
         answered = answer.is_object();
--- a/src/gossip/types.cpp
+++ b/src/gossip/types.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // MessagePack: a number takes 9 bytes at the most, a short text or array a header of up to 3.
-constexpr std::size_t kNumber = 9, kHeader = 3;
+constexpr std::size_t kMaxNumberBytes = 9, kMaxHeaderBytes = 3;
 
 bool Printable(const std::string& text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
@@ -14,27 +14,29 @@
 
 }  // namespace
 
-bool Fits(const Record& record) {
-  if (record.id == kNobody || !record.address) return false;
-  if (record.name.empty() || record.name.size() > kNameMost || !Printable(record.name)) return false;
-  if (record.zone.size() > kZoneMost || !Printable(record.zone)) return false;
-  if (record.phase > Phase::kEnding || record.incarnation > kIncarnationMost) return false;
-  if (record.attributes.size() > kAttributesMost) return false;
+bool IsWithinLimits(const MemberRecord& record) {
+  if (record.id == kNoInstance || !record.address) return false;
+  if (record.name.empty() || record.name.size() > kMaxNameBytes || !Printable(record.name)) return false;
+  if (record.zone.size() > kMaxZoneBytes || !Printable(record.zone)) return false;
+  if (record.phase > Phase::kDraining || record.incarnation > kMaxIncarnation) return false;
+  if (record.attributes.size() > kMaxAttributes) return false;
   return std::all_of(record.attributes.begin(), record.attributes.end(), [](const Attribute& a) {
-    return !a.key.empty() && a.key.size() <= kKeyMost && a.value.size() <= kValueMost && Printable(a.key);
+    return !a.key.empty() && a.key.size() <= kMaxAttributeKeyBytes &&
+           a.value.size() <= kMaxAttributeValueBytes && Printable(a.key);
   });
 }
 
-std::size_t EncodedMost(const Record& record) {
-  std::size_t size = kHeader + 5 * kNumber + 2 + 2 * kHeader + record.name.size() + record.zone.size();
-  size += kHeader;
-  for (const Attribute& a : record.attributes) size += 2 * kHeader + a.key.size() + a.value.size();
+std::size_t MaxEncodedSize(const MemberRecord& record) {
+  std::size_t size = kMaxHeaderBytes + 5 * kMaxNumberBytes + 2 + 2 * kMaxHeaderBytes + record.name.size() +
+                     record.zone.size();
+  size += kMaxHeaderBytes;
+  for (const Attribute& a : record.attributes) size += 2 * kMaxHeaderBytes + a.key.size() + a.value.size();
   return size;
 }
 
-std::size_t EncodedMost(const News& news) {
-  constexpr std::size_t kShort = kHeader + 1 + 3 * kNumber;
-  return news.status == Status::kAlive ? kShort + EncodedMost(news.record) : kShort;
+std::size_t MaxEncodedSize(const MemberUpdate& update) {
+  constexpr std::size_t kMaxStatusBytes = kMaxHeaderBytes + 1 + 3 * kMaxNumberBytes;
+  return update.status == Status::kAlive ? kMaxStatusBytes + MaxEncodedSize(update.record) : kMaxStatusBytes;
 }
 
 }  // namespace lemoncroft::gossip
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -88,7 +88,7 @@
   command.fleet = file.fleet->name;
   if (command.at.empty())
     for (const gossip::Endpoint& listen : file.fleet->listen)
-      command.at.push_back(peer_transport::Text(listen));
+      command.at.push_back(peer_transport::ToString(listen));
   if (command.store.empty()) command.store = file.rules->store;
   if (command.who.empty()) command.who = config.name;
 }
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -54,7 +54,7 @@
   FleetSettings out;
   KdlNode name = node;
   name.children.clear();
-  ReadName(name, peer_transport::kFleetMost, out.name, faults);
+  ReadName(name, peer_transport::kMaxFleetNameBytes, out.name, faults);
   std::set<std::string> given;
   const auto noted = [&](auto read) {
     return [&given, read](const KdlNode& n) {
@@ -66,11 +66,11 @@
       {"listen", noted([&](const KdlNode& n) { out.listen = ReadEndpoints(n, kListensMost, faults); })},
       {"advertise", noted([&](const KdlNode& n) { out.advertise = ReadEndpoints(n, kListensMost, faults); })},
       {"seeds", noted([&](const KdlNode& n) { out.view.seeds = ReadEndpoints(n, kSeedsMost, faults); })},
-      {"zone", [&](const KdlNode& n) { ReadName(n, gossip::kZoneMost, out.zone, faults); }},
+      {"zone", [&](const KdlNode& n) { ReadName(n, gossip::kMaxZoneBytes, out.zone, faults); }},
       {"state-file", [&](const KdlNode& n) { ReadText(n, out.state, faults); }},
-      {"period", [&](const KdlNode& n) { ReadSpan(n, 50ms, 10s, out.view.period, faults); }},
-      {"remember", [&](const KdlNode& n) { ReadSpan(n, 1s, 24h, out.view.remember, faults); }},
-      {"most", [&](const KdlNode& n) { ReadCount(n, kMembersMost, out.view.most, faults); }},
+      {"period", [&](const KdlNode& n) { ReadSpan(n, 50ms, 10s, out.view.probe_interval, faults); }},
+      {"remember", [&](const KdlNode& n) { ReadSpan(n, 1s, 24h, out.view.failed_retention, faults); }},
+      {"most", [&](const KdlNode& n) { ReadCount(n, kMembersMost, out.view.max_members, faults); }},
   };
   ReadBlock(node.children, known, {}, faults);
   if (!given.contains("listen"))
@@ -82,8 +82,8 @@
     faults.Add(node.place, "fleet: `advertise` needs an address for each of `listen`");
   for (const gossip::Endpoint& told : out.advertise)
     if (told.host == 0) faults.Add(node.place, "fleet: nobody can reach 0.0.0.0: give `advertise`");
-  if (out.view.most < 2) faults.Add(node.place, "most: a fleet has two members and more");
-  if (out.view.remember < kRememberPeriods * out.view.period)
+  if (out.view.max_members < 2) faults.Add(node.place, "most: a fleet has two members and more");
+  if (out.view.failed_retention < kRememberPeriods * out.view.probe_interval)
     faults.Add(node.place, "remember: shorter than " + std::to_string(kRememberPeriods) + " periods");
   return out;
 }
--- a/src/operator_config/rules_block.cpp
+++ b/src/operator_config/rules_block.cpp
@@ -17,8 +17,8 @@
 
 void ReadVoters(const KdlNode& node, std::vector<std::string>& out, Faults& faults) {
   for (const KdlValue& value : node.arguments) {
-    const bool name =
-        value.kind == KdlValue::Kind::kText && !value.text.empty() && value.text.size() <= gossip::kNameMost;
+    const bool name = value.kind == KdlValue::Kind::kText && !value.text.empty() &&
+                      value.text.size() <= gossip::kMaxNameBytes;
     if (!name)
       faults.Add(value.place, "voters: expected names of proxies");
     else if (std::find(out.begin(), out.end(), value.text) != out.end())
--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -17,15 +17,15 @@
 using Reader = codec::MsgpackReader;
 
 constexpr char kMagic[] = {'L', 'C'};
-static_assert(gossip::kExchangeBytesMost + (std::size_t{16} << 10) < kStreamMost,
+static_assert(gossip::kMaxSyncBytes + (std::size_t{16} << 10) < kMaxStreamMessageBytes,
               "beside its sender and sums");
 
-constexpr codec::MsgpackBounds kBounds{16384, 256, kStreamMost, 8};
+constexpr codec::MsgpackBounds kBounds{16384, 256, kMaxStreamMessageBytes, 8};
 
 // The kinds of messages and bodies on the wire: never renumbered.
-enum class Kind : std::uint8_t { kDatagram = 0, kOpening = 1, kEntries = 2, kParcel = 3 };
+enum class Kind : std::uint8_t { kDatagram = 0, kSyncRequest = 1, kSyncEntries = 2, kAppMessage = 3 };
 
-void Pack(Packer& to, const Record& r) {
+void Pack(Packer& to, const MemberRecord& r) {
   to.pack_array(9);
   to.pack(r.id);
   to.pack(r.name);
@@ -42,61 +42,61 @@
   }
 }
 
-void Pack(Packer& to, const std::vector<News>& all) {
+void Pack(Packer& to, const std::vector<MemberUpdate>& all) {
   to.pack_array(static_cast<std::uint32_t>(all.size()));
-  for (const News& news : all) {
-    const bool whole = news.status == Status::kAlive;
-    to.pack_array(whole ? 2 : 4);
-    to.pack(static_cast<std::uint8_t>(news.status));
-    if (whole) {
-      Pack(to, news.record);
+  for (const MemberUpdate& update : all) {
+    const bool has_record = update.status == Status::kAlive;
+    to.pack_array(has_record ? 2 : 4);
+    to.pack(static_cast<std::uint8_t>(update.status));
+    if (has_record) {
+      Pack(to, update.record);
     } else {
-      to.pack(news.record.id);
-      to.pack(news.record.incarnation);
-      to.pack(news.from);
+      to.pack(update.record.id);
+      to.pack(update.record.incarnation);
+      to.pack(update.reported_by);
     }
   }
 }
 
-void Pack(Packer& to, const Sums& sums) {
-  to.pack_array(kBuckets);
-  for (const std::uint64_t sum : sums) to.pack(sum);
+void Pack(Packer& to, const BucketSums& bucket_sums) {
+  to.pack_array(kDigestBuckets);
+  for (const std::uint64_t sum : bucket_sums) to.pack(sum);
 }
 
-void Pack(Packer& to, const Body& body) {
+void Pack(Packer& to, const DatagramBody& body) {
   to.pack_array(5);
   to.pack(static_cast<std::uint8_t>(body.index()));
-  std::uint32_t number = 0;
-  InstanceId id = kNobody;
+  std::uint32_t sequence = 0;
+  InstanceId id = kNoInstance;
   Endpoint address;
   std::visit(
       [&](const auto& b) {
         using B = std::decay_t<decltype(b)>;
-        if constexpr (!std::is_same_v<B, Gossip>) number = b.number;
+        if constexpr (!std::is_same_v<B, Gossip>) sequence = b.sequence;
         if constexpr (std::is_same_v<B, Ping> || std::is_same_v<B, PingRequest>) id = b.target;
-        if constexpr (std::is_same_v<B, Ack>) id = b.of;
+        if constexpr (std::is_same_v<B, Ack>) id = b.target;
         if constexpr (std::is_same_v<B, PingRequest>) address = b.address;
       },
       body);
-  to.pack(number);
+  to.pack(sequence);
   to.pack(id);
   to.pack(address.host);
   to.pack(address.port);
 }
 
-Record ReadRecord(const Object& from) {
+MemberRecord ReadRecord(const Object& from) {
   Reader in(from);
-  Record r;
+  MemberRecord r;
   r.id = in.Take<std::uint64_t>();
   r.name = in.Take<std::string>();
   r.address.host = in.Take<std::uint32_t>();
   r.address.port = in.Take<std::uint16_t>();
   r.zone = in.Take<std::string>();
-  r.phase = in.Enum(Phase::kEnding);
+  r.phase = in.Enum(Phase::kDraining);
   r.generation = in.Take<std::uint32_t>();
   r.incarnation = in.Take<std::uint64_t>();
   Reader attributes(in.Next());
-  if (attributes.left() > 2 * kAttributesMost || attributes.left() % 2 != 0) throw msgpack::type_error();
+  if (attributes.left() > 2 * kMaxAttributes || attributes.left() % 2 != 0) throw msgpack::type_error();
   while (attributes.left() > 0) {
     Attribute a;
     a.key = attributes.Take<std::string>();
@@ -106,51 +106,51 @@
   return r;
 }
 
-std::vector<News> ReadNews(const Object& from) {
+std::vector<MemberUpdate> ReadUpdates(const Object& from) {
   Reader in(from);
-  std::vector<News> all;
+  std::vector<MemberUpdate> all;
   while (in.left() > 0) {
     Reader one(in.Next());
-    News news;
-    news.status = one.Enum(Status::kLeft);
-    if (news.status == Status::kAlive) {
-      news.record = ReadRecord(one.Next());
+    MemberUpdate update;
+    update.status = one.Enum(Status::kLeft);
+    if (update.status == Status::kAlive) {
+      update.record = ReadRecord(one.Next());
     } else {
-      news.record.id = one.Take<std::uint64_t>();
-      news.record.incarnation = one.Take<std::uint64_t>();
-      news.from = one.Take<std::uint64_t>();
+      update.record.id = one.Take<std::uint64_t>();
+      update.record.incarnation = one.Take<std::uint64_t>();
+      update.reported_by = one.Take<std::uint64_t>();
     }
-    all.push_back(std::move(news));
+    all.push_back(std::move(update));
   }
   return all;
 }
 
-Sums ReadSums(const Object& from) {
+BucketSums ReadSums(const Object& from) {
   Reader in(from);
-  Sums sums{};
-  for (std::uint64_t& sum : sums) sum = in.Take<std::uint64_t>();
-  return sums;
+  BucketSums bucket_sums{};
+  for (std::uint64_t& sum : bucket_sums) sum = in.Take<std::uint64_t>();
+  return bucket_sums;
 }
 
-Body ReadBody(const Object& from) {
+DatagramBody ReadBody(const Object& from) {
   Reader in(from);
   const auto kind = in.Take<std::uint8_t>();
-  const auto number = in.Take<std::uint32_t>();
+  const auto sequence = in.Take<std::uint32_t>();
   const auto id = in.Take<std::uint64_t>();
   Endpoint address;
   address.host = in.Take<std::uint32_t>();
   address.port = in.Take<std::uint16_t>();
   switch (kind) {
     case 0:
-      return Ping{number, id};
+      return Ping{sequence, id};
     case 1:
-      return PingRequest{number, id, address};
+      return PingRequest{sequence, id, address};
     case 2:
-      return Ack{number, id};
+      return Ack{sequence, id};
     case 3:
-      return Nack{number};
+      return Nack{sequence};
     case 4:
-      return Stranger{number};
+      return WrongTarget{sequence};
     case 5:
       return Gossip{};
     default:
@@ -160,8 +160,9 @@
 
 }  // namespace
 
-const char* NameOf(Fault fault) {
-  constexpr const char* kNames[kFaults] = {"cut", "too long", "garbled", "version", "foreign", "malformed"};
+const char* NameOf(FrameError fault) {
+  constexpr const char* kNames[kFrameErrorCount] = {"cut",     "too long", "garbled",
+                                                    "version", "foreign",  "malformed"};
   return kNames[static_cast<std::size_t>(fault)];
 }
 
@@ -176,73 +177,74 @@
     Pack(to, d->sender);
     to.pack(d->digest);
     Pack(to, d->body);
-    Pack(to, d->news);
-  } else if (const auto* opening = std::get_if<Opening>(&message)) {
-    Pack(to, opening->sender);
-    Pack(to, opening->sums);
+    Pack(to, d->updates);
+  } else if (const auto* request = std::get_if<SyncRequest>(&message)) {
+    Pack(to, request->sender);
+    Pack(to, request->bucket_sums);
     to.pack_array(0);
-  } else if (const auto* entries = std::get_if<Entries>(&message)) {
+  } else if (const auto* entries = std::get_if<SyncEntries>(&message)) {
     Pack(to, entries->sender);
-    Pack(to, entries->sums);
+    Pack(to, entries->bucket_sums);
     Pack(to, entries->entries);
-  } else if (const auto* parcel = std::get_if<Parcel>(&message)) {
-    to.pack(parcel->from);
-    to.pack(static_cast<std::uint8_t>(parcel->part));
-    codec::PackBytes(to, parcel->bytes);
+  } else if (const auto* app = std::get_if<AppMessage>(&message)) {
+    to.pack(app->sender);
+    to.pack(static_cast<std::uint8_t>(app->subsystem));
+    codec::PackBytes(to, app->bytes);
   }
   std::string frame(kMagic, sizeof kMagic);
-  frame.push_back(static_cast<char>(kMajor));
-  frame.push_back(static_cast<char>(kMinor));
+  frame.push_back(static_cast<char>(kMajorVersion));
+  frame.push_back(static_cast<char>(kMinorVersion));
   const std::uint64_t sum = XXH3_64bits(body.data(), body.size());
   for (int shift = 0; shift < 64; shift += 8) frame.push_back(static_cast<char>(sum >> shift & 0xff));
   frame.append(body.data(), body.size());
   return frame;
 }
 
-std::variant<Message, Fault> Decode(std::string_view fleet, std::string_view frame, std::size_t most) {
-  if (frame.size() > most) return Fault::kTooLong;
-  if (frame.size() <= kHeadBytes) return Fault::kCut;
-  if (std::memcmp(frame.data(), kMagic, sizeof kMagic) != 0) return Fault::kGarbled;
+std::variant<Message, FrameError> Decode(std::string_view fleet, std::string_view frame,
+                                         std::size_t max_bytes) {
+  if (frame.size() > max_bytes) return FrameError::kTooLong;
+  if (frame.size() <= kHeaderBytes) return FrameError::kTruncated;
+  if (std::memcmp(frame.data(), kMagic, sizeof kMagic) != 0) return FrameError::kCorrupt;
   std::uint64_t sum = 0;
   for (std::size_t i = 0; i < 8; ++i) sum |= std::uint64_t{static_cast<std::uint8_t>(frame[4 + i])} << 8 * i;
-  const std::string_view body = frame.substr(kHeadBytes);
-  if (sum != XXH3_64bits(body.data(), body.size())) return Fault::kGarbled;
-  if (static_cast<std::uint8_t>(frame[2]) != kMajor) return Fault::kVersion;
-  const auto read = codec::Guarded(body, kBounds, [&](Reader& in) -> std::variant<Message, Fault> {
-    if (in.Take<std::string>() != fleet) return Fault::kForeign;
-    switch (in.Enum(Kind::kParcel)) {
+  const std::string_view body = frame.substr(kHeaderBytes);
+  if (sum != XXH3_64bits(body.data(), body.size())) return FrameError::kCorrupt;
+  if (static_cast<std::uint8_t>(frame[2]) != kMajorVersion) return FrameError::kVersionMismatch;
+  const auto read = codec::Guarded(body, kBounds, [&](Reader& in) -> std::variant<Message, FrameError> {
+    if (in.Take<std::string>() != fleet) return FrameError::kWrongFleet;
+    switch (in.Enum(Kind::kAppMessage)) {
       case Kind::kDatagram: {
         Datagram d;
         d.sender = ReadRecord(in.Next());
         d.digest = in.Take<std::uint64_t>();
         d.body = ReadBody(in.Next());
-        d.news = ReadNews(in.Next());
+        d.updates = ReadUpdates(in.Next());
         return Message(std::move(d));
       }
-      case Kind::kOpening: {
-        Opening opening;
-        opening.sender = ReadRecord(in.Next());
-        opening.sums = ReadSums(in.Next());
-        return Message(std::move(opening));
+      case Kind::kSyncRequest: {
+        SyncRequest request;
+        request.sender = ReadRecord(in.Next());
+        request.bucket_sums = ReadSums(in.Next());
+        return Message(std::move(request));
       }
-      case Kind::kEntries: {
-        Entries entries;
+      case Kind::kSyncEntries: {
+        SyncEntries entries;
         entries.sender = ReadRecord(in.Next());
-        entries.sums = ReadSums(in.Next());
-        entries.entries = ReadNews(in.Next());
+        entries.bucket_sums = ReadSums(in.Next());
+        entries.entries = ReadUpdates(in.Next());
         return Message(std::move(entries));
       }
-      case Kind::kParcel: {
-        Parcel parcel;
-        parcel.from = in.Take<std::uint64_t>();
-        parcel.part = in.Enum(Part::kLists);
-        parcel.bytes = in.Bytes();
-        return Message(std::move(parcel));
+      case Kind::kAppMessage: {
+        AppMessage app;
+        app.sender = in.Take<std::uint64_t>();
+        app.subsystem = in.Enum(Subsystem::kEndpointLists);
+        app.bytes = in.Bytes();
+        return Message(std::move(app));
       }
     }
-    return Fault::kMalformed;
+    return FrameError::kMalformed;
   });
-  return read.value_or(Fault::kMalformed);
+  return read.value_or(FrameError::kMalformed);
 }
 
 }  // namespace lemoncroft::peer_transport
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -17,26 +17,27 @@
 using runtime::Task;
 using runtime::Time;
 
-constexpr std::size_t kTurn = 32;  // datagrams read before the others on the loop have their turn
-constexpr std::size_t kInMost = 16, kOutMost = 2, kParcelsMost = 16, kCallsMost = 8;
-constexpr auto kStreamPatience = 2000ms;  // for a whole exchange
-constexpr auto kPause = 10ms;             // after a connection that there was no descriptor for
-constexpr int kFarewellBeats = 2;         // gossip beats that a leave is given
+constexpr std::size_t kDatagramsPerTurn = 32;  // datagrams read before the others on the loop have their turn
+constexpr std::size_t kMaxInboundStreams = 16, kMaxOutboundSyncs = 2, kMaxOutboundMessages = 16,
+                      kMaxCalls = 8;
+constexpr auto kStreamTimeout = 2000ms;      // for a whole exchange
+constexpr auto kAcceptRetryInterval = 10ms;  // after a connection that there was no descriptor for
+constexpr int kLeaveGossipRounds = 2;        // gossip beats that a leave is given
 
 // A new one with each start, whatever the configuration's seed is: ids must never come again.
-std::uint64_t DrawId() {
+std::uint64_t GenerateInstanceId() {
   std::random_device device;
   return (std::uint64_t{device()} << 32 | device()) | 1;
 }
 
-struct Sockets {
+struct BoundSockets {
   std::unique_ptr<runtime::DatagramSocket> datagrams;
   std::unique_ptr<runtime::Listener> streams;
-  std::size_t place = 0;
+  std::size_t index = 0;
 };
 
 // The first address of which both can be had: another process of this proxy may hold one still.
-Sockets Bind(runtime::Loop& loop, const std::vector<gossip::Endpoint>& listen) {
+BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::Endpoint>& listen) {
   for (std::size_t i = 0;; ++i) {
     try {
       const runtime::Address address = ToAddress(listen.at(i));
@@ -44,34 +45,34 @@
               std::make_unique<runtime::Listener>(loop, address), i};
     } catch (const std::system_error& e) {
       if (i + 1 == listen.size())
-        throw std::system_error(e.code(), "fleet: cannot listen on " + Text(listen[i]));
+        throw std::system_error(e.code(), "fleet: cannot listen on " + ToString(listen[i]));
     }
   }
 }
 
-gossip::Record Self(const Terms& terms, std::size_t place) {
-  gossip::Record self;
-  self.id = DrawId();
-  self.name = terms.name;
-  self.zone = terms.zone;
-  self.address = terms.advertise.at(place);
+gossip::MemberRecord SelfRecord(const LinkOptions& options, std::size_t index) {
+  gossip::MemberRecord self;
+  self.id = GenerateInstanceId();
+  self.name = options.name;
+  self.zone = options.zone;
+  self.address = options.advertise.at(index);
   return self;
 }
 
 }  // namespace
 
-void TurnTimes::Add(runtime::Span turn) {
+void LatencyHistogram::Add(runtime::Span duration) {
   const auto us =
-      static_cast<std::uint64_t>(std::max<runtime::Span::rep>(0, turn / std::chrono::microseconds(1)));
+      static_cast<std::uint64_t>(std::max<runtime::Span::rep>(0, duration / std::chrono::microseconds(1)));
   ++buckets_[std::min<std::size_t>(static_cast<std::size_t>(std::bit_width(us)), buckets_.size() - 1)];
-  ++all_;
+  ++count_;
 }
 
-std::uint64_t TurnTimes::Percentile(double part) const {
-  std::uint64_t seen = 0;
+std::uint64_t LatencyHistogram::Percentile(double fraction) const {
+  std::uint64_t counted = 0;
   for (std::size_t i = 0; i < buckets_.size(); ++i) {
-    seen += buckets_[i];
-    if (static_cast<double>(seen) >= part * static_cast<double>(all_)) return std::uint64_t{1} << i;
+    counted += buckets_[i];
+    if (static_cast<double>(counted) >= fraction * static_cast<double>(count_)) return std::uint64_t{1} << i;
   }
   return 0;
 }
@@ -88,97 +89,99 @@
   return {ntohl(address.raw.sin_addr.s_addr), ntohs(address.raw.sin_port)};
 }
 
-std::string Text(const gossip::Endpoint& endpoint) { return ToAddress(endpoint).Text(); }
+std::string ToString(const gossip::Endpoint& endpoint) { return ToAddress(endpoint).Text(); }
 
-Link::Link(runtime::Loop& loop, const Terms& terms, std::uint64_t seed, Heard heard)
+Link::Link(runtime::Loop& loop, const LinkOptions& options, std::uint64_t seed, EventHandler on_event)
     : loop_(loop),
-      fleet_(terms.fleet),
+      fleet_(options.fleet),
       view_([&] {
-        Sockets sockets = Bind(loop, terms.listen);
+        BoundSockets sockets = Bind(loop, options.listen);
         datagrams_ = std::move(sockets.datagrams);
         streams_ = std::move(sockets.streams);
-        listen_ = terms.listen[sockets.place];
-        return gossip::View(terms.view, Self(terms, sockets.place), seed ^ DrawId(), Now());
+        listen_ = options.listen[sockets.index];
+        return gossip::MembershipView(options.membership, SelfRecord(options, sockets.index),
+                                      seed ^ GenerateInstanceId(), Now());
       }()),
-      heard_(std::move(heard)) {}
+      on_event_(std::move(on_event)) {}
 
 void Link::Start() {
-  loop_.Spawn(Hear());
-  loop_.Spawn(Beat());
-  loop_.Spawn(Accept());
+  loop_.Spawn(ReceiveDatagrams());
+  loop_.Spawn(RunTimer());
+  loop_.Spawn(AcceptStreams());
 }
 
 void Link::SetPhase(gossip::Phase phase) {
   view_.SetPhase(Now(), phase);
-  Pump();
+  DispatchOutputs();
 }
 
 Task<> Link::Leave() {
   view_.Leave(Now());
-  Pump();
-  for (int i = 0; i < kFarewellBeats; ++i) {
+  DispatchOutputs();
+  for (int i = 0; i < kLeaveGossipRounds; ++i) {
     co_await loop_.Sleep(50ms);
-    view_.Step(Now());
-    Pump();
+    view_.Tick(Now());
+    DispatchOutputs();
   }
 }
 
-void Link::Pump() {
-  for (const gossip::Output& output : view_.Take()) {
+void Link::DispatchOutputs() {
+  for (const gossip::Output& output : view_.TakeOutputs()) {
     if (const auto* event = std::get_if<gossip::Event>(&output)) {
-      heard_(*event);
+      on_event_(*event);
     } else if (const auto* transmit = std::get_if<gossip::Transmit>(&output)) {
       const std::string frame = Encode(fleet_, transmit->datagram);
       const bool sent = datagrams_->Send(frame, ToAddress(transmit->to));
-      ++(sent ? figures_.sent : figures_.unsent);
-      if (sent) figures_.sent_bytes += frame.size();
-    } else if (const auto* exchange = std::get_if<gossip::Exchange>(&output)) {
-      if (out_ < kOutMost) loop_.Spawn(Exchange(exchange->to));
+      ++(sent ? metrics_.sent : metrics_.send_failures);
+      if (sent) metrics_.sent_bytes += frame.size();
+    } else if (const auto* sync = std::get_if<gossip::StateSync>(&output)) {
+      if (outbound_syncs_ < kMaxOutboundSyncs) loop_.Spawn(RunStateSync(sync->to));
     }
   }
-  if (view_.due() < planned_) sooner_.Open();
+  if (view_.NextDeadline() < timer_deadline_) wake_timer_.Open();
 }
 
-Task<> Link::Beat() {
+Task<> Link::RunTimer() {
   for (;;) {
-    planned_ = view_.due();
-    if (planned_ > Now()) co_await runtime::Waiter(loop_, &sooner_, planned_);
-    planned_ = runtime::kNever;
+    timer_deadline_ = view_.NextDeadline();
+    if (timer_deadline_ > Now()) co_await runtime::Waiter(loop_, &wake_timer_, timer_deadline_);
+    timer_deadline_ = runtime::kNever;
     const Time now = Now();
-    if (view_.due() > now) continue;
-    view_.Step(now);
-    Pump();
+    if (view_.NextDeadline() > now) continue;
+    view_.Tick(now);
+    DispatchOutputs();
     turns_.Add(Now() - now);
     co_await loop_.NextTurn();
   }
 }
 
-std::variant<Message, Fault> Link::Read(std::string_view frame, std::size_t most) {
-  auto message = Decode(fleet_, frame, most);
-  if (const auto* fault = std::get_if<Fault>(&message)) ++figures_.faults[static_cast<std::size_t>(*fault)];
-  return message;
+std::variant<Message, FrameError> Link::DecodeCounted(std::string_view frame, std::size_t most) {
+  auto result = Decode(fleet_, frame, most);
+  if (const auto* error = std::get_if<FrameError>(&result))
+    ++metrics_.frame_errors[static_cast<std::size_t>(*error)];
+  return result;
 }
 
-Task<> Link::Hear() {
+Task<> Link::ReceiveDatagrams() {
   for (std::size_t n = 1;; ++n) {
     const runtime::DatagramSocket::Received received = co_await datagrams_->Receive();
     if (received.io != Io::kOk) co_return;
-    ++figures_.received;
-    const auto message = Read(received.bytes, received.whole ? gossip::kDatagramMost : 0);
-    if (const auto* good = std::get_if<Message>(&message)) {
-      if (const auto* datagram = std::get_if<gossip::Datagram>(good)) {
+    ++metrics_.received;
+    const auto result = DecodeCounted(received.bytes, received.whole ? gossip::kMaxDatagramBytes : 0);
+    if (const auto* decoded = std::get_if<Message>(&result)) {
+      if (const auto* datagram = std::get_if<gossip::Datagram>(decoded)) {
         const Time begun = Now();
         view_.Receive(begun, *datagram);
-        Pump();
+        DispatchOutputs();
         turns_.Add(Now() - begun);
-      } else if (const auto* parcel = std::get_if<Parcel>(good);
-                 parcel != nullptr && on_parcel && parcel->part != Part::kCall) {
-        on_parcel(*parcel);
+      } else if (const auto* message = std::get_if<AppMessage>(decoded);
+                 message != nullptr && on_app_message && message->subsystem != Subsystem::kOperatorCall) {
+        on_app_message(*message);
       } else {
-        ++figures_.faults[static_cast<std::size_t>(Fault::kMalformed)];
+        ++metrics_.frame_errors[static_cast<std::size_t>(FrameError::kMalformed)];
       }
     }
-    if (n % kTurn == 0) co_await loop_.NextTurn();
+    if (n % kDatagramsPerTurn == 0) co_await loop_.NextTurn();
   }
 }
 
@@ -191,7 +194,7 @@
   std::size_t size = 0;
   for (std::size_t i = 4; i-- > 0;) size = size << 8 | static_cast<std::uint8_t>(head[i]);
   frame.clear();
-  if (size > kStreamMost) {
+  if (size > kMaxStreamMessageBytes) {
     frame = head;  // tells it apart from a stream that has ended
     co_return false;
   }
@@ -201,7 +204,7 @@
 }
 
 Task<bool> WriteFrame(runtime::Socket& socket, std::string_view frame, Time deadline) {
-  if (frame.size() > kStreamMost) co_return false;
+  if (frame.size() > kMaxStreamMessageBytes) co_return false;
   std::string bytes;
   for (int shift = 0; shift < 32; shift += 8)
     bytes.push_back(static_cast<char>(frame.size() >> shift & 0xff));
@@ -210,52 +213,53 @@
   co_return co_await socket.Write(bytes, written, deadline) == Io::kOk;
 }
 
-Task<std::optional<std::string>> Call(runtime::Loop& loop, std::string fleet, runtime::Address to,
-                                      std::string bytes, Time deadline,
-                                      std::optional<runtime::Address> from) {
+Task<std::optional<std::string>> CallPeer(runtime::Loop& loop, std::string fleet, runtime::Address to,
+                                          std::string bytes, Time deadline,
+                                          std::optional<runtime::Address> from) {
   std::unique_ptr<runtime::Socket> socket;
-  std::string frame = Encode(fleet, Parcel{gossip::kNobody, Part::kCall, std::move(bytes)});
+  std::string frame =
+      Encode(fleet, AppMessage{gossip::kNoInstance, Subsystem::kOperatorCall, std::move(bytes)});
   bool good_so_far = co_await Connect(loop, to, deadline, nullptr, socket, from) == Io::kOk;
   if (good_so_far) good_so_far = co_await WriteFrame(*socket, frame, deadline);
   if (good_so_far) good_so_far = co_await ReadFrame(*socket, frame, deadline);
   if (!good_so_far) co_return std::nullopt;
-  auto message = Decode(fleet, frame, kStreamMost);
-  auto* good = std::get_if<Message>(&message);
-  auto* parcel = good == nullptr ? nullptr : std::get_if<Parcel>(good);
-  if (parcel == nullptr) co_return std::nullopt;
-  co_return std::move(parcel->bytes);
+  auto result = Decode(fleet, frame, kMaxStreamMessageBytes);
+  auto* decoded = std::get_if<Message>(&result);
+  auto* message = decoded == nullptr ? nullptr : std::get_if<AppMessage>(decoded);
+  if (message == nullptr) co_return std::nullopt;
+  co_return std::move(message->bytes);
 }
 
-Task<bool> Link::ReadCounted(runtime::Socket& socket, std::string& frame, Time deadline) {
-  const bool whole = co_await ReadFrame(socket, frame, deadline);
-  if (!whole && frame.size() == 4) ++figures_.faults[static_cast<std::size_t>(Fault::kTooLong)];
-  co_return whole;
+Task<bool> Link::ReadFrameCounted(runtime::Socket& socket, std::string& frame, Time deadline) {
+  const bool complete = co_await ReadFrame(socket, frame, deadline);
+  if (!complete && frame.size() == 4) ++metrics_.frame_errors[static_cast<std::size_t>(FrameError::kTooLong)];
+  co_return complete;
 }
 
 // ---- Parcels ----
 
 bool Link::SetAttribute(const std::string& key, const std::string& value) {
   const bool fits = view_.SetAttribute(Now(), key, value);
-  Pump();
+  DispatchOutputs();
   return fits;
 }
 
-void Link::Post(const gossip::Endpoint& to, Part part, std::string bytes) {
-  std::string frame = Encode(fleet_, Parcel{view_.roster().self(), part, std::move(bytes)});
-  ++figures_.parcels;
-  figures_.parcel_bytes += frame.size();
-  if (frame.size() <= gossip::kDatagramMost) {
-    if (!datagrams_->Send(frame, ToAddress(to))) ++figures_.parcels_lost;
-  } else if (parcels_out_ < kParcelsMost) {
-    loop_.Spawn(SendParcel(to, std::move(frame)));
+void Link::Send(const gossip::Endpoint& to, Subsystem subsystem, std::string bytes) {
+  std::string frame = Encode(fleet_, AppMessage{view_.members().self(), subsystem, std::move(bytes)});
+  ++metrics_.app_messages;
+  metrics_.app_message_bytes += frame.size();
+  if (frame.size() <= gossip::kMaxDatagramBytes) {
+    if (!datagrams_->Send(frame, ToAddress(to))) ++metrics_.app_messages_dropped;
+  } else if (outbound_messages_ < kMaxOutboundMessages) {
+    loop_.Spawn(SendOverStream(to, std::move(frame)));
   } else {
-    ++figures_.parcels_lost;
+    ++metrics_.app_messages_dropped;
   }
 }
 
-Task<> Link::SendParcel(gossip::Endpoint to, std::string frame) {
-  ++parcels_out_;
-  const Time deadline = Now() + kStreamPatience;
+Task<> Link::SendOverStream(gossip::Endpoint to, std::string frame) {
+  ++outbound_messages_;
+  const Time deadline = Now() + kStreamTimeout;
   std::unique_ptr<runtime::Socket> socket;
   std::string end;
   bool sent =
@@ -264,91 +268,94 @@
   if (sent)
     co_await socket->Read(end, 1, deadline);  // until it has been read
   else
-    ++figures_.parcels_lost;
-  --parcels_out_;
+    ++metrics_.app_messages_dropped;
+  --outbound_messages_;
 }
 
-Task<> Link::AnswerCall(std::unique_ptr<runtime::Socket> socket, std::string bytes) {
-  ++calls_;
+Task<> Link::HandleCall(std::unique_ptr<runtime::Socket> socket, std::string bytes) {
+  ++active_calls_;
   std::string answer = co_await on_call(std::move(bytes));
-  const std::string frame = Encode(fleet_, Parcel{view_.roster().self(), Part::kCall, std::move(answer)});
-  co_await WriteFrame(*socket, frame, Now() + kStreamPatience);
-  --calls_;
+  const std::string frame =
+      Encode(fleet_, AppMessage{view_.members().self(), Subsystem::kOperatorCall, std::move(answer)});
+  co_await WriteFrame(*socket, frame, Now() + kStreamTimeout);
+  --active_calls_;
 }
 
-Task<> Link::Accept() {
+Task<> Link::AcceptStreams() {
   for (;;) {
     std::unique_ptr<runtime::Socket> socket;
     const Io io = co_await streams_->Accept(socket);
     if (io == Io::kCancelled) co_return;
     if (io != Io::kOk) {
-      co_await loop_.Sleep(kPause);
+      co_await loop_.Sleep(kAcceptRetryInterval);
       continue;
     }
-    if (in_ < kInMost) loop_.Spawn(Serve(std::move(socket)));
+    if (inbound_streams_ < kMaxInboundStreams) loop_.Spawn(ServeStream(std::move(socket)));
     co_await loop_.NextTurn();
   }
 }
 
-Task<> Link::Serve(std::unique_ptr<runtime::Socket> socket) {
-  ++in_;
-  const Time deadline = Now() + kStreamPatience;
+Task<> Link::ServeStream(std::unique_ptr<runtime::Socket> socket) {
+  ++inbound_streams_;
+  const Time deadline = Now() + kStreamTimeout;
   std::string frame;
-  if (co_await ReadCounted(*socket, frame, deadline)) {
-    auto message = Read(frame, kStreamMost);
-    auto* good = std::get_if<Message>(&message);
-    auto* opening = good == nullptr ? nullptr : std::get_if<gossip::Opening>(good);
-    auto* parcel = good == nullptr ? nullptr : std::get_if<Parcel>(good);
-    if (opening != nullptr) {
-      const std::string answer = Encode(fleet_, view_.Answer(Now(), *opening));
-      figures_.exchange_bytes += answer.size();
-      Pump();
-      if (co_await WriteFrame(*socket, answer, deadline) && co_await ReadCounted(*socket, frame, deadline)) {
-        const auto last = Read(frame, kStreamMost);
+  if (co_await ReadFrameCounted(*socket, frame, deadline)) {
+    auto result = DecodeCounted(frame, kMaxStreamMessageBytes);
+    auto* decoded = std::get_if<Message>(&result);
+    auto* request = decoded == nullptr ? nullptr : std::get_if<gossip::SyncRequest>(decoded);
+    auto* message = decoded == nullptr ? nullptr : std::get_if<AppMessage>(decoded);
+    if (request != nullptr) {
+      const std::string answer = Encode(fleet_, view_.HandleSyncRequest(Now(), *request));
+      metrics_.sync_bytes += answer.size();
+      DispatchOutputs();
+      if (co_await WriteFrame(*socket, answer, deadline) &&
+          co_await ReadFrameCounted(*socket, frame, deadline)) {
+        const auto last = DecodeCounted(frame, kMaxStreamMessageBytes);
         const auto* closing = std::get_if<Message>(&last);
-        if (closing != nullptr && std::holds_alternative<gossip::Entries>(*closing)) {
-          view_.Finish(Now(), std::get<gossip::Entries>(*closing));
-          Pump();
+        if (closing != nullptr && std::holds_alternative<gossip::SyncEntries>(*closing)) {
+          view_.FinishSync(Now(), std::get<gossip::SyncEntries>(*closing));
+          DispatchOutputs();
         }
       }
-    } else if (parcel != nullptr && parcel->part == Part::kCall) {
-      if (on_call && calls_ < kCallsMost)
-        loop_.Spawn(AnswerCall(std::move(socket), std::move(parcel->bytes)));
-    } else if (parcel != nullptr && on_parcel) {
-      on_parcel(*parcel);
+    } else if (message != nullptr && message->subsystem == Subsystem::kOperatorCall) {
+      if (on_call && active_calls_ < kMaxCalls)
+        loop_.Spawn(HandleCall(std::move(socket), std::move(message->bytes)));
+    } else if (message != nullptr && on_app_message) {
+      on_app_message(*message);
     }
   }
-  --in_;
+  --inbound_streams_;
 }
 
-Task<> Link::Exchange(gossip::Endpoint to) {
-  ++out_;
-  const Time deadline = Now() + kStreamPatience;
+Task<> Link::RunStateSync(gossip::Endpoint to) {
+  ++outbound_syncs_;
+  const Time deadline = Now() + kStreamTimeout;
   bool done = false;
   std::unique_ptr<runtime::Socket> socket;
   std::string frame;
   bool open =
       co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == Io::kOk;
   if (open) {
-    const std::string opening = Encode(fleet_, view_.Open(Now()));
-    figures_.exchange_bytes += opening.size();
-    open = co_await WriteFrame(*socket, opening, deadline);
+    const std::string request = Encode(fleet_, view_.StartSync(Now()));
+    metrics_.sync_bytes += request.size();
+    open = co_await WriteFrame(*socket, request, deadline);
   }
-  if (open) open = co_await ReadCounted(*socket, frame, deadline);
+  if (open) open = co_await ReadFrameCounted(*socket, frame, deadline);
   if (open) {
-    const auto message = Read(frame, kStreamMost);
-    const auto* good = std::get_if<Message>(&message);
-    if (good != nullptr && std::holds_alternative<gossip::Entries>(*good)) {
-      const std::string closing = Encode(fleet_, view_.Close(Now(), std::get<gossip::Entries>(*good)));
-      figures_.exchange_bytes += closing.size();
-      Pump();
+    const auto result = DecodeCounted(frame, kMaxStreamMessageBytes);
+    const auto* decoded = std::get_if<Message>(&result);
+    if (decoded != nullptr && std::holds_alternative<gossip::SyncEntries>(*decoded)) {
+      const std::string closing =
+          Encode(fleet_, view_.HandleSyncResponse(Now(), std::get<gossip::SyncEntries>(*decoded)));
+      metrics_.sync_bytes += closing.size();
+      DispatchOutputs();
       done = co_await WriteFrame(*socket, closing, deadline);
       // Until the other has read it: what follows would else be an end with bytes unread.
       if (done) co_await socket->Read(frame, 1, deadline);
     }
   }
-  ++(done ? figures_.exchanges : figures_.exchanges_failed);
-  --out_;
+  ++(done ? metrics_.syncs : metrics_.syncs_failed);
+  --outbound_syncs_;
 }
 
 }  // namespace lemoncroft::peer_transport
--- a/src/testing/benchmark/heartbeats.h
+++ b/src/testing/benchmark/heartbeats.h
@@ -2,8 +2,8 @@
 // failed.
 //
 // In virtual time, for the measurement alone. Deterministic for a seed. Units: periods; bytes.
-#ifndef LEMONCROFT_MEASURE_HEARTBEATS_H_
-#define LEMONCROFT_MEASURE_HEARTBEATS_H_
+#ifndef LEMONCROFT_TESTING_BENCHMARK_HEARTBEATS_H_
+#define LEMONCROFT_TESTING_BENCHMARK_HEARTBEATS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -31,4 +31,4 @@
 
 }  // namespace lemoncroft::benchmark
 
-#endif  // LEMONCROFT_MEASURE_HEARTBEATS_H_
+#endif  // LEMONCROFT_TESTING_BENCHMARK_HEARTBEATS_H_
--- a/src/testing/benchmark/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -35,16 +35,16 @@
 double Milliseconds(runtime::Span span) { return std::chrono::duration<double, std::milli>(span).count(); }
 double SecondsOf(runtime::Span span) { return std::chrono::duration<double>(span).count(); }
 
-peer_transport::Terms TermsOf(const HollowPlan& plan, std::size_t i) {
-  peer_transport::Terms terms;
-  terms.fleet = "hollow";
-  terms.name = NameOf(i);
-  terms.zone = "z" + std::to_string(i % 20);
-  terms.listen = terms.advertise = {AddressOf(plan, i)};
-  terms.view.most = std::max(terms.view.most, 2 * plan.members);
+peer_transport::LinkOptions LinkOptionsOf(const HollowPlan& plan, std::size_t i) {
+  peer_transport::LinkOptions options;
+  options.fleet = "hollow";
+  options.name = NameOf(i);
+  options.zone = "z" + std::to_string(i % 20);
+  options.listen = options.advertise = {AddressOf(plan, i)};
+  options.membership.max_members = std::max(options.membership.max_members, 2 * plan.members);
   for (std::size_t seed = 0; seed < std::min(kSeeds, plan.members); ++seed)
-    terms.view.seeds.push_back(AddressOf(plan, seed));
-  return terms;
+    options.membership.seeds.push_back(AddressOf(plan, seed));
+  return options;
 }
 
 replicated_config::KeeperTerms KeeperTermsOf(const HollowPlan& plan, std::size_t i) {
@@ -66,13 +66,13 @@
  public:
   HollowProxy(runtime::Loop& loop, const HollowPlan& plan, std::size_t i)
       : loop_(loop),
-        link_(loop, TermsOf(plan, i), plan.seed + i, [](const gossip::Event&) {}),
-        keeper_(KeeperTermsOf(plan, i), link_.view().roster().self(), ChecksOf(), plan.seed + i, Now()),
+        link_(loop, LinkOptionsOf(plan, i), plan.seed + i, [](const gossip::Event&) {}),
+        keeper_(KeeperTermsOf(plan, i), link_.view().members().self(), ChecksOf(), plan.seed + i, Now()),
         store_(i < plan.voters ? i + 1 : 0) {
-    link_.on_parcel = [this](const peer_transport::Parcel& parcel) {
-      const auto note = replicated_config::DecodeNote(parcel.bytes);
+    link_.on_app_message = [this](const peer_transport::AppMessage& message) {
+      const auto note = replicated_config::DecodeNote(message.bytes);
       if (!note) return;
-      keeper_.Receive(Now(), parcel.from, *note);
+      keeper_.Receive(Now(), message.sender, *note);
       CarryOut();
     };
   }
@@ -88,8 +88,8 @@
     keeper_.ProposeChange(Now(), change, Now() + kChangePatience);
     CarryOut();
   }
-  const gossip::View& view() const { return link_.view(); }
-  const peer_transport::Figures& figures() const { return link_.figures(); }
+  const gossip::MembershipView& view() const { return link_.view(); }
+  const peer_transport::LinkMetrics& metrics() const { return link_.metrics(); }
   bool ActsOn(replicated_config::Version version) const { return keeper_.MayAct(Now()) == version; }
 
  private:
@@ -107,8 +107,9 @@
   }
 
   void CarryOut() {
-    const gossip::Roster& roster = view().roster();
-    if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) keeper_.SetPeers(roster.others());
+    const gossip::MemberTable& members = view().members();
+    if (std::exchange(peers_as_of_, members.change_count()) != members.change_count())
+      keeper_.SetPeers(members.others());
     for (auto outputs = keeper_.Take(); !outputs.empty(); outputs = keeper_.Take())
       for (const replicated_config::KeeperOutput& output : outputs) CarryOut(output);
     if (keeper_.due() < planned_) sooner_.Open();
@@ -117,7 +118,8 @@
   void CarryOut(const replicated_config::KeeperOutput& output) {
     if (const auto* post = std::get_if<replicated_config::Post>(&output)) {
       if (const gossip::Member* to = Reach(post->to))
-        link_.Post(to->record.address, peer_transport::Part::kRules, replicated_config::Encode(post->note));
+        link_.Send(to->record.address, peer_transport::Subsystem::kReplicatedConfig,
+                   replicated_config::Encode(post->note));
     } else if (const auto* keep = std::get_if<replicated_config::Keep>(&output)) {
       keeper_.Durable(Now(), keep->store.number);
     } else if (std::holds_alternative<replicated_config::KeepFounders>(output)) {
@@ -128,9 +130,9 @@
   }
 
   const gossip::Member* Reach(const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
-    const gossip::Roster& roster = view().roster();
-    if (const auto* instance = std::get_if<replicated_config::Instance>(&to)) return roster.Find(*instance);
-    for (const auto& [id, member] : roster.all())
+    const gossip::MemberTable& members = view().members();
+    if (const auto* instance = std::get_if<replicated_config::Instance>(&to)) return members.Find(*instance);
+    for (const auto& [id, member] : members.all())
       if (member.record.name == std::get<raft::NodeId>(to)) return &member;
     return nullptr;
   }
@@ -139,7 +141,7 @@
   peer_transport::Link link_;
   replicated_config::Keeper keeper_;
   std::uint64_t store_;
-  std::uint64_t peers_as_of_ = 0;  // the roster's changes when the keeper was told its peers
+  std::uint64_t peers_as_of_ = 0;  // the members's changes when the keeper was told its peers
   runtime::Gate sooner_;
   Time planned_ = runtime::kNever;
 };
@@ -220,13 +222,13 @@
   }
 
   bool Settled() const {
-    const std::uint64_t digest = proxies_.front()->view().roster().digest();
+    const std::uint64_t digest = proxies_.front()->view().members().digest();
     return std::all_of(proxies_.begin(), proxies_.end(),
                        [&](const auto& proxy) {
-                         const gossip::Roster& roster = proxy->view().roster();
-                         return roster.digest() == digest && roster.unproven().empty();
+                         const gossip::MemberTable& members = proxy->view().members();
+                         return members.digest() == digest && members.unconfirmed().empty();
                        }) &&
-           proxies_.front()->view().roster().living() == plan_.members && AllActOn(0);
+           proxies_.front()->view().members().live_count() == plan_.members && AllActOn(0);
   }
   bool AllActOn(replicated_config::Version version) const {
     return std::all_of(proxies_.begin(), proxies_.end(),
@@ -236,9 +238,9 @@
   Totals TotalsNow() const {
     Totals totals;
     for (const auto& proxy : proxies_) {
-      totals.datagram_bytes += static_cast<double>(proxy->figures().sent_bytes);
-      totals.exchange_bytes += static_cast<double>(proxy->figures().exchange_bytes);
-      totals.parcel_bytes += static_cast<double>(proxy->figures().parcel_bytes);
+      totals.datagram_bytes += static_cast<double>(proxy->metrics().sent_bytes);
+      totals.exchange_bytes += static_cast<double>(proxy->metrics().sync_bytes);
+      totals.parcel_bytes += static_cast<double>(proxy->metrics().app_message_bytes);
     }
     totals.processor_us = simulation::ProcessorMicroseconds();
     return totals;
--- a/src/testing/benchmark/peers.cpp
+++ b/src/testing/benchmark/peers.cpp
@@ -14,7 +14,7 @@
 namespace lemoncroft::benchmark {
 
 using namespace std::chrono_literals;
-using gossip::Change;
+using gossip::EventType;
 using nlohmann::ordered_json;
 using simulation::Instant;
 using simulation::Node;
@@ -39,12 +39,12 @@
 struct Settled {
   explicit Settled(std::size_t n, std::uint64_t seed) : fleet({seed, {}, 0.01}) {
     for (Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1, 2});
-    fleet.Introduce();
+    fleet.IntroduceAll();
     Run(20);
-    fleet.on_event = [this](const PeerFleet::Seen& seen) {
-      if (seen.event.change != Change::kFailed) return;
+    fleet.on_event = [this](const PeerFleet::ObservedEvent& seen) {
+      if (seen.event.type != EventType::kFailed) return;
       const auto about = fleet.process_of(seen.event.record.id);
-      if (about && fleet.lives(*about)) ++wrong;
+      if (about && fleet.is_running(*about)) ++wrong;
       if (about && *about == watched) failed_at.push_back(seen.at);
     };
   }
@@ -61,7 +61,7 @@
     const Instant since = fleet.now();
     double last = 0;
     for (int quarter = 0; quarter < 4 * kHorizon; ++quarter) {
-      if (!fleet.Agreed()) last = In(fleet.now() - since) + 0.25;
+      if (!fleet.Converged()) last = In(fleet.now() - since) + 0.25;
       Run(0.25);
     }
     return last;
@@ -88,7 +88,7 @@
     const Instant at = world.fleet.now();
     world.fleet.Kill(world.watched);
     world.Run(30);
-    if (world.failed_at.size() < world.fleet.living()) {
+    if (world.failed_at.size() < world.fleet.live_count()) {
       out.known_all.push_back(1e3);  // some never learnt
       continue;
     }
@@ -144,7 +144,7 @@
   for (int round = 0; round < rounds; ++round) {
     for (Process p = 0; p < n / 50; ++p) {
       const double late = kLateMost * static_cast<double>(random() >> 11) * 0x1.0p-53;
-      world.fleet.Stall(n - 1 - p, world.Periods(late));
+      world.fleet.Pause(n - 1 - p, world.Periods(late));
     }
     world.Run(kLateEvery);
   }
--- a/src/testing/benchmark/peers.h
+++ b/src/testing/benchmark/peers.h
@@ -3,8 +3,8 @@
 //
 // Deterministic for a seed in virtual time. Owner: the command line. Units: periods of the view, unless a
 // name says otherwise.
-#ifndef LEMONCROFT_MEASURE_PEERS_H_
-#define LEMONCROFT_MEASURE_PEERS_H_
+#ifndef LEMONCROFT_TESTING_BENCHMARK_PEERS_H_
+#define LEMONCROFT_TESTING_BENCHMARK_PEERS_H_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -26,4 +26,4 @@
 
 }  // namespace lemoncroft::benchmark
 
-#endif  // LEMONCROFT_MEASURE_PEERS_H_
+#endif  // LEMONCROFT_TESTING_BENCHMARK_PEERS_H_
--- a/src/testing/benchmark/scale_view.cpp
+++ b/src/testing/benchmark/scale_view.cpp
@@ -35,23 +35,23 @@
 
 gossip::Settings SettingsOf(const ViewPlan& plan) {
   gossip::Settings settings;
-  settings.most = std::max(settings.most, 2 * plan.members);
+  settings.max_members = std::max(settings.max_members, 2 * plan.members);
   return settings;
 }
 
 // What all members have sent by now.
 struct Totals {
-  double messages = 0, bytes = 0, datagram_bytes = 0, exchanges = 0;
+  double messages = 0, bytes = 0, datagram_bytes = 0, syncs = 0;
 };
 
 Totals TotalsOf(const PeerFleet& fleet) {
   Totals totals;
   for (Process p = 0; p < fleet.size(); ++p) {
-    const PeerFleet::Sent& sent = fleet.sent(p);
+    const PeerFleet::SendTotals& sent = fleet.sent(p);
     totals.messages += static_cast<double>(sent.messages);
     totals.bytes += static_cast<double>(sent.bytes);
-    totals.datagram_bytes += static_cast<double>(sent.bytes - sent.exchange_bytes);
-    totals.exchanges += static_cast<double>(sent.exchanges);
+    totals.datagram_bytes += static_cast<double>(sent.bytes - sent.sync_bytes);
+    totals.syncs += static_cast<double>(sent.syncs);
   }
   return totals;
 }
@@ -131,7 +131,7 @@
   const Totals after = TotalsOf(fleet);
   return {(after.messages - before.messages) / member_seconds, (after.bytes - before.bytes) / member_seconds,
           (after.datagram_bytes - before.datagram_bytes) / member_seconds,
-          (after.exchanges - before.exchanges) / member_seconds};
+          (after.syncs - before.syncs) / member_seconds};
 }
 
 // As cli::Rules does at each change: every proxy tells the version that it acts on, at its pace.
@@ -146,7 +146,7 @@
     for (Process p = 0; p < fleet.size(); ++p) {
       const bool changed = told[p] != version;
       if (!changed ||
-          (plan.tell_pace && !paces[p].MayTell(replicated_config::Time(passed), true, fleet.living())))
+          (plan.tell_pace && !paces[p].MayTell(replicated_config::Time(passed), true, fleet.live_count())))
         continue;
       told[p] = version;
       fleet.SetAttribute(p, "rules", std::to_string(version) + "/" + std::to_string(version));
@@ -159,7 +159,7 @@
 double BusiestBytes(const PeerFleet& fleet, const std::vector<std::uint64_t>& before) {
   std::uint64_t most = 0;
   for (Process p = 0; p < before.size(); ++p)
-    if (fleet.lives(p)) most = std::max(most, fleet.sent(p).bytes - before[p]);
+    if (fleet.is_running(p)) most = std::max(most, fleet.sent(p).bytes - before[p]);
   return static_cast<double>(most);
 }
 
@@ -168,9 +168,9 @@
 ViewCost MeasureView(const ViewPlan& plan) {
   ViewCost cost;
   const double empty = AllocatedBytes();
-  auto fleet = std::make_unique<PeerFleet>(PeerFleet::Plan{plan.seed, SettingsOf(plan), 0.01});
+  auto fleet = std::make_unique<PeerFleet>(PeerFleet::Options{plan.seed, SettingsOf(plan), 0.01});
   for (Node machine = 0; machine < plan.members; ++machine) fleet->Start(machine, NameOf(machine), Seeds());
-  fleet->IntroduceProven();
+  fleet->IntroduceWithDirectContact();
   fleet->RunFor(Seconds(2));
   const double places = static_cast<double>(plan.members) * static_cast<double>(plan.members);
   const double full = AllocatedBytes();
@@ -186,7 +186,7 @@
     const Totals tell =
         RatesDuring(*fleet, plan.members, cost.tell_core_percent, [&] { TellAttributes(*fleet, plan); });
     cost.tell_bytes_per_s = tell.bytes;
-    fleet->SettleWithin(Seconds(kSettlePatience));
+    fleet->ConvergeWithin(Seconds(kSettlePatience));
   }
   if (plan.flux_seconds > 0) {
     Replacer replacer(*fleet, plan.members,
@@ -197,11 +197,11 @@
     const Totals flux =
         RatesDuring(*fleet, plan.members, cost.flux_core_percent, [&] { replacer.Run(plan.flux_seconds); });
     cost.flux_bytes_per_s = flux.bytes;
-    cost.flux_exchanges_per_s = flux.exchanges;
+    cost.flux_exchanges_per_s = flux.syncs;
     cost.flux_busiest_bytes_per_s = BusiestBytes(*fleet, before) / plan.flux_seconds;
     cost.replaced = replacer.replaced();
     replacer.StartTheRest();
-    const auto settled = fleet->SettleWithin(Seconds(kSettlePatience));
+    const auto settled = fleet->ConvergeWithin(Seconds(kSettlePatience));
     if (settled) cost.settled_after_s = std::chrono::duration<double>(*settled).count();
   }
   fleet.reset();
--- a/src/testing/benchmark/scale_view.h
+++ b/src/testing/benchmark/scale_view.h
@@ -2,8 +2,8 @@
 //
 // Contract. Deterministic for a seed but for processor time and memory, which are this machine's. Owner:
 // none. Units: bytes of frames that a member sends, without the headers of UDP and IP; percent of one core.
-#ifndef LEMONCROFT_MEASURE_SCALE_VIEW_H_
-#define LEMONCROFT_MEASURE_SCALE_VIEW_H_
+#ifndef LEMONCROFT_TESTING_BENCHMARK_SCALE_VIEW_H_
+#define LEMONCROFT_TESTING_BENCHMARK_SCALE_VIEW_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -37,4 +37,4 @@
 
 }  // namespace lemoncroft::benchmark
 
-#endif  // LEMONCROFT_MEASURE_SCALE_VIEW_H_
+#endif  // LEMONCROFT_TESTING_BENCHMARK_SCALE_VIEW_H_
--- a/src/testing/fault_test/rig.cpp
+++ b/src/testing/fault_test/rig.cpp
@@ -494,14 +494,14 @@
                       static_cast<std::uint16_t>(port_ + 2)};
   d.body = gossip::Gossip{};
   for (int i = 0; i < kLies; ++i) {
-    d.news.clear();
+    d.updates.clear();
     for (int k = 0; k < kLiesEach; ++k) {
-      gossip::News news;
-      news.record = d.sender;
-      news.record.id = 0x10000 + static_cast<std::uint64_t>(kLiesEach * i + k);
-      news.record.name = "lie-" + std::to_string(news.record.id);
-      news.record.address.port = static_cast<std::uint16_t>(20000 + kLiesEach * i + k);
-      d.news.push_back(std::move(news));
+      gossip::MemberUpdate update;
+      update.record = d.sender;
+      update.record.id = 0x10000 + static_cast<std::uint64_t>(kLiesEach * i + k);
+      update.record.name = "lie-" + std::to_string(update.record.id);
+      update.record.address.port = static_cast<std::uint16_t>(20000 + kLiesEach * i + k);
+      d.updates.push_back(std::move(update));
     }
     const std::string frame = peer_transport::Encode(kFleet, d);
     for (const auto& actor : actors_)
@@ -580,7 +580,7 @@
   if (actor == nullptr) co_return std::string();
   const auto to =
       *runtime::Address::Parse(Relay::Bound(actor->machine) + ":" + std::to_string(port_ + actor->second));
-  auto answer = co_await peer_transport::Call(loop_, kFleet, to, std::move(call), Now() + kCallWithin);
+  auto answer = co_await peer_transport::CallPeer(loop_, kFleet, to, std::move(call), Now() + kCallWithin);
   co_return answer.value_or(std::string());
 }
 
--- a/src/testing/simulation/keeper_fleet.cpp
+++ b/src/testing/simulation/keeper_fleet.cpp
@@ -19,8 +19,9 @@
 // Bytes that the way between proxies puts around a note (peerlink/frame.h).
 std::size_t FrameBytes() {
   const std::string note(100, 'x');
-  return peer_transport::Encode(kFleet,
-                                peer_transport::Parcel{UINT64_MAX, peer_transport::Part::kRules, note})
+  return peer_transport::Encode(
+             kFleet,
+             peer_transport::AppMessage{UINT64_MAX, peer_transport::Subsystem::kReplicatedConfig, note})
              .size() -
          note.size();
 }
--- a/src/testing/simulation/links.h
+++ b/src/testing/simulation/links.h
@@ -3,8 +3,8 @@
 //
 // Deterministic for a seed; owned by one simulation. Times are spans from its start. What is sent is bytes:
 // nobody sees another's memory.
-#ifndef LEMONCROFT_STANDIN_LINKS_H_
-#define LEMONCROFT_STANDIN_LINKS_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_LINKS_H_
+#define LEMONCROFT_TESTING_SIMULATION_LINKS_H_
 
 #include <algorithm>
 #include <chrono>
@@ -76,4 +76,4 @@
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_LINKS_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_LINKS_H_
--- a/src/testing/simulation/peer_fleet.h
+++ b/src/testing/simulation/peer_fleet.h
@@ -4,8 +4,8 @@
 // Deterministic: the same seed and calls give the same trace, byte by byte. Owned by one test or measurement.
 // Times are spans from the start, of true time; each process has a clock of its own. Not modelled: processor
 // time, bandwidth, full send buffers.
-#ifndef LEMONCROFT_STANDIN_PEER_FLEET_H_
-#define LEMONCROFT_STANDIN_PEER_FLEET_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_PEER_FLEET_H_
+#define LEMONCROFT_TESTING_SIMULATION_PEER_FLEET_H_
 
 #include <deque>
 #include <functional>
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "gossip/view.h"
+#include "gossip/membership_view.h"
 #include "peer_transport/frame.h"
 #include "testing/simulation/links.h"
 
@@ -27,34 +27,34 @@
 
 class PeerFleet {
  public:
-  struct Plan {
+  struct Options {
     std::uint64_t seed = 1;
     gossip::Settings settings;
     double drift = 0.01;  // clocks run up to so much fast or slow
   };
-  struct Seen {  // an event of a process's view
+  struct ObservedEvent {  // an event of a process's view
     Instant at{};
     Process process = 0;
     gossip::Event event;
   };
-  struct Sent {
+  struct SendTotals {
     std::uint64_t messages = 0, bytes = 0;
-    std::uint64_t exchanges = 0, exchange_bytes = 0;  // of these: exchanges opened, and all their messages
+    std::uint64_t syncs = 0, sync_bytes = 0;  // of these: exchanges opened, and all their messages
   };
 
-  explicit PeerFleet(const Plan& plan);
+  explicit PeerFleet(const Options& options);
 
   // Starts a process on a machine (one address each; `second`: beside one that lives there). Its seeds are
   // machines.
   Process Start(Node machine, const std::string& name, const std::vector<Node>& seeds, bool second = false);
   // All that live know each other from here on, as after joins long ago.
-  void Introduce();
+  void IntroduceAll();
   // Likewise, and each has had a datagram of each: nobody is known by hearsay alone.
-  void IntroduceProven();
+  void IntroduceWithDirectContact();
   void Kill(Process process);
   void Leave(Process process);  // says so, and ends a gossip beat later
-  void Stall(Process process, Instant span);
-  void Say(Process process, gossip::Phase phase);
+  void Pause(Process process, Instant span);
+  void SetPhase(Process process, gossip::Phase phase);
   void SetAttribute(Process process, const std::string& key, const std::string& value);
   void RunTo(Instant until);
   void RunFor(Instant span) { RunTo(now_ + span); }
@@ -63,74 +63,74 @@
   void Inject(Node machine, const std::string& bytes);
 
   // Every live process holds just the live ones for alive; with one of their records each.
-  bool Agreed() const;
+  bool Converged() const;
   // Runs until they agree, at most `patience`; how long it took, none where they did not.
-  std::optional<Instant> SettleWithin(Instant patience);
+  std::optional<Instant> ConvergeWithin(Instant timeout);
 
   Links& links() { return links_; }
   Instant now() const { return now_; }
-  bool lives(Process p) const { return processes_[p].view != nullptr; }
+  bool is_running(Process p) const { return processes_[p].view != nullptr; }
   std::size_t size() const { return processes_.size(); }
-  std::size_t living() const { return living_; }
-  gossip::View& view(Process p) { return *processes_[p].view; }
-  const gossip::View& view(Process p) const { return *processes_[p].view; }
+  std::size_t live_count() const { return live_count_; }
+  gossip::MembershipView& view(Process p) { return *processes_[p].view; }
+  const gossip::MembershipView& view(Process p) const { return *processes_[p].view; }
   gossip::InstanceId id(Process p) const { return processes_[p].id; }
-  const Sent& sent(Process p) const { return processes_[p].sent; }
+  const SendTotals& sent(Process p) const { return processes_[p].sent; }
   std::optional<Process> process_of(gossip::InstanceId id) const;
   std::uint64_t trace() const { return trace_; }
-  gossip::Span Period() const { return plan_.settings.period; }
+  gossip::Span Period() const { return options_.settings.probe_interval; }
   // Called for each event as it happens.
-  std::function<void(const Seen&)> on_event;
+  std::function<void(const ObservedEvent&)> on_event;
   // Called for each datagram as it is sent: sees the real bytes.
   std::function<void(Process, const std::string&)> on_sent;
 
  private:
   enum class Kind { kStep, kDatagram, kStream, kEnd };
-  struct Happening {
+  struct ScheduledEvent {
     Instant at{};
     std::uint64_t order = 0;
     Kind kind = Kind::kStep;
     Process process = 0;
     Process from = 0;  // of a stream
     std::string bytes;
-    bool operator>(const Happening& other) const {
+    bool operator>(const ScheduledEvent& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
   struct Running {
-    std::unique_ptr<gossip::View> view;  // null: ended
-    gossip::InstanceId id = gossip::kNobody;
+    std::unique_ptr<gossip::MembershipView> view;  // null: ended
+    gossip::InstanceId id = gossip::kNoInstance;
     Node machine = 0;
     gossip::Endpoint address;
     double rate = 1;
     gossip::Time origin{};
-    Instant held_until{};
+    Instant paused_until{};
     Instant step_at = Instant::max();
-    Sent sent;
+    SendTotals sent;
   };
 
-  static gossip::Endpoint At(Node machine, bool second);
-  gossip::Time Local(const Running& r, Instant at) const;
-  Instant True(const Running& r, gossip::Time local) const;
-  void Put(Instant at, Kind kind, Process process, Process from = 0, std::string bytes = {});
-  void Handle(Happening& happening);
-  void Carry(Process process);  // carries out what the view wants
-  void Count(Process process, std::size_t bytes);
-  void CountExchange(Process process, std::size_t bytes);
+  static gossip::Endpoint AddressOf(Node machine, bool second);
+  gossip::Time LocalTime(const Running& r, Instant at) const;
+  Instant TrueTime(const Running& r, gossip::Time local) const;
+  void Schedule(Instant at, Kind kind, Process process, Process from = 0, std::string bytes = {});
+  void Handle(ScheduledEvent& happening);
+  void DispatchOutputs(Process process);  // carries out what the view wants
+  void CountSent(Process process, std::size_t bytes);
+  void CountSyncSent(Process process, std::size_t bytes);
   void Trace(Process process, const std::string& bytes);
 
-  Plan plan_;
+  Options options_;
   std::mt19937_64 random_;
   Links links_;
   Instant now_{};
   std::uint64_t order_ = 0, trace_ = 0;
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
   std::deque<Running> processes_;
-  std::map<gossip::Endpoint, Process> tenants_;
+  std::map<gossip::Endpoint, Process> by_address_;
   std::map<gossip::InstanceId, Process> ids_;
-  std::size_t living_ = 0;
+  std::size_t live_count_ = 0;
 };
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_PEER_FLEET_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_PEER_FLEET_H_
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "gossip/view.h"
+#include "gossip/membership_view.h"
 #include "replicated_config/lease.h"
 #include "replicated_config/tell_pace.h"
 #include "testing/benchmark/hollow_fleet.h"
@@ -108,8 +108,8 @@
 
 // ---- The view ----
 
-gossip::Record RecordOf(gossip::InstanceId id) {
-  gossip::Record record;
+gossip::MemberRecord RecordOf(gossip::InstanceId id) {
+  gossip::MemberRecord record;
   record.id = id;
   record.name = "n" + std::to_string(id);
   record.address = {0x7f000000 + static_cast<std::uint32_t>(id), 7000};
@@ -123,11 +123,12 @@
   LargeView(std::size_t members, std::size_t unproven) : members_(members) {
     for (gossip::InstanceId id = 2; id <= members; ++id) {
       if (id > members - unproven)
-        view_.Finish(now_, {RecordOf(2), {}, {{gossip::Status::kAlive, RecordOf(id), gossip::kNobody}}});
+        view_.FinishSync(now_,
+                         {RecordOf(2), {}, {{gossip::Status::kAlive, RecordOf(id), gossip::kNoInstance}}});
       else
         view_.Receive(now_, {RecordOf(id), 0, gossip::Gossip{}, {}});
     }
-    view_.Take();
+    view_.TakeOutputs();
   }
 
   // Of a period, in which a member changes what it says of itself.
@@ -140,41 +141,41 @@
     }
     return least;
   }
-  const gossip::View& view() const { return view_; }
+  const gossip::MembershipView& view() const { return view_; }
 
  private:
   static constexpr int kPeriods = 100;
 
   static gossip::Settings SettingsOf() {
     gossip::Settings settings;
-    settings.most = 8192;
+    settings.max_members = 8192;
     return settings;
   }
 
   void PlayPeriod() {
-    gossip::Record changed = RecordOf(2 + ++changes_ % 8);
+    gossip::MemberRecord changed = RecordOf(2 + ++changes_ % 8);
     changed.incarnation = 1 + changes_;
     view_.Receive(now_, {changed, 0, gossip::Gossip{}, {}});
     for (const gossip::Time until = now_ + 250ms; now_ < until;) {
-      now_ = std::min(until, std::max(now_ + 1us, view_.due()));
-      view_.Step(now_);
+      now_ = std::min(until, std::max(now_ + 1us, view_.NextDeadline()));
+      view_.Tick(now_);
       Answer();
     }
   }
 
   void Answer() {
-    for (const gossip::Output& output : view_.Take()) {
+    for (const gossip::Output& output : view_.TakeOutputs()) {
       const auto* transmit = std::get_if<gossip::Transmit>(&output);
       const auto* ping = transmit == nullptr ? nullptr : std::get_if<gossip::Ping>(&transmit->datagram.body);
       if (ping != nullptr && ping->target > 9 && ping->target <= members_ / 2)
-        view_.Receive(now_, {RecordOf(ping->target), 0, gossip::Ack{ping->number, ping->target}, {}});
+        view_.Receive(now_, {RecordOf(ping->target), 0, gossip::Ack{ping->sequence, ping->target}, {}});
     }
   }
 
   std::size_t members_;
   std::uint64_t changes_ = 0;
   gossip::Time now_{1h};
-  gossip::View view_{SettingsOf(), RecordOf(1), 1, now_};
+  gossip::MembershipView view_{SettingsOf(), RecordOf(1), 1, now_};
 };
 
 TEST(LargeView, APeriodCostsAboutTheSameHoweverManyMembersThereAre) {
@@ -189,12 +190,12 @@
 TEST(LargeView, CountsWhoServesAsAWalkOfAllMembersDoes) {
   const LargeView large(300, 5);
   std::map<std::string, std::size_t> serving;
-  for (const auto& [id, member] : large.view().roster().all())
-    if (member.living() && member.record.phase == gossip::Phase::kServing) ++serving[member.record.name];
-  EXPECT_EQ(large.view().roster().serving(), serving);
-  EXPECT_EQ(large.view().standing().serving, 300);
-  EXPECT_EQ(large.view().standing().place, 0);
-  EXPECT_EQ(large.view().roster().unproven().size(), 5u);
+  for (const auto& [id, member] : large.view().members().all())
+    if (member.is_live() && member.record.phase == gossip::Phase::kServing) ++serving[member.record.name];
+  EXPECT_EQ(large.view().members().serving_names(), serving);
+  EXPECT_EQ(large.view().serving_rank().serving_count, 300);
+  EXPECT_EQ(large.view().serving_rank().rank, 0);
+  EXPECT_EQ(large.view().members().unconfirmed().size(), 5u);
 }
 
 // ---- The small scale run: the same figures each time ----
--- a/tests/peers_test.cpp
+++ b/tests/gossip_test.cpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <set>
 
-#include "gossip/view.h"
+#include "gossip/membership_view.h"
 #include "peer_transport/frame.h"
 #include "testing/simulation/peer_fleet.h"
 
@@ -20,8 +20,8 @@
 
 constexpr Span kPeriod = 250ms;
 
-Record SomeRecord(InstanceId id, const std::string& name = "n1") {
-  Record r;
+MemberRecord SomeRecord(InstanceId id, const std::string& name = "n1") {
+  MemberRecord r;
   r.id = id;
   r.name = name;
   r.address = {0x7f000001, static_cast<std::uint16_t>(7000 + id % 1000)};
@@ -36,8 +36,8 @@
   d.sender = SomeRecord(7);
   d.digest = 0x1234567890abcdef;
   d.body = PingRequest{5, 9, {0x7f000002, 7100}};
-  d.news.push_back({Status::kAlive, SomeRecord(8, "n8"), kNobody});
-  d.news.push_back({Status::kSuspect, SomeRecord(9), 7});
+  d.updates.push_back({Status::kAlive, SomeRecord(8, "n8"), kNoInstance});
+  d.updates.push_back({Status::kSuspect, SomeRecord(9), 7});
   return d;
 }
 
@@ -45,74 +45,74 @@
 
 TEST(PeerFrame, ComesBackAsItWas) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
-  const auto read = peer_transport::Decode("f", frame, kDatagramMost);
+  const auto read = peer_transport::Decode("f", frame, kMaxDatagramBytes);
   const auto& d = std::get<Datagram>(std::get<peer_transport::Message>(read));
   EXPECT_EQ(d.sender, SomeRecord(7));
   EXPECT_EQ(d.digest, 0x1234567890abcdefu);
   EXPECT_EQ(std::get<PingRequest>(d.body).address, (Endpoint{0x7f000002, 7100}));
-  ASSERT_EQ(d.news.size(), 2u);
-  EXPECT_EQ(d.news[0].record, SomeRecord(8, "n8"));
-  EXPECT_EQ(d.news[1].record.id, 9u);
-  EXPECT_EQ(d.news[1].from, 7u);
-  Entries entries{SomeRecord(1), {}, d.news};
-  entries.sums[31] = 5;
-  const auto again =
-      peer_transport::Decode("f", peer_transport::Encode("f", entries), peer_transport::kStreamMost);
-  EXPECT_EQ(std::get<Entries>(std::get<peer_transport::Message>(again)).sums, entries.sums);
+  ASSERT_EQ(d.updates.size(), 2u);
+  EXPECT_EQ(d.updates[0].record, SomeRecord(8, "n8"));
+  EXPECT_EQ(d.updates[1].record.id, 9u);
+  EXPECT_EQ(d.updates[1].reported_by, 7u);
+  SyncEntries entries{SomeRecord(1), {}, d.updates};
+  entries.bucket_sums[31] = 5;
+  const auto again = peer_transport::Decode("f", peer_transport::Encode("f", entries),
+                                            peer_transport::kMaxStreamMessageBytes);
+  EXPECT_EQ(std::get<SyncEntries>(std::get<peer_transport::Message>(again)).bucket_sums, entries.bucket_sums);
 }
 
 TEST(PeerFrame, SizesAreNoMoreThanThought) {
   const Datagram d = SomeDatagram();
-  std::size_t most = 48 + EncodedMost(d.sender);
-  for (const News& news : d.news) most += EncodedMost(news);
+  std::size_t most = 48 + MaxEncodedSize(d.sender);
+  for (const MemberUpdate& news : d.updates) most += MaxEncodedSize(news);
   EXPECT_LE(peer_transport::Encode("a-name-of-a-fleet-that-is", d).size(), most + 32);
 }
 
 TEST(PeerFrame, WhatIsCutOrFlippedIsNoMessage) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
   for (std::size_t size = 0; size < frame.size(); ++size) {
-    const auto read = peer_transport::Decode("f", std::string_view(frame).substr(0, size), kDatagramMost);
-    EXPECT_TRUE(std::holds_alternative<peer_transport::Fault>(read)) << size;
+    const auto read = peer_transport::Decode("f", std::string_view(frame).substr(0, size), kMaxDatagramBytes);
+    EXPECT_TRUE(std::holds_alternative<peer_transport::FrameError>(read)) << size;
   }
   for (std::size_t bit = 0; bit < 8 * frame.size(); ++bit) {
     if (bit / 8 == 3) continue;  // the minor version: a later one is read
     std::string flipped = frame;
     flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << bit % 8));
-    EXPECT_TRUE(
-        std::holds_alternative<peer_transport::Fault>(peer_transport::Decode("f", flipped, kDatagramMost)))
+    EXPECT_TRUE(std::holds_alternative<peer_transport::FrameError>(
+        peer_transport::Decode("f", flipped, kMaxDatagramBytes)))
         << bit;
   }
 }
 
 TEST(PeerFrame, FaultsAreToldApart) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
-  const auto fault = [](const std::string& bytes, std::size_t most = kDatagramMost) {
-    return std::get<peer_transport::Fault>(peer_transport::Decode("f", bytes, most));
+  const auto fault = [](const std::string& bytes, std::size_t most = kMaxDatagramBytes) {
+    return std::get<peer_transport::FrameError>(peer_transport::Decode("f", bytes, most));
   };
-  EXPECT_EQ(fault(peer_transport::Encode("g", SomeDatagram())), peer_transport::Fault::kForeign);
-  EXPECT_EQ(fault(frame, 20), peer_transport::Fault::kTooLong);
-  EXPECT_EQ(fault("LC"), peer_transport::Fault::kCut);
+  EXPECT_EQ(fault(peer_transport::Encode("g", SomeDatagram())), peer_transport::FrameError::kWrongFleet);
+  EXPECT_EQ(fault(frame, 20), peer_transport::FrameError::kTooLong);
+  EXPECT_EQ(fault("LC"), peer_transport::FrameError::kTruncated);
   std::string later = frame;
   later[2] = 2;
-  EXPECT_EQ(fault(later), peer_transport::Fault::kVersion);
-  EXPECT_EQ(fault(std::string(100, 'x')), peer_transport::Fault::kGarbled);
+  EXPECT_EQ(fault(later), peer_transport::FrameError::kVersionMismatch);
+  EXPECT_EQ(fault(std::string(100, 'x')), peer_transport::FrameError::kCorrupt);
 }
 
 // ---- News ----
 
-TEST(NewsQueue, TellsTheNewestOfEachSoOftenAndNoMore) {
-  NewsQueue queue(4);
-  for (InstanceId id = 1; id <= 6; ++id) queue.Push({Status::kAlive, SomeRecord(id), kNobody});
+TEST(BroadcastQueue, TellsTheNewestOfEachSoOftenAndNoMore) {
+  BroadcastQueue queue(4);
+  for (InstanceId id = 1; id <= 6; ++id) queue.Push({Status::kAlive, SomeRecord(id), kNoInstance});
   EXPECT_EQ(queue.size(), 4u);
-  Record newer = SomeRecord(6);
+  MemberRecord newer = SomeRecord(6);
   newer.incarnation = 9;
-  queue.Push({Status::kAlive, newer, kNobody});
+  queue.Push({Status::kAlive, newer, kNoInstance});
   EXPECT_EQ(queue.size(), 4u);
   std::map<InstanceId, int> told;
   for (int i = 0; i < 100; ++i) {
-    std::vector<News> some;
+    std::vector<MemberUpdate> some;
     queue.Fill(some, 150, 3);
-    for (const News& news : some) {
+    for (const MemberUpdate& news : some) {
       ++told[news.record.id];
       if (news.record.id == 6) EXPECT_EQ(news.record.incarnation, 9u);
     }
@@ -123,48 +123,49 @@
 
 // What it said of itself after that took the leave back: others called it failed.
 TEST(PeerView, WhoHasLeftSaysNothingNewOfItself) {
-  View view(Settings(), SomeRecord(7), 1, Time(1h));
+  MembershipView view(Settings(), SomeRecord(7), 1, Time(1h));
   EXPECT_TRUE(view.SetAttribute(Time(1h), "rules", "1"));
   view.Leave(Time(1h) + 1ms);
-  const std::uint64_t last = view.roster().own().record.incarnation;
+  const std::uint64_t last = view.members().own().record.incarnation;
   EXPECT_FALSE(view.SetAttribute(Time(1h) + 2ms, "rules", "2"));
   view.SetPhase(Time(1h) + 2ms, Phase::kServing);
-  EXPECT_EQ(view.roster().own().record.incarnation, last);
+  EXPECT_EQ(view.members().own().record.incarnation, last);
 }
 
 // ---- The protocol, in virtual time ----
 
 struct World {
-  explicit World(std::size_t n, std::uint64_t seed = 1, Guards guards = {}, Settings settings = {})
+  explicit World(std::size_t n, std::uint64_t seed = 1, SafetyChecks safety_checks = {},
+                 Settings settings = {})
       : fleet([&] {
-          settings.guards = guards;
-          return PeerFleet::Plan{seed, settings, 0.01};
+          settings.safety_checks = safety_checks;
+          return PeerFleet::Options{seed, settings, 0.01};
         }()) {
-    fleet.on_event = [this](const PeerFleet::Seen& seen) {
-      if (seen.event.change == Change::kFailed) {
+    fleet.on_event = [this](const PeerFleet::ObservedEvent& seen) {
+      if (seen.event.type == EventType::kFailed) {
         const auto about = fleet.process_of(seen.event.record.id);
-        if (about && fleet.lives(*about)) ++wrong;
+        if (about && fleet.is_running(*about)) ++wrong;
       }
       seen_events.push_back(seen);
     };
     for (simulation::Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1});
-    EXPECT_TRUE(fleet.SettleWithin(20 * kPeriod).has_value());
+    EXPECT_TRUE(fleet.ConvergeWithin(20 * kPeriod).has_value());
     fleet.RunFor(10 * kPeriod);
     seen_events.clear();
   }
-  int Count(Change change, std::optional<Process> by = std::nullopt) const {
+  int Count(EventType change, std::optional<Process> by = std::nullopt) const {
     return static_cast<int>(std::count_if(seen_events.begin(), seen_events.end(), [&](const auto& seen) {
-      return seen.event.change == change && (!by || seen.process == *by);
+      return seen.event.type == change && (!by || seen.process == *by);
     }));
   }
   double Settle(double patience = 60) {
-    const auto took = fleet.SettleWithin(Span(static_cast<Span::rep>(patience * 0.25e9)));
+    const auto took = fleet.ConvergeWithin(Span(static_cast<Span::rep>(patience * 0.25e9)));
     return took ? std::chrono::duration<double>(*took).count() / 0.25 : 1e9;
   }
 
   PeerFleet fleet;
   int wrong = 0;  // living members called failed
-  std::vector<PeerFleet::Seen> seen_events;
+  std::vector<PeerFleet::ObservedEvent> seen_events;
 };
 
 TEST(Peers, ACrashIsKnownToAllInTime) {
@@ -173,7 +174,7 @@
     world.fleet.Kill(seed % 32);
     EXPECT_LE(world.Settle(), 15) << "seed " << seed;
     EXPECT_EQ(world.wrong, 0);
-    EXPECT_EQ(world.Count(Change::kFailed), 31);
+    EXPECT_EQ(world.Count(EventType::kFailed), 31);
   }
 }
 
@@ -183,12 +184,12 @@
     world.fleet.links().usual().loss = 0.02;
     std::mt19937_64 random(seed);
     for (int i = 0; i < 60; ++i) {  // one in fifty, late by up to three periods again and again
-      world.fleet.Stall(
+      world.fleet.Pause(
           7, Span(static_cast<Span::rep>(random() % static_cast<std::uint64_t>(3 * kPeriod.count()))));
       world.fleet.RunFor(6 * kPeriod);
     }
     EXPECT_EQ(world.wrong, 0) << "seed " << seed;
-    EXPECT_GT(world.Count(Change::kSuspected), 0) << "the lateness was never seen";
+    EXPECT_GT(world.Count(EventType::kSuspected), 0) << "the lateness was never seen";
   }
 }
 
@@ -208,7 +209,7 @@
       // The dead of the last moments take as long as any crash does.
       EXPECT_LE(world.Settle(), 20) << "seed " << seed << " length " << length.count();
       world.fleet.RunFor(20 * kPeriod);
-      EXPECT_TRUE(world.fleet.Agreed());
+      EXPECT_TRUE(world.fleet.Converged());
     }
   }
 }
@@ -220,8 +221,8 @@
   world.fleet.RunFor(40 * kPeriod);
   for (Process p = 0; p < 8; ++p) {
     if (p == 3) continue;
-    EXPECT_EQ(world.fleet.view(p).roster().Find(world.fleet.id(3))->status, Status::kFailed);
-    EXPECT_EQ(world.fleet.view(p).roster().living(), 7u);
+    EXPECT_EQ(world.fleet.view(p).members().Find(world.fleet.id(3))->status, Status::kFailed);
+    EXPECT_EQ(world.fleet.view(p).members().live_count(), 7u);
   }
   world.fleet.links().Heal();
   EXPECT_LE(world.Settle(), 12);
@@ -229,15 +230,15 @@
 
 TEST(Peers, AStalledProxyIsOneProxyWhenItWakes) {
   World world(16);
-  world.fleet.Stall(5, 20 * kPeriod);
+  world.fleet.Pause(5, 20 * kPeriod);
   world.fleet.RunFor(20 * kPeriod);
-  EXPECT_EQ(world.fleet.view(0).roster().Find(world.fleet.id(5))->status, Status::kFailed);
-  const int before = world.Count(Change::kFailed);
+  EXPECT_EQ(world.fleet.view(0).members().Find(world.fleet.id(5))->status, Status::kFailed);
+  const int before = world.Count(EventType::kFailed);
   EXPECT_LE(world.Settle(), 12);
   world.fleet.RunFor(20 * kPeriod);
-  EXPECT_TRUE(world.fleet.Agreed());
-  EXPECT_EQ(world.Count(Change::kFailed), before) << "what it believed meanwhile was told";
-  EXPECT_EQ(world.Count(Change::kHeld, 5), 1);
+  EXPECT_TRUE(world.fleet.Converged());
+  EXPECT_EQ(world.Count(EventType::kFailed), before) << "what it believed meanwhile was told";
+  EXPECT_EQ(world.Count(EventType::kPaused, 5), 1);
 }
 
 TEST(Peers, SevenInTenDieAndAllComeBackAtOnce) {
@@ -247,7 +248,7 @@
   EXPECT_EQ(world.wrong, 0);
   for (simulation::Node i = 0; i < 28; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
   EXPECT_LE(world.Settle(), 12);
-  for (Process p = 0; p < world.fleet.size(); ++p) world.fleet.lives(p) ? world.fleet.Kill(p) : void();
+  for (Process p = 0; p < world.fleet.size(); ++p) world.fleet.is_running(p) ? world.fleet.Kill(p) : void();
   for (simulation::Node i = 0; i < 40; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
   EXPECT_LE(world.Settle(), 12) << "all restarted, nobody remembers anybody";
 }
@@ -269,20 +270,20 @@
   EXPECT_LE(world.Settle(), 30);
   const Process late = world.fleet.Start(20, "n20", {0, 1});
   world.fleet.RunFor(10 * kPeriod);
-  EXPECT_EQ(world.fleet.view(late).roster().living(), 1u) << "it can't know anybody";
+  EXPECT_EQ(world.fleet.view(late).members().live_count(), 1u) << "it can't know anybody";
   world.fleet.Start(1, "n1", {0, 1});
   EXPECT_LE(world.Settle(), 20) << "the fleet finds a seed that is back by itself";
 }
 
 TEST(Peers, ARestartIsANewGenerationWhateverWasKnownOfTheOldOne) {
   World world(6);
-  world.fleet.Stall(2, 3 * kPeriod);  // refutations: the old one has a high incarnation
+  world.fleet.Pause(2, 3 * kPeriod);  // refutations: the old one has a high incarnation
   world.fleet.RunFor(20 * kPeriod);
   world.fleet.Kill(2);
   const Process fresh = world.fleet.Start(2, "n2", {0, 1});
   EXPECT_LE(world.Settle(), 15);
-  EXPECT_EQ(world.fleet.view(fresh).roster().own().record.generation, 2u);
-  EXPECT_EQ(world.fleet.view(0).standing().serving, 6);
+  EXPECT_EQ(world.fleet.view(fresh).members().own().record.generation, 2u);
+  EXPECT_EQ(world.fleet.view(0).serving_rank().serving_count, 6);
 }
 
 TEST(Peers, AnAddressTakenOverByAnotherName) {
@@ -297,13 +298,13 @@
   World world(6);
   const Process fresh = world.fleet.Start(2, "n2", {0, 1}, true);
   EXPECT_LE(world.Settle(), 12);
-  EXPECT_EQ(world.fleet.view(0).roster().living(), 7u);
-  EXPECT_EQ(world.fleet.view(0).standing().serving, 6) << "one member, two generations";
-  EXPECT_EQ(world.fleet.view(fresh).roster().own().record.generation, 2u);
+  EXPECT_EQ(world.fleet.view(0).members().live_count(), 7u);
+  EXPECT_EQ(world.fleet.view(0).serving_rank().serving_count, 6) << "one member, two generations";
+  EXPECT_EQ(world.fleet.view(fresh).members().own().record.generation, 2u);
   world.fleet.Leave(2);
   EXPECT_LE(world.Settle(), 12);
-  EXPECT_EQ(world.Count(Change::kLeft), 6);
-  EXPECT_EQ(world.Count(Change::kFailed), 0);
+  EXPECT_EQ(world.Count(EventType::kLeft), 6);
+  EXPECT_EQ(world.Count(EventType::kFailed), 0);
   // A successor that dies before it is of use; and a leave that nobody hears.
   const Process dies = world.fleet.Start(4, "n4", {0, 1}, true);
   world.fleet.RunFor(kPeriod);
@@ -321,11 +322,11 @@
   World world(6);
   const Process other = world.fleet.Start(20, "n2", {0, 1});
   world.fleet.RunFor(60 * kPeriod);
-  EXPECT_TRUE(world.fleet.Agreed());
-  EXPECT_EQ(world.Count(Change::kContested, 2), 1);
-  EXPECT_EQ(world.Count(Change::kContested, other), 1);
-  EXPECT_EQ(world.Count(Change::kSuspected) + world.Count(Change::kFailed), 0);
-  EXPECT_EQ(world.fleet.view(0).contested(), std::vector<std::string>{"n2"});
+  EXPECT_TRUE(world.fleet.Converged());
+  EXPECT_EQ(world.Count(EventType::kNameConflict, 2), 1);
+  EXPECT_EQ(world.Count(EventType::kNameConflict, other), 1);
+  EXPECT_EQ(world.Count(EventType::kSuspected) + world.Count(EventType::kFailed), 0);
+  EXPECT_EQ(world.fleet.view(0).name_conflicts(), std::vector<std::string>{"n2"});
 }
 
 TEST(Peers, AttributesAndPhasesReachAll) {
@@ -335,12 +336,12 @@
   for (int i = 0; i < 7; ++i)
     EXPECT_TRUE(world.fleet.view(3).SetAttribute(Time(), "k" + std::to_string(i), "v"));
   EXPECT_FALSE(world.fleet.view(3).SetAttribute(Time(), "ninth", "v"));
-  world.fleet.Say(3, Phase::kEnding);
+  world.fleet.SetPhase(3, Phase::kDraining);
   EXPECT_LE(world.Settle(), 12);
-  const Member* member = world.fleet.view(9).roster().Find(world.fleet.id(3));
-  EXPECT_EQ(member->record.phase, Phase::kEnding);
+  const Member* member = world.fleet.view(9).members().Find(world.fleet.id(3));
+  EXPECT_EQ(member->record.phase, Phase::kDraining);
   EXPECT_EQ(member->record.attributes.front(), (Attribute{"role", "voter"}));
-  EXPECT_EQ(world.fleet.view(9).standing().serving, 15);
+  EXPECT_EQ(world.fleet.view(9).serving_rank().serving_count, 15);
 }
 
 TEST(Peers, TheSameSeedGivesTheSameBytes) {
@@ -364,10 +365,10 @@
       const simulation::Node a = below(12), b = below(12);
       Process last = 0;
       for (Process p = 0; p < world.fleet.size(); ++p)
-        if (world.fleet.lives(p) && random() % 3 == 0) last = p;
+        if (world.fleet.is_running(p) && random() % 3 == 0) last = p;
       switch (random() % 7) {
         case 0:
-          if (world.fleet.living() > 4) world.fleet.Kill(last);
+          if (world.fleet.live_count() > 4) world.fleet.Kill(last);
           break;
         case 1:
           world.fleet.Start(20 + static_cast<simulation::Node>(i), "m" + std::to_string(i), {0, 1});
@@ -376,7 +377,7 @@
           world.fleet.links().Cut(a, b, true);
           break;
         case 3:
-          if (world.fleet.lives(last)) world.fleet.Stall(last, Span(1ms) * below(4000));
+          if (world.fleet.is_running(last)) world.fleet.Pause(last, Span(1ms) * below(4000));
           break;
         case 4:
           for (simulation::Node n = 0; n < 12; ++n) world.fleet.links().Side(n, static_cast<int>(below(3)));
@@ -396,73 +397,74 @@
     world.fleet.links().usual() = {};
     EXPECT_LE(world.Settle(200), 60) << "seed " << seed;
     world.fleet.RunFor(30 * kPeriod);
-    EXPECT_TRUE(world.fleet.Agreed()) << "seed " << seed;
+    EXPECT_TRUE(world.fleet.Converged()) << "seed " << seed;
   }
 }
 
 // ---- Guards: what each is for keeps with it and fails without it ----
 
-std::string Lie(const std::vector<News>& news) {
+std::string Lie(const std::vector<MemberUpdate>& news) {
   Datagram d;
   d.sender = SomeRecord(0x11e5, "liar");
   d.body = Gossip{};
-  d.news = news;
+  d.updates = news;
   return peer_transport::Encode("trial", d);
 }
 
-std::vector<News> Invented(std::uint64_t from, std::uint64_t count) {
-  std::vector<News> news;
+std::vector<MemberUpdate> Invented(std::uint64_t from, std::uint64_t count) {
+  std::vector<MemberUpdate> news;
   for (std::uint64_t i = 0; i < count; ++i)
-    news.push_back({Status::kAlive, SomeRecord(1000 + from + i, "lie" + std::to_string(from + i)), kNobody});
+    news.push_back(
+        {Status::kAlive, SomeRecord(1000 + from + i, "lie" + std::to_string(from + i)), kNoInstance});
   return news;
 }
 
 struct Guarded {
   const char* name;
-  bool Guards::*guard;
-  std::function<bool(const Guards&)> keeps;
+  bool SafetyChecks::*guard;
+  std::function<bool(const SafetyChecks&)> keeps;
 };
 
 const Guarded kGuards[] = {
-    {"refutation", &Guards::refute,
-     [](const Guards& guards) {
-       World world(8, 1, guards);
-       world.fleet.Stall(3, 3 * kPeriod);
+    {"refutation", &SafetyChecks::refutation,
+     [](const SafetyChecks& safety_checks) {
+       World world(8, 1, safety_checks);
+       world.fleet.Pause(3, 3 * kPeriod);
        world.fleet.RunFor(40 * kPeriod);
        return world.wrong == 0;
      }},
-    {"suspicion time", &Guards::suspicion_time,
-     [](const Guards& guards) {
-       World world(8, 1, guards);
-       world.fleet.Stall(3, 3 * kPeriod);
+    {"suspicion time", &SafetyChecks::suspicion_timeout,
+     [](const SafetyChecks& safety_checks) {
+       World world(8, 1, safety_checks);
+       world.fleet.Pause(3, 3 * kPeriod);
        world.fleet.RunFor(40 * kPeriod);
        return world.wrong == 0;
      }},
-    {"local health", &Guards::local_health,
-     [](const Guards& guards) {
-       World world(16, 1, guards);
+    {"local health", &SafetyChecks::local_health,
+     [](const SafetyChecks& safety_checks) {
+       World world(16, 1, safety_checks);
        simulation::LinkFaults slow;
        slow.delay = kPeriod * 6 / 10;  // there and back in more than a period: all its probes come too late
        for (simulation::Node i = 0; i < 16; ++i)
          world.fleet.links().Set(i, 3, slow), world.fleet.links().Set(3, i, slow);
        world.fleet.RunFor(200 * kPeriod);
        int blamed = 0;
-       for (const PeerFleet::Seen& seen : world.seen_events)
-         blamed += seen.process == 3 && seen.event.change == Change::kSuspected &&
-                   seen.event.by == world.fleet.id(3);
+       for (const PeerFleet::ObservedEvent& seen : world.seen_events)
+         blamed += seen.process == 3 && seen.event.type == EventType::kSuspected &&
+                   seen.event.reported_by == world.fleet.id(3);
        return blamed < 20;
      }},
-    {"probes through others", &Guards::indirect,
-     [](const Guards& guards) {
-       World world(8, 1, guards);
+    {"probes through others", &SafetyChecks::indirect_probes,
+     [](const SafetyChecks& safety_checks) {
+       World world(8, 1, safety_checks);
        world.fleet.links().Cut(2, 5, true);
        world.fleet.RunFor(60 * kPeriod);
-       return world.Count(Change::kSuspected) == 0;
+       return world.Count(EventType::kSuspected) == 0;
      }},
-    {"retry of the failed", &Guards::retry_failed,
-     [](const Guards& guards) {
+    {"retry of the failed", &SafetyChecks::reconnect_failed,
+     [](const SafetyChecks& safety_checks) {
        Settings settings;
-       settings.guards = guards;
+       settings.safety_checks = safety_checks;
        PeerFleet fleet({1, settings, 0.01});
        for (simulation::Node i = 0; i < 8; ++i) fleet.Start(i, "n" + std::to_string(i), {0});
        fleet.RunFor(20 * kPeriod);
@@ -471,102 +473,102 @@
        fleet.Kill(0);
        fleet.RunFor(60 * kPeriod);
        fleet.links().Heal();
-       return fleet.SettleWithin(40 * kPeriod).has_value();
+       return fleet.ConvergeWithin(40 * kPeriod).has_value();
      }},
-    {"stall check", &Guards::stall_check,
-     [](const Guards& guards) {
+    {"stall check", &SafetyChecks::pause_detection,
+     [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-         World world(8, seed, guards);
-         world.fleet.Stall(3, 4 * kPeriod);
+         World world(8, seed, safety_checks);
+         world.fleet.Pause(3, 4 * kPeriod);
          world.fleet.RunFor(3 * kPeriod);
-         world.fleet.Stall(5, 30 * kPeriod);  // holds 3 suspect, or is about to
+         world.fleet.Pause(5, 30 * kPeriod);  // holds 3 suspect, or is about to
          world.fleet.RunFor(60 * kPeriod);
-         if (world.Count(Change::kFailed, 5) > 0) return false;
+         if (world.Count(EventType::kFailed, 5) > 0) return false;
        }
        return true;
      }},
-    {"the accused is asked first", &Guards::ask_accused,
-     [](const Guards& guards) {
-       World world(24, 1, guards);
+    {"the accused is asked first", &SafetyChecks::claim_verification,
+     [](const SafetyChecks& safety_checks) {
+       World world(24, 1, safety_checks);
        for (simulation::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % 2);
        world.fleet.RunFor(60 * kPeriod);
        world.fleet.links().Heal();
        world.seen_events.clear();
        world.fleet.RunFor(40 * kPeriod);
-       return world.Count(Change::kFailed) == 0;
+       return world.Count(EventType::kFailed) == 0;
      }},
-    {"bound on an incarnation's leap", &Guards::leap_bound,
-     [](const Guards& guards) {
-       World world(8, 1, guards);
-       Record poisoned = world.fleet.view(3).roster().own().record;
-       poisoned.incarnation = kIncarnationMost;
+    {"bound on an incarnation's leap", &SafetyChecks::incarnation_jump_limit,
+     [](const SafetyChecks& safety_checks) {
+       World world(8, 1, safety_checks);
+       MemberRecord poisoned = world.fleet.view(3).members().own().record;
+       poisoned.incarnation = kMaxIncarnation;
        for (simulation::Node i = 0; i < 8; ++i)
-         world.fleet.Inject(i, Lie({{Status::kAlive, poisoned, kNobody}}));
+         world.fleet.Inject(i, Lie({{Status::kAlive, poisoned, kNoInstance}}));
        world.fleet.RunFor(2 * kPeriod);
-       world.fleet.Stall(3, 3 * kPeriod);
+       world.fleet.Pause(3, 3 * kPeriod);
        world.fleet.RunFor(60 * kPeriod);
        return world.wrong == 0;
      }},
-    {"bound on members", &Guards::member_bound,
-     [](const Guards& guards) {
+    {"bound on members", &SafetyChecks::member_limit,
+     [](const SafetyChecks& safety_checks) {
        Settings settings;
-       settings.most = 64;
-       World world(8, 1, guards, settings);
+       settings.max_members = 64;
+       World world(8, 1, safety_checks, settings);
        for (std::uint64_t i = 0; i < 1000; ++i) world.fleet.Inject(2, Lie(Invented(10 * i, 10)));
        world.fleet.RunFor(kPeriod);
-       return world.fleet.view(2).roster().all().size() <= 64;
+       return world.fleet.view(2).members().all().size() <= 64;
      }},
-    {"proof of life keeps its place", &Guards::proven_stay,
-     [](const Guards& guards) {
+    {"proof of life keeps its place", &SafetyChecks::keep_confirmed,
+     [](const SafetyChecks& safety_checks) {
        Settings settings;
-       settings.most = 64;
-       World world(8, 1, guards, settings);
+       settings.max_members = 64;
+       World world(8, 1, safety_checks, settings);
        world.fleet.RunFor(20 * kPeriod);
        for (std::uint64_t i = 0; i < 1000; ++i) world.fleet.Inject(2, Lie(Invented(10 * i, 10)));
        world.fleet.RunFor(1ms);
        std::size_t kept = 0;
        for (Process p = 0; p < 8; ++p)
-         kept += world.fleet.view(2).roster().Find(world.fleet.id(p)) != nullptr;
+         kept += world.fleet.view(2).members().Find(world.fleet.id(p)) != nullptr;
        return kept == 8;
      }},
-    {"tombstones", &Guards::tombstones,
-     [](const Guards& guards) {
+    {"tombstones", &SafetyChecks::tombstones,
+     [](const SafetyChecks& safety_checks) {
        Settings settings;
-       settings.remember = 15s;
-       World world(8, 1, guards, settings);
-       const Record dead = world.fleet.view(3).roster().own().record;
+       settings.failed_retention = 15s;
+       World world(8, 1, safety_checks, settings);
+       const MemberRecord dead = world.fleet.view(3).members().own().record;
        world.fleet.Kill(3);
        world.fleet.RunFor(25s);
-       if (world.fleet.view(0).roster().Find(dead.id) != nullptr) return false;  // not freed yet
+       if (world.fleet.view(0).members().Find(dead.id) != nullptr) return false;  // not freed yet
        world.seen_events.clear();
-       world.fleet.Inject(0, Lie({{Status::kAlive, dead, kNobody}}));
+       world.fleet.Inject(0, Lie({{Status::kAlive, dead, kNoInstance}}));
        world.fleet.RunFor(kPeriod);
-       return world.fleet.view(0).roster().Find(dead.id) == nullptr;
+       return world.fleet.view(0).members().Find(dead.id) == nullptr;
      }},
-    {"exchanges", &Guards::exchange,
-     [](const Guards& guards) {
+    {"exchanges", &SafetyChecks::state_sync,
+     [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-         World world(64, seed, guards);
+         World world(64, seed, safety_checks);
          for (simulation::Node i = 0; i < 64; ++i)
            world.fleet.links().Cut(i, 9, true), world.fleet.links().Cut(9, i, true);
-         world.fleet.Say(20, Phase::kEnding);
+         world.fleet.SetPhase(20, Phase::kDraining);
          world.fleet.RunFor(4 * kPeriod);
          world.fleet.links().Heal();
          if (world.Settle(16) > 16) return false;
        }
        return true;
      }},
-    {"a ping is for one instance", &Guards::target_check,
-     [](const Guards& guards) {
-       World world(8, 1, guards);
+    {"a ping is for one instance", &SafetyChecks::ping_target_check,
+     [](const SafetyChecks& safety_checks) {
+       World world(8, 1, safety_checks);
        world.fleet.Kill(3);
        world.fleet.Start(3, "other", {});  // it knows nobody, and answers whoever asks
        world.fleet.RunFor(20 * kPeriod);
-       return !world.fleet.view(0).roster().Find(world.fleet.id(3))->living();
+       return !world.fleet.view(0).members().Find(world.fleet.id(3))->is_live();
      }},
-    {"news is told so often", &Guards::retransmit_bound,
-     [](const Guards& guards) {
-       World world(8, 1, guards);
+    {"news is told so often", &SafetyChecks::retransmit_limit,
+     [](const SafetyChecks& safety_checks) {
+       World world(8, 1, safety_checks);
        const auto before = world.fleet.sent(2).messages;
        world.fleet.RunFor(10s);
        return world.fleet.sent(2).messages - before < 150;
@@ -575,8 +577,8 @@
 
 TEST(PeerGuards, EachIsNeeded) {
   for (const Guarded& guarded : kGuards) {
-    EXPECT_TRUE(guarded.keeps(Guards())) << guarded.name << ": fails with the guard in place";
-    Guards without;
+    EXPECT_TRUE(guarded.keeps(SafetyChecks())) << guarded.name << ": fails with the guard in place";
+    SafetyChecks without;
     without.*guarded.guard = false;
     EXPECT_FALSE(guarded.keeps(without)) << guarded.name << ": taken away, and nothing fails";
   }
@@ -587,13 +589,13 @@
   for (std::uint64_t i = 0; i < 1000; ++i)
     for (simulation::Node node = 0; node < 4; ++node) world.fleet.Inject(node, Lie(Invented(10 * i, 10)));
   world.fleet.RunFor(2s);
-  for (Process p = 0; p < 16; ++p) EXPECT_LE(world.fleet.view(p).roster().all().size(), 2048u);
+  for (Process p = 0; p < 16; ++p) EXPECT_LE(world.fleet.view(p).members().all().size(), 2048u);
   world.fleet.Kill(9);
   world.fleet.RunFor(25 * kPeriod);
   for (Process p = 0; p < 16; ++p)
-    if (p != 9) EXPECT_FALSE(world.fleet.view(p).roster().Find(world.fleet.id(9))->living()) << p;
+    if (p != 9) EXPECT_FALSE(world.fleet.view(p).members().Find(world.fleet.id(9))->is_live()) << p;
   EXPECT_EQ(world.wrong, 0);
-  EXPECT_LE(world.fleet.view(0).queued(), kNewsMost);
+  EXPECT_LE(world.fleet.view(0).queued_updates(), kMaxQueuedUpdates);
 }
 
 TEST(PeerBounds, OldDatagramsPlayedAgainChangeNothing) {
@@ -604,11 +606,11 @@
   world.fleet.Kill(6);
   world.fleet.RunFor(5s);
   world.fleet.on_sent = nullptr;
-  ASSERT_TRUE(world.fleet.Agreed());
+  ASSERT_TRUE(world.fleet.Converged());
   for (const std::string& bytes : old)
     for (simulation::Node node = 0; node < 6; ++node) world.fleet.Inject(node, bytes);
   world.fleet.RunFor(20 * kPeriod);
-  EXPECT_TRUE(world.fleet.Agreed());
+  EXPECT_TRUE(world.fleet.Converged());
   EXPECT_EQ(world.wrong, 0);
 }
 
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -182,8 +182,8 @@
   EXPECT_EQ(file.fleet->advertise, file.fleet->listen) << "told as it is bound";
   EXPECT_EQ(file.fleet->view.seeds, (std::vector<gossip::Endpoint>{{0x7f000101, 7100}}))
       << "itself alone: the first";
-  EXPECT_EQ(file.fleet->view.period, std::chrono::milliseconds(100));
-  EXPECT_EQ(file.fleet->view.most, 500u);
+  EXPECT_EQ(file.fleet->view.probe_interval, std::chrono::milliseconds(100));
+  EXPECT_EQ(file.fleet->view.max_members, 500u);
   EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).fleet.has_value());
 }
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -12,7 +12,7 @@
 #include "codec/json.h"
 #include "discovery/directory.h"
 #include "discovery/feed.h"
-#include "gossip/view.h"
+#include "gossip/membership_view.h"
 #include "hot_restart/hand_marks.h"
 #include "peer_transport/frame.h"
 #include "replicated_config/book.h"
@@ -279,43 +279,43 @@
 }
 
 // As long as a record may be.
-gossip::Record LongRecord(int number) {
-  gossip::Record r;
+gossip::MemberRecord LongRecord(int number) {
+  gossip::MemberRecord r;
   r.id = static_cast<gossip::InstanceId>(number) + 1;
-  r.name = std::to_string(number) + std::string(gossip::kNameMost - 5, 'n');
+  r.name = std::to_string(number) + std::string(gossip::kMaxNameBytes - 5, 'n');
   r.address = {0x0a000000u + static_cast<std::uint32_t>(number), 7000};
-  r.zone = std::string(gossip::kZoneMost, 'z');
+  r.zone = std::string(gossip::kMaxZoneBytes, 'z');
   r.phase = gossip::Phase::kServing;
-  for (std::size_t i = 0; i < gossip::kAttributesMost; ++i)
-    r.attributes.push_back(
-        {std::string(gossip::kKeyMost - 1, 'k') + std::to_string(i), std::string(gossip::kValueMost, 'v')});
+  for (std::size_t i = 0; i < gossip::kMaxAttributes; ++i)
+    r.attributes.push_back({std::string(gossip::kMaxAttributeKeyBytes - 1, 'k') + std::to_string(i),
+                            std::string(gossip::kMaxAttributeValueBytes, 'v')});
   return r;
 }
 
 // One message with all members would be longer than a message may be, and none would ever come.
 TEST(Scale, ANewcomerLearnsOfFifteenHundredProxiesWithLongRecords) {
   const gossip::Time start = gossip::Time() + 1h;
-  gossip::View fleet({}, LongRecord(0), 1, start), newcomer({}, LongRecord(kProxies), 2, start);
-  gossip::Entries all{LongRecord(1), {}, {}};
+  gossip::MembershipView fleet({}, LongRecord(0), 1, start), newcomer({}, LongRecord(kProxies), 2, start);
+  gossip::SyncEntries all{LongRecord(1), {}, {}};
   for (int i = 2; i < kProxies; ++i)
-    all.entries.push_back({gossip::Status::kAlive, LongRecord(i), gossip::kNobody});
-  fleet.Finish(start, all);
-  ASSERT_EQ(fleet.roster().living(), static_cast<std::size_t>(kProxies));
-  const auto size = [](const gossip::Entries& entries) {
+    all.entries.push_back({gossip::Status::kAlive, LongRecord(i), gossip::kNoInstance});
+  fleet.FinishSync(start, all);
+  ASSERT_EQ(fleet.members().live_count(), static_cast<std::size_t>(kProxies));
+  const auto size = [](const gossip::SyncEntries& entries) {
     return peer_transport::Encode("f", entries).size();
   };
   int exchanges = 0;
-  for (gossip::Time now = start; exchanges < 4 && newcomer.roster().digest() != fleet.roster().digest();
+  for (gossip::Time now = start; exchanges < 4 && newcomer.members().digest() != fleet.members().digest();
        ++exchanges) {
     now += 1s;
-    const gossip::Entries answer = fleet.Answer(now, newcomer.Open(now));
-    EXPECT_LE(size(answer), peer_transport::kStreamMost);
-    const gossip::Entries closing = newcomer.Close(now, answer);
-    EXPECT_LE(size(closing), peer_transport::kStreamMost);
-    fleet.Finish(now, closing);
+    const gossip::SyncEntries answer = fleet.HandleSyncRequest(now, newcomer.StartSync(now));
+    EXPECT_LE(size(answer), peer_transport::kMaxStreamMessageBytes);
+    const gossip::SyncEntries closing = newcomer.HandleSyncResponse(now, answer);
+    EXPECT_LE(size(closing), peer_transport::kMaxStreamMessageBytes);
+    fleet.FinishSync(now, closing);
   }
-  EXPECT_EQ(newcomer.roster().living(), static_cast<std::size_t>(kProxies) + 1);
-  EXPECT_EQ(newcomer.roster().digest(), fleet.roster().digest());
+  EXPECT_EQ(newcomer.members().live_count(), static_cast<std::size_t>(kProxies) + 1);
+  EXPECT_EQ(newcomer.members().digest(), fleet.members().digest());
 }
 
 }  // namespace
