--- a/src/gossip/broadcast_queue.cpp
+++ b/src/gossip/broadcast_queue.cpp
@@ -30,7 +30,7 @@
   for (const auto& [transmits, order, id] : send_order_) {
     const Queued& queued = queued_.at(id);
     const std::size_t size = MaxEncodedSize(queued.update);
-    if (size > room) break;  // in order: what is large must not be passed over for ever
+    if (size > room) break;  // in order: a large update must not starve
     room -= size;
     into.push_back(queued.update);
     sent.push_back(id);
--- a/src/gossip/broadcast_queue.h
+++ b/src/gossip/broadcast_queue.h
@@ -1,6 +1,8 @@
-// News that is still to be told: of each instance the newest only, told a bounded number of times, those told
-// least often first. No I/O, no clock. Owned by a View; units: times told.
-// Source: SWIM, section 4.1 (infection-style dissemination).
+// Queue of updates to piggyback on outgoing datagrams. It holds the newest update of each instance, sends
+// those first that were sent least often, and drops an update after a limited number of transmissions.
+//
+// No I/O, no clock. Owned by a MembershipView.
+// Source: SWIM, section 4.1 (infection-style dissemination); memberlist's TransmitLimitedQueue.
 #ifndef LEMONCROFT_GOSSIP_BROADCAST_QUEUE_H_
 #define LEMONCROFT_GOSSIP_BROADCAST_QUEUE_H_
 
@@ -19,10 +21,11 @@
  public:
   explicit BroadcastQueue(std::size_t max_updates) : max_updates_(max_updates) {}
 
-  // Takes the place of what was queued of the same instance. Where there is no room, what was told most
-  // often goes.
+  // Queues an update in place of an earlier one of the same instance. When the queue is full, the update that
+  // was sent most often is dropped.
   void Push(MemberUpdate update);
-  // Appends what fits into `room` bytes and was told less often than `limit`, and counts it as told.
+  // Appends the updates that fit into `room` bytes to `into` and counts a transmission of each. An update is
+  // dropped after `limit` transmissions.
   void Fill(std::vector<MemberUpdate>& into, std::size_t room, int limit);
   void Clear();
   bool empty() const { return queued_.empty(); }
@@ -32,9 +35,9 @@
   struct Queued {
     MemberUpdate update;
     int transmits = 0;
-    std::uint64_t order = 0;  // the newest has the lowest
+    std::uint64_t order = 0;  // the newest update has the lowest
   };
-  using SendOrder = std::tuple<int, std::uint64_t, InstanceId>;  // told, order, instance
+  using SendOrder = std::tuple<int, std::uint64_t, InstanceId>;  // transmits, order, instance
 
   void Remove(InstanceId id);
 
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -52,7 +52,7 @@
 
 std::uint64_t MemberTable::digest() const {
   const std::uint64_t digest = XXH3_64bits(bucket_sums_.data(), sizeof bucket_sums_);
-  return digest == 0 ? 1 : digest;  // 0 on the wire: none is told
+  return digest == 0 ? 1 : digest;  // 0 means "not given" on the wire
 }
 
 void MemberTable::Remove(std::vector<InstanceId>& from, InstanceId id) {
@@ -80,8 +80,7 @@
 
 bool MemberTable::MakeRoom(Time now, bool confirmed) {
   if (members_.size() < max_members_ || !safety_checks_.member_limit) return true;
-  // Who goes first: the oldest who has failed or left, then the oldest known by hearsay alone, for one that
-  // gave proof of life itself.
+  // Evicts the oldest member that failed or left; then, for a confirmed newcomer, the oldest unconfirmed one.
   const Member* candidate = nullptr;
   for (const auto& [id, member] : members_) {
     if (id == self_) continue;
@@ -207,7 +206,7 @@
 void MemberTable::DelaySuspicions(Span by) {
   for (auto& [id, member] : members_) {
     if (member.status != Status::kSuspect || member.deadline == kNever) continue;
-    member.status_since += by;  // what confirms it from now on counts from there, too
+    member.status_since += by;  // later confirmations shorten the timeout from here, too
     SetDeadline(id, member.deadline + by);
   }
 }
--- a/src/gossip/member_table.h
+++ b/src/gossip/member_table.h
@@ -1,7 +1,9 @@
-// The members that a proxy holds: bounded, with a digest of who is alive, and tombstones of who was freed.
+// The members that this proxy knows, with the indexes and digests derived from them, and tombstones of the
+// members that were reaped.
 //
-// Contract. No I/O, no clock; keeps what it is told and decides only who makes room. The proxy itself is one
-// of the members and is never dropped. Owned by a View; times are the caller's.
+// No I/O, no clock; times are passed by the caller. It stores what the protocol decides and only decides
+// itself which member is evicted when the table is full. The proxy itself is a member and is never evicted.
+// Owned by a MembershipView.
 #ifndef LEMONCROFT_GOSSIP_MEMBER_TABLE_H_
 #define LEMONCROFT_GOSSIP_MEMBER_TABLE_H_
 
@@ -18,14 +20,16 @@
 
 namespace lemoncroft::gossip {
 
+// A member in the local view.
 struct Member {
   MemberRecord record;
   Status status = Status::kAlive;
-  Time status_since{};                      // when it came to this status
-  std::optional<Time> last_direct_contact;  // when a datagram of its own came last; none: known by hearsay
+  Time status_since{};                      // when it entered this status
+  std::optional<Time> last_direct_contact;  // its last datagram; none: only known through others
   std::vector<InstanceId> suspected_by;
-  Time deadline = kNever;  // the suspicion ends, or it is freed
+  Time deadline = kNever;  // end of the suspicion, or when it is reaped
 
+  // Suspected members count as live.
   bool is_live() const { return status == Status::kAlive || status == Status::kSuspect; }
 };
 
@@ -38,47 +42,50 @@
   const Member* Find(InstanceId id) const;
   const std::map<InstanceId, Member>& all() const { return members_; }
   std::size_t live_count() const { return live_.size(); }  // this proxy included
-  // Those alive or suspected, this proxy left out, in the order of their coming (but for places refilled).
+  // The live members without this proxy, in order of insertion; a removal moves the last one into the gap.
   const std::vector<InstanceId>& others() const { return others_; }
   const std::vector<InstanceId>& failed() const { return failed_; }
-  // Of the others those that gave no proof of life yet.
+  // Those of others() that this proxy never had a datagram from.
   const std::vector<InstanceId>& unconfirmed() const { return unconfirmed_; }
-  // Names under which live instances serve, how many each; and those that more than one has.
+  // Names of the live serving instances with the number of instances each.
   const std::map<std::string, std::size_t>& serving_names() const { return serving_names_; }
+  // Names that more than one live instance serves under.
   const std::set<std::string>& shared_names() const { return shared_names_; }
-  // A live instance that has this address; kNobody where there is none.
+  // A live instance with this address, or kNoInstance.
   InstanceId FindByAddress(const Endpoint& address) const;
 
-  // False where there is no room for it. `proven`: it sent a datagram of its own.
+  // Adds a member; `confirmed`: this proxy received a datagram of it. Returns false when the table is full.
   bool Add(Time now, const MemberRecord& record, Status status, bool confirmed);
-  void Replace(const MemberRecord& record);  // of a member: it changed what it says of itself
+  // Replaces the record of a known member.
+  void Replace(const MemberRecord& record);
   void SetStatus(Time now, InstanceId id, Status status);
   void SetIncarnation(InstanceId id, std::uint64_t incarnation);
   void SetDeadline(InstanceId id, Time deadline);
-  bool AddSuspector(InstanceId id,
-                    InstanceId suspector);  // false where it had accused already, or no more count
+  // Returns false if the suspector is known already or more of them would not count.
+  bool AddSuspector(InstanceId id, InstanceId suspector);
   void ClearSuspectors(InstanceId id);
   void RecordDirectContact(Time now, InstanceId id);
-  // Drops it and keeps a tombstone until `until`.
+  // Removes a member and keeps a tombstone of it until `until`.
   void Reap(InstanceId id, Time until);
 
-  // The incarnation with which it was freed, where that is still known.
+  // The incarnation that a member was reaped with, as long as its tombstone is kept.
   std::optional<std::uint64_t> Tombstone(Time now, InstanceId id);
   std::size_t tombstones() const { return tombstones_.size(); }
 
-  // The member that is due first, and when.
+  // The earliest deadline and its member; {kNever, kNoInstance} if there is none.
   std::pair<Time, InstanceId> FirstDeadline() const;
-  // Moves what is due later by `by`: this proxy was held for so long.
+  // Postpones all suspicion deadlines by the time that this proxy was paused.
   void DelaySuspicions(Span by);
 
+  // Sums and digest of the ids and incarnations of the live members.
   const BucketSums& bucket_sums() const { return bucket_sums_; }
   std::uint64_t digest() const;
-  // Counts changes of who is alive, with which phase.
+  // Increases with each change of the live members or of their records.
   std::uint64_t change_count() const { return change_count_; }
 
  private:
   bool MakeRoom(Time now, bool confirmed);
-  void AddToCounters(const Member& member, std::uint64_t sign);  // into or out of the sums
+  void AddToCounters(const Member& member, std::uint64_t sign);  // sign: 1 or -1
   void CountServingName(const std::string& name, bool more);
   void UpdateLiveIndex(InstanceId id, bool live);
   static void Remove(std::vector<InstanceId>& from, InstanceId id);
--- a/src/gossip/membership_view.cpp
+++ b/src/gossip/membership_view.cpp
@@ -10,12 +10,11 @@
 namespace {
 
 constexpr std::size_t kMaxRecentContacts = 8;
-constexpr std::size_t kMaxRebroadcastEntries =
-    64;  // entries of an exchange past which they aren't told on as news
-constexpr std::size_t kClaimsVerifiedPerRound = 4;  // accused that are asked in one gossip beat
-constexpr std::size_t kLeaveFanout = 8;             // members that are told of a leave at once
-constexpr std::size_t kDatagramOverheadBytes = 48;  // bytes of a datagram beside its sender and news
-constexpr std::size_t kMaxSyncEntries = 8192;       // of one exchange
+constexpr std::size_t kMaxRebroadcastEntries = 64;  // a larger sync is not gossiped on
+constexpr std::size_t kClaimsVerifiedPerRound = 4;  // in one gossip round
+constexpr std::size_t kLeaveFanout = 8;             // members that a leave is sent to at once
+constexpr std::size_t kDatagramOverheadBytes = 48;  // beside the sender and the updates
+constexpr std::size_t kMaxSyncEntries = 8192;       // in one message
 
 }  // namespace
 
@@ -59,7 +58,7 @@
       last_sequence_(static_cast<std::uint32_t>(random_())),
       next_seed_(last_sequence_),
       last_sync_(now - Periods(kSyncIntervalPeriods)) {
-  // Spread over the period: proxies that start together must not strike together.
+  // Spreads the probes of proxies that start together over the period.
   next_probe_ += Span(RandomBelow(static_cast<std::size_t>(settings_.probe_interval.count())));
   broadcasts_.Push({Status::kAlive, members_.own().record, kNoInstance});
 }
@@ -74,7 +73,7 @@
   outputs_.push_back(Event{type, record, reported_by});
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 Time MembershipView::NextDeadline() const {
   Time deadline = std::min({next_probe_, next_periodic_, members_.FirstDeadline().first});
@@ -86,7 +85,7 @@
   return deadline;
 }
 
-// Notes, around every call from outside, whether it comes late, and when the next one should come.
+// Around every public call: detects a pause before it and sets when the next call is expected after it.
 class MembershipView::CallScope {
  public:
   CallScope(MembershipView& view, Time now) : view_(view), now_(now) {
@@ -103,8 +102,8 @@
   Time now_;
 };
 
-// A proxy that was held finds its probes unanswered and its suspicions over, and none of that is anybody's
-// fault but its own.
+// After a pause, probes have timed out and suspicions have expired although the members may have answered in
+// time. None of that is evidence against them.
 void MembershipView::DetectPause(Time now) {
   if (!settings_.safety_checks.pause_detection) return;
   const Span late = now - expected_call_;
@@ -155,7 +154,8 @@
   const std::vector<InstanceId>& failed = members_.failed();
   if (settings_.safety_checks.reconnect_failed && !failed.empty() &&
       period_count_ % kFailedRetryIntervalPeriods == 0) {
-    // Without a probe's consequences: who answers hears what is held against it, and refutes.
+    // Not a probe: a missing answer has no consequence. The datagram carries the failure, so that a member
+    // that lives refutes it.
     const InstanceId id = failed[RandomBelow(failed.size())];
     SendDatagram(members_.Find(id)->record.address, id, Ping{++last_sequence_, id});
   }
@@ -185,7 +185,7 @@
   DetectNameConflicts();
 }
 
-// Names under which two processes serve, neither of which is about to end.
+// Reports instances that serve under this proxy's name for kNameConflictPeriods.
 void MembershipView::DetectNameConflicts() {
   if (std::exchange(conflicts_checked_at_, members_.change_count()) != members_.change_count()) {
     std::erase_if(conflict_since_, [&](const auto& c) { return !members_.shared_names().contains(c.first); });
@@ -199,15 +199,15 @@
       EmitEvent(EventType::kNameConflict, member.record);
 }
 
-// ---- Choices ----
+// ---- Dissemination ----
 
-// Different members alive or suspected. One of them gave proof of life lately: what it is asked or told is
-// likely to arrive, also from a proxy that few can be reached by.
-std::vector<InstanceId> MembershipView::PickMembers(std::size_t count, InstanceId but) {
+// One of them is a recent contact, so that the datagram is likely to arrive even if this proxy can reach only
+// few members.
+std::vector<InstanceId> MembershipView::PickMembers(std::size_t count, InstanceId except) {
   std::vector<InstanceId> picked;
   const auto take = [&](InstanceId id) {
     const Member* member = members_.Find(id);
-    if (id == but || member == nullptr || !member->is_live()) return;
+    if (id == except || member == nullptr || !member->is_live()) return;
     if (std::find(picked.begin(), picked.end(), id) == picked.end()) picked.push_back(id);
   };
   if (!recent_contacts_.empty()) take(recent_contacts_[RandomBelow(recent_contacts_.size())]);
@@ -260,8 +260,8 @@
     local_health_ = std::clamp(local_health_ + delta, 0, kMaxLocalHealth);
 }
 
-// One of those that gave proof of life, as ever; and beside it some who are known by hearsay alone, so that a
-// thousand invented names neither delay the probes of the others nor stay for long.
+// Probes one confirmed member, as SWIM does, and some unconfirmed ones besides: forged members then neither
+// delay the probes of the others nor stay for long.
 void MembershipView::StartNextProbes(Time now) {
   next_probe_ = now + settings_.probe_interval * (1 + local_health_);
   if (left_) return;
@@ -345,7 +345,7 @@
 }
 
 void MembershipView::HandleProbeTimeout(Time now, const Probe& probe) {
-  // Those that were asked answer in any case: where none did, this proxy may be the one in trouble.
+  // Relaying members answer with an Ack or a Nack. If none did, this proxy itself may be unreachable.
   if (probe.indirect_probes > 0 && probe.nacks == 0) AdjustLocalHealth(+1);
   const Member* member = members_.Find(probe.target);
   if (member == nullptr || !member->is_live() || member->record.incarnation > probe.incarnation) return;
@@ -356,7 +356,7 @@
 void MembershipView::VerifyFailureClaims(Time now) {
   for (std::size_t i = 0;
        i < kClaimsVerifiedPerRound && !failure_claims_.empty() && probes_.size() < kMaxProbes; ++i) {
-    // Any of them: many may have heard the same claims, and need not all begin with the same one.
+    // A random one: many members may have the same claims and should not all verify the same one first.
     auto it = failure_claims_.lower_bound(random_());
     if (it == failure_claims_.end()) it = failure_claims_.begin();
     const auto [id, claim] = *it;
@@ -369,7 +369,7 @@
   }
 }
 
-// ---- What comes ----
+// ---- Messages ----
 
 void MembershipView::Receive(Time now, const Datagram& d) {
   const CallScope call(*this, now);
@@ -380,7 +380,7 @@
   ApplyAlive(now, d.sender, true, false);
   const Member* sender = members_.Find(d.sender.id);
   if (sender == nullptr) {
-    ++rejected_;  // no room for it, or beyond belief
+    ++rejected_;  // the table is full, or the record was not credible
     return;
   }
   const bool first = !first_contact_.has_value() && sender->is_live();
@@ -443,7 +443,7 @@
     return SendDatagram(relayed.requester, kNoInstance, Ack{relayed.sequence, relayed.target},
                         {{Status::kAlive, d.sender, kNoInstance}});
   }
-  // A seed that this proxy did not know, or had given up: what it knows is wanted at once.
+  // A seed that was no live member so far: sync with it at once.
   if (ack.sequence == seed_ping_sequence_ && seed_ping_sequence_ != 0) {
     seed_ping_sequence_ = 0;
     RequestSync(d.sender.address);
@@ -464,11 +464,11 @@
 }
 
 void MembershipView::Handle(Time, const Datagram& d, const Gossip&) {
-  // It believes to be in this proxy's view and is not: it has to hear of that.
+  // The sender is not alive in this view: tell it, so that it refutes.
   if (NonAliveUpdate(d.sender.id).has_value()) SendDatagram(d.sender.address, d.sender.id, Gossip{});
 }
 
-// ---- News ----
+// ---- Member state ----
 
 bool MembershipView::ExceedsIncarnationJump(std::uint64_t incarnation, std::uint64_t known) const {
   return settings_.safety_checks.incarnation_jump_limit && incarnation > known + kMaxIncarnationJump;
@@ -500,11 +500,11 @@
   const Member* member = members_.Find(record.id);
   if (member == nullptr) return AddMember(now, record, direct, bulk);
   const MemberRecord& known = member->record;
-  // What was only heard of it may have been a lie; from here on its own word counts.
+  // Until the first direct contact its record may have been forged; its own record replaces that one.
   const bool corrected = direct && !member->last_direct_contact && record.incarnation < known.incarnation;
   if (record.incarnation < known.incarnation && !corrected) return;
   if (record.incarnation == known.incarnation) {
-    // Who holds it alive has to hear otherwise, and the accused to answer.
+    // Others still hold it alive: gossip the failure, so that they learn of it and the member can refute.
     if (member->status == Status::kFailed && !direct && !bulk) broadcasts_.Push(*NonAliveUpdate(record.id));
     return;
   }
@@ -546,13 +546,13 @@
     ++rejected_;
     return;
   }
-  // A place in this round, anywhere in it.
+  // Inserted at a random position of the current round (SWIM, section 4.3).
   std::vector<InstanceId>& round = direct ? probe_round_ : unconfirmed_round_;
   round.push_back(record.id);
   std::swap(round.back(), round[RandomBelow(round.size())]);
   if (!bulk) broadcasts_.Push({Status::kAlive, record, kNoInstance});
   EmitEvent(EventType::kJoined, record);
-  // An address is one process's at a time; where the newcomer is real, who had it before is gone.
+  // An address belongs to one process at a time: the instance that had it before has ended.
   if (settings_.safety_checks.ping_target_check && direct && previous_owner != kNoInstance &&
       previous_owner != members_.self())
     SuspectWithMinTimeout(now, previous_owner);
@@ -571,7 +571,7 @@
   const double least =
       kSuspicionBasePeriods + kSuspicionPeriodsPerLog10Members * std::log10(std::max(1.0, n));
   const double most = kMaxSuspicionFactor * least;
-  // In a small fleet there are not so many who could confirm.
+  // A small fleet has fewer members that could confirm.
   const double wanted = std::min<double>(kSuspicionConfirmations, std::max(0.0, n - 2));
   const double confirmed = std::min<double>(wanted, static_cast<double>(member.suspected_by.size()) - 1);
   const double part = wanted <= 0 ? 1 : std::log(std::max(0.0, confirmed) + 1) / std::log(wanted + 1);
@@ -608,7 +608,8 @@
   update.record.id = id;
   update.record.incarnation = member->record.incarnation;
   if (!bulk) broadcasts_.Push(std::move(update));
-  // Some look into it themselves: the suspect hears of it at once, and several judge.
+  // Some members probe the suspect themselves: it learns of the suspicion at once, and the verdict rests on
+  // several observers.
   const double part =
       kExpectedSuspectProbes / std::max<double>(1, static_cast<double>(members_.others().size()));
   if (fresh && reported_by != members_.self() && static_cast<double>(random_() >> 11) * 0x1.0p-53 < part)
@@ -634,7 +635,7 @@
     ++rejected_;
     return;
   }
-  // Only heard of, and never suspected here: after a partition each side holds the other for failed.
+  // Not suspected here: after a partition each side declares the other failed, so verify it first.
   if (member->status == Status::kAlive && settings_.safety_checks.claim_verification) {
     if (failure_claims_.size() < kMaxFailureClaims)
       failure_claims_[id] = {member->record.incarnation, reported_by};
@@ -678,10 +679,10 @@
   EmitEvent(EventType::kLeft, member->record);
 }
 
-// ---- What this proxy says of itself ----
+// ---- Own record ----
 
 void MembershipView::UpdateOwnRecord(const MemberRecord& changed) {
-  if (left_) return;  // the word that it left has its last incarnation: a later one would take it back
+  if (left_) return;  // a higher incarnation would revoke the leave
   MemberRecord record = changed;
   record.incarnation = members_.own().record.incarnation + 1;
   members_.Replace(record);
@@ -742,15 +743,13 @@
     SendDatagram(members_.Find(id)->record.address, id, Gossip{}, {update});
 }
 
-// ---- Exchanges ----
+// ---- State sync ----
 
 SyncRequest MembershipView::StartSync(Time now) {
   const CallScope call(*this, now);
   return {members_.own().record, members_.bucket_sums()};
 }
 
-// Of the buckets that differ as many as one exchange can carry, each whole: those are alike afterwards, and
-// the next exchange goes on with the others.
 std::bitset<kDigestBuckets> MembershipView::SelectBuckets(const BucketSums& theirs) const {
   std::array<std::size_t, kDigestBuckets> bytes{};
   for (const auto& [id, member] : members_.all())
@@ -775,7 +774,7 @@
     if (id == members_.self() && left_) continue;
     if (out.size() + 2 > kMaxSyncEntries) break;
     if (member.is_live()) out.push_back({Status::kAlive, member.record, kNoInstance});
-    // Of those who gave no proof of life their failure is no news.
+    // The failure of an unconfirmed member is not passed on.
     if (member.status != Status::kAlive && (member.is_live() || member.last_direct_contact))
       out.push_back(*NonAliveUpdate(id));
   }
@@ -794,15 +793,15 @@
   if (!first_contact_ && !members_.others().empty()) first_contact_ = now;
 }
 
-SyncEntries MembershipView::HandleSyncRequest(Time now, const SyncRequest& opening) {
+SyncEntries MembershipView::HandleSyncRequest(Time now, const SyncRequest& request) {
   const CallScope call(*this, now);
-  if (!IsWithinLimits(opening.sender) || opening.sender.id == members_.self()) {
+  if (!IsWithinLimits(request.sender) || request.sender.id == members_.self()) {
     ++rejected_;
     return {members_.own().record, members_.bucket_sums(), {}};
   }
-  ApplyAlive(now, opening.sender, true, false);
+  ApplyAlive(now, request.sender, true, false);
   if (!first_contact_ && !members_.others().empty()) first_contact_ = now;
-  return {members_.own().record, members_.bucket_sums(), DifferingEntries(opening.bucket_sums)};
+  return {members_.own().record, members_.bucket_sums(), DifferingEntries(request.bucket_sums)};
 }
 
 SyncEntries MembershipView::HandleSyncResponse(Time now, const SyncEntries& entries) {
@@ -817,7 +816,7 @@
   ApplyEntries(now, entries);
 }
 
-// ---- What it shows ----
+// ---- Accessors ----
 
 ServingRank MembershipView::serving_rank() const {
   const std::map<std::string, std::size_t>& names = members_.serving_names();
--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -1,11 +1,18 @@
-// The view that a proxy keeps of its fleet: a failure detector and dissemination of the SWIM kind, with
-// Lifeguard's local health, exchanges by digest, generations of a name, and bounds on all of it.
+// This proxy's view of the fleet's membership: a SWIM failure detector with Lifeguard's local health, gossip
+// dissemination, and state sync by digest.
+//
+// A deterministic state machine without I/O or a clock. The owner passes the time of one monotonic clock to
+// every call, calls Tick at NextDeadline(), passes received messages in, and carries out the outputs in
+// order. The same settings, seed and calls give the same outputs. A call that comes much later than
+// NextDeadline() means that this process was paused; the view then discards what it could not observe.
+//
+// Not thread-safe. Messages from the network may contain anything; invalid ones are counted in rejected()
+// and have no other effect. docs/gossip.md describes the protocol.
+//
+// The implementation is split by concern: membership_view.cpp (timers, own record), failure_detector.cpp
+// (probes), member_state.cpp (alive, suspect, failed, left), dissemination.cpp (piggybacked updates) and
+// state_sync.cpp (anti-entropy).
 //
-// Contract. No I/O, no clock: every call is passed the time of one monotonic clock; times never run
-// backwards. The same settings, seed and calls give the same outputs, which the owner takes and carries out
-// in order. Step is due at NextDeadline(), later is allowed and is taken for what it is: this proxy was held.
-// docs/peers.md is the design. Owner: one thread at a time. Units: spans of time, periods where a constant
-// says so. Errors: what a peer sends can be wrong in any way; it is counted in refused() and changes nothing.
 // Source: SWIM (Das, Gupta, Motivala, DSN 2002); Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018).
 #ifndef LEMONCROFT_GOSSIP_MEMBERSHIP_VIEW_H_
 #define LEMONCROFT_GOSSIP_MEMBERSHIP_VIEW_H_
@@ -27,40 +34,44 @@
 
 namespace lemoncroft::gossip {
 
+// What happened to a member, or to this proxy itself.
 enum class EventType {
   kJoined,
-  kChanged,  // what it says of itself
+  kChanged,  // it announced a new record
   kSuspected,
   kRefuted,
   kFailed,
-  kReturned,  // who had failed or left lives
+  kReturned,  // it had failed or left and is alive again
   kLeft,
-  kReaped,
-  kNameConflict,  // another process serves under this proxy's own name
-  kPaused,        // this proxy was held, and dropped what it believed meanwhile
-  kRefutedOwn,    // this proxy refuted what was said of it
+  kReaped,        // removed from the table after it failed or left
+  kNameConflict,  // another instance serves under this proxy's name
+  kPaused,        // this process was paused and discarded what it could not observe
+  kRefutedOwn,    // this proxy refuted an update about itself
 };
+// The name of an event in the log.
 const char* NameOf(EventType type);
 
+// A change of the view, for the owner.
 struct Event {
   EventType type = EventType::kJoined;
   MemberRecord record;
-  InstanceId reported_by = kNoInstance;  // who suspects, or saw it fail
+  InstanceId reported_by = kNoInstance;  // the instance that suspects it or declared it failed
 };
+// Send this datagram. It may be lost.
 struct Transmit {
   Endpoint to;
   Datagram datagram;
 };
-// Open a stream there and let the two views exchange what differs.
+// Open a stream to this endpoint and run a state sync over it.
 struct StateSync {
   Endpoint to;
 };
 using Output = std::variant<Event, Transmit, StateSync>;
 
-// How many names serve, and which place in their order this proxy has.
+// The number of names that serve, and the rank of this proxy's name among them in alphabetical order.
 struct ServingRank {
   int serving_count = 0;
-  int rank = -1;  // -1: it does not serve
+  int rank = -1;  // -1: this proxy does not serve
   bool operator==(const ServingRank&) const = default;
 };
 
@@ -68,49 +79,59 @@
  public:
   MembershipView(Settings settings, const MemberRecord& self, std::uint64_t seed, Time now);
 
+  // Runs the timers that are due.
   void Tick(Time now);
+  // When Tick should be called next.
   Time NextDeadline() const;
   void Receive(Time now, const Datagram& datagram);
-  std::vector<Output> TakeOutputs();  // what has come of the calls since the last one
+  // Removes and returns the outputs of the calls since the last one.
+  std::vector<Output> TakeOutputs();
 
-  // An exchange: the opener sends Open(), the answerer what Answer() returns, the opener what Close() does,
-  // which the answerer hands to Finish().
+  // State sync. The initiator sends StartSync(); the responder passes it to HandleSyncRequest() and sends the
+  // result back; the initiator passes that to HandleSyncResponse() and sends the result, which the responder
+  // passes to FinishSync().
   SyncRequest StartSync(Time now);
-  SyncEntries HandleSyncRequest(Time now, const SyncRequest& opening);
+  SyncEntries HandleSyncRequest(Time now, const SyncRequest& request);
   SyncEntries HandleSyncResponse(Time now, const SyncEntries& entries);
   void FinishSync(Time now, const SyncEntries& entries);
 
-  // What this proxy says of itself.
+  // Changes to this proxy's own record.
   void SetPhase(Time now, Phase phase);
-  bool SetAttribute(Time now, const std::string& key, const std::string& value);  // false: over the bounds
-  // It ends on purpose: said at once to some, and to all who ask until the process ends.
+  // Returns false if the record would exceed its limits or this proxy has left.
+  bool SetAttribute(Time now, const std::string& key, const std::string& value);
+  // Announces that this process ends on purpose. No later change of the record is sent.
   void Leave(Time now);
 
   const MemberTable& members() const { return members_; }
   ServingRank serving_rank() const;
-  // Names that two instances have, neither of which is ending, and not for a moment only.
+  // Names that several instances have served under for kNameConflictPeriods.
   std::vector<std::string> name_conflicts() const;
+  // Lifeguard's local health: 0 is healthy; timeouts are multiplied by one more than it.
   int local_health() const { return local_health_; }
+  // Messages and updates that were well formed but not credible, or exceeded a limit.
   std::uint64_t rejected() const { return rejected_; }
   std::size_t queued_updates() const { return broadcasts_.size(); }
-  // Who among those alive told last that it holds others alive than this proxy does.
+  // Live members whose last digest differed from that of this view.
   std::size_t diverged_count() const { return diverged_.size(); }
   bool HasDiverged(InstanceId id) const { return diverged_.contains(id); }
 
  private:
+  // A failure that another member reported and this proxy has yet to verify.
   struct FailureClaim {
     std::uint64_t incarnation = 0;
     InstanceId reported_by = kNoInstance;
   };
+  // A pending probe of this proxy.
   struct Probe {
     InstanceId target = kNoInstance;
     Endpoint address;
     std::uint64_t incarnation = 0;
-    Time indirect_at{};  // kNever: done
+    Time indirect_at{};  // kNever: indirect probes were sent
     Time deadline{};
     std::size_t indirect_probes = 0, nacks = 0;
-    bool verifies_claim = false;  // another holds it for failed
+    bool verifies_claim = false;  // started because of a FailureClaim
   };
+  // A pending probe on behalf of another member (PingRequest).
   struct RelayedProbe {
     Endpoint requester;
     std::uint32_t sequence = 0;
@@ -120,24 +141,37 @@
 
   class CallScope;
 
-  // Times.
+  // ---- Timers (membership_view.cpp) ----
+
   Span Periods(double count) const;
   void DetectPause(Time now);
   void RunPeriodicTasks(Time now);
   void DetectNameConflicts();
-  void SendGossip();
+  void UpdateOwnRecord(const MemberRecord& changed);
+
+  // ---- Failure detector (failure_detector.cpp) ----
 
-  // Probes.
   void StartNextProbes(Time now);
-  // The next of a round, which begins again at its end, of those with or without proof of life.
+  // The next member of a probe round, with or without direct contact. An empty round is refilled and
+  // shuffled.
   std::optional<InstanceId> NextInRound(std::vector<InstanceId>& round, bool confirmed);
   void StartProbe(Time now, const Member& member, std::optional<FailureClaim> claim);
   void CheckProbeTimeouts(Time now);
   void HandleProbeTimeout(Time now, const Probe& probe);
   void VerifyFailureClaims(Time now);
-  void AdjustLocalHealth(int delta);  // local health
+  void AdjustLocalHealth(int delta);
+  void Handle(Time now, const Datagram& d, const Ping& ping);
+  void Handle(Time now, const Datagram& d, const PingRequest& request);
+  void Handle(Time now, const Datagram& d, const Ack& ack);
+  void Handle(Time now, const Datagram& d, const Nack& nack);
+  void Handle(Time now, const Datagram& d, const WrongTarget& wrong_target);
+  void Handle(Time now, const Datagram& d, const Gossip& gossip);
+
+  // ---- Member state (member_state.cpp) ----
+  //
+  // `direct`: the record came from the member itself. `bulk`: part of a large state sync, whose entries are
+  // not gossiped on.
 
-  // News.
   void ApplyUpdate(Time now, const MemberUpdate& update, bool bulk);
   void ApplyAlive(Time now, const MemberRecord& record, bool direct, bool bulk);
   void AddMember(Time now, const MemberRecord& record, bool direct, bool bulk);
@@ -145,34 +179,36 @@
   void ApplyFailed(Time now, InstanceId id, std::uint64_t incarnation, InstanceId reported_by);
   void ApplyLeft(Time now, InstanceId id, std::uint64_t incarnation);
   void Refute(Time now, std::uint64_t incarnation);
-  void UpdateOwnRecord(const MemberRecord& changed);
-  void SuspectWithMinTimeout(Time now, InstanceId id);  // its address has another tenant
+  // Suspects a member on strong evidence, with the shortest timeout.
+  void SuspectWithMinTimeout(Time now, InstanceId id);
+  // Lifeguard's dynamic timeout: shrinks with independent confirmations.
   Span SuspicionTimeout(const Member& member) const;
   void UpdateSuspicionDeadline(Time now, InstanceId id);
   bool ExceedsIncarnationJump(std::uint64_t incarnation, std::uint64_t known) const;
 
-  // Bodies.
-  void Handle(Time now, const Datagram& d, const Ping& ping);
-  void Handle(Time now, const Datagram& d, const PingRequest& request);
-  void Handle(Time now, const Datagram& d, const Ack& ack);
-  void Handle(Time now, const Datagram& d, const Nack& nack);
-  void Handle(Time now, const Datagram& d, const WrongTarget& wrong_target);
-  void Handle(Time now, const Datagram& d, const Gossip& gossip);
+  // ---- Dissemination (dissemination.cpp) ----
 
-  // What is held against a member, so that it can answer.
+  void SendGossip();
+  // The update that says why this view does not hold a member alive; sent to the member so that it can
+  // refute.
   std::optional<MemberUpdate> NonAliveUpdate(InstanceId id) const;
   void SendDatagram(const Endpoint& to, InstanceId to_id, const DatagramBody& body,
                     std::vector<MemberUpdate> first = {});
+  // Different live members, at most `count`, without `except`.
+  std::vector<InstanceId> PickMembers(std::size_t count, InstanceId except);
+  void EmitEvent(EventType type, const MemberRecord& record, InstanceId reported_by = kNoInstance);
+
+  // ---- State sync (state_sync.cpp) ----
+
+  // Of the buckets that differ, as many as one message can carry. Each is sent completely, so that it is
+  // equal afterwards and the next sync continues with the others.
   std::bitset<kDigestBuckets> SelectBuckets(const BucketSums& theirs) const;
   std::vector<MemberUpdate> DifferingEntries(const BucketSums& theirs) const;
   void ApplyEntries(Time now, const SyncEntries& entries);
   void CompareDigest(Time now, const Datagram& d);
   void RequestSync(const Endpoint& with) { sync_target_ = with; }
-  void EmitEvent(EventType type, const MemberRecord& record, InstanceId reported_by = kNoInstance);
 
-  // Random choices.
   std::size_t RandomBelow(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
-  std::vector<InstanceId> PickMembers(std::size_t count, InstanceId but);
 
   Settings settings_;
   std::mt19937_64 random_;
@@ -181,21 +217,21 @@
   std::vector<Output> outputs_;
 
   Time next_probe_, next_gossip_, next_periodic_;
-  Time expected_call_;  // of the next call, at the latest
-  int call_depth_ = 0;  // of calls within calls
+  Time expected_call_;  // when the next call was expected at the latest
+  int call_depth_ = 0;  // nested public calls
   std::uint64_t period_count_ = 0;
   int local_health_ = 0;
   std::uint64_t rejected_ = 0;
   bool left_ = false;
   std::optional<Time> first_contact_;
 
-  std::vector<InstanceId> probe_round_,
-      unconfirmed_round_;  // whom these rounds of probes have still to reach
+  // Members that the current rounds of probes have still to reach.
+  std::vector<InstanceId> probe_round_, unconfirmed_round_;
   std::uint32_t last_sequence_;
   std::map<std::uint32_t, Probe> probes_;
   std::map<std::uint32_t, RelayedProbe> relayed_probes_;
   std::map<InstanceId, FailureClaim> failure_claims_;
-  std::deque<InstanceId> recent_contacts_;  // who gave proof of life last
+  std::deque<InstanceId> recent_contacts_;  // members whose datagrams came last
   std::size_t next_seed_ = 0;
   std::uint32_t seed_ping_sequence_ = 0;
 
@@ -203,8 +239,8 @@
   Time last_sync_;
   int digest_mismatches_ = 0;
   std::map<InstanceId, Time> diverged_;
-  std::map<std::string, std::uint64_t> conflict_since_;  // in beats
-  std::uint64_t conflicts_checked_at_ = 0;  // the roster's changes when they were last looked for
+  std::map<std::string, std::uint64_t> conflict_since_;  // in period_count_
+  std::uint64_t conflicts_checked_at_ = 0;               // members_.change_count() of the last check
 };
 
 }  // namespace lemoncroft::gossip
--- a/src/gossip/types.h
+++ b/src/gossip/types.h
@@ -1,8 +1,8 @@
-// What proxies tell each other of themselves and of others: records, news, messages.
+// Values of the membership protocol: member records, updates, datagrams and state sync messages.
 //
-// Contract. Plain values, no I/O, no clock; docs/peers.md tells what they mean and which of two wins. Lengths
-// are checked by whoever takes them from a peer (Fits); times are of the caller's monotonic clock and never
-// cross the wire. Owner: none. Errors: none.
+// Plain values without I/O or a clock. Lengths are not enforced by the types; a receiver checks records from
+// the network with IsWithinLimits. Times belong to the local monotonic clock and are never sent.
+// docs/gossip.md describes the protocol and the precedence of updates.
 // Source: SWIM (Das, Gupta, Motivala, DSN 2002); Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018).
 #ifndef LEMONCROFT_GOSSIP_TYPES_H_
 #define LEMONCROFT_GOSSIP_TYPES_H_
@@ -22,22 +22,23 @@
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
 inline constexpr Time kNever = Time::max();
 
-// One process: drawn at its start, never again.
+// Identifies one process: 64 random bits drawn at its start, never reused.
 using InstanceId = std::uint64_t;
 inline constexpr InstanceId kNoInstance = 0;
 
-// Bounds on what a record may hold, in bytes and in number.
+// Limits of a member record.
 inline constexpr std::size_t kMaxNameBytes = 64, kMaxZoneBytes = 32;
 inline constexpr std::size_t kMaxAttributes = 8, kMaxAttributeKeyBytes = 32, kMaxAttributeValueBytes = 64;
-// How far one message may move an incarnation, so that a lie can't use the numbers up.
+// How far one message may advance an incarnation. Without the limit a single forged message could exhaust
+// the incarnations that are left to refute with.
 inline constexpr std::uint64_t kMaxIncarnationJump = std::uint64_t{1} << 20;
 inline constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 60;
-// Bytes of one datagram, its frame included.
+// Size of one datagram, including its frame.
 inline constexpr std::size_t kMaxDatagramBytes = 1400;
-// Bytes of entries in one message of an exchange; what differs beyond that is told in the next one.
+// Size of the entries in one state sync message; further differences are left to the next sync.
 inline constexpr std::size_t kMaxSyncBytes = std::size_t{768} << 10;
 
-// IPv4, in the host's byte order.
+// An IPv4 address and port in host byte order. A default-constructed endpoint means "none".
 struct Endpoint {
   std::uint32_t host = 0;
   std::uint16_t port = 0;
@@ -48,88 +49,101 @@
   explicit operator bool() const { return port != 0; }
 };
 
+// Where a process is in its life cycle, as it announces itself.
 enum class Phase : std::uint8_t { kStarting, kServing, kDraining };
 
+// A key and value that an instance publishes about itself.
 struct Attribute {
   std::string key, value;
   bool operator==(const Attribute&) const = default;
 };
 
-// What an instance says of itself; each change has a higher incarnation.
+// What an instance announces about itself. Only the instance changes it, each time with a higher incarnation.
 struct MemberRecord {
   InstanceId id = kNoInstance;
   std::string name;
-  Endpoint address;  // as advertised
+  Endpoint address;  // the advertised one
   std::string zone;
   Phase phase = Phase::kStarting;
-  std::uint32_t generation = 1;  // of the processes of this name, the newest has the highest
+  std::uint32_t generation = 1;  // numbers the processes of one name; a later process has a higher one
   std::uint64_t incarnation = 1;
   std::vector<Attribute> attributes;
   bool operator==(const MemberRecord&) const = default;
 };
 
-// Whether a record that a peer sent keeps the bounds.
-bool IsWithinLimits(const MemberRecord& record);
+// Checks a record from the network against the limits above.
+[[nodiscard]] bool IsWithinLimits(const MemberRecord& record);
 
+// A member's state in the local view.
 enum class Status : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
 
-// Of kAlive the record is whole; of the others only its id and incarnation count.
+// A gossiped change of one member's state. With kAlive the whole record is valid, otherwise only its id and
+// incarnation.
 struct MemberUpdate {
   Status status = Status::kAlive;
   MemberRecord record;
-  InstanceId reported_by = kNoInstance;  // who suspects, or who saw it fail
+  InstanceId reported_by = kNoInstance;  // the instance that suspects it or declared it failed
 };
 
-// At the most so many bytes on the wire.
+// Upper bounds of the encoded sizes in bytes.
 std::size_t MaxEncodedSize(const MemberRecord& record);
 std::size_t MaxEncodedSize(const MemberUpdate& update);
 
+// A direct probe.
 struct Ping {
   std::uint32_t sequence = 0;
-  InstanceId target = kNoInstance;  // kNobody: whoever is at the address
+  InstanceId target = kNoInstance;  // kNoInstance: any instance at the address
 };
-// Please ping it for me.
+// Asks the receiver to probe `target` on behalf of the sender (SWIM's ping-req).
 struct PingRequest {
   std::uint32_t sequence = 0;
   InstanceId target = kNoInstance;
   Endpoint address;
 };
+// Answers Ping and PingRequest.
 struct Ack {
   std::uint32_t sequence = 0;
-  InstanceId target = kNoInstance;  // who was reached: the sender, or whom it pinged for the receiver
+  InstanceId target = kNoInstance;  // the instance that answered: the sender, or the target of a PingRequest
 };
-// Whom you asked for has not answered me in time; but I have answered you.
+// Answers a PingRequest whose target did not answer in time. It shows that the relaying member is reachable
+// (Lifeguard).
 struct Nack {
   std::uint32_t sequence = 0;
 };
-// The address that you pinged is mine; whom you look for is not here.
+// Answers a Ping whose target is not the instance at this address.
 struct WrongTarget {
   std::uint32_t sequence = 0;
 };
+// A datagram that only carries updates.
 struct Gossip {};
 
 using DatagramBody = std::variant<Ping, PingRequest, Ack, Nack, WrongTarget, Gossip>;
 
+// One message of the failure detector, with updates piggybacked on it.
 struct Datagram {
   MemberRecord sender;
-  std::uint64_t digest = 0;  // of whom the sender holds alive
+  std::uint64_t digest = 0;  // of the members that the sender holds live; 0: not given
   DatagramBody body;
   std::vector<MemberUpdate> updates;
 };
 
-// ---- Exchanges over a stream: the opener's sums, the answerer's sums and entries, the opener's entries ----
+// State sync (anti-entropy) over a stream: the initiator sends a SyncRequest, the responder answers with
+// SyncEntries, and the initiator closes with SyncEntries of its own.
 
 inline constexpr std::size_t kDigestBuckets = 32;
+// Hash sums of the live members by id modulo kDigestBuckets; equal sums mean equal buckets.
 using BucketSums = std::array<std::uint64_t, kDigestBuckets>;
 
+// Opens a state sync.
 struct SyncRequest {
   MemberRecord sender;
   BucketSums bucket_sums{};
 };
+// Answers or closes a state sync.
 struct SyncEntries {
   MemberRecord sender;
   BucketSums bucket_sums{};
-  std::vector<MemberUpdate> entries;  // of the buckets that differ
+  std::vector<MemberUpdate> entries;  // members of the buckets whose sums differ
 };
 
 }  // namespace lemoncroft::gossip
--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -18,11 +18,11 @@
 
 constexpr char kMagic[] = {'L', 'C'};
 static_assert(gossip::kMaxSyncBytes + (std::size_t{16} << 10) < kMaxStreamMessageBytes,
-              "beside its sender and sums");
+              "room for the sender and the bucket sums");
 
 constexpr codec::MsgpackBounds kBounds{16384, 256, kMaxStreamMessageBytes, 8};
 
-// The kinds of messages and bodies on the wire: never renumbered.
+// Message kinds on the wire: never renumber.
 enum class Kind : std::uint8_t { kDatagram = 0, kSyncRequest = 1, kSyncEntries = 2, kAppMessage = 3 };
 
 void Pack(Packer& to, const MemberRecord& r) {
@@ -160,10 +160,10 @@
 
 }  // namespace
 
-const char* NameOf(FrameError fault) {
+const char* NameOf(FrameError error) {
   constexpr const char* kNames[kFrameErrorCount] = {"cut",     "too long", "garbled",
                                                     "version", "foreign",  "malformed"};
-  return kNames[static_cast<std::size_t>(fault)];
+  return kNames[static_cast<std::size_t>(error)];
 }
 
 std::string Encode(std::string_view fleet, const Message& message) {
--- a/src/peer_transport/frame.h
+++ b/src/peer_transport/frame.h
@@ -1,9 +1,9 @@
-// Frames between proxies: magic, versions, a checksum, and the message in MessagePack.
+// Framing of messages between proxies: magic bytes, versions, a checksum, and the message in MessagePack.
 //
-// Contract. No I/O. What comes from a peer is unpacked under bounds on lengths, counts and depth; anything
-// that isn't one whole message of this fleet and major version is a Fault, never an exception. Elements that
-// a later minor version appends are passed over. Owner: none. Units: bytes. Source: docs/peers.md; the
-// MessagePack specification; XXH3 (xxHash).
+// No I/O, no state. Input from the network is unpacked under limits on lengths, counts and depth; anything
+// that is not one complete message of this fleet and major version is a FrameError, never an exception.
+// Elements that a later minor version appends are ignored. docs/gossip.md describes the format.
+// Source: the MessagePack specification; XXH3 (xxHash).
 #ifndef LEMONCROFT_PEER_TRANSPORT_FRAME_H_
 #define LEMONCROFT_PEER_TRANSPORT_FRAME_H_
 
@@ -17,6 +17,7 @@
 
 namespace lemoncroft::peer_transport {
 
+// Why a frame was not decoded.
 enum class FrameError : std::uint8_t {
   kTruncated,
   kTooLong,
@@ -26,20 +27,21 @@
   kMalformed
 };
 inline constexpr std::size_t kFrameErrorCount = 6;
-const char* NameOf(FrameError fault);
+// The error in words.
+const char* NameOf(FrameError error);
 
 inline constexpr std::uint8_t kMajorVersion = 1, kMinorVersion = 0;
-inline constexpr std::size_t kHeaderBytes = 12;                              // magic, versions, checksum
-inline constexpr std::size_t kMaxStreamMessageBytes = std::size_t{1} << 20;  // of one message of a stream
-inline constexpr std::size_t kMaxFleetNameBytes = 48;                        // of the fleet's name
+inline constexpr std::size_t kHeaderBytes = 12;  // magic bytes, versions, checksum
+inline constexpr std::size_t kMaxStreamMessageBytes = std::size_t{1} << 20;  // of one message on a stream
+inline constexpr std::size_t kMaxFleetNameBytes = 48;
 
-// Which part of the program a parcel is for: never renumbered.
+// The part of the program that an AppMessage is for. Numbers on the wire: never renumber.
 enum class Subsystem : std::uint8_t {
-  kReplicatedConfig = 0,  // notes of the rules (rules/notes.h)
-  kOperatorCall = 1,      // an operator's call; what comes back on the same stream is its answer
-  kEndpointLists = 2,     // what proxies know of the lists of engines
+  kReplicatedConfig = 0,  // messages of the replicated configuration
+  kOperatorCall = 1,      // a request of an operator; the response comes back on the same stream
+  kEndpointLists = 2,     // endpoint lists
 };
-// Bytes of another part of the program, which the view carries for it.
+// A message of another part of the program, opaque to this layer.
 struct AppMessage {
   gossip::InstanceId sender = gossip::kNoInstance;
   Subsystem subsystem = Subsystem::kReplicatedConfig;
@@ -48,7 +50,9 @@
 
 using Message = std::variant<gossip::Datagram, gossip::SyncRequest, gossip::SyncEntries, AppMessage>;
 
+// Encodes a message as a frame of this fleet.
 std::string Encode(std::string_view fleet, const Message& message);
+// Decodes a frame of at most `max_bytes`.
 std::variant<Message, FrameError> Decode(std::string_view fleet, std::string_view frame,
                                          std::size_t max_bytes);
 
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -17,14 +17,14 @@
 using runtime::Task;
 using runtime::Time;
 
-constexpr std::size_t kDatagramsPerTurn = 32;  // datagrams read before the others on the loop have their turn
+constexpr std::size_t kDatagramsPerTurn = 32;  // read before other tasks on the loop run
 constexpr std::size_t kMaxInboundStreams = 16, kMaxOutboundSyncs = 2, kMaxOutboundMessages = 16,
                       kMaxCalls = 8;
-constexpr auto kStreamTimeout = 2000ms;      // for a whole exchange
-constexpr auto kAcceptRetryInterval = 10ms;  // after a connection that there was no descriptor for
-constexpr int kLeaveGossipRounds = 2;        // gossip beats that a leave is given
+constexpr auto kStreamTimeout = 2000ms;      // of a complete state sync
+constexpr auto kAcceptRetryInterval = 10ms;  // after a failed accept
+constexpr int kLeaveGossipRounds = 2;        // in which a leave is sent
 
-// A new one with each start, whatever the configuration's seed is: ids must never come again.
+// Random whatever the configured seed is: ids must never repeat.
 std::uint64_t GenerateInstanceId() {
   std::random_device device;
   return (std::uint64_t{device()} << 32 | device()) | 1;
@@ -36,7 +36,7 @@
   std::size_t index = 0;
 };
 
-// The first address of which both can be had: another process of this proxy may hold one still.
+// Binds the first address that is free for both. Another process of this proxy may still hold one.
 BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::Endpoint>& listen) {
   for (std::size_t i = 0;; ++i) {
     try {
@@ -185,7 +185,7 @@
   }
 }
 
-// ---- Streams: frames behind their length, in four bytes, the lowest first ----
+// ---- Streams: each frame follows its length, four bytes in little-endian order ----
 
 Task<bool> ReadFrame(runtime::Socket& socket, std::string& frame, Time deadline) {
   std::string head;
@@ -195,7 +195,7 @@
   for (std::size_t i = 4; i-- > 0;) size = size << 8 | static_cast<std::uint8_t>(head[i]);
   frame.clear();
   if (size > kMaxStreamMessageBytes) {
-    frame = head;  // tells it apart from a stream that has ended
+    frame = head;  // distinguishes it from a stream that has ended
     co_return false;
   }
   while (frame.size() < size)
@@ -236,7 +236,7 @@
   co_return complete;
 }
 
-// ---- Parcels ----
+// ---- Application messages ----
 
 bool Link::SetAttribute(const std::string& key, const std::string& value) {
   const bool fits = view_.SetAttribute(Now(), key, value);
@@ -266,7 +266,7 @@
       co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == Io::kOk;
   if (sent) sent = co_await WriteFrame(*socket, frame, deadline);
   if (sent)
-    co_await socket->Read(end, 1, deadline);  // until it has been read
+    co_await socket->Read(end, 1, deadline);  // until the peer has read it and closes
   else
     ++metrics_.app_messages_dropped;
   --outbound_messages_;
@@ -350,7 +350,7 @@
       metrics_.sync_bytes += closing.size();
       DispatchOutputs();
       done = co_await WriteFrame(*socket, closing, deadline);
-      // Until the other has read it: what follows would else be an end with bytes unread.
+      // Waits until the peer has read it; closing earlier could discard unread bytes.
       if (done) co_await socket->Read(frame, 1, deadline);
     }
   }
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -1,11 +1,10 @@
-// The way between proxies: a View on the loop's sockets. Datagrams carry probes and news, streams the
-// exchanges.
+// Connects a MembershipView to the network: datagrams carry probes and gossip, streams carry state sync and
+// large application messages.
 //
-// Contract. Nothing here waits for a peer but in a task of its own, with a deadline; datagrams that can't be
-// sent at once are dropped (the newest news is told again), streams are few and bounded, and what comes is
-// read in bounded turns. Everything that is wrong with a peer's bytes is counted, never thrown. Owner: the
-// proxy's wiring; one loop. Units: spans of time, bytes. Errors: std::system_error from the constructor where
-// none of the addresses can be bound. Source: docs/peers.md.
+// Runs on one event loop and belongs to the proxy's wiring. Nothing waits for a peer except in a task of its
+// own with a deadline. Datagrams that cannot be sent at once are dropped; streams are limited in number; a
+// bounded number of datagrams is read in one turn of the loop. Invalid input is counted in LinkMetrics.
+// docs/gossip.md describes the protocol.
 #ifndef LEMONCROFT_PEER_TRANSPORT_LINK_H_
 #define LEMONCROFT_PEER_TRANSPORT_LINK_H_
 
@@ -23,58 +22,68 @@
 
 namespace lemoncroft::peer_transport {
 
+// What a Link is created with.
 struct LinkOptions {
   std::string fleet;
   std::string name, zone;
-  std::vector<gossip::Endpoint> listen, advertise;  // as many of each; the first that is free is taken
+  std::vector<gossip::Endpoint> listen, advertise;  // of equal size; the first address that is free is bound
   gossip::Settings membership;
 };
 
+// Counters since the start.
 struct LinkMetrics {
   std::uint64_t sent = 0, sent_bytes = 0, send_failures = 0;  // datagrams
   std::uint64_t received = 0, syncs = 0, syncs_failed = 0;
-  std::uint64_t sync_bytes = 0;                              // sent in exchanges, at either side
-  std::uint64_t app_messages = 0, app_messages_dropped = 0;  // sent; of these, that couldn't be
+  std::uint64_t sync_bytes = 0;                              // sent as initiator and as responder
+  std::uint64_t app_messages = 0, app_messages_dropped = 0;  // sent; of these, not sent after all
   std::uint64_t app_message_bytes = 0;
   std::array<std::uint64_t, kFrameErrorCount> frame_errors{};
 };
 
-// How long turns of the view keep the loop, in buckets of powers of two of microseconds.
+// Histogram of how long the view occupies the event loop, in buckets of powers of two microseconds.
 class LatencyHistogram {
  public:
   void Add(runtime::Span duration);
-  std::uint64_t Percentile(double fraction) const;  // the upper end of its bucket, in microseconds
+  std::uint64_t Percentile(double fraction) const;  // upper end of the bucket, in microseconds
 
  private:
   std::array<std::uint64_t, 32> buckets_{};
   std::uint64_t count_ = 0;
 };
 
+// Conversions between the protocol's and the socket layer's addresses.
 runtime::Address ToAddress(const gossip::Endpoint& endpoint);
 gossip::Endpoint ToEndpoint(const runtime::Address& address);
 std::string ToString(const gossip::Endpoint& endpoint);
 
+// A proxy's connection to its fleet. It must outlive the tasks that Start() spawns.
 class Link {
  public:
   using EventHandler = std::function<void(const gossip::Event&)>;
-  // `heard` is told each event of the view, in order, outside of any call to this object.
+  // Binds the sockets. `on_event` receives the events of the view in order.
+  // Throws std::system_error if none of the addresses can be bound.
   Link(runtime::Loop& loop, const LinkOptions& options, std::uint64_t seed, EventHandler on_event);
 
-  // A parcel that came; and the answer to an operator's call. Before Start.
+  // Receives application messages, and answers calls of operators. Set both before Start().
   std::function<void(const AppMessage&)> on_app_message;
   std::function<runtime::Task<std::string>(std::string)> on_call;
 
+  // Spawns the tasks that receive, accept and run the timer.
   void Start();
   void SetPhase(gossip::Phase phase);
+  // See MembershipView::SetAttribute.
   bool SetAttribute(const std::string& key, const std::string& value);
-  // Sends it once, as a datagram where it fits and over a stream of its own where not. It may be lost.
+  // Sends an application message once, as a datagram if it fits and over a stream of its own otherwise. It
+  // may be lost.
   void Send(const gossip::Endpoint& to, Subsystem subsystem, std::string bytes);
-  // Says that this process ends, and gives the word a moment to go out.
+  // Announces that this process ends and allows two gossip rounds for it.
   runtime::Task<> Leave();
 
   const gossip::MembershipView& view() const { return view_; }
   const LinkMetrics& metrics() const { return metrics_; }
+  // How long single turns of the view took.
   const LatencyHistogram& turns() const { return turns_; }
+  // The address that was bound.
   const gossip::Endpoint& listen_address() const { return listen_; }
 
  private:
@@ -87,7 +96,7 @@
   runtime::Task<> HandleCall(std::unique_ptr<runtime::Socket> socket, std::string bytes);
   runtime::Task<bool> ReadFrameCounted(runtime::Socket& socket, std::string& frame, runtime::Time deadline);
   std::variant<Message, FrameError> DecodeCounted(std::string_view frame, std::size_t most);
-  // Carries out what the view wants, and has the next step come in time.
+  // Carries out the outputs of the view and reschedules its timer.
   void DispatchOutputs();
 
   runtime::Loop& loop_;
@@ -104,10 +113,10 @@
   std::size_t inbound_streams_ = 0, outbound_syncs_ = 0, outbound_messages_ = 0, active_calls_ = 0;
 };
 
-// Frames on a stream, behind their length. False where the stream ends or the frame is too long.
+// Frames on a stream, each after its length. False if the stream ends or the frame is too long.
 runtime::Task<bool> ReadFrame(runtime::Socket& socket, std::string& frame, runtime::Time deadline);
 runtime::Task<bool> WriteFrame(runtime::Socket& socket, std::string_view frame, runtime::Time deadline);
-// One call to a proxy of the fleet, as an operator makes it: its answer, or nothing.
+// Sends an operator's call to a proxy of the fleet and returns its response, if it comes by the deadline.
 runtime::Task<std::optional<std::string>> CallPeer(runtime::Loop& loop, std::string fleet,
                                                    runtime::Address to, std::string bytes,
                                                    runtime::Time deadline,
