--- a/src/gossip/dissemination.cpp
+++ b/src/gossip/dissemination.cpp
@@ -28,12 +28,10 @@
   return picked;
 }
 
-std::optional<MemberUpdate> MembershipView::NonAliveUpdate(InstanceId id) const {
+std::optional<MemberUpdate> MembershipView::StatusUpdateOf(InstanceId id) const {
   const Member* member = members_.Find(id);
   if (member == nullptr || member->status == Status::kAlive) return std::nullopt;
-  MemberUpdate update{member->status, {}, members_.self()};
-  update.record.id = id;
-  update.record.incarnation = member->record.incarnation;
+  MemberUpdate update = NonAliveUpdate(member->status, id, member->record.incarnation, members_.self());
   if (member->status == Status::kSuspect && !member->suspected_by.empty())
     update.reported_by = member->suspected_by.front();
   return update;
@@ -47,7 +45,7 @@
   d.body = body;
   d.updates = std::move(first);
   if (to_id != kNoInstance)
-    if (auto non_alive = NonAliveUpdate(to_id)) d.updates.push_back(std::move(*non_alive));
+    if (auto non_alive = StatusUpdateOf(to_id)) d.updates.push_back(std::move(*non_alive));
   std::size_t used = kDatagramOverheadBytes + MaxEncodedSize(d.sender);
   for (const MemberUpdate& update : d.updates) used += MaxEncodedSize(update);
   const int limit = settings_.safety_checks.retransmit_limit
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -59,10 +59,7 @@
   probe.verifies_claim = claim.has_value();
   std::vector<MemberUpdate> first;
   if (claim) {
-    MemberUpdate update{Status::kFailed, {}, claim->reported_by};
-    update.record.id = probe.target;
-    update.record.incarnation = claim->incarnation;
-    first.push_back(std::move(update));
+    first.push_back(NonAliveUpdate(Status::kFailed, probe.target, claim->incarnation, claim->reported_by));
   }
   const Endpoint to = probe.address;
   const InstanceId target = probe.target;
@@ -182,7 +179,7 @@
 
 void MembershipView::Handle(Time, const Datagram& d, const Gossip&) {
   // The sender is not alive in this view: tell it, so that it refutes.
-  if (NonAliveUpdate(d.sender.id).has_value()) SendDatagram(d.sender.address, d.sender.id, Gossip{});
+  if (StatusUpdateOf(d.sender.id).has_value()) SendDatagram(d.sender.address, d.sender.id, Gossip{});
 }
 
 }  // namespace lemoncroft::gossip
--- a/src/gossip/member_state.cpp
+++ b/src/gossip/member_state.cpp
@@ -42,7 +42,7 @@
   if (record.incarnation < known.incarnation && !corrected) return;
   if (record.incarnation == known.incarnation) {
     // Others still hold it alive: gossip the failure, so that they learn of it and the member can refute.
-    if (member->status == Status::kFailed && !direct && !bulk) broadcasts_.Push(*NonAliveUpdate(record.id));
+    if (member->status == Status::kFailed && !direct && !bulk) broadcasts_.Push(*StatusUpdateOf(record.id));
     return;
   }
   if (ExceedsIncarnationJump(record.incarnation, known.incarnation) ||
@@ -72,10 +72,7 @@
   }
   const auto tombstone = members_.Tombstone(now, record.id);
   if (tombstone && record.incarnation <= *tombstone && !direct) {
-    MemberUpdate update{Status::kFailed, {}, members_.self()};
-    update.record.id = record.id;
-    update.record.incarnation = *tombstone;
-    if (!bulk) broadcasts_.Push(std::move(update));
+    if (!bulk) broadcasts_.Push(NonAliveUpdate(Status::kFailed, record.id, *tombstone, members_.self()));
     return;
   }
   const InstanceId previous_owner = members_.FindByAddress(record.address);
@@ -141,10 +138,7 @@
   }
   if (!members_.AddSuspector(id, reported_by)) return;
   UpdateSuspicionDeadline(now, id);
-  MemberUpdate update{Status::kSuspect, {}, reported_by};
-  update.record.id = id;
-  update.record.incarnation = member->record.incarnation;
-  if (!bulk) broadcasts_.Push(std::move(update));
+  if (!bulk) broadcasts_.Push(NonAliveUpdate(Status::kSuspect, id, member->record.incarnation, reported_by));
   // Some members probe the suspect themselves: it learns of the suspicion at once, and the verdict rests on
   // several observers.
   const double part =
@@ -184,10 +178,7 @@
                      ? settings_.failed_retention
                      : std::min(settings_.failed_retention, Periods(kUnconfirmedRetentionPeriods))));
   diverged_.erase(id);
-  MemberUpdate update{Status::kFailed, {}, reported_by};
-  update.record.id = id;
-  update.record.incarnation = member->record.incarnation;
-  broadcasts_.Push(std::move(update));
+  broadcasts_.Push(NonAliveUpdate(Status::kFailed, id, member->record.incarnation, reported_by));
   EmitEvent(EventType::kFailed, member->record, reported_by);
 }
 
@@ -209,10 +200,7 @@
                        now + std::min(settings_.failed_retention, Periods(4 * kUnconfirmedRetentionPeriods)));
   failure_claims_.erase(id);
   diverged_.erase(id);
-  MemberUpdate update{Status::kLeft, {}, kNoInstance};
-  update.record.id = id;
-  update.record.incarnation = incarnation;
-  broadcasts_.Push(std::move(update));
+  broadcasts_.Push(NonAliveUpdate(Status::kLeft, id, incarnation, kNoInstance));
   EmitEvent(EventType::kLeft, member->record);
 }
 
--- a/src/gossip/membership_view.cpp
+++ b/src/gossip/membership_view.cpp
@@ -102,6 +102,18 @@
 
 void MembershipView::Tick(Time now) {
   const CallScope call(*this, now);
+  ExpireMembers(now);
+  CheckProbeTimeouts(now);
+  if (next_periodic_ <= now) RunPeriodicTasks(now);
+  if (next_probe_ <= now) StartNextProbes(now);
+  if (next_gossip_ <= now && (!broadcasts_.empty() || !failure_claims_.empty())) {
+    VerifyFailureClaims(now);
+    SendGossip();
+    next_gossip_ = now + settings_.probe_interval / kGossipRoundsPerPeriod;
+  }
+}
+
+void MembershipView::ExpireMembers(Time now) {
   for (;;) {
     const auto [deadline, id] = members_.FirstDeadline();
     if (deadline > now) break;
@@ -114,52 +126,40 @@
       EmitEvent(EventType::kReaped, record);
     }
   }
-  CheckProbeTimeouts(now);
-  if (next_periodic_ <= now) RunPeriodicTasks(now);
-  if (next_probe_ <= now) StartNextProbes(now);
-  if (next_gossip_ <= now && (!broadcasts_.empty() || !failure_claims_.empty())) {
-    VerifyFailureClaims(now);
-    SendGossip();
-    next_gossip_ = now + settings_.probe_interval / kGossipRoundsPerPeriod;
-  }
 }
 
 void MembershipView::RunPeriodicTasks(Time now) {
   next_periodic_ = now + settings_.probe_interval;
   ++period_count_;
   if (left_) return;
+  PingFailedMember();
+  PingSeed();
+  StartDueSync(now);
+  ForgetOldDigestMismatches(now);
+  DetectNameConflicts();
+}
+
+// Not a probe: a missing answer has no consequence. The datagram carries the failure, so that a member that
+// lives refutes it.
+void MembershipView::PingFailedMember() {
   const std::vector<InstanceId>& failed = members_.failed();
-  if (settings_.safety_checks.reconnect_failed && !failed.empty() &&
-      period_count_ % kFailedRetryIntervalPeriods == 0) {
-    // Not a probe: a missing answer has no consequence. The datagram carries the failure, so that a member
-    // that lives refutes it.
-    const InstanceId id = failed[RandomBelow(failed.size())];
-    SendDatagram(members_.Find(id)->record.address, id, Ping{++last_sequence_, id});
-  }
+  if (!settings_.safety_checks.reconnect_failed || failed.empty()) return;
+  if (period_count_ % kFailedRetryIntervalPeriods != 0) return;
+  const InstanceId id = failed[RandomBelow(failed.size())];
+  SendDatagram(members_.Find(id)->record.address, id, Ping{++last_sequence_, id});
+}
+
+// Pings the next seed that is no live member.
+void MembershipView::PingSeed() {
   const bool alone = members_.others().empty();
-  if (!settings_.seeds.empty() && (alone || period_count_ % kSeedRetryIntervalPeriods == 0)) {
-    for (std::size_t tried = 0; tried < settings_.seeds.size(); ++tried) {
-      const Endpoint& seed = settings_.seeds[next_seed_++ % settings_.seeds.size()];
-      if (seed == members_.own().record.address || members_.FindByAddress(seed) != kNoInstance) continue;
-      seed_ping_sequence_ = ++last_sequence_;
-      SendDatagram(seed, kNoInstance, Ping{seed_ping_sequence_, kNoInstance});
-      break;
-    }
+  if (settings_.seeds.empty() || (!alone && period_count_ % kSeedRetryIntervalPeriods != 0)) return;
+  for (std::size_t tried = 0; tried < settings_.seeds.size(); ++tried) {
+    const Endpoint& seed = settings_.seeds[next_seed_++ % settings_.seeds.size()];
+    if (seed == members_.own().record.address || members_.FindByAddress(seed) != kNoInstance) continue;
+    seed_ping_sequence_ = ++last_sequence_;
+    SendDatagram(seed, kNoInstance, Ping{seed_ping_sequence_, kNoInstance});
+    break;
   }
-  if (settings_.safety_checks.state_sync && !alone && now - last_sync_ >= Periods(kMinSyncIntervalPeriods)) {
-    if (!sync_target_ && (period_count_ + members_.self()) % kSyncIntervalPeriods == 0)
-      sync_target_ = members_.Find(members_.others()[RandomBelow(members_.others().size())])->record.address;
-    if (sync_target_) {
-      outputs_.push_back(StateSync{std::exchange(sync_target_, {})});
-      last_sync_ = now;
-      digest_mismatches_ = 0;
-    }
-  }
-  std::erase_if(diverged_, [&](const auto& d) {
-    const Member* member = members_.Find(d.first);
-    return member == nullptr || !member->is_live() || now - d.second > Periods(kSyncIntervalPeriods);
-  });
-  DetectNameConflicts();
 }
 
 // Reports instances that serve under this proxy's name for kNameConflictPeriods.
@@ -242,9 +242,8 @@
   UpdateOwnRecord(members_.own().record);
   left_ = true;
   broadcasts_.Clear();
-  MemberUpdate update{Status::kLeft, {}, members_.self()};
-  update.record.id = members_.self();
-  update.record.incarnation = members_.own().record.incarnation;
+  MemberUpdate update =
+      NonAliveUpdate(Status::kLeft, members_.self(), members_.own().record.incarnation, members_.self());
   broadcasts_.Push(update);
   for (const InstanceId id : PickMembers(kLeaveFanout, kNoInstance))
     SendDatagram(members_.Find(id)->record.address, id, Gossip{}, {update});
--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -145,7 +145,10 @@
 
   Span Periods(double count) const;
   void DetectPause(Time now);
+  void ExpireMembers(Time now);
   void RunPeriodicTasks(Time now);
+  void PingFailedMember();
+  void PingSeed();
   void DetectNameConflicts();
   void UpdateOwnRecord(const MemberRecord& changed);
 
@@ -191,7 +194,7 @@
   void SendGossip();
   // The update that says why this view does not hold a member alive; sent to the member so that it can
   // refute.
-  std::optional<MemberUpdate> NonAliveUpdate(InstanceId id) const;
+  std::optional<MemberUpdate> StatusUpdateOf(InstanceId id) const;
   void SendDatagram(const Endpoint& to, InstanceId to_id, const DatagramBody& body,
                     std::vector<MemberUpdate> first = {});
   // Different live members, at most `count`, without `except`.
@@ -206,6 +209,8 @@
   std::vector<MemberUpdate> DifferingEntries(const BucketSums& theirs) const;
   void ApplyEntries(Time now, const SyncEntries& entries);
   void CompareDigest(Time now, const Datagram& d);
+  void ForgetOldDigestMismatches(Time now);
+  void StartDueSync(Time now);
   void RequestSync(const Endpoint& with) { sync_target_ = with; }
 
   std::size_t RandomBelow(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
--- a/src/gossip/state_sync.cpp
+++ b/src/gossip/state_sync.cpp
@@ -1,6 +1,7 @@
 // State sync (anti-entropy) of MembershipView: digests, the buckets that differ and their entries.
 #include <algorithm>
 #include <array>
+#include <utility>
 
 #include "gossip/membership_view.h"
 #include "gossip/membership_view_call_scope.h"
@@ -25,6 +26,26 @@
   if (++digest_mismatches_ >= kDigestMismatchesBeforeSync && !sync_target_) RequestSync(d.sender.address);
 }
 
+// Initiates a state sync with the requested target, or now and then with a random member.
+void MembershipView::StartDueSync(Time now) {
+  const std::vector<InstanceId>& others = members_.others();
+  if (!settings_.safety_checks.state_sync || others.empty()) return;
+  if (now - last_sync_ < Periods(kMinSyncIntervalPeriods)) return;
+  if (!sync_target_ && (period_count_ + members_.self()) % kSyncIntervalPeriods == 0)
+    sync_target_ = members_.Find(others[RandomBelow(others.size())])->record.address;
+  if (!sync_target_) return;
+  outputs_.push_back(StateSync{std::exchange(sync_target_, {})});
+  last_sync_ = now;
+  digest_mismatches_ = 0;
+}
+
+void MembershipView::ForgetOldDigestMismatches(Time now) {
+  std::erase_if(diverged_, [&](const auto& mismatch) {
+    const Member* member = members_.Find(mismatch.first);
+    return member == nullptr || !member->is_live() || now - mismatch.second > Periods(kSyncIntervalPeriods);
+  });
+}
+
 SyncRequest MembershipView::StartSync(Time now) {
   const CallScope call(*this, now);
   return {members_.own().record, members_.bucket_sums()};
@@ -56,7 +77,7 @@
     if (member.is_live()) out.push_back({Status::kAlive, member.record, kNoInstance});
     // The failure of an unconfirmed member is not passed on.
     if (member.status != Status::kAlive && (member.is_live() || member.last_direct_contact))
-      out.push_back(*NonAliveUpdate(id));
+      out.push_back(*StatusUpdateOf(id));
   }
   return out;
 }
--- a/src/gossip/types.cpp
+++ b/src/gossip/types.cpp
@@ -26,6 +26,13 @@
   });
 }
 
+MemberUpdate NonAliveUpdate(Status status, InstanceId id, std::uint64_t incarnation, InstanceId reported_by) {
+  MemberUpdate update{status, {}, reported_by};
+  update.record.id = id;
+  update.record.incarnation = incarnation;
+  return update;
+}
+
 std::size_t MaxEncodedSize(const MemberRecord& record) {
   std::size_t size = kMaxHeaderBytes + 5 * kMaxNumberBytes + 2 + 2 * kMaxHeaderBytes + record.name.size() +
                      record.zone.size();
--- a/src/gossip/types.h
+++ b/src/gossip/types.h
@@ -85,6 +85,10 @@
   InstanceId reported_by = kNoInstance;  // the instance that suspects it or declared it failed
 };
 
+// An update of a member that is not alive.
+[[nodiscard]] MemberUpdate NonAliveUpdate(Status status, InstanceId id, std::uint64_t incarnation,
+                                          InstanceId reported_by);
+
 // Upper bounds of the encoded sizes in bytes.
 std::size_t MaxEncodedSize(const MemberRecord& record);
 std::size_t MaxEncodedSize(const MemberUpdate& update);
