--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -200,18 +200,19 @@
   return frame;
 }
 
-std::variant<Message, FrameError> Decode(std::string_view fleet, std::string_view frame,
+tl::expected<Message, FrameError> Decode(std::string_view fleet, std::string_view frame,
                                          std::size_t max_bytes) {
-  if (frame.size() > max_bytes) return FrameError::kTooLong;
-  if (frame.size() <= kHeaderBytes) return FrameError::kTruncated;
-  if (std::memcmp(frame.data(), kMagic, sizeof kMagic) != 0) return FrameError::kCorrupt;
+  if (frame.size() > max_bytes) return tl::make_unexpected(FrameError::kTooLong);
+  if (frame.size() <= kHeaderBytes) return tl::make_unexpected(FrameError::kTruncated);
+  if (std::memcmp(frame.data(), kMagic, sizeof kMagic) != 0) return tl::make_unexpected(FrameError::kCorrupt);
   std::uint64_t sum = 0;
   for (std::size_t i = 0; i < 8; ++i) sum |= std::uint64_t{static_cast<std::uint8_t>(frame[4 + i])} << 8 * i;
   const std::string_view body = frame.substr(kHeaderBytes);
-  if (sum != XXH3_64bits(body.data(), body.size())) return FrameError::kCorrupt;
-  if (static_cast<std::uint8_t>(frame[2]) != kMajorVersion) return FrameError::kVersionMismatch;
-  const auto read = codec::Guarded(body, kBounds, [&](Reader& in) -> std::variant<Message, FrameError> {
-    if (in.Take<std::string>() != fleet) return FrameError::kWrongFleet;
+  if (sum != XXH3_64bits(body.data(), body.size())) return tl::make_unexpected(FrameError::kCorrupt);
+  if (static_cast<std::uint8_t>(frame[2]) != kMajorVersion)
+    return tl::make_unexpected(FrameError::kVersionMismatch);
+  auto decoded = codec::Guarded(body, kBounds, [&](Reader& in) -> tl::expected<Message, FrameError> {
+    if (in.Take<std::string>() != fleet) return tl::make_unexpected(FrameError::kWrongFleet);
     switch (in.Enum(Kind::kAppMessage)) {
       case Kind::kDatagram: {
         Datagram d;
@@ -242,9 +243,10 @@
         return Message(std::move(app));
       }
     }
-    return FrameError::kMalformed;
+    return tl::make_unexpected(FrameError::kMalformed);
   });
-  return read.value_or(FrameError::kMalformed);
+  if (!decoded) return tl::make_unexpected(FrameError::kMalformed);
+  return std::move(*decoded);
 }
 
 }  // namespace lemoncroft::peer_transport
--- a/src/peer_transport/frame.h
+++ b/src/peer_transport/frame.h
@@ -11,6 +11,7 @@
 #include <cstdint>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 #include <variant>
 
 #include "gossip/types.h"
@@ -53,8 +54,8 @@
 // Encodes a message as a frame of this fleet.
 std::string Encode(std::string_view fleet, const Message& message);
 // Decodes a frame of at most `max_bytes`.
-std::variant<Message, FrameError> Decode(std::string_view fleet, std::string_view frame,
-                                         std::size_t max_bytes);
+[[nodiscard]] tl::expected<Message, FrameError> Decode(std::string_view fleet, std::string_view frame,
+                                                       std::size_t max_bytes);
 
 }  // namespace lemoncroft::peer_transport
 
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -20,6 +20,7 @@
 constexpr std::size_t kDatagramsPerTurn = 32;  // read before other tasks on the loop run
 constexpr std::size_t kMaxInboundStreams = 16, kMaxOutboundSyncs = 2, kMaxOutboundMessages = 16,
                       kMaxCalls = 8;
+constexpr std::size_t kLengthBytes = 4;      // the length before each frame of a stream
 constexpr auto kStreamTimeout = 2000ms;      // of a complete state sync
 constexpr auto kAcceptRetryInterval = 10ms;  // after a failed accept
 constexpr int kLeaveGossipRounds = 2;        // in which a leave is sent
@@ -155,11 +156,10 @@
   }
 }
 
-std::variant<Message, FrameError> Link::DecodeCounted(std::string_view frame, std::size_t most) {
-  auto result = Decode(fleet_, frame, most);
-  if (const auto* error = std::get_if<FrameError>(&result))
-    ++metrics_.frame_errors[static_cast<std::size_t>(*error)];
-  return result;
+tl::expected<Message, FrameError> Link::DecodeCounted(std::string_view frame, std::size_t max_bytes) {
+  auto message = Decode(fleet_, frame, max_bytes);
+  if (!message) CountError(message.error());
+  return message;
 }
 
 Task<> Link::ReceiveDatagrams() {
@@ -167,73 +167,75 @@
     const runtime::DatagramSocket::Received received = co_await datagrams_->Receive();
     if (received.io != Io::kOk) co_return;
     ++metrics_.received;
-    const auto result = DecodeCounted(received.bytes, received.whole ? gossip::kMaxDatagramBytes : 0);
-    if (const auto* decoded = std::get_if<Message>(&result)) {
-      if (const auto* datagram = std::get_if<gossip::Datagram>(decoded)) {
-        const Time begun = Now();
-        view_.Receive(begun, *datagram);
-        DispatchOutputs();
-        turns_.Add(Now() - begun);
-      } else if (const auto* message = std::get_if<AppMessage>(decoded);
-                 message != nullptr && on_app_message && message->subsystem != Subsystem::kOperatorCall) {
-        on_app_message(*message);
-      } else {
-        ++metrics_.frame_errors[static_cast<std::size_t>(FrameError::kMalformed)];
-      }
-    }
+    const auto message = DecodeCounted(received.bytes, received.whole ? gossip::kMaxDatagramBytes : 0);
+    if (message) HandleDatagram(*message);
     if (n % kDatagramsPerTurn == 0) co_await loop_.NextTurn();
   }
 }
 
+void Link::HandleDatagram(const Message& message) {
+  if (const auto* datagram = std::get_if<gossip::Datagram>(&message)) {
+    const Time begun = Now();
+    view_.Receive(begun, *datagram);
+    DispatchOutputs();
+    turns_.Add(Now() - begun);
+    return;
+  }
+  const auto* app_message = std::get_if<AppMessage>(&message);
+  if (app_message != nullptr && on_app_message && app_message->subsystem != Subsystem::kOperatorCall)
+    on_app_message(*app_message);
+  else
+    CountError(FrameError::kMalformed);
+}
+
 // ---- Streams: each frame follows its length, four bytes in little-endian order ----
 
-Task<bool> ReadFrame(runtime::Socket& socket, std::string& frame, Time deadline) {
+Task<tl::expected<std::string, StreamError>> ReadFrame(runtime::Socket& socket, Time deadline) {
   std::string head;
-  while (head.size() < 4)
-    if (co_await socket.Read(head, 4 - head.size(), deadline) != Io::kOk) co_return false;
+  while (head.size() < kLengthBytes)
+    if (co_await socket.Read(head, kLengthBytes - head.size(), deadline) != Io::kOk)
+      co_return tl::make_unexpected(StreamError::kClosed);
   std::size_t size = 0;
-  for (std::size_t i = 4; i-- > 0;) size = size << 8 | static_cast<std::uint8_t>(head[i]);
-  frame.clear();
-  if (size > kMaxStreamMessageBytes) {
-    frame = head;  // distinguishes it from a stream that has ended
-    co_return false;
-  }
+  for (std::size_t i = kLengthBytes; i-- > 0;) size = size << 8 | static_cast<std::uint8_t>(head[i]);
+  if (size > kMaxStreamMessageBytes) co_return tl::make_unexpected(StreamError::kFrameTooLong);
+  std::string frame;
   while (frame.size() < size)
-    if (co_await socket.Read(frame, size - frame.size(), deadline) != Io::kOk) co_return false;
-  co_return true;
+    if (co_await socket.Read(frame, size - frame.size(), deadline) != Io::kOk)
+      co_return tl::make_unexpected(StreamError::kClosed);
+  co_return frame;
 }
 
 Task<bool> WriteFrame(runtime::Socket& socket, std::string_view frame, Time deadline) {
   if (frame.size() > kMaxStreamMessageBytes) co_return false;
   std::string bytes;
-  for (int shift = 0; shift < 32; shift += 8)
+  for (int shift = 0; shift < static_cast<int>(8 * kLengthBytes); shift += 8)
     bytes.push_back(static_cast<char>(frame.size() >> shift & 0xff));
   bytes += frame;
   std::size_t written = 0;
   co_return co_await socket.Write(bytes, written, deadline) == Io::kOk;
 }
 
-Task<std::optional<std::string>> CallPeer(runtime::Loop& loop, std::string fleet, runtime::Address to,
-                                          std::string bytes, Time deadline,
-                                          std::optional<runtime::Address> from) {
+Task<tl::expected<std::string, CallError>> CallPeer(runtime::Loop& loop, std::string fleet,
+                                                    runtime::Address to, std::string bytes, Time deadline,
+                                                    std::optional<runtime::Address> from) {
   std::unique_ptr<runtime::Socket> socket;
-  std::string frame =
+  const std::string request =
       Encode(fleet, AppMessage{gossip::kNoInstance, Subsystem::kOperatorCall, std::move(bytes)});
-  bool good_so_far = co_await Connect(loop, to, deadline, nullptr, socket, from) == Io::kOk;
-  if (good_so_far) good_so_far = co_await WriteFrame(*socket, frame, deadline);
-  if (good_so_far) good_so_far = co_await ReadFrame(*socket, frame, deadline);
-  if (!good_so_far) co_return std::nullopt;
-  auto result = Decode(fleet, frame, kMaxStreamMessageBytes);
-  auto* decoded = std::get_if<Message>(&result);
-  auto* message = decoded == nullptr ? nullptr : std::get_if<AppMessage>(decoded);
-  if (message == nullptr) co_return std::nullopt;
-  co_return std::move(message->bytes);
+  if (co_await Connect(loop, to, deadline, nullptr, socket, from) != Io::kOk)
+    co_return tl::make_unexpected(CallError::kConnectFailed);
+  if (!co_await WriteFrame(*socket, request, deadline)) co_return tl::make_unexpected(CallError::kSendFailed);
+  const auto frame = co_await ReadFrame(*socket, deadline);
+  if (!frame) co_return tl::make_unexpected(CallError::kNoResponse);
+  auto message = Decode(fleet, *frame, kMaxStreamMessageBytes);
+  auto* response = message ? std::get_if<AppMessage>(&*message) : nullptr;
+  if (response == nullptr) co_return tl::make_unexpected(CallError::kInvalidResponse);
+  co_return std::move(response->bytes);
 }
 
-Task<bool> Link::ReadFrameCounted(runtime::Socket& socket, std::string& frame, Time deadline) {
-  const bool complete = co_await ReadFrame(socket, frame, deadline);
-  if (!complete && frame.size() == 4) ++metrics_.frame_errors[static_cast<std::size_t>(FrameError::kTooLong)];
-  co_return complete;
+Task<tl::expected<std::string, StreamError>> Link::ReadFrameCounted(runtime::Socket& socket, Time deadline) {
+  auto frame = co_await ReadFrame(socket, deadline);
+  if (!frame && frame.error() == StreamError::kFrameTooLong) CountError(FrameError::kTooLong);
+  co_return frame;
 }
 
 // ---- Application messages ----
@@ -298,64 +300,64 @@
 Task<> Link::ServeStream(std::unique_ptr<runtime::Socket> socket) {
   ++inbound_streams_;
   const Time deadline = Now() + kStreamTimeout;
-  std::string frame;
-  if (co_await ReadFrameCounted(*socket, frame, deadline)) {
-    auto result = DecodeCounted(frame, kMaxStreamMessageBytes);
-    auto* decoded = std::get_if<Message>(&result);
-    auto* request = decoded == nullptr ? nullptr : std::get_if<gossip::SyncRequest>(decoded);
-    auto* message = decoded == nullptr ? nullptr : std::get_if<AppMessage>(decoded);
+  const auto frame = co_await ReadFrameCounted(*socket, deadline);
+  if (frame) {
+    auto message = DecodeCounted(*frame, kMaxStreamMessageBytes);
+    auto* request = message ? std::get_if<gossip::SyncRequest>(&*message) : nullptr;
+    auto* app_message = message ? std::get_if<AppMessage>(&*message) : nullptr;
     if (request != nullptr) {
-      const std::string answer = Encode(fleet_, view_.HandleSyncRequest(Now(), *request));
-      metrics_.sync_bytes += answer.size();
-      DispatchOutputs();
-      if (co_await WriteFrame(*socket, answer, deadline) &&
-          co_await ReadFrameCounted(*socket, frame, deadline)) {
-        const auto last = DecodeCounted(frame, kMaxStreamMessageBytes);
-        const auto* closing = std::get_if<Message>(&last);
-        if (closing != nullptr && std::holds_alternative<gossip::SyncEntries>(*closing)) {
-          view_.FinishSync(Now(), std::get<gossip::SyncEntries>(*closing));
-          DispatchOutputs();
-        }
-      }
-    } else if (message != nullptr && message->subsystem == Subsystem::kOperatorCall) {
+      co_await ServeStateSync(*socket, *request, deadline);
+    } else if (app_message != nullptr && app_message->subsystem == Subsystem::kOperatorCall) {
       if (on_call && active_calls_ < kMaxCalls)
-        loop_.Spawn(HandleCall(std::move(socket), std::move(message->bytes)));
-    } else if (message != nullptr && on_app_message) {
-      on_app_message(*message);
+        loop_.Spawn(HandleCall(std::move(socket), std::move(app_message->bytes)));
+    } else if (app_message != nullptr && on_app_message) {
+      on_app_message(*app_message);
     }
   }
   --inbound_streams_;
 }
 
+Task<> Link::ServeStateSync(runtime::Socket& socket, const gossip::SyncRequest& request, Time deadline) {
+  const std::string answer = Encode(fleet_, view_.HandleSyncRequest(Now(), request));
+  metrics_.sync_bytes += answer.size();
+  DispatchOutputs();
+  if (!co_await WriteFrame(socket, answer, deadline)) co_return;
+  const auto frame = co_await ReadFrameCounted(socket, deadline);
+  if (!frame) co_return;
+  const auto message = DecodeCounted(*frame, kMaxStreamMessageBytes);
+  const auto* closing = message ? std::get_if<gossip::SyncEntries>(&*message) : nullptr;
+  if (closing == nullptr) co_return;
+  view_.FinishSync(Now(), *closing);
+  DispatchOutputs();
+}
+
 Task<> Link::RunStateSync(gossip::Endpoint to) {
   ++outbound_syncs_;
-  const Time deadline = Now() + kStreamTimeout;
-  bool done = false;
-  std::unique_ptr<runtime::Socket> socket;
-  std::string frame;
-  bool open =
-      co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == Io::kOk;
-  if (open) {
-    const std::string request = Encode(fleet_, view_.StartSync(Now()));
-    metrics_.sync_bytes += request.size();
-    open = co_await WriteFrame(*socket, request, deadline);
-  }
-  if (open) open = co_await ReadFrameCounted(*socket, frame, deadline);
-  if (open) {
-    const auto result = DecodeCounted(frame, kMaxStreamMessageBytes);
-    const auto* decoded = std::get_if<Message>(&result);
-    if (decoded != nullptr && std::holds_alternative<gossip::SyncEntries>(*decoded)) {
-      const std::string closing =
-          Encode(fleet_, view_.HandleSyncResponse(Now(), std::get<gossip::SyncEntries>(*decoded)));
-      metrics_.sync_bytes += closing.size();
-      DispatchOutputs();
-      done = co_await WriteFrame(*socket, closing, deadline);
-      // Waits until the peer has read it; closing earlier could discard unread bytes.
-      if (done) co_await socket->Read(frame, 1, deadline);
-    }
-  }
+  const bool done = co_await SyncWith(to, Now() + kStreamTimeout);
   ++(done ? metrics_.syncs : metrics_.syncs_failed);
   --outbound_syncs_;
 }
 
+Task<bool> Link::SyncWith(gossip::Endpoint to, Time deadline) {
+  std::unique_ptr<runtime::Socket> socket;
+  if (co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) != Io::kOk)
+    co_return false;
+  const std::string request = Encode(fleet_, view_.StartSync(Now()));
+  metrics_.sync_bytes += request.size();
+  if (!co_await WriteFrame(*socket, request, deadline)) co_return false;
+  const auto frame = co_await ReadFrameCounted(*socket, deadline);
+  if (!frame) co_return false;
+  const auto message = DecodeCounted(*frame, kMaxStreamMessageBytes);
+  const auto* entries = message ? std::get_if<gossip::SyncEntries>(&*message) : nullptr;
+  if (entries == nullptr) co_return false;
+  const std::string closing = Encode(fleet_, view_.HandleSyncResponse(Now(), *entries));
+  metrics_.sync_bytes += closing.size();
+  DispatchOutputs();
+  if (!co_await WriteFrame(*socket, closing, deadline)) co_return false;
+  // Waits until the peer has read it; closing earlier could discard unread bytes.
+  std::string end;
+  co_await socket->Read(end, 1, deadline);
+  co_return true;
+}
+
 }  // namespace lemoncroft::peer_transport
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -14,6 +14,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "gossip/membership_view.h"
@@ -56,6 +57,20 @@
 gossip::Endpoint ToEndpoint(const runtime::Address& address);
 std::string ToString(const gossip::Endpoint& endpoint);
 
+// Why no frame was read from a stream.
+enum class StreamError : std::uint8_t {
+  kClosed,        // the stream ended or failed, or the deadline passed
+  kFrameTooLong,  // its length exceeds kMaxStreamMessageBytes
+};
+
+// Why a call to a peer has no response.
+enum class CallError : std::uint8_t {
+  kConnectFailed,
+  kSendFailed,
+  kNoResponse,       // the stream ended, or the deadline passed
+  kInvalidResponse,  // the response was no application message of this fleet
+};
+
 // A proxy's connection to its fleet. It must outlive the tasks that Start() spawns.
 class Link {
  public:
@@ -91,11 +106,18 @@
   runtime::Task<> RunTimer();
   runtime::Task<> AcceptStreams();
   runtime::Task<> ServeStream(std::unique_ptr<runtime::Socket> socket);
+  runtime::Task<> ServeStateSync(runtime::Socket& socket, const gossip::SyncRequest& request,
+                                 runtime::Time deadline);
   runtime::Task<> RunStateSync(gossip::Endpoint to);
+  // Returns whether the sync was completed.
+  runtime::Task<bool> SyncWith(gossip::Endpoint to, runtime::Time deadline);
+  void HandleDatagram(const Message& message);
+  void CountError(FrameError error) { ++metrics_.frame_errors[static_cast<std::size_t>(error)]; }
   runtime::Task<> SendOverStream(gossip::Endpoint to, std::string frame);
   runtime::Task<> HandleCall(std::unique_ptr<runtime::Socket> socket, std::string bytes);
-  runtime::Task<bool> ReadFrameCounted(runtime::Socket& socket, std::string& frame, runtime::Time deadline);
-  std::variant<Message, FrameError> DecodeCounted(std::string_view frame, std::size_t most);
+  runtime::Task<tl::expected<std::string, StreamError>> ReadFrameCounted(runtime::Socket& socket,
+                                                                         runtime::Time deadline);
+  tl::expected<Message, FrameError> DecodeCounted(std::string_view frame, std::size_t max_bytes);
   // Carries out the outputs of the view and reschedules its timer.
   void DispatchOutputs();
 
@@ -113,14 +135,15 @@
   std::size_t inbound_streams_ = 0, outbound_syncs_ = 0, outbound_messages_ = 0, active_calls_ = 0;
 };
 
-// Frames on a stream, each after its length. False if the stream ends or the frame is too long.
-runtime::Task<bool> ReadFrame(runtime::Socket& socket, std::string& frame, runtime::Time deadline);
+// Reads one frame, which follows its length.
+runtime::Task<tl::expected<std::string, StreamError>> ReadFrame(runtime::Socket& socket,
+                                                                runtime::Time deadline);
+// Writes one frame after its length. Returns false if the frame is too long or was not written completely.
 runtime::Task<bool> WriteFrame(runtime::Socket& socket, std::string_view frame, runtime::Time deadline);
-// Sends an operator's call to a proxy of the fleet and returns its response, if it comes by the deadline.
-runtime::Task<std::optional<std::string>> CallPeer(runtime::Loop& loop, std::string fleet,
-                                                   runtime::Address to, std::string bytes,
-                                                   runtime::Time deadline,
-                                                   std::optional<runtime::Address> from = std::nullopt);
+// Sends an operator's call to a proxy of the fleet and returns its response.
+runtime::Task<tl::expected<std::string, CallError>> CallPeer(
+    runtime::Loop& loop, std::string fleet, runtime::Address to, std::string bytes, runtime::Time deadline,
+    std::optional<runtime::Address> from = std::nullopt);
 
 }  // namespace lemoncroft::peer_transport
 
--- a/src/testing/simulation/peer_fleet.cpp
+++ b/src/testing/simulation/peer_fleet.cpp
@@ -193,9 +193,8 @@
       break;
     case Kind::kDatagram: {
       const auto message = peer_transport::Decode(kFleet, h.bytes, kMaxDatagramBytes);
-      const auto* decoded = std::get_if<peer_transport::Message>(&message);
-      if (decoded == nullptr || !std::holds_alternative<Datagram>(*decoded)) return;
-      r.view->Receive(local, std::get<Datagram>(*decoded));
+      if (!message || !std::holds_alternative<Datagram>(*message)) return;
+      r.view->Receive(local, std::get<Datagram>(*message));
       break;
     }
     case Kind::kStream: {
@@ -204,9 +203,8 @@
           !links_.Open(r.machine, other.machine))
         return;
       const auto message = peer_transport::Decode(kFleet, h.bytes, peer_transport::kMaxStreamMessageBytes);
-      const auto* decoded = std::get_if<peer_transport::Message>(&message);
-      if (decoded == nullptr) return;
-      const auto* request = std::get_if<SyncRequest>(decoded);
+      if (!message) return;
+      const auto* request = std::get_if<SyncRequest>(&*message);
       if (request == nullptr || other.paused_until > now_) return;
       // The three messages of an exchange are played in one instant: what a cut in the midst of one costs is
       // shown on real sockets.
@@ -214,10 +212,9 @@
       CountSyncSent(h.process, answer.size());
       Trace(h.process, answer);
       const auto answered = peer_transport::Decode(kFleet, answer, peer_transport::kMaxStreamMessageBytes);
-      const auto* entries = std::get_if<peer_transport::Message>(&answered);
-      if (entries == nullptr) break;  // too long for a stream's message: it is given up
+      if (!answered) break;  // longer than a stream message may be: the sync is given up
       const SyncEntries last =
-          other.view->HandleSyncResponse(LocalTime(other, now_), std::get<SyncEntries>(*entries));
+          other.view->HandleSyncResponse(LocalTime(other, now_), std::get<SyncEntries>(*answered));
       const std::string closing = peer_transport::Encode(kFleet, last);
       CountSyncSent(h.from, closing.size());
       Trace(h.from, closing);
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -46,7 +46,7 @@
 TEST(PeerFrame, ComesBackAsItWas) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
   const auto read = peer_transport::Decode("f", frame, kMaxDatagramBytes);
-  const auto& d = std::get<Datagram>(std::get<peer_transport::Message>(read));
+  const auto& d = std::get<Datagram>(read.value());
   EXPECT_EQ(d.sender, SomeRecord(7));
   EXPECT_EQ(d.digest, 0x1234567890abcdefu);
   EXPECT_EQ(std::get<PingRequest>(d.body).address, (Endpoint{0x7f000002, 7100}));
@@ -58,7 +58,7 @@
   entries.bucket_sums[31] = 5;
   const auto again = peer_transport::Decode("f", peer_transport::Encode("f", entries),
                                             peer_transport::kMaxStreamMessageBytes);
-  EXPECT_EQ(std::get<SyncEntries>(std::get<peer_transport::Message>(again)).bucket_sums, entries.bucket_sums);
+  EXPECT_EQ(std::get<SyncEntries>(again.value()).bucket_sums, entries.bucket_sums);
 }
 
 TEST(PeerFrame, SizesAreNoMoreThanThought) {
@@ -72,22 +72,21 @@
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
   for (std::size_t size = 0; size < frame.size(); ++size) {
     const auto read = peer_transport::Decode("f", std::string_view(frame).substr(0, size), kMaxDatagramBytes);
-    EXPECT_TRUE(std::holds_alternative<peer_transport::FrameError>(read)) << size;
+    EXPECT_FALSE(read.has_value()) << size;
   }
   for (std::size_t bit = 0; bit < 8 * frame.size(); ++bit) {
     if (bit / 8 == 3) continue;  // the minor version: a later one is read
     std::string flipped = frame;
     flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << bit % 8));
-    EXPECT_TRUE(std::holds_alternative<peer_transport::FrameError>(
-        peer_transport::Decode("f", flipped, kMaxDatagramBytes)))
-        << bit;
+    EXPECT_FALSE(peer_transport::Decode("f", flipped, kMaxDatagramBytes).has_value()) << bit;
   }
 }
 
 TEST(PeerFrame, FaultsAreToldApart) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
-  const auto fault = [](const std::string& bytes, std::size_t most = kMaxDatagramBytes) {
-    return std::get<peer_transport::FrameError>(peer_transport::Decode("f", bytes, most));
+  const auto fault = [](const std::string& bytes, std::size_t max_bytes = kMaxDatagramBytes) {
+    const auto decoded = peer_transport::Decode("f", bytes, max_bytes);
+    return decoded ? std::nullopt : std::optional(decoded.error());
   };
   EXPECT_EQ(fault(peer_transport::Encode("g", SomeDatagram())), peer_transport::FrameError::kWrongFleet);
   EXPECT_EQ(fault(frame, 20), peer_transport::FrameError::kTooLong);
