--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -1,5 +1,4 @@
-// The view of the fleet: frames, bounds, and the protocol in virtual time, each of its guards taken away
-// once.
+// Gossip membership: frames, limits, and the protocol in virtual time, with each safety check disabled once.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -43,7 +42,7 @@
 
 // ---- Frames ----
 
-TEST(PeerFrame, ComesBackAsItWas) {
+TEST(GossipFrame, EncodeThenDecode_KeepsAllFields) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
   const auto read = peer_transport::Decode("f", frame, kMaxDatagramBytes);
   const auto& d = std::get<Datagram>(read.value());
@@ -61,14 +60,14 @@
   EXPECT_EQ(std::get<SyncEntries>(again.value()).bucket_sums, entries.bucket_sums);
 }
 
-TEST(PeerFrame, SizesAreNoMoreThanThought) {
+TEST(GossipFrame, MaxEncodedSize_IsAnUpperBound) {
   const Datagram d = SomeDatagram();
   std::size_t most = 48 + MaxEncodedSize(d.sender);
-  for (const MemberUpdate& news : d.updates) most += MaxEncodedSize(news);
+  for (const MemberUpdate& update : d.updates) most += MaxEncodedSize(update);
   EXPECT_LE(peer_transport::Encode("a-name-of-a-fleet-that-is", d).size(), most + 32);
 }
 
-TEST(PeerFrame, WhatIsCutOrFlippedIsNoMessage) {
+TEST(GossipFrame, TruncatedOrBitFlipped_IsRejected) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
   for (std::size_t size = 0; size < frame.size(); ++size) {
     const auto read = peer_transport::Decode("f", std::string_view(frame).substr(0, size), kMaxDatagramBytes);
@@ -82,24 +81,24 @@
   }
 }
 
-TEST(PeerFrame, FaultsAreToldApart) {
+TEST(GossipFrame, InvalidFrame_ReportsItsError) {
   const std::string frame = peer_transport::Encode("f", SomeDatagram());
-  const auto fault = [](const std::string& bytes, std::size_t max_bytes = kMaxDatagramBytes) {
+  const auto error_of = [](const std::string& bytes, std::size_t max_bytes = kMaxDatagramBytes) {
     const auto decoded = peer_transport::Decode("f", bytes, max_bytes);
     return decoded ? std::nullopt : std::optional(decoded.error());
   };
-  EXPECT_EQ(fault(peer_transport::Encode("g", SomeDatagram())), peer_transport::FrameError::kWrongFleet);
-  EXPECT_EQ(fault(frame, 20), peer_transport::FrameError::kTooLong);
-  EXPECT_EQ(fault("LC"), peer_transport::FrameError::kTruncated);
+  EXPECT_EQ(error_of(peer_transport::Encode("g", SomeDatagram())), peer_transport::FrameError::kWrongFleet);
+  EXPECT_EQ(error_of(frame, 20), peer_transport::FrameError::kTooLong);
+  EXPECT_EQ(error_of("LC"), peer_transport::FrameError::kTruncated);
   std::string later = frame;
   later[2] = 2;
-  EXPECT_EQ(fault(later), peer_transport::FrameError::kVersionMismatch);
-  EXPECT_EQ(fault(std::string(100, 'x')), peer_transport::FrameError::kCorrupt);
+  EXPECT_EQ(error_of(later), peer_transport::FrameError::kVersionMismatch);
+  EXPECT_EQ(error_of(std::string(100, 'x')), peer_transport::FrameError::kCorrupt);
 }
 
-// ---- News ----
+// ---- Updates ----
 
-TEST(BroadcastQueue, TellsTheNewestOfEachSoOftenAndNoMore) {
+TEST(BroadcastQueue, Fill_SendsTheNewestUpdateOfEachUpToTheLimit) {
   BroadcastQueue queue(4);
   for (InstanceId id = 1; id <= 6; ++id) queue.Push({Status::kAlive, SomeRecord(id), kNoInstance});
   EXPECT_EQ(queue.size(), 4u);
@@ -107,21 +106,21 @@
   newer.incarnation = 9;
   queue.Push({Status::kAlive, newer, kNoInstance});
   EXPECT_EQ(queue.size(), 4u);
-  std::map<InstanceId, int> told;
+  std::map<InstanceId, int> sent;
   for (int i = 0; i < 100; ++i) {
     std::vector<MemberUpdate> some;
     queue.Fill(some, 150, 3);
-    for (const MemberUpdate& news : some) {
-      ++told[news.record.id];
-      if (news.record.id == 6) EXPECT_EQ(news.record.incarnation, 9u);
+    for (const MemberUpdate& update : some) {
+      ++sent[update.record.id];
+      if (update.record.id == 6) EXPECT_EQ(update.record.incarnation, 9u);
     }
   }
   EXPECT_TRUE(queue.empty());
-  for (const auto& [id, times] : told) EXPECT_EQ(times, 3) << id;
+  for (const auto& [id, times] : sent) EXPECT_EQ(times, 3) << id;
 }
 
-// What it said of itself after that took the leave back: others called it failed.
-TEST(PeerView, WhoHasLeftSaysNothingNewOfItself) {
+// A later record would revoke the leave, and others would declare the member failed.
+TEST(MembershipView, AfterLeave_OwnRecordDoesNotChange) {
   MembershipView view(Settings(), SomeRecord(7), 1, Time(1h));
   EXPECT_TRUE(view.SetAttribute(Time(1h), "rules", "1"));
   view.Leave(Time(1h) + 1ms);
@@ -143,56 +142,56 @@
     fleet.on_event = [this](const PeerFleet::ObservedEvent& seen) {
       if (seen.event.type == EventType::kFailed) {
         const auto about = fleet.process_of(seen.event.record.id);
-        if (about && fleet.is_running(*about)) ++wrong;
+        if (about && fleet.is_running(*about)) ++false_failures;
       }
-      seen_events.push_back(seen);
+      events.push_back(seen);
     };
     for (simulation::Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1});
     EXPECT_TRUE(fleet.ConvergeWithin(20 * kPeriod).has_value());
     fleet.RunFor(10 * kPeriod);
-    seen_events.clear();
+    events.clear();
   }
   int Count(EventType change, std::optional<Process> by = std::nullopt) const {
-    return static_cast<int>(std::count_if(seen_events.begin(), seen_events.end(), [&](const auto& seen) {
+    return static_cast<int>(std::count_if(events.begin(), events.end(), [&](const auto& seen) {
       return seen.event.type == change && (!by || seen.process == *by);
     }));
   }
-  double Settle(double patience = 60) {
+  double PeriodsToConverge(double patience = 60) {
     const auto took = fleet.ConvergeWithin(Span(static_cast<Span::rep>(patience * 0.25e9)));
     return took ? std::chrono::duration<double>(*took).count() / 0.25 : 1e9;
   }
 
   PeerFleet fleet;
-  int wrong = 0;  // living members called failed
-  std::vector<PeerFleet::ObservedEvent> seen_events;
+  int false_failures = 0;  // live members declared failed
+  std::vector<PeerFleet::ObservedEvent> events;
 };
 
-TEST(Peers, ACrashIsKnownToAllInTime) {
+TEST(Gossip, Crash_IsDetectedByAllInTime) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     World world(32, seed);
     world.fleet.Kill(seed % 32);
-    EXPECT_LE(world.Settle(), 15) << "seed " << seed;
-    EXPECT_EQ(world.wrong, 0);
+    EXPECT_LE(world.PeriodsToConverge(), 15) << "seed " << seed;
+    EXPECT_EQ(world.false_failures, 0);
     EXPECT_EQ(world.Count(EventType::kFailed), 31);
   }
 }
 
-TEST(Peers, WhoIsLateOrLossyIsNeverCalledFailed) {
+TEST(Gossip, LateOrLossyMember_IsNeverDeclaredFailed) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     World world(50, seed);
     world.fleet.links().usual().loss = 0.02;
     std::mt19937_64 random(seed);
-    for (int i = 0; i < 60; ++i) {  // one in fifty, late by up to three periods again and again
+    for (int i = 0; i < 60; ++i) {  // one in fifty, repeatedly late by up to three periods
       world.fleet.Pause(
           7, Span(static_cast<Span::rep>(random() % static_cast<std::uint64_t>(3 * kPeriod.count()))));
       world.fleet.RunFor(6 * kPeriod);
     }
-    EXPECT_EQ(world.wrong, 0) << "seed " << seed;
-    EXPECT_GT(world.Count(EventType::kSuspected), 0) << "the lateness was never seen";
+    EXPECT_EQ(world.false_failures, 0) << "seed " << seed;
+    EXPECT_GT(world.Count(EventType::kSuspected), 0) << "the lateness was never noticed";
   }
 }
 
-TEST(Peers, HealedPartitionsAgreeAgainWhateverHappenedInThem) {
+TEST(Gossip, HealedPartition_Converges) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     for (const Instant length : {Instant(2s), Instant(60s)}) {
       World world(24, seed);
@@ -205,15 +204,15 @@
       world.fleet.Start(30, "n30", {0, 1});
       world.fleet.RunFor(length / 2);
       world.fleet.links().Heal();
-      // The dead of the last moments take as long as any crash does.
-      EXPECT_LE(world.Settle(), 20) << "seed " << seed << " length " << length.count();
+      // Crashes of the last moments take as long as any crash.
+      EXPECT_LE(world.PeriodsToConverge(), 20) << "seed " << seed << " length " << length.count();
       world.fleet.RunFor(20 * kPeriod);
       EXPECT_TRUE(world.fleet.Converged());
     }
   }
 }
 
-TEST(Peers, HearsAllAndIsHeardByNone) {
+TEST(Gossip, OneWayPartition_MemberFailsAndReturns) {
   World world(8);
   for (simulation::Node to = 0; to < 8; ++to)
     if (to != 3) world.fleet.links().Cut(3, to, true);
@@ -224,100 +223,100 @@
     EXPECT_EQ(world.fleet.view(p).members().live_count(), 7u);
   }
   world.fleet.links().Heal();
-  EXPECT_LE(world.Settle(), 12);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
 }
 
-TEST(Peers, AStalledProxyIsOneProxyWhenItWakes) {
+TEST(Gossip, PausedProcess_DiscardsItsStateWhenItResumes) {
   World world(16);
   world.fleet.Pause(5, 20 * kPeriod);
   world.fleet.RunFor(20 * kPeriod);
   EXPECT_EQ(world.fleet.view(0).members().Find(world.fleet.id(5))->status, Status::kFailed);
   const int before = world.Count(EventType::kFailed);
-  EXPECT_LE(world.Settle(), 12);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
   world.fleet.RunFor(20 * kPeriod);
   EXPECT_TRUE(world.fleet.Converged());
-  EXPECT_EQ(world.Count(EventType::kFailed), before) << "what it believed meanwhile was told";
+  EXPECT_EQ(world.Count(EventType::kFailed), before) << "it reported what it concluded from the pause";
   EXPECT_EQ(world.Count(EventType::kPaused, 5), 1);
 }
 
-TEST(Peers, SevenInTenDieAndAllComeBackAtOnce) {
+TEST(Gossip, MassCrashAndRestart_Converges) {
   World world(40);
   for (Process p = 0; p < 28; ++p) world.fleet.Kill(p);
-  EXPECT_LE(world.Settle(100), 40) << "28 at once";
-  EXPECT_EQ(world.wrong, 0);
+  EXPECT_LE(world.PeriodsToConverge(100), 40) << "28 at once";
+  EXPECT_EQ(world.false_failures, 0);
   for (simulation::Node i = 0; i < 28; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
-  EXPECT_LE(world.Settle(), 12);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
   for (Process p = 0; p < world.fleet.size(); ++p) world.fleet.is_running(p) ? world.fleet.Kill(p) : void();
   for (simulation::Node i = 0; i < 40; ++i) world.fleet.Start(i, "n" + std::to_string(i), {0, 1});
-  EXPECT_LE(world.Settle(), 12) << "all restarted, nobody remembers anybody";
+  EXPECT_LE(world.PeriodsToConverge(), 12) << "all restarted without state";
 }
 
-TEST(Peers, AHundredJoinThroughOneSeedInASecond) {
+TEST(Gossip, HundredJoinsThroughOneSeed_Converge) {
   World world(4);
   for (simulation::Node i = 10; i < 110; ++i) {
     world.fleet.Start(i, "n" + std::to_string(i), {0});
     world.fleet.RunFor(10ms);
   }
-  EXPECT_LE(world.Settle(), 12);
-  EXPECT_EQ(world.wrong, 0);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
+  EXPECT_EQ(world.false_failures, 0);
 }
 
-TEST(Peers, AllSeedsAreDead) {
+TEST(Gossip, AllSeedsDown_ReconnectsWhenOneReturns) {
   World world(8);
   world.fleet.Kill(0);
   world.fleet.Kill(1);
-  EXPECT_LE(world.Settle(), 30);
+  EXPECT_LE(world.PeriodsToConverge(), 30);
   const Process late = world.fleet.Start(20, "n20", {0, 1});
   world.fleet.RunFor(10 * kPeriod);
-  EXPECT_EQ(world.fleet.view(late).members().live_count(), 1u) << "it can't know anybody";
+  EXPECT_EQ(world.fleet.view(late).members().live_count(), 1u) << "it has no way to learn of others";
   world.fleet.Start(1, "n1", {0, 1});
-  EXPECT_LE(world.Settle(), 20) << "the fleet finds a seed that is back by itself";
+  EXPECT_LE(world.PeriodsToConverge(), 20) << "the fleet reconnects to a restarted seed";
 }
 
-TEST(Peers, ARestartIsANewGenerationWhateverWasKnownOfTheOldOne) {
+TEST(Gossip, Restart_TakesTheNextGeneration) {
   World world(6);
-  world.fleet.Pause(2, 3 * kPeriod);  // refutations: the old one has a high incarnation
+  world.fleet.Pause(2, 3 * kPeriod);  // refutations raise the incarnation of the old one
   world.fleet.RunFor(20 * kPeriod);
   world.fleet.Kill(2);
   const Process fresh = world.fleet.Start(2, "n2", {0, 1});
-  EXPECT_LE(world.Settle(), 15);
+  EXPECT_LE(world.PeriodsToConverge(), 15);
   EXPECT_EQ(world.fleet.view(fresh).members().own().record.generation, 2u);
   EXPECT_EQ(world.fleet.view(0).serving_rank().serving_count, 6);
 }
 
-TEST(Peers, AnAddressTakenOverByAnotherName) {
+TEST(Gossip, AddressReusedByAnotherName_Converges) {
   World world(6);
   world.fleet.Kill(3);
   world.fleet.Start(3, "other", {0, 1});
-  EXPECT_LE(world.Settle(), 12);
-  EXPECT_EQ(world.wrong, 0);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
+  EXPECT_EQ(world.false_failures, 0);
 }
 
-TEST(Peers, TwoGenerationsThenOne) {
+TEST(Gossip, HotRestart_TwoGenerationsThenOne) {
   World world(6);
   const Process fresh = world.fleet.Start(2, "n2", {0, 1}, true);
-  EXPECT_LE(world.Settle(), 12);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
   EXPECT_EQ(world.fleet.view(0).members().live_count(), 7u);
-  EXPECT_EQ(world.fleet.view(0).serving_rank().serving_count, 6) << "one member, two generations";
+  EXPECT_EQ(world.fleet.view(0).serving_rank().serving_count, 6) << "one name, two generations";
   EXPECT_EQ(world.fleet.view(fresh).members().own().record.generation, 2u);
   world.fleet.Leave(2);
-  EXPECT_LE(world.Settle(), 12);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
   EXPECT_EQ(world.Count(EventType::kLeft), 6);
   EXPECT_EQ(world.Count(EventType::kFailed), 0);
-  // A successor that dies before it is of use; and a leave that nobody hears.
+  // A successor that crashes at once, and a leave that no member receives.
   const Process dies = world.fleet.Start(4, "n4", {0, 1}, true);
   world.fleet.RunFor(kPeriod);
   world.fleet.Kill(dies);
-  EXPECT_LE(world.Settle(), 15);
+  EXPECT_LE(world.PeriodsToConverge(), 15);
   world.fleet.links().usual().cut = true;
   world.fleet.Leave(4);
   world.fleet.RunFor(2 * kPeriod);
   world.fleet.links().usual().cut = false;
-  EXPECT_LE(world.Settle(), 20);
-  EXPECT_EQ(world.wrong, 0);
+  EXPECT_LE(world.PeriodsToConverge(), 20);
+  EXPECT_EQ(world.false_failures, 0);
 }
 
-TEST(Peers, TwoUnderOneNameAreSaidAtBothAndNeitherFlaps) {
+TEST(Gossip, NameConflict_IsReportedByBothAndNeitherFlaps) {
   World world(6);
   const Process other = world.fleet.Start(20, "n2", {0, 1});
   world.fleet.RunFor(60 * kPeriod);
@@ -328,7 +327,7 @@
   EXPECT_EQ(world.fleet.view(0).name_conflicts(), std::vector<std::string>{"n2"});
 }
 
-TEST(Peers, AttributesAndPhasesReachAll) {
+TEST(Gossip, AttributesAndPhases_ReachAllMembers) {
   World world(16);
   EXPECT_TRUE(world.fleet.view(3).SetAttribute(Time(), "role", "voter"));
   EXPECT_FALSE(world.fleet.view(3).SetAttribute(Time(), "long", std::string(65, 'x')));
@@ -336,14 +335,14 @@
     EXPECT_TRUE(world.fleet.view(3).SetAttribute(Time(), "k" + std::to_string(i), "v"));
   EXPECT_FALSE(world.fleet.view(3).SetAttribute(Time(), "ninth", "v"));
   world.fleet.SetPhase(3, Phase::kDraining);
-  EXPECT_LE(world.Settle(), 12);
+  EXPECT_LE(world.PeriodsToConverge(), 12);
   const Member* member = world.fleet.view(9).members().Find(world.fleet.id(3));
   EXPECT_EQ(member->record.phase, Phase::kDraining);
   EXPECT_EQ(member->record.attributes.front(), (Attribute{"role", "voter"}));
   EXPECT_EQ(world.fleet.view(9).serving_rank().serving_count, 15);
 }
 
-TEST(Peers, TheSameSeedGivesTheSameBytes) {
+TEST(Gossip, SameSeed_SendsTheSameBytes) {
   const auto run = [](std::uint64_t seed) {
     World world(24, seed);
     world.fleet.links().usual().loss = 0.1;
@@ -355,7 +354,7 @@
   EXPECT_NE(run(5), run(6));
 }
 
-TEST(Peers, RandomFaultsAlwaysSettle) {
+TEST(Gossip, RandomFaults_AlwaysConverge) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
     World world(12, seed);
@@ -394,141 +393,143 @@
     }
     world.fleet.links().Heal();
     world.fleet.links().usual() = {};
-    EXPECT_LE(world.Settle(200), 60) << "seed " << seed;
+    EXPECT_LE(world.PeriodsToConverge(200), 60) << "seed " << seed;
     world.fleet.RunFor(30 * kPeriod);
     EXPECT_TRUE(world.fleet.Converged()) << "seed " << seed;
   }
 }
 
-// ---- Guards: what each is for keeps with it and fails without it ----
+// ---- Safety checks: the property that each protects holds with it and fails without it ----
 
-std::string Lie(const std::vector<MemberUpdate>& news) {
+std::string ForgedDatagram(const std::vector<MemberUpdate>& updates) {
   Datagram d;
   d.sender = SomeRecord(0x11e5, "liar");
   d.body = Gossip{};
-  d.updates = news;
+  d.updates = updates;
   return peer_transport::Encode("trial", d);
 }
 
-std::vector<MemberUpdate> Invented(std::uint64_t from, std::uint64_t count) {
-  std::vector<MemberUpdate> news;
+std::vector<MemberUpdate> ForgedMembers(std::uint64_t from, std::uint64_t count) {
+  std::vector<MemberUpdate> updates;
   for (std::uint64_t i = 0; i < count; ++i)
-    news.push_back(
+    updates.push_back(
         {Status::kAlive, SomeRecord(1000 + from + i, "lie" + std::to_string(from + i)), kNoInstance});
-  return news;
+  return updates;
 }
 
-struct Guarded {
+struct SafetyCheckCase {
   const char* name;
-  bool SafetyChecks::*guard;
-  std::function<bool(const SafetyChecks&)> keeps;
+  bool SafetyChecks::*check;
+  std::function<bool(const SafetyChecks&)> holds;
 };
 
-const Guarded kGuards[] = {
+const SafetyCheckCase kSafetyCheckCases[] = {
     {"refutation", &SafetyChecks::refutation,
      [](const SafetyChecks& safety_checks) {
        World world(8, 1, safety_checks);
        world.fleet.Pause(3, 3 * kPeriod);
        world.fleet.RunFor(40 * kPeriod);
-       return world.wrong == 0;
+       return world.false_failures == 0;
      }},
-    {"suspicion time", &SafetyChecks::suspicion_timeout,
+    {"suspicion timeout", &SafetyChecks::suspicion_timeout,
      [](const SafetyChecks& safety_checks) {
        World world(8, 1, safety_checks);
        world.fleet.Pause(3, 3 * kPeriod);
        world.fleet.RunFor(40 * kPeriod);
-       return world.wrong == 0;
+       return world.false_failures == 0;
      }},
     {"local health", &SafetyChecks::local_health,
      [](const SafetyChecks& safety_checks) {
        World world(16, 1, safety_checks);
        simulation::LinkFaults slow;
-       slow.delay = kPeriod * 6 / 10;  // there and back in more than a period: all its probes come too late
+       slow.delay = kPeriod * 6 / 10;  // a round trip of more than a period: all its probes time out
        for (simulation::Node i = 0; i < 16; ++i)
          world.fleet.links().Set(i, 3, slow), world.fleet.links().Set(3, i, slow);
        world.fleet.RunFor(200 * kPeriod);
-       int blamed = 0;
-       for (const PeerFleet::ObservedEvent& seen : world.seen_events)
-         blamed += seen.process == 3 && seen.event.type == EventType::kSuspected &&
-                   seen.event.reported_by == world.fleet.id(3);
-       return blamed < 20;
+       int own_suspicions = 0;
+       for (const PeerFleet::ObservedEvent& seen : world.events)
+         own_suspicions += seen.process == 3 && seen.event.type == EventType::kSuspected &&
+                           seen.event.reported_by == world.fleet.id(3);
+       return own_suspicions < 20;
      }},
-    {"probes through others", &SafetyChecks::indirect_probes,
+    {"indirect probes", &SafetyChecks::indirect_probes,
      [](const SafetyChecks& safety_checks) {
        World world(8, 1, safety_checks);
        world.fleet.links().Cut(2, 5, true);
        world.fleet.RunFor(60 * kPeriod);
        return world.Count(EventType::kSuspected) == 0;
      }},
-    {"retry of the failed", &SafetyChecks::reconnect_failed,
+    {"reconnection to failed members", &SafetyChecks::reconnect_failed,
      [](const SafetyChecks& safety_checks) {
        Settings settings;
        settings.safety_checks = safety_checks;
        PeerFleet fleet({1, settings, 0.01});
        for (simulation::Node i = 0; i < 8; ++i) fleet.Start(i, "n" + std::to_string(i), {0});
        fleet.RunFor(20 * kPeriod);
-       // The seed's side is without it when the other side looks for it.
+       // The side of the seed loses it before the partition heals.
        for (simulation::Node i = 0; i < 8; ++i) fleet.links().Side(i, i < 4 ? 0 : 1);
        fleet.Kill(0);
        fleet.RunFor(60 * kPeriod);
        fleet.links().Heal();
        return fleet.ConvergeWithin(40 * kPeriod).has_value();
      }},
-    {"stall check", &SafetyChecks::pause_detection,
+    {"pause detection", &SafetyChecks::pause_detection,
      [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 10; ++seed) {
          World world(8, seed, safety_checks);
          world.fleet.Pause(3, 4 * kPeriod);
          world.fleet.RunFor(3 * kPeriod);
-         world.fleet.Pause(5, 30 * kPeriod);  // holds 3 suspect, or is about to
+         world.fleet.Pause(5, 30 * kPeriod);  // it suspects process 3, or is about to
          world.fleet.RunFor(60 * kPeriod);
          if (world.Count(EventType::kFailed, 5) > 0) return false;
        }
        return true;
      }},
-    {"the accused is asked first", &SafetyChecks::claim_verification,
+    {"verification of failure claims", &SafetyChecks::claim_verification,
      [](const SafetyChecks& safety_checks) {
        World world(24, 1, safety_checks);
        for (simulation::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % 2);
        world.fleet.RunFor(60 * kPeriod);
        world.fleet.links().Heal();
-       world.seen_events.clear();
+       world.events.clear();
        world.fleet.RunFor(40 * kPeriod);
        return world.Count(EventType::kFailed) == 0;
      }},
-    {"bound on an incarnation's leap", &SafetyChecks::incarnation_jump_limit,
+    {"limit of an incarnation jump", &SafetyChecks::incarnation_jump_limit,
      [](const SafetyChecks& safety_checks) {
        World world(8, 1, safety_checks);
        MemberRecord poisoned = world.fleet.view(3).members().own().record;
        poisoned.incarnation = kMaxIncarnation;
        for (simulation::Node i = 0; i < 8; ++i)
-         world.fleet.Inject(i, Lie({{Status::kAlive, poisoned, kNoInstance}}));
+         world.fleet.Inject(i, ForgedDatagram({{Status::kAlive, poisoned, kNoInstance}}));
        world.fleet.RunFor(2 * kPeriod);
        world.fleet.Pause(3, 3 * kPeriod);
        world.fleet.RunFor(60 * kPeriod);
-       return world.wrong == 0;
+       return world.false_failures == 0;
      }},
-    {"bound on members", &SafetyChecks::member_limit,
+    {"member limit", &SafetyChecks::member_limit,
      [](const SafetyChecks& safety_checks) {
        Settings settings;
        settings.max_members = 64;
        World world(8, 1, safety_checks, settings);
-       for (std::uint64_t i = 0; i < 1000; ++i) world.fleet.Inject(2, Lie(Invented(10 * i, 10)));
+       for (std::uint64_t i = 0; i < 1000; ++i)
+         world.fleet.Inject(2, ForgedDatagram(ForgedMembers(10 * i, 10)));
        world.fleet.RunFor(kPeriod);
        return world.fleet.view(2).members().all().size() <= 64;
      }},
-    {"proof of life keeps its place", &SafetyChecks::keep_confirmed,
+    {"confirmed members stay", &SafetyChecks::keep_confirmed,
      [](const SafetyChecks& safety_checks) {
        Settings settings;
        settings.max_members = 64;
        World world(8, 1, safety_checks, settings);
        world.fleet.RunFor(20 * kPeriod);
-       for (std::uint64_t i = 0; i < 1000; ++i) world.fleet.Inject(2, Lie(Invented(10 * i, 10)));
+       for (std::uint64_t i = 0; i < 1000; ++i)
+         world.fleet.Inject(2, ForgedDatagram(ForgedMembers(10 * i, 10)));
        world.fleet.RunFor(1ms);
-       std::size_t kept = 0;
+       std::size_t confirmed = 0;
        for (Process p = 0; p < 8; ++p)
-         kept += world.fleet.view(2).members().Find(world.fleet.id(p)) != nullptr;
-       return kept == 8;
+         confirmed += world.fleet.view(2).members().Find(world.fleet.id(p)) != nullptr;
+       return confirmed == 8;
      }},
     {"tombstones", &SafetyChecks::tombstones,
      [](const SafetyChecks& safety_checks) {
@@ -538,13 +539,13 @@
        const MemberRecord dead = world.fleet.view(3).members().own().record;
        world.fleet.Kill(3);
        world.fleet.RunFor(25s);
-       if (world.fleet.view(0).members().Find(dead.id) != nullptr) return false;  // not freed yet
-       world.seen_events.clear();
-       world.fleet.Inject(0, Lie({{Status::kAlive, dead, kNoInstance}}));
+       if (world.fleet.view(0).members().Find(dead.id) != nullptr) return false;  // not reaped yet
+       world.events.clear();
+       world.fleet.Inject(0, ForgedDatagram({{Status::kAlive, dead, kNoInstance}}));
        world.fleet.RunFor(kPeriod);
        return world.fleet.view(0).members().Find(dead.id) == nullptr;
      }},
-    {"exchanges", &SafetyChecks::state_sync,
+    {"state sync", &SafetyChecks::state_sync,
      [](const SafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 5; ++seed) {
          World world(64, seed, safety_checks);
@@ -553,19 +554,19 @@
          world.fleet.SetPhase(20, Phase::kDraining);
          world.fleet.RunFor(4 * kPeriod);
          world.fleet.links().Heal();
-         if (world.Settle(16) > 16) return false;
+         if (world.PeriodsToConverge(16) > 16) return false;
        }
        return true;
      }},
-    {"a ping is for one instance", &SafetyChecks::ping_target_check,
+    {"ping target check", &SafetyChecks::ping_target_check,
      [](const SafetyChecks& safety_checks) {
        World world(8, 1, safety_checks);
        world.fleet.Kill(3);
-       world.fleet.Start(3, "other", {});  // it knows nobody, and answers whoever asks
+       world.fleet.Start(3, "other", {});  // it has no seeds and answers every ping
        world.fleet.RunFor(20 * kPeriod);
        return !world.fleet.view(0).members().Find(world.fleet.id(3))->is_live();
      }},
-    {"news is told so often", &SafetyChecks::retransmit_limit,
+    {"retransmit limit", &SafetyChecks::retransmit_limit,
      [](const SafetyChecks& safety_checks) {
        World world(8, 1, safety_checks);
        const auto before = world.fleet.sent(2).messages;
@@ -574,30 +575,31 @@
      }},
 };
 
-TEST(PeerGuards, EachIsNeeded) {
-  for (const Guarded& guarded : kGuards) {
-    EXPECT_TRUE(guarded.keeps(SafetyChecks())) << guarded.name << ": fails with the guard in place";
+TEST(GossipSafetyChecks, EachIsNecessary) {
+  for (const SafetyCheckCase& test_case : kSafetyCheckCases) {
+    EXPECT_TRUE(test_case.holds(SafetyChecks())) << test_case.name << ": fails with the check in place";
     SafetyChecks without;
-    without.*guarded.guard = false;
-    EXPECT_FALSE(guarded.keeps(without)) << guarded.name << ": taken away, and nothing fails";
+    without.*test_case.check = false;
+    EXPECT_FALSE(test_case.holds(without)) << test_case.name << ": disabled, and nothing fails";
   }
 }
 
-TEST(PeerBounds, ALiarsTenThousandNamesHideNoCrash) {
+TEST(GossipLimits, ForgedMembers_DoNotHideACrash) {
   World world(16);
   for (std::uint64_t i = 0; i < 1000; ++i)
-    for (simulation::Node node = 0; node < 4; ++node) world.fleet.Inject(node, Lie(Invented(10 * i, 10)));
+    for (simulation::Node node = 0; node < 4; ++node)
+      world.fleet.Inject(node, ForgedDatagram(ForgedMembers(10 * i, 10)));
   world.fleet.RunFor(2s);
   for (Process p = 0; p < 16; ++p) EXPECT_LE(world.fleet.view(p).members().all().size(), 2048u);
   world.fleet.Kill(9);
   world.fleet.RunFor(25 * kPeriod);
   for (Process p = 0; p < 16; ++p)
     if (p != 9) EXPECT_FALSE(world.fleet.view(p).members().Find(world.fleet.id(9))->is_live()) << p;
-  EXPECT_EQ(world.wrong, 0);
+  EXPECT_EQ(world.false_failures, 0);
   EXPECT_LE(world.fleet.view(0).queued_updates(), kMaxQueuedUpdates);
 }
 
-TEST(PeerBounds, OldDatagramsPlayedAgainChangeNothing) {
+TEST(GossipLimits, ReplayedDatagrams_HaveNoEffect) {
   World world(8);
   std::vector<std::string> old;
   world.fleet.on_sent = [&](Process, const std::string& bytes) { old.push_back(bytes); };
@@ -610,7 +612,7 @@
     for (simulation::Node node = 0; node < 6; ++node) world.fleet.Inject(node, bytes);
   world.fleet.RunFor(20 * kPeriod);
   EXPECT_TRUE(world.fleet.Converged());
-  EXPECT_EQ(world.wrong, 0);
+  EXPECT_EQ(world.false_failures, 0);
 }
 
 }  // namespace
