--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -21,12 +21,12 @@
 using gossip::Status;
 using nlohmann::ordered_json;
 
-constexpr auto kStateCheckInterval = 200ms;  // of a file whose view has changed
-constexpr int kStateRefreshChecks = 5;       // beats, where it has not
-constexpr int kExitUnhealthy = 3;            // exit code
-constexpr double kUnconfirmedLogLinesPerSecond = 50,
-                 kUnconfirmedLogBurstSeconds = 10;  // of the log, a second; seconds of them at once
-constexpr std::uint64_t kSuppressedLogInterval = 1000;
+constexpr auto kStateCheckInterval = 200ms;  // the state file is written after a change
+constexpr int kStateRefreshChecks = 5;       // ... and at every fifth check without one
+constexpr int kExitUnhealthy = 3;            // exit code of `lemoncroft peers`
+// Limits the log lines about members without direct contact.
+constexpr double kUnconfirmedLogLinesPerSecond = 50, kUnconfirmedLogBurstSeconds = 10;
+constexpr std::uint64_t kSuppressedLogInterval = 1000;  // events per summary line
 
 const char* NameOf(Status status) {
   constexpr const char* kNames[] = {"alive", "suspected", "failed", "left"};
@@ -40,13 +40,13 @@
 
 std::string Hex(gossip::InstanceId id) { return fmt::format("{:016x}", id); }
 
-// As the rig's history and a reader of several logs want it: one clock for all processes of a machine.
+// One clock for all processes of a machine, so that their logs can be merged.
 std::int64_t MonotonicUs() {
   return std::chrono::duration_cast<std::chrono::microseconds>(runtime::Now().time_since_epoch()).count();
 }
 
-spdlog::level::level_enum LevelOf(EventType change) {
-  switch (change) {
+spdlog::level::level_enum LevelOf(EventType type) {
+  switch (type) {
     case EventType::kChanged:
     case EventType::kReaped:
       return spdlog::level::debug;
@@ -95,10 +95,10 @@
 }  // namespace
 
 Fleet::Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
-             std::uint64_t seed, std::function<void(const gossip::ServingRank&)> serving_rank)
+             std::uint64_t seed, std::function<void(const gossip::ServingRank&)> on_serving_rank)
     : loop_(loop),
       settings_(settings),
-      on_serving_rank_(std::move(serving_rank)),
+      on_serving_rank_(std::move(on_serving_rank)),
       link_(loop, LinkOptionsOf(settings, name), seed,
             [this](const gossip::Event& event) { HandleEvent(event); }) {}
 
@@ -127,13 +127,13 @@
 void Fleet::HandleEvent(const gossip::Event& event) {
   const gossip::MemberRecord& r = event.record;
   NotifyServingRank();
-  // Who may have been invented must not fill the log.
+  // Forged members must not fill the log.
   const Member* about = link_.view().members().Find(r.id);
   if (about != nullptr && !about->last_direct_contact && r.id != link_.view().members().self() &&
       !unconfirmed_log_budget_.Take(runtime::Now().time_since_epoch().count(), kUnconfirmedLogLinesPerSecond,
                                     kUnconfirmedLogBurstSeconds)) {
     if (suppressed_events_++ % kSuppressedLogInterval == 0)
-      spdlog::warn("fleet: many members that gave no proof of life; {} events of them are not logged",
+      spdlog::warn("fleet: many members without direct contact; {} events of them are not logged",
                    suppressed_events_);
     return;
   }
@@ -211,8 +211,8 @@
     ordered_json by = ordered_json::array();
     if (m->status == Status::kSuspect) {
       for (const gossip::InstanceId id : m->suspected_by) {
-        const Member* accuser = table.Find(id);
-        by.push_back(accuser == nullptr ? Hex(id) : accuser->record.name);
+        const Member* suspector = table.Find(id);
+        by.push_back(suspector == nullptr ? Hex(id) : suspector->record.name);
       }
     }
     ordered_json attributes = ordered_json::object();
@@ -242,8 +242,8 @@
 runtime::Task<> Fleet::WriteState() {
   if (settings_.state.empty()) co_return;
   StateWriter writer;
-  for (int beat = 0;; ++beat, co_await loop_.Sleep(kStateCheckInterval)) {
-    if (!changed_ && beat % kStateRefreshChecks != 0) continue;
+  for (int check = 0;; ++check, co_await loop_.Sleep(kStateCheckInterval)) {
+    if (!changed_ && check % kStateRefreshChecks != 0) continue;
     changed_ = false;
     writer.Write(settings_.state, StateText());
   }
--- a/src/cli/fleet.h
+++ b/src/cli/fleet.h
@@ -1,5 +1,5 @@
-// The view of the fleet in the running proxy: the link, its log lines, its figures and the file that
-// operators read. Made only where the operator's file has a `fleet`.
+// The proxy's part in its fleet: owns the Link, logs membership events, and provides the metrics and the
+// state file that `lemoncroft peers` shows. Exists only if the operator's file has a `fleet` node.
 #ifndef LEMONCROFT_CLI_FLEET_H_
 #define LEMONCROFT_CLI_FLEET_H_
 
@@ -18,9 +18,9 @@
 
 class Fleet {
  public:
-  // `standing`: called at each change of how many proxies serve and of this one's place among them.
+  // `on_serving_rank` is called at each change of how many proxies serve and of this one's rank among them.
   Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
-        std::uint64_t seed, std::function<void(const gossip::ServingRank&)> serving_rank);
+        std::uint64_t seed, std::function<void(const gossip::ServingRank&)> on_serving_rank);
 
   void Start();
   void SetPhase(Operations::Phase phase);
@@ -41,13 +41,13 @@
   std::function<void(const gossip::ServingRank&)> on_serving_rank_;
   gossip::ServingRank notified_rank_;
   peer_transport::Link link_;
-  bool changed_ = true;                         // since the file was written
-  limits::TokenBucket unconfirmed_log_budget_;  // log lines of members that gave no proof of life
+  bool changed_ = true;                         // since the state file was written
+  limits::TokenBucket unconfirmed_log_budget_;  // log lines about members without direct contact
   std::uint64_t suppressed_events_ = 0;
 };
 
-// Prints what the file tells; 0, or 1 where there is none, it can't be read or is no longer kept up to date,
-// 3 where members are suspected, failed or contested, or views differ.
+// Prints a state file. Returns the exit code: 0 for a healthy fleet; 1 if the file is missing, unreadable or
+// out of date; 3 if members are suspected or failed, a name is contested, or views differ.
 int ShowPeers(const std::string& path, bool json);
 
 }  // namespace lemoncroft::cli
--- a/src/testing/benchmark/heartbeats.h
+++ b/src/testing/benchmark/heartbeats.h
@@ -1,7 +1,7 @@
-// The baseline: every member tells every other, each period, that it lives; four missed and it is called
-// failed.
+// The baseline of the membership benchmark: all-to-all heartbeats, a member is declared failed after four
+// missed ones.
 //
-// In virtual time, for the measurement alone. Deterministic for a seed. Units: periods; bytes.
+// In virtual time; deterministic for a seed. Units: periods and bytes.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_HEARTBEATS_H_
 #define LEMONCROFT_TESTING_BENCHMARK_HEARTBEATS_H_
 
@@ -12,9 +12,9 @@
 namespace lemoncroft::benchmark {
 
 struct HeartbeatResult {
-  std::vector<double> detect, known_all;  // of each crash: at the first and at the last
+  std::vector<double> detect, known_all;  // periods per crash until the first and the last member knows
   double false_failures_per_hour = 0;
-  double bytes_per_s = 0, messages_per_s = 0;  // that one member sends
+  double bytes_per_s = 0, messages_per_s = 0;  // sent by one member
 };
 
 struct HeartbeatPlan {
@@ -22,8 +22,8 @@
   std::size_t members = 128;
   std::size_t crashes = 10;
   double loss = 0;
-  std::size_t late = 0;  // members that are late by up to three periods, again and again
-  double periods = 40;   // between crashes, or in all where there are none
+  std::size_t late = 0;  // members that are repeatedly late by up to three periods
+  double periods = 40;   // between crashes, or in total without crashes
   double period_s = 0.25, bytes = 150;
 };
 
--- a/src/testing/benchmark/scale_view.h
+++ b/src/testing/benchmark/scale_view.h
@@ -1,7 +1,8 @@
-// What the view of the fleet costs a member at a size, in virtual time: bytes, processor time, memory.
+// Benchmark of what the membership protocol costs one member of a large fleet, in virtual time: bytes,
+// processor time, memory.
 //
-// Contract. Deterministic for a seed but for processor time and memory, which are this machine's. Owner:
-// none. Units: bytes of frames that a member sends, without the headers of UDP and IP; percent of one core.
+// Deterministic for a seed except for processor time and memory. Units: bytes of the frames that a member
+// sends, without UDP and IP headers; percent of one core.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_SCALE_VIEW_H_
 #define LEMONCROFT_TESTING_BENCHMARK_SCALE_VIEW_H_
 
--- a/src/testing/simulation/keeper_fleet.cpp
+++ b/src/testing/simulation/keeper_fleet.cpp
@@ -16,7 +16,7 @@
 constexpr Instant kTick = 5ms;  // at which acts are noted
 constexpr const char* kFleet = "trial";
 
-// Bytes that the way between proxies puts around a note (peerlink/frame.h).
+// Bytes that a frame adds to a message (peer_transport/frame.h).
 std::size_t FrameBytes() {
   const std::string note(100, 'x');
   return peer_transport::Encode(
--- a/src/testing/simulation/links.h
+++ b/src/testing/simulation/links.h
@@ -1,8 +1,7 @@
-// A stand-in for the links between proxies, in virtual time: every directed pair loses, delays, reorders,
-// duplicates, garbles or cuts what is sent over it.
+// Simulated links between proxies in virtual time: each directed pair of nodes loses, delays, reorders,
+// duplicates, corrupts or cuts what is sent over it.
 //
-// Deterministic for a seed; owned by one simulation. Times are spans from its start. What is sent is bytes:
-// nobody sees another's memory.
+// Deterministic for a seed; owned by one simulation. Times are spans since its start.
 #ifndef LEMONCROFT_TESTING_SIMULATION_LINKS_H_
 #define LEMONCROFT_TESTING_SIMULATION_LINKS_H_
 
@@ -21,9 +20,9 @@
 using Node = std::uint32_t;
 
 struct LinkFaults {
-  double loss = 0, duplicate = 0, garble = 0;  // parts of what is sent
+  double loss = 0, duplicate = 0, garble = 0;  // probabilities
   Instant delay = std::chrono::microseconds(200), spread = std::chrono::microseconds(300);
-  double bandwidth = 0;  // bytes a second; 0: no limit. What would wait for over a second is lost.
+  double bandwidth = 0;  // bytes per second, 0: unlimited; what would wait for over a second is lost
   bool cut = false;
 };
 
@@ -34,15 +33,15 @@
   LinkFaults& usual() { return usual_; }
   void Set(Node from, Node to, const LinkFaults& faults) { special_[{from, to}] = faults; }
   void Cut(Node from, Node to, bool cut);
-  // Nodes that share no side don't hear each other; a node without a side hears all. A node may be on two: a
-  // bridge.
+  // Partitions the nodes: those that share no side cannot reach each other. A node without a side reaches
+  // all; a node on two sides bridges them.
   void Side(Node node, int side) { sides_[node].insert(side); }
-  void Heal();  // all sides and all that was set or cut
+  void Heal();  // removes all partitions, faults and cuts
 
   const LinkFaults& Of(Node from, Node to) const;
-  bool Open(Node from, Node to) const;  // a stream could be opened, and what is sent would come
-  void Garble(Node from, Node to, std::string& bytes);  // now and then, by one bit
-  // Calls `arrives(at, bytes)` for each copy that will come.
+  bool Open(Node from, Node to) const;                  // whether anything sent can arrive
+  void Garble(Node from, Node to, std::string& bytes);  // flips one bit with the probability of `garble`
+  // Calls `arrives(at, bytes)` for each copy that will arrive.
   template <typename F>
   void Send(Instant now, Node from, Node to, const std::string& bytes, F&& arrives) {
     const LinkFaults& faults = Of(from, to);
@@ -71,7 +70,7 @@
   LinkFaults usual_;
   std::map<std::pair<Node, Node>, LinkFaults> special_;
   std::map<Node, std::set<int>> sides_;
-  std::map<std::pair<Node, Node>, Instant> free_;  // when the link has sent what it has
+  std::map<std::pair<Node, Node>, Instant> free_;  // when the link has sent its backlog
 };
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/peer_fleet.h
+++ b/src/testing/simulation/peer_fleet.h
@@ -1,8 +1,8 @@
-// A fleet of views in virtual time: the state machine and the frames that the program runs, on stand-in links
-// and clocks that run apart, with processes that crash, stall, leave, restart and are replaced.
+// Simulates a fleet of proxies in virtual time: the MembershipView and the frames of the program on simulated
+// links, with clocks that drift and processes that crash, pause, leave, restart and are replaced.
 //
-// Deterministic: the same seed and calls give the same trace, byte by byte. Owned by one test or measurement.
-// Times are spans from the start, of true time; each process has a clock of its own. Not modelled: processor
+// Deterministic: the same seed and calls give the same trace of sent bytes. Owned by one test or benchmark.
+// Times are spans of true time since the start; each process has a clock of its own. Not simulated: processor
 // time, bandwidth, full send buffers.
 #ifndef LEMONCROFT_TESTING_SIMULATION_PEER_FLEET_H_
 #define LEMONCROFT_TESTING_SIMULATION_PEER_FLEET_H_
@@ -23,14 +23,14 @@
 
 namespace lemoncroft::simulation {
 
-using Process = std::size_t;  // in the order of their starts
+using Process = std::size_t;  // numbered in the order of their starts
 
 class PeerFleet {
  public:
   struct Options {
     std::uint64_t seed = 1;
     gossip::Settings settings;
-    double drift = 0.01;  // clocks run up to so much fast or slow
+    double drift = 0.01;  // maximum relative error of a clock's rate
   };
   struct ObservedEvent {  // an event of a process's view
     Instant at{};
@@ -39,32 +39,32 @@
   };
   struct SendTotals {
     std::uint64_t messages = 0, bytes = 0;
-    std::uint64_t syncs = 0, sync_bytes = 0;  // of these: exchanges opened, and all their messages
+    std::uint64_t syncs = 0, sync_bytes = 0;  // syncs initiated; bytes of all sync messages, part of `bytes`
   };
 
   explicit PeerFleet(const Options& options);
 
-  // Starts a process on a machine (one address each; `second`: beside one that lives there). Its seeds are
-  // machines.
+  // Starts a process on a machine with one address; `second`: on the machine's second address, next to a
+  // running process. `seeds` are machines.
   Process Start(Node machine, const std::string& name, const std::vector<Node>& seeds, bool second = false);
-  // All that live know each other from here on, as after joins long ago.
+  // Makes all running processes members of each other's views.
   void IntroduceAll();
-  // Likewise, and each has had a datagram of each: nobody is known by hearsay alone.
+  // Likewise, and each has received a datagram of each other.
   void IntroduceWithDirectContact();
   void Kill(Process process);
-  void Leave(Process process);  // says so, and ends a gossip beat later
+  void Leave(Process process);  // announces it, and ends a period later
   void Pause(Process process, Instant span);
   void SetPhase(Process process, gossip::Phase phase);
   void SetAttribute(Process process, const std::string& key, const std::string& value);
   void RunTo(Instant until);
   void RunFor(Instant span) { RunTo(now_ + span); }
 
-  // Bytes that come to an address as if from nobody that this fleet knows.
+  // Delivers bytes to a machine's first address, as from an unknown sender.
   void Inject(Node machine, const std::string& bytes);
 
-  // Every live process holds just the live ones for alive; with one of their records each.
+  // Whether all views have exactly the running processes as live members, with the same records.
   bool Converged() const;
-  // Runs until they agree, at most `patience`; how long it took, none where they did not.
+  // Runs until the views converge and returns how long it took; none after `timeout`.
   std::optional<Instant> ConvergeWithin(Instant timeout);
 
   Links& links() { return links_; }
@@ -81,7 +81,7 @@
   gossip::Span Period() const { return options_.settings.probe_interval; }
   // Called for each event as it happens.
   std::function<void(const ObservedEvent&)> on_event;
-  // Called for each datagram as it is sent: sees the real bytes.
+  // Called with the bytes of each datagram as it is sent.
   std::function<void(Process, const std::string&)> on_sent;
 
  private:
@@ -113,8 +113,8 @@
   gossip::Time LocalTime(const Running& r, Instant at) const;
   Instant TrueTime(const Running& r, gossip::Time local) const;
   void Schedule(Instant at, Kind kind, Process process, Process from = 0, std::string bytes = {});
-  void Handle(ScheduledEvent& happening);
-  void DispatchOutputs(Process process);  // carries out what the view wants
+  void Handle(ScheduledEvent& event);
+  void DispatchOutputs(Process process);  // carries out the outputs of the view
   void CountSent(Process process, std::size_t bytes);
   void CountSyncSent(Process process, std::size_t bytes);
   void Trace(Process process, const std::string& bytes);
