--- a/src/cli/replicated_config_calls.cpp
+++ b/src/cli/replicated_config_calls.cpp
@@ -72,11 +72,11 @@
     out["commit"] = raft->commit_index();
     out["holders"] = replica_.HoldersByName(now);
   }
-  for (const auto& [id, member] : fleet_.view().roster().all()) {
+  for (const auto& [id, member] : fleet_.view().members().all()) {
     std::string published;
     for (const gossip::Attribute& a : member.record.attributes)
       if (a.key == kStateAttribute) published = a.value;
-    const bool self = id == fleet_.view().roster().self();
+    const bool self = id == fleet_.view().members().self();
     out["proxies"].push_back({{"name", member.record.name},
                               {"generation", member.record.generation},
                               {"alive", member.status == gossip::Status::kAlive},
@@ -103,9 +103,9 @@
   for (const std::string& name : settings_.voters) {
     const gossip::Member* voter = FindProcess(name);
     if (voter == nullptr || voter->status == gossip::Status::kFailed || name == name_) continue;
-    auto answer = co_await peer_transport::Call(
+    auto answer = co_await peer_transport::CallPeer(
         loop_, fleet_.settings().name, peer_transport::ToAddress(voter->record.address), bytes,
-        Now() + kForwardTimeout, peer_transport::ToAddress(fleet_.link().address()));
+        Now() + kForwardTimeout, peer_transport::ToAddress(fleet_.link().listen_address()));
     if (answer) co_return std::move(*answer);
   }
   co_return Error("no voter answers");
--- a/src/cli/replicated_config_service.cpp
+++ b/src/cli/replicated_config_service.cpp
@@ -94,7 +94,7 @@
       tell_(std::move(tell)),
       local_config_(std::move(local_config)),
       document_checks_(MakeDocumentChecks()),
-      replica_(ReplicaOptionsOf(settings, name), fleet.view().roster().self(), document_checks_, Draw(),
+      replica_(ReplicaOptionsOf(settings, name), fleet.view().members().self(), document_checks_, Draw(),
                Now()),
       notification_pacer_(Draw()) {
   const bool votes = std::find(settings.voters.begin(), settings.voters.end(), name) != settings.voters.end();
@@ -103,10 +103,10 @@
   if (!settings.store.empty())
     worker_ = std::make_unique<storage::Worker>(
         loop, storage::Database::Options{settings.store, fleet.settings().name + "/" + name});
-  fleet_.link().on_parcel = [this](const peer_transport::Parcel& parcel) {
-    if (parcel.part != peer_transport::Part::kRules) return;
-    if (const auto message = replicated_config::DecodeMessage(parcel.bytes)) {
-      replica_.Receive(Now(), parcel.from, *message);
+  fleet_.link().on_app_message = [this](const peer_transport::AppMessage& app_message) {
+    if (app_message.subsystem != peer_transport::Subsystem::kReplicatedConfig) return;
+    if (const auto message = replicated_config::DecodeMessage(app_message.bytes)) {
+      replica_.Receive(Now(), app_message.sender, *message);
       DispatchOutputs();
     }
   };
@@ -157,7 +157,7 @@
     const bool lives = m.status == gossip::Status::kAlive || m.status == gossip::Status::kSuspect;
     return std::tuple(lives, store, m.record.generation);
   };
-  for (const auto& [id, member] : fleet_.view().roster().all())
+  for (const auto& [id, member] : fleet_.view().members().all())
     if (member.record.name == name && (best == nullptr || rank(member) > rank(*best))) best = &member;
   return best;
 }
@@ -167,9 +167,9 @@
     const auto* name = std::get_if<raft::NodeId>(&send->to);
     const gossip::Member* to =
         name != nullptr ? FindProcess(*name)
-                        : fleet_.view().roster().Find(std::get<replicated_config::Instance>(send->to));
+                        : fleet_.view().members().Find(std::get<replicated_config::Instance>(send->to));
     if (to != nullptr)
-      fleet_.link().Post(to->record.address, peer_transport::Part::kRules,
+      fleet_.link().Send(to->record.address, peer_transport::Subsystem::kReplicatedConfig,
                          replicated_config::Encode(send->message));
   } else if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
     WriteBatch(persist->update.sequence, EncodeUpdate(persist->update));
@@ -356,20 +356,20 @@
     const std::string state = std::to_string(active_version_) + "/" +
                               std::to_string(replica_.holder().prepared_version()) +
                               (isolated ? "/cut-off" : "");
-    const gossip::Roster& roster = fleet_.view().roster();
-    if (notification_pacer_.ShouldNotify(Now(), state != published_state_, roster.living())) {
+    const gossip::MemberTable& members = fleet_.view().members();
+    if (notification_pacer_.ShouldNotify(Now(), state != published_state_, members.live_count())) {
       published_state_ = state;
       fleet_.link().SetAttribute(kStateAttribute, state);
     }
-    if (std::exchange(peers_as_of_, roster.changes()) != roster.changes()) UpdatePeers();
+    if (std::exchange(peers_as_of_, members.change_count()) != members.change_count()) UpdatePeers();
   }
 }
 
 void ReplicatedConfigService::UpdatePeers() {
   std::vector<replicated_config::Instance> others;
-  const gossip::Roster& roster = fleet_.view().roster();
-  for (const auto& [id, member] : roster.all())
-    if (member.status == gossip::Status::kAlive && id != roster.self()) others.push_back(id);
+  const gossip::MemberTable& members = fleet_.view().members();
+  for (const auto& [id, member] : members.all())
+    if (member.status == gossip::Status::kAlive && id != members.self()) others.push_back(id);
   replica_.SetPeers(std::move(others));
 }
 
@@ -397,7 +397,7 @@
 
 std::string ReplicatedConfigService::DrawId() const {
   return fmt::format("{}-{:08x}-{}", name_.substr(0, 24),
-                     static_cast<std::uint32_t>(fleet_.view().roster().self() >> 32), ++last_change_number_);
+                     static_cast<std::uint32_t>(fleet_.view().members().self() >> 32), ++last_change_number_);
 }
 
 Task<replicated_config::RequestCompleted> ReplicatedConfigService::AwaitCompletion(std::string id) {
--- /dev/null
+++ b/src/gossip/broadcast_queue.h
@@ -0,0 +1,52 @@
+// Queue of updates to piggyback on outgoing datagrams. It holds the newest update of each instance, sends
+// those first that were sent least often, and drops an update after a limited number of transmissions.
+//
+// No I/O, no clock. Owned by a MembershipView.
+// Source: SWIM, section 4.1 (infection-style dissemination); memberlist's TransmitLimitedQueue.
+#ifndef LEMONCROFT_GOSSIP_BROADCAST_QUEUE_H_
+#define LEMONCROFT_GOSSIP_BROADCAST_QUEUE_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <set>
+#include <tuple>
+#include <vector>
+
+#include "gossip/types.h"
+
+namespace lemoncroft::gossip {
+
+class BroadcastQueue {
+ public:
+  explicit BroadcastQueue(std::size_t max_updates) : max_updates_(max_updates) {}
+
+  // Queues an update in place of an earlier one of the same instance. When the queue is full, the update that
+  // was sent most often is dropped.
+  void Push(MemberUpdate update);
+  // Appends the updates that fit into `room` bytes to `into` and counts a transmission of each. An update is
+  // dropped after `limit` transmissions.
+  void Fill(std::vector<MemberUpdate>& into, std::size_t room, int limit);
+  void Clear();
+  bool empty() const { return queued_.empty(); }
+  std::size_t size() const { return queued_.size(); }
+
+ private:
+  struct Queued {
+    MemberUpdate update;
+    int transmits = 0;
+    std::uint64_t order = 0;  // the newest update has the lowest
+  };
+  using SendOrder = std::tuple<int, std::uint64_t, InstanceId>;  // transmits, order, instance
+
+  void Remove(InstanceId id);
+
+  std::size_t max_updates_;
+  std::uint64_t next_order_ = UINT64_MAX;
+  std::map<InstanceId, Queued> queued_;
+  std::set<SendOrder> send_order_;
+};
+
+}  // namespace lemoncroft::gossip
+
+#endif  // LEMONCROFT_GOSSIP_BROADCAST_QUEUE_H_
--- a/src/peer_transport/frame.h
+++ b/src/peer_transport/frame.h
@@ -1,49 +1,62 @@
-// Frames between proxies: magic, versions, a checksum, and the message in MessagePack.
+// Framing of messages between proxies: magic bytes, versions, a checksum, and the message in MessagePack.
 //
-// Contract. No I/O. What comes from a peer is unpacked under bounds on lengths, counts and depth; anything
-// that isn't one whole message of this fleet and major version is a Fault, never an exception. Elements that
-// a later minor version appends are passed over. Owner: none. Units: bytes. Source: docs/peers.md; the
-// MessagePack specification; XXH3 (xxHash).
-#ifndef LEMONCROFT_PEERLINK_FRAME_H_
-#define LEMONCROFT_PEERLINK_FRAME_H_
+// No I/O, no state. Input from the network is unpacked under limits on lengths, counts and depth; anything
+// that is not one complete message of this fleet and major version is a FrameError, never an exception.
+// Elements that a later minor version appends are ignored. docs/gossip.md describes the format.
+// Source: the MessagePack specification; XXH3 (xxHash).
+#ifndef LEMONCROFT_PEER_TRANSPORT_FRAME_H_
+#define LEMONCROFT_PEER_TRANSPORT_FRAME_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 #include <variant>
 
 #include "gossip/types.h"
 
 namespace lemoncroft::peer_transport {
 
-enum class Fault : std::uint8_t { kCut, kTooLong, kGarbled, kVersion, kForeign, kMalformed };
-inline constexpr std::size_t kFaults = 6;
-const char* NameOf(Fault fault);
-
-inline constexpr std::uint8_t kMajor = 1, kMinor = 0;
-inline constexpr std::size_t kHeadBytes = 12;                     // magic, versions, checksum
-inline constexpr std::size_t kStreamMost = std::size_t{1} << 20;  // of one message of a stream
-inline constexpr std::size_t kFleetMost = 48;                     // of the fleet's name
-
-// Which part of the program a parcel is for: never renumbered.
-enum class Part : std::uint8_t {
-  kRules = 0,  // notes of the rules (rules/notes.h)
-  kCall = 1,   // an operator's call; what comes back on the same stream is its answer
-  kLists = 2,  // what proxies know of the lists of engines
+// Why a frame was not decoded.
+enum class FrameError : std::uint8_t {
+  kTruncated,
+  kTooLong,
+  kCorrupt,
+  kVersionMismatch,
+  kWrongFleet,
+  kMalformed
+};
+inline constexpr std::size_t kFrameErrorCount = 6;
+// The error in words.
+const char* NameOf(FrameError error);
+
+inline constexpr std::uint8_t kMajorVersion = 1, kMinorVersion = 0;
+inline constexpr std::size_t kHeaderBytes = 12;  // magic bytes, versions, checksum
+inline constexpr std::size_t kMaxStreamMessageBytes = std::size_t{1} << 20;  // of one message on a stream
+inline constexpr std::size_t kMaxFleetNameBytes = 48;
+
+// The part of the program that an AppMessage is for. Numbers on the wire: never renumber.
+enum class Subsystem : std::uint8_t {
+  kReplicatedConfig = 0,  // messages of the replicated configuration
+  kOperatorCall = 1,      // a request of an operator; the response comes back on the same stream
+  kEndpointLists = 2,     // endpoint lists
 };
-// Bytes of another part of the program, which the view carries for it.
-struct Parcel {
-  gossip::InstanceId from = gossip::kNobody;
-  Part part = Part::kRules;
+// A message of another part of the program, opaque to this layer.
+struct AppMessage {
+  gossip::InstanceId sender = gossip::kNoInstance;
+  Subsystem subsystem = Subsystem::kReplicatedConfig;
   std::string bytes;
 };
 
-using Message = std::variant<gossip::Datagram, gossip::Opening, gossip::Entries, Parcel>;
+using Message = std::variant<gossip::Datagram, gossip::SyncRequest, gossip::SyncEntries, AppMessage>;
 
+// Encodes a message as a frame of this fleet.
 std::string Encode(std::string_view fleet, const Message& message);
-std::variant<Message, Fault> Decode(std::string_view fleet, std::string_view frame, std::size_t most);
+// Decodes a frame of at most `max_bytes`.
+[[nodiscard]] tl::expected<Message, FrameError> Decode(std::string_view fleet, std::string_view frame,
+                                                       std::size_t max_bytes);
 
 }  // namespace lemoncroft::peer_transport
 
-#endif  // LEMONCROFT_PEERLINK_FRAME_H_
+#endif  // LEMONCROFT_PEER_TRANSPORT_FRAME_H_
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -19,8 +19,9 @@
 // The overhead of a frame (peer_transport/frame.h).
 std::size_t FrameBytes() {
   const std::string payload(100, 'x');
-  return peer_transport::Encode(kFleet,
-                                peer_transport::Parcel{UINT64_MAX, peer_transport::Part::kRules, payload})
+  return peer_transport::Encode(
+             kFleet,
+             peer_transport::AppMessage{UINT64_MAX, peer_transport::Subsystem::kReplicatedConfig, payload})
              .size() -
          payload.size();
 }
--- a/tests/golden_stream_test.cpp
+++ b/tests/golden_stream_test.cpp
@@ -72,8 +72,9 @@
     co_await Write(*socket, answer);
   };
   const auto ask = [&]() -> Task<> {
-    got =
-        co_await peer_transport::Call(loop, "north", listener.address(), R"({"call":"status"})", Now() + 2s);
+    const auto answered = co_await peer_transport::CallPeer(loop, "north", listener.address(),
+                                                            R"({"call":"status"})", Now() + 2s);
+    if (answered) got = *answered;
     loop.Stop();
   };
   loop.Spawn(serve());
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -21,25 +21,25 @@
 
 // ---- Frames between proxies ----
 
-gossip::Record FullRecord() {
+gossip::MemberRecord FullRecord() {
   return {.id = kBig,
           .name = "proxy-1",
           .address = {0x7f000001, 7400},
           .zone = "b",
-          .phase = gossip::Phase::kEnding,
+          .phase = gossip::Phase::kDraining,
           .generation = 70000,
           .incarnation = std::uint64_t{1} << 40,
           .attributes = {{"rack", "r7"}, {"build", ""}}};
 }
 
-gossip::Sums FullSums() {
-  gossip::Sums sums{};
+gossip::BucketSums FullSums() {
+  gossip::BucketSums sums{};
   for (std::size_t i = 0; i < sums.size(); ++i) sums[i] = i * 0x0101010101010101;
   return sums;
 }
 
-std::vector<gossip::News> NewsOfEachStatus() {
-  std::vector<gossip::News> all;
+std::vector<gossip::MemberUpdate> UpdateOfEachStatus() {
+  std::vector<gossip::MemberUpdate> all;
   for (const auto status :
        {gossip::Status::kAlive, gossip::Status::kSuspect, gossip::Status::kFailed, gossip::Status::kLeft})
     all.push_back({status, FullRecord(), 300 + static_cast<std::uint64_t>(status)});
@@ -48,14 +48,13 @@
 
 Case PeerCase(const std::string& name, const peer_transport::Message& message) {
   return {name, peer_transport::Encode(kFleet, message), [](std::string_view bytes) {
-            const auto read = peer_transport::Decode(kFleet, bytes, peer_transport::kStreamMost);
-            const auto* decoded = std::get_if<peer_transport::Message>(&read);
-            return decoded != nullptr ? peer_transport::Encode(kFleet, *decoded) : kUndecodable;
+            const auto read = peer_transport::Decode(kFleet, bytes, peer_transport::kMaxStreamMessageBytes);
+            return read ? peer_transport::Encode(kFleet, *read) : kUndecodable;
           }};
 }
 
-Case DatagramCase(const std::string& name, const gossip::Body& body) {
-  gossip::Record sender;
+Case DatagramCase(const std::string& name, const gossip::DatagramBody& body) {
+  gossip::MemberRecord sender;
   sender.id = 7;
   sender.name = "p";
   return PeerCase(name, gossip::Datagram{sender, 9, body, {}});
@@ -67,22 +66,24 @@
       {PeerCase("datagram_minimal", gossip::Datagram{{}, 0, gossip::Gossip{}, {}}),
        PeerCase("datagram_full", gossip::Datagram{FullRecord(), kBig,
                                                   gossip::PingRequest{90000, kBig + 1, {0x0a000102, 65535}},
-                                                  NewsOfEachStatus()}),
+                                                  UpdateOfEachStatus()}),
        DatagramCase("datagram_ping", gossip::Ping{1, 2}),
        DatagramCase("datagram_ping_request", gossip::PingRequest{3, 4, {0x7f000002, 80}}),
        DatagramCase("datagram_ack", gossip::Ack{5, 6}), DatagramCase("datagram_nack", gossip::Nack{7}),
-       DatagramCase("datagram_stranger", gossip::Stranger{8}),
-       DatagramCase("datagram_gossip", gossip::Gossip{}), PeerCase("opening_minimal", gossip::Opening{}),
-       PeerCase("opening_full", gossip::Opening{FullRecord(), FullSums()}),
-       PeerCase("entries_minimal", gossip::Entries{}),
-       PeerCase("entries_full", gossip::Entries{FullRecord(), FullSums(), NewsOfEachStatus()}),
-       PeerCase("parcel_minimal", peer_transport::Parcel{}),
-       PeerCase("parcel_rules", peer_transport::Parcel{1, peer_transport::Part::kRules, kBinary}),
-       PeerCase("parcel_call", peer_transport::Parcel{kBig, peer_transport::Part::kCall, "readyz"}),
-       PeerCase("parcel_call_long",
-                peer_transport::Parcel{7, peer_transport::Part::kCall, std::string(300, 'x')}),
-       PeerCase("parcel_lists",
-                peer_transport::Parcel{kBig, peer_transport::Part::kLists, std::string(300, 'x')})});
+       DatagramCase("datagram_stranger", gossip::WrongTarget{8}),
+       DatagramCase("datagram_gossip", gossip::Gossip{}), PeerCase("opening_minimal", gossip::SyncRequest{}),
+       PeerCase("opening_full", gossip::SyncRequest{FullRecord(), FullSums()}),
+       PeerCase("entries_minimal", gossip::SyncEntries{}),
+       PeerCase("entries_full", gossip::SyncEntries{FullRecord(), FullSums(), UpdateOfEachStatus()}),
+       PeerCase("parcel_minimal", peer_transport::AppMessage{}),
+       PeerCase("parcel_rules",
+                peer_transport::AppMessage{1, peer_transport::Subsystem::kReplicatedConfig, kBinary}),
+       PeerCase("parcel_call",
+                peer_transport::AppMessage{kBig, peer_transport::Subsystem::kOperatorCall, "readyz"}),
+       PeerCase("parcel_call_long", peer_transport::AppMessage{7, peer_transport::Subsystem::kOperatorCall,
+                                                               std::string(300, 'x')}),
+       PeerCase("parcel_lists", peer_transport::AppMessage{kBig, peer_transport::Subsystem::kEndpointLists,
+                                                           std::string(300, 'x')})});
 }
 
 // The checksum itself is pinned by the bytes above; each part of the header is looked at.
@@ -90,9 +91,7 @@
   const std::string good = golden::FromHex(golden::ReadFixture("peer_frames.txt")["datagram_full"]);
   const auto fault = [&](const std::string& frame, std::string_view fleet, std::size_t most) {
     const auto read = peer_transport::Decode(fleet, frame, most);
-    return std::holds_alternative<peer_transport::Fault>(read)
-               ? std::string(peer_transport::NameOf(std::get<peer_transport::Fault>(read)))
-               : "none";
+    return read ? std::string("none") : std::string(peer_transport::NameOf(read.error()));
   };
   const auto changed = [&](std::size_t at) {
     std::string frame = good;
