--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -10,36 +10,38 @@
 
 namespace {
 
-constexpr Span kUpdateInterval = 50ms;          // clock of charges, rates and forecasts
-constexpr Span kMaxForecastAge = 20ms;          // older ones are made anew
-constexpr std::size_t kMinForecastGrowth = 32;  // ... and those made for so many fewer
-constexpr Span kMinReviewInterval = 100ms;      // between two looks at a waiting request
+constexpr Span kUpdateInterval = 50ms;          // of charges, rates and forecasts
+constexpr Span kMaxForecastAge = 20ms;          // a forecast is rebuilt when older ...
+constexpr std::size_t kMinForecastGrowth = 32;  // ... or when more requests than this have joined
+constexpr Span kMinReviewInterval = 100ms;      // of one waiting request
+constexpr Span kBacklogInterval = 5ms;          // between steps while reviews are due at once
 constexpr std::size_t kMaxReviewsPerStep = 2048;
-constexpr double kMinEstimateChangeRatio = 0.4;  // of the wait: a change worth telling ...
-constexpr Span kMinEstimateChange = 750ms;       // ... and at least this
+// An estimate is reported again when the start moves by this much of the wait, and at least by so much.
+constexpr double kMinEstimateChangeRatio = 0.4;
+constexpr Span kMinEstimateChange = 750ms;
 constexpr Span kMinRetryAfter = 50ms;
-constexpr Span kImmediateStartTolerance = 100ms;  // that a start at once may take
-// Handed over and not sent: enough that the module never lacks one, so few that its order is ours.
+constexpr Span kImmediateStartTolerance = 100ms;  // allowed for a start without waiting
+// Requests dispatched and not started, heavy and light: enough that the module never runs out of them, few
+// enough that the queue determines the order.
 constexpr std::array<std::size_t, 2> kMinDispatchWindow = {3, 16};
 constexpr std::size_t kMaxDispatchWindow = 512;
-constexpr double kDispatchWindowSeconds = 0.06;  // of the lane's starts
-// One that so many have passed closes its lane until it is sent, for this long at most: then the module can't
-// place it whatever comes.
+constexpr double kDispatchWindowSeconds = 0.06;  // of the lane's recent starts
+// A request overtaken this often blocks its lane until it starts. It is given up after kMaxBlockedTime, since
+// the module evidently can't place it.
 constexpr std::uint8_t kMaxOvertakes = 6;
 constexpr Span kMaxBlockedTime = 1s;
-constexpr double kUnpacedLoad = 0.8,
-                 kMaxLoad = 1.3;     // of the level: nothing is paced below, nothing starts above
-constexpr double kPacingGain = 1.5;  // of the pace, by how far what runs is off the level
-constexpr double kOverrunPersistence =
-    0.3;  // of the threads past their estimate that will still hold theirs when it matters
-constexpr Span kMaxPacingCredit = 100ms;             // of pacing that was missed
-constexpr double kArrivalRateWindowSeconds = 5;      // seconds that arrivals are averaged over
-constexpr double kEstimateBiasWeight = 0.03;         // of the newest answer in what estimates are off by
-constexpr double kMaxEstimateError = 1.4;            // an outlier counts as this much (of the logarithm)
-constexpr double kMaxEstimateRatio = 200;            // times the class's usual work: what is above is absurd
-constexpr double kPartialRequest = 0.5;              // of a request's work
-constexpr double kMinScaleChange = 0.01;             // a change of the scale that is told
-constexpr double kVirtualTimeRateWindowSeconds = 4;  // seconds
+// Of the wanted number of heavy threads: below the first no pacing, above the second no dispatch.
+constexpr double kUnpacedLoad = 0.8, kMaxLoad = 1.3;
+constexpr double kPacingGain = 1.5;          // of the pace, per relative deviation from the wanted threads
+constexpr double kOverrunPersistence = 0.3;  // fraction of overrunning threads taken as unavailable
+constexpr Span kMaxPacingCredit = 100ms;     // of dispatch time that was missed
+constexpr double kArrivalRateWindowSeconds = 5;
+constexpr double kVirtualTimeRateWindowSeconds = 4;
+constexpr double kEstimateBiasWeight = 0.03;  // of the newest response
+constexpr double kMaxEstimateError = 1.4;     // of the logarithm: limits the effect of an outlier
+constexpr double kMaxEstimateRatio = 200;     // to the default work of the class
+constexpr double kPartialRequest = 0.5;       // of a request's work
+constexpr double kMinScaleChange = 0.01;      // of the budgets, to be logged
 
 }  // namespace
 
@@ -48,13 +50,13 @@
     case RejectReason::kNone:
       return "none";
     case RejectReason::kNoBudget:
-      return "the team has no budget";
+      return "the tenant has no budget";
     case RejectReason::kClassBarred:
-      return "the team may not use the class";
+      return "the tenant may not use the class";
     case RejectReason::kTenantQueueFull:
-      return "the team has too many waiting";
+      return "the tenant has too many requests waiting";
     case RejectReason::kQueueFull:
-      return "too many are waiting";
+      return "too many requests are waiting";
     case RejectReason::kTooLate:
       return "it could not start in time";
   }
@@ -67,7 +69,7 @@
 }
 
 void AdmissionQueue::Configure(Settings settings, Time now) {
-  // A number that is another class's now: what was learnt of the one before is not this one's.
+  // An index now used by another class must not inherit its estimate bias.
   for (std::size_t i = 0; i < std::min(estimate_bias_.size(), settings.classes.size()); ++i) {
     if (settings_.classes[i].name != settings.classes[i].name) estimate_bias_[i] = 0;
   }
@@ -94,7 +96,7 @@
   fleet_cores_ = std::max(0.0, cores);
   ApplyBudgets();
   for (LaneState& lane : lanes_) lane.forecast_stale = true;
-  // All that wait are looked at anew, within a second: estimates change, and some can't be done any more.
+  // Review all waiting requests: their estimates change, and some can no longer start in time.
   review_backlog_.clear();
   for (const TenantQueue& tenant : tenants_) {
     for (const WorkIndex& queue : tenant.class_queues) {
@@ -182,7 +184,7 @@
     return {MakeReject(request, RejectReason::kClassBarred, settings_.max_retry_after), {}, {}};
   r.raw_wait = RawWait(r, now);
   const WaitEstimate estimate = CorrectedEstimate(r, r.raw_wait);
-  // What blocks a newcomer goes at the pace that the estimate was made with.
+  // Places in a full queue become free at the rate that the estimate assumes.
   if (budget.max_waiting > 0 && tenant.size() >= budget.max_waiting)
     return {MakeReject(request, RejectReason::kTenantQueueFull,
                        estimate.wait / static_cast<int>(1 + tenant.size() / 8)),
@@ -192,7 +194,8 @@
     return {MakeReject(request, RejectReason::kQueueFull, estimate.wait / 8), {}, {}};
   if (now + estimate.upper_bound > r.latest_start && estimate.wait > Span::zero())
     return {MakeReject(request, RejectReason::kTooLate, now + estimate.upper_bound - r.latest_start), {}, {}};
-  // One that should run longer than its client waits, but can start at once, gets its chance: estimates lie.
+  // A request expected to run past its deadline is still tried if it can start at once: the expected run time
+  // is only an estimate.
   r.latest_start = std::max(r.latest_start, std::min(request.deadline, now + kImmediateStartTolerance));
   const Lane lane = LaneOf(r.class_id);
   r.place = tenant.class_queues[r.class_id].Push(request.id, now, r.work);
@@ -207,8 +210,6 @@
   return {std::nullopt, estimate, r.latest_start};
 }
 
-// ---- Estimates ----
-
 double AdmissionQueue::AvailableCores() const {
   const double own = fleet_cores_ * settings_.budget_share;
   const double held = running_.overrun_threads() / std::max(1.0, settings_.heavy_threads_per_core * own);
@@ -228,7 +229,7 @@
   return ahead;
 }
 
-// A team that does not wait yet would catch up with the line, less its burst.
+// The start tag that the tenant has once it competes.
 double AdmissionQueue::EffectiveTag(TenantId t, Lane lane) const {
   const FairShareLedger::Account& account = ledger_.at(t);
   if (tenants_[t].waiting_count[lane] > 0) return account.start_tag;
@@ -276,7 +277,7 @@
   const double cores = std::max(1e-9, account.cores);
   const double start_tag = EffectiveTag(r.tenant, lane);
   double wait = state.forecast.TimeUntil(start_tag + work / cores);
-  // What comes later and has a greater head start goes ahead, as long as its start reaches back.
+  // Later requests with a greater ageing credit overtake, while the difference in credit exceeds the age.
   double overtaking = 0;
   for (int round = 0; round < 3; ++round) {
     overtaking = 0;
@@ -288,7 +289,7 @@
     if (overtaking <= 0) break;
     wait = state.forecast.TimeUntil(start_tag + (work + overtaking) / cores);
   }
-  // The others, served by whole requests, will be half a one past the common level when its turn comes.
+  // Other tenants are served in whole requests, and so are half a request past the common level on average.
   const double target = start_tag + (work + overtaking) / cores;
   double past_level = 0;
   for (TenantId t = 0; t < tenants_.size(); ++t) {
@@ -297,7 +298,7 @@
                     static_cast<double>(tenants_[t].waiting_count[lane]);
   }
   wait += past_level / pace;
-  // Two limits that are the team's own: being ahead of the others, and its cap of threads.
+  // Two limits of the tenant itself: its lead over the others, and its thread cap.
   if (account.competing || ledger_.virtual_time() > 0) {
     const double past = target - ledger_.virtual_time() - ledger_.MaxLead(r.tenant);
     if (past > 0 && !ledger_.WithinMaxLead(r.tenant))
@@ -323,8 +324,6 @@
   return CorrectedEstimate(it->second, now);
 }
 
-// ---- Handing over ----
-
 bool AdmissionQueue::IsCompeting(TenantId t) const {
   const TenantQueue& tenant = tenants_[t];
   if (!ledger_.MaySend(t)) return false;
@@ -345,10 +344,10 @@
   return first;
 }
 
-// A request holds its threads from its hand-over to its end, also between two attempts: so that what goes on
-// elsewhere finds them free. Attempts that outlive it hold theirs until they end.
+// A request holds its threads from dispatch to completion, also between two attempts, so that a retry finds
+// them free. Attempts that outlive it hold theirs until they end.
 bool AdmissionQueue::HasThreads(TenantId t, ClassId class_id) const {
-  if (tenants_[t].threads == 0) return true;  // one that is wider than the cap runs alone, or it never would
+  if (tenants_[t].threads == 0) return true;  // a request wider than the cap may run alone
   return ledger_.WithinThreadCap(t, tenants_[t].threads + settings_.classes[class_id].threads);
 }
 
@@ -362,13 +361,12 @@
   return next;
 }
 
-// Heavy queries run beside each other up to a level a core: past it an engine shares out the same work more
-// thinly, and the module's bound would stop and start the line. Near the level they leave evenly, by the work
-// of the one before, and faster or slower as fewer or more run than wanted: started by each end of a query,
-// they would leave in bursts that no estimate foresees.
+// Heavy requests run concurrently up to a number of threads per core; beyond it an engine only divides the
+// same capacity further. Near that number dispatches are spaced by DispatchInterval: dispatched at each
+// completion, requests would leave in bursts that can't be predicted.
 bool AdmissionQueue::HasCapacity(Lane lane, Time now) const {
   const double wanted = settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share;
-  // Light ones seldom come near: but a flood of them must not thin out all that runs.
+  // Light requests seldom come near the limit, but a flood of them must not slow down everything that runs.
   if (lane == kLight) return threads_by_lane_[kLight] < wanted;
   if (threads_by_lane_[kHeavy] < kUnpacedLoad * wanted) return true;
   return threads_by_lane_[kHeavy] < kMaxLoad * wanted && now >= lanes_[lane].next_dispatch_at;
@@ -427,7 +425,7 @@
     state.blocked = true;
     state.blocked_since = now;
   } else if (now - state.blocked_since >= kMaxBlockedTime) {
-    Request& r = requests_.at(*stuck);  // counts no more: others go on without it
+    Request& r = requests_.at(*stuck);  // no longer counted, so that others continue
     RemoveFromDispatched(*stuck, r);
     state.blocked = false;
   }
@@ -496,13 +494,11 @@
   if (r.dispatched)
     tenants_[r.tenant].threads += (r.running_attempts - 1) * settings_.classes[r.class_id].threads;
   if (r.dispatched) threads_by_lane_[LaneOf(r.class_id)] -= settings_.classes[r.class_id].threads;
-  if (r.charged > Work::zero()) ledger_.Charge(r.tenant, -r.charged);  // handed over, never sent
+  if (r.charged > Work::zero()) ledger_.Charge(r.tenant, -r.charged);  // dispatched, never started
   requests_.erase(it);
   next_step_ = std::min(next_step_, now);
 }
 
-// ---- Steps ----
-
 void AdmissionQueue::Step(Time now, std::vector<Decision>& decisions) {
   if (!started_) last_update_ = now, started_ = true;
   if (now - last_update_ >= kUpdateInterval) RunPeriodicUpdate(now);
@@ -518,7 +514,7 @@
   next_step_ = busy || !requests_.empty() ? last_update_ + kUpdateInterval : Time::max();
   if (lanes_[kHeavy].next_dispatch_at > now && waiting_count_ > 0)
     next_step_ = std::min(next_step_, lanes_[kHeavy].next_dispatch_at);
-  if (!review_backlog_.empty()) next_step_ = std::min(next_step_, now + 5ms);
+  if (!review_backlog_.empty()) next_step_ = std::min(next_step_, now + kBacklogInterval);
 }
 
 void AdmissionQueue::RunPeriodicUpdate(Time now) {
@@ -529,7 +525,7 @@
   for (LaneState& lane : lanes_) {
     lane.pacer.Close(window, lane.had_waiting, fleet_cores_ > 0 ? cores : 0);
     lane.start_rate.Close(Seconds(window), true);
-    lane.had_waiting = true;  // unless a hand-over finds that nothing waits
+    lane.had_waiting = true;  // until DispatchLane finds that none waits
     lane.forecast_stale = true;
   }
   for (TenantQueue& tenant : tenants_) {
@@ -545,7 +541,7 @@
 void AdmissionQueue::ReviewDueRequests(Time now, std::vector<Decision>& decisions) {
   std::size_t left = kMaxReviewsPerStep;
   for (; !review_backlog_.empty() && left > 0; --left) {
-    const RequestId id = review_backlog_.back();  // the last to go are the ones that most likely can't
+    const RequestId id = review_backlog_.back();  // the last are the most likely to be late
     review_backlog_.pop_back();
     if (const auto it = requests_.find(id); it != requests_.end())
       ReviewRequest(id, it->second, now, decisions, false);
@@ -554,34 +550,34 @@
     const auto it = requests_.find(id);
     if (it == requests_.end() || it->second.dispatched) continue;
     if (it->second.next_review > now + TimerWheel::kSlot)
-      review_timers_.Add(it->second.next_review, id);  // past the wheel's turn, or looked at since
+      review_timers_.Add(it->second.next_review, id);  // beyond the wheel's span, or rescheduled since
     else
       ReviewRequest(id, it->second, now, decisions, true);
   }
 }
 
 void AdmissionQueue::ReviewRequest(RequestId id, Request& r, Time now, std::vector<Decision>& decisions,
-                                   bool plan) {
+                                   bool reschedule) {
   if (r.dispatched) return;
   const QueuedRequest request{id, r.tenant, r.class_id, r.work, r.latest_start, r.wants_updates};
   const TenantBudget& budget = settings_.tenants[r.tenant];
-  const bool barred_classes = budget.cores <= 0;
+  const bool no_budget = budget.cores <= 0;
   const bool barred_class =
       std::count(budget.barred_classes.begin(), budget.barred_classes.end(), r.class_id) > 0;
   const WaitEstimate estimate = CorrectedEstimate(r, now);
   const bool late = now + TimerWheel::kSlot >= r.latest_start ||
                     now + lanes_[LaneOf(r.class_id)].accuracy.LowerBound(estimate.wait) > r.latest_start;
-  if (barred_classes || barred_class || late) {
-    const RejectReason reason = barred_classes ? RejectReason::kNoBudget
+  if (no_budget || barred_class || late) {
+    const RejectReason reason = no_budget      ? RejectReason::kNoBudget
                                 : barred_class ? RejectReason::kClassBarred
                                                : RejectReason::kTooLate;
     RemoveFromQueue(r);
-    Request resubmitted = r;  // if it came back now it would stand behind all of its class
+    Request resubmitted = r;  // as if submitted again, behind all of its class
     resubmitted.place = tenants_[r.tenant].class_queues[r.class_id].end();
     resubmitted.submitted_at = now;
-    const Span patience = r.latest_start - r.submitted_at;
+    const Span slack = r.latest_start - r.submitted_at;
     const Span retry_after = reason == RejectReason::kTooLate
-                                 ? CorrectedEstimate(resubmitted, now).upper_bound - patience
+                                 ? CorrectedEstimate(resubmitted, now).upper_bound - slack
                                  : settings_.max_retry_after;
     decisions.emplace_back(MakeReject(request, reason, retry_after));
     requests_.erase(id);
@@ -593,12 +589,12 @@
     r.announced_start = start;
     if (r.wants_updates) decisions.emplace_back(EstimateUpdate{id, estimate});
   }
-  if (plan) ScheduleReview(id, r, now, estimate.wait);  // else it is planned already
+  if (reschedule) ScheduleReview(id, r, now, estimate.wait);
 }
 
-// A watched one is looked at often enough to tell of changes, ever more often as its start comes near;
-// another when it should have started, or later: it can't be too late before half of its slack is gone. What
-// changes for all at once, the fleet or the budgets, is swept apart.
+// A request that wants updates is reviewed more often as its start comes near. Any other is reviewed after
+// its expected start, or when half of its slack is gone: it can't be late earlier. Changes of the fleet or
+// the budgets put all requests into the backlog instead.
 void AdmissionQueue::ScheduleReview(RequestId id, Request& r, Time now, Span wait) {
   const Span slack = r.latest_start - now - wait;
   const Span until = r.wants_updates ? wait / 3 : std::max(wait + wait / 4, slack / 2);
@@ -641,13 +637,13 @@
 }
 
 std::size_t AdmissionQueue::memory_bytes() const {
-  std::size_t memory_bytes = requests_.bucket_count() * sizeof(void*);
-  memory_bytes += requests_.size() * (sizeof(std::pair<const RequestId, Request>) + 2 * sizeof(void*));
-  memory_bytes += review_timers_.size() * sizeof(RequestId) + review_backlog_.size() * sizeof(RequestId);
+  std::size_t bytes = requests_.bucket_count() * sizeof(void*);
+  bytes += requests_.size() * (sizeof(std::pair<const RequestId, Request>) + 2 * sizeof(void*));
+  bytes += review_timers_.size() * sizeof(RequestId) + review_backlog_.size() * sizeof(RequestId);
   for (const TenantQueue& tenant : tenants_) {
-    for (const WorkIndex& queue : tenant.class_queues) memory_bytes += queue.memory_bytes();
+    for (const WorkIndex& queue : tenant.class_queues) bytes += queue.memory_bytes();
   }
-  return memory_bytes;
+  return bytes;
 }
 
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -1,14 +1,17 @@
-// The waiting line: takes requests, tells how long they will wait, hands them over, refuses what is too late.
+// Holds requests until the decision module has capacity for them: admits or rejects them, estimates their
+// waits, and dispatches them by tenant budget and aged priority.
 //
-// Order. Within a team and a lane (light or heavy classes) requests leave by key: the time they were taken
-// less a head start that grows with the logarithm of their class's worth. All age alike, so the order of two
-// that wait never changes (Jackson 1960; Kleinrock's time-dependent priorities with equal slopes), and what
-// comes later than the greatest head start goes behind. Among teams the least tag goes first (ledger.h).
+// Order. Within a tenant and a lane (light or heavy classes) requests leave by their submission time less an
+// ageing credit, which grows with the logarithm of the priority weight of their class. All requests age at
+// the same rate, so the order of two waiting requests never changes (Jackson 1960; Kleinrock's time-dependent
+// priorities with equal slopes), and a request is overtaken only by ones submitted within the greatest
+// credit. Among tenants the least start tag goes first (fair_share_ledger.h).
 //
-// Bounds. A request is handed over or refused by its latest start: when its client gives up less the time it
-// should run. See docs/waiting.md.
+// Bounds. A request is dispatched or rejected by its latest start: its deadline less its expected run time.
+// See docs/admission_queue.md.
 //
-// Used by one thread. Every request taken leaves by exactly one of: Sent (first attempt), Refuse, Done.
+// Not thread-safe: used by one thread. Every submitted request leaves by exactly one of OnAttemptStarted (its
+// first), Reject and OnRequestCompleted.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_ADMISSION_QUEUE_H_
 #define LEMONCROFT_ADMISSION_QUEUE_ADMISSION_QUEUE_H_
 
@@ -34,58 +37,66 @@
  public:
   explicit AdmissionQueue(Settings settings);
 
-  // New settings, with requests waiting and running: teams keep their numbers, one that is gone has no
-  // budget (what waits of it is refused at the next Step), classes keep theirs while requests of them
-  // are known.
+  // Replaces the settings, also while requests wait and run. Tenants and classes must keep their indexes; a
+  // tenant past the end of the list loses its budget, and its waiting requests are rejected by later Steps.
   void Configure(Settings settings, Time now);
-  // Cores of the engines that may be sent to, all proxies' taken together.
+  // Sets the cores of all ready engines of the fleet.
   void SetFleetCores(double cores, Time now);
 
-  // Takes a request, or refuses it: then it is not known afterwards. The ids of open requests are unique.
+  // The outcome of Submit.
   struct SubmitResult {
     std::optional<Reject> rejected;
     WaitEstimate estimate;
-    Time dispatch_deadline{};  // it leaves the line by then, come what may
+    Time dispatch_deadline{};  // dispatched or rejected by then
   };
+  // Queues a request or rejects it. A rejected request is not known afterwards. The id must not be in use by
+  // an open request.
   SubmitResult Submit(const QueuedRequest& request, Time now);
 
-  // What happened to a request that was handed over. Unknown ids are ignored.
-  void OnAttemptStarted(RequestId id, int attempt, int priority,
-                        Time now);  // priority: 0 to 3, as the engine is told
+  // Reports the start of an attempt of a dispatched request; `priority`: 0 to 3, as sent to the engine.
+  // Unknown ids are ignored, here and below.
+  void OnAttemptStarted(RequestId id, int attempt, int priority, Time now);
+  // Reports the end of an attempt; `reported_work`: from the engine's response, zero if unknown; `executed`:
+  // whether any of it may have run.
   void OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool executed, Time now);
-  // It has its final answer, or its client has gone: it waits no more. Its attempts still end by Ended.
+  // Reports that a request has its final response or that its client has gone. The ends of attempts that
+  // still run are reported afterwards.
   void OnRequestCompleted(RequestId id, Time now);
 
-  // Decides; appends to `out`. Called after any of the above and at Due().
+  // Makes the decisions that are due and appends them. To be called after any call above and at
+  // NextStepTime().
   void Step(Time now, std::vector<Decision>& decisions);
   Time NextStepTime() const { return next_step_; }
 
+  // The current estimate of a request; none once its first attempt has started.
   std::optional<WaitEstimate> EstimateWait(RequestId id, Time now);
-  // When one like it that is turned away now had better come back: when a newcomer would most likely start
-  // at once, were no others to come.
+  // The delay after which a rejected request should retry: the estimated wait of a newcomer of its class.
   Span RetryAfter(TenantId tenant, ClassId class_id, Time now);
 
   struct TenantState {
     std::string name;
-    double cores = 0, charged_seconds = 0, start_tag = 0;  // this proxy's part; core-seconds; seconds
+    double cores = 0;            // this proxy's share of the budget
+    double charged_seconds = 0;  // core-seconds, in total
+    double start_tag = 0;        // seconds
     int threads = 0;
     std::size_t waiting = 0;
-    Work waiting_work{};  // that waits
-    Span longest_wait{};  // estimate for a newcomer of its last class
+    Work waiting_work{};
+    Span longest_wait{};  // greatest estimate for a newcomer of any class
     std::uint64_t submitted = 0, dispatched = 0, rejected = 0;
   };
   struct State {
     std::vector<TenantState> tenants;
-    double fleet_cores = 0, scale = 1;
-    std::array<double, 2> pace{};            // core-seconds a second, heavy and light
-    std::array<double, 2> estimate_error{};  // mean error of estimates, of the logarithm
+    double fleet_cores = 0, scale = 1;       // scale: of the budgets, 1 or less
+    std::array<double, 2> pace{};            // core-seconds per second, heavy and light
+    std::array<double, 2> estimate_error{};  // mean error of the logarithm, heavy and light
     std::size_t waiting = 0, dispatched = 0, running = 0;
     int overrun_threads = 0;
   };
+  // A summary for the state file.
   State Describe(Time now);
   std::size_t waiting() const { return waiting_count_; }
   std::size_t open_requests() const { return requests_.size(); }
-  std::size_t memory_bytes() const;  // held for what waits
+  std::size_t memory_bytes() const;  // of the queued requests, approximate
 
  private:
   enum Lane : std::size_t { kHeavy = 0, kLight = 1, kLanes = 2 };
@@ -94,21 +105,21 @@
     TenantId tenant = 0;
     ClassId class_id = 0;
     bool dispatched = false, started = false, wants_updates = false;
-    std::int16_t running_attempts = 0;  // attempts that run
-    std::uint8_t overtaken_by = 0;      // by how many that were handed over later
+    std::int16_t running_attempts = 0;
+    std::uint8_t overtaken_by = 0;  // requests dispatched later and started earlier
     WorkIndex::Place place = 0;
     Work work{}, charged{};
     Time submitted_at{}, latest_start{};
-    Span raw_wait{};         // the estimate when it was taken, before its correction
-    Time announced_start{};  // the start told last
-    Time next_review{};      // when it is looked at next
+    Span raw_wait{};         // the estimate at submission, before correction
+    Time announced_start{};  // by the last estimate reported
+    Time next_review{};
   };
   struct TenantQueue {
     std::vector<WorkIndex> class_queues;       // by class
-    std::vector<RateEstimator> arrival_rates;  // core-seconds a second, by class
+    std::vector<RateEstimator> arrival_rates;  // core-seconds per second, by class
     std::array<Work, kLanes> waiting_work{};
     std::array<std::size_t, kLanes> waiting_count{};
-    int threads = 0;  // held by requests handed over, and by attempts that outlive theirs
+    int threads = 0;  // held by dispatched requests, and by attempts that outlive their request
     std::uint64_t submitted = 0, dispatched = 0, rejected = 0;
     std::size_t size() const { return waiting_count[0] + waiting_count[1]; }
   };
@@ -116,14 +127,16 @@
     DispatchPacer pacer;
     EstimateAccuracy accuracy;
     RateEstimator start_rate{2.0};
-    std::vector<RequestId> dispatched;  // not sent yet, oldest first
+    std::vector<RequestId> dispatched;  // not started yet, oldest first
     Work dispatched_work{};
-    Time next_dispatch_at{};  // of a paced lane: nothing leaves before
-    Time blocked_since{};     // nothing is handed over until one that many have passed is sent
-    bool blocked = false, had_waiting = false;
+    Time next_dispatch_at{};  // while the lane is paced
+    // Blocked: nothing is dispatched until a request that many others have overtaken starts.
+    bool blocked = false;
+    Time blocked_since{};
+    bool had_waiting = false;  // requests have waited throughout the current update interval
     WaitForecast forecast;
     Time forecast_at{};
-    std::size_t forecast_waiting = 0;  // so many waited
+    std::size_t forecast_waiting = 0;  // requests that waited then
     bool forecast_stale = true;
   };
 
@@ -134,9 +147,9 @@
   WaitEstimate EstimateForNewcomer(TenantId tenant, ClassId class_id, Time now);
   Span BoundedRetryAfter(Span retry_after) const;
   Reject MakeReject(const QueuedRequest& request, RejectReason reason, Span retry_after);
-  void ApplyBudgets();  // of this proxy's part, scaled to the fleet
+  void ApplyBudgets();
 
-  // Estimates.
+  // Wait estimation (wait_estimation.cpp).
   Span RawWait(const Request& r, Time now);
   Work WorkAhead(const Request& r) const;
   double EffectiveTag(TenantId tenant, Lane lane) const;
@@ -145,7 +158,7 @@
   WaitEstimate CorrectedEstimate(const Request& r, Time now) { return CorrectedEstimate(r, RawWait(r, now)); }
   double AvailableCores() const;
 
-  // Handing over.
+  // Dispatch (dispatch.cpp).
   void DispatchLane(Lane lane, Time now, std::vector<Decision>& decisions);
   std::optional<TenantId> NextTenant(Lane lane) const;
   ClassId NextClass(const TenantQueue& tenant, Lane lane) const;
@@ -158,9 +171,10 @@
   void RemoveFromQueue(Request& r);
   void RemoveFromDispatched(RequestId id, Request& r);
 
+  // Periodic work (reviews.cpp).
   void RunPeriodicUpdate(Time now);
   void ReviewDueRequests(Time now, std::vector<Decision>& decisions);
-  void ReviewRequest(RequestId id, Request& r, Time now, std::vector<Decision>& decisions, bool plan);
+  void ReviewRequest(RequestId id, Request& r, Time now, std::vector<Decision>& decisions, bool reschedule);
   void ScheduleReview(RequestId id, Request& r, Time now, Span wait);
 
   Settings settings_;
@@ -171,17 +185,17 @@
   std::array<LaneState, kLanes> lanes_;
   std::unordered_map<RequestId, Request> requests_;
   TimerWheel review_timers_;
-  std::deque<RequestId>
-      review_backlog_;  // to be looked at as soon as may be: the fleet or the budgets have changed
-  std::vector<std::string> pending_log_;
+  std::deque<RequestId> review_backlog_;  // to be reviewed at once: the fleet or the budgets have changed
+  std::vector<std::string> pending_log_;  // texts for the next Step
   double fleet_cores_ = 0, budget_scale_ = 1;
-  double virtual_time_rate_ = 0, last_virtual_time_ = 0;  // how fast the line's tag moves, and where it was
-  std::vector<int> last_priorities_;                      // of first attempts lately, by class
-  std::vector<double> estimate_bias_;                     // log of told work over its estimate, by class
+  double virtual_time_rate_ = 0;       // moving average, per second
+  double last_virtual_time_ = 0;       // at the last update
+  std::vector<int> last_priorities_;   // of the latest first attempt, by class
+  std::vector<double> estimate_bias_;  // logarithm of reported over estimated work, by class
   std::size_t waiting_count_ = 0;
-  std::array<int, kLanes> threads_by_lane_{};  // of requests handed over and without a final answer
+  std::array<int, kLanes> threads_by_lane_{};  // of dispatched requests that are not complete
   Time last_update_{}, next_step_{};
-  bool started_ = false;
+  bool started_ = false;  // Step has been called
 };
 
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/dispatch_pacer.cpp
+++ b/src/admission_queue/dispatch_pacer.cpp
@@ -7,31 +7,33 @@
 
 namespace {
 
-constexpr double kDefaultPace = 0.8;        // of the cores, before anything was seen
-constexpr double kLearningWeight = 0.003;   // weight of the newest wait in bias and spread
-constexpr double kMaxBias = 0.7;            // a correction by two at the most
-constexpr double kMaxEstimateError = 0.8;   // what one wait, told far wrong, counts as
-                                            // and a request is better taken
-constexpr double kUpperBoundSpreads = 1.6;  // mean errors, of the upper bound: nineteen in twenty are below
-constexpr double kLowerBoundSpreads =
-    0.8;  // of the lower one: what waits is given up only when it most likely fails
-constexpr Span kMinMeasuredWait = std::chrono::milliseconds(50);  // waits below are as good as none
-constexpr Span kBoundTolerance = std::chrono::milliseconds(50);   // that every bound allows
+constexpr double kDefaultPace = 0.8;   // core-seconds per second and core, before any measurement
+constexpr double kConfidenceGain = 4;  // of the weight of the busy rate
+constexpr double kMinPace = 1e-3;      // per core: keeps estimates finite
+
+// EstimateAccuracy; errors are of the logarithm of the wait.
+constexpr double kLearningWeight = 0.003;                         // of the newest wait
+constexpr double kMaxBias = 0.7;                                  // a correction by a factor of two
+constexpr double kMaxEstimateError = 0.8;                         // limits the effect of one outlier
+constexpr double kUpperBoundErrors = 1.6;                         // mean errors above the estimate
+constexpr double kLowerBoundErrors = 0.8;                         // mean errors below it
+constexpr Span kMinMeasuredWait = std::chrono::milliseconds(50);  // shorter waits count as this long
+constexpr Span kBoundTolerance = std::chrono::milliseconds(50);   // added to both bounds
 
 Span Scaled(Span span, double factor) { return FromSeconds(Seconds(span) * factor); }
 
 }  // namespace
 
 Span FromSeconds(double seconds) {
-  constexpr double kMaxLoad = 4e6;  // some 46 days
+  constexpr double kMaxSeconds = 4e6;
   if (!(seconds == seconds)) return Span::zero();
   return std::chrono::duration_cast<Span>(
-      std::chrono::duration<double>(std::clamp(seconds, -kMaxLoad, kMaxLoad)));
+      std::chrono::duration<double>(std::clamp(seconds, -kMaxSeconds, kMaxSeconds)));
 }
 
 void RateEstimator::Close(double seconds, bool counts) {
   if (counts && seconds > 0) {
-    const double fresh = 1 - std::exp(-seconds / memory_);
+    const double fresh = 1 - std::exp(-seconds / time_constant_);
     weight_ += fresh * (1 - weight_);
     value_ += fresh / weight_ * (window_ / seconds - value_);
   }
@@ -49,32 +51,33 @@
   any_.Close(Seconds(window), cores > 0);
 }
 
-// What leaves with nobody waiting is a lower bound; what left when some waited is the pace, once it is known.
+// The rate while requests waited is the lane's capacity. The rate over all windows is only a lower bound of
+// it, used until enough of the former is known.
 double DispatchPacer::Now(double cores) const {
-  const double sure = std::min(1.0, busy_.weight() * 4);
-  const double guess = any_.open_requests() ? std::max(any_.per_second(), kDefaultPace / 2) : kDefaultPace;
-  return cores * std::max(1e-3, sure * busy_.per_second() + (1 - sure) * guess);
+  const double confidence = std::min(1.0, busy_.weight() * kConfidenceGain);
+  const double guess = any_.known() ? std::max(any_.per_second(), kDefaultPace / 2) : kDefaultPace;
+  return cores * std::max(kMinPace, confidence * busy_.per_second() + (1 - confidence) * guess);
 }
 
-// The bias is learnt from raw estimates, not from told ones: corrected by itself, and heard of only a wait
-// later, it would swing.
-void EstimateAccuracy::Learn(Span raw_wait, Span real) {
+// The bias is learnt from raw estimates: learnt from corrected ones it would feed back on itself with the
+// delay of a whole wait, and oscillate.
+void EstimateAccuracy::Learn(Span raw_wait, Span real_wait) {
   const auto log = [](Span span) { return std::log(Seconds(std::max(span, kMinMeasuredWait))); };
   const double weight = std::max(kLearningWeight, 1.0 / (++learned_ + 100));
-  const double off = log(real) - log(Corrected(raw_wait));
-  mean_error_ += weight * (std::min(std::abs(off), kMaxEstimateError) - mean_error_);
-  if (raw_wait <= 4 * kMinMeasuredWait && real <= 4 * kMinMeasuredWait) return;
-  const double whole = std::clamp(log(real) - log(raw_wait), -2 * kMaxBias, 2 * kMaxBias);
-  bias_ = std::clamp(bias_ + weight * (whole - bias_), -kMaxBias, kMaxBias);
+  const double error = log(real_wait) - log(Corrected(raw_wait));
+  mean_error_ += weight * (std::min(std::abs(error), kMaxEstimateError) - mean_error_);
+  if (raw_wait <= 4 * kMinMeasuredWait && real_wait <= 4 * kMinMeasuredWait) return;
+  const double raw_error = std::clamp(log(real_wait) - log(raw_wait), -2 * kMaxBias, 2 * kMaxBias);
+  bias_ = std::clamp(bias_ + weight * (raw_error - bias_), -kMaxBias, kMaxBias);
 }
 
 Span EstimateAccuracy::Corrected(Span raw_wait) const { return Scaled(raw_wait, std::exp(bias_)); }
-Span EstimateAccuracy::UpperBound(Span reported_work) const {
-  return Scaled(reported_work, std::exp(kUpperBoundSpreads * mean_error_)) + kBoundTolerance;
+Span EstimateAccuracy::UpperBound(Span corrected_wait) const {
+  return Scaled(corrected_wait, std::exp(kUpperBoundErrors * mean_error_)) + kBoundTolerance;
 }
-Span EstimateAccuracy::LowerBound(Span reported_work) const {
+Span EstimateAccuracy::LowerBound(Span corrected_wait) const {
   return std::max(Span::zero(),
-                  Scaled(reported_work, std::exp(-kLowerBoundSpreads * mean_error_)) - kBoundTolerance);
+                  Scaled(corrected_wait, std::exp(-kLowerBoundErrors * mean_error_)) - kBoundTolerance);
 }
 
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/dispatch_pacer.h
+++ b/src/admission_queue/dispatch_pacer.h
@@ -1,4 +1,4 @@
-// How fast waiting work leaves, and how far estimates have lately been off: running means of what was seen.
+// Measures how fast each lane's work is dispatched, and how accurate recent wait estimates were.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_DISPATCH_PACER_H_
 #define LEMONCROFT_ADMISSION_QUEUE_DISPATCH_PACER_H_
 
@@ -6,50 +6,53 @@
 
 namespace lemoncroft::admission_queue {
 
-// A rate over the last seconds, of amounts that come in lumps: exponentially weighted, by windows of time.
+// An exponentially weighted moving average of a rate, updated once per time window.
 class RateEstimator {
  public:
-  explicit RateEstimator(double memory_s) : memory_(memory_s) {}
+  // `time_constant`: of the exponential decay, in seconds.
+  explicit RateEstimator(double time_constant) : time_constant_(time_constant) {}
   void Add(double amount) { window_ += amount; }
-  // Ends a window of `seconds`; one that does not count is thrown away.
+  // Ends a window of `seconds`. The window is discarded unless `counts`.
   void Close(double seconds, bool counts);
   double per_second() const { return value_; }
-  bool open_requests() const { return weight_ > 0; }
-  double weight() const { return weight_; }  // 0 unknown, 1 as sure as it gets
+  bool known() const { return weight_ > 0; }
+  double weight() const { return weight_; }  // confidence: 0 unknown, towards 1
 
  private:
-  double memory_;
-  double window_ = 0, value_ = 0, weight_ = 0;
+  double time_constant_;  // seconds
+  double window_ = 0;     // amount added in the current window
+  double value_ = 0, weight_ = 0;
 };
 
-// The pace of one lane: core-seconds that started in a second while others of the lane waited, for each core
-// that could take them. Kept for a core, it follows at once when engines come, go or are held by runaways.
+// The dispatch rate of one lane: core-seconds started per second while requests of the lane waited. Stored
+// per available core, so that it follows a change of capacity at once.
 class DispatchPacer {
  public:
   DispatchPacer() : busy_(8.0), any_(4.0) {}
   void Started(Work work);
-  // Ends a window in which `cores` could take work and some waited throughout, or not.
+  // Ends a window during which `cores` were available; `had_waiting`: some requests waited throughout.
   void Close(Span window, bool had_waiting, double cores);
+  // Core-seconds per second with `cores` available; greater than zero if `cores` is.
   double Now(double cores) const;
 
  private:
-  RateEstimator busy_, any_;
-  double amount_ = 0;
+  RateEstimator busy_, any_;  // of windows with requests waiting throughout, and of all windows
+  double amount_ = 0;         // core-seconds started in the current window
 };
 
-// Raw estimates against real waits: the bias that takes them to the middle of the real ones, and the spread
-// that is left.
+// Compares raw estimates with real waits: learns a bias correction, and the mean error that remains.
 class EstimateAccuracy {
  public:
-  void Learn(Span raw_wait, Span real);
+  void Learn(Span raw_wait, Span real_wait);
   Span Corrected(Span raw_wait) const;
-  Span UpperBound(Span reported_work) const;  // above most real waits
-  Span LowerBound(Span reported_work) const;  // below most
+  // Bounds around a corrected estimate that most real waits keep.
+  Span UpperBound(Span corrected_wait) const;
+  Span LowerBound(Span corrected_wait) const;
   double bias() const { return bias_; }
   double mean_error() const { return mean_error_; }
 
  private:
-  double bias_ = 0, mean_error_ = 0.2;  // of the logarithm
+  double bias_ = 0, mean_error_ = 0.2;  // of the logarithm of the wait
   int learned_ = 0;
 };
 
--- a/src/admission_queue/fair_share_ledger.cpp
+++ b/src/admission_queue/fair_share_ledger.cpp
@@ -6,9 +6,9 @@
 namespace lemoncroft::admission_queue {
 
 namespace {
-// A team whose short requests are handed over apart may be ahead by at least this: a heavy request of its
-// own, charged at once, must not hold them up.
-constexpr double kMinMaxLead = 1.0;  // second
+// A tenant may always be this far ahead: a heavy request is charged in full when it is dispatched, and must
+// not hold up the light ones of the same tenant.
+constexpr double kMinLead = 1.0;  // seconds
 }  // namespace
 
 double FairShareLedger::Configure(const std::vector<TenantBudget>& tenants, double budget_share,
@@ -26,7 +26,7 @@
     const bool gone = i >= tenants.size();
     account.cores = gone ? 0 : tenants[i].cores * budget_share * scale;
     account.burst = gone ? 0 : Seconds(tenants[i].burst);
-    // A proxy's part of a small cap is never none.
+    // A small cap still leaves each proxy one thread.
     account.max_threads =
         gone || tenants[i].max_threads == 0
             ? 0
@@ -41,7 +41,8 @@
   Account& account = accounts_[tenant];
   if (account.competing == competing) return;
   if (competing) {
-    // With nobody competing all is served as it comes, and nobody is owed anything: the furthest counts.
+    // While no tenant competed, all were served on arrival and none is owed service: start from the greatest
+    // tag.
     double from = virtual_time_;
     if (std::none_of(accounts_.begin(), accounts_.end(), [](const Account& a) { return a.competing; })) {
       for (const Account& a : accounts_) from = std::max(from, a.start_tag);
@@ -56,7 +57,7 @@
   Account& account = accounts_[tenant];
   work = std::max(work, -account.charged);
   account.charged += work;
-  // A team without a budget any more pays nothing: what it has running is the loss of all.
+  // Work still running of a tenant that has lost its budget can be charged to nobody.
   if (account.cores > 0) account.start_tag += Seconds(work) / account.cores;
   UpdateVirtualTime();
 }
@@ -66,9 +67,7 @@
   return account.max_threads == 0 || threads <= account.max_threads;
 }
 
-double FairShareLedger::MaxLead(TenantId tenant) const {
-  return std::max(kMinMaxLead, accounts_[tenant].burst);
-}
+double FairShareLedger::MaxLead(TenantId tenant) const { return std::max(kMinLead, accounts_[tenant].burst); }
 
 bool FairShareLedger::WithinMaxLead(TenantId tenant) const {
   return accounts_[tenant].start_tag <= virtual_time_ + MaxLead(tenant);
--- a/src/admission_queue/fair_share_ledger.h
+++ b/src/admission_queue/fair_share_ledger.h
@@ -1,9 +1,11 @@
-// What each team has had against its budget: virtual times, as in start-time fair queueing (Goyal, Vin and
-// Cheng 1996). A team's tag is the work it was charged over its budget, in seconds; the team with the least
-// tag goes next. So what one leaves unused goes to the others by their budgets, and ends with the first
-// request of its owner. A tag falls behind the line's by the team's burst at most: no hoard of unused budget.
+// Accounts of the work charged to each tenant, as in start-time fair queueing (Goyal, Vin and Cheng 1996).
 //
-// Owns the accounts; knows nothing of lines, classes or attempts.
+// A tenant's start tag is its charged work divided by its budget, in seconds; the competing tenant with the
+// least start tag is served next. Capacity that one tenant leaves unused goes to the others in proportion to
+// their budgets until its next request. A start tag lags the virtual time by the tenant's burst at most, so
+// unused budget is not saved up.
+//
+// Owns the accounts. Tenant ids passed in must be below size().
 #ifndef LEMONCROFT_ADMISSION_QUEUE_FAIR_SHARE_LEDGER_H_
 #define LEMONCROFT_ADMISSION_QUEUE_FAIR_SHARE_LEDGER_H_
 
@@ -17,34 +19,38 @@
 class FairShareLedger {
  public:
   struct Account {
-    double cores = 0;      // of this proxy's part, after scaling; 0: may not send
-    double burst = 0;      // seconds
-    double start_tag = 0;  // seconds
-    int threads = 0;       // running
-    int max_threads = 0;
-    bool competing = false;  // has work that could leave now
-    Work charged{};          // in all, never negative
+    double cores = 0;        // this proxy's share of the budget, after scaling; 0: may not send
+    double burst = 0;        // seconds
+    double start_tag = 0;    // seconds
+    int threads = 0;         // of running attempts
+    int max_threads = 0;     // 0: no limit
+    bool competing = false;  // has waiting work that may be dispatched now
+    Work charged{};          // in total, never negative
   };
 
-  // Takes over budgets; accounts of teams that keep their place in the list keep tags and threads. Budgets
-  // that add up to more than `capacity` cores are scaled down, all alike. Returns the scale, 1 or less.
+  // Applies new budgets. Accounts keep their start tags and threads; ones past the end of `tenants` lose
+  // their budget. Budgets that add up to more than `capacity` cores are scaled down in proportion. Returns
+  // the scale, 1 or less.
   double Configure(const std::vector<TenantBudget>& tenants, double budget_share, double capacity);
 
-  // A team that begins to compete catches up with the line, less its burst.
+  // A tenant that begins to compete is moved up to the virtual time less its burst.
   void SetCompeting(TenantId tenant, bool competing);
-  void Charge(TenantId tenant, Work work);  // less than zero gives back, down to nothing charged
+  // Negative work is a refund, limited to what was charged.
+  void Charge(TenantId tenant, Work work);
   void AcquireThreads(TenantId tenant, int threads) { accounts_[tenant].threads += threads; }
   void ReleaseThreads(TenantId tenant, int threads) { accounts_[tenant].threads -= threads; }
 
   bool MaySend(TenantId tenant) const { return accounts_[tenant].cores > 0; }
-  bool WithinThreadCap(TenantId tenant, int threads) const;  // so many in all
-  // Not so far ahead of a team that waits too that it would take what is that one's.
+  // Whether the tenant may hold `threads` in total.
+  bool WithinThreadCap(TenantId tenant, int threads) const;
+  // Whether the start tag is at most MaxLead ahead of the virtual time.
   bool WithinMaxLead(TenantId tenant) const;
-  double MaxLead(TenantId tenant) const;                 // seconds that it may be ahead
-  double virtual_time() const { return virtual_time_; }  // least tag that competes
+  double MaxLead(TenantId tenant) const;  // seconds
+  // The least start tag of the competing tenants, or the last such value while none competes; seconds.
+  double virtual_time() const { return virtual_time_; }
   const Account& at(TenantId tenant) const { return accounts_[tenant]; }
   std::size_t size() const { return accounts_.size(); }
-  double cores() const { return cores_; }  // of all accounts
+  double cores() const { return cores_; }  // sum over all accounts
 
  private:
   void UpdateVirtualTime();
--- a/src/admission_queue/running_attempts.cpp
+++ b/src/admission_queue/running_attempts.cpp
@@ -5,9 +5,9 @@
 namespace lemoncroft::admission_queue {
 
 namespace {
-constexpr double kOverrunRatio = 1.5;  // times its estimate: expected to run on
-constexpr double kSpeedWeight = 0.01;  // of the newest answer
-constexpr double kMaxStretch = 50;     // a hung answer tells nothing of the pace
+constexpr double kOverrunRatio = 1.5;  // times its estimate: counted as overrun
+constexpr double kSpeedWeight = 0.01;  // of the newest response
+constexpr double kMaxStretch = 50;     // limits the effect of a hung response
 }  // namespace
 
 void RunningAttempts::Begin(const Start& start, Time now) {
@@ -27,7 +27,7 @@
   if (a.overrun) overrun_threads_ -= a.start.threads;
   const Span elapsed = now - a.since;
   if (reported_work > Work::zero()) {
-    // A ratio of sums, not a mean of ratios: it tells work from time, of long queries above all.
+    // A ratio of sums rather than a mean of ratios, so that long attempts weigh more.
     PrioritySpeed& speed = speeds_[Index(a.start.priority)];
     const double seen = std::min(Seconds(elapsed) * a.start.threads, kMaxStretch * Seconds(reported_work));
     const double weight = std::max(kSpeedWeight, 1.0 / (++speed.answers + 5));
--- a/src/admission_queue/running_attempts.h
+++ b/src/admission_queue/running_attempts.h
@@ -1,8 +1,8 @@
-// The attempts that run: what each has been charged, what it must have used by now, which have overrun.
+// The running attempts: the work charged for each, the work it should have used by now, and overruns.
 //
-// An attempt is charged its estimate when its request is handed over, more while it runs past that, and is
-// set right when it ends, by what the answer told or else by the time that it ran. Owns the attempts' state;
-// charges go to the Ledger, each core-second once.
+// An attempt is charged its estimate when its request is dispatched, more while it runs past the estimate,
+// and is settled when it ends, by the work the engine reported or else by its run time. Owns the attempts'
+// state; charges go to the FairShareLedger, each core-second once.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_RUNNING_ATTEMPTS_H_
 #define LEMONCROFT_ADMISSION_QUEUE_RUNNING_ATTEMPTS_H_
 
@@ -27,34 +27,33 @@
     int attempt = 0;
     TenantId tenant = 0;
     int threads = 1;
-    int priority = 1;  // as sent; ones of a lesser priority run more slowly beside others
-    Work expected{};   // of the whole query
-    Work charged{};    // so far, by whoever handed it over; zero for a further attempt
+    int priority = 1;  // 0 to 3; lower ones run more slowly beside others
+    Work expected{};   // of the whole attempt
+    Work charged{};    // so far, at the dispatch; zero for a retry
   };
   void Begin(const Start& start, Time now);
 
-  // `told`: what the answer said the query needed, zero where nothing was told; `ran`: whether anything may
-  // have run at all. Returns what was begun, or nothing where no such attempt is known: nothing is charged
-  // twice.
+  // Settles the charge of an attempt. `reported_work`: from the engine's response, zero if unknown;
+  // `executed`: whether any of it may have run. Returns the attempt's start, or nothing if it isn't known, so
+  // that a repeated call charges nothing.
   std::optional<Start> End(RequestId id, int attempt, Work reported_work, bool executed, Time now);
 
-  // Charges what runs past its charge; done every beat.
+  // Charges running attempts for work past their charge. Called once per update interval.
   void ChargeOverruns(Time now);
 
-  // When the first attempt of a team should end, from now: the rest of what it should need, or, of one that
-  // is past that, half as long again as it has run (of what runs long the more is still to come, the longer
-  // it has).
+  // The expected time until the first of a tenant's attempts ends. One past its expected run time is assumed
+  // to run half as long again as it has (run times are heavy-tailed). Zero if none runs.
   Span TimeUntilFirstEnd(TenantId tenant, Time now) const;
 
   int overrun_threads() const { return overrun_threads_; }  // held by attempts far past their estimate
   int threads() const { return threads_; }
   std::size_t size() const { return attempts_.size(); }
-  // Seconds that a core-second on one thread takes at present.
+  // Recent ratio of thread time to CPU work, at a priority.
   double stretch(int priority) const {
     const PrioritySpeed& speed = speeds_[Index(priority)];
     return speed.busy / speed.done;
   }
-  // How long a query should run, at the present pace.
+  // The expected run time of `work` at the recent speed.
   Span RunTime(Work work, int threads, int priority) const {
     return FromSeconds(Seconds(work) * stretch(priority) / threads);
   }
@@ -65,13 +64,14 @@
     Time since{};
     bool overrun = false;
   };
+  // The work that an attempt should have done since its start.
   Work EstimatedUse(const Attempt& attempt, Time now) const;
 
   FairShareLedger& ledger_;
   std::map<std::pair<RequestId, int>, Attempt> attempts_;
   int threads_ = 0, overrun_threads_ = 0;
   struct PrioritySpeed {
-    double busy = 1, done = 1;  // running means over answers: thread seconds, and the work done in them
+    double busy = 1, done = 1;  // moving averages over responses: thread-seconds, and core-seconds done
     int answers = 0;
   };
   static std::size_t Index(int priority) { return static_cast<std::size_t>(std::clamp(priority, 0, 3)); }
--- a/src/admission_queue/timer_wheel.h
+++ b/src/admission_queue/timer_wheel.h
@@ -1,7 +1,8 @@
-// Who is to be looked at when: a hashed timing wheel (Varghese and Lauck 1987). Adding and taking cost the
-// same however many wait. Times are kept to a slot, and come early by less than one; what lies past the
-// wheel's turn comes at its end and is to be added again. Nothing is removed: whoever takes an id must know
-// whether it is still due.
+// A hashed timing wheel (Varghese and Lauck 1987) of request ids.
+//
+// Adding and removing a timer cost constant time. Times are rounded down to a slot. A timer beyond the span
+// of the wheel fires at its end, and the caller adds it again. Timers can't be cancelled: the caller checks
+// whether an id is still due.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_TIMER_WHEEL_H_
 #define LEMONCROFT_ADMISSION_QUEUE_TIMER_WHEEL_H_
 
@@ -18,16 +19,17 @@
 
   TimerWheel() : slots_(kSlots) {}
 
+  // A time in the past fires at the next PopDue.
   void Add(Time at, RequestId id) {
     const std::int64_t slot = std::clamp(Number(at), next_, next_ + kSlots - 1);
     slots_[static_cast<std::size_t>(slot % kSlots)].push_back(id);
     ++size_;
   }
 
-  // Takes one that is due by `now`; false where there is none.
+  // Removes one id that is due by `now`; false if there is none.
   bool PopDue(Time now, RequestId& id) {
     for (const std::int64_t last = Number(now); next_ <= last; ++next_) {
-      if (size_ == 0) {  // nothing between: no need to step through it
+      if (size_ == 0) {  // skip empty slots
         next_ = last + 1;
         return false;
       }
@@ -35,7 +37,7 @@
       if (slot.empty()) continue;
       id = slot.back();
       slot.pop_back();
-      if (slot.empty()) slot = std::vector<RequestId>();  // a rush must not leave its memory behind
+      if (slot.empty()) slot = std::vector<RequestId>();  // release the memory of a burst
       --size_;
       return true;
     }
@@ -49,7 +51,7 @@
   static std::int64_t Number(Time at) { return at.time_since_epoch() / kSlot; }
 
   std::vector<std::vector<RequestId>> slots_;
-  std::int64_t next_ = 0;  // the slot that is taken from next
+  std::int64_t next_ = 0;  // number of the next slot to be emptied
   std::size_t size_ = 0;
 };
 
--- a/src/admission_queue/types.h
+++ b/src/admission_queue/types.h
@@ -1,11 +1,11 @@
-// The terms of the waiting line: what it is set up with, what it is told, what it answers.
+// Settings, requests and decisions of the admission queue.
 //
-// The line stands in front of the decision module. It orders requests that wait by team budget and by worth
-// that ages, estimates how long each will wait, and hands them to the module as fast as the module starts
-// them. Which engine runs a query, and whether an attempt is made again, stay with the module.
+// The queue stands ahead of the decision module. It orders waiting requests by tenant budget and by aged
+// priority, estimates how long each will wait, and dispatches requests to the module as fast as the module
+// starts them. Choosing an engine and retrying stay with the module.
 //
-// Contract. No I/O, no clock: every call is passed the time, which never runs backwards. The same settings
-// and calls give the same decisions. docs/waiting.md tells what was weighed; the members here give units.
+// No I/O and no clock: every call takes the current time, which never runs backwards. The same settings and
+// calls give the same decisions. docs/admission_queue.md gives the design.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_TYPES_H_
 #define LEMONCROFT_ADMISSION_QUEUE_TYPES_H_
 
@@ -20,77 +20,85 @@
 
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
-using Work = std::chrono::nanoseconds;  // of one core; whole numbers, so that sums stay exact
+// CPU time of one core. Whole nanoseconds, so that sums are exact in any order.
+using Work = std::chrono::nanoseconds;
 using RequestId = std::uint64_t;
-using TenantId = std::uint32_t;
-using ClassId = std::uint32_t;
+using TenantId = std::uint32_t;  // index into Settings::tenants
+using ClassId = std::uint32_t;   // index into Settings::classes
 
 inline double Seconds(Span span) { return std::chrono::duration<double>(span).count(); }
-// Out of range (a month and more) is clamped; NaN is zero.
+// Converts seconds; clamps to +/- 46 days, NaN gives zero.
 Span FromSeconds(double seconds);
 
+// The budget and limits of one tenant.
 struct TenantBudget {
   std::string name;
-  double cores = 0;             // core-seconds a second over the whole fleet; 0: the team may not send at all
-  Span burst{};                 // how far ahead of the others a team may run, in seconds of its budget
-  int max_threads = 0;          // running at a time, over the whole fleet; 0: as many as there are
-  std::size_t max_waiting = 0;  // requests waiting at this proxy; 0: as many as there may be
-  std::vector<ClassId> barred_classes;  // classes that it may not use
+  double cores = 0;             // core-seconds per second over the whole fleet; 0: rejects all requests
+  Span burst{};                 // how far ahead of other tenants it may run, in seconds of its budget
+  int max_threads = 0;          // held at a time, over the whole fleet; 0: no limit
+  std::size_t max_waiting = 0;  // requests waiting at this proxy; 0: no limit
+  std::vector<ClassId> barred_classes;
 };
 
+// Properties of one request class.
 struct ClassPolicy {
   std::string name;
   double priority_weight = 1;
   int threads = 1;
-  Work default_work{};  // what a request without an estimate is taken to need, until answers have told
-  Span max_wait{};      // it starts or is refused within; zero: only by its client's patience
-  bool light = false;   // short: handed over apart from the heavy ones, as the module counts them apart
+  Work default_work{};  // assumed for a request without an estimate
+  Span max_wait{};      // dispatched or rejected within; zero: limited by the deadline only
+  bool light = false;   // light and heavy classes are dispatched from separate lanes
 };
 
 struct Settings {
   std::vector<TenantBudget> tenants;
   std::vector<ClassPolicy> classes;
-  Span ageing = std::chrono::seconds(2);  // the age that outweighs ten times the worth
-  double heavy_threads_per_core = 1.4;    // threads of heavy classes a core that may run
-  double budget_share = 1;                // of the fleet's budgets that is this proxy's, 0 to 1
-  std::size_t max_waiting = 200'000;      // requests, of all teams together
-  Span max_retry_after{};                 // advice is never longer; zero: no limit
+  Span ageing = std::chrono::seconds(2);  // waiting time that outweighs ten times the priority weight
+  double heavy_threads_per_core = 1.4;    // threads of heavy classes that may run per core
+  double budget_share = 1;                // this proxy's fraction of the fleet's budgets, 0 to 1
+  std::size_t max_waiting = 200'000;      // requests of all tenants together
+  Span max_retry_after{};                 // upper limit of Reject::retry_after; zero: none
 };
 
-// A request as the line knows it.
+// A request submitted to the queue.
 struct QueuedRequest {
   RequestId id = 0;
   TenantId tenant = 0;
   ClassId class_id = 0;
-  Work estimated_work{};       // zero: none; what is absurd is bounded
+  Work estimated_work{};       // zero: unknown; implausible values are clamped
   Time deadline{};             // when its client stops waiting
-  bool wants_updates = false;  // its client wants to be told of revised estimates
+  bool wants_updates = false;  // its client is notified of revised estimates
 };
 
 enum class RejectReason { kNone, kNoBudget, kClassBarred, kTenantQueueFull, kQueueFull, kTooLate };
+// A text for the log.
 const char* Description(RejectReason reason);
 
-// An estimate of the wait from now until the request is first sent to an engine.
+// An estimate of the time from now until the first attempt of a request starts.
 struct WaitEstimate {
   Span wait{};
-  Span upper_bound{};  // with the error that such estimates have lately had
+  Span upper_bound{};  // exceeded by few real waits, going by the recent estimation error
 };
 
-// ---- What the line decides ----
+// Decisions, returned by AdmissionQueue::Step.
 
-struct Dispatch {  // to the decision module
+// Pass the request to the decision module.
+struct Dispatch {
   RequestId id = 0;
 };
-struct Reject {  // final; never ran
+// Reject the request; none of its attempts ever started.
+struct Reject {
   RequestId id = 0;
   RejectReason reason = RejectReason::kNone;
-  Span retry_after{};  // when to come back
+  Span retry_after{};
 };
-struct EstimateUpdate {  // a watched request's estimate has changed
+// The estimate of a request with `wants_updates` has changed considerably.
+struct EstimateUpdate {
   RequestId id = 0;
   WaitEstimate estimate;
 };
-struct LogEvent {  // for the log
+// A line for the log.
+struct LogEvent {
   std::string text;
 };
 using Decision = std::variant<Dispatch, Reject, EstimateUpdate, LogEvent>;
--- a/src/admission_queue/wait_forecast.cpp
+++ b/src/admission_queue/wait_forecast.cpp
@@ -8,12 +8,13 @@
 namespace {
 
 constexpr int kSteps = 40;
-constexpr double kFirstStep = 0.1;  // seconds; each further one is longer by
-constexpr double kGrowth = 1.09;
-constexpr double kMinRise = 1e-3;  // of the level past the end: no estimate is infinite
+constexpr double kFirstStep = 0.1;  // seconds
+constexpr double kGrowth = 1.09;    // ratio of successive steps
+constexpr double kMinRise = 1e-3;   // of the level per second past the last point: keeps estimates finite
 
-// Shares `amount` so that those with the least tags catch up first and then all rise alike, each at most by
-// what it has. Finds the common level by bisection: the sum is monotone in it. Returns it.
+// Divides `amount` among the tenants so that their tags rise to a common level, those with the least tags
+// first, each by at most the work it has. Writes the parts to `given` and returns the level, which is found
+// by bisection since the total is monotone in it.
 double ShareOut(const std::vector<TenantFlow>& flows, const std::vector<double>& tags,
                 const std::vector<double>& has, double amount, double level_before,
                 std::vector<double>& given) {
@@ -25,8 +26,8 @@
     high = std::max(high, tags[i] + has[i] / flows[i].cores);
     all += has[i];
   }
-  // What is left over carries the level on, as if all had some more waiting: a burst that comes just now must
-  // not find a level that never rises again.
+  // Unused capacity raises the level as if all tenants had more work, so that a later tag is reached in
+  // finite time.
   double cores = 0;
   for (const TenantFlow& flow : flows) cores += flow.cores;
   const double over = cores > 0 ? std::max(0.0, amount - all) / cores : 0;
--- a/src/admission_queue/wait_forecast.h
+++ b/src/admission_queue/wait_forecast.h
@@ -1,10 +1,10 @@
-// How the waiting work of all teams will leave: a fluid model of fair queueing, played ahead on a grid.
+// Predicts when the waiting work of all tenants will be dispatched, with a fluid model of fair queueing.
 //
-// At any time the teams with work waiting share the pace by their budgets, those that are behind first, so
-// that their tags rise along one common level; work that still comes joins at the rate at which it lately
-// came. A request leaves when the level reaches its team's tag and the work ahead of it. The fluid limit of
-// start-time fair queueing is generalized processor sharing (Parekh and Gallager 1993). Pure: built from
-// figures, asked for times.
+// The tenants with waiting work share the dispatch rate in proportion to their budgets, those with the least
+// start tags first, so that their tags rise along one common level; arrivals continue at their recent rate.
+// A request leaves when the level reaches its tenant's start tag plus the work ahead of it over the budget.
+// The fluid limit of start-time fair queueing is generalized processor sharing (Parekh and Gallager 1993).
+// The level is computed ahead at a fixed number of points in time and interpolated between them.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_WAIT_FORECAST_H_
 #define LEMONCROFT_ADMISSION_QUEUE_WAIT_FORECAST_H_
 
@@ -14,24 +14,25 @@
 
 namespace lemoncroft::admission_queue {
 
-struct TenantFlow {         // of one team
-  double cores = 0;         // its budget: its weight among those that wait
-  double start_tag = 0;     // seconds, as in the ledger
+// The state of one tenant when the forecast is made.
+struct TenantFlow {
+  double cores = 0;         // its budget
+  double start_tag = 0;     // seconds, as in FairShareLedger
   double waiting_work = 0;  // core-seconds
-  double arrival_rate = 0;  // core-seconds a second
+  double arrival_rate = 0;  // core-seconds per second
 };
 
 class WaitForecast {
  public:
-  // `pace`: core-seconds a second that leave together. `ready_at`: seconds until any leaves.
+  // `pace`: core-seconds dispatched per second. `first_dispatch_at`: seconds from now until dispatch begins.
   void Build(const std::vector<TenantFlow>& flows, double pace, double first_dispatch_at);
 
-  // Seconds until the level reaches `tag`; past the grid's end it goes on as it last rose.
+  // Seconds until the level reaches `start_tag`, extrapolated past the last point.
   double TimeUntil(double start_tag) const;
   bool built() const { return !times_.empty(); }
 
  private:
-  std::vector<double> times_, levels_;
+  std::vector<double> times_, levels_;  // seconds from now, and the level then
 };
 
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/work_index.cpp
+++ b/src/admission_queue/work_index.cpp
@@ -25,7 +25,7 @@
   assert(place >= begin_ && place < end_ && slot.occupied);
   Add(place & (slots_.size() - 1), -slot.work.count());
   total_ -= slot.work;
-  slot.work = Work::zero();  // the time stays: the search in TakenBefore goes by it
+  slot.work = Work::zero();  // submitted_at stays: WorkSubmittedBefore searches by it
   slot.occupied = false;
   --count_;
   while (begin_ < end_ && !At(begin_).occupied) ++begin_;
@@ -55,11 +55,11 @@
 }
 
 void WorkIndex::Resize(std::size_t places) {
-  std::vector<Slot> kept(places);
-  for (Place place = begin_; place < end_; ++place) kept[place & (places - 1)] = At(place);
-  slots_.swap(kept);
+  std::vector<Slot> slots(places);
+  for (Place place = begin_; place < end_; ++place) slots[place & (places - 1)] = At(place);
+  slots_.swap(slots);
   tree_.assign(places, 0);
-  // Built in one pass: each index hands its sum to the one above it.
+  // Builds the tree in one pass: each index adds its sum to its parent.
   for (std::size_t i = 0; i < places; ++i) {
     tree_[i] += slots_[i].work.count();
     const std::size_t above = i | (i + 1);
--- a/src/broker/admission_queue_host.cpp
+++ b/src/broker/admission_queue_host.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 void LogRejection(const admission_queue::Reject& reject) {
-  spdlog::debug("waiting: request number {} turned away: {}", reject.id,
+  spdlog::debug("admission queue: request number {} rejected: {}", reject.id,
                 admission_queue::Description(reject.reason));
 }
 
@@ -26,12 +26,12 @@
     queue_.Step(Now(), decisions);
     for (const admission_queue::Decision& decision : decisions) {
       if (const auto* event = std::get_if<admission_queue::LogEvent>(&decision))
-        spdlog::info("waiting: {}", event->text);
+        spdlog::info("admission queue: {}", event->text);
       else
         apply_decision_(decision);
       if (const auto* reject = std::get_if<admission_queue::Reject>(&decision)) LogRejection(*reject);
     }
-    co_await loop_.NextTurn();  // whatever the line asks for, others have their turn
+    co_await loop_.NextTurn();  // other coroutines run between two steps
   }
 }
 
--- a/src/broker/admission_queue_host.h
+++ b/src/broker/admission_queue_host.h
@@ -1,5 +1,8 @@
-// Steps the waiting line: when something has happened to it, and when it is due. Knows which engines are
-// ready and how many cores they have, from the lists that are told to the decision module too.
+// Runs the admission queue on the event loop: steps it after each event and when it is due, and passes its
+// decisions on. Keeps the cores of the ready engines from the endpoint lists that the decision module gets
+// too.
+//
+// Owns the queue. Used by the event loop's thread only.
 #ifndef LEMONCROFT_BROKER_ADMISSION_QUEUE_HOST_H_
 #define LEMONCROFT_BROKER_ADMISSION_QUEUE_HOST_H_
 
@@ -17,7 +20,7 @@
 
 class AdmissionQueueHost {
  public:
-  // `apply_decision` is handed every decision but log lines, in order.
+  // `apply_decision` gets every decision except log lines, in order.
   AdmissionQueueHost(runtime::Loop& loop, admission_queue::Settings settings, std::vector<KindSettings> kinds,
                      std::function<void(const admission_queue::Decision&)> apply_decision)
       : loop_(loop),
@@ -26,13 +29,17 @@
         kinds_(std::move(kinds)),
         apply_decision_(std::move(apply_decision)) {}
 
+  // Steps the queue for as long as the loop runs.
   runtime::Task<> Run();
+  // Applies a full endpoint list or a change.
   void UpdateEndpoints(const EngineList& list);
   void set_kinds(std::vector<KindSettings> kinds) { kinds_ = std::move(kinds); }
+  // Replaces the settings; the share set by SetProxyCount stays.
   void Configure(admission_queue::Settings settings);
-  // So many proxies share the fleet's budgets; before, what the settings told.
+  // Divides the budgets among `proxy_count` proxies, in place of the settings' share.
   void SetProxyCount(int proxy_count);
 
+  // As in AdmissionQueue, at the current time.
   admission_queue::AdmissionQueue::SubmitResult Submit(const admission_queue::QueuedRequest& request);
   void OnAttemptStarted(RequestId id, int attempt, int priority);
   void OnAttemptEnded(RequestId id, int attempt, admission_queue::Work reported_work, bool executed);
@@ -49,7 +56,7 @@
   admission_queue::AdmissionQueue queue_;
   std::vector<KindSettings> kinds_;
   std::function<void(const admission_queue::Decision&)> apply_decision_;
-  std::map<EngineId, double> ready_cores_;  // cores of the engines that may be sent to
+  std::map<EngineId, double> ready_cores_;  // by ready engine
   runtime::Gate work_pending_;
 };
 
--- a/src/testing/benchmark/admission_queue_cost.cpp
+++ b/src/testing/benchmark/admission_queue_cost.cpp
@@ -21,8 +21,8 @@
 constexpr int kRounds = 5;
 constexpr admission_queue::Span kStep = std::chrono::milliseconds(1);
 
-// Takes requests of all teams and classes, and carries out what the line decides: each that is handed over is
-// sent at once and ends some steps later, so that as many leave as come.
+// Submits requests of all tenants and classes. Each dispatched request starts at once and ends some steps
+// later, so that the queue length stays constant.
 class SteadyLoad {
  public:
   SteadyLoad(std::size_t depth, bool wants_updates, std::uint64_t seed)
@@ -46,7 +46,7 @@
                    admission_queue::Seconds(submitted.rejected->retry_after), queue_.Describe(now_).pace[0],
                    waiting());
       std::abort();
-    }  // a refused request costs nothing: the figure would be a lie
+    }  // a rejected request costs nothing and would falsify the result
   }
 
   void Step() {
@@ -106,7 +106,7 @@
       static_cast<double>(filled.uordblks + filled.hblkhd - before.uordblks - before.hblkhd) /
       static_cast<double>(depth);
   for (int turn = 0; turn < 2000; ++turn) load.Step();  // warm
-  // The least of some rounds: what else the machine does only adds.
+  // The least of several rounds: other load on the machine only adds.
   for (int round = 0; round < kRounds; ++round) {
     const std::size_t ended = load.ended();
     const auto from = std::chrono::steady_clock::now();
--- a/src/testing/benchmark/admission_queue_cost.h
+++ b/src/testing/benchmark/admission_queue_cost.h
@@ -1,4 +1,4 @@
-// What the waiting line costs a request while many wait: time of this machine's, bytes of the heap.
+// Measures the time and heap that the admission queue takes per request at a constant queue length.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_ADMISSION_QUEUE_COST_H_
 #define LEMONCROFT_TESTING_BENCHMARK_ADMISSION_QUEUE_COST_H_
 
@@ -8,11 +8,11 @@
 namespace lemoncroft::benchmark {
 
 struct AdmissionQueueCost {
-  double us_per_request = 0;  // from being taken to its end, every look and estimate between included
+  double us_per_request = 0;  // from submission to completion, with all estimates and reviews
   double bytes_per_request = 0;
 };
 
-// `watched`: every client wants to be told of changes of its estimate.
+// `waiting`: queue length. `watched`: every request asks for updates of its estimate.
 AdmissionQueueCost MeasureAdmissionQueueCost(std::size_t waiting, bool watched, std::uint64_t seed);
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/workload_replay.h
+++ b/src/testing/benchmark/workload_replay.h
@@ -1,8 +1,8 @@
-// A marathon morning in virtual time: clients, the waiting line, the decision module, a stand-in fleet.
+// Replays a day's load in virtual time: clients, the admission queue, the decision module, a simulated fleet.
 //
-// Four teams send the three classes of a race-timing site while the load climbs from 0.6 of the fleet to 1.4
-// and falls again; a report in twenty gets a bad plan; two engines are lost. The real line and the real
-// module decide, step by step; only engines and clients are played.
+// Four tenants send the three classes of a race-timing site while the load climbs from 0.6 of the fleet
+// to 1.4 and falls again; one report in twenty gets a bad plan; two engines are lost. The queue and the
+// module are the real ones; only engines and clients are simulated.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_WORKLOAD_REPLAY_H_
 #define LEMONCROFT_TESTING_BENCHMARK_WORKLOAD_REPLAY_H_
 
@@ -14,8 +14,7 @@
 struct WorkloadReplayOptions {
   std::uint64_t seed = 1;
   double seconds = 1200;
-  bool use_admission_queue =
-      true;  // false: requests go to the module as they come, as without an operator's file
+  bool use_admission_queue = true;  // false: requests go to the module on arrival
 };
 
 struct WorkloadReplayResult {
@@ -23,13 +22,14 @@
   std::uint64_t estimates = 0, within = 0, firsts = 0, firsts_within = 0;
   std::uint64_t waited = 0, waited_within = 0;  // estimates of real waits of 200 ms or more
   std::uint64_t past_give_up = 0;               // requests still waiting then
-  std::uint64_t bound_broken = 0;  // left the line later than told, or behind one past the ageing's reach
-  std::uint64_t asked_again = 0, again_served = 0;      // those who came back when they were told to
-  double share_error = 0;                               // greatest, as a part of the budget
-  double shared_seconds = 0;                            // in which all teams had work waiting
-  double worth = 0;                                     // served, over that asked for
+  std::uint64_t bound_broken =
+      0;  // left the queue after the dispatch deadline, or overtaken past the ageing credit
+  std::uint64_t asked_again = 0, again_served = 0;      // retries after retry_after
+  double share_error = 0;                               // greatest, relative to the budget
+  double shared_seconds = 0;                            // in which all tenants had work waiting
+  double worth = 0;                                     // served, relative to that requested
   double longest_wait = 0, wait_p50 = 0, wait_p99 = 0;  // seconds, of requests that started
-  std::vector<double> shares;                           // of the work, by team, while all waited
+  std::vector<double> shares;                           // of the work, by tenant, while all waited
 };
 
 WorkloadReplayResult ReplayWorkload(const WorkloadReplayOptions& options);
