--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -24,6 +24,7 @@
 #include <vector>
 
 #include "admission_queue/dispatch_pacer.h"
+#include "admission_queue/estimate_accuracy.h"
 #include "admission_queue/fair_share_ledger.h"
 #include "admission_queue/running_attempts.h"
 #include "admission_queue/timer_wheel.h"
--- /dev/null
+++ b/src/admission_queue/dispatch.cpp
@@ -0,0 +1,141 @@
+// Dispatch order and pacing of AdmissionQueue.
+
+#include <algorithm>
+
+#include "admission_queue/admission_queue.h"
+
+namespace lemoncroft::admission_queue {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+// Requests dispatched and not started, heavy and light: enough that the module never runs out of them, few
+// enough that the queue determines the order.
+constexpr std::array<std::size_t, 2> kMinDispatchWindow = {3, 16};
+constexpr std::size_t kMaxDispatchWindow = 512;
+constexpr double kDispatchWindowSeconds = 0.06;  // of the lane's recent starts
+// A request overtaken this often blocks its lane until it starts. It is given up after kMaxBlockedTime, since
+// the module evidently can't place it.
+constexpr std::uint8_t kMaxOvertakes = 6;
+constexpr Span kMaxBlockedTime = 1s;
+// Of the wanted number of heavy threads: below the first no pacing, above the second no dispatch.
+constexpr double kUnpacedLoad = 0.8, kMaxLoad = 1.3;
+constexpr double kPacingGain = 1.5;       // of the pace, per relative deviation from the wanted threads
+constexpr Span kMaxPacingCredit = 100ms;  // of dispatch time that was missed
+
+}  // namespace
+
+bool AdmissionQueue::IsCompeting(TenantId t) const {
+  const TenantQueue& tenant = tenants_[t];
+  if (!ledger_.MaySend(t)) return false;
+  for (const Lane lane : {kHeavy, kLight}) {
+    if (tenant.waiting_count[lane] > 0 && HasThreads(t, NextClass(tenant, lane))) return true;
+  }
+  return false;
+}
+
+ClassId AdmissionQueue::NextClass(const TenantQueue& tenant, Lane lane) const {
+  ClassId first = 0;
+  Time least = Time::max();
+  for (ClassId k = 0; k < tenant.class_queues.size(); ++k) {
+    if (LaneOf(k) != lane || tenant.class_queues[k].empty()) continue;
+    const Time key = tenant.class_queues[k].front().submitted_at - AgeingCredit(k);
+    if (key < least) least = key, first = k;
+  }
+  return first;
+}
+
+// A request holds its threads from dispatch to completion, also between two attempts, so that a retry finds
+// them free. Attempts that outlive it hold theirs until they end.
+bool AdmissionQueue::HasThreads(TenantId t, ClassId class_id) const {
+  if (tenants_[t].threads == 0) return true;  // a request wider than the cap may run alone
+  return ledger_.WithinThreadCap(t, tenants_[t].threads + settings_.classes[class_id].threads);
+}
+
+std::optional<TenantId> AdmissionQueue::NextTenant(Lane lane) const {
+  std::optional<TenantId> next;
+  for (TenantId t = 0; t < tenants_.size(); ++t) {
+    if (tenants_[t].waiting_count[lane] == 0 || !ledger_.MaySend(t) || !ledger_.WithinMaxLead(t)) continue;
+    if (!HasThreads(t, NextClass(tenants_[t], lane))) continue;
+    if (!next || ledger_.at(t).start_tag < ledger_.at(*next).start_tag) next = t;
+  }
+  return next;
+}
+
+// Heavy requests run concurrently up to a number of threads per core; beyond it an engine only divides the
+// same capacity further. Near that number dispatches are spaced by DispatchInterval: dispatched at each
+// completion, requests would leave in bursts that can't be predicted.
+bool AdmissionQueue::HasCapacity(Lane lane, Time now) const {
+  const double wanted = settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share;
+  // Light requests seldom come near the limit, but a flood of them must not slow down everything that runs.
+  if (lane == kLight) return threads_by_lane_[kLight] < wanted;
+  if (threads_by_lane_[kHeavy] < kUnpacedLoad * wanted) return true;
+  return threads_by_lane_[kHeavy] < kMaxLoad * wanted && now >= lanes_[lane].next_dispatch_at;
+}
+
+Span AdmissionQueue::DispatchInterval(Lane lane, Work work) const {
+  const double wanted =
+      std::max(1.0, settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share);
+  const double off = std::clamp((wanted - threads_by_lane_[kHeavy]) / wanted, -0.5, 0.5);
+  return FromSeconds(Seconds(work) / (lanes_[lane].pacer.Now(AvailableCores()) * (1 + kPacingGain * off)));
+}
+
+std::size_t AdmissionQueue::DispatchWindow(Lane lane) const {
+  const auto wanted = static_cast<std::size_t>(lanes_[lane].start_rate.per_second() * kDispatchWindowSeconds);
+  return std::clamp(wanted, kMinDispatchWindow[lane], kMaxDispatchWindow);
+}
+
+void AdmissionQueue::DispatchLane(Lane lane, Time now, std::vector<Decision>& decisions) {
+  LaneState& state = lanes_[lane];
+  while (fleet_cores_ > 0 && !state.blocked && state.dispatched.size() < DispatchWindow(lane) &&
+         HasCapacity(lane, now)) {
+    for (TenantId t = 0; t < tenants_.size(); ++t) ledger_.SetCompeting(t, IsCompeting(t));
+    const std::optional<TenantId> next = NextTenant(lane);
+    if (!next) break;
+    TenantQueue& tenant = tenants_[*next];
+    const ClassId class_id = NextClass(tenant, lane);
+    const RequestId id = tenant.class_queues[class_id].front().id;
+    Request& r = requests_.at(id);
+    RemoveFromQueue(r);
+    r.dispatched = true;
+    r.charged = r.work;
+    ledger_.Charge(r.tenant, r.work);
+    ++tenant.dispatched;
+    tenant.threads += settings_.classes[class_id].threads;
+    state.dispatched.push_back(id);
+    threads_by_lane_[lane] += settings_.classes[class_id].threads;
+    if (lane == kHeavy)
+      state.next_dispatch_at =
+          std::max(state.next_dispatch_at, now - kMaxPacingCredit) + DispatchInterval(lane, r.work);
+    decisions.emplace_back(Dispatch{id});
+  }
+  const bool waits = std::any_of(tenants_.begin(), tenants_.end(), [lane](const TenantQueue& tenant) {
+    return tenant.waiting_count[lane] > 0;
+  });
+  state.had_waiting = state.had_waiting && waits;
+}
+
+void AdmissionQueue::UpdateBlockedState(Lane lane, Time now) {
+  LaneState& state = lanes_[lane];
+  const auto stuck = std::find_if(state.dispatched.begin(), state.dispatched.end(), [&](RequestId id) {
+    return requests_.at(id).overtaken_by >= kMaxOvertakes;
+  });
+  if (stuck == state.dispatched.end()) {
+    state.blocked = false;
+  } else if (!state.blocked) {
+    state.blocked = true;
+    state.blocked_since = now;
+  } else if (now - state.blocked_since >= kMaxBlockedTime) {
+    Request& r = requests_.at(*stuck);  // no longer counted, so that others continue
+    RemoveFromDispatched(*stuck, r);
+    state.blocked = false;
+  }
+}
+
+void AdmissionQueue::RemoveFromDispatched(RequestId id, Request& r) {
+  LaneState& state = lanes_[LaneOf(r.class_id)];
+  if (std::erase(state.dispatched, id) > 0) state.dispatched_work -= r.work;
+}
+
+}  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/dispatch_pacer.cpp
+++ b/src/admission_queue/dispatch_pacer.cpp
@@ -11,26 +11,8 @@
 constexpr double kConfidenceGain = 4;  // of the weight of the busy rate
 constexpr double kMinPace = 1e-3;      // per core: keeps estimates finite
 
-// EstimateAccuracy; errors are of the logarithm of the wait.
-constexpr double kLearningWeight = 0.003;                         // of the newest wait
-constexpr double kMaxBias = 0.7;                                  // a correction by a factor of two
-constexpr double kMaxEstimateError = 0.8;                         // limits the effect of one outlier
-constexpr double kUpperBoundErrors = 1.6;                         // mean errors above the estimate
-constexpr double kLowerBoundErrors = 0.8;                         // mean errors below it
-constexpr Span kMinMeasuredWait = std::chrono::milliseconds(50);  // shorter waits count as this long
-constexpr Span kBoundTolerance = std::chrono::milliseconds(50);   // added to both bounds
-
-Span Scaled(Span span, double factor) { return FromSeconds(Seconds(span) * factor); }
-
 }  // namespace
 
-Span FromSeconds(double seconds) {
-  constexpr double kMaxSeconds = 4e6;
-  if (!(seconds == seconds)) return Span::zero();
-  return std::chrono::duration_cast<Span>(
-      std::chrono::duration<double>(std::clamp(seconds, -kMaxSeconds, kMaxSeconds)));
-}
-
 void RateEstimator::Close(double seconds, bool counts) {
   if (counts && seconds > 0) {
     const double fresh = 1 - std::exp(-seconds / time_constant_);
@@ -59,25 +41,4 @@
   return cores * std::max(kMinPace, confidence * busy_.per_second() + (1 - confidence) * guess);
 }
 
-// The bias is learnt from raw estimates: learnt from corrected ones it would feed back on itself with the
-// delay of a whole wait, and oscillate.
-void EstimateAccuracy::Learn(Span raw_wait, Span real_wait) {
-  const auto log = [](Span span) { return std::log(Seconds(std::max(span, kMinMeasuredWait))); };
-  const double weight = std::max(kLearningWeight, 1.0 / (++learned_ + 100));
-  const double error = log(real_wait) - log(Corrected(raw_wait));
-  mean_error_ += weight * (std::min(std::abs(error), kMaxEstimateError) - mean_error_);
-  if (raw_wait <= 4 * kMinMeasuredWait && real_wait <= 4 * kMinMeasuredWait) return;
-  const double raw_error = std::clamp(log(real_wait) - log(raw_wait), -2 * kMaxBias, 2 * kMaxBias);
-  bias_ = std::clamp(bias_ + weight * (raw_error - bias_), -kMaxBias, kMaxBias);
-}
-
-Span EstimateAccuracy::Corrected(Span raw_wait) const { return Scaled(raw_wait, std::exp(bias_)); }
-Span EstimateAccuracy::UpperBound(Span corrected_wait) const {
-  return Scaled(corrected_wait, std::exp(kUpperBoundErrors * mean_error_)) + kBoundTolerance;
-}
-Span EstimateAccuracy::LowerBound(Span corrected_wait) const {
-  return std::max(Span::zero(),
-                  Scaled(corrected_wait, std::exp(-kLowerBoundErrors * mean_error_)) - kBoundTolerance);
-}
-
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/dispatch_pacer.h
+++ b/src/admission_queue/dispatch_pacer.h
@@ -1,4 +1,4 @@
-// Measures how fast each lane's work is dispatched, and how accurate recent wait estimates were.
+// Measures how fast a lane's work is dispatched.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_DISPATCH_PACER_H_
 #define LEMONCROFT_ADMISSION_QUEUE_DISPATCH_PACER_H_
 
@@ -40,22 +40,6 @@
   double amount_ = 0;         // core-seconds started in the current window
 };
 
-// Compares raw estimates with real waits: learns a bias correction, and the mean error that remains.
-class EstimateAccuracy {
- public:
-  void Learn(Span raw_wait, Span real_wait);
-  Span Corrected(Span raw_wait) const;
-  // Bounds around a corrected estimate that most real waits keep.
-  Span UpperBound(Span corrected_wait) const;
-  Span LowerBound(Span corrected_wait) const;
-  double bias() const { return bias_; }
-  double mean_error() const { return mean_error_; }
-
- private:
-  double bias_ = 0, mean_error_ = 0.2;  // of the logarithm of the wait
-  int learned_ = 0;
-};
-
 }  // namespace lemoncroft::admission_queue
 
 #endif  // LEMONCROFT_ADMISSION_QUEUE_DISPATCH_PACER_H_
--- /dev/null
+++ b/src/admission_queue/estimate_accuracy.h
@@ -0,0 +1,26 @@
+// Compares raw wait estimates with real waits: learns a bias correction, and the mean error that remains.
+#ifndef LEMONCROFT_ADMISSION_QUEUE_ESTIMATE_ACCURACY_H_
+#define LEMONCROFT_ADMISSION_QUEUE_ESTIMATE_ACCURACY_H_
+
+#include "admission_queue/types.h"
+
+namespace lemoncroft::admission_queue {
+
+class EstimateAccuracy {
+ public:
+  void Learn(Span raw_wait, Span real_wait);
+  Span Corrected(Span raw_wait) const;
+  // Bounds around a corrected estimate that most real waits keep.
+  Span UpperBound(Span corrected_wait) const;
+  Span LowerBound(Span corrected_wait) const;
+  double bias() const { return bias_; }
+  double mean_error() const { return mean_error_; }
+
+ private:
+  double bias_ = 0, mean_error_ = 0.2;  // of the logarithm of the wait
+  int learned_ = 0;
+};
+
+}  // namespace lemoncroft::admission_queue
+
+#endif  // LEMONCROFT_ADMISSION_QUEUE_ESTIMATE_ACCURACY_H_
--- /dev/null
+++ b/src/admission_queue/reviews.cpp
@@ -0,0 +1,86 @@
+// Periodic reviews of the waiting requests of AdmissionQueue: late ones are rejected, changed estimates
+// reported.
+
+#include <algorithm>
+
+#include "admission_queue/admission_queue.h"
+
+namespace lemoncroft::admission_queue {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr Span kMinReviewInterval = 100ms;  // of one waiting request
+constexpr std::size_t kMaxReviewsPerStep = 2048;
+// An estimate is reported again when the start moves by this much of the wait, and at least by so much.
+constexpr double kMinEstimateChangeRatio = 0.4;
+constexpr Span kMinEstimateChange = 750ms;
+
+}  // namespace
+
+void AdmissionQueue::ReviewDueRequests(Time now, std::vector<Decision>& decisions) {
+  std::size_t left = kMaxReviewsPerStep;
+  for (; !review_backlog_.empty() && left > 0; --left) {
+    const RequestId id = review_backlog_.back();  // the last are the most likely to be late
+    review_backlog_.pop_back();
+    if (const auto it = requests_.find(id); it != requests_.end())
+      ReviewRequest(id, it->second, now, decisions, false);
+  }
+  for (RequestId id = 0; left > 0 && review_timers_.PopDue(now, id); --left) {
+    const auto it = requests_.find(id);
+    if (it == requests_.end() || it->second.dispatched) continue;
+    if (it->second.next_review > now + TimerWheel::kSlot)
+      review_timers_.Add(it->second.next_review, id);  // beyond the wheel's span, or rescheduled since
+    else
+      ReviewRequest(id, it->second, now, decisions, true);
+  }
+}
+
+void AdmissionQueue::ReviewRequest(RequestId id, Request& r, Time now, std::vector<Decision>& decisions,
+                                   bool reschedule) {
+  if (r.dispatched) return;
+  const QueuedRequest request{id, r.tenant, r.class_id, r.work, r.latest_start, r.wants_updates};
+  const TenantBudget& budget = settings_.tenants[r.tenant];
+  const bool no_budget = budget.cores <= 0;
+  const bool barred_class =
+      std::count(budget.barred_classes.begin(), budget.barred_classes.end(), r.class_id) > 0;
+  const WaitEstimate estimate = CorrectedEstimate(r, now);
+  const bool late = now + TimerWheel::kSlot >= r.latest_start ||
+                    now + lanes_[LaneOf(r.class_id)].accuracy.LowerBound(estimate.wait) > r.latest_start;
+  if (no_budget || barred_class || late) {
+    const RejectReason reason = no_budget      ? RejectReason::kNoBudget
+                                : barred_class ? RejectReason::kClassBarred
+                                               : RejectReason::kTooLate;
+    RemoveFromQueue(r);
+    Request resubmitted = r;  // as if submitted again, behind all of its class
+    resubmitted.place = tenants_[r.tenant].class_queues[r.class_id].end();
+    resubmitted.submitted_at = now;
+    const Span slack = r.latest_start - r.submitted_at;
+    const Span retry_after = reason == RejectReason::kTooLate
+                                 ? CorrectedEstimate(resubmitted, now).upper_bound - slack
+                                 : settings_.max_retry_after;
+    decisions.emplace_back(MakeReject(request, reason, retry_after));
+    requests_.erase(id);
+    return;
+  }
+  const Time start = now + estimate.wait;
+  const Span off = start > r.announced_start ? start - r.announced_start : r.announced_start - start;
+  if (off > std::max(kMinEstimateChange, FromSeconds(kMinEstimateChangeRatio * Seconds(estimate.wait)))) {
+    r.announced_start = start;
+    if (r.wants_updates) decisions.emplace_back(EstimateUpdate{id, estimate});
+  }
+  if (reschedule) ScheduleReview(id, r, now, estimate.wait);
+}
+
+// A request that wants updates is reviewed more often as its start comes near. Any other is reviewed after
+// its expected start, or when half of its slack is gone: it can't be late earlier. Changes of the fleet or
+// the budgets put all requests into the backlog instead.
+void AdmissionQueue::ScheduleReview(RequestId id, Request& r, Time now, Span wait) {
+  const Span slack = r.latest_start - now - wait;
+  const Span until = r.wants_updates ? wait / 3 : std::max(wait + wait / 4, slack / 2);
+  r.next_review = std::min(now + std::max(kMinReviewInterval, until), std::max(now, r.latest_start));
+  review_timers_.Add(r.next_review, id);
+}
+
+}  // namespace lemoncroft::admission_queue
--- /dev/null
+++ b/src/admission_queue/types.cpp
@@ -0,0 +1,32 @@
+#include "admission_queue/types.h"
+
+#include <algorithm>
+
+namespace lemoncroft::admission_queue {
+
+Span FromSeconds(double seconds) {
+  constexpr double kMaxSeconds = 4e6;
+  if (!(seconds == seconds)) return Span::zero();
+  return std::chrono::duration_cast<Span>(
+      std::chrono::duration<double>(std::clamp(seconds, -kMaxSeconds, kMaxSeconds)));
+}
+
+const char* Description(RejectReason reason) {
+  switch (reason) {
+    case RejectReason::kNone:
+      return "none";
+    case RejectReason::kNoBudget:
+      return "the tenant has no budget";
+    case RejectReason::kClassBarred:
+      return "the tenant may not use the class";
+    case RejectReason::kTenantQueueFull:
+      return "the tenant has too many requests waiting";
+    case RejectReason::kQueueFull:
+      return "too many requests are waiting";
+    case RejectReason::kTooLate:
+      return "it could not start in time";
+  }
+  return "?";
+}
+
+}  // namespace lemoncroft::admission_queue
--- /dev/null
+++ b/src/admission_queue/wait_estimation.cpp
@@ -0,0 +1,156 @@
+// Wait estimation of AdmissionQueue.
+
+#include <algorithm>
+
+#include "admission_queue/admission_queue.h"
+
+namespace lemoncroft::admission_queue {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr Span kMaxForecastAge = 20ms;          // a forecast is rebuilt when older ...
+constexpr std::size_t kMinForecastGrowth = 32;  // ... or when more requests than this have joined
+constexpr Span kMinRetryAfter = 50ms;
+constexpr double kOverrunPersistence = 0.3;  // fraction of overrunning threads taken as unavailable
+constexpr double kPartialRequest = 0.5;      // of a request's work
+
+}  // namespace
+
+Span AdmissionQueue::BoundedRetryAfter(Span retry_after) const {
+  retry_after = std::max(kMinRetryAfter, retry_after);
+  return settings_.max_retry_after > Span::zero() ? std::min(retry_after, settings_.max_retry_after)
+                                                  : retry_after;
+}
+
+WaitEstimate AdmissionQueue::EstimateForNewcomer(TenantId tenant, ClassId class_id, Time now) {
+  Request r;
+  r.tenant = tenant;
+  r.class_id = class_id;
+  r.work = std::max<Work>(1us, settings_.classes[class_id].default_work);
+  r.submitted_at = r.latest_start = now;
+  r.place = tenants_[tenant].class_queues[class_id].end();
+  return CorrectedEstimate(r, now);
+}
+
+Span AdmissionQueue::RetryAfter(TenantId tenant, ClassId class_id, Time now) {
+  if (tenant >= tenants_.size() || class_id >= settings_.classes.size()) return settings_.max_retry_after;
+  return BoundedRetryAfter(EstimateForNewcomer(tenant, class_id, now).upper_bound);
+}
+
+double AdmissionQueue::AvailableCores() const {
+  const double own = fleet_cores_ * settings_.budget_share;
+  const double held = running_.overrun_threads() / std::max(1.0, settings_.heavy_threads_per_core * own);
+  return own * std::max(0.3, 1 - kOverrunPersistence * held);
+}
+
+Work AdmissionQueue::WorkAhead(const Request& r) const {
+  const TenantQueue& tenant = tenants_[r.tenant];
+  const Lane lane = LaneOf(r.class_id);
+  Work ahead{};
+  for (ClassId k = 0; k < tenant.class_queues.size(); ++k) {
+    if (LaneOf(k) != lane || tenant.class_queues[k].empty()) continue;
+    ahead += k == r.class_id ? tenant.class_queues[k].WorkBefore(r.place)
+                             : tenant.class_queues[k].WorkSubmittedBefore(
+                                   r.submitted_at - AgeingCredit(r.class_id) + AgeingCredit(k));
+  }
+  return ahead;
+}
+
+// The start tag that the tenant has once it competes.
+double AdmissionQueue::EffectiveTag(TenantId t, Lane lane) const {
+  const FairShareLedger::Account& account = ledger_.at(t);
+  if (tenants_[t].waiting_count[lane] > 0) return account.start_tag;
+  return std::max(account.start_tag, ledger_.virtual_time() - account.burst);
+}
+
+void AdmissionQueue::RefreshForecast(Lane lane, Time now) {
+  LaneState& state = lanes_[lane];
+  const bool grown =
+      waiting_count_ > state.forecast_waiting + state.forecast_waiting / 8 + kMinForecastGrowth;
+  if (state.forecast.built() && now - state.forecast_at < kMaxForecastAge && !state.forecast_stale && !grown)
+    return;
+  std::vector<TenantFlow> flows(tenants_.size());
+  for (TenantId t = 0; t < tenants_.size(); ++t) {
+    flows[t].cores = ledger_.at(t).cores;
+    flows[t].start_tag = EffectiveTag(t, lane);
+    flows[t].waiting_work = Seconds(tenants_[t].waiting_work[lane]);
+    for (ClassId k = 0; k < tenants_[t].arrival_rates.size(); ++k) {
+      if (LaneOf(k) == lane) flows[t].arrival_rate += tenants_[t].arrival_rates[k].per_second();
+    }
+  }
+  const double pace = state.pacer.Now(AvailableCores());
+  const double gap =
+      lane == kHeavy && state.next_dispatch_at > now ? Seconds(state.next_dispatch_at - now) : 0;
+  state.forecast.Build(flows, pace, std::max(gap, Seconds(state.dispatched_work) / pace));
+  state.forecast_at = now;
+  state.forecast_waiting = waiting_count_;
+  state.forecast_stale = false;
+}
+
+Span AdmissionQueue::RawWait(const Request& r, Time now) {
+  const Lane lane = LaneOf(r.class_id);
+  LaneState& state = lanes_[lane];
+  if (fleet_cores_ <= 0) return r.latest_start - r.submitted_at + 1s;
+  const double pace = state.pacer.Now(AvailableCores());
+  if (r.dispatched) return FromSeconds(Seconds(state.dispatched_work) / 2 / pace);
+  const TenantQueue& tenant = tenants_[r.tenant];
+  const bool open =
+      !state.blocked && state.dispatched.size() < DispatchWindow(lane) && HasCapacity(lane, now);
+  const bool free = HasThreads(r.tenant, r.class_id) && ledger_.WithinMaxLead(r.tenant);
+  if (tenant.waiting_count[lane] == 0 && open && free && !state.had_waiting) return Span::zero();
+  RefreshForecast(lane, now);
+  const double work = Seconds(WorkAhead(r));
+  const FairShareLedger::Account& account = ledger_.at(r.tenant);
+  const double cores = std::max(1e-9, account.cores);
+  const double start_tag = EffectiveTag(r.tenant, lane);
+  double wait = state.forecast.TimeUntil(start_tag + work / cores);
+  // Later requests with a greater ageing credit overtake, while the difference in credit exceeds the age.
+  double overtaking = 0;
+  for (int round = 0; round < 3; ++round) {
+    overtaking = 0;
+    for (ClassId k = 0; k < tenant.arrival_rates.size(); ++k) {
+      if (LaneOf(k) != lane || AgeingCredit(k) <= AgeingCredit(r.class_id)) continue;
+      const double left = Seconds(AgeingCredit(k) - AgeingCredit(r.class_id) - (now - r.submitted_at));
+      overtaking += tenant.arrival_rates[k].per_second() * std::clamp(left, 0.0, wait);
+    }
+    if (overtaking <= 0) break;
+    wait = state.forecast.TimeUntil(start_tag + (work + overtaking) / cores);
+  }
+  // Other tenants are served in whole requests, and so are half a request past the common level on average.
+  const double target = start_tag + (work + overtaking) / cores;
+  double past_level = 0;
+  for (TenantId t = 0; t < tenants_.size(); ++t) {
+    if (t != r.tenant && tenants_[t].waiting_count[lane] > 0 && ledger_.at(t).start_tag < target)
+      past_level += kPartialRequest * Seconds(tenants_[t].waiting_work[lane]) /
+                    static_cast<double>(tenants_[t].waiting_count[lane]);
+  }
+  wait += past_level / pace;
+  // Two limits of the tenant itself: its lead over the others, and its thread cap.
+  if (account.competing || ledger_.virtual_time() > 0) {
+    const double past = target - ledger_.virtual_time() - ledger_.MaxLead(r.tenant);
+    if (past > 0 && !ledger_.WithinMaxLead(r.tenant))
+      wait = std::max(wait, past / std::max(0.1, virtual_time_rate_));
+  }
+  if (account.max_threads > 0 && !HasThreads(r.tenant, r.class_id)) {
+    const double each = running_.stretch(last_priorities_[r.class_id]) / account.max_threads;
+    wait = std::max(wait, Seconds(running_.TimeUntilFirstEnd(r.tenant, now)) + (work + overtaking) * each);
+  }
+  return FromSeconds(wait);
+}
+
+WaitEstimate AdmissionQueue::CorrectedEstimate(const Request& r, Span raw_wait) const {
+  const EstimateAccuracy& accuracy = lanes_[LaneOf(r.class_id)].accuracy;
+  if (raw_wait == Span::zero()) return {};
+  const Span wait = accuracy.Corrected(raw_wait);
+  return {wait, accuracy.UpperBound(wait)};
+}
+
+std::optional<WaitEstimate> AdmissionQueue::EstimateWait(RequestId id, Time now) {
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.started) return std::nullopt;
+  return CorrectedEstimate(it->second, now);
+}
+
+}  // namespace lemoncroft::admission_queue
