--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -10,8 +10,12 @@
 
 namespace {
 
-constexpr Span kUpdateInterval = 50ms;            // of charges, rates and forecasts
-constexpr Span kBacklogInterval = 5ms;            // between steps while reviews are due at once
+constexpr Span kUpdateInterval = 50ms;  // of charges, rates and forecasts
+constexpr Span kBacklogInterval = 5ms;  // between steps while reviews are due at once
+// Retry-After of a full queue: when about this many of the tenant's requests have left, or a fraction of the
+// estimated wait has passed.
+constexpr int kPlacesBeforeRetry = 8;
+constexpr int kQueueFullWaitDivisor = 8;
 constexpr Span kImmediateStartTolerance = 100ms;  // allowed for a start without waiting
 constexpr double kVirtualTimeRateWindowSeconds = 4;
 constexpr double kEstimateBiasWeight = 0.03;  // of the newest response
@@ -43,42 +47,47 @@
   return {request.id, reason, BoundedRetryAfter(retry_after)};
 }
 
-AdmissionQueue::SubmitResult AdmissionQueue::Submit(const QueuedRequest& request, Time now) {
-  if (request.tenant >= tenants_.size() || request.class_id >= settings_.classes.size() ||
-      requests_.contains(request.id))
-    return {Reject{request.id, RejectReason::kNoBudget, settings_.max_retry_after}, {}, {}};
-  TenantQueue& tenant = tenants_[request.tenant];
-  const TenantBudget& budget = settings_.tenants[request.tenant];
-  ++tenant.submitted;
+AdmissionQueue::Request AdmissionQueue::NewRequest(const QueuedRequest& request, Time now) const {
   Request r;
   r.tenant = request.tenant;
   r.class_id = request.class_id;
   r.wants_updates = request.wants_updates;
   r.work = ExpectedWork(request);
   r.submitted_at = now;
-  r.place = tenant.class_queues[r.class_id].end();
+  r.place = tenants_[r.tenant].class_queues[r.class_id].end();
   r.latest_start = request.deadline - RunTime(r);
   const Span max_wait = settings_.classes[r.class_id].max_wait;
   if (max_wait > Span::zero()) r.latest_start = std::min(r.latest_start, now + max_wait);
-  if (budget.cores <= 0)
-    return {MakeReject(request, RejectReason::kNoBudget, settings_.max_retry_after), {}, {}};
-  if (std::count(budget.barred_classes.begin(), budget.barred_classes.end(), request.class_id) > 0)
-    return {MakeReject(request, RejectReason::kClassBarred, settings_.max_retry_after), {}, {}};
-  r.raw_wait = RawWait(r, now);
-  const WaitEstimate estimate = CorrectedEstimate(r, r.raw_wait);
+  return r;
+}
+
+RejectReason AdmissionQueue::BarredReason(TenantId tenant, ClassId class_id) const {
+  const TenantBudget& budget = settings_.tenants[tenant];
+  if (budget.cores <= 0) return RejectReason::kNoBudget;
+  if (std::count(budget.barred_classes.begin(), budget.barred_classes.end(), class_id) > 0)
+    return RejectReason::kClassBarred;
+  return RejectReason::kNone;
+}
+
+std::optional<Reject> AdmissionQueue::RejectIfFullOrLate(const QueuedRequest& request, const Request& r,
+                                                         const WaitEstimate& estimate, Time now) {
+  const std::size_t waiting = tenants_[r.tenant].size();
+  const std::size_t max_waiting = settings_.tenants[r.tenant].max_waiting;
   // Places in a full queue become free at the rate that the estimate assumes.
-  if (budget.max_waiting > 0 && tenant.size() >= budget.max_waiting)
-    return {MakeReject(request, RejectReason::kTenantQueueFull,
-                       estimate.wait / static_cast<int>(1 + tenant.size() / 8)),
-            {},
-            {}};
+  if (max_waiting > 0 && waiting >= max_waiting) {
+    const Span retry_after = estimate.wait / static_cast<int>(1 + waiting / kPlacesBeforeRetry);
+    return MakeReject(request, RejectReason::kTenantQueueFull, retry_after);
+  }
   if (waiting_count_ >= settings_.max_waiting)
-    return {MakeReject(request, RejectReason::kQueueFull, estimate.wait / 8), {}, {}};
+    return MakeReject(request, RejectReason::kQueueFull, estimate.wait / kQueueFullWaitDivisor);
   if (now + estimate.upper_bound > r.latest_start && estimate.wait > Span::zero())
-    return {MakeReject(request, RejectReason::kTooLate, now + estimate.upper_bound - r.latest_start), {}, {}};
-  // A request expected to run past its deadline is still tried if it can start at once: the expected run time
-  // is only an estimate.
-  r.latest_start = std::max(r.latest_start, std::min(request.deadline, now + kImmediateStartTolerance));
+    return MakeReject(request, RejectReason::kTooLate, now + estimate.upper_bound - r.latest_start);
+  return std::nullopt;
+}
+
+void AdmissionQueue::Enqueue(const QueuedRequest& request, Request r, const WaitEstimate& estimate,
+                             Time now) {
+  TenantQueue& tenant = tenants_[r.tenant];
   const Lane lane = LaneOf(r.class_id);
   r.place = tenant.class_queues[r.class_id].Push(request.id, now, r.work);
   tenant.arrival_rates[r.class_id].Add(Seconds(r.work));
@@ -89,6 +98,23 @@
   Request& entry = requests_.emplace(request.id, r).first->second;
   ScheduleReview(request.id, entry, now, estimate.wait);
   next_step_ = now;
+}
+
+AdmissionQueue::SubmitResult AdmissionQueue::Submit(const QueuedRequest& request, Time now) {
+  if (request.tenant >= tenants_.size() || request.class_id >= settings_.classes.size() ||
+      requests_.contains(request.id))
+    return {Reject{request.id, RejectReason::kNoBudget, settings_.max_retry_after}, {}, {}};
+  ++tenants_[request.tenant].submitted;
+  Request r = NewRequest(request, now);
+  const RejectReason barred = BarredReason(r.tenant, r.class_id);
+  if (barred != RejectReason::kNone) return {MakeReject(request, barred, settings_.max_retry_after), {}, {}};
+  r.raw_wait = RawWait(r, now);
+  const WaitEstimate estimate = CorrectedEstimate(r, r.raw_wait);
+  if (const auto rejected = RejectIfFullOrLate(request, r, estimate, now)) return {rejected, {}, {}};
+  // A request expected to run past its deadline is still tried if it can start at once: the expected run time
+  // is only an estimate.
+  r.latest_start = std::max(r.latest_start, std::min(request.deadline, now + kImmediateStartTolerance));
+  Enqueue(request, r, estimate, now);
   return {std::nullopt, estimate, r.latest_start};
 }
 
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -147,11 +147,21 @@
   Span RunTime(const Request& r) const;
   WaitEstimate EstimateForNewcomer(TenantId tenant, ClassId class_id, Time now);
   Span BoundedRetryAfter(Span retry_after) const;
+  Request NewRequest(const QueuedRequest& request, Time now) const;
+  RejectReason BarredReason(TenantId tenant, ClassId class_id) const;
+  std::optional<Reject> RejectIfFullOrLate(const QueuedRequest& request, const Request& r,
+                                           const WaitEstimate& estimate, Time now);
+  void Enqueue(const QueuedRequest& request, Request r, const WaitEstimate& estimate, Time now);
   Reject MakeReject(const QueuedRequest& request, RejectReason reason, Span retry_after);
   void ApplyBudgets();
 
   // Wait estimation (wait_estimation.cpp).
   Span RawWait(const Request& r, Time now);
+  bool CanStartAtOnce(const Request& r, Time now) const;
+  double OvertakingWork(const Request& r, double wait, Time now) const;
+  double PartialRequestWork(const Request& r, double target) const;
+  double WaitWithTenantLimits(const Request& r, double wait, double target, double work_ahead,
+                              Time now) const;
   Work WorkAhead(const Request& r) const;
   double EffectiveTag(TenantId tenant, Lane lane) const;
   void RefreshForecast(Lane lane, Time now);
@@ -176,6 +186,8 @@
   void RunPeriodicUpdate(Time now);
   void ReviewDueRequests(Time now, std::vector<Decision>& decisions);
   void ReviewRequest(RequestId id, Request& r, Time now, std::vector<Decision>& decisions, bool reschedule);
+  RejectReason ReviewResult(const Request& r, const WaitEstimate& estimate, Time now) const;
+  Reject RejectWaiting(RequestId id, Request& r, RejectReason reason, Time now);
   void ScheduleReview(RequestId id, Request& r, Time now, Span wait);
 
   Settings settings_;
--- a/src/admission_queue/reviews.cpp
+++ b/src/admission_queue/reviews.cpp
@@ -37,36 +37,41 @@
   }
 }
 
+RejectReason AdmissionQueue::ReviewResult(const Request& r, const WaitEstimate& estimate, Time now) const {
+  const RejectReason barred = BarredReason(r.tenant, r.class_id);
+  if (barred != RejectReason::kNone) return barred;
+  const bool late = now + TimerWheel::kSlot >= r.latest_start ||
+                    now + lanes_[LaneOf(r.class_id)].accuracy.LowerBound(estimate.wait) > r.latest_start;
+  return late ? RejectReason::kTooLate : RejectReason::kNone;
+}
+
+Reject AdmissionQueue::RejectWaiting(RequestId id, Request& r, RejectReason reason, Time now) {
+  RemoveFromQueue(r);
+  Request resubmitted = r;  // as if submitted again, behind all of its class
+  resubmitted.place = tenants_[r.tenant].class_queues[r.class_id].end();
+  resubmitted.submitted_at = now;
+  const Span slack = r.latest_start - r.submitted_at;
+  const Span retry_after = reason == RejectReason::kTooLate
+                               ? CorrectedEstimate(resubmitted, now).upper_bound - slack
+                               : settings_.max_retry_after;
+  const QueuedRequest request{id, r.tenant, r.class_id, r.work, r.latest_start, r.wants_updates};
+  const Reject reject = MakeReject(request, reason, retry_after);
+  requests_.erase(id);
+  return reject;
+}
+
 void AdmissionQueue::ReviewRequest(RequestId id, Request& r, Time now, std::vector<Decision>& decisions,
                                    bool reschedule) {
   if (r.dispatched) return;
-  const QueuedRequest request{id, r.tenant, r.class_id, r.work, r.latest_start, r.wants_updates};
-  const TenantBudget& budget = settings_.tenants[r.tenant];
-  const bool no_budget = budget.cores <= 0;
-  const bool barred_class =
-      std::count(budget.barred_classes.begin(), budget.barred_classes.end(), r.class_id) > 0;
   const WaitEstimate estimate = CorrectedEstimate(r, now);
-  const bool late = now + TimerWheel::kSlot >= r.latest_start ||
-                    now + lanes_[LaneOf(r.class_id)].accuracy.LowerBound(estimate.wait) > r.latest_start;
-  if (no_budget || barred_class || late) {
-    const RejectReason reason = no_budget      ? RejectReason::kNoBudget
-                                : barred_class ? RejectReason::kClassBarred
-                                               : RejectReason::kTooLate;
-    RemoveFromQueue(r);
-    Request resubmitted = r;  // as if submitted again, behind all of its class
-    resubmitted.place = tenants_[r.tenant].class_queues[r.class_id].end();
-    resubmitted.submitted_at = now;
-    const Span slack = r.latest_start - r.submitted_at;
-    const Span retry_after = reason == RejectReason::kTooLate
-                                 ? CorrectedEstimate(resubmitted, now).upper_bound - slack
-                                 : settings_.max_retry_after;
-    decisions.emplace_back(MakeReject(request, reason, retry_after));
-    requests_.erase(id);
+  const RejectReason reason = ReviewResult(r, estimate, now);
+  if (reason != RejectReason::kNone) {
+    decisions.emplace_back(RejectWaiting(id, r, reason, now));
     return;
   }
   const Time start = now + estimate.wait;
-  const Span off = start > r.announced_start ? start - r.announced_start : r.announced_start - start;
-  if (off > std::max(kMinEstimateChange, FromSeconds(kMinEstimateChangeRatio * Seconds(estimate.wait)))) {
+  const Span change = start > r.announced_start ? start - r.announced_start : r.announced_start - start;
+  if (change > std::max(kMinEstimateChange, FromSeconds(kMinEstimateChangeRatio * Seconds(estimate.wait)))) {
     r.announced_start = start;
     if (r.wants_updates) decisions.emplace_back(EstimateUpdate{id, estimate});
   }
--- a/src/admission_queue/wait_estimation.cpp
+++ b/src/admission_queue/wait_estimation.cpp
@@ -14,6 +14,10 @@
 constexpr std::size_t kMinForecastGrowth = 32;  // ... or when more requests than this have joined
 constexpr Span kMinRetryAfter = 50ms;
 constexpr double kOverrunPersistence = 0.3;  // fraction of overrunning threads taken as unavailable
+constexpr int kMaxOvertakingRounds = 3;
+constexpr double kMinBudgetCores = 1e-9;     // avoids a division by zero
+constexpr double kMinVirtualTimeRate = 0.1;  // per second: keeps estimates finite
+constexpr double kMinAvailableCores = 0.3;   // fraction of this proxy's cores
 constexpr double kPartialRequest = 0.5;      // of a request's work
 
 }  // namespace
@@ -42,7 +46,7 @@
 double AdmissionQueue::AvailableCores() const {
   const double own = fleet_cores_ * settings_.budget_share;
   const double held = running_.overrun_threads() / std::max(1.0, settings_.heavy_threads_per_core * own);
-  return own * std::max(0.3, 1 - kOverrunPersistence * held);
+  return own * std::max(kMinAvailableCores, 1 - kOverrunPersistence * held);
 }
 
 Work AdmissionQueue::WorkAhead(const Request& r) const {
@@ -89,55 +93,80 @@
   state.forecast_stale = false;
 }
 
-Span AdmissionQueue::RawWait(const Request& r, Time now) {
+bool AdmissionQueue::CanStartAtOnce(const Request& r, Time now) const {
   const Lane lane = LaneOf(r.class_id);
-  LaneState& state = lanes_[lane];
-  if (fleet_cores_ <= 0) return r.latest_start - r.submitted_at + 1s;
-  const double pace = state.pacer.Now(AvailableCores());
-  if (r.dispatched) return FromSeconds(Seconds(state.dispatched_work) / 2 / pace);
-  const TenantQueue& tenant = tenants_[r.tenant];
-  const bool open =
+  const LaneState& state = lanes_[lane];
+  const bool lane_open =
       !state.blocked && state.dispatched.size() < DispatchWindow(lane) && HasCapacity(lane, now);
-  const bool free = HasThreads(r.tenant, r.class_id) && ledger_.WithinMaxLead(r.tenant);
-  if (tenant.waiting_count[lane] == 0 && open && free && !state.had_waiting) return Span::zero();
-  RefreshForecast(lane, now);
-  const double work = Seconds(WorkAhead(r));
-  const FairShareLedger::Account& account = ledger_.at(r.tenant);
-  const double cores = std::max(1e-9, account.cores);
-  const double start_tag = EffectiveTag(r.tenant, lane);
-  double wait = state.forecast.TimeUntil(start_tag + work / cores);
-  // Later requests with a greater ageing credit overtake, while the difference in credit exceeds the age.
+  const bool tenant_free = HasThreads(r.tenant, r.class_id) && ledger_.WithinMaxLead(r.tenant);
+  return tenants_[r.tenant].waiting_count[lane] == 0 && lane_open && tenant_free && !state.had_waiting;
+}
+
+// The work of later requests with a greater ageing credit: they overtake while the difference in credit
+// exceeds the age of `r`, and at most for `wait` seconds.
+double AdmissionQueue::OvertakingWork(const Request& r, double wait, Time now) const {
+  const TenantQueue& tenant = tenants_[r.tenant];
+  const Lane lane = LaneOf(r.class_id);
   double overtaking = 0;
-  for (int round = 0; round < 3; ++round) {
-    overtaking = 0;
-    for (ClassId k = 0; k < tenant.arrival_rates.size(); ++k) {
-      if (LaneOf(k) != lane || AgeingCredit(k) <= AgeingCredit(r.class_id)) continue;
-      const double left = Seconds(AgeingCredit(k) - AgeingCredit(r.class_id) - (now - r.submitted_at));
-      overtaking += tenant.arrival_rates[k].per_second() * std::clamp(left, 0.0, wait);
-    }
-    if (overtaking <= 0) break;
-    wait = state.forecast.TimeUntil(start_tag + (work + overtaking) / cores);
+  for (ClassId k = 0; k < tenant.arrival_rates.size(); ++k) {
+    if (LaneOf(k) != lane || AgeingCredit(k) <= AgeingCredit(r.class_id)) continue;
+    const double left = Seconds(AgeingCredit(k) - AgeingCredit(r.class_id) - (now - r.submitted_at));
+    overtaking += tenant.arrival_rates[k].per_second() * std::clamp(left, 0.0, wait);
   }
-  // Other tenants are served in whole requests, and so are half a request past the common level on average.
-  const double target = start_tag + (work + overtaking) / cores;
+  return overtaking;
+}
+
+// Other tenants are served in whole requests, and so are half a request past the common level on average.
+// Returns the core-seconds of this excess for those served before `target`.
+double AdmissionQueue::PartialRequestWork(const Request& r, double target) const {
+  const Lane lane = LaneOf(r.class_id);
   double past_level = 0;
   for (TenantId t = 0; t < tenants_.size(); ++t) {
     if (t != r.tenant && tenants_[t].waiting_count[lane] > 0 && ledger_.at(t).start_tag < target)
       past_level += kPartialRequest * Seconds(tenants_[t].waiting_work[lane]) /
                     static_cast<double>(tenants_[t].waiting_count[lane]);
   }
-  wait += past_level / pace;
-  // Two limits of the tenant itself: its lead over the others, and its thread cap.
+  return past_level;
+}
+
+// Extends `wait` by the limits of the tenant itself: its lead over the others, and its thread cap.
+double AdmissionQueue::WaitWithTenantLimits(const Request& r, double wait, double target, double work_ahead,
+                                            Time now) const {
+  const FairShareLedger::Account& account = ledger_.at(r.tenant);
   if (account.competing || ledger_.virtual_time() > 0) {
     const double past = target - ledger_.virtual_time() - ledger_.MaxLead(r.tenant);
     if (past > 0 && !ledger_.WithinMaxLead(r.tenant))
-      wait = std::max(wait, past / std::max(0.1, virtual_time_rate_));
+      wait = std::max(wait, past / std::max(kMinVirtualTimeRate, virtual_time_rate_));
   }
   if (account.max_threads > 0 && !HasThreads(r.tenant, r.class_id)) {
     const double each = running_.stretch(last_priorities_[r.class_id]) / account.max_threads;
-    wait = std::max(wait, Seconds(running_.TimeUntilFirstEnd(r.tenant, now)) + (work + overtaking) * each);
+    wait = std::max(wait, Seconds(running_.TimeUntilFirstEnd(r.tenant, now)) + work_ahead * each);
   }
-  return FromSeconds(wait);
+  return wait;
+}
+
+Span AdmissionQueue::RawWait(const Request& r, Time now) {
+  const Lane lane = LaneOf(r.class_id);
+  LaneState& state = lanes_[lane];
+  if (fleet_cores_ <= 0) return r.latest_start - r.submitted_at + 1s;
+  const double pace = state.pacer.Now(AvailableCores());
+  if (r.dispatched) return FromSeconds(Seconds(state.dispatched_work) / 2 / pace);
+  if (CanStartAtOnce(r, now)) return Span::zero();
+  RefreshForecast(lane, now);
+  const double work = Seconds(WorkAhead(r));
+  const double cores = std::max(kMinBudgetCores, ledger_.at(r.tenant).cores);
+  const double start_tag = EffectiveTag(r.tenant, lane);
+  double wait = state.forecast.TimeUntil(start_tag + work / cores);
+  // The longer the wait, the more requests overtake: iterate.
+  double overtaking = 0;
+  for (int round = 0; round < kMaxOvertakingRounds; ++round) {
+    overtaking = OvertakingWork(r, wait, now);
+    if (overtaking <= 0) break;
+    wait = state.forecast.TimeUntil(start_tag + (work + overtaking) / cores);
+  }
+  const double target = start_tag + (work + overtaking) / cores;
+  wait += PartialRequestWork(r, target) / pace;
+  return FromSeconds(WaitWithTenantLimits(r, wait, target, work + overtaking, now));
 }
 
 WaitEstimate AdmissionQueue::CorrectedEstimate(const Request& r, Span raw_wait) const {
