--- a/tests/admission_queue_test.cpp
+++ b/tests/admission_queue_test.cpp
@@ -1,5 +1,5 @@
-// The waiting line by itself, in virtual time: its parts, the hard cases it is built for, and properties of
-// generated mornings. Every case fails without the code that it names.
+// The admission queue in virtual time: its parts, the difficult cases it is designed for, and properties of
+// generated workloads.
 #include "admission_queue/admission_queue.h"
 
 #include <gtest/gtest.h>
@@ -19,14 +19,15 @@
 
 Time At(double seconds) { return Time(FromSeconds(seconds)); }
 
-// A line before a stand-in fleet, without the module: what is handed over starts at the emptiest engine.
+// An admission queue ahead of a simulated fleet, without the decision module: a dispatched request starts at
+// once on the engine with the fewest attempts.
 class QueueWithFleet {
  public:
   struct Query {
     QueuedRequest request;
     double work = 0, submitted = 0, started = -1;
     Time dispatch_deadline{};
-    int completions = 0;  // by being refused or ending: once each
+    int completions = 0;  // rejections and ends; one per request
   };
 
   explicit QueueWithFleet(Settings settings, int engines = 4, double cores = 10)
@@ -44,7 +45,7 @@
     return s;
   }
 
-  // `actual_ratio`: what it really needs, as a multiple of its estimate.
+  // `actual_ratio`: of the work really needed to the estimate.
   AdmissionQueue::SubmitResult Submit(TenantId tenant, ClassId class_id, double work, double timeout,
                                       double actual_ratio = 1) {
     QueuedRequest request{++last, tenant, class_id, FromSeconds(work), At(now + timeout), true};
@@ -64,7 +65,7 @@
       Tick();
     }
   }
-  bool Every(int hundredths) const { return ticks_ % hundredths == 0; }
+  bool EveryTicks(int ticks) const { return ticks_ % ticks == 0; }
 
   void Tick() {
     std::vector<simulation::Finished> ended;
@@ -86,7 +87,7 @@
     }
   }
 
-  void Lose(simulation::Engine engine) {
+  void RemoveEngine(simulation::Engine engine) {
     std::vector<simulation::Finished> lost;
     fleet.Remove(engine, lost);
     for (const auto& f : lost) {
@@ -97,7 +98,7 @@
     queue.SetFleetCores(fleet.cores(), At(now));
   }
 
-  void Withdraw(RequestId id) {
+  void CancelRequest(RequestId id) {
     fleet.Stop({id, 0});
     if (queries.at(id).started >= 0) queue.OnAttemptEnded(id, 0, Work::zero(), true, At(now));
     queue.OnRequestCompleted(id, At(now));
@@ -145,7 +146,7 @@
   int ticks_ = 0;
 };
 
-TEST(WorkIndex, TellsTheWorkAheadWhoeverLeaves) {
+TEST(WorkIndex, RandomPushesAndRemovals_SumsMatchAPlainList) {
   const bool ok =
       rc::check("sums agree with a plain list", [](const std::vector<std::pair<bool, unsigned>>& ops) {
         WorkIndex index;
@@ -174,7 +175,7 @@
   EXPECT_TRUE(ok);
 }
 
-TEST(WorkIndex, GivesItsMemoryBack) {
+TEST(WorkIndex, AllRemoved_MemoryIsReleased) {
   WorkIndex index;
   std::vector<WorkIndex::Place> places;
   places.reserve(10'000);
@@ -184,24 +185,24 @@
   EXPECT_LT(index.memory_bytes(), full / 100);
 }
 
-TEST(FairShareLedger, SharesGoByBudgetAndNoHoardIsKept) {
+TEST(FairShareLedger, IdleTenantReturns_IsOwedItsBurstOnly) {
   FairShareLedger ledger;
   ledger.Configure({{.name = "a", .cores = 3, .burst = 1s, .barred_classes = {}},
                     {.name = "b", .cores = 1, .barred_classes = {}}},
                    1, 100);
   ledger.SetCompeting(1, true);
-  ledger.Charge(1, 3600s);  // an hour in which the first asked for nothing
+  ledger.Charge(1, 3600s);  // an hour in which the first sent nothing
   ledger.SetCompeting(0, true);
-  EXPECT_DOUBLE_EQ(ledger.at(0).start_tag, 3599);  // a second of its own budget, no more
+  EXPECT_DOUBLE_EQ(ledger.at(0).start_tag, 3599);  // its burst
   ledger.Charge(0, 6s);
   ledger.Charge(1, 1s);
   EXPECT_DOUBLE_EQ(ledger.at(0).start_tag, 3601);
   EXPECT_DOUBLE_EQ(ledger.at(1).start_tag, 3601);
-  ledger.Charge(1, -9999s);  // nobody gets back more than was charged
+  ledger.Charge(1, -9999s);  // refunds are limited to what was charged
   EXPECT_GE(ledger.at(1).charged, Work::zero());
 }
 
-TEST(FairShareLedger, BudgetsPastTheFleetAreScaledAlike) {
+TEST(FairShareLedger, BudgetsExceedCapacity_AreScaledInProportion) {
   FairShareLedger ledger;
   const double scale = ledger.Configure(
       {{.name = "a", .cores = 30, .barred_classes = {}}, {.name = "b", .cores = 10, .barred_classes = {}}}, 1,
@@ -211,36 +212,37 @@
   EXPECT_DOUBLE_EQ(ledger.at(1).cores, 5);
 }
 
-TEST(WaitForecast, TheLevelRisesWithThePace) {
+TEST(WaitForecast, LevelRisesWithTheDispatchRate) {
   WaitForecast forecast;
   forecast.Build({{3, 0, 30, 0}, {1, 0, 10, 0}}, 10, 0);
-  EXPECT_NEAR(forecast.TimeUntil(10), 4, 0.01);  // 40 core-seconds at 10 a second
+  EXPECT_NEAR(forecast.TimeUntil(10), 4, 0.01);  // 40 core-seconds at 10 per second
   forecast.Build({{3, 0, 30, 0}, {1, 5, 10, 0}}, 10, 1);
-  EXPECT_NEAR(forecast.TimeUntil(5), 2.5, 0.1);  // the one behind catches up alone, after a second of nothing
+  EXPECT_NEAR(forecast.TimeUntil(5), 2.5,
+              0.1);  // the one behind is served alone, after a second without dispatch
   forecast.Build({{1, 0, 0, 0}}, 10, 0);
-  EXPECT_LT(forecast.TimeUntil(1), 1);  // a burst that comes just now is not estimates for ever
+  EXPECT_LT(forecast.TimeUntil(1), 1);  // finite also with nothing waiting
 }
 
-// Hard case 1. Ordered by worth alone a class of little worth waits for as long as greater ones keep coming.
-TEST(AdmissionQueue, AgedWorkStartsWithinItsBoundWhileGreaterWorthKeepsComing) {
+// Without ageing, a class of low priority weight waits for as long as others keep arriving.
+TEST(AdmissionQueue, HigherPriorityKeepsArriving_AgedRequestsStartWithinMaxWait) {
   for (const bool ageing : {true, false}) {
     Settings s = QueueWithFleet::Tenants({40});
     s.ageing = ageing ? Span(1s) : Span(24h);
-    s.classes[2].priority_weight = 0.1;  // the chip-load is the least here
+    s.classes[2].priority_weight = 0.1;  // the lowest
     s.classes[2].max_wait = 8s;
-    QueueWithFleet bench(s);
-    bench.Run(1);
+    QueueWithFleet setup(s);
+    setup.Run(1);
     std::vector<RequestId> loads;
-    bench.before_tick = [&] {
-      for (int i = 0; i < 5; ++i) bench.Submit(0, 0, 0.09, 60);  // 45 cores of 40, without an end
-      if (bench.Every(100)) {
-        if (!bench.Submit(0, 2, 3, 60).rejected) loads.push_back(bench.last);
+    setup.before_tick = [&] {
+      for (int i = 0; i < 5; ++i) setup.Submit(0, 0, 0.09, 60);  // 45 cores of 40, without end
+      if (setup.EveryTicks(100)) {
+        if (!setup.Submit(0, 2, 3, 60).rejected) loads.push_back(setup.last);
       }
     };
-    bench.Run(20);
+    setup.Run(20);
     std::size_t started = 0;
     for (const RequestId id : loads) {
-      const QueueWithFleet::Query& q = bench.queries.at(id);
+      const QueueWithFleet::Query& q = setup.queries.at(id);
       started += q.started >= 0;
       if (q.started >= 0) {
         EXPECT_LE(q.started - q.submitted, 8.02);
@@ -250,96 +252,96 @@
   }
 }
 
-// Hard case 2. Charged only its estimate, a team whose reports run away would have the others pay for them.
-TEST(AdmissionQueue, ABadPlanIsPaidForByItsOwnTeam) {
-  QueueWithFleet bench(QueueWithFleet::Tenants({20, 20}));
+// Overruns must be charged while they run, or the other tenants would pay for them.
+TEST(AdmissionQueue, AttemptsOverrun_TheirOwnTenantIsCharged) {
+  QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
   for (int i = 0; i < 200; ++i) {
-    bench.Submit(0, 1, 0.5, 120, 20);
-    bench.Submit(1, 1, 0.5, 120);
+    setup.Submit(0, 1, 0.5, 120, 20);
+    setup.Submit(1, 1, 0.5, 120);
   }
-  bench.Run(4);
-  EXPECT_NEAR(bench.fleet.consumed(0) / (bench.fleet.consumed(0) + bench.fleet.consumed(1)), 0.5, 0.12);
-  EXPECT_GT(bench.updates, 100) << "estimates given before it was noticed are revised";
-  EXPECT_GT(bench.queue.Describe(At(bench.now)).overrun_threads, 0);
+  setup.Run(4);
+  EXPECT_NEAR(setup.fleet.consumed(0) / (setup.fleet.consumed(0) + setup.fleet.consumed(1)), 0.5, 0.12);
+  EXPECT_GT(setup.updates, 100) << "earlier estimates are revised";
+  EXPECT_GT(setup.queue.Describe(At(setup.now)).overrun_threads, 0);
 }
 
-// Hard case 3.
-TEST(AdmissionQueue, EstimatesFollowALossOfHalfTheFleetWithinASecond) {
-  QueueWithFleet bench(QueueWithFleet::Tenants({20, 20}));
-  bench.before_tick = [&] {
-    for (int i = 0; i < 10; ++i) bench.Submit(i % 2, 0, 0.05, 30);  // so that the pace is known
+TEST(AdmissionQueue, HalfTheFleetLost_EstimatesFollowWithinASecond) {
+  QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
+  setup.before_tick = [&] {
+    for (int i = 0; i < 10; ++i) setup.Submit(i % 2, 0, 0.05, 30);  // so that the dispatch rate is known
   };
-  bench.Run(5);
-  bench.before_tick = nullptr;
-  bench.Run(7);
-  for (int i = 0; i < 2000; ++i) bench.Submit(i % 2, 0, 0.4, 3 + i * 0.01 * 1.15);
-  const std::size_t taken = bench.queue.waiting();
+  setup.Run(5);
+  setup.before_tick = nullptr;
+  setup.Run(7);
+  for (int i = 0; i < 2000; ++i) setup.Submit(i % 2, 0, 0.4, 3 + i * 0.01 * 1.15);
+  const std::size_t taken = setup.queue.waiting();
   EXPECT_GT(taken, 1900u);
-  bench.Run(8);
+  setup.Run(8);
   std::map<RequestId, WaitEstimate> before;
-  for (const auto& [id, q] : bench.queries) {
-    if (q.started < 0) before[id] = *bench.queue.EstimateWait(id, At(bench.now));
+  for (const auto& [id, q] : setup.queries) {
+    if (q.started < 0) before[id] = *setup.queue.EstimateWait(id, At(setup.now));
   }
-  EXPECT_EQ(bench.rejected.size(), 0u);
-  bench.Lose(0);
-  bench.Lose(1);
-  bench.Run(bench.now + 1);
-  EXPECT_GT(bench.rejected.size(), taken / 4) << "what can't be done any more is estimates at once";
+  EXPECT_EQ(setup.rejected.size(), 0u);
+  setup.RemoveEngine(0);
+  setup.RemoveEngine(1);
+  setup.Run(setup.now + 1);
+  EXPECT_GT(setup.rejected.size(), taken / 4)
+      << "requests that can no longer start in time are rejected at once";
   std::size_t later = 0, waiting = 0;
-  for (const auto& [id, q] : bench.queries) {
+  for (const auto& [id, q] : setup.queries) {
     if (q.started >= 0 || q.completions > 0 || before.at(id).wait < 2s) continue;
     ++waiting;
-    later += bench.estimates.at(id).wait > before.at(id).wait * 5 / 4;  // a second later, at half the pace
+    later += setup.estimates.at(id).wait > before.at(id).wait * 5 / 4;  // a second later, at half the rate
   }
   EXPECT_GT(waiting, 300u);
   EXPECT_GT(later, waiting * 9 / 10);
-  for (const auto& [id, reject] : bench.rejected) EXPECT_GT(reject.retry_after, 0s);
+  for (const auto& [id, reject] : setup.rejected) EXPECT_GT(reject.retry_after, 0s);
 }
 
-// Hard case 4. Without budgets the flood of one team is what all wait for.
-TEST(AdmissionQueue, AFloodLeavesTheNeighboursAsTheyWere) {
+// Without budgets all tenants would wait for the flood of one.
+TEST(AdmissionQueue, OneTenantFloods_OthersKeepThroughputAndWait) {
   double waited[2] = {}, share[2] = {};
   for (const int flood : {0, 1}) {
-    QueueWithFleet bench(QueueWithFleet::Tenants({10, 10, 20}));
-    bench.before_tick = [&] {
-      if (!bench.Every(10)) return;
-      for (int team = 1; team < 3; ++team) bench.Submit(team, 0, 0.1 * (team == 2 ? 18 : 8), 20);
+    QueueWithFleet setup(QueueWithFleet::Tenants({10, 10, 20}));
+    setup.before_tick = [&] {
+      if (!setup.EveryTicks(10)) return;
+      for (int team = 1; team < 3; ++team) setup.Submit(team, 0, 0.1 * (team == 2 ? 18 : 8), 20);
       const int times = flood == 1 ? 10 : 1;
-      for (int i = 0; i < times; ++i) bench.Submit(0, 0, 1, 20);
+      for (int i = 0; i < times; ++i) setup.Submit(0, 0, 1, 20);
     };
-    bench.Run(60);
+    setup.Run(60);
     std::vector<double> waits;
-    for (const auto& [id, q] : bench.queries) {
+    for (const auto& [id, q] : setup.queries) {
       if (q.request.tenant != 0 && q.started >= 0) waits.push_back(q.started - q.submitted);
     }
     for (const double w : waits) waited[flood] += w / static_cast<double>(waits.size());
-    share[flood] = bench.fleet.consumed(1) + bench.fleet.consumed(2);
+    share[flood] = setup.fleet.consumed(1) + setup.fleet.consumed(2);
   }
   EXPECT_NEAR(share[1] / share[0], 1, 0.05);
   EXPECT_LT(waited[1], waited[0] + 0.25);
 }
 
-// Light classes are handed over apart from heavy ones. Without a level of their own a flood of them thins out
-// all that runs: the other team's heavy queries then can't be done in time, are refused, and it gets 2%.
-// What it should get is half; docs/waiting.md updates why it is less (known limits).
-TEST(AdmissionQueue, AFloodOfLightRequestsDoesNotThinOutWhatRuns) {
+// Light classes have a lane of their own. Without a thread limit a flood of them slows down everything that
+// runs: the heavy requests of the other tenant can't finish in time and are rejected. The fair share is a
+// half; docs/admission_queue.md gives the reason why it is less (known limits).
+TEST(AdmissionQueue, LightRequestsFlood_HeavyRequestsKeepTheirShare) {
   Settings s = QueueWithFleet::Tenants({20, 20});
   s.classes[0].light = true;
   s.tenants[0].burst = s.tenants[1].burst = 2s;
-  QueueWithFleet bench(s);
-  bench.before_tick = [&] {
-    for (int i = 0; i < 10; ++i) bench.Submit(0, 0, 0.1, 3);  // 100 cores, five times its budget
-    if (bench.Every(10)) bench.Submit(1, 1, 4, 20);           // 40
+  QueueWithFleet setup(s);
+  setup.before_tick = [&] {
+    for (int i = 0; i < 10; ++i) setup.Submit(0, 0, 0.1, 3);  // 100 cores, five times its budget
+    if (setup.EveryTicks(10)) setup.Submit(1, 1, 4, 20);      // 40
   };
-  bench.Run(10);
-  const double from0 = bench.fleet.consumed(0), from1 = bench.fleet.consumed(1);
-  bench.Run(40);
-  const double had0 = bench.fleet.consumed(0) - from0, had1 = bench.fleet.consumed(1) - from1;
+  setup.Run(10);
+  const double from0 = setup.fleet.consumed(0), from1 = setup.fleet.consumed(1);
+  setup.Run(40);
+  const double had0 = setup.fleet.consumed(0) - from0, had1 = setup.fleet.consumed(1) - from1;
   EXPECT_GT(had1 / (had0 + had1), 0.33);
 }
 
-// While a neighbour waits in the other lane, a team goes no further ahead than its lead.
-TEST(AdmissionQueue, NoLaneIsAWayRoundTheBudget) {
+// While another tenant waits in the other lane, a tenant gets ahead by its maximum lead only.
+TEST(AdmissionQueue, OtherTenantWaitsInOtherLane_LeadIsLimited) {
   Settings s = QueueWithFleet::Tenants({5, 5});
   s.classes[0].light = true;
   AdmissionQueue queue(s);
@@ -354,7 +356,7 @@
     for (const Decision& d : out) {
       const RequestId id = std::get<Dispatch>(d).id;
       queue.OnAttemptStarted(id, 0, 1, At(0));
-      if (id < 100) continue;  // the heavy ones run on, and fill their lane
+      if (id < 100) continue;  // the heavy ones keep running and fill their lane
       ++light;
       queue.OnAttemptEnded(id, 0, 100ms, true, At(0));
       queue.OnRequestCompleted(id, At(0));
@@ -366,8 +368,8 @@
   EXPECT_LE(tenants[0].start_tag, tenants[1].start_tag + 1.1);
 }
 
-// What waits when the last engine goes must not wait for its client to give up.
-TEST(AdmissionQueue, WhatCannotStartIsRefusedByItsBound) {
+// Requests that wait when the last engine is lost are rejected before their deadlines.
+TEST(AdmissionQueue, AllEnginesLost_WaitingRequestsAreRejectedByLatestStart) {
   AdmissionQueue queue(QueueWithFleet::Tenants({20}));
   queue.SetFleetCores(20, At(0));
   std::vector<Decision> out;
@@ -382,45 +384,42 @@
   EXPECT_EQ(queue.waiting(), 0u);
 }
 
-// Hard case 5.
-TEST(AdmissionQueue, ATeamThatWasIdleForAnHourGetsItsShareAndNoMore) {
-  QueueWithFleet bench(QueueWithFleet::Tenants({20, 20}));
-  bench.before_tick = [&] {
-    if (bench.Every(100)) bench.Submit(0, 0, 1, 3);
+TEST(AdmissionQueue, TenantIdleForAnHour_GetsItsShareAndNoMore) {
+  QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
+  setup.before_tick = [&] {
+    if (setup.EveryTicks(100)) setup.Submit(0, 0, 1, 3);
   };
-  bench.Run(3600);
-  const double from0 = bench.fleet.consumed(0), from1 = bench.fleet.consumed(1);
-  bench.before_tick = [&] {
-    if (!bench.Every(100)) return;
-    for (int i = 0; i < 60; ++i) bench.Submit(0, 0, 1, 30), bench.Submit(1, 0, 1, 30);
+  setup.Run(3600);
+  const double from0 = setup.fleet.consumed(0), from1 = setup.fleet.consumed(1);
+  setup.before_tick = [&] {
+    if (!setup.EveryTicks(100)) return;
+    for (int i = 0; i < 60; ++i) setup.Submit(0, 0, 1, 30), setup.Submit(1, 0, 1, 30);
   };
-  bench.Run(3610);
-  const double had0 = bench.fleet.consumed(0) - from0, had1 = bench.fleet.consumed(1) - from1;
+  setup.Run(3610);
+  const double had0 = setup.fleet.consumed(0) - from0, had1 = setup.fleet.consumed(1) - from1;
   EXPECT_NEAR(had1 / (had0 + had1), 0.5, 0.05);
 }
 
-// Hard case 6.
-TEST(AdmissionQueue, BudgetsChangeWithWorkWaitingAndRunning) {
-  QueueWithFleet bench(QueueWithFleet::Tenants({20, 20}));
-  for (int i = 0; i < 300; ++i) bench.Submit(i % 2, 0, 0.5, 60);
-  bench.Run(1);
-  Settings changed = QueueWithFleet::Tenants({30, 0, 10});  // the second is gone, a third has come
-  bench.queue.Configure(changed, At(bench.now));
-  const std::size_t waiting = bench.queue.waiting();
-  bench.Run(1.2);
+TEST(AdmissionQueue, BudgetsChange_WaitingAndRunningRequestsAreKept) {
+  QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
+  for (int i = 0; i < 300; ++i) setup.Submit(i % 2, 0, 0.5, 60);
+  setup.Run(1);
+  Settings changed = QueueWithFleet::Tenants({30, 0, 10});  // the second loses its budget, a third is added
+  setup.queue.Configure(changed, At(setup.now));
+  const std::size_t waiting = setup.queue.waiting();
+  setup.Run(1.2);
   EXPECT_GT(waiting, 150u);
-  for (const auto& [id, reject] : bench.rejected) EXPECT_EQ(bench.queries.at(id).request.tenant, 1u);
-  EXPECT_GT(bench.rejected.size(), 50u);
-  EXPECT_TRUE(bench.Submit(1, 0, 0.5, 60).rejected);
-  EXPECT_FALSE(bench.Submit(2, 0, 0.5, 60).rejected);
-  bench.Run(20);
-  for (const auto& [id, q] : bench.queries) EXPECT_EQ(q.completions, 1) << id;
-  EXPECT_EQ(bench.queue.open_requests(), 0u);
+  for (const auto& [id, reject] : setup.rejected) EXPECT_EQ(setup.queries.at(id).request.tenant, 1u);
+  EXPECT_GT(setup.rejected.size(), 50u);
+  EXPECT_TRUE(setup.Submit(1, 0, 0.5, 60).rejected);
+  EXPECT_FALSE(setup.Submit(2, 0, 0.5, 60).rejected);
+  setup.Run(20);
+  for (const auto& [id, q] : setup.queries) EXPECT_EQ(q.completions, 1) << id;
+  EXPECT_EQ(setup.queue.open_requests(), 0u);
 }
 
-// Hard case 7. What is charged at the end is what ran: no more for attempts that were full or were made
-// again.
-TEST(AdmissionQueue, WhatRanIsChargedOnce) {
+// The final charge is the work that ran, whatever attempts were rejected or retried.
+TEST(AdmissionQueue, AttemptsRejectedCancelledAndRetried_WorkIsChargedOnce) {
   AdmissionQueue queue(QueueWithFleet::Tenants({10}));
   queue.SetFleetCores(40, At(0));
   std::vector<Decision> out;
@@ -430,44 +429,43 @@
   ASSERT_EQ(out.size(), 1u);
   EXPECT_DOUBLE_EQ(charged(), 2);
   queue.OnAttemptStarted(1, 0, 1, At(0));
-  queue.OnAttemptEnded(1, 0, Work::zero(), false, At(0.1));  // full: never ran
+  queue.OnAttemptEnded(1, 0, Work::zero(), false, At(0.1));  // rejected by the engine, not executed
   EXPECT_DOUBLE_EQ(charged(), 0);
   queue.OnAttemptStarted(1, 1, 1, At(0.2));
-  queue.OnAttemptEnded(1, 1, Work::zero(), true, At(1.2));  // called off after a second on two threads
+  queue.OnAttemptEnded(1, 1, Work::zero(), true, At(1.2));  // cancelled after a second on two threads
   EXPECT_DOUBLE_EQ(charged(), 2);
-  queue.OnAttemptEnded(1, 1, Work::zero(), true, At(1.2));  // estimates twice
+  queue.OnAttemptEnded(1, 1, Work::zero(), true, At(1.2));  // reported twice
   queue.OnAttemptStarted(1, 2, 1, At(2));
   queue.OnAttemptEnded(1, 2, 1500ms, true, At(3));
   EXPECT_DOUBLE_EQ(charged(), 3.5);
   queue.OnRequestCompleted(1, At(3));
   queue.Submit({2, 0, 1, 2s, At(60)}, At(3));
   queue.Step(At(3), out);
-  queue.OnRequestCompleted(2, At(3));  // withdrawn between the hand-over and the first attempt
+  queue.OnRequestCompleted(2, At(3));  // cancelled between dispatch and first attempt
   EXPECT_DOUBLE_EQ(charged(), 3.5);
   EXPECT_EQ(queue.open_requests(), 0u);
   EXPECT_EQ(queue.Describe(At(9)).tenants[0].threads, 0);
 }
 
-TEST(AdmissionQueue, WithdrawalsByTheHundredLeaveNothingBehind) {
-  QueueWithFleet bench(QueueWithFleet::Tenants({20, 20}));
-  for (int i = 0; i < 1000; ++i) bench.Submit(i % 2, i % 3, 0.5, 60);
-  bench.Run(1);
-  for (auto& [id, q] : bench.queries) {
-    if (q.completions == 0 && id % 10 != 0) bench.Withdraw(id);
+TEST(AdmissionQueue, ManyCancellations_NothingIsLeftBehind) {
+  QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
+  for (int i = 0; i < 1000; ++i) setup.Submit(i % 2, i % 3, 0.5, 60);
+  setup.Run(1);
+  for (auto& [id, q] : setup.queries) {
+    if (q.completions == 0 && id % 10 != 0) setup.CancelRequest(id);
   }
-  bench.Run(30);
-  for (const auto& [id, q] : bench.queries) EXPECT_EQ(q.completions, 1) << id;
-  EXPECT_EQ(bench.queue.open_requests(), 0u);
-  EXPECT_NEAR(bench.Charged(0) + bench.Charged(1), bench.fleet.consumed(0) + bench.fleet.consumed(1), 2);
+  setup.Run(30);
+  for (const auto& [id, q] : setup.queries) EXPECT_EQ(q.completions, 1) << id;
+  EXPECT_EQ(setup.queue.open_requests(), 0u);
+  EXPECT_NEAR(setup.Charged(0) + setup.Charged(1), setup.fleet.consumed(0) + setup.fleet.consumed(1), 2);
 }
 
-// Hard case 8.
-TEST(AdmissionQueue, BudgetsOfZeroAndAbsurdEstimates) {
+TEST(AdmissionQueue, ZeroBudgetsAndAbsurdEstimates) {
   Settings s = QueueWithFleet::Tenants({10, 0});
   s.tenants[0].barred_classes = {2};
   s.tenants[0].max_waiting = 5;
   AdmissionQueue queue(s);
-  queue.SetFleetCores(0, At(0));  // nothing can leave
+  queue.SetFleetCores(0, At(0));  // nothing can be dispatched
   EXPECT_EQ(queue.Submit({1, 1, 0, 1s, At(60)}, At(0)).rejected->reason, RejectReason::kNoBudget);
   EXPECT_EQ(queue.Submit({2, 0, 2, 1s, At(60)}, At(0)).rejected->reason, RejectReason::kClassBarred);
   EXPECT_EQ(queue.Submit({3, 7, 0, 1s, At(60)}, At(0)).rejected->reason, RejectReason::kNoBudget);
@@ -483,21 +481,21 @@
   for (const Decision& d : out) EXPECT_TRUE(std::holds_alternative<Dispatch>(d));
 }
 
-TEST(AdmissionQueue, ATeamsThreadsAreCapped) {
+TEST(AdmissionQueue, ThreadCapIsKept) {
   Settings s = QueueWithFleet::Tenants({20, 20});
   s.tenants[0].max_threads = 6;
-  QueueWithFleet bench(s);
+  QueueWithFleet setup(s);
   int most = 0;
-  bench.before_tick = [&] {
-    if (bench.Every(10)) bench.Submit(0, 1, 2, 10);
-    most = std::max(most, bench.queue.Describe(At(bench.now)).tenants[0].threads);
+  setup.before_tick = [&] {
+    if (setup.EveryTicks(10)) setup.Submit(0, 1, 2, 10);
+    most = std::max(most, setup.queue.Describe(At(setup.now)).tenants[0].threads);
   };
-  bench.Run(10);
+  setup.Run(10);
   EXPECT_EQ(most, 6);
 }
 
-// With its cap full a team waits for what runs; what has run long is expected to run on.
-TEST(AdmissionQueue, AFullCapIsForeseenToLastAsLongAsWhatRuns) {
+// At its thread cap a tenant waits for a running attempt; one past its estimate is expected to run on.
+TEST(AdmissionQueue, ThreadCapReached_EstimateFollowsRunningAttempts) {
   Settings s = QueueWithFleet::Tenants({20});
   s.tenants[0].max_threads = 2;
   AdmissionQueue queue(s);
@@ -512,8 +510,8 @@
   EXPECT_NEAR(Seconds(queue.EstimateWait(2, At(20))->wait), 10, 1);
 }
 
-// Between two attempts a request still holds its threads: they must not be given to another meanwhile.
-TEST(AdmissionQueue, ThreadsStayHeldBetweenAttemptsAndByThoseThatOutliveTheirRequest) {
+// A request keeps its threads between two attempts.
+TEST(AdmissionQueue, ThreadsAreHeldBetweenAttemptsAndByOutlivingAttempts) {
   Settings s = QueueWithFleet::Tenants({20});
   s.tenants[0].max_threads = 1;
   AdmissionQueue queue(s);
@@ -528,7 +526,7 @@
   queue.Step(At(1), out);
   EXPECT_EQ(out.size(), 1u);
   queue.OnAttemptStarted(1, 1, 1, At(1));
-  queue.OnRequestCompleted(1, At(2));  // its client has gone; the engine is still being told
+  queue.OnRequestCompleted(1, At(2));  // its client has gone; the attempt still ends
   queue.Step(At(2), out);
   EXPECT_EQ(out.size(), 1u);
   queue.OnAttemptEnded(1, 1, Work::zero(), true, At(3));
@@ -536,8 +534,8 @@
   EXPECT_EQ(out.size(), 2u);
 }
 
-// One that the module can't place must neither be passed for ever nor stop the line for good.
-TEST(AdmissionQueue, OneThatIsPassedByManyClosesTheLineForAWhile) {
+// A request that the module can't place is neither overtaken for ever nor does it block the lane for good.
+TEST(AdmissionQueue, RequestOvertakenOften_BlocksItsLaneForALimitedTime) {
   Settings s = QueueWithFleet::Tenants({40});
   AdmissionQueue queue(s);
   queue.SetFleetCores(40, At(0));
@@ -552,7 +550,7 @@
     if (out.empty() && sent < 39) closed += 0.01;
     for (const Decision& d : out) {
       const auto* dispatch = std::get_if<Dispatch>(&d);
-      if (dispatch == nullptr || dispatch->id == 1) continue;  // the module holds the first
+      if (dispatch == nullptr || dispatch->id == 1) continue;  // the module never starts the first
       queue.OnAttemptStarted(dispatch->id, 0, 1, At(now)), ++sent;
       queue.OnAttemptEnded(dispatch->id, 0, 10ms, true, At(now));
       queue.OnRequestCompleted(dispatch->id, At(now));
@@ -563,39 +561,38 @@
   EXPECT_LT(closed, 1.5);
 }
 
-// Whatever comes: each request that was taken completions once, by its bound, and the accounts end at
-// nothing.
-TEST(AdmissionQueue, Properties) {
+// Every queued request leaves exactly once and within its bound, and all accounts are settled.
+TEST(AdmissionQueue, RandomWorkload_ConservesRequestsAndKeepsBounds) {
   const bool ok = rc::check("conservation and bounds", [](std::uint32_t seed) {
     Settings s = QueueWithFleet::Tenants({12, 8, 20});
     s.tenants[2].max_threads = 20;
-    QueueWithFleet bench(s);
+    QueueWithFleet setup(s);
     std::uint32_t state = seed | 1;
     const auto draw = [&state](std::uint32_t n) {
       state = state * 1664525 + 1013904223;
       return (state >> 8) % n;
     };
-    bench.before_tick = [&] {
+    setup.before_tick = [&] {
       for (std::uint32_t i = draw(4); i > 0; --i) {
         const ClassId class_id = draw(3);
-        bench.Submit(draw(3), class_id, (1 + draw(40)) * 0.02, 1 + draw(12), draw(20) == 0 ? 15 : 1);
+        setup.Submit(draw(3), class_id, (1 + draw(40)) * 0.02, 1 + draw(12), draw(20) == 0 ? 15 : 1);
       }
-      if (draw(100) == 0 && !bench.queries.empty()) {
-        auto it = bench.queries.lower_bound(1 + draw(static_cast<std::uint32_t>(bench.last)));
-        if (it != bench.queries.end() && it->second.completions == 0) bench.Withdraw(it->first);
+      if (draw(100) == 0 && !setup.queries.empty()) {
+        auto it = setup.queries.lower_bound(1 + draw(static_cast<std::uint32_t>(setup.last)));
+        if (it != setup.queries.end() && it->second.completions == 0) setup.CancelRequest(it->first);
       }
-      if (bench.now > 4 && bench.fleet.Has(3)) bench.Lose(3);
+      if (setup.now > 4 && setup.fleet.Has(3)) setup.RemoveEngine(3);
     };
-    bench.Run(8);
-    bench.before_tick = nullptr;
-    bench.Run(60);
-    for (const auto& [id, q] : bench.queries) {
+    setup.Run(8);
+    setup.before_tick = nullptr;
+    setup.Run(60);
+    for (const auto& [id, q] : setup.queries) {
       RC_ASSERT(q.completions == 1);
       RC_ASSERT(q.started < 0 || At(q.started) <= q.dispatch_deadline + 20ms);
     }
-    RC_ASSERT(bench.queue.open_requests() == 0u);
-    RC_ASSERT(bench.queue.waiting() == 0u);
-    for (const auto& tenant : bench.queue.Describe(At(bench.now)).tenants) {
+    RC_ASSERT(setup.queue.open_requests() == 0u);
+    RC_ASSERT(setup.queue.waiting() == 0u);
+    for (const auto& tenant : setup.queue.Describe(At(setup.now)).tenants) {
       RC_ASSERT(tenant.threads == 0);
       RC_ASSERT(tenant.charged_seconds >= 0);
       RC_ASSERT(tenant.waiting == 0u);
