--- a/src/admission_queue/reviews.cpp
+++ b/src/admission_queue/reviews.cpp
@@ -27,13 +27,15 @@
     if (const auto it = requests_.find(id); it != requests_.end())
       ReviewRequest(id, it->second, now, decisions, false);
   }
-  for (RequestId id = 0; left > 0 && review_timers_.PopDue(now, id); --left) {
-    const auto it = requests_.find(id);
+  for (; left > 0; --left) {
+    const std::optional<RequestId> id = review_timers_.PopDue(now);
+    if (!id) break;
+    const auto it = requests_.find(*id);
     if (it == requests_.end() || it->second.dispatched) continue;
     if (it->second.next_review > now + TimerWheel::kSlot)
-      review_timers_.Add(it->second.next_review, id);  // beyond the wheel's span, or rescheduled since
+      review_timers_.Add(it->second.next_review, *id);  // beyond the wheel's span, or rescheduled since
     else
-      ReviewRequest(id, it->second, now, decisions, true);
+      ReviewRequest(*id, it->second, now, decisions, true);
   }
 }
 
--- a/src/admission_queue/timer_wheel.h
+++ b/src/admission_queue/timer_wheel.h
@@ -7,6 +7,7 @@
 #define LEMONCROFT_ADMISSION_QUEUE_TIMER_WHEEL_H_
 
 #include <algorithm>
+#include <optional>
 #include <vector>
 
 #include "admission_queue/types.h"
@@ -26,22 +27,22 @@
     ++size_;
   }
 
-  // Removes one id that is due by `now`; false if there is none.
-  bool PopDue(Time now, RequestId& id) {
+  // Removes and returns one id that is due by `now`, if any.
+  [[nodiscard]] std::optional<RequestId> PopDue(Time now) {
     for (const std::int64_t last = Number(now); next_ <= last; ++next_) {
       if (size_ == 0) {  // skip empty slots
         next_ = last + 1;
-        return false;
+        return std::nullopt;
       }
       std::vector<RequestId>& slot = slots_[static_cast<std::size_t>(next_ % kSlots)];
       if (slot.empty()) continue;
-      id = slot.back();
+      const RequestId id = slot.back();
       slot.pop_back();
       if (slot.empty()) slot = std::vector<RequestId>();  // release the memory of a burst
       --size_;
-      return true;
+      return id;
     }
-    return false;
+    return std::nullopt;
   }
 
   std::size_t size() const { return size_; }
