--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -286,7 +286,7 @@
   void Apply(const Terms& terms) {
     Query& q = queries_.at(terms.id);
     q.priority = terms.priority;
-    for (int n = 0; n < q.sent; ++n) fleet_.Reprioritise({terms.id, n}, terms.priority);
+    for (int n = 0; n < q.sent; ++n) fleet_.SetPriority({terms.id, n}, terms.priority);
   }
   void Apply(const Send& send) {
     Query& q = queries_.at(send.id);
--- a/src/testing/simulation/fleet.cpp
+++ b/src/testing/simulation/fleet.cpp
@@ -7,23 +7,23 @@
 namespace lemoncroft::simulation {
 
 namespace {
-constexpr std::array<double, 4> kWeights = {1, 4, 8, 16};  // by priority
-constexpr double kDone = 1e-9;                             // core-seconds
+constexpr std::array<double, 4> kPriorityWeights = {1, 4, 8, 16};  // by priority
+constexpr double kCompletionTolerance = 1e-9;                      // core-seconds
 }  // namespace
 
 void Fleet::Add(Engine engine, double cores, double speed) {
-  Machine& machine = engines_[engine];
-  machine.cores = cores;
-  machine.speed = speed;
-  machine.at = now_;
+  EngineState& engine_state = engines_[engine];
+  engine_state.cores = cores;
+  engine_state.speed = speed;
+  engine_state.at = now_;
 }
 
 void Fleet::Remove(Engine engine, std::vector<Finished>& out) {
   const auto it = engines_.find(engine);
   if (it == engines_.end()) return;
-  for (const auto& [key, attempt] : it->second.runs) {
-    out.push_back({key, engine, now_, attempt.load.work - attempt.left, true});
-    where_.erase(key);
+  for (const auto& [key, attempt] : it->second.attempts) {
+    out.push_back({key, engine, now_, attempt.load.work - attempt.remaining, true});
+    engine_of_.erase(key);
   }
   engines_.erase(it);
 }
@@ -32,64 +32,64 @@
   const auto it = engines_.find(engine);
   if (it == engines_.end() || it->second.speed == speed) return;
   it->second.speed = speed;
-  Share(it->second);
+  UpdateRates(it->second);
 }
 
-double Fleet::Left(const Key& key) const {
-  const auto it = where_.find(key);
-  return it == where_.end() ? 0 : engines_.at(it->second).runs.at(key).left;
+double Fleet::RemainingWork(const Key& key) const {
+  const auto it = engine_of_.find(key);
+  return it == engine_of_.end() ? 0 : engines_.at(it->second).attempts.at(key).remaining;
 }
 
 double Fleet::cores() const {
   double sum = 0;
-  for (const auto& [id, machine] : engines_) sum += machine.cores;
+  for (const auto& [id, engine_state] : engines_) sum += engine_state.cores;
   return sum;
 }
 
 bool Fleet::Start(const Load& load) {
   const auto it = engines_.find(load.engine);
-  if (it == engines_.end() || where_.contains(load.key)) return false;
-  it->second.runs[load.key] = {load, load.work, 0};
-  where_[load.key] = load.engine;
+  if (it == engines_.end() || engine_of_.contains(load.key)) return false;
+  it->second.attempts[load.key] = {load, load.work, 0};
+  engine_of_[load.key] = load.engine;
   if (load.label >= consumed_.size()) consumed_.resize(load.label + 1);
-  Share(it->second);
+  UpdateRates(it->second);
   return true;
 }
 
 bool Fleet::Stop(const Key& key) {
-  const auto it = where_.find(key);
-  if (it == where_.end()) return false;
-  Machine& machine = engines_.at(it->second);
-  machine.runs.erase(key);
-  where_.erase(it);
-  Share(machine);
+  const auto it = engine_of_.find(key);
+  if (it == engine_of_.end()) return false;
+  EngineState& engine_state = engines_.at(it->second);
+  engine_state.attempts.erase(key);
+  engine_of_.erase(it);
+  UpdateRates(engine_state);
   return true;
 }
 
-void Fleet::Reprioritise(const Key& key, int priority) {
-  const auto it = where_.find(key);
-  if (it == where_.end()) return;
-  Machine& machine = engines_.at(it->second);
-  machine.runs.at(key).load.priority = priority;
-  Share(machine);
+void Fleet::SetPriority(const Key& key, int priority) {
+  const auto it = engine_of_.find(key);
+  if (it == engine_of_.end()) return;
+  EngineState& engine_state = engines_.at(it->second);
+  engine_state.attempts.at(key).load.priority = priority;
+  UpdateRates(engine_state);
 }
 
-// By weight, at most a core a thread; what one can't use goes to the others.
-void Fleet::Share(Machine& machine) const {
+// Divides the cores by weight, at most one per thread; the rest goes to the other attempts.
+void Fleet::UpdateRates(EngineState& engine_state) const {
   double threads = 0;
-  for (const auto& [key, a] : machine.runs) threads += a.load.threads;
-  const double level = threads / std::max(1e-9, machine.cores * knee_);
-  const double slowed = level <= 1 ? 1 : 1 / (1 + thrash_ * (level - 1));
-  double left = machine.cores;
+  for (const auto& [key, a] : engine_state.attempts) threads += a.load.threads;
+  const double level = threads / std::max(1e-9, engine_state.cores * overload_threshold_);
+  const double slowed = level <= 1 ? 1 : 1 / (1 + overload_penalty_ * (level - 1));
+  double remaining = engine_state.cores;
   std::vector<Attempt*> open;
-  for (auto& [key, a] : machine.runs) open.push_back(&a);
+  for (auto& [key, a] : engine_state.attempts) open.push_back(&a);
   while (!open.empty()) {
     double weights = 0;
     const auto weight = [](const Attempt* a) {
-      return kWeights[static_cast<std::size_t>(a->load.priority)] * a->load.threads;
+      return kPriorityWeights[static_cast<std::size_t>(a->load.priority)] * a->load.threads;
     };
     for (const Attempt* a : open) weights += weight(a);
-    const double share = left / weights;
+    const double share = remaining / weights;
     const auto full = std::partition(open.begin(), open.end(),
                                      [&](Attempt* a) { return share * weight(a) < a->load.threads; });
     if (full == open.end()) {
@@ -98,42 +98,42 @@
     }
     for (auto it = full; it != open.end(); ++it) {
       (*it)->rate = (*it)->load.threads;
-      left -= (*it)->rate;
+      remaining -= (*it)->rate;
     }
     open.erase(full, open.end());
   }
-  for (auto& [key, a] : machine.runs) a.rate *= machine.speed * slowed;
+  for (auto& [key, a] : engine_state.attempts) a.rate *= engine_state.speed * slowed;
 }
 
-void Fleet::Play(Engine id, Machine& machine, double now, std::vector<Finished>& out) {
-  while (machine.at < now) {
-    double step = now - machine.at;
-    for (const auto& [key, a] : machine.runs) {
-      if (a.rate > 0) step = std::min(step, a.left / a.rate);
+void Fleet::AdvanceEngine(Engine id, EngineState& engine_state, double now, std::vector<Finished>& out) {
+  while (engine_state.at < now) {
+    double step = now - engine_state.at;
+    for (const auto& [key, a] : engine_state.attempts) {
+      if (a.rate > 0) step = std::min(step, a.remaining / a.rate);
     }
-    machine.at = step >= now - machine.at ? now : machine.at + step;
+    engine_state.at = step >= now - engine_state.at ? now : engine_state.at + step;
     bool ended = false;
-    for (auto it = machine.runs.begin(); it != machine.runs.end();) {
+    for (auto it = engine_state.attempts.begin(); it != engine_state.attempts.end();) {
       Attempt& a = it->second;
-      const double did = std::min(a.left, a.rate * step);
-      a.left -= did;
-      consumed_[a.load.label] += did;
-      if (a.left > kDone) {
+      const double done = std::min(a.remaining, a.rate * step);
+      a.remaining -= done;
+      consumed_[a.load.label] += done;
+      if (a.remaining > kCompletionTolerance) {
         ++it;
         continue;
       }
-      out.push_back({it->first, id, machine.at, a.load.work, false});
-      where_.erase(it->first);
-      it = machine.runs.erase(it);
+      out.push_back({it->first, id, engine_state.at, a.load.work, false});
+      engine_of_.erase(it->first);
+      it = engine_state.attempts.erase(it);
       ended = true;
     }
-    if (ended) Share(machine);
+    if (ended) UpdateRates(engine_state);
   }
 }
 
 void Fleet::Advance(double now, std::vector<Finished>& out) {
   const auto first = static_cast<std::ptrdiff_t>(out.size());
-  for (auto& [id, machine] : engines_) Play(id, machine, now, out);
+  for (auto& [id, engine_state] : engines_) AdvanceEngine(id, engine_state, now, out);
   std::stable_sort(out.begin() + first, out.end(),
                    [](const Finished& a, const Finished& b) { return a.at < b.at; });
   now_ = std::max(now_, now);
--- a/src/testing/simulation/fleet.h
+++ b/src/testing/simulation/fleet.h
@@ -1,12 +1,13 @@
-// A stand-in for a fleet of engines, in virtual time: cores shared among all that runs, by priority.
+// Simulates a fleet of engines in virtual time: attempts share the cores of their engine by priority.
 //
-// Each engine shares its cores among the threads of its attempts in the ratio 1 : 4 : 8 : 16 by priority, at
-// most one core a thread; past a knee in threads a core the whole gets slower. Engines come and go. What an
-// attempt truly needs is the caller's to say (a bad plan is an attempt that needs many times more).
+// Each engine divides its cores among the threads of its attempts in the ratio 1 : 4 : 8 : 16 by priority, at
+// most one core per thread; above a threshold of threads per core its total throughput falls. Engines can be
+// added and removed. The work that an attempt needs is given by the caller (a bad plan is an attempt that
+// needs many times more than its estimate).
 //
-// Deterministic; the caller's times never run backwards. Not modelled: disks, memory, warm groups, sessions.
-#ifndef LEMONCROFT_STANDIN_FLEET_H_
-#define LEMONCROFT_STANDIN_FLEET_H_
+// Deterministic; times passed in never run backwards. Not modelled: disks, memory, caches, sessions.
+#ifndef LEMONCROFT_TESTING_SIMULATION_FLEET_H_
+#define LEMONCROFT_TESTING_SIMULATION_FLEET_H_
 
 #include <cstdint>
 #include <map>
@@ -22,8 +23,8 @@
   Key key;
   Engine engine = 0;
   double at = 0;      // seconds
-  double work = 0;    // core-seconds that it needed
-  bool lost = false;  // its engine went
+  double work = 0;    // core-seconds used
+  bool lost = false;  // its engine was removed
 };
 
 class Fleet {
@@ -34,49 +35,51 @@
     int threads = 1;
     int priority = 1;       // 0 to 3
     double work = 0;        // core-seconds
-    std::size_t label = 0;  // whose consumption it counts to
+    std::size_t label = 0;  // index of the account for `consumed`
   };
 
-  // `knee`: threads a core past which the total falls; `thrash`: by how much at twice the knee.
-  explicit Fleet(double knee = 2.0, double thrash = 0.3) : knee_(knee), thrash_(thrash) {}
+  // `overload_threshold`: threads per core above which throughput falls; `overload_penalty`: relative
+  // slowdown at twice the threshold.
+  explicit Fleet(double overload_threshold = 2.0, double overload_penalty = 0.3)
+      : overload_threshold_(overload_threshold), overload_penalty_(overload_penalty) {}
 
   void Add(Engine engine, double cores, double speed);
-  void Remove(Engine engine, std::vector<Finished>& out);  // what ran there is lost
+  void Remove(Engine engine, std::vector<Finished>& out);  // its attempts are lost
   void SetSpeed(Engine engine, double speed);
   bool Has(Engine engine) const { return engines_.contains(engine); }
   double cores() const;
 
-  bool Start(const Load& load);  // false where there is no such engine
-  bool Stop(const Key& key);     // false where it does not run
-  void Reprioritise(const Key& key, int priority);
-  double Left(const Key& key) const;  // core-seconds; 0 where it does not run
+  bool Start(const Load& load);  // false if there is no such engine
+  bool Stop(const Key& key);     // false if it does not run
+  void SetPriority(const Key& key, int priority);
+  double RemainingWork(const Key& key) const;  // core-seconds; 0 if it does not run
 
-  // Plays on to `now` (seconds); appends what ended, in order of time.
+  // Advances to `now` (seconds) and appends the attempts that ended, in order of time.
   void Advance(double now, std::vector<Finished>& out);
 
   double consumed(std::size_t label) const { return label < consumed_.size() ? consumed_[label] : 0; }
-  std::size_t running() const { return where_.size(); }
+  std::size_t running() const { return engine_of_.size(); }
 
  private:
   struct Attempt {
     Load load;
-    double left = 0;
+    double remaining = 0;
     double rate = 0;  // cores
   };
-  struct Machine {
+  struct EngineState {
     double cores = 0, speed = 1;
     double at = 0;
-    std::map<Key, Attempt> runs;
+    std::map<Key, Attempt> attempts;
   };
-  void Share(Machine& machine) const;
-  void Play(Engine id, Machine& machine, double now, std::vector<Finished>& out);
+  void UpdateRates(EngineState& engine_state) const;
+  void AdvanceEngine(Engine id, EngineState& engine_state, double now, std::vector<Finished>& out);
 
-  double knee_, thrash_, now_ = 0;
-  std::map<Engine, Machine> engines_;
-  std::map<Key, Engine> where_;
+  double overload_threshold_, overload_penalty_, now_ = 0;
+  std::map<Engine, EngineState> engines_;
+  std::map<Key, Engine> engine_of_;
   std::vector<double> consumed_;
 };
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_FLEET_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_FLEET_H_
--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -126,7 +126,7 @@
   const auto it = residents_.find(key);
   if (it == residents_.end()) return;
   it->second.plan.priority = priority;
-  if (traits_.priorities_heeded) fleet_.Reprioritise(key, priority);
+  if (traits_.priorities_heeded) fleet_.SetPriority(key, priority);
 }
 
 void QueryEngine::Advance(Nanos now, std::vector<Finished>& out) {
@@ -178,7 +178,7 @@
 double QueryEngine::Progress(const Key& key) const {
   const auto it = residents_.find(key);
   if (it == residents_.end() || !it->second.running) return 0;
-  return 1 - fleet_.Left(key) / std::max(1e-9, it->second.work);
+  return 1 - fleet_.RemainingWork(key) / std::max(1e-9, it->second.work);
 }
 
 }  // namespace lemoncroft::simulation
