--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -36,8 +36,8 @@
   Broker(runtime::Loop& loop, const settings::InForce& site, std::uint64_t seed, backend::Engines& engines,
          metrics::Counters& counters, Limits limits);
 
-  // Puts a waiting line ahead of the module; before Start. Without one, requests go to the module as they
-  // come.
+  // Holds requests in an admission queue ahead of the module. To be called before Start. Without it, requests
+  // go to the module on arrival.
   void EnableAdmissionQueue(admission_queue::Settings settings);
   AdmissionQueueHost* admission_queue() { return queue_.get(); }  // null without one
   // What allows acts under the rules; before Start. Null: all are allowed.
@@ -72,7 +72,7 @@
   };
   struct Abandoned {};
   struct Overdue {};
-  struct TurnedAway {  // by the waiting line
+  struct TurnedAway {  // by the admission queue
     runtime::Span later{};
   };
   using News = std::variant<Terms, Send, Cancel, Refuse, Fail, Ended, Abandoned, Overdue,
--- a/src/cli/state.h
+++ b/src/cli/state.h
@@ -26,7 +26,7 @@
 int ShowFile(const std::string& path, bool json,
              const std::function<int(const nlohmann::ordered_json&)>& print);
 
-// Prints what the file of the waiting line tells; 0, or 1 where there is none, it can't be read or is no
+// Prints the state file of the admission queue. Returns 0, or 1 if there is none, it can't be read or is no
 // longer kept up to date.
 int ShowState(const std::string& path, bool json);
 
--- a/src/testing/benchmark/admission_queue_cost.cpp
+++ b/src/testing/benchmark/admission_queue_cost.cpp
@@ -19,6 +19,8 @@
 
 constexpr std::size_t kRequestsPerRound = 30'000;
 constexpr int kRounds = 5;
+constexpr int kWarmUpSteps = 2000;
+constexpr auto kRunTime = std::chrono::milliseconds(100);
 constexpr admission_queue::Span kStep = std::chrono::milliseconds(1);
 
 // Submits requests of all tenants and classes. Each dispatched request starts at once and ends some steps
@@ -60,9 +62,9 @@
     if (queue_.NextStepTime() > now_) return;
     queue_.Step(now_, decisions_);
     for (const admission_queue::Decision& decision : decisions_) {
-      if (const auto* hand = std::get_if<admission_queue::Dispatch>(&decision)) {
-        queue_.OnAttemptStarted(hand->id, 0, 1, now_);
-        running_.emplace_back(hand->id, now_ + std::chrono::milliseconds(100));
+      if (const auto* dispatch = std::get_if<admission_queue::Dispatch>(&decision)) {
+        queue_.OnAttemptStarted(dispatch->id, 0, 1, now_);
+        running_.emplace_back(dispatch->id, now_ + kRunTime);
       }
     }
   }
@@ -105,14 +107,14 @@
   cost.bytes_per_request =
       static_cast<double>(filled.uordblks + filled.hblkhd - before.uordblks - before.hblkhd) /
       static_cast<double>(depth);
-  for (int turn = 0; turn < 2000; ++turn) load.Step();  // warm
+  for (int step = 0; step < kWarmUpSteps; ++step) load.Step();
   // The least of several rounds: other load on the machine only adds.
   for (int round = 0; round < kRounds; ++round) {
     const std::size_t ended = load.ended();
     const auto from = std::chrono::steady_clock::now();
-    std::size_t taken = 0;
-    while (taken < kRequestsPerRound) {
-      for (; load.waiting() < depth && taken < kRequestsPerRound; ++taken) load.Submit();
+    std::size_t submitted = 0;
+    while (submitted < kRequestsPerRound) {
+      for (; load.waiting() < depth && submitted < kRequestsPerRound; ++submitted) load.Submit();
       load.Step();
     }
     const std::chrono::duration<double, std::micro> spent = std::chrono::steady_clock::now() - from;
