--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -20,6 +20,9 @@
 constexpr double kVirtualTimeRateWindowSeconds = 4;
 constexpr double kEstimateBiasWeight = 0.03;  // of the newest response
 constexpr double kMaxEstimateError = 1.4;     // of the logarithm: limits the effect of an outlier
+constexpr double kMaxEstimateBias = 2.0;      // of the logarithm
+constexpr double kMinWorkSeconds = 1e-6;      // avoids a division by zero
+constexpr double kMaxVirtualTimeRate = 20;    // per second: limits the effect of a jump
 constexpr double kMaxEstimateRatio = 200;     // to the default work of the class
 
 }  // namespace
@@ -161,10 +164,10 @@
   if (it != requests_.end()) --it->second.running_attempts;
   if (it == requests_.end() || reported_work <= Work::zero()) return;
   const Request& r = it->second;
-  const double off = std::log(Seconds(reported_work) / std::max(1e-6, Seconds(r.work)));
-  double& mean = estimate_bias_[r.class_id];
-  mean = std::clamp(mean + kEstimateBiasWeight * std::clamp(off, -kMaxEstimateError, kMaxEstimateError), -2.0,
-                    2.0);
+  const double error = std::log(Seconds(reported_work) / std::max(kMinWorkSeconds, Seconds(r.work)));
+  double& bias = estimate_bias_[r.class_id];
+  bias = std::clamp(bias + kEstimateBiasWeight * std::clamp(error, -kMaxEstimateError, kMaxEstimateError),
+                    -kMaxEstimateBias, kMaxEstimateBias);
 }
 
 void AdmissionQueue::OnRequestCompleted(RequestId id, Time now) {
@@ -217,7 +220,7 @@
   const double moved = std::max(0.0, ledger_.virtual_time() - last_virtual_time_) / Seconds(window);
   last_virtual_time_ = ledger_.virtual_time();
   virtual_time_rate_ += (1 - std::exp(-Seconds(window) / kVirtualTimeRateWindowSeconds)) *
-                        (std::min(moved, 20.0) - virtual_time_rate_);
+                        (std::min(moved, kMaxVirtualTimeRate) - virtual_time_rate_);
 }
 
 std::size_t AdmissionQueue::memory_bytes() const {
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -171,6 +171,8 @@
 
   // Dispatch (dispatch.cpp).
   void DispatchLane(Lane lane, Time now, std::vector<Decision>& decisions);
+  // Dispatches the first request of a tenant in a lane.
+  Dispatch DispatchNext(TenantId tenant, Lane lane, Time now);
   std::optional<TenantId> NextTenant(Lane lane) const;
   ClassId NextClass(const TenantQueue& tenant, Lane lane) const;
   bool IsCompeting(TenantId tenant) const;
--- a/src/admission_queue/dispatch.cpp
+++ b/src/admission_queue/dispatch.cpp
@@ -22,6 +22,7 @@
 // Of the wanted number of heavy threads: below the first no pacing, above the second no dispatch.
 constexpr double kUnpacedLoad = 0.8, kMaxLoad = 1.3;
 constexpr double kPacingGain = 1.5;       // of the pace, per relative deviation from the wanted threads
+constexpr double kMaxDeviation = 0.5;     // from the wanted threads, relative
 constexpr Span kMaxPacingCredit = 100ms;  // of dispatch time that was missed
 
 }  // namespace
@@ -77,8 +78,10 @@
 Span AdmissionQueue::DispatchInterval(Lane lane, Work work) const {
   const double wanted =
       std::max(1.0, settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share);
-  const double off = std::clamp((wanted - threads_by_lane_[kHeavy]) / wanted, -0.5, 0.5);
-  return FromSeconds(Seconds(work) / (lanes_[lane].pacer.Now(AvailableCores()) * (1 + kPacingGain * off)));
+  const double deviation =
+      std::clamp((wanted - threads_by_lane_[kHeavy]) / wanted, -kMaxDeviation, kMaxDeviation);
+  return FromSeconds(Seconds(work) /
+                     (lanes_[lane].pacer.Now(AvailableCores()) * (1 + kPacingGain * deviation)));
 }
 
 std::size_t AdmissionQueue::DispatchWindow(Lane lane) const {
@@ -86,6 +89,27 @@
   return std::clamp(wanted, kMinDispatchWindow[lane], kMaxDispatchWindow);
 }
 
+Dispatch AdmissionQueue::DispatchNext(TenantId t, Lane lane, Time now) {
+  LaneState& state = lanes_[lane];
+  TenantQueue& tenant = tenants_[t];
+  const ClassId class_id = NextClass(tenant, lane);
+  const RequestId id = tenant.class_queues[class_id].front().id;
+  Request& r = requests_.at(id);
+  RemoveFromQueue(r);
+  r.dispatched = true;
+  r.charged = r.work;
+  ledger_.Charge(r.tenant, r.work);
+  ++tenant.dispatched;
+  tenant.threads += settings_.classes[class_id].threads;
+  state.dispatched.push_back(id);
+  threads_by_lane_[lane] += settings_.classes[class_id].threads;
+  if (lane == kHeavy) {
+    state.next_dispatch_at =
+        std::max(state.next_dispatch_at, now - kMaxPacingCredit) + DispatchInterval(lane, r.work);
+  }
+  return Dispatch{id};
+}
+
 void AdmissionQueue::DispatchLane(Lane lane, Time now, std::vector<Decision>& decisions) {
   LaneState& state = lanes_[lane];
   while (fleet_cores_ > 0 && !state.blocked && state.dispatched.size() < DispatchWindow(lane) &&
@@ -93,22 +117,7 @@
     for (TenantId t = 0; t < tenants_.size(); ++t) ledger_.SetCompeting(t, IsCompeting(t));
     const std::optional<TenantId> next = NextTenant(lane);
     if (!next) break;
-    TenantQueue& tenant = tenants_[*next];
-    const ClassId class_id = NextClass(tenant, lane);
-    const RequestId id = tenant.class_queues[class_id].front().id;
-    Request& r = requests_.at(id);
-    RemoveFromQueue(r);
-    r.dispatched = true;
-    r.charged = r.work;
-    ledger_.Charge(r.tenant, r.work);
-    ++tenant.dispatched;
-    tenant.threads += settings_.classes[class_id].threads;
-    state.dispatched.push_back(id);
-    threads_by_lane_[lane] += settings_.classes[class_id].threads;
-    if (lane == kHeavy)
-      state.next_dispatch_at =
-          std::max(state.next_dispatch_at, now - kMaxPacingCredit) + DispatchInterval(lane, r.work);
-    decisions.emplace_back(Dispatch{id});
+    decisions.emplace_back(DispatchNext(*next, lane, now));
   }
   const bool waits = std::any_of(tenants_.begin(), tenants_.end(), [lane](const TenantQueue& tenant) {
     return tenant.waiting_count[lane] > 0;
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -251,7 +251,8 @@
   for (;; co_await loop.Sleep(kStateBeat)) {
     if (running.state.empty()) continue;
     if (!writer) writer.emplace();
-    writer->Write(running.state, StateText(running.config.name, running.broker.admission_queue()->Describe()));
+    writer->Write(running.state,
+                  StateText(running.config.name, running.broker.admission_queue()->Describe()));
   }
 }
 
--- a/src/testing/benchmark/main.cpp
+++ b/src/testing/benchmark/main.cpp
@@ -5,11 +5,11 @@
 #include <filesystem>
 #include <nlohmann/json.hpp>
 
-#include "testing/benchmark/agreement.h"
 #include "testing/benchmark/admission_queue_cost.h"
-#include "testing/benchmark/workload_replay.h"
+#include "testing/benchmark/agreement.h"
 #include "testing/benchmark/peers.h"
 #include "testing/benchmark/scale.h"
+#include "testing/benchmark/workload_replay.h"
 
 namespace {
 
@@ -64,7 +64,8 @@
     for (const auto& [name, value] : out["baseline"].items())
       std::printf("  %-24s %s | %s\n", name.c_str(), out[name].dump().c_str(), value.dump().c_str());
     std::printf(
-        "  cost a request: %.2f us with 1,000 waiting, %.2f us with 100,000 (%.2f us with updates of estimates); "
+        "  cost a request: %.2f us with 1,000 waiting, %.2f us with 100,000 (%.2f us with updates of "
+        "estimates); "
         "%.0f bytes each\n",
         few.us_per_request, many.us_per_request, watched.us_per_request, many.bytes_per_request);
   }
