--- /dev/null
+++ b/src/admission_queue/wait_forecast.cpp
@@ -0,0 +1,98 @@
+#include "admission_queue/wait_forecast.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace lemoncroft::admission_queue {
+
+namespace {
+
+constexpr int kSteps = 40;
+constexpr double kFirstStep = 0.1;  // seconds
+constexpr double kGrowth = 1.09;    // ratio of successive steps
+constexpr double kMinRise = 1e-3;   // of the level per second past the last point: keeps estimates finite
+
+// Divides `amount` among the tenants so that their tags rise to a common level, those with the least tags
+// first, each by at most the work it has. Writes the parts to `given` and returns the level, which is found
+// by bisection since the total is monotone in it.
+double ShareOut(const std::vector<TenantFlow>& flows, const std::vector<double>& tags,
+                const std::vector<double>& has, double amount, double level_before,
+                std::vector<double>& given) {
+  double low = HUGE_VAL, high = -HUGE_VAL, all = 0;
+  for (std::size_t i = 0; i < flows.size(); ++i) {
+    given[i] = 0;
+    if (has[i] <= 0 || flows[i].cores <= 0) continue;
+    low = std::min(low, tags[i]);
+    high = std::max(high, tags[i] + has[i] / flows[i].cores);
+    all += has[i];
+  }
+  // Unused capacity raises the level as if all tenants had more work, so that a later tag is reached in
+  // finite time.
+  double cores = 0;
+  for (const TenantFlow& flow : flows) cores += flow.cores;
+  const double over = cores > 0 ? std::max(0.0, amount - all) / cores : 0;
+  if (all <= 0) return level_before + over;
+  const auto at = [&](double heavy_threads_per_core, std::size_t i) {
+    if (has[i] <= 0 || flows[i].cores <= 0) return 0.0;
+    return std::clamp((heavy_threads_per_core - tags[i]) * flows[i].cores, 0.0, has[i]);
+  };
+  if (all > amount) {
+    for (int round = 0; round < 40; ++round) {
+      const double middle = (low + high) / 2;
+      double sum = 0;
+      for (std::size_t i = 0; i < flows.size(); ++i) sum += at(middle, i);
+      (sum < amount ? low : high) = middle;
+    }
+  }
+  for (std::size_t i = 0; i < flows.size(); ++i) given[i] = at(high, i);
+  return std::max(level_before, high) + over;
+}
+
+}  // namespace
+
+void WaitForecast::Build(const std::vector<TenantFlow>& flows, double pace, double first_dispatch_at) {
+  std::vector<double> tags, has, given(flows.size());
+  double heavy_threads_per_core = HUGE_VAL;
+  for (const TenantFlow& flow : flows) {
+    tags.push_back(flow.start_tag);
+    has.push_back(flow.waiting_work);
+    if (flow.waiting_work > 0) heavy_threads_per_core = std::min(heavy_threads_per_core, flow.start_tag);
+  }
+  if (heavy_threads_per_core == HUGE_VAL) {
+    for (const TenantFlow& flow : flows)
+      heavy_threads_per_core = std::min(heavy_threads_per_core, flow.start_tag);
+  }
+  times_.assign(1, 0.0);
+  levels_.assign(1, heavy_threads_per_core);
+  if (first_dispatch_at > 0) {
+    times_.push_back(first_dispatch_at);
+    levels_.push_back(heavy_threads_per_core);
+    for (std::size_t i = 0; i < flows.size(); ++i) has[i] += flows[i].arrival_rate * first_dispatch_at;
+  }
+  double step = kFirstStep;
+  for (int n = 0; n < kSteps; ++n, step *= kGrowth) {
+    for (std::size_t i = 0; i < flows.size(); ++i) has[i] += flows[i].arrival_rate * step;
+    heavy_threads_per_core = ShareOut(flows, tags, has, pace * step, heavy_threads_per_core, given);
+    times_.push_back(times_.back() + step);
+    levels_.push_back(heavy_threads_per_core);
+    for (std::size_t i = 0; i < flows.size(); ++i) {
+      has[i] -= given[i];
+      if (flows[i].cores > 0) tags[i] += given[i] / flows[i].cores;
+    }
+  }
+}
+
+double WaitForecast::TimeUntil(double start_tag) const {
+  if (start_tag <= levels_.front()) return times_[times_.size() > 1 && levels_[1] == levels_[0] ? 1 : 0];
+  const auto it = std::lower_bound(levels_.begin(), levels_.end(), start_tag);
+  if (it == levels_.end()) {
+    const std::size_t middle = levels_.size() / 2;
+    const double rise = (levels_.back() - levels_[middle]) / (times_.back() - times_[middle]);
+    return times_.back() + (start_tag - levels_.back()) / std::max(kMinRise, rise);
+  }
+  const auto i = static_cast<std::size_t>(it - levels_.begin());
+  const double rise = levels_[i] - levels_[i - 1];
+  return times_[i - 1] + (times_[i] - times_[i - 1]) * (start_tag - levels_[i - 1]) / rise;
+}
+
+}  // namespace lemoncroft::admission_queue
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "backend/engines.h"
+#include "broker/admission_queue_host.h"
 #include "broker/lease_fence.h"
-#include "broker/line_host.h"
 #include "broker/module_host.h"
 #include "broker/request.h"
 #include "lemoncroft/gateway.h"
@@ -36,10 +36,10 @@
   Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed,
          backend::Engines& engines, metrics::Counters& counters, Limits limits);
 
-  // Puts a waiting line ahead of the module; before Start. Without one, requests go to the module as they
-  // come.
-  void PutLineAhead(admission_queue::Settings settings);
-  LineHost* line() { return line_.get(); }  // null without one
+  // Holds requests in an admission queue ahead of the module. To be called before Start. Without it, requests
+  // go to the module on arrival.
+  void EnableAdmissionQueue(admission_queue::Settings settings);
+  AdmissionQueueHost* admission_queue() { return queue_.get(); }  // null without one
   // Fences requests with the configuration lease; set before Start. Null: every action is permitted.
   void set_lease_fence(LeaseFence* lease_fence) {
     lease_fence_ = lease_fence;
@@ -72,11 +72,11 @@
   };
   struct Abandoned {};
   struct Overdue {};
-  struct TurnedAway {  // by the waiting line
+  struct TurnedAway {  // by the admission queue
     runtime::Span later{};
   };
   using News = std::variant<Terms, Send, Cancel, Refuse, Fail, Ended, Abandoned, Overdue,
-                            admission_queue::Hand, TurnedAway, Foretold>;
+                            admission_queue::Dispatch, TurnedAway, Foretold>;
 
   struct Running {
     EngineId engine = 0;
@@ -123,7 +123,7 @@
   metrics::Counters& counters_;
   Limits limits_;
   ModuleHost host_;
-  std::unique_ptr<LineHost> line_;
+  std::unique_ptr<AdmissionQueueHost> queue_;
   std::unordered_map<RequestId, LifePtr> lives_;
   std::unordered_map<std::string, RequestId> ids_;  // the clients' own, of these
   RequestId next_id_ = 1;
--- a/src/cli/state.h
+++ b/src/cli/state.h
@@ -8,13 +8,13 @@
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 
-#include "admission_queue/line.h"
+#include "admission_queue/admission_queue.h"
 #include "runtime/loop.h"
 
 namespace lemoncroft::cli {
 
 // The state as JSON text.
-std::string StateText(const std::string& proxy, const admission_queue::Line::State& state);
+std::string StateText(const std::string& proxy, const admission_queue::AdmissionQueue::State& state);
 // Replaces the file; false where it can't, with `errno` set.
 bool ReplaceFile(const std::string& path, const std::string& text);
 
@@ -26,7 +26,7 @@
 int ShowFile(const std::string& path, bool json,
              const std::function<int(const nlohmann::ordered_json&)>& print);
 
-// Prints what the file of the waiting line tells; 0, or 1 where there is none, it can't be read or is no
+// Prints the state file of the admission queue. Returns 0, or 1 if there is none, it can't be read or is no
 // longer kept up to date.
 int ShowState(const std::string& path, bool json);
 
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -347,8 +347,8 @@
   if (!document.teams.empty() && queue == nullptr) return unknown(Cause::kNoAdmissionQueue, {});
   for (const auto& [name, entry] : document.teams) {
     const bool known =
-        std::any_of(queue->teams.begin(), queue->teams.end(),
-                    [&, n = name](const admission_queue::TeamBudget& t) { return t.name == n; });
+        std::any_of(queue->tenants.begin(), queue->tenants.end(),
+                    [&, n = name](const admission_queue::TenantBudget& t) { return t.name == n; });
     if (!known) return unknown(Cause::kUnknownTeam, name);
   }
   return {};
@@ -416,14 +416,14 @@
 
 admission_queue::Settings ApplyDocument(const Document& document, const admission_queue::Settings& own) {
   admission_queue::Settings line = own;
-  for (admission_queue::TeamBudget& team : line.teams) {
+  for (admission_queue::TenantBudget& team : line.tenants) {
     const auto it = document.teams.find(team.name);
     if (it == document.teams.end()) continue;
     const TeamOverride& entry = it->second;
     if (entry.cores) team.cores = *entry.cores;
     if (entry.burst) team.burst = *entry.burst;
-    if (entry.threads) team.threads = static_cast<int>(*entry.threads);
-    if (entry.max_waiting) team.waiting = *entry.max_waiting;
+    if (entry.threads) team.max_threads = static_cast<int>(*entry.threads);
+    if (entry.max_waiting) team.max_waiting = *entry.max_waiting;
   }
   return line;
 }
