--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -39,9 +39,11 @@
   const bool was_out = directory_.IsEjected(id);
   if (!out && was_out && agreed_) return {true, {}, {}};
   const discovery::ManualEjectionResult done =
-      out ? directory_.Eject(id, tell_) : directory_.ReturnToService(id, std::chrono::system_clock::now(), tell_);
+      out ? directory_.Eject(id, tell_)
+          : directory_.ReturnToService(id, std::chrono::system_clock::now(), tell_);
   if (done == discovery::ManualEjectionResult::kUnknownEngine) return {false, "no database has this id", {}};
-  if (done == discovery::ManualEjectionResult::kTooMany) return {false, "too many databases are out already", {}};
+  if (done == discovery::ManualEjectionResult::kTooMany)
+    return {false, "too many databases are out already", {}};
   spdlog::info("operator: {} {}", out ? "exclude" : "include", id);
   if (!ejection_store_ || (!out && !was_out)) return {true, {}, {}};
   const bool saved = out ? ejection_store_->SaveEjection(id) : ejection_store_->SaveReturn(id);
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -26,8 +26,9 @@
     std::size_t unparsed_of_all = std::size_t{48} << 20;  // bytes of frames that have not come whole
   };
 
-  FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener, const settings::ActiveSettings& site,
-              broker::Broker& broker, metrics::Counters& counters, Limits limits);
+  FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener,
+              const settings::ActiveSettings& site, broker::Broker& broker, metrics::Counters& counters,
+              Limits limits);
   ~FrameServer();
 
   void Start() { loop_.Spawn(AcceptAll()); }
--- a/src/testing/simulation/lease_fleet.cpp
+++ b/src/testing/simulation/lease_fleet.cpp
@@ -83,9 +83,9 @@
   if (h.renewal) {
     Leader& leader = leaders_[h.voter];
     if (!voters_.IsRunning(h.voter) || leader.term != voters_.raft(h.voter).term()) return;
-    const auto grant = leader.grantor.HandleRenewal(voters_.LocalNow(h.voter), voters_.HoldsLeaderLease(h.voter),
-                                                    std::to_string(h.proxy), *h.renewal,
-                                                    leader.active_version, leader.latest_version);
+    const auto grant = leader.grantor.HandleRenewal(
+        voters_.LocalNow(h.voter), voters_.HoldsLeaderLease(h.voter), std::to_string(h.proxy), *h.renewal,
+        leader.active_version, leader.latest_version);
     if (!grant) return;
     ScheduledEvent answer;
     answer.proxy = h.proxy;
