--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -11,36 +11,38 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr auto kEjectionStoreInterval = 50ms;  // well within the grace that sends to a drained engine have
-}
+// Well below the grace in which requests may still be sent to a drained engine.
+constexpr auto kEjectionStoreInterval = 50ms;
+}  // namespace
 
 Reply Operations::Answer(const Call& call) {
   switch (call.verb) {
     case Verb::kReadyz:
       if (phase_ == Phase::kEnding) return {false, "ending", {}};
-      if (may_serve && !may_serve()) return {false, "cut off from the fleet's rules", {}};
+      if (has_valid_lease && !has_valid_lease()) return {false, "cut off from the fleet's rules", {}};
       if (phase_ == Phase::kServing && directory_.has_complete_list()) return {true, {}, {}};
       return {false, "not ready", {}};
     case Verb::kTelemetry:
-      return {true,
-              {},
-              counters_.Text({broker_.open(), directory_.size(), directory_.CountEjected(broker_.Avoided()),
-                              more_ ? more_() : decltype(more_())()})};
+      return {
+          true,
+          {},
+          counters_.Text({broker_.open(), directory_.size(), directory_.CountEjected(broker_.Avoided()),
+                          additional_metrics_ ? additional_metrics_() : decltype(additional_metrics_())()})};
     case Verb::kExclude:
     case Verb::kInclude:
-      return ByHand(call);
+      return HandleManualEjection(call);
   }
   return {false, "unknown call", {}};
 }
 
-Reply Operations::ByHand(const Call& call) {
+Reply Operations::HandleManualEjection(const Call& call) {
   const bool out = call.verb == Verb::kExclude;
   const std::string& id = call.engine;
   const bool was_out = directory_.IsEjected(id);
-  if (!out && was_out && agreed_) return {true, {}, {}};
+  if (!out && was_out && ejections_are_replicated_) return {true, {}, {}};
   const discovery::ManualEjectionResult done =
-      out ? directory_.Eject(id, tell_)
-          : directory_.ReturnToService(id, std::chrono::system_clock::now(), tell_);
+      out ? directory_.Eject(id, on_update_)
+          : directory_.ReturnToService(id, std::chrono::system_clock::now(), on_update_);
   if (done == discovery::ManualEjectionResult::kUnknownEngine) return {false, "no database has this id", {}};
   if (done == discovery::ManualEjectionResult::kTooMany)
     return {false, "too many databases are out already", {}};
@@ -50,30 +52,30 @@
   if (saved || !out) unsaved_ejections_.erase(id);
   if (saved || !out) return {true, {}, {}};
   unsaved_ejections_.insert(id);
-  spdlog::warn("operator: exclude {} can't be kept in $TMPDIR: it holds for this process only", id);
+  spdlog::warn("operator: exclude {} can't be stored in $TMPDIR: it holds for this process only", id);
   return {true, "for this process only: it can't be kept in $TMPDIR", {}};
 }
 
-void Operations::EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds warm) {
+void Operations::EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds slow_start) {
   ejection_store_ = std::make_unique<hot_restart::EjectionStore>(tmpdir);
-  const auto age = std::chrono::duration_cast<hot_restart::UnixTime::duration>(warm);
+  const auto age = std::chrono::duration_cast<hot_restart::UnixTime::duration>(slow_start);
   ejection_store_->RemoveReturnsBefore(std::chrono::system_clock::now() - age);
-  TakeOver();
+  ImportEjections();
 }
 
 runtime::Task<> Operations::WatchEjectionStore() {
   for (;; co_await loop_.Sleep(kEjectionStoreInterval)) {
-    if (ejection_store_ && ejection_store_->MayHaveChanged()) TakeOver();
+    if (ejection_store_ && ejection_store_->MayHaveChanged()) ImportEjections();
   }
 }
 
-void Operations::TakeOver() {
+void Operations::ImportEjections() {
   auto ejections = ejection_store_->Read();
-  if (!ejections) return;  // what is known stands
+  if (!ejections) return;  // the ejections known so far stay
   for (const std::string& id : unsaved_ejections_) ejections->ejected.insert(id);
   for (const std::string& id : ejections->ejected)
-    if (!directory_.IsEjected(id)) spdlog::info("out by hand, as another process was told: {}", id);
-  directory_.ImportEjections(ejections->ejected, ejections->returned_at, tell_);
+    if (!directory_.IsEjected(id)) spdlog::info("ejected by an operator at another process: {}", id);
+  directory_.ImportEjections(ejections->ejected, ejections->returned_at, on_update_);
 }
 
 }  // namespace lemoncroft::cli
--- a/src/cli/operations.h
+++ b/src/cli/operations.h
@@ -1,4 +1,7 @@
-// What each call of an operator does: the figures, the engines out by hand, whether this process serves.
+// Carries out operators' calls: readiness, telemetry and manual ejections.
+//
+// Contract. State of the proxy without I/O but for the ejection store. Owner: the event loop's thread.
+// Errors: a call that can't be carried out is answered with the reason.
 #ifndef LEMONCROFT_CLI_OPERATIONS_H_
 #define LEMONCROFT_CLI_OPERATIONS_H_
 
@@ -23,7 +26,11 @@
 
   Operations(runtime::Loop& loop, discovery::EndpointDirectory& directory, broker::Broker& broker,
              const metrics::Counters& counters, discovery::EndpointDirectory::UpdateCallback tell)
-      : loop_(loop), directory_(directory), broker_(broker), counters_(counters), tell_(std::move(tell)) {}
+      : loop_(loop),
+        directory_(directory),
+        broker_(broker),
+        counters_(counters),
+        on_update_(std::move(tell)) {}
 
   admin::Reply Answer(const admin::Call& call);
   void set_phase(Phase phase) {
@@ -31,36 +38,38 @@
     if (on_phase) on_phase(phase);
   }
   Phase phase() const { return phase_; }
-  std::function<void(Phase)> on_phase;  // told of each that begins
-  std::function<bool()> may_serve;      // beyond what readyz looks at itself; none: it may
+  std::function<void(Phase)> on_phase;  // called when a phase begins
+  // False while this process must not serve because its configuration lease has expired; unset: it may serve.
+  std::function<bool()> has_valid_lease;
 
-  // The fleet agrees on engines out by hand: one is back here only once it has.
-  void set_agreed() { agreed_ = true; }
+  // Manual ejections are part of the replicated configuration: an engine returns to service here once a
+  // version without its ejection is active.
+  void set_ejections_replicated() { ejections_are_replicated_ = true; }
 
-  // Figures of a part that is switched on, told behind the others.
-  void AddFigures(std::function<std::vector<std::pair<std::string, std::uint64_t>>()> figures) {
-    more_ = std::move(figures);
+  // Metrics of an optional part; telemetry lists them after its own.
+  void AddMetrics(std::function<std::vector<std::pair<std::string, std::uint64_t>>()> metrics) {
+    additional_metrics_ = std::move(metrics);
   }
 
-  // From now on engines out by hand are kept in $TMPDIR, for the process that takes this one's place; what
-  // one before has left there holds here. `warm`: how long a returned engine may be cold.
-  void EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds warm);
-  // Keeps to what the other process is told, while there are two.
+  // Stores manual ejections in $TMPDIR from now on and imports those that other processes of this proxy have
+  // stored there. `slow_start`: how long an engine may be in slow start after its return.
+  void EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds slow_start);
+  // Imports ejections that another process of this proxy stores, until the loop ends.
   runtime::Task<> WatchEjectionStore();
 
  private:
-  admin::Reply ByHand(const admin::Call& call);
-  void TakeOver();
+  admin::Reply HandleManualEjection(const admin::Call& call);
+  void ImportEjections();
 
   runtime::Loop& loop_;
   discovery::EndpointDirectory& directory_;
   broker::Broker& broker_;
   const metrics::Counters& counters_;
-  discovery::EndpointDirectory::UpdateCallback tell_;
+  discovery::EndpointDirectory::UpdateCallback on_update_;
   std::unique_ptr<hot_restart::EjectionStore> ejection_store_;  // null: not shared
   std::set<std::string> unsaved_ejections_;                     // out by hand, but without a mark
-  std::function<std::vector<std::pair<std::string, std::uint64_t>>()> more_;
-  bool agreed_ = false;
+  std::function<std::vector<std::pair<std::string, std::uint64_t>>()> additional_metrics_;
+  bool ejections_are_replicated_ = false;
   Phase phase_ = Phase::kStarting;
 };
 
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -326,7 +326,7 @@
   const Time until = Now() + kFeedFirst;
   const auto waits = [&] {
     return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
-           (operations.may_serve && !operations.may_serve());
+           (operations.has_valid_lease && !operations.has_valid_lease());
   };
   while (!directory.has_complete_list() || (waits() && Now() < until)) co_await loop.Sleep(kStartBeat);
   server.Start();
@@ -400,7 +400,7 @@
         loop, *file.fleet, config.name, config.seed,
         [&](const gossip::ServingRank& own) { broker.TellSiblings(own.serving_count, own.rank); });
     operations.on_phase = [&](Operations::Phase phase) { fleet->SetPhase(phase); };
-    operations.AddFigures([&] {
+    operations.AddMetrics([&] {
       auto figures = fleet->Metrics();
       if (rules == nullptr) return figures;
       const auto more = rules->Metrics();
@@ -449,8 +449,8 @@
                                              put_in_force});
     running.rules = rules.get();
     broker.set_lease_fence(rules.get());
-    operations.set_agreed();
-    operations.may_serve = [&] { return rules->ready(); };
+    operations.set_ejections_replicated();
+    operations.has_valid_lease = [&] { return rules->ready(); };
     rules->Start();
   }
   loop.Spawn(endpoint_watch.Run());
