--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -8,7 +8,7 @@
   using namespace lemoncroft;
   Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].aim = 500'000'000;
+  settings.classes[0].latency_objective = 500'000'000;
   settings.classes[0].deadline = 2'000'000'000;
   settings.kinds = {{8, 16384}};
   Gateway gateway(settings, /*seed=*/1);
@@ -17,7 +17,7 @@
   engine.engine = 42;
   Request request;
   request.id = 7;
-  request.patience = 2'000'000'000;
+  request.client_timeout = 2'000'000'000;
   EngineList list{ListKind::kFull, std::make_shared<const std::vector<EngineEntry>>(1, engine)};
 
   std::vector<Action> actions;
--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -35,11 +35,11 @@
 enum class ReportField { kInflight, kQueue, kUtil, kLatencyMs, kQps, kEps, kX0, kX1, kOther };
 
 struct ClassSettings {
-  Nanos aim = 0;           // full worth when answered within this time ...
-  double aim_stretch = 0;  // ... plus this multiple of the request's work over its threads
-  Nanos deadline = 0;      // how long a client waits in all
-  double worth = 1;
-  double late_worth = 0;  // share of the worth earned after the aim
+  Nanos latency_objective = 0;           // full worth when answered within this time ...
+  double latency_objective_stretch = 0;  // ... plus this multiple of the request's work over its threads
+  Nanos deadline = 0;                    // how long a client waits in all
+  double priority_weight = 1;
+  double late_weight_share = 0;  // share of the worth earned after the aim
   Effect effect = Effect::kSafe;
   RepeatGroup group = RepeatGroup::kAll;
   Nanos repeat_window = 0;  // how long repeats are discarded, from the first attempt that may have run
@@ -66,7 +66,7 @@
 struct AttemptBudget {  // further attempts in any look_back: at most free + ratio x requests taken in it
   double free = 0;
   double ratio = 0;
-  Nanos look_back = 0;
+  Nanos budget_window = 0;
 };
 
 // Durations of 0 and absent optionals mean that the rule or feature does not apply.
@@ -77,16 +77,16 @@
   std::vector<ReportField> report_fields;  // of load reports, in order; empty: there are none
   std::optional<AttemptBudget> attempt_budget;
   Nanos tick = 0;  // shortest time between two steps
-  double over_share_worth = 1;
+  double over_quota_weight_share = 1;
 
   Nanos drain_grace = 0;
-  double cold_from = 0;   // a started engine has at least this share of its capacity ...
-  Nanos warm_within = 0;  // ... and all of it after this time
-  double overload_multiple = 0;
-  Nanos fall_window = 0;
+  double slow_start_initial_share = 0;  // a started engine has at least this share of its capacity ...
+  Nanos slow_start_duration = 0;        // ... and all of it after this time
+  double overload_factor = 0;
+  Nanos overload_window = 0;
   Nanos order_settle = 0;
   Nanos must_ask_within = 0;
-  Nanos max_come_back = 0;
+  Nanos max_retry_after = 0;
   Nanos connect_timeout = 0;
 
   double max_grant_share = 1;
@@ -104,12 +104,12 @@
   bool list_on_request = false;     // the engine list must be asked for
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_copy = false;  // two attempts of one request may be out at a time
+  bool may_hedge = false;  // two attempts of one request may be out at a time
   bool may_message = false;
-  bool may_advise = false;  // clients are handed the come-back advice
-  bool grants_heeded = false;
-  bool priorities_heeded = false;
-  bool tells_cost = false;
+  bool may_send_retry_after = false;  // clients are handed the come-back advice
+  bool honors_memory_grants = false;
+  bool honors_priorities = false;
+  bool reports_cost = false;
 };
 
 // ---- Events: what the host has learnt since the last step, in order ----
@@ -136,10 +136,10 @@
 
 struct Request {
   RequestId id = 0;
-  std::uint16_t klass = 0;
+  std::uint16_t class_id = 0;
   std::uint16_t tenant = 0;  // kNoTenant where the site has none
   std::uint64_t key = 0;     // of the order that its class keeps; 0 = none
-  Nanos patience = 0;        // until the client gives up on this try
+  Nanos client_timeout = 0;  // until the client gives up on this try
   Nanos est_work = 0;        // 0 = no estimate
   double est_memory_mb = 0;
   std::uint32_t tables = 0;
@@ -147,7 +147,7 @@
 };
 
 // kLost: it may have run, but its answer was lost or spoilt on the way from an engine that is there.
-enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot, kLost };
+enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent, kLost };
 
 inline constexpr std::size_t kMaxReportFields = 4;
 
@@ -178,12 +178,12 @@
   RequestId id = 0;
 };
 
-enum class NoteKind { kProgress, kSpills, kWaits };
+enum class NoticeKind { kProgress, kSpills, kWaits };
 
-struct Note {
+struct ProgressNotice {
   RequestId id = 0;
   int attempt = 0;
-  NoteKind kind = NoteKind::kProgress;
+  NoticeKind kind = NoticeKind::kProgress;
   double amount = 0;  // share done; megabytes missing; 1 = waits for memory, 2 = for a load
 };
 
@@ -205,22 +205,23 @@
 
 // New settings while requests are under way. Those keep the class and tenant that they came with: what has
 // such a number keeps its figures. A class that is new under its number may start with another's estimates.
-struct Retuned {
+struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
-  std::vector<int> like;  // for each class, the one before whose estimates it starts with; -1: none
+  std::vector<int>
+      inherits_estimates_from;  // for each class, the one before whose estimates it starts with; -1: none
 };
 
 // Others decide in the place of this gateway too, while one process takes another's place: budgets that hold
 // for the gateway as a whole are divided by so many parts, of which this one has one. Before the first list
 // where it is so from the start.
-struct Beside {
+struct ProcessShare {
   int parts = 1;
 };
 
 // How many gateways serve, and which place this one has in the order of their names, as their own view of the
 // fleet tells: from then on in the place of what the settings say, for subsets and for budgets that all
 // share.
-struct Siblings {
+struct FleetSize {
   int gateways = 1;
   int place = 0;
 };
@@ -233,12 +234,14 @@
 // The process is about to be ended: what has no answer yet gets it now.
 struct Closing {};
 
-using Event = std::variant<Retuned, Beside, Siblings, Closing, EngineList, Request, AttemptEnded,
-                           StreamStarted, ClientGone, DeadlineReached, Note, Probed, PeerMessage, TimerFired>;
+using Event =
+    std::variant<SettingsChanged, ProcessShare, FleetSize, Closing, EngineList, Request, AttemptEnded,
+                 StreamStarted, ClientGone, DeadlineReached, ProgressNotice, Probed, PeerMessage, TimerFired>;
 
 // ---- Actions: to be carried out in the order given, at the time of the step ----
 
-struct Terms {  // memory and priority for the request's further sends; the priority also for those out
+struct ResourceGrant {  // memory and priority for the request's further sends; the priority also for those
+                        // out
   RequestId id = 0;
   int priority = 1;
   double grant_mb = 0;  // 0 = the engine chooses
@@ -253,9 +256,9 @@
   RequestId id = 0;
   int attempt = 0;
 };
-struct Refuse {  // final: not served, harmless to try again
+struct RejectRequest {  // final: not served, harmless to try again
   RequestId id = 0;
-  Nanos come_back = 0;  // 0 = no advice
+  Nanos retry_after = 0;  // 0 = no advice
 };
 struct Fail {  // final: failed, with no promise about effects
   RequestId id = 0;
@@ -274,7 +277,8 @@
   std::string text;
 };
 
-using Action = std::variant<Terms, Send, Cancel, Refuse, Fail, WakeAt, Probe, WatchList, LogLine>;
+using Action =
+    std::variant<ResourceGrant, Send, Cancel, RejectRequest, Fail, WakeAt, Probe, WatchList, LogLine>;
 
 class Gateway {
  public:
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -43,7 +43,7 @@
   switch (io) {
     case Io::kCancelled:      // before anything was sent
     case Io::kNoDescriptors:  // our own shortage tells nothing of the engine
-      return Outcome::kMoot;
+      return Outcome::kNotSent;
     default:
       return Outcome::kConnectFailed;
   }
@@ -116,23 +116,23 @@
 // The statement goes out once and never again, whatever becomes of it. kOk: the engine has answered.
 Task<Outcome> Engines::Start(Query& query) {
   const Attempt& attempt = query.attempt;
-  const broker::Passed& passed = *attempt.passed;
-  if (Now() >= attempt.deadline) co_return Outcome::kMoot;
+  const broker::ForwardedFields& passed = *attempt.passed;
+  if (Now() >= attempt.deadline) co_return Outcome::kNotSent;
   for (int broken = 0;;) {
     const runtime::Time limit = std::min({attempt.deadline, attempt.not_after, Now() + connect_timeout_});
     const Io up = co_await pool_.Acquire(attempt.engine, limit, &query.cancel, query.lease);
-    if (Now() >= attempt.not_after) co_return Outcome::kMoot;
+    if (Now() >= attempt.not_after) co_return Outcome::kNotSent;
     // Reset while it came up: that can be this connection's own fate, where a refusal tells of the engine.
     if (up == Io::kClosed && ++broken < kConnects) continue;
     if (up != Io::kOk) co_return ConnectOutcome(up);
     // The engine may have begun to drain, or the request have ended, while the connection came up.
-    if (query.cancel.cancelled() || !directory_.MaySend(attempt.engine)) co_return Outcome::kMoot;
+    if (query.cancel.cancelled() || !directory_.MaySend(attempt.engine)) co_return Outcome::kNotSent;
     const runtime::Span left = attempt.deadline - Now();
-    if (left <= runtime::Span::zero()) co_return Outcome::kMoot;
+    if (left <= runtime::Span::zero()) co_return Outcome::kNotSent;
     // This process may have been stopped since the request was taken, for longer than its lease.
     if (lease_fence_ != nullptr && !lease_fence_->RecordSend(passed.lane, attempt.engine, attempt.again)) {
       co_await loop_.Sleep(kWithoutLease, &query.cancel);  // the module may try another at once
-      co_return Outcome::kMoot;
+      co_return Outcome::kNotSent;
     }
     codec::HttpRequest post;
     post.method = "POST";
@@ -165,7 +165,7 @@
       co_return co_await Ask(query, 0);
     }
     // Not a byte has gone: a connection that broke just now. Another one will do.
-    if (io == Io::kCancelled) co_return Outcome::kMoot;
+    if (io == Io::kCancelled) co_return Outcome::kNotSent;
     if (!query.lease.reused() && ++broken >= kConnects) co_return Outcome::kConnectFailed;
   }
 }
@@ -230,7 +230,7 @@
       case 503:
         co_return unrun ? Outcome::kFull : Outcome::kError;
       case 504:
-        co_return unrun ? Outcome::kMoot : Outcome::kError;
+        co_return unrun ? Outcome::kNotSent : Outcome::kError;
       default:  // where an answer was lost, it may only say that the engine no longer knows the query
         co_return query.lost ? Outcome::kLost : Outcome::kError;
     }
--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -15,7 +15,7 @@
 namespace lemoncroft::backend {
 
 struct Attempt {
-  const broker::Passed* passed = nullptr;  // outlives the attempt
+  const broker::ForwardedFields* passed = nullptr;  // outlives the attempt
   EngineId engine = 0;
   runtime::Time deadline{};
   runtime::Time not_after = runtime::kNever;  // for its statement to leave: past this a repeat does harm
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -51,33 +51,34 @@
   if (queue_) loop_.Spawn(queue_->Run());
 }
 
-void Broker::TellList(EngineList list) {
+void Broker::UpdateEndpoints(EngineList list) {
   if (queue_) queue_->UpdateEndpoints(list);
   host_.Post(std::move(list));
 }
 
-void Broker::Retune(std::vector<int> like, std::size_t requests) {
+void Broker::ApplySettings(std::vector<int> inherits_estimates_from, std::size_t requests) {
   limits_.requests = requests;
   const auto site = site_.snapshot();
   if (queue_) queue_->set_kinds(site->module.kinds);
-  host_.Retune({std::shared_ptr<const Settings>(site, &site->module), std::move(like)});
+  host_.ApplySettings(
+      {std::shared_ptr<const Settings>(site, &site->module), std::move(inherits_estimates_from)});
 }
 
-void Broker::TellSiblings(int serving, int place) {
+void Broker::SetFleetSize(int serving, int place) {
   if (queue_) queue_->SetProxyCount(serving);
-  host_.Post(Siblings{serving, place});
+  host_.Post(FleetSize{serving, place});
 }
 
 settings::ReferencedNumbers Broker::used() const {
   settings::ReferencedNumbers used;
   for (const auto& [id, life] : lives_) {
-    used.classes.insert(life->request.klass);
+    used.classes.insert(life->request.class_id);
     used.tenants.insert(life->request.tenant);
   }
   return used;
 }
 
-void Broker::Finish(const std::string& lane, AnswerSink& sink, const Answer& answer) {
+void Broker::Finish(const std::string& lane, ResponseSink& sink, const Answer& answer) {
   using metrics::End;
   counters_.Ended(lane, answer.verdict == Verdict::kServed    ? End::kOk
                         : answer.verdict == Verdict::kRefused ? End::kShed
@@ -85,7 +86,7 @@
   sink.Finish(answer);
 }
 
-RequestId Broker::Take(ClientRequest request, std::unique_ptr<AnswerSink> sink) {
+RequestId Broker::Take(ClientRequest request, std::unique_ptr<ResponseSink> sink) {
   const std::string& lane = request.passed.lane;
   counters_.Taken(lane);
   const std::size_t bytes = request.passed.bytes();
@@ -104,16 +105,18 @@
   }
   const RequestId id = next_id_++;
   if (queue_) {
-    const auto taken = queue_->Submit(
-        {id, request.tenant, request.klass, request.est_work, request.deadline - kLastWord, request.watched});
+    const auto taken = queue_->Submit({id, request.tenant, request.class_id, request.est_work,
+                                       request.deadline - kLastWord, request.watched});
     if (taken.rejected) {
       Finish(lane, *sink,
-             {Verdict::kRefused, site_->module.may_advise ? taken.rejected->retry_after : Span::zero(), {}});
+             {Verdict::kRefused,
+              site_->module.may_send_retry_after ? taken.rejected->retry_after : Span::zero(),
+              {}});
       return 0;
     }
-    if (request.watched) sink->Foretell({taken.estimate.wait, taken.estimate.upper_bound});
+    if (request.watched) sink->NotifyWait({taken.estimate.wait, taken.estimate.upper_bound});
   }
-  auto life = std::make_shared<Life>();
+  auto life = std::make_shared<ActiveRequest>();
   life->id = id;
   life->taken = Now();
   life->request = std::move(request);
@@ -122,17 +125,17 @@
   ids_.emplace(life->request.passed.id, life->id);
   ++open_;
   bytes_ += bytes;
-  loop_.Spawn(Live(std::move(life)));
+  loop_.Spawn(RunRequest(std::move(life)));
   return id;
 }
 
-void Broker::Abandon(RequestId id) { Deliver(id, Abandoned{}); }
+void Broker::CancelRequest(RequestId id) { Deliver(id, Abandoned{}); }
 
 // The life of a request. Until it is answered: what the module decides is done, what attempts bring is told.
 // After that, what still runs is given up and its end is told too, since the module waits for it.
 // One loop over all events of a request; not split yet.
 // NOLINTNEXTLINE(readability-function-size)
-Task<> Broker::Live(LifePtr life) {
+Task<> Broker::RunRequest(ActiveRequestPtr life) {
   if (!queue_) host_.Post(Described(*life));
   const Time last_word = life->request.deadline - kLastWord, guard = life->request.deadline + kGuard;
   bool deadline_told = false;
@@ -141,7 +144,7 @@
     News news = co_await Next(*life, deadline_told ? guard : last_word);
     answered =
         std::visit(Overloaded{
-                       [&](const Terms& terms) {
+                       [&](const ResourceGrant& terms) {
                          ApplyTerms(*life, terms);
                          return false;
                        },
@@ -150,7 +153,7 @@
                            StartAttempt(life, send);
                            return false;
                          }
-                         EndUnsent(*life, send, false);
+                         ReportNotSent(*life, send, false);
                          Finish(lane, *life->sink, {Verdict::kRefused, ComeBackMost(), {}});
                          host_.Post(ClientGone{life->id});
                          return true;
@@ -160,7 +163,7 @@
                          if (number < life->attempts.size()) life->attempts[number]->cancel.Cancel();
                          return false;
                        },
-                       [&](const Refuse& refuse) {
+                       [&](const RejectRequest& refuse) {
                          Finish(lane, *life->sink, {Verdict::kRefused, Advice(*life, refuse), {}});
                          return true;
                        },
@@ -169,12 +172,12 @@
                          return false;
                        },
                        [&](const TurnedAway& turned) {  // never ran, and the module never heard of it
-                         const Span later = site_->module.may_advise ? turned.later : Span::zero();
+                         const Span later = site_->module.may_send_retry_after ? turned.later : Span::zero();
                          Finish(lane, *life->sink, {Verdict::kRefused, later, {}});
                          return true;
                        },
-                       [&](const Foretold& foretold) {
-                         life->sink->Foretell(foretold);
+                       [&](const WaitNotice& foretold) {
+                         life->sink->NotifyWait(foretold);
                          return false;
                        },
                        [&](const Fail&) {
@@ -185,7 +188,7 @@
                          const bool served = ended.result.outcome == Outcome::kOk;
                          if (served)
                            Finish(lane, *life->sink, {Verdict::kServed, {}, std::move(ended.result.rows)});
-                         TellEnded(*life, ended, served);
+                         ReportAttemptEnded(*life, ended, served);
                          return served;
                        },
                        [&](const Abandoned&) {
@@ -217,14 +220,14 @@
   // Among what is left may be an attempt that the module decided on before it heard of the end.
   while (out() || !life->inbox.empty()) {
     const News news = co_await Next(*life, runtime::kNever);
-    if (const auto* ended = std::get_if<Ended>(&news)) TellEnded(*life, *ended, true);
-    if (const auto* send = std::get_if<Send>(&news)) EndUnsent(*life, *send, true);
+    if (const auto* ended = std::get_if<Ended>(&news)) ReportAttemptEnded(*life, *ended, true);
+    if (const auto* send = std::get_if<Send>(&news)) ReportNotSent(*life, *send, true);
   }
   ids_.erase(life->request.passed.id);
   lives_.erase(life->id);
 }
 
-Task<Broker::News> Broker::Next(Life& life, Time guard) {
+Task<Broker::News> Broker::Next(ActiveRequest& life, Time guard) {
   while (life.inbox.empty()) {
     const runtime::Wake wake = co_await runtime::Waiter(loop_, &life.arrived, guard);
     if (wake == runtime::Wake::kTimeout) co_return Overdue{};
@@ -234,7 +237,7 @@
   co_return news;
 }
 
-void Broker::StartAttempt(const LifePtr& life, const Send& send) {
+void Broker::StartAttempt(const ActiveRequestPtr& life, const Send& send) {
   const Time now = Now();
   const Time last = life->request.deadline - kLastWord;
   auto running = std::make_unique<Running>();
@@ -250,14 +253,14 @@
   attempt.not_after = host_.ToTime(send.not_after);
   attempt.grant_mb = life->terms.grant_mb;
   attempt.priority = life->terms.priority;
-  attempt.exclusive = !site_->module.may_copy || life->request.order_key != 0;
+  attempt.exclusive = !site_->module.may_hedge || life->request.order_key != 0;
   attempt.again = std::any_of(life->attempts.begin(), std::prev(life->attempts.end()),
                               [](const auto& a) { return a->ran || a->out; });
   loop_.Spawn(RunAttempt(life, number, attempt));
 }
 
 // Whether an isolated proxy has to reject the request at once: no attempt of it can have been executed.
-bool Broker::Forbidden(const Life& life, const Send& send) const {
+bool Broker::Forbidden(const ActiveRequest& life, const Send& send) const {
   if (lease_fence_ == nullptr) return false;
   const bool again =
       std::any_of(life.attempts.begin(), life.attempts.end(), [](const auto& a) { return a->out || a->ran; });
@@ -265,7 +268,7 @@
 }
 
 // An attempt that the module counts and that was never made.
-void Broker::EndUnsent(Life& life, const Send& send, bool finished) {
+void Broker::ReportNotSent(ActiveRequest& life, const Send& send, bool finished) {
   auto running = std::make_unique<Running>();
   running->engine = send.engine;
   running->started = Now();
@@ -274,15 +277,15 @@
   life.attempts.push_back(std::move(running));
   if (queue_) queue_->OnAttemptStarted(life.id, number, life.terms.priority);
   Ended ended{number, {}};
-  ended.result.outcome = Outcome::kMoot;
-  TellEnded(life, ended, finished);
+  ended.result.outcome = Outcome::kNotSent;
+  ReportAttemptEnded(life, ended, finished);
 }
 
 Span Broker::ComeBackMost() const {
-  return site_->module.may_advise ? ToSpan(site_->module.max_come_back) : Span::zero();
+  return site_->module.may_send_retry_after ? ToSpan(site_->module.max_retry_after) : Span::zero();
 }
 
-Task<> Broker::RunAttempt(LifePtr life, int number, backend::Attempt attempt) {
+Task<> Broker::RunAttempt(ActiveRequestPtr life, int number, backend::Attempt attempt) {
   Ended ended{number, {}};
   // Whatever goes wrong in here, the module is owed an outcome; that it never ran can't be claimed then.
   try {
@@ -292,13 +295,13 @@
   }
   const Outcome how = ended.result.outcome;
   Running& running = *life->attempts[static_cast<std::size_t>(number)];
-  running.ran = how != Outcome::kFull && how != Outcome::kConnectFailed && how != Outcome::kMoot;
+  running.ran = how != Outcome::kFull && how != Outcome::kConnectFailed && how != Outcome::kNotSent;
   running.out = false;
   life->inbox.push_back(std::move(ended));
   life->arrived.Open();
 }
 
-void Broker::ApplyTerms(Life& life, const Terms& terms) {
+void Broker::ApplyTerms(ActiveRequest& life, const ResourceGrant& terms) {
   const bool changed = terms.priority != life.terms.priority;
   life.terms = terms;
   if (!changed) return;
@@ -307,7 +310,7 @@
   }
 }
 
-void Broker::TellEnded(const Life& life, const Ended& ended, bool finished) {
+void Broker::ReportAttemptEnded(const ActiveRequest& life, const Ended& ended, bool finished) {
   const Running& running = *life.attempts[static_cast<std::size_t>(ended.attempt)];
   AttemptEnded event;
   event.id = life.id;
@@ -328,24 +331,24 @@
   host_.Post(event);
   if (!queue_) return;
   const bool ran = event.outcome != Outcome::kFull && event.outcome != Outcome::kConnectFailed &&
-                   event.outcome != Outcome::kMoot;
+                   event.outcome != Outcome::kNotSent;
   queue_->OnAttemptEnded(life.id, ended.attempt, ended.result.work, ran);
 }
 
 // What the line foresees, where there is one, is more honest than the longest wait that the settings allow.
-Span Broker::Advice(const Life& life, const Refuse& refuse) {
-  if (!queue_ || refuse.come_back <= 0) return ToSpan(refuse.come_back);
-  return queue_->RetryAfter(life.request.tenant, life.request.klass);
+Span Broker::Advice(const ActiveRequest& life, const RejectRequest& refuse) {
+  if (!queue_ || refuse.retry_after <= 0) return ToSpan(refuse.retry_after);
+  return queue_->RetryAfter(life.request.tenant, life.request.class_id);
 }
 
-Event Broker::Described(const Life& life) const {
+Event Broker::Described(const ActiveRequest& life) const {
   const ClientRequest& from = life.request;
   Request request;
   request.id = life.id;
-  request.klass = from.klass;
+  request.class_id = from.class_id;
   request.tenant = from.tenant;
   request.key = from.order_key;
-  request.patience = std::max<Nanos>(0, ToNanos(from.deadline - Now()));
+  request.client_timeout = std::max<Nanos>(0, ToNanos(from.deadline - Now()));
   request.est_work = ToNanos(from.est_work);
   request.est_memory_mb = from.est_memory_mb;
   request.tables = from.tables;
@@ -369,7 +372,7 @@
           [&](const admission_queue::Dispatch& hand) { Deliver(hand.id, hand); },
           [&](const admission_queue::Reject& refuse) { Deliver(refuse.id, TurnedAway{refuse.retry_after}); },
           [&](const admission_queue::EstimateUpdate& tell) {
-            Deliver(tell.id, Foretold{tell.estimate.wait, tell.estimate.upper_bound});
+            Deliver(tell.id, WaitNotice{tell.estimate.wait, tell.estimate.upper_bound});
           },
           [](const admission_queue::LogEvent&) {},  // the host's own
       },
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -47,22 +47,22 @@
   }
   void Start();
   // Takes a request; its answer may come within the call. Returns the number to abandon it by.
-  RequestId Take(ClientRequest request, std::unique_ptr<AnswerSink> sink);
+  RequestId Take(ClientRequest request, std::unique_ptr<ResponseSink> sink);
   // Nobody waits for the answer any more: none will be given.
-  void Abandon(RequestId id);
-  void TellList(EngineList list);
+  void CancelRequest(RequestId id);
+  void UpdateEndpoints(EngineList list);
   // New settings are in force; `like` as in Retuned.
-  void Retune(std::vector<int> like, std::size_t requests);
-  void TellBeside(int parts) { host_.Post(Beside{parts}); }
+  void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t requests);
+  void SetProcessShare(int parts) { host_.Post(ProcessShare{parts}); }
   // How many proxies serve, and this one's place among them, as the view of the fleet has it.
-  void TellSiblings(int serving, int place);
+  void SetFleetSize(int serving, int place);
   settings::ReferencedNumbers used() const;  // by requests under way
   // From now on new requests are refused: the process is about to end.
   void Close() { closed_ = true; }
   bool idle() const { return lives_.empty() && !engines_.giving_up(); }  // nothing is out any more
   std::vector<EngineId> Avoided() const { return host_.Avoided(); }      // by the module's choice
   // Has the module answer what is open: nothing of it can be waited for any longer.
-  void AnswerAll() { host_.Post(Closing{}); }
+  void CompleteAllRequests() { host_.Post(Closing{}); }
   std::size_t open() const { return open_; }  // requests without a final answer
 
  private:
@@ -75,8 +75,8 @@
   struct TurnedAway {  // by the admission queue
     runtime::Span later{};
   };
-  using News = std::variant<Terms, Send, Cancel, Refuse, Fail, Ended, Abandoned, Overdue,
-                            admission_queue::Dispatch, TurnedAway, Foretold>;
+  using News = std::variant<ResourceGrant, Send, Cancel, RejectRequest, Fail, Ended, Abandoned, Overdue,
+                            admission_queue::Dispatch, TurnedAway, WaitNotice>;
 
   struct Running {
     EngineId engine = 0;
@@ -86,36 +86,36 @@
     runtime::Cancellation cancel;
   };
 
-  struct Life {
+  struct ActiveRequest {
     RequestId id = 0;
     runtime::Time taken{};
     ClientRequest request;
-    std::unique_ptr<AnswerSink> sink;
-    Terms terms;
+    std::unique_ptr<ResponseSink> sink;
+    ResourceGrant terms;
     std::vector<std::unique_ptr<Running>> attempts;  // by number
     std::deque<News> inbox;
     runtime::Gate arrived;
   };
-  using LifePtr = std::shared_ptr<Life>;
+  using ActiveRequestPtr = std::shared_ptr<ActiveRequest>;
 
   // The one place where a request gets its answer.
-  void Finish(const std::string& lane, AnswerSink& sink, const Answer& answer);
-  runtime::Task<> Live(LifePtr life);
-  runtime::Task<News> Next(Life& life, runtime::Time guard);
-  void StartAttempt(const LifePtr& life, const Send& send);
-  bool Forbidden(const Life& life, const Send& send) const;
-  void EndUnsent(Life& life, const Send& send, bool finished);
+  void Finish(const std::string& lane, ResponseSink& sink, const Answer& answer);
+  runtime::Task<> RunRequest(ActiveRequestPtr life);
+  runtime::Task<News> Next(ActiveRequest& life, runtime::Time guard);
+  void StartAttempt(const ActiveRequestPtr& life, const Send& send);
+  bool Forbidden(const ActiveRequest& life, const Send& send) const;
+  void ReportNotSent(ActiveRequest& life, const Send& send, bool finished);
   runtime::Span ComeBackMost() const;
-  runtime::Task<> RunAttempt(LifePtr life, int number, backend::Attempt attempt);
-  void ApplyTerms(Life& life, const Terms& terms);
-  runtime::Span Advice(const Life& life, const Refuse& refuse);
-  void TellEnded(const Life& life, const Ended& ended, bool finished);
+  runtime::Task<> RunAttempt(ActiveRequestPtr life, int number, backend::Attempt attempt);
+  void ApplyTerms(ActiveRequest& life, const ResourceGrant& terms);
+  runtime::Span Advice(const ActiveRequest& life, const RejectRequest& refuse);
+  void ReportAttemptEnded(const ActiveRequest& life, const Ended& ended, bool finished);
   runtime::Task<> RunProbe(EngineId engine);
 
   void CarryOut(const Action& action);
   void CarryOut(const admission_queue::Decision& decision);
   void Deliver(RequestId id, News news);
-  Event Described(const Life& life) const;
+  Event Described(const ActiveRequest& life) const;
 
   runtime::Loop& loop_;
   const settings::ActiveSettings& site_;
@@ -124,7 +124,7 @@
   Limits limits_;
   ModuleHost host_;
   std::unique_ptr<AdmissionQueueHost> queue_;
-  std::unordered_map<RequestId, LifePtr> lives_;
+  std::unordered_map<RequestId, ActiveRequestPtr> lives_;
   std::unordered_map<std::string, RequestId> ids_;  // the clients' own, of these
   RequestId next_id_ = 1;
   std::size_t open_ = 0;
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -11,8 +11,8 @@
   if (const auto* list = std::get_if<EngineList>(&event)) {
     spdlog::trace("told list {}", list->entries ? list->entries->size() : 0);
   } else if (const auto* request = std::get_if<Request>(&event)) {
-    spdlog::trace("told request {} class {} tenant {} work {}", request->id, request->klass, request->tenant,
-                  request->est_work);
+    spdlog::trace("told request {} class {} tenant {} work {}", request->id, request->class_id,
+                  request->tenant, request->est_work);
   } else if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
     spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended->id, ended->attempt,
                   static_cast<int>(ended->outcome), ended->finished, ended->work);
@@ -22,14 +22,14 @@
 }
 
 void Trace(const Action& action) {
-  if (const auto* terms = std::get_if<Terms>(&action)) {
+  if (const auto* terms = std::get_if<ResourceGrant>(&action)) {
     spdlog::trace("says terms {} priority {}", terms->id, terms->priority);
   } else if (const auto* send = std::get_if<Send>(&action)) {
     spdlog::trace("says send {}", send->id);
   } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
     spdlog::trace("says cancel {}.{}", cancel->id, cancel->attempt);
-  } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-    spdlog::trace("says refuse {} later {}", refuse->id, refuse->come_back);
+  } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
+    spdlog::trace("says refuse {} later {}", refuse->id, refuse->retry_after);
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
     spdlog::trace("says fail {}", fail->id);
   }
@@ -42,7 +42,7 @@
   work_.Open();
 }
 
-void ModuleHost::Retune(Retuned retuned) {
+void ModuleHost::ApplySettings(SettingsChanged retuned) {
   tick_ = decision::ToSpan(retuned.settings->tick);
   Post(std::move(retuned));
 }
--- a/src/broker/module_host.h
+++ b/src/broker/module_host.h
@@ -25,7 +25,7 @@
         carry_out_(std::move(carry_out)) {}
 
   void Post(Event event);
-  void Retune(Retuned retuned);
+  void ApplySettings(SettingsChanged retuned);
   runtime::Time ToTime(Nanos at) const { return clock_.ToTime(at); }
   std::vector<EngineId> Avoided() const { return gateway_.Avoided(clock_.At(runtime::Now())); }
   runtime::Task<> Run();
--- a/src/broker/request.h
+++ b/src/broker/request.h
@@ -11,7 +11,7 @@
 namespace lemoncroft::broker {
 
 // What goes on to the engine as the bytes that came.
-struct Passed {
+struct ForwardedFields {
   std::string id;
   std::string lane;
   std::string dedupe;  // empty: none
@@ -21,8 +21,8 @@
 };
 
 struct ClientRequest {
-  Passed passed;
-  std::uint16_t klass = 0;
+  ForwardedFields passed;
+  std::uint16_t class_id = 0;
   std::uint16_t tenant = kNoTenant;
   std::uint64_t order_key = 0;  // 0: none
   std::uint32_t tables = 0;
@@ -36,23 +36,23 @@
 
 struct Answer {
   Verdict verdict = Verdict::kFailed;
-  runtime::Span come_back{};  // of a refusal; zero: no advice
-  std::string rows;           // of a served request
+  runtime::Span retry_after{};  // of a refusal; zero: no advice
+  std::string rows;             // of a served request
 };
 
 // An estimate of the wait until a request first goes to an engine; told only to those that ask.
-struct Foretold {
+struct WaitNotice {
   runtime::Span wait{};
   runtime::Span most{};  // with the error that estimates have lately had
 };
 
 // Where one request's final answer goes. Finish is called once at the most, and neither after
 // Broker::Abandon.
-class AnswerSink {
+class ResponseSink {
  public:
-  virtual ~AnswerSink() = default;
+  virtual ~ResponseSink() = default;
   virtual void Finish(const Answer& answer) = 0;
-  virtual void Foretell(const Foretold&) {}  // any number of times before
+  virtual void NotifyWait(const WaitNotice&) {}  // any number of times before
 };
 
 }  // namespace lemoncroft::broker
--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -7,7 +7,6 @@
 using admin::Call;
 using admin::Reply;
 using admin::Verb;
-using discovery::EndpointDirectory;
 using namespace std::chrono_literals;
 
 namespace {
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -150,14 +150,14 @@
 
 void PutInForce(Running& running, settings::Migration migration) {
   running.site.Replace(std::move(migration.site));
-  running.broker.Retune(std::move(migration.inherits_estimates_from),
-                        MostRequests(*running.site, running.most));
+  running.broker.ApplySettings(std::move(migration.inherits_estimates_from),
+                               MostRequests(*running.site, running.most));
   running.directory.RenumberKindsAndZones(running.tell);
   running.engines.set_connect_timeout(decision::ToSpan(running.site->module.connect_timeout));
   running.engines.set_report_fields(running.site->report_fields);
   running.engines.pool().set_idle(IdleFor(*running.site));
-  for (const std::string& klass : running.site->classes)
-    if (!klass.empty()) running.counters.Know(klass);
+  for (const std::string& class_id : running.site->classes)
+    if (!class_id.empty()) running.counters.Know(class_id);
 }
 
 // Settings of this proxy's own, as the rules that the fleet agrees on change them.
@@ -173,7 +173,7 @@
 }
 
 // A process is started with these for good.
-void TellWhatStays(const Config& now, const Config& before) {
+void WarnAboutStartOnlySettings(const Config& now, const Config& before) {
   const std::pair<const char*, bool> parts[] = {
       {"name", now.name == before.name},
       {"listen", now.listen_text == before.listen_text},
@@ -213,7 +213,7 @@
     }
     if (file.fleet && *file.fleet != *running.fleet)
       spdlog::warn("{}: fleet changes by a restart only; it stays as it was", paths.operator_file);
-    TellWhatStays(config, running.config);
+    WarnAboutStartOnlySettings(config, running.config);
     LogFindings(config);
     PutInForce(running, std::move(migration));
     if (file.waiting) {
@@ -279,7 +279,7 @@
         since + kServeFor + std::min<runtime::Span>(decision::ToSpan(longest), kOutlives) - kLastAnswers;
     while (broker.open() > 0 && Now() < last) co_await loop.Sleep(kDrainBeat);
     if (broker.open() > 0) spdlog::info("ending: {} requests can't be waited for", broker.open());
-    broker.AnswerAll();
+    broker.CompleteAllRequests();
   }
   for (; broker.open() > 0 || !server.flushed(); co_await loop.Sleep(kDrainBeat)) server.CloseResting();
   // A process that ended now would reset the connections on which something has come meanwhile.
@@ -310,7 +310,7 @@
     running.server.set_connections(share.clients);
     running.engines.pool().set_connections(share.engines);
     if (const int now = ProcessCount(own, others); std::exchange(parts, now) != now)
-      running.broker.TellBeside(now);
+      running.broker.SetProcessShare(now);
     if (std::exchange(before, others.processes) == others.processes) continue;
     spdlog::info(
         "{} other processes of this proxy live: at most {} connections to clients, {} to engines now", before,
@@ -364,7 +364,7 @@
   // Another process may live beside this one at any time, and bytes can't be handed back at once.
   const std::size_t memory_mb = shared ? config.memory_mb / 2 : config.memory_mb;
   metrics::Counters counters;
-  for (const std::string& klass : site->classes) counters.Know(klass);
+  for (const std::string& class_id : site->classes) counters.Know(class_id);
   backend::Engines engines(loop, directory, PoolLimits(config),
                            decision::ToSpan(site->module.connect_timeout), counters);
   engines.set_report_fields(site->report_fields);
@@ -379,7 +379,7 @@
   directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
 
   const auto tell = [&](EngineList list) {
-    broker.TellList(std::move(list));
+    broker.UpdateEndpoints(std::move(list));
     server.set_ready(directory.has_complete_list());
   };
   Operations operations(loop, directory, broker, counters, tell);
@@ -389,16 +389,16 @@
   if (shared && (tmpdir == nullptr || !registry->registered()))
     spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
   if (shared && tmpdir != nullptr && !file.rules)  // else the fleet's rules tell of engines out by hand
-    operations.EnableEjectionStore(tmpdir,
-                                   decision::ToSpan(site->module.warm_within + site->module.fall_window));
+    operations.EnableEjectionStore(
+        tmpdir, decision::ToSpan(site->module.slow_start_duration + site->module.overload_window));
   // Before the list: what a cold engine takes may have been sent it just now.
-  if (registry && registry->ReadPeers().usage.serving > 0) broker.TellBeside(2);
+  if (registry && registry->ReadPeers().usage.serving > 0) broker.SetProcessShare(2);
   std::unique_ptr<Fleet> fleet;
   std::unique_ptr<ReplicatedConfigService> rules;
   if (file.fleet) {
     fleet = std::make_unique<Fleet>(
         loop, *file.fleet, config.name, config.seed,
-        [&](const gossip::ServingRank& own) { broker.TellSiblings(own.serving_count, own.rank); });
+        [&](const gossip::ServingRank& own) { broker.SetFleetSize(own.serving_count, own.rank); });
     operations.on_phase = [&](Operations::Phase phase) { fleet->SetPhase(phase); };
     operations.AddMetrics([&] {
       auto figures = fleet->Metrics();
--- a/src/decision/estimates/class_estimates.h
+++ b/src/decision/estimates/class_estimates.h
@@ -29,8 +29,8 @@
 
   // `assumed_work`: thread seconds that a query is taken to need before any has been answered. Estimates
   // whose errors no told cost corrects are trusted less at first.
-  ClassEstimates(double assumed_work, bool tells_cost)
-      : deviation_(tells_cost ? kDeviationTold : kDeviationUntold), mean_work_(assumed_work) {}
+  ClassEstimates(double assumed_work, bool reports_cost)
+      : deviation_(reports_cost ? kDeviationTold : kDeviationUntold), mean_work_(assumed_work) {}
 
   // Thread seconds that a query needs. Estimates lie by class and scatter: what past answers make of one.
   double Work(double estimate) const;
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -151,7 +151,7 @@
   Nanos aim_at = 0;
   Nanos deadline = 0;
   double work = 0;  // expected, thread seconds
-  double worth = 1;
+  double priority_weight = 1;
   bool late = false;
   bool trial = false;  // goes though the class's present pace rules its aim out
   Where where = Where::kHeld;
@@ -203,13 +203,13 @@
   }
 
  private:
-  const ClassSettings& Class(const Query& q) const { return set_.classes[q.in.klass]; }
-  const ClassEstimates& Estimates(const Query& q) const { return estimates_[q.in.klass]; }
+  const ClassSettings& Class(const Query& q) const { return set_.classes[q.in.class_id]; }
+  const ClassEstimates& Estimates(const Query& q) const { return estimates_[q.in.class_id]; }
   double Random() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
 
   // ---- Settings ----
 
-  void TakeSettings(const std::vector<int>& like) {
+  void TakeSettings(const std::vector<int>& inherits_estimates_from) {
     TakeSiblings();
     promise_ = reports::Promise::Of(set_);
     tenants_.resize(set_.tenants.size());
@@ -219,20 +219,21 @@
     for (std::size_t i = 0; i < set_.classes.size(); ++i) {
       const ClassSettings& c = set_.classes[i];
       loads_block_ = loads_block_ || c.blocked_by_loads;
-      const std::size_t from =
-          i < like.size() && like[i] >= 0 ? static_cast<std::size_t>(like[i]) : before.size();
-      const ClassEstimates unknown(Seconds(c.aim) / 3 * c.threads,
-                                   set_.tells_cost);  // an aim leaves some room
+      const std::size_t from = i < inherits_estimates_from.size() && inherits_estimates_from[i] >= 0
+                                   ? static_cast<std::size_t>(inherits_estimates_from[i])
+                                   : before.size();
+      const ClassEstimates unknown(Seconds(c.latency_objective) / 3 * c.threads,
+                                   set_.reports_cost);  // an aim leaves some room
       estimates_.push_back(from < before.size() ? before[from] : unknown);
     }
   }
 
   // What has used up the attempts now allowed, and waits for another, has its answer.
-  void On(const Retuned& retuned) {
+  void On(const SettingsChanged& retuned) {
     if (!retuned.settings) return;
     set_ = *retuned.settings;
-    TakeSettings(retuned.like);
-    OrderOpen(retuned.like);
+    TakeSettings(retuned.inherits_estimates_from);
+    OrderOpen(retuned.inherits_estimates_from);
     std::vector<RequestId> spent;
     for (const auto& [key, group] : held_)
       for (const auto& [work, id] : group)
@@ -243,9 +244,9 @@
         if (Query& q = queries_.at(run); !RepeatSafe(q)) CallOff(q);
   }
 
-  void On(const Beside& beside) { beside_ = std::max(1, beside.parts); }
+  void On(const ProcessShare& beside) { beside_ = std::max(1, beside.parts); }
 
-  void On(const Siblings& siblings) {
+  void On(const FleetSize& siblings) {
     siblings_ = siblings;
     TakeSiblings();
     ChooseSubset();
@@ -303,7 +304,7 @@
     if (fresh || restarted) {
       e.bound = SeedBound(e);
       // Another process, beside or before, may have sent it a whole window's worth just now: from nothing.
-      e.cold_at = beside_ > 1 ? now_ : std::max({entry.started_at, now_ - set_.fall_window, born_});
+      e.cold_at = beside_ > 1 ? now_ : std::max({entry.started_at, now_ - set_.overload_window, born_});
       e.period_start = now_;
     }
   }
@@ -314,17 +315,17 @@
 
   void On(const Request& request) {
     if (queries_.contains(request.id)) return;
-    if (request.klass >= set_.classes.size()) return out_->push_back(Fail{request.id});
+    if (request.class_id >= set_.classes.size()) return out_->push_back(Fail{request.id});
     Query& q = queries_[request.id];
     q.in = request;
     const ClassSettings& c = Class(q);
     q.threads = c.threads;
     q.work = std::max(1e-4, Estimates(q).Work(Seconds(request.est_work)));
-    q.aim_at = now_ + c.aim + ToNanos(c.aim_stretch * q.work / q.threads);
-    q.deadline = now_ + request.patience;
-    q.worth = c.worth * (OverShare(request) ? set_.over_share_worth : 1);
+    q.aim_at = now_ + c.latency_objective + ToNanos(c.latency_objective_stretch * q.work / q.threads);
+    q.deadline = now_ + request.client_timeout;
+    q.priority_weight = c.priority_weight * (OverShare(request) ? set_.over_quota_weight_share : 1);
     // What can't be done in time is no demand, however much a client says that it wants.
-    demand_ += std::min(q.work, q.threads * Seconds(request.patience)) / kDemandMemory;
+    demand_ += std::min(q.work, q.threads * Seconds(request.client_timeout)) / kDemandMemory;
     if (set_.attempt_budget) retries_.Taken(now_);
     q.ordered = c.in_order && request.key != 0;
     if (q.ordered) keys_.Join(request.key, request.id);
@@ -341,16 +342,18 @@
 
   // ---- Held ----
 
-  double WorthNow(const Query& q) const { return q.worth * (q.late ? Class(q).late_worth : 1); }
+  double WorthNow(const Query& q) const {
+    return q.priority_weight * (q.late ? Class(q).late_weight_share : 1);
+  }
 
   void Hold(Query& q) {
     q.where = Where::kHeld;
-    held_[{-WorthNow(q), q.in.klass}].emplace(q.work, q.in.id);
+    held_[{-WorthNow(q), q.in.class_id}].emplace(q.work, q.in.id);
     Schedule(q, std::min(GiveUpAt(q), q.sent > 0 ? RepeatUntil(q) : kNoLimit));
   }
 
   void Unhold(Query& q) {
-    auto it = held_.find({-WorthNow(q), q.in.klass});
+    auto it = held_.find({-WorthNow(q), q.in.class_id});
     if (it == held_.end()) return;
     it->second.erase({q.work, q.in.id});
     if (it->second.empty()) held_.erase(it);
@@ -385,7 +388,7 @@
   // A held query's aim has come out of reach: it is worth its late share, or turned away at once.
   void Overdue(Query& q) {
     aim_missed_ = true;
-    const bool waits = !q.late && Class(q).late_worth >= kMinLateShare;
+    const bool waits = !q.late && Class(q).late_weight_share >= kMinLateShare;
     if (q.where == Where::kHeld) Unhold(q);
     if (now_ >= RepeatUntil(q)) return Answer(q);  // no further attempt may leave: nothing to wait for
     q.trial = !q.late && TrialDue(q);
@@ -397,19 +400,19 @@
 
   // A pace that nothing renews may be long past: as with a circuit breaker that is half open, one goes then.
   bool TrialDue(const Query& q) {
-    if (q.trial || now_ - tried_at_[q.in.klass] < Class(q).aim / kTrials) return false;
-    tried_at_[q.in.klass] = now_;
+    if (q.trial || now_ - tried_at_[q.in.class_id] < Class(q).latency_objective / kTrials) return false;
+    tried_at_[q.in.class_id] = now_;
     return true;
   }
 
   // ---- Order per key ----
 
   // A class that has come to keep an order binds its open requests too: what comes next waits for them.
-  void OrderOpen(const std::vector<int>& like) {
+  void OrderOpen(const std::vector<int>& inherits_estimates_from) {
     std::set<RequestId> open;  // in the order in which they were taken
     for (auto& [id, q] : queries_) {
-      for (std::size_t i = 0; i < like.size() && q.in.key != 0; ++i)
-        q.ordered = q.ordered || (set_.classes[i].in_order && like[i] == q.in.klass);
+      for (std::size_t i = 0; i < inherits_estimates_from.size() && q.in.key != 0; ++i)
+        q.ordered = q.ordered || (set_.classes[i].in_order && inherits_estimates_from[i] == q.in.class_id);
       if (q.ordered) open.insert(id);
     }
     keys_.Clear();
@@ -470,7 +473,7 @@
 
   // Without credit a heavy query needs an engine seen to be idle, or, with no reports, a fleet at its best.
   bool MayAfford(const Query& q, const Engine& e) const {
-    if (credit_ > 0 || (Class(q).holds_tables && Earning(q.in.klass) >= heavy_earning_)) return true;
+    if (credit_ > 0 || (Class(q).holds_tables && Earning(q.in.class_id) >= heavy_earning_)) return true;
     if (!promise_.promised() || e.load.Silent()) return fleet_latency_ < kFleetPressed;
     if (!e.load.Fresh(now_)) return set_.may_probe;  // it will be asked first
     return Level(e) + q.threads <= kIdleLevel * e.cores;
@@ -540,9 +543,9 @@
     if (!Cold(e)) return true;
     const double earned = ColdRate(e) * ColdPart(e) / beside_;
     e.cold_credit =
-        std::min(e.cold_credit + earned * Seconds(now_ - e.cold_at), earned * Seconds(set_.fall_window));
+        std::min(e.cold_credit + earned * Seconds(now_ - e.cold_at), earned * Seconds(set_.overload_window));
     e.cold_at = now_;
-    if (now_ > e.cold_drawn + set_.fall_window) e.cold_part = Random(), e.cold_drawn = now_;
+    if (now_ > e.cold_drawn + set_.overload_window) e.cold_part = Random(), e.cold_drawn = now_;
     return e.cold_credit >= e.cold_part * ColdCharge(e, q);
   }
 
@@ -554,20 +557,19 @@
   }
 
   bool Cold(const Engine& e) const {
-    if (set_.fall_window <= 0 || set_.overload_multiple <= 0 || e.entry.started_at <= 0) return false;
-    return now_ - e.entry.started_at <= set_.warm_within + set_.fall_window;
+    if (set_.overload_window <= 0 || set_.overload_factor <= 0 || e.entry.started_at <= 0) return false;
+    return now_ - e.entry.started_at <= set_.slow_start_duration + set_.overload_window;
   }
 
   double ColdRate(const Engine& e) const {
-    return kColdSafety * set_.overload_multiple * limits::ColdShare(set_, now_ - e.entry.started_at) *
-           e.cores;
+    return kColdSafety * set_.overload_factor * limits::ColdShare(set_, now_ - e.entry.started_at) * e.cores;
   }
 
   // None counts as less than its class: the lightest leave first. A mean of costs never told is a guess.
   double ColdCharge(const Engine& e, const Query& q) {
     const double work =
-        std::max(q.work, Estimates(q).mean_work()) * (set_.tells_cost || Light(q) ? 1 : kUntold);
-    return limits::ChanceCharge(work, ColdRate(e) * Seconds(set_.fall_window), kColdDeviations);
+        std::max(q.work, Estimates(q).mean_work()) * (set_.reports_cost || Light(q) ? 1 : kUntold);
+    return limits::ChanceCharge(work, ColdRate(e) * Seconds(set_.overload_window), kColdDeviations);
   }
 
   bool Pressed(const Engine& e, const Query& q) {
@@ -624,17 +626,17 @@
   }
 
   // Light classes are counted apart, so that a few long queries don't shut out the many short ones.
-  bool Light(const Query& q) const { return Light(q.in.klass); }
-  bool Light(std::size_t klass) const { return estimates_[klass].mean_work() <= kLight * heaviest_; }
+  bool Light(const Query& q) const { return Light(q.in.class_id); }
+  bool Light(std::size_t class_id) const { return estimates_[class_id].mean_work() <= kLight * heaviest_; }
 
   // Worth of a thread second.
-  double Earning(std::size_t klass) const {
-    return set_.classes[klass].worth / std::max(1e-6, estimates_[klass].mean_work());
+  double Earning(std::size_t class_id) const {
+    return set_.classes[class_id].priority_weight / std::max(1e-6, estimates_[class_id].mean_work());
   }
 
   // Light queries go ahead of heavy ones without credit, unless a heavy class makes more of the engines'
   // time.
-  bool GoesFirst(const Query& q) const { return Light(q) && Earning(q.in.klass) >= heavy_earning_; }
+  bool GoesFirst(const Query& q) const { return Light(q) && Earning(q.in.class_id) >= heavy_earning_; }
 
   // The lighter of two random eligible engines, joined by the home of the query's table group.
   Engine* Choose(const Query& q) {
@@ -746,14 +748,14 @@
   void Dispatch(Query& q, Engine& e) {
     const double need = Need(q);
     const double grant =
-        set_.grants_heeded && e.memory > 0 ? std::min(need, set_.max_grant_share * e.memory) : 0;
-    const int priority = !set_.priorities_heeded ? 1 : q.late ? 0 : Light(q) ? 3 : 2;
-    if (grant > 0 || priority != 1) out_->push_back(Terms{q.in.id, priority, grant});
+        set_.honors_memory_grants && e.memory > 0 ? std::min(need, set_.max_grant_share * e.memory) : 0;
+    const int priority = !set_.honors_priorities ? 1 : q.late ? 0 : Light(q) ? 3 : 2;
+    if (grant > 0 || priority != 1) out_->push_back(ResourceGrant{q.in.id, priority, grant});
     out_->push_back(Send{q.in.id, e.entry.engine, 0, RepeatUntil(q)});
     if (q.sent > 0 && set_.attempt_budget) retries_.Retried(now_);
     ++q.sent;
     q.out = true;
-    tried_at_[q.in.klass] = now_;
+    tried_at_[q.in.class_id] = now_;
     q.cancelled = false;
     q.engine = e.entry.engine;
     q.sent_at = now_;
@@ -819,11 +821,11 @@
     q.cancelled = true;
   }
 
-  void On(const Note& note) {
+  void On(const ProgressNotice& note) {
     auto it = queries_.find(note.id);
     if (it == queries_.end() || !it->second.out || note.attempt != it->second.sent - 1) return;
     Query& q = it->second;
-    if (note.kind != NoteKind::kProgress || q.where != Where::kOut || q.cancelled) return;
+    if (note.kind != NoticeKind::kProgress || q.where != Where::kOut || q.cancelled) return;
     const double elapsed = Seconds(now_ - q.sent_at);
     const double whole = elapsed / std::clamp(note.amount, 0.002, 1.0);
     const bool hopeless = now_ + ToNanos((whole - elapsed) * 0.9) > q.deadline;
@@ -843,7 +845,7 @@
     Query& q = it->second;
     q.out = false;
     const Outcome how = end.outcome;
-    const bool ran = how != Outcome::kFull && how != Outcome::kConnectFailed && how != Outcome::kMoot;
+    const bool ran = how != Outcome::kFull && how != Outcome::kConnectFailed && how != Outcome::kNotSent;
     if (auto e = engines_.find(q.engine); e != engines_.end()) {
       Settle(q, e->second, end);
       if (ran && q.maybe_ran_at < 0) q.maybe_engine = e->second.entry;
@@ -894,12 +896,12 @@
   void Served(Query& q, Engine& e, const AttemptEnded& end) {
     e.breaker.Succeeded(kErrorWeight);
     const double told = Seconds(end.work);
-    const double ratio = estimates_[q.in.klass].Learn({.estimated_work = Seconds(q.in.est_work),
-                                                       .told_work = told,
-                                                       .time = Seconds(end.waited) * q.threads,
-                                                       .estimated_memory_mb = q.in.est_memory_mb,
-                                                       .told_memory_mb = end.memory_mb,
-                                                       .trial = q.trial});
+    const double ratio = estimates_[q.in.class_id].Learn({.estimated_work = Seconds(q.in.est_work),
+                                                          .told_work = told,
+                                                          .time = Seconds(end.waited) * q.threads,
+                                                          .estimated_memory_mb = q.in.est_memory_mb,
+                                                          .told_memory_mb = end.memory_mb,
+                                                          .trial = q.trial});
     Blend(e.latency, std::min(ratio, 20.0), std::max(kFast, 1.0 / (++e.samples + 3)));
     Blend(fleet_latency_, std::min(ratio, 20.0), kFast);
     e.period.work += told > 0 ? told : q.work;
@@ -969,7 +971,7 @@
     Unhold(q);
     const bool maybe_ran = q.maybe_ran_at >= 0 || q.out;
     if (Class(q).effect == Effect::kSafe || !maybe_ran)
-      out_->push_back(Refuse{q.in.id, set_.may_advise ? set_.max_come_back : 0});
+      out_->push_back(RejectRequest{q.in.id, set_.may_send_retry_after ? set_.max_retry_after : 0});
     else
       out_->push_back(Fail{q.in.id});
     Forget(q);
@@ -1028,7 +1030,7 @@
   double heavy_earning_ = 0;  // worth of a thread second in the best of the classes that aren't light
   bool earning_ = false, reported_ = false;  // an engine has told its load at least once
   int beside_ = 1;                           // parts that the budgets of this gateway are divided by
-  std::optional<Siblings> siblings_;         // none: what the settings tell
+  std::optional<FleetSize> siblings_;        // none: what the settings tell
   int sharers_ = 1;                          // gateways that have one engine in their subsets, at the most
   reports::Promise promise_;
   Nanos now_ = -1, probe_at_ = -kSecond, silent_at_ = -kSecond, flags_at_ = 0, wake_at_ = -1,
--- a/src/decision/limits/cold_budget.h
+++ b/src/decision/limits/cold_budget.h
@@ -14,9 +14,9 @@
 // The share of its capacity that an engine has at least, `age` after its start.
 inline double ColdShare(const Settings& settings, Nanos age) {
   constexpr Nanos kShortest = 100'000'000;
-  const auto warm_within = static_cast<double>(std::max(kShortest, settings.warm_within));
-  const double grown = std::clamp(static_cast<double>(age) / warm_within, 0.0, 1.0);
-  return settings.cold_from + (1 - settings.cold_from) * grown;
+  const auto slow_start_duration = static_cast<double>(std::max(kShortest, settings.slow_start_duration));
+  const double grown = std::clamp(static_cast<double>(age) / slow_start_duration, 0.0, 1.0);
+  return settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * grown;
 }
 
 // What a query of `work` has to count as, so that queries which arrive by chance stay within `budget` with a
--- a/src/decision/limits/retry_budget.h
+++ b/src/decision/limits/retry_budget.h
@@ -20,8 +20,8 @@
   // Whether one more retry fits. The budget is divided by `parts`; retries count for `margin` longer than
   // requests, since the span is measured where they arrive.
   bool Allows(const AttemptBudget& budget, int parts, Nanos margin, Nanos now) {
-    DropUntil(retried_, now - budget.look_back - margin);
-    DropUntil(taken_, now - budget.look_back);
+    DropUntil(retried_, now - budget.budget_window - margin);
+    DropUntil(taken_, now - budget.budget_window);
     const double allowed = budget.free / parts + budget.ratio * static_cast<double>(taken_.size());
     return static_cast<double>(retried_.size()) + 1 <= allowed;
   }
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -98,7 +98,7 @@
 };
 
 // Where the answer to one stream's request goes; the connection may end before it.
-class FrameServer::Sink : public broker::AnswerSink {
+class FrameServer::Sink : public broker::ResponseSink {
  public:
   Sink(FrameServer& server, const ConnectionPtr& connection, std::uint32_t stream)
       : server_(server), connection_(connection), stream_(stream) {}
@@ -110,8 +110,8 @@
     connection->active = Now();
     std::string later;
     codec::FieldViews fields;
-    if (answer.come_back > Span::zero()) {
-      later = std::to_string(std::chrono::ceil<std::chrono::milliseconds>(answer.come_back).count());
+    if (answer.retry_after > Span::zero()) {
+      later = std::to_string(std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count());
       fields.emplace_back("later", later);
     }
     const std::uint8_t code = answer.verdict == broker::Verdict::kServed    ? codec::kServedCode
@@ -121,7 +121,7 @@
     if (connection->streams.empty() && connection->unreadable) connection->answered.Cancel();
   }
 
-  void Foretell(const broker::Foretold& foretold) override {
+  void NotifyWait(const broker::WaitNotice& foretold) override {
     const ConnectionPtr connection = connection_.lock();
     if (!connection || connection->closed) return;
     const auto ms = [](Span span) {
@@ -148,10 +148,10 @@
       limits_(limits),
       listener_(std::move(listener)) {}
 
-void FrameServer::CountEnd(std::string_view klass, metrics::End how) {
-  if (!site_->ClassOf(klass)) return;
-  counters_.Taken(std::string(klass));
-  counters_.Ended(std::string(klass), how);
+void FrameServer::CountEnd(std::string_view class_id, metrics::End how) {
+  if (!site_->ClassOf(class_id)) return;
+  counters_.Taken(std::string(class_id));
+  counters_.Ended(std::string(class_id), how);
 }
 
 FrameServer::~FrameServer() = default;
@@ -252,7 +252,7 @@
   co_await ReadIn(connection);
   // Nothing more can be taken. What was taken before is still answered, unless nobody is there to hear it.
   if (!c.gone && !c.broken && !c.streams.empty()) co_await DropRest(connection);
-  Abandon(c);
+  CancelRequest(c);
   c.in = std::string();
   Count(c);
   c.closed = true;
@@ -361,8 +361,8 @@
   if (c.out.size() > limits_.unread || c.out.size() + unread_ > limits_.unread_by_all) CutOff(c);
 }
 
-void FrameServer::Abandon(Connection& c) {
-  for (const auto& [stream, id] : c.streams) broker_.Abandon(id);
+void FrameServer::CancelRequest(Connection& c) {
+  for (const auto& [stream, id] : c.streams) broker_.CancelRequest(id);
   c.streams.clear();
 }
 
@@ -385,7 +385,7 @@
       break;
     case codec::kCancelFrame:
       if (const auto it = c.streams.find(frame.stream); it != c.streams.end()) {
-        broker_.Abandon(it->second);
+        broker_.CancelRequest(it->second);
         c.streams.erase(it);
       }
       break;
@@ -428,13 +428,13 @@
 
 std::string FrameServer::Describe(const codec::Fields& fields, broker::ClientRequest& out) const {
   const std::string_view verb = fields.Get("verb");
-  const auto klass = site_->ClassOf(verb);
-  if (!klass) return "unknown class";
+  const auto class_id = site_->ClassOf(verb);
+  if (!class_id) return "unknown class";
   const std::string_view team = fields.Get("team");
   const auto tenant = site_->TenantOf(team);
   if (!tenant) return "unknown tenant";
   if (!IsId(fields.Get("txn"))) return "unusable txn";
-  const ClassSettings& rules = site_->module.classes[*klass];
+  const ClassSettings& rules = site_->module.classes[*class_id];
   const std::string_view key = fields.Get("unique");
   if ((!key.empty() || rules.effect == Effect::kKeyed) && !IsKey(key)) return "unusable unique";
   const std::string_view item = fields.Get("item");
@@ -452,7 +452,7 @@
   const auto cpu = figure("cpu", 0, kMaxWorkFactor * deadline_ms);
   const auto heap = figure("heap_mb", 0, kMaxMemoryFactor * memory);
   if (!limit || !cpu || !heap) return "figure unreadable or out of range";
-  out.klass = *klass;
+  out.class_id = *class_id;
   out.tenant = *tenant;
   out.order_key = item.empty() ? 0 : codec::OrderKeyNumber(item);
   out.deadline = Now() + FromMs(*limit);
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -75,8 +75,8 @@
   void Append(Connection& connection, std::uint8_t type, std::uint32_t stream, std::uint8_t code,
               const codec::FieldViews& fields = {}, std::string_view body = {});
   // A request that ends here, before the broker has heard of it.
-  void CountEnd(std::string_view klass, metrics::End how);
-  void Abandon(Connection& connection);
+  void CountEnd(std::string_view class_id, metrics::End how);
+  void CancelRequest(Connection& connection);
   void CutOff(Connection& connection);
   bool Count(Connection& connection);  // its half frame in the total; false: that is too much
 
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -2,8 +2,8 @@
 
 namespace lemoncroft::metrics {
 
-void Counters::Ended(const std::string& klass, End how) {
-  OfClass& of = Of(klass);
+void Counters::Ended(const std::string& class_id, End how) {
+  OfClass& of = Of(class_id);
   switch (how) {
     case End::kOk:
       ++of.ok;
@@ -20,10 +20,10 @@
   }
 }
 
-OfClass& Counters::Of(const std::string& klass) {
-  const auto it = classes_.find(klass);
+OfClass& Counters::Of(const std::string& class_id) {
+  const auto it = classes_.find(class_id);
   if (it != classes_.end()) return it->second;
-  return classes_.size() < kMaxClasses ? classes_[klass] : further_;
+  return classes_.size() < kMaxClasses ? classes_[class_id] : further_;
 }
 
 std::string Counters::Text(const Gauges& gauges) const {
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -35,9 +35,9 @@
   static constexpr std::size_t kMaxClasses = 4096;  // names kept; requests of further ones aren't told
 
   // So that its figures are told before its first request; those of a class that has vanished stay.
-  void Know(const std::string& klass) { Of(klass); }
-  void Taken(const std::string& klass) { ++Of(klass).taken; }
-  void Ended(const std::string& klass, End how);
+  void Know(const std::string& class_id) { Of(class_id); }
+  void Taken(const std::string& class_id) { ++Of(class_id).taken; }
+  void Ended(const std::string& class_id, End how);
   void Tried() { ++tries_; }  // an attempt's statement was written whole to an engine
   void Reloaded(bool applied) { ++(applied ? applied_ : rejected_); }
 
@@ -48,7 +48,7 @@
   std::string Text(const Gauges& gauges) const;
 
  private:
-  OfClass& Of(const std::string& klass);
+  OfClass& Of(const std::string& class_id);
 
   std::map<std::string, OfClass> classes_;
   OfClass further_;
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -54,8 +54,8 @@
       {"waiting", [&](const KdlNode& n) { ReadCount(n, kWaitingMost, budget.max_waiting, faults); }},
       {"bar",
        [&](const KdlNode& n) {
-         if (const auto klass = Named(n, site.classes, "class", faults))
-           budget.barred_classes.push_back(static_cast<admission_queue::ClassId>(*klass));
+         if (const auto class_id = Named(n, site.classes, "class", faults))
+           budget.barred_classes.push_back(static_cast<admission_queue::ClassId>(*class_id));
        }},
   };
   ReadBlock(node.children, known, {"bar"}, faults);
@@ -81,9 +81,10 @@
     const ClassSettings& c = site.module.classes[i];
     admission_queue::ClassPolicy policy;
     policy.name = site.classes[i];
-    policy.priority_weight = c.worth;
+    policy.priority_weight = c.priority_weight;
     policy.threads = c.threads;
-    policy.default_work = std::max<admission_queue::Work>(1ms, admission_queue::Work(c.aim) / 3 * c.threads);
+    policy.default_work =
+        std::max<admission_queue::Work>(1ms, admission_queue::Work(c.latency_objective) / 3 * c.threads);
     heaviest = std::max(heaviest, policy.default_work);
     policies.push_back(std::move(policy));
   }
@@ -95,7 +96,7 @@
   WaitingSettings out;
   admission_queue::Settings& queue = out.queue;
   queue.budget_share = 1.0 / std::max(1, site.module.gateways);
-  queue.max_retry_after = admission_queue::Span(site.module.max_come_back);
+  queue.max_retry_after = admission_queue::Span(site.module.max_retry_after);
   queue.classes = ClassPoliciesOf(site);
   for (const std::string& name : site.tenants)
     queue.tenants.push_back({.name = name, .burst = 1s, .barred_classes = {}});
@@ -108,8 +109,8 @@
       {"state", [&](const KdlNode& n) { ReadText(n, out.state, faults); }},
       {"class",
        [&](const KdlNode& n) {
-         if (const auto klass = Named(n, site.classes, "class", faults))
-           ReadClass(n, queue.classes[*klass], faults);
+         if (const auto class_id = Named(n, site.classes, "class", faults))
+           ReadClass(n, queue.classes[*class_id], faults);
        }},
       {"team",
        [&](const KdlNode& n) {
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -183,15 +183,17 @@
     const std::string key = "requestClasses." + std::to_string(i) + ".";
     const std::string where = "requestClasses '" + site_.classes[i] + "' ";
     if (c.deadline <= 0 || c.deadline > kMaxDeadline) OutOfRange(where + "deadlineNs");
-    if (c.aim > kMaxDeadline) OutOfRange(where + "promiseNs");
-    if (!(c.worth >= 0 && c.worth <= kMaxValue)) OutOfRange(where + "credit");
-    if (!(c.late_worth >= 0 && c.late_worth <= 1)) OutOfRange(where + "lateWorth");
-    if (!(c.aim_stretch >= 0 && c.aim_stretch <= kMaxValue)) OutOfRange(where + "aimStretch");
+    if (c.latency_objective > kMaxDeadline) OutOfRange(where + "promiseNs");
+    if (!(c.priority_weight >= 0 && c.priority_weight <= kMaxValue)) OutOfRange(where + "credit");
+    if (!(c.late_weight_share >= 0 && c.late_weight_share <= 1)) OutOfRange(where + "lateWorth");
+    if (!(c.latency_objective_stretch >= 0 && c.latency_objective_stretch <= kMaxValue))
+      OutOfRange(where + "aimStretch");
     Word(Severity::kError, key + "effect", where + "effect", {"pure", "token", "side_effect"}, "side_effect");
     Word(Severity::kError, key + "group", where + "group", {"all", "zone", "cell"}, "cell");
-    if (in_.Time(key + "promiseNs") == 0 && c.aim_stretch <= 0)
+    if (in_.Time(key + "promiseNs") == 0 && c.latency_objective_stretch <= 0)
       Warn(where + "promiseNs: none; its deadline is taken in its place");
-    if (c.aim > c.deadline) Warn(where + "promiseNs: past its deadline, where nobody waits any more");
+    if (c.latency_objective > c.deadline)
+      Warn(where + "promiseNs: past its deadline, where nobody waits any more");
     if (c.effect == Effect::kKeyed && c.repeat_window <= 0)
       Warn(where + "repeatWindowNs: none, so what may have run is never tried again");
     if (c.in_order && site_.module.order_settle <= 0)
@@ -222,8 +224,8 @@
       const double quota = site_.module.tenants[i].quota_per_s;
       if (!(quota >= 0 && quota <= kMaxValue)) OutOfRange("tenants '" + site_.tenants[i] + "' quotaPerS");
     }
-    const double worth = site_.module.over_share_worth;
-    if (!(worth >= 0 && worth <= 1)) Warn("overShareWorth: not between 0 and 1");
+    const double priority_weight = site_.module.over_quota_weight_share;
+    if (!(priority_weight >= 0 && priority_weight <= 1)) Warn("overShareWorth: not between 0 and 1");
   }
 
   void Attempts() {
@@ -236,15 +238,16 @@
       Warn("guarantees.lookBackNs: without freeResends and extraRatio nothing is tried a second time");
     if (window && in_.Time("guarantees.lookBackNs") <= 0)
       Warn("guarantees.lookBackNs: 0, so no budget of further attempts is kept");
-    if (site_.module.may_advise && site_.module.max_come_back <= 0)
+    if (site_.module.may_send_retry_after && site_.module.max_retry_after <= 0)
       Warn("limits.retryAfter: maxRetryAfterNs is 0, so no refusal tells when to come back");
   }
 
   void ColdEngines() {
     const Settings& s = site_.module;
-    if ((s.fall_window > 0) != (s.overload_multiple > 0))
+    if ((s.overload_window > 0) != (s.overload_factor > 0))
       Warn("guarantees: one of fallNs and overloadFactor is absent, so engines that start are not spared");
-    if (!(s.cold_from >= 0 && s.cold_from <= 1)) Warn("guarantees.coldFrom: not between 0 and 1");
+    if (!(s.slow_start_initial_share >= 0 && s.slow_start_initial_share <= 1))
+      Warn("guarantees.coldFrom: not between 0 and 1");
   }
 
   void Reports() {
@@ -288,9 +291,9 @@
     const std::vector<double> memory = in_.Numbers("specifics.ramOfKindMb");
     if (cores.size() < kinds || std::any_of(cores.begin(), cores.end(), [](double c) { return !(c > 0); }))
       Warn("specifics.cpuOfKind: cores of some kinds are missing; the least of the others is taken");
-    if (s.grants_heeded && memory.size() < kinds)
+    if (s.honors_memory_grants && memory.size() < kinds)
       Warn("specifics.ramOfKindMb: engines of a kind without memory choose their grants themselves");
-    if (s.grants_heeded && !(s.max_grant_share > 0 && s.max_grant_share <= 1))
+    if (s.honors_memory_grants && !(s.max_grant_share > 0 && s.max_grant_share <= 1))
       Warn("specifics.maxGrantShare: not above 0 and at most 1");
   }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -112,12 +112,13 @@
                          const std::vector<std::string>& kinds) {
   const std::string p = "requestClasses." + std::to_string(index) + ".";
   ClassSettings c;
-  c.aim = in.Time(p + "promiseNs");
-  c.aim_stretch = in.Number(p + "aimStretch");
+  c.latency_objective = in.Time(p + "promiseNs");
+  c.latency_objective_stretch = in.Number(p + "aimStretch");
   c.deadline = in.Time(p + "deadlineNs");
-  if (c.aim == 0 && c.aim_stretch <= 0) c.aim = c.deadline;  // none is told: any answer in time has its worth
-  c.worth = in.Number(p + "credit", 1);
-  c.late_worth = in.Number(p + "lateWorth");
+  if (c.latency_objective == 0 && c.latency_objective_stretch <= 0)
+    c.latency_objective = c.deadline;  // none is told: any answer in time has its worth
+  c.priority_weight = in.Number(p + "credit", 1);
+  c.late_weight_share = in.Number(p + "lateWorth");
   // Of a word that is none of them the strictest is taken.
   c.effect = in.OneOf<Effect>(
       p + "effect", {{"pure", Effect::kSafe}, {"token", Effect::kKeyed}, {"side_effect", Effect::kUnsafe}},
@@ -147,15 +148,15 @@
   s.kinds.resize(std::max(cores.size(), memory.size()));
   for (std::size_t i = 0; i < cores.size(); ++i) s.kinds[i].cores = cores[i];
   for (std::size_t i = 0; i < memory.size(); ++i) s.kinds[i].memory_mb = memory[i];
-  s.grants_heeded = in.Flag("specifics.takesGrants");
-  s.priorities_heeded = in.Flag("specifics.ranksHeeded");
+  s.honors_memory_grants = in.Flag("specifics.takesGrants");
+  s.honors_priorities = in.Flag("specifics.ranksHeeded");
   s.max_grant_share = in.Number("specifics.maxGrantShare", 1);
   s.memory_short = in.OneOf<MemoryShort>(
       "specifics.memoryShort",
       {{"queue", MemoryShort::kQueue}, {"trim", MemoryShort::kTrim}, {"swap", MemoryShort::kSwap}},
       MemoryShort::kTrim, MemoryShort::kTrim);
   s.progress_every = in.Time("specifics.progressNs");
-  s.tells_cost = in.Flag("specifics.saysCost");
+  s.reports_cost = in.Flag("specifics.saysCost");
 }
 
 // Cores decide how much an engine is sent: where none are told it is the least of the others, or else enough
@@ -230,16 +231,16 @@
     s.tenants.push_back({in.Number(p + "quotaPerS")});
     site.tenants.push_back(in.Text(p + "name"));
   }
-  s.over_share_worth = in.Number("overShareWorth", 1);
+  s.over_quota_weight_share = in.Number("overShareWorth", 1);
   site.report_fields = in.List("report.fields");
   for (const std::string& field : site.report_fields) s.report_fields.push_back(ToField(field));
   s.reports_in_answers = in.Text("report.source") == "answers";
 
   s.drain_grace = in.Time("guarantees.drainGraceNs");
-  s.cold_from = in.Number("guarantees.coldFrom");
-  s.warm_within = in.Time("guarantees.warmWithinNs");
-  s.overload_multiple = in.Number("guarantees.overloadFactor");
-  s.fall_window = in.Time("guarantees.fallNs");
+  s.slow_start_initial_share = in.Number("guarantees.coldFrom");
+  s.slow_start_duration = in.Time("guarantees.warmWithinNs");
+  s.overload_factor = in.Number("guarantees.overloadFactor");
+  s.overload_window = in.Time("guarantees.fallNs");
   s.order_settle = in.Time("guarantees.orderPauseNs");
   s.must_ask_within = in.Time("guarantees.mustAskInNs");
   if (in.Has("guarantees.lookBackNs")) {
@@ -249,11 +250,11 @@
   s.list_on_request = in.Text("membershipMode") == "on_request";
   s.may_cancel = in.Flag("limits.cancel");
   s.may_probe = in.Flag("limits.probing");
-  s.may_copy = in.Flag("limits.mayDuplicate");
+  s.may_hedge = in.Flag("limits.mayDuplicate");
   s.may_message = in.Flag("limits.peers");
-  s.may_advise = in.Flag("limits.retryAfter");
+  s.may_send_retry_after = in.Flag("limits.retryAfter");
   s.max_attempts = in.Count("limits.maxAttempts", 1);
-  s.max_come_back = in.Time("limits.maxRetryAfterNs");
+  s.max_retry_after = in.Time("limits.maxRetryAfterNs");
   s.connect_timeout = in.Time("limits.connectTimeoutNs");
   if (s.connect_timeout == 0) s.connect_timeout = kConnectTimeoutUntold;
   s.late_fail_price = in.Number("prices.lateFail");
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -102,10 +102,10 @@
 Request ReadRequest(Reader& in) {
   Request r;
   r.id = in.Int<std::uint64_t>("req");
-  r.klass = in.Int<std::uint16_t>("qos");
+  r.class_id = in.Int<std::uint16_t>("qos");
   r.tenant = in.Int<std::uint16_t>("project");
   r.key = in.Int<std::uint64_t>("key");
-  r.patience = in.Time("patienceLeftNs");
+  r.client_timeout = in.Time("patienceLeftNs");
   r.est_work = in.Time("estCostNs");
   r.est_memory_mb = in.Float("ramMb");
   float tables = in.Float("tableGroup");
@@ -259,13 +259,13 @@
         break;
       }
       case 11: {
-        Note e;
+        ProgressNotice e;
         e.id = in.Int<std::uint64_t>("req");
         e.attempt = in.Int<std::uint16_t>("roundNo");
         in.Int<std::uint32_t>("engine");
         auto what = in.Int<std::uint8_t>("what");
         if (what < 1 || what > 3) Bad("unknown note " + std::to_string(what), at);
-        e.kind = static_cast<NoteKind>(what - 1);
+        e.kind = static_cast<NoticeKind>(what - 1);
         e.amount = in.Float("amount");
         current(at).events.emplace_back(e);
         break;
@@ -298,7 +298,7 @@
 struct ActionWriter {
   std::string& out;
   void Code(std::uint8_t code) const { Put(out, code); }
-  void operator()(const Terms& a) const {
+  void operator()(const ResourceGrant& a) const {
     Code(13);
     Put(out, a.id);
     Put(out, static_cast<std::uint8_t>(a.priority));
@@ -315,10 +315,10 @@
     Put(out, a.id);
     Put(out, static_cast<std::uint16_t>(a.attempt));
   }
-  void operator()(const Refuse& a) const {
+  void operator()(const RejectRequest& a) const {
     Code(2);
     Put(out, a.id);
-    Put(out, a.come_back);
+    Put(out, a.retry_after);
   }
   void operator()(const Fail& a) const {
     Code(3);
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -36,18 +36,18 @@
   s.tick = kTick;
   for (const ClassOf& of : kClasses) {
     ClassSettings c;
-    c.aim = 3000 * kMs;
-    c.aim_stretch = 2.5;
+    c.latency_objective = 3000 * kMs;
+    c.latency_objective_stretch = 2.5;
     c.deadline = 10'000 * kMs;
-    c.worth = of.work > 1 ? 10 : 1;
-    c.late_worth = 0.3;
+    c.priority_weight = of.work > 1 ? 10 : 1;
+    c.late_weight_share = 0.3;
     c.threads = of.threads;
     s.classes.push_back(c);
   }
   s.kinds = {{kCores, 24576}};
   s.max_attempts = 3;
   s.may_cancel = true;
-  s.tells_cost = true;
+  s.reports_cost = true;
   return s;
 }
 
@@ -99,10 +99,10 @@
     Request r;
     r.id = ++taken_;
     double draw = Draw();
-    while (r.klass + 1u < std::size(kClasses) && draw >= kClasses[r.klass].share)
-      draw -= kClasses[r.klass++].share;
-    const ClassOf& of = kClasses[r.klass];
-    r.patience = 10'000 * kMs;
+    while (r.class_id + 1u < std::size(kClasses) && draw >= kClasses[r.class_id].share)
+      draw -= kClasses[r.class_id++].share;
+    const ClassOf& of = kClasses[r.class_id];
+    r.client_timeout = 10'000 * kMs;
     r.tables = static_cast<std::uint32_t>(random_() % plan_.table_groups);
     const double work = of.work * std::exponential_distribution<>(1)(random_);
     r.est_work = std::max<Nanos>(kMs, static_cast<Nanos>(work * 1e9));
@@ -142,7 +142,7 @@
     end.finished = true;
     running_.push({now_ + end.waited, end});
   }
-  void On(const Refuse& refuse) { TurnAway(refuse.id); }
+  void On(const RejectRequest& refuse) { TurnAway(refuse.id); }
   void On(const Fail& fail) { TurnAway(fail.id); }
   void On(const WakeAt& wake) { wake_at_ = wake.at; }
   void On(const auto&) {}  // no more than its cost matters here
--- a/src/testing/benchmark/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -172,7 +172,7 @@
       proxies_.back()->Start();
       co_await loop_.Sleep(kBetweenStarts);
     }
-    while (!Settled() && Now() < begun + plan_.patience) co_await loop_.Sleep(kSettleLook);
+    while (!Settled() && Now() < begun + plan_.client_timeout) co_await loop_.Sleep(kSettleLook);
     cost_.settled = Settled();
     cost_.settled_after_s = SecondsOf(Now() - begun);
     const double places = static_cast<double>(plan_.members) * static_cast<double>(plan_.members);
--- a/src/testing/benchmark/hollow_fleet.h
+++ b/src/testing/benchmark/hollow_fleet.h
@@ -20,11 +20,11 @@
 struct HollowPlan {
   std::uint64_t seed = 1;
   std::size_t members = 125, voters = 7;
-  std::uint16_t port = 0;                 // of all, each on an address of its own; 0: by this process's id
-  std::chrono::seconds patience{120};     // until all know all by a datagram of each, and have a lease
-  std::chrono::seconds calm{10};          // measured
-  std::size_t changes = 3;                // of a document, one after another
-  std::chrono::milliseconds held_for{0};  // the loop is held so long while it is measured, by a test
+  std::uint16_t port = 0;                    // of all, each on an address of its own; 0: by this process's id
+  std::chrono::seconds client_timeout{120};  // until all know all by a datagram of each, and have a lease
+  std::chrono::seconds calm{10};             // measured
+  std::size_t changes = 3;                   // of a document, one after another
+  std::chrono::milliseconds held_for{0};     // the loop is held so long while it is measured, by a test
   std::size_t document_bytes = 1000;
 };
 
--- a/src/testing/benchmark/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -40,8 +40,8 @@
           after.leader_us - before.leader_us, after.others_us - before.others_us};
 }
 
-bool RunUntilAllActOn(ConfigReplicaFleet& fleet, replicated_config::Version version, Instant patience) {
-  const Instant until = fleet.now() + patience;
+bool RunUntilAllActOn(ConfigReplicaFleet& fleet, replicated_config::Version version, Instant client_timeout) {
+  const Instant until = fleet.now() + client_timeout;
   while (fleet.now() < until) {
     if (fleet.AllUse(version)) return true;
     fleet.RunFor(kLook);
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -45,25 +45,25 @@
   Settings s;
   s.tick = 5 * kMs;
   ClassSettings lookup, report, load;
-  lookup.aim = 600 * kMs;
-  lookup.aim_stretch = 2;
+  lookup.latency_objective = 600 * kMs;
+  lookup.latency_objective_stretch = 2;
   lookup.deadline = 3000 * kMs;
-  report.aim = 1500 * kMs;
-  report.aim_stretch = 2.5;
-  report.worth = 10;
-  load.aim = 3000 * kMs;
-  load.aim_stretch = 3;
-  load.worth = 12;
+  report.latency_objective = 1500 * kMs;
+  report.latency_objective_stretch = 2.5;
+  report.priority_weight = 10;
+  load.latency_objective = 3000 * kMs;
+  load.latency_objective_stretch = 3;
+  load.priority_weight = 12;
   load.effect = Effect::kKeyed;
   report.deadline = load.deadline = load.repeat_window = 20'000 * kMs;
   report.threads = load.threads = 2;
-  lookup.late_worth = report.late_worth = load.late_worth = 0.3;
+  lookup.late_weight_share = report.late_weight_share = load.late_weight_share = 0.3;
   s.classes = {lookup, report, load};
   s.tenants.resize(kBudgetShares.size());
   s.kinds = {{12, 0}, {8, 0}};
-  s.may_cancel = s.may_advise = s.priorities_heeded = s.tells_cost = true;
+  s.may_cancel = s.may_send_retry_after = s.honors_priorities = s.reports_cost = true;
   s.max_attempts = 5;
-  s.max_come_back = 10'000 * kMs;
+  s.max_retry_after = 10'000 * kMs;
   return s;
 }
 
@@ -194,7 +194,7 @@
     if (arrival.retry)
       ++result_.retries;
     else
-      ++result_.requests, requested_weight_ += MakeSite().classes[q.class_id].worth;
+      ++result_.requests, requested_weight_ += MakeSite().classes[q.class_id].priority_weight;
     if (options_.use_admission_queue) {
       const auto taken = queue_->Submit({.id = id,
                                          .tenant = static_cast<admission_queue::TenantId>(q.tenant),
@@ -237,9 +237,9 @@
     const Query& q = queries_.at(id);
     Request request;
     request.id = id;
-    request.klass = static_cast<std::uint16_t>(q.class_id);
+    request.class_id = static_cast<std::uint16_t>(q.class_id);
     request.tenant = static_cast<std::uint16_t>(q.tenant);
-    request.patience = static_cast<Nanos>(std::max(0.0, q.deadline - now_) * 1e9);
+    request.client_timeout = static_cast<Nanos>(std::max(0.0, q.deadline - now_) * 1e9);
     request.est_work = static_cast<Nanos>(q.estimated_work * 1e9);
     request.tables = static_cast<std::uint32_t>(Uniform(0, kMaxTables));
     events_.emplace_back(request);
@@ -283,7 +283,7 @@
 
   Nanos NowNanos() const { return static_cast<Nanos>(now_ * 1e9) + 1'000'000'000; }
 
-  void Apply(const Terms& terms) {
+  void Apply(const ResourceGrant& terms) {
     Query& q = queries_.at(terms.id);
     q.priority = terms.priority;
     for (int n = 0; n < q.sent; ++n) fleet_.SetPriority({terms.id, n}, terms.priority);
@@ -306,11 +306,11 @@
     if (fleet_.Stop({cancel.id, cancel.attempt}))
       End({{cancel.id, cancel.attempt}, 0, now_, 0, false}, Outcome::kCancelled);
   }
-  void Apply(const Refuse& refuse) {
+  void Apply(const RejectRequest& refuse) {
     const Query q = queries_.at(refuse.id);
     ++result_.rejected;
     Complete(refuse.id);
-    ScheduleRetry(q, static_cast<double>(refuse.come_back) / 1e9);
+    ScheduleRetry(q, static_cast<double>(refuse.retry_after) / 1e9);
   }
   void Apply(const Fail& fail) {
     ++result_.failed;
@@ -344,8 +344,11 @@
     ++result_.served;
     result_.retries_served += q.retry;
     const ClassSettings c = MakeSite().classes[q.class_id];
-    const double aim = static_cast<double>(c.aim) / 1e9 + c.aim_stretch * q.work / c.threads;
-    served_weight_ += q.retry ? 0 : c.worth * (now_ - q.submitted_at <= aim ? 1 : c.late_worth);
+    const double latency_objective =
+        static_cast<double>(c.latency_objective) / 1e9 + c.latency_objective_stretch * q.work / c.threads;
+    served_weight_ +=
+        q.retry ? 0
+                : c.priority_weight * (now_ - q.submitted_at <= latency_objective ? 1 : c.late_weight_share);
     Complete(id);
   }
 
--- a/src/testing/fault_test/history.cpp
+++ b/src/testing/fault_test/history.cpp
@@ -50,7 +50,7 @@
   told.push_back(std::move(one));
 }
 
-bool History::Quiet(const Life& life, Time from, Time to) const {
+bool History::Quiet(const ActiveRequest& life, Time from, Time to) const {
   for (const auto& [since, until] : life.stalls)
     if (since <= to && until >= from) return false;
   return std::none_of(troubles.begin(), troubles.end(),
@@ -76,9 +76,9 @@
       held;  // a life, by another: when it ended, was it alive there
   for (const Told& one : all) {
     if (Invented(one.name)) continue;
-    const Life& by = lives[one.by];
+    const ActiveRequest& by = lives[one.by];
     const auto about = by_id.find(one.id);
-    const Life* of = about == by_id.end() ? nullptr : &lives[about->second];
+    const ActiveRequest* of = about == by_id.end() ? nullptr : &lives[about->second];
     if (Adds(one.event) && views[one.by].insert(one.id).second) agreed_since[one.by] = one.at;
     if (Removes(one.event) && views[one.by].erase(one.id) > 0) agreed_since[one.by] = one.at;
     if (of != nullptr && (!of->ended || one.at <= *of->ended) && (Adds(one.event) || Removes(one.event)))
@@ -104,7 +104,7 @@
   }
   // At the end all agree, on just those that live.
   std::set<std::string> living;
-  for (const Life& life : lives)
+  for (const ActiveRequest& life : lives)
     if (!life.ended) living.insert(life.id);
   Time agreed = last_fault;
   for (std::size_t i = 0; i < lives.size(); ++i) {
@@ -114,7 +114,7 @@
     views[i].erase(lives[i].id);
     if (views[i] != expected) {
       std::string differs;
-      for (const Life& life : lives)
+      for (const ActiveRequest& life : lives)
         if (expected.contains(life.id) != views[i].contains(life.id))
           differs += (views[i].contains(life.id) ? " +" : " -") + life.label;
       out.broken.push_back("at the end the view of " + lives[i].label + " is wrong:" + differs);
@@ -126,11 +126,11 @@
     out.broken.push_back("views settled " + std::to_string(out.settle_ms) + " ms after the last fault");
   // A crash is known to all who can know.
   for (std::size_t i = 0; i < lives.size(); ++i) {
-    const Life& life = lives[i];
+    const ActiveRequest& life = lives[i];
     if (!life.killed || !life.ended) continue;
     const Time last = *life.ended + periods(slack.detect) + slack.real;
     for (std::size_t j = 0; j < lives.size(); ++j) {
-      const Life& other = lives[j];
+      const ActiveRequest& other = lives[j];
       const auto alive =
           held.find({i, j});  // who had never heard of it, or given it up, has nothing to learn
       if (j == i || other.ended || alive == held.end() || !alive->second) continue;
@@ -147,7 +147,7 @@
 
 std::string History::Text(Time start) const {
   std::vector<std::pair<Time, std::string>> lines;
-  for (const Life& life : lives) {
+  for (const ActiveRequest& life : lives) {
     lines.emplace_back(life.started, "started " + life.label + " " + life.id);
     if (life.told_to_end) lines.emplace_back(*life.told_to_end, "told to end " + life.label);
     if (life.ended) lines.emplace_back(*life.ended, (life.killed ? "killed " : "ended ") + life.label);
--- a/src/testing/fault_test/history.h
+++ b/src/testing/fault_test/history.h
@@ -22,7 +22,7 @@
 using runtime::Time;
 
 // One life of a process, as the rig made it.
-struct Life {
+struct ActiveRequest {
   std::string label;  // "n3", "n3+" beside it, ...
   std::string name;
   std::string id;  // as it tells, once it does
@@ -61,7 +61,7 @@
 
 class History {
  public:
-  std::vector<Life> lives;
+  std::vector<ActiveRequest> lives;
   std::vector<Told> told;
   std::vector<Trouble> troubles;
   Time last_fault{};
@@ -73,7 +73,7 @@
   std::string Text(Time start) const;  // for a reader, by time
 
  private:
-  bool Quiet(const Life& life, Time from, Time to) const;  // not held, and no link in trouble
+  bool Quiet(const ActiveRequest& life, Time from, Time to) const;  // not held, and no link in trouble
 };
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/rig.cpp
+++ b/src/testing/fault_test/rig.cpp
@@ -176,7 +176,7 @@
   self->machine = machine;
   self->second = second;
   self->life = history_.lives.size();
-  Life life;
+  ActiveRequest life;
   life.label = self->label;
   life.name = name;
   life.started = Now();
@@ -393,7 +393,7 @@
   switch (action.verb) {
     case Verb::kKill:
       each([&](Actor& actor) {
-        Life& life = history_.lives[actor.life];
+        ActiveRequest& life = history_.lives[actor.life];
         actor.process->Signal(SIGKILL);
         life.killed = true;
         life.ended = Now();
@@ -517,7 +517,7 @@
 Task<> Rig::Resume(Actor* actor, Span after) {
   co_await loop_.Sleep(after);
   actor->process->Signal(SIGCONT);
-  Life& life = history_.lives[actor->life];
+  ActiveRequest& life = history_.lives[actor->life];
   if (!life.stalls.empty()) life.stalls.back().second = Now();
 }
 
@@ -546,7 +546,7 @@
     co_await loop_.SleepUntil(due);
     if (Now() - due > trial_.period / 2) voided_.push_back("the rig ran " + Ms(Now() - due) + " late");
     for (const auto& actor : actors_) {
-      Life& life = history_.lives[actor->life];
+      ActiveRequest& life = history_.lives[actor->life];
       if (life.ended || actor->process->Running()) continue;
       life.ended = Now();
       const int status = *actor->process->ended();
@@ -820,7 +820,7 @@
   broken_.insert(broken_.end(), acted_.broken.begin(), acted_.broken.end());
   std::vector<std::size_t> lives;
   for (std::size_t i = 0; i < history_.lives.size(); ++i) {
-    const Life& life = history_.lives[i];
+    const ActiveRequest& life = history_.lives[i];
     if (!life.ended) lives.push_back(i);
     if (!life.killed || !life.ended) continue;
     Time next = runtime::kNever;
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -41,7 +41,7 @@
     Nanos rest_until = 0;
   };
 
-  bool Ordered(const Request& r) const { return settings_.classes[r.klass].in_order && r.key != 0; }
+  bool Ordered(const Request& r) const { return settings_.classes[r.class_id].in_order && r.key != 0; }
 
   void On(const EngineList& list) {
     for (const EngineEntry& entry : *list.entries) listed_[entry.engine] = entry;
@@ -75,7 +75,7 @@
     const Request request = it->second;
     requests_.erase(it);
     if (const auto sent = out_.find(id); sent != out_.end()) {
-      threads_[sent->second] -= settings_.classes[request.klass].threads;
+      threads_[sent->second] -= settings_.classes[request.class_id].threads;
       out_.erase(sent);
     }
     if (!Ordered(request)) return;
@@ -93,7 +93,7 @@
   }
 
   void Forward(const Request& request) {
-    const ClassSettings& c = settings_.classes[request.klass];
+    const ClassSettings& c = settings_.classes[request.class_id];
     const auto within = [](const std::vector<std::uint16_t>& places, std::uint16_t place) {
       return places.empty() || std::find(places.begin(), places.end(), place) != places.end();
     };
--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -25,7 +25,7 @@
 }
 
 double QueryEngine::Wanted(const QueryPlan& plan) const {
-  const bool told = traits_.grants_heeded && plan.grant_mb > 0;
+  const bool told = traits_.honors_memory_grants && plan.grant_mb > 0;
   return std::min(told ? plan.grant_mb : plan.own_grant_mb, traits_.memory_mb);
 }
 
@@ -79,16 +79,16 @@
   for (Resident* resident : waiting) {
     if (Blocked(*resident)) continue;
     const QueryPlan& plan = resident->plan;
-    const int priority = traits_.priorities_heeded ? plan.priority : 1;
+    const int priority = traits_.honors_priorities ? plan.priority : 1;
     resident->running = fleet_.Start({plan.key, kMachine, plan.threads, priority, resident->work, 0});
   }
 }
 
 double QueryEngine::SpeedAt(Nanos now) const {
   double speed = traits_.speed;
-  if (traits_.warm_within > 0 && now < started_at_ + traits_.warm_within) {
-    const double age = Seconds(now - started_at_) / Seconds(traits_.warm_within);
-    speed *= traits_.cold_from + (1 - traits_.cold_from) * age;
+  if (traits_.slow_start_duration > 0 && now < started_at_ + traits_.slow_start_duration) {
+    const double age = Seconds(now - started_at_) / Seconds(traits_.slow_start_duration);
+    speed *= traits_.slow_start_initial_share + (1 - traits_.slow_start_initial_share) * age;
   }
   if (traits_.memory_short != MemoryShort::kSwap) return speed;
   double in_use = 0;
@@ -126,7 +126,7 @@
   const auto it = residents_.find(key);
   if (it == residents_.end()) return;
   it->second.plan.priority = priority;
-  if (traits_.priorities_heeded) fleet_.SetPriority(key, priority);
+  if (traits_.honors_priorities) fleet_.SetPriority(key, priority);
 }
 
 void QueryEngine::Advance(Nanos now, std::vector<Finished>& out) {
--- a/src/testing/simulation/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -31,10 +31,10 @@
   double memory_mb = 16384;
   std::size_t sessions = 64;
   MemoryShort memory_short = MemoryShort::kTrim;
-  bool grants_heeded = true;
-  bool priorities_heeded = true;
-  double cold_from = 1;   // share of its speed that it has when it starts ...
-  Nanos warm_within = 0;  // ... and all of it after this time
+  bool honors_memory_grants = true;
+  bool honors_priorities = true;
+  double slow_start_initial_share = 1;  // share of its speed that it has when it starts ...
+  Nanos slow_start_duration = 0;        // ... and all of it after this time
   Nanos report_every = 0;
   Nanos report_delay = 0;
   std::vector<ReportField> report_fields;
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -108,14 +108,14 @@
     Fault fault = Fault::kNone;
     Outcome outcome = Outcome::kOk;
   };
-  struct Life {
+  struct ActiveRequest {
     Request request;
     int gateway = 0;
     Nanos taken_at = 0;
     Nanos deadline = 0;
     double work = 0;
     double memory_mb = 0;
-    Terms terms;
+    ResourceGrant terms;
     std::vector<Attempt> attempts;
     bool over = false;  // answered, or nobody waits any more
   };
@@ -237,29 +237,29 @@
     return static_cast<std::uint16_t>(site_.traffic.size() - 1);
   }
 
-  void Estimate(Life& life) {
+  void Estimate(ActiveRequest& life) {
     const bool rough = site_.estimates == EstimateQuality::kRough;
     const double off_work = std::exp((rough ? kRoughScatter : kGoodScatter) * Normal());
     const double off_memory = std::exp((rough ? kRoughMemoryScatter : kGoodScatter) * Normal());
     if (site_.estimates == EstimateQuality::kNone) return;
-    const ClassTraffic& traffic = site_.traffic[life.request.klass];
+    const ClassTraffic& traffic = site_.traffic[life.request.class_id];
     life.request.est_work = ToNanos(life.work * off_work * (rough ? traffic.work_bias : 1));
     life.request.est_memory_mb = life.memory_mb * off_memory * (rough ? traffic.memory_bias : 1);
   }
 
   void TakeRequest() {
     const RequestId id = next_id_++;
-    Life& life = lives_[id];
+    ActiveRequest& life = lives_[id];
     life.taken_at = now_;
     life.request.id = id;
-    life.request.klass = PickClass();
-    const ClassSettings& c = site_.settings.classes[life.request.klass];
-    const ClassTraffic& traffic = site_.traffic[life.request.klass];
+    life.request.class_id = PickClass();
+    const ClassSettings& c = site_.settings.classes[life.request.class_id];
+    const ClassTraffic& traffic = site_.traffic[life.request.class_id];
     life.work = Spread(traffic.work, kWorkSpread);
     life.memory_mb = Spread(traffic.memory_mb, kMemorySpread);
     Estimate(life);
-    life.request.patience = ToNanos(Seconds(c.deadline) * (0.8 + 0.2 * Chance()));
-    life.deadline = now_ + life.request.patience;
+    life.request.client_timeout = ToNanos(Seconds(c.deadline) * (0.8 + 0.2 * Chance()));
+    life.deadline = now_ + life.request.client_timeout;
     life.request.tables = static_cast<std::uint32_t>(random_() % groups_);
     const std::uint64_t tenants = std::max<std::uint64_t>(1, site_.settings.tenants.size());
     life.request.tenant = static_cast<std::uint16_t>(random_() % tenants);
@@ -269,22 +269,22 @@
     life.gateway = static_cast<int>((c.in_order ? life.request.key : pick) % gateways);
     life.terms.id = id;
     const bool leaves = Chance() < kWithdrawn;
-    const Nanos leaves_after = ToNanos(Chance() * Seconds(c.aim));
+    const Nanos leaves_after = ToNanos(Chance() * Seconds(c.latency_objective));
     if (leaves) At(now_ + leaves_after, [this, id] { Withdraw(id); });
     At(life.deadline + 2 * site_.settings.tick, [this, id] { GiveUp(id); });
-    ++result_.classes[life.request.klass].taken;
+    ++result_.classes[life.request.class_id].taken;
     checker_.Taken(now_, life.gateway, life.request);
     Post(life, life.request);
   }
 
-  void Post(const Life& life, Event event) {
+  void Post(const ActiveRequest& life, Event event) {
     gateways_[static_cast<std::size_t>(life.gateway)].events.push_back(std::move(event));
   }
 
   void Withdraw(RequestId id) {
     const auto it = lives_.find(id);
     if (it == lives_.end() || it->second.over) return;
-    ++result_.classes[it->second.request.klass].withdrawn;
+    ++result_.classes[it->second.request.class_id].withdrawn;
     checker_.Withdrawn(now_, id);
     Post(it->second, ClientGone{id});
     BeOver(id);
@@ -300,7 +300,7 @@
 
   // What is still out is given up, as a proxy does.
   void BeOver(RequestId id) {
-    Life& life = lives_.at(id);
+    ActiveRequest& life = lives_.at(id);
     life.over = true;
     std::vector<int> out;
     for (std::size_t n = 0; n < life.attempts.size(); ++n)
@@ -331,7 +331,7 @@
     }
   }
 
-  void Do(int, const Terms& terms) {
+  void Do(int, const ResourceGrant& terms) {
     checker_.Termed(now_, terms);
     const auto it = lives_.find(terms.id);
     if (it == lives_.end()) return;
@@ -346,9 +346,9 @@
     checker_.Sent(now_, send);
     const auto it = lives_.find(send.id);
     if (it == lives_.end() || it->second.over) return;
-    Life& life = it->second;
+    ActiveRequest& life = it->second;
     const int number = static_cast<int>(life.attempts.size());
-    ++result_.classes[life.request.klass].attempts;
+    ++result_.classes[life.request.class_id].attempts;
     life.attempts.push_back({send.engine, now_, true, FaultOf(send.id, number)});
     const Nanos last = std::max(now_, life.deadline - kLastWord);
     const Nanos until = send.timeout > 0 ? std::min(last, now_ + send.timeout) : last;
@@ -357,7 +357,7 @@
     StartAttempt(life, number);
   }
 
-  void StartAttempt(Life& life, int number) {
+  void StartAttempt(ActiveRequest& life, int number) {
     const RequestId id = life.request.id;
     const Attempt& a = life.attempts[static_cast<std::size_t>(number)];
     const bool down = !up_ && site_.restarted && a.engine == RestartedId();
@@ -372,21 +372,21 @@
     if (site_.settings.progress_every > 0) PlanNote(id, number);
   }
 
-  bool Discarded(const Life& life, int number) const {
-    if (site_.settings.classes[life.request.klass].effect != Effect::kKeyed) return false;
+  bool Discarded(const ActiveRequest& life, int number) const {
+    if (site_.settings.classes[life.request.class_id].effect != Effect::kKeyed) return false;
     return std::any_of(life.attempts.begin(), life.attempts.begin() + number, [](const Attempt& a) {
       return a.fault != Fault::kConnectFailed && a.fault != Fault::kError && a.outcome != Outcome::kFull;
     });
   }
 
-  QueryPlan PlanOf(const Life& life, int number) const {
-    const ClassSettings& c = site_.settings.classes[life.request.klass];
+  QueryPlan PlanOf(const ActiveRequest& life, int number) const {
+    const ClassSettings& c = site_.settings.classes[life.request.class_id];
     QueryPlan plan;
     plan.key = {life.request.id, number};
     plan.threads = c.threads;
     plan.work = Discarded(life, number) ? kDiscardedWork : life.work;
     plan.memory_mb = life.memory_mb;
-    const double usual = kGrantUsual * site_.traffic[life.request.klass].memory_mb;
+    const double usual = kGrantUsual * site_.traffic[life.request.class_id].memory_mb;
     const double estimate = life.request.est_memory_mb;
     plan.own_grant_mb = estimate > 0 ? kGrantMargin * estimate : usual;
     const double most =
@@ -407,7 +407,7 @@
       const Attempt& a = it->second.attempts[static_cast<std::size_t>(number)];
       const double done = engines_[a.engine - 1]->Progress({id, number});
       const double noise = 1 + kNoteNoise * (2 * Chance01(id, number) - 1);
-      Post(it->second, Note{id, number, NoteKind::kProgress, std::clamp(done * noise, 0.0, 1.0)});
+      Post(it->second, ProgressNotice{id, number, NoticeKind::kProgress, std::clamp(done * noise, 0.0, 1.0)});
       PlanNote(id, number);
     });
   }
@@ -422,15 +422,15 @@
     checker_.Cancelled(now_, cancel);
     const auto it = lives_.find(cancel.id);
     if (it == lives_.end()) return;
-    ++result_.classes[it->second.request.klass].cancels;
+    ++result_.classes[it->second.request.class_id].cancels;
     End(cancel.id, cancel.attempt, Outcome::kCancelled);
   }
 
-  void Do(int, const Refuse& refuse) {
+  void Do(int, const RejectRequest& refuse) {
     checker_.Refused(now_, refuse);
     const auto it = lives_.find(refuse.id);
     if (it == lives_.end() || it->second.over) return;
-    ++result_.classes[it->second.request.klass].refused;
+    ++result_.classes[it->second.request.class_id].refused;
     BeOver(refuse.id);
   }
 
@@ -438,7 +438,7 @@
     checker_.Failed(now_, fail);
     const auto it = lives_.find(fail.id);
     if (it == lives_.end() || it->second.over) return;
-    ++result_.classes[it->second.request.klass].failed;
+    ++result_.classes[it->second.request.class_id].failed;
     BeOver(fail.id);
   }
 
@@ -476,7 +476,7 @@
   void End(RequestId id, int number, Outcome outcome) {
     const auto it = lives_.find(id);
     if (it == lives_.end() || number < 0) return;
-    Life& life = it->second;
+    ActiveRequest& life = it->second;
     if (static_cast<std::size_t>(number) >= life.attempts.size()) return;
     Attempt& a = life.attempts[static_cast<std::size_t>(number)];
     if (!a.out) return;
@@ -491,7 +491,7 @@
     end.outcome = outcome;
     end.waited = now_ - a.sent_at;
     end.finished = served || life.over;
-    if (outcome == Outcome::kOk && site_.settings.tells_cost) {
+    if (outcome == Outcome::kOk && site_.settings.reports_cost) {
       end.work = ToNanos(life.work);
       end.memory_mb = life.memory_mb;
     }
@@ -503,12 +503,13 @@
   }
 
   void Serve(RequestId id) {
-    Life& life = lives_.at(id);
+    ActiveRequest& life = lives_.at(id);
     checker_.Served(now_, id);
-    const ClassSettings& c = site_.settings.classes[life.request.klass];
-    const Nanos aim = c.aim + ToNanos(c.aim_stretch * life.work / c.threads);
-    ClassResult& counts = result_.classes[life.request.klass];
-    (now_ - life.taken_at <= aim ? counts.in_time : counts.late) += 1;
+    const ClassSettings& c = site_.settings.classes[life.request.class_id];
+    const Nanos latency_objective =
+        c.latency_objective + ToNanos(c.latency_objective_stretch * life.work / c.threads);
+    ClassResult& counts = result_.classes[life.request.class_id];
+    (now_ - life.taken_at <= latency_objective ? counts.in_time : counts.late) += 1;
     BeOver(id);
   }
 
@@ -530,7 +531,7 @@
   std::vector<std::unique_ptr<QueryEngine>> engines_;  // engine number i + 1
   std::vector<Proxy> gateways_;
   std::multimap<Nanos, std::function<void()>> timeline_;
-  std::map<RequestId, Life> lives_;
+  std::map<RequestId, ActiveRequest> lives_;
   RequestId next_id_ = 1;
   std::uint32_t groups_ = kGroupsLeast;
   bool up_ = true;  // the engine that restarts
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -12,7 +12,7 @@
 constexpr Nanos kAnswerSlack = 10 * kMs;  // two ticks past the deadline
 
 bool MayHaveRun(Outcome outcome) {
-  return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kMoot;
+  return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
 
 // Whether it ended is not known: a key rests after it.
@@ -25,7 +25,7 @@
 SiteInvariantChecker::SiteInvariantChecker(const Site& site)
     : site_(site), gateways_(static_cast<std::size_t>(site.settings.gateways)) {}
 
-bool SiteInvariantChecker::Life::out() const {
+bool SiteInvariantChecker::ActiveRequest::out() const {
   return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
 }
 
@@ -35,12 +35,12 @@
   std::string text = "at " + std::to_string(now / kMs) + " ms: " + what;
   if (id != 0) text += " (request " + std::to_string(id) + ")";
   if (const auto it = lives_.find(id); it != lives_.end())
-    text += " of class " + std::to_string(it->second.request.klass) + " at gateway " +
+    text += " of class " + std::to_string(it->second.request.class_id) + " at gateway " +
             std::to_string(it->second.gateway);
   breaches_.push_back(text);
 }
 
-SiteInvariantChecker::Life* SiteInvariantChecker::Find(Nanos now, RequestId id, const char* what) {
+SiteInvariantChecker::ActiveRequest* SiteInvariantChecker::Find(Nanos now, RequestId id, const char* what) {
   const auto it = lives_.find(id);
   if (it != lives_.end()) return &it->second;
   Breach(now, id, std::string(what) + " for a request that is over or was never taken");
@@ -59,10 +59,10 @@
 }
 
 void SiteInvariantChecker::Taken(Nanos now, int gateway, const Request& request) {
-  Life& life = lives_[request.id];
+  ActiveRequest& life = lives_[request.id];
   life.request = request;
   life.gateway = gateway;
-  life.deadline = now + request.patience;
+  life.deadline = now + request.client_timeout;
   life.waits_since = now;
   open_[request.id] = gateway;
   GatewayState& state = gateways_[static_cast<std::size_t>(gateway)];
@@ -71,7 +71,7 @@
 }
 
 void SiteInvariantChecker::Sent(Nanos now, const Send& send) {
-  Life* life = Find(now, send.id, "an attempt");
+  ActiveRequest* life = Find(now, send.id, "an attempt");
   if (life == nullptr) return;
   if (life->answered) Breach(now, send.id, "an attempt after the answer");
   CheckAttempts(now, *life);
@@ -82,13 +82,13 @@
   life->attempts.push_back({send.engine, now});
 }
 
-void SiteInvariantChecker::CheckAttempts(Nanos now, const Life& life) {
+void SiteInvariantChecker::CheckAttempts(Nanos now, const ActiveRequest& life) {
   const auto most = static_cast<std::size_t>(std::max(1, site_.settings.max_attempts));
   if (life.attempts.size() >= most) Breach(now, life.request.id, "more attempts than allowed");
-  if (!site_.settings.may_copy && life.out()) Breach(now, life.request.id, "two attempts out at once");
+  if (!site_.settings.may_hedge && life.out()) Breach(now, life.request.id, "two attempts out at once");
 }
 
-void SiteInvariantChecker::CheckRepeat(Nanos now, const Life& life, EngineId engine) {
+void SiteInvariantChecker::CheckRepeat(Nanos now, const ActiveRequest& life, EngineId engine) {
   const ClassSettings& c = Class(life);
   if (c.effect == Effect::kSafe) return;
   for (const Attempt& before : life.attempts) {
@@ -101,7 +101,7 @@
   }
 }
 
-bool SiteInvariantChecker::SameGroup(const Life& life, EngineId a, EngineId b) const {
+bool SiteInvariantChecker::SameGroup(const ActiveRequest& life, EngineId a, EngineId b) const {
   const EngineEntry& x = site_.engines[a - 1];
   const EngineEntry& y = site_.engines[b - 1];
   const RepeatGroup group = Class(life).group;
@@ -110,7 +110,7 @@
   return true;
 }
 
-void SiteInvariantChecker::CheckOrder(Nanos now, const Life& life) {
+void SiteInvariantChecker::CheckOrder(Nanos now, const ActiveRequest& life) {
   if (!Ordered(life)) return;
   const KeyLine& line = gateways_[static_cast<std::size_t>(life.gateway)].keys[life.request.key];
   if (line.order.empty() || line.order.front() != life.request.id)
@@ -118,8 +118,8 @@
   if (now < line.rest_until) Breach(now, life.request.id, "an attempt while its key rests");
 }
 
-void SiteInvariantChecker::CheckPlace(Nanos now, const Life& life, EngineId engine) {
-  const std::vector<EngineId>& allowed = site_.may_take[life.request.klass];
+void SiteInvariantChecker::CheckPlace(Nanos now, const ActiveRequest& life, EngineId engine) {
+  const std::vector<EngineId>& allowed = site_.may_take[life.request.class_id];
   if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end())
     Breach(now, life.request.id, "an engine that the class's placement forbids");
   const GatewayState& state = gateways_[static_cast<std::size_t>(life.gateway)];
@@ -131,7 +131,7 @@
 
 std::size_t SiteInvariantChecker::BudgetLeft(Nanos now, GatewayState& gateway) const {
   const AttemptBudget& budget = *site_.settings.attempt_budget;
-  const Nanos from = now - budget.look_back;
+  const Nanos from = now - budget.budget_window;
   while (!gateway.taken.empty() && gateway.taken.front() <= from) gateway.taken.pop_front();
   while (!gateway.further.empty() && gateway.further.front() <= from) gateway.further.pop_front();
   const double allowed = budget.free + budget.ratio * static_cast<double>(gateway.taken.size());
@@ -139,7 +139,7 @@
   return left < 1 ? 0 : static_cast<std::size_t>(left);
 }
 
-void SiteInvariantChecker::CheckBudget(Nanos now, const Life& life) {
+void SiteInvariantChecker::CheckBudget(Nanos now, const ActiveRequest& life) {
   if (!site_.settings.attempt_budget) return;
   GatewayState& state = gateways_[static_cast<std::size_t>(life.gateway)];
   if (BudgetLeft(now, state) == 0) Breach(now, life.request.id, "a further attempt past the budget");
@@ -149,7 +149,7 @@
 void SiteInvariantChecker::Ended(Nanos now, RequestId id, int attempt, Outcome outcome) {
   const auto it = lives_.find(id);
   if (it == lives_.end()) return;
-  Life& life = it->second;
+  ActiveRequest& life = it->second;
   Attempt& ended = life.attempts.at(static_cast<std::size_t>(attempt));
   ended.out = false;
   ended.may_have_run = MayHaveRun(outcome);
@@ -185,11 +185,11 @@
   if (!site_.settings.may_probe) Breach(now, 0, "a probe that is not allowed");
 }
 
-void SiteInvariantChecker::Termed(Nanos now, const Terms& terms) {
+void SiteInvariantChecker::Termed(Nanos now, const ResourceGrant& terms) {
   if (terms.priority < 0 || terms.priority > 3) Breach(now, terms.id, "a priority that does not exist");
 }
 
-void SiteInvariantChecker::Answered(Nanos now, RequestId id, Life& life) {
+void SiteInvariantChecker::Answered(Nanos now, RequestId id, ActiveRequest& life) {
   if (life.answered) return Breach(now, id, "a second answer");
   life.answered = true;
   if (now > life.deadline + kAnswerSlack) Breach(now, id, "an answer past the deadline");
@@ -197,28 +197,28 @@
 }
 
 void SiteInvariantChecker::Served(Nanos now, RequestId id) {
-  if (Life* life = Find(now, id, "served"); life != nullptr) {
+  if (ActiveRequest* life = Find(now, id, "served"); life != nullptr) {
     Answered(now, id, *life);
     Leave(now, id);
   }
 }
 
-void SiteInvariantChecker::Refused(Nanos now, const Refuse& refuse) {
-  Life* life = Find(now, refuse.id, "a refusal");
+void SiteInvariantChecker::Refused(Nanos now, const RejectRequest& refuse) {
+  ActiveRequest* life = Find(now, refuse.id, "a refusal");
   if (life == nullptr) return;
   const bool may_have_run = std::any_of(life->attempts.begin(), life->attempts.end(),
                                         [](const Attempt& a) { return a.may_have_run; });
   if (Class(*life).effect != Effect::kSafe && may_have_run)
     Breach(now, refuse.id, "a refusal where the request may have run");
-  if (refuse.come_back > 0 && !site_.settings.may_advise)
+  if (refuse.retry_after > 0 && !site_.settings.may_send_retry_after)
     Breach(now, refuse.id, "advice that is not allowed");
-  if (refuse.come_back > site_.settings.max_come_back) Breach(now, refuse.id, "advice past the longest");
+  if (refuse.retry_after > site_.settings.max_retry_after) Breach(now, refuse.id, "advice past the longest");
   Answered(now, refuse.id, *life);
   Leave(now, refuse.id);
 }
 
 void SiteInvariantChecker::Failed(Nanos now, const Fail& fail) {
-  if (Life* life = Find(now, fail.id, "a failure"); life != nullptr) {
+  if (ActiveRequest* life = Find(now, fail.id, "a failure"); life != nullptr) {
     Answered(now, fail.id, *life);
     Leave(now, fail.id);
   }
@@ -239,14 +239,14 @@
 }
 
 // Whether a rule holds the request back.
-bool SiteInvariantChecker::MayWait(Nanos now, const Life& life) {
+bool SiteInvariantChecker::MayWait(Nanos now, const ActiveRequest& life) {
   GatewayState& state = gateways_[static_cast<std::size_t>(life.gateway)];
   if (Ordered(life) && state.keys[life.request.key].order.front() != life.request.id) return true;
   return !life.attempts.empty() && site_.settings.attempt_budget && BudgetLeft(now, state) == 0;
 }
 
-bool SiteInvariantChecker::MayTake(Nanos now, const Life& life, EngineId engine) {
-  const std::vector<EngineId>& allowed = site_.may_take[life.request.klass];
+bool SiteInvariantChecker::MayTake(Nanos now, const ActiveRequest& life, EngineId engine) {
+  const std::vector<EngineId>& allowed = site_.may_take[life.request.class_id];
   if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end()) return false;
   for (const Attempt& before : life.attempts)
     if (before.may_have_run && Class(life).effect == Effect::kKeyed &&
@@ -255,14 +255,15 @@
   const auto& listed = gateways_[static_cast<std::size_t>(life.gateway)].listed;
   const auto it = listed.find(engine);
   if (it == listed.end() || it->second.readiness != Readiness::kReady) return false;
-  const Nanos warm_at = it->second.started_at + site_.settings.warm_within + site_.settings.fall_window;
+  const Nanos warm_at =
+      it->second.started_at + site_.settings.slow_start_duration + site_.settings.overload_window;
   return it->second.started_at == 0 || now > warm_at;
 }
 
 void SiteInvariantChecker::CheckIdle(Nanos now, const std::vector<IdleEngine>& idle,
                                      const std::vector<std::vector<EngineId>>& avoided) {
   for (const auto& [id, gateway] : open_) {
-    Life& life = lives_.at(id);
+    ActiveRequest& life = lives_.at(id);
     if (life.idle_told || life.out()) continue;
     if (MayWait(now, life)) life.waits_since = now;
     if (now - life.waits_since <= kIdleMost) continue;
--- a/src/testing/simulation/site_invariant_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -34,9 +34,9 @@
   void Ended(Nanos now, RequestId id, int attempt, Outcome outcome);
   void Cancelled(Nanos now, const Cancel& cancel);
   void Probed(Nanos now, const Probe& probe);
-  void Termed(Nanos now, const Terms& terms);
+  void Termed(Nanos now, const ResourceGrant& terms);
   void Served(Nanos now, RequestId id);
-  void Refused(Nanos now, const Refuse& refuse);
+  void Refused(Nanos now, const RejectRequest& refuse);
   void Failed(Nanos now, const Fail& fail);
   void Withdrawn(Nanos now, RequestId id);
   // The client has waited to the end: from now on nobody waits for an answer.
@@ -57,7 +57,7 @@
     bool out = true;
     bool may_have_run = true;
   };
-  struct Life {
+  struct ActiveRequest {
     Request request;
     int gateway = 0;
     Nanos deadline = 0;
@@ -79,25 +79,27 @@
   };
 
   void Breach(Nanos now, RequestId id, const std::string& what);
-  Life* Find(Nanos now, RequestId id, const char* what);
-  const ClassSettings& Class(const Life& life) const { return site_.settings.classes[life.request.klass]; }
-  bool Ordered(const Life& life) const { return Class(life).in_order && life.request.key != 0; }
-  void Answered(Nanos now, RequestId id, Life& life);
+  ActiveRequest* Find(Nanos now, RequestId id, const char* what);
+  const ClassSettings& Class(const ActiveRequest& life) const {
+    return site_.settings.classes[life.request.class_id];
+  }
+  bool Ordered(const ActiveRequest& life) const { return Class(life).in_order && life.request.key != 0; }
+  void Answered(Nanos now, RequestId id, ActiveRequest& life);
   void Leave(Nanos now, RequestId id);  // once it is over and nothing of it is out
-  bool SameGroup(const Life& life, EngineId a, EngineId b) const;
+  bool SameGroup(const ActiveRequest& life, EngineId a, EngineId b) const;
   std::size_t BudgetLeft(Nanos now, GatewayState& gateway) const;
-  void CheckAttempts(Nanos now, const Life& life);
-  void CheckRepeat(Nanos now, const Life& life, EngineId engine);
-  void CheckOrder(Nanos now, const Life& life);
-  void CheckPlace(Nanos now, const Life& life, EngineId engine);
-  void CheckBudget(Nanos now, const Life& life);
-  bool MayWait(Nanos now, const Life& life);
-  bool MayTake(Nanos now, const Life& life, EngineId engine);
+  void CheckAttempts(Nanos now, const ActiveRequest& life);
+  void CheckRepeat(Nanos now, const ActiveRequest& life, EngineId engine);
+  void CheckOrder(Nanos now, const ActiveRequest& life);
+  void CheckPlace(Nanos now, const ActiveRequest& life, EngineId engine);
+  void CheckBudget(Nanos now, const ActiveRequest& life);
+  bool MayWait(Nanos now, const ActiveRequest& life);
+  bool MayTake(Nanos now, const ActiveRequest& life, EngineId engine);
 
   const Site& site_;
   std::vector<GatewayState> gateways_;
-  std::map<RequestId, Life> lives_;  // until nothing of them is out any more
-  std::map<RequestId, int> open_;    // taken and without an answer; with their gateways
+  std::map<RequestId, ActiveRequest> lives_;  // until nothing of them is out any more
+  std::map<RequestId, int> open_;             // taken and without an answer; with their gateways
   std::size_t count_ = 0;
   std::vector<std::string> breaches_;
 };
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -116,9 +116,9 @@
   double share;
   double work;  // mean, core-seconds
   int threads;
-  Nanos aim;
+  Nanos latency_objective;
   Nanos deadline;
-  double worth;
+  double priority_weight;
   double memory;  // against the other classes
 };
 
@@ -157,11 +157,11 @@
   std::vector<ClassSettings> classes;
   for (const ClassPlan& plan : Mix(shape)) {
     ClassSettings c;
-    c.aim = plan.aim;
-    c.aim_stretch = 2;
+    c.latency_objective = plan.latency_objective;
+    c.latency_objective_stretch = 2;
     c.deadline = plan.deadline;
-    c.worth = plan.worth;
-    c.late_worth = 0.3;
+    c.priority_weight = plan.priority_weight;
+    c.late_weight_share = 0.3;
     c.threads = plan.threads;
     c.blocked_by_loads = shape.Is(Dimension::kLoads, "loads block readers");
     classes.push_back(c);
@@ -181,27 +181,27 @@
   s.classes = Classes(shape);
   s.report_fields = Fields(shape);
   s.reports_in_answers = !s.report_fields.empty() && !shape.Is(Dimension::kReports, "in probes only");
-  s.over_share_worth = 0.2;
+  s.over_quota_weight_share = 0.2;
   s.drain_grace = 250 * kMs;
-  s.cold_from = 0.33;
-  s.warm_within = 10 * kSecond;
-  s.overload_multiple = 4;
-  s.fall_window = 2 * kSecond;
+  s.slow_start_initial_share = 0.33;
+  s.slow_start_duration = 10 * kSecond;
+  s.overload_factor = 4;
+  s.overload_window = 2 * kSecond;
   s.order_settle = 300 * kMs;
   if (shape.Is(Dimension::kBudget, "present")) s.attempt_budget = AttemptBudget{2, 0.01, 10 * kSecond};
   s.may_cancel = !shape.Is(Dimension::kCancel, "not allowed");
   s.may_probe = shape.Is(Dimension::kProbes, "allowed");
-  s.may_copy = shape.Is(Dimension::kCopies, "allowed");
-  s.may_advise = shape.Is(Dimension::kAdvice, "allowed");
+  s.may_hedge = shape.Is(Dimension::kCopies, "allowed");
+  s.may_send_retry_after = shape.Is(Dimension::kAdvice, "allowed");
   s.max_attempts = Number(shape, Dimension::kAttempts);
-  s.max_come_back = kSecond;
+  s.max_retry_after = kSecond;
   s.connect_timeout = 250 * kMs;
-  s.grants_heeded = shape.Is(Dimension::kGrants, "heeded");
-  s.priorities_heeded = shape.Is(Dimension::kPriorities, "heeded");
+  s.honors_memory_grants = shape.Is(Dimension::kGrants, "heeded");
+  s.honors_priorities = shape.Is(Dimension::kPriorities, "heeded");
   s.max_grant_share = 0.5;
   s.memory_short = static_cast<MemoryShort>(shape.at(Dimension::kMemoryShort));
   s.progress_every = shape.Is(Dimension::kNotes, "each second") ? kSecond : 0;
-  s.tells_cost = shape.Is(Dimension::kCosts, "told");
+  s.reports_cost = shape.Is(Dimension::kCosts, "told");
   return s;
 }
 
@@ -224,10 +224,10 @@
     traits.memory_mb = s.kinds[entry.kind].memory_mb;
     traits.sessions = static_cast<std::size_t>(8 * traits.cores);
     traits.memory_short = s.memory_short;
-    traits.grants_heeded = s.grants_heeded;
-    traits.priorities_heeded = s.priorities_heeded;
-    traits.cold_from = s.cold_from;
-    traits.warm_within = s.warm_within;
+    traits.honors_memory_grants = s.honors_memory_grants;
+    traits.honors_priorities = s.honors_priorities;
+    traits.slow_start_initial_share = s.slow_start_initial_share;
+    traits.slow_start_duration = s.slow_start_duration;
     traits.report_every = 400 * kMs;
     traits.report_delay = 150 * kMs;
     traits.report_fields = s.report_fields;
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -110,7 +110,7 @@
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 2500ms, counters_};
-  broker::Passed passed_;
+  broker::ForwardedFields passed_;
   EngineId engine_ = 0;
   runtime::Cancellation cancel_;
   backend::Result result_;
@@ -126,7 +126,7 @@
   attempt.not_after = Now() + 50ms;
   Play(attempt);
   ASSERT_TRUE(ended_);
-  EXPECT_EQ(result_.outcome, Outcome::kMoot);
+  EXPECT_EQ(result_.outcome, Outcome::kNotSent);
   EXPECT_LT(Now(), attempt.not_after + 500ms) << "told as soon as it is out of the question";
   EXPECT_EQ(counters_.tries(), 0u);
 }
@@ -137,7 +137,7 @@
   auto attempt = SomeAttempt();
   attempt.not_after = Now() - 1ms;
   Play(attempt);
-  EXPECT_EQ(result_.outcome, Outcome::kMoot);
+  EXPECT_EQ(result_.outcome, Outcome::kNotSent);
   const Descriptor side = door.LetIn();
   if (side) EXPECT_EQ(Heard(side.get(), 100ms), "");
 }
@@ -153,7 +153,7 @@
   loop_.Spawn(leave());
   const runtime::Time from = Now();
   Play(SomeAttempt());
-  EXPECT_EQ(result_.outcome, Outcome::kMoot);
+  EXPECT_EQ(result_.outcome, Outcome::kNotSent);
   EXPECT_LT(Now() - from, 100ms + 30ms) << "the bound on attempts after a client has left";
   EXPECT_EQ(counters_.tries(), 0u);
 }
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -20,7 +20,7 @@
   settings::Site site;
   site.classes = {"lookup"};
   ClassSettings lookup;
-  lookup.aim = 1'000'000'000;
+  lookup.latency_objective = 1'000'000'000;
   lookup.deadline = 3'000'000'000;
   site.module.classes = {lookup};
   site.module.kinds = {{8, 16384}};
@@ -30,7 +30,7 @@
 }
 
 // Where an answer goes that the test looks at.
-class Kept : public broker::AnswerSink {
+class Kept : public broker::ResponseSink {
  public:
   explicit Kept(int& answers) : answers_(answers) {}
   void Finish(const broker::Answer&) override { ++answers_; }
@@ -56,7 +56,7 @@
     directory_.Apply(
         codec::Json::Parse(R"({"n":1,"events":[{"n":1,"members":{"complete":true,"members":[{"id":"s",)"
                            R"("host_port":"127.0.0.1:9","phase":"Ready","up_since_ms":0}]}}]})"),
-        [this](const EngineList& list) { broker_.TellList(list); });
+        [this](const EngineList& list) { broker_.UpdateEndpoints(list); });
     broker_.Start();
   }
   broker::ClientRequest Request() const {
@@ -90,7 +90,7 @@
   const auto drive = [&]() -> runtime::Task<> {
     const RequestId id = broker_.Take(Request(), std::make_unique<Kept>(answers_));
     co_await loop_.NextTurn();  // the module has been told of the request, and has not decided yet
-    broker_.Abandon(id);
+    broker_.CancelRequest(id);
     co_await loop_.Sleep(100ms);
     loop_.Stop();
   };
@@ -109,8 +109,8 @@
     for (int turns = 0; turns < 12; ++turns) {
       const RequestId id = broker_.Take(Request(), std::make_unique<Kept>(answers_));
       for (int i = 0; i < turns; ++i) co_await loop_.NextTurn();
-      broker_.Abandon(id);
-      broker_.Abandon(id);
+      broker_.CancelRequest(id);
+      broker_.CancelRequest(id);
       co_await loop_.Sleep(20ms);
     }
     loop_.Stop();
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -271,7 +271,7 @@
   benchmark::HollowPlan plan;
   plan.members = 24;
   plan.voters = 3;
-  plan.patience = 30s;
+  plan.client_timeout = 30s;
   plan.calm = 2s;
   plan.changes = 1;
   return plan;
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -53,23 +53,23 @@
   s.tick = kTick;
   for (const ClassOf& of : kClasses) {
     ClassSettings c;
-    c.aim = std::max<Nanos>(100 * kMs, static_cast<Nanos>(plan.small * 3e9));
-    c.aim_stretch = 2.5;
+    c.latency_objective = std::max<Nanos>(100 * kMs, static_cast<Nanos>(plan.small * 3e9));
+    c.latency_objective_stretch = 2.5;
     c.deadline = 10 * kSecond;
-    c.worth = of.work > 1 ? 10 : 1;
-    c.late_worth = 0.3;
+    c.priority_weight = of.work > 1 ? 10 : 1;
+    c.late_weight_share = 0.3;
     c.threads = of.threads;
     s.classes.push_back(c);
   }
   s.kinds = {{12, 24576}};
   s.drain_grace = 250 * kMs;
-  s.cold_from = 0.31;
-  s.warm_within = 14 * kSecond;
-  s.overload_multiple = plan.multiple;
-  s.fall_window = kSecond;
+  s.slow_start_initial_share = 0.31;
+  s.slow_start_duration = 14 * kSecond;
+  s.overload_factor = plan.multiple;
+  s.overload_window = kSecond;
   s.max_attempts = 3;
   s.may_cancel = true;
-  s.tells_cost = true;
+  s.reports_cost = true;
   return s;
 }
 
@@ -107,7 +107,7 @@
     std::unique_ptr<Gateway> gateway;
     double rate = 0;  // requests a second
     std::map<RequestId, double> work;
-    std::map<RequestId, std::uint16_t> klass;
+    std::map<RequestId, std::uint16_t> class_id;
     std::map<RequestId, int> attempts;
     std::priority_queue<Running, std::vector<Running>, std::greater<>> out;
     std::vector<Event> events;
@@ -149,16 +149,16 @@
       }
       for (int n = std::poisson_distribution<int>(m.rate * 0.005)(random); n > 0; --n) {
         const double pick = chance();
-        const std::uint16_t klass = pick < kClasses[0].share ? 0 : pick < 1 - kClasses[2].share ? 1 : 2;
+        const std::uint16_t class_id = pick < kClasses[0].share ? 0 : pick < 1 - kClasses[2].share ? 1 : 2;
         Request r;
         r.id = next++;
-        r.klass = klass;
-        r.patience = 10 * kSecond;
-        const double work = plan.small * kClasses[klass].work * -std::log(1 - chance());
+        r.class_id = class_id;
+        r.client_timeout = 10 * kSecond;
+        const double work = plan.small * kClasses[class_id].work * -std::log(1 - chance());
         r.est_work = static_cast<Nanos>(std::max(1e-5, work) * 1e9);
         r.tables = static_cast<std::uint32_t>(random() % 20);
         m.work[r.id] = std::max(1e-5, work);
-        m.klass[r.id] = klass;
+        m.class_id[r.id] = class_id;
         m.events.push_back(r);
       }
       m.events.push_back(TimerFired{0});
@@ -178,17 +178,19 @@
           m.out.push({now + end.waited, end});
           if (send->engine != cold || now < cold_start) continue;
           const double calls =
-              plan.small * kClasses[m.klass.at(send->id)].work / mean_work;  // as the rule weighs it
+              plan.small * kClasses[m.class_id.at(send->id)].work / mean_work;  // as the rule weighs it
           window.emplace_back(now, calls);
           in_window += calls;
           result.sent += calls;
-          while (window.front().first <= now - base.fall_window) {
+          while (window.front().first <= now - base.overload_window) {
             in_window -= window.front().second;
             window.pop_front();
           }
-          const double age = static_cast<double>(now - cold_start) / static_cast<double>(base.warm_within);
-          const double share = base.cold_from + (1 - base.cold_from) * std::min(1.0, age);
-          const double n = base.overload_multiple * share * 12 / mean_work;
+          const double age =
+              static_cast<double>(now - cold_start) / static_cast<double>(base.slow_start_duration);
+          const double share =
+              base.slow_start_initial_share + (1 - base.slow_start_initial_share) * std::min(1.0, age);
+          const double n = base.overload_factor * share * 12 / mean_work;
           result.worst = std::max(result.worst, in_window / (n + 2 * std::sqrt(n) + 2));
         }
       }
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -32,16 +32,16 @@
   Settings& s = site.module;
   s.classes.resize(2);
   for (ClassSettings& c : s.classes) {
-    c.aim = 200'000'000;
+    c.latency_objective = 200'000'000;
     c.deadline = 400'000'000;
   }
   s.classes[1].effect = Effect::kUnsafe;
   s.tenants.resize(1);
   s.kinds = {{8, 1000}};
   s.tick = 1'000'000;
-  s.may_cancel = s.may_advise = true;
+  s.may_cancel = s.may_send_retry_after = true;
   s.max_attempts = 3;
-  s.max_come_back = 100'000'000;
+  s.max_retry_after = 100'000'000;
   s.connect_timeout = 100'000'000;
   return site;
 }
@@ -51,7 +51,7 @@
   explicit Play(unsigned seed) : random_(seed) {
     for (auto& engine : engines_) loop_.Spawn(Engine(*engine));
     directory_.Apply(codec::Json::Parse(List()),
-                     [this](EngineList list) { broker_.TellList(std::move(list)); });
+                     [this](EngineList list) { broker_.UpdateEndpoints(std::move(list)); });
     broker_.Start();
     server_->Start();
     loop_.Spawn(Clients());
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -36,14 +36,14 @@
       if (auto* s = std::get_if<Send>(&a)) {
         sends.push_back({s->id, s->engine, attempts_[s->id]++, now, s->not_after});
         engine_of[s->id] = s->engine;
-      } else if (auto* r = std::get_if<Refuse>(&a)) {
+      } else if (auto* r = std::get_if<RejectRequest>(&a)) {
         refused[r->id] = now;
-        advice[r->id] = r->come_back;
+        advice[r->id] = r->retry_after;
       } else if (auto* f = std::get_if<Fail>(&a)) {
         failed[f->id] = now;
       } else if (auto* c = std::get_if<Cancel>(&a)) {
         cancels.insert(c->id);
-      } else if (auto* t = std::get_if<Terms>(&a)) {
+      } else if (auto* t = std::get_if<ResourceGrant>(&a)) {
         terms[t->id] = *t;
       } else if (auto* p = std::get_if<Probe>(&a)) {
         probes.push_back(p->engine);
@@ -83,7 +83,7 @@
   std::map<RequestId, Nanos> refused, failed, advice;
   std::set<RequestId> cancels;
   std::vector<EngineId> probes;
-  std::map<RequestId, Terms> terms;
+  std::map<RequestId, ResourceGrant> terms;
 
  private:
   Gateway gateway_;
@@ -91,13 +91,13 @@
   std::multiset<Nanos> wakes_;
 };
 
-inline ClassSettings SomeClass(double worth = 1, int threads = 1) {
+inline ClassSettings SomeClass(double priority_weight = 1, int threads = 1) {
   ClassSettings c;
-  c.aim = kSecond;
-  c.aim_stretch = 1;
+  c.latency_objective = kSecond;
+  c.latency_objective_stretch = 1;
   c.deadline = 5 * kSecond;
-  c.worth = worth;
-  c.late_worth = 0.3;
+  c.priority_weight = priority_weight;
+  c.late_weight_share = 0.3;
   c.threads = threads;
   c.repeat_window = 5 * kSecond;
   return c;
@@ -110,8 +110,8 @@
   s.kinds = {{8, 16384}};
   s.drain_grace = 250 * kMs;
   s.may_cancel = true;
-  s.may_advise = true;
-  s.max_come_back = 2 * kSecond;
+  s.may_send_retry_after = true;
+  s.max_retry_after = 2 * kSecond;
   s.max_attempts = 3;
   s.report_fields = {ReportField::kInflight, ReportField::kUtil};
   s.reports_in_answers = true;
@@ -125,12 +125,12 @@
   return e;
 }
 
-inline Request Ask(RequestId id, std::uint16_t klass = 0, Nanos patience = 4 * kSecond,
+inline Request Ask(RequestId id, std::uint16_t class_id = 0, Nanos client_timeout = 4 * kSecond,
                    Nanos work = 100 * kMs) {
   Request r;
   r.id = id;
-  r.klass = klass;
-  r.patience = patience;
+  r.class_id = class_id;
+  r.client_timeout = client_timeout;
   r.est_work = work;
   r.tables = static_cast<std::uint32_t>(id % 17);
   return r;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -15,10 +15,10 @@
 
 Settings WithColdEngines() {
   Settings s = SomeSettings();
-  s.cold_from = 0.3;
-  s.warm_within = 15 * kSecond;
-  s.overload_multiple = 2.5;
-  s.fall_window = 1500 * kMs;
+  s.slow_start_initial_share = 0.3;
+  s.slow_start_duration = 15 * kSecond;
+  s.overload_factor = 2.5;
+  s.overload_window = 1500 * kMs;
   return s;
 }
 
@@ -118,7 +118,7 @@
   for (const Host::Sent& s : host.sends) EXPECT_EQ(s.engine, s.id <= 10 ? 2u : 3u);
 }
 
-TEST(Retune, WhatIsUnderWayKeepsItsClassAndWhatHasNoAttemptLeftIsAnswered) {
+TEST(ApplySettings, WhatIsUnderWayKeepsItsClassAndWhatHasNoAttemptLeftIsAnswered) {
   Settings before = SomeSettings();
   Host host(before);
   host.List({Ready(1)});
@@ -128,7 +128,7 @@
   after.classes.push_back(SomeClass());
   after.classes[1].effect = Effect::kUnsafe;
   after.max_attempts = 2;
-  host.Step({Retuned{std::make_shared<const Settings>(after), {0, 0}}});
+  host.Step({SettingsChanged{std::make_shared<const Settings>(after), {0, 0}}});
   host.Step({Ask(3, 1)});
   host.End(3, Outcome::kReset);
   EXPECT_TRUE(host.failed.contains(3)) << "its class allows no repeat";
@@ -140,7 +140,7 @@
   host.End(2, Outcome::kFull);
   EXPECT_FALSE(host.refused.contains(2));
   after.max_attempts = 1;
-  host.Step({Retuned{std::make_shared<const Settings>(after), {0, 1}}});
+  host.Step({SettingsChanged{std::make_shared<const Settings>(after), {0, 1}}});
   EXPECT_TRUE(host.refused.contains(2)) << "held for an attempt that is no more allowed";
 }
 
@@ -202,7 +202,7 @@
     double total = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Host host(s, seed);
-      host.Step({Beside{parts}});
+      host.Step({ProcessShare{parts}});
       host.List({Ready(1, host.now), Ready(2)});
       for (RequestId id = 1; id <= 400; ++id) {
         host.Step({Ask(id)});
@@ -305,7 +305,7 @@
 TEST(Bound, NoFirstHeavyQueryOnAnEngineThatOthersCrowd) {
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5)};
-  s.tells_cost = true;
+  s.reports_cost = true;
   Host host(s);
   host.List({Ready(1)});
   host.Step({Ask(1, 1, 4 * kSecond, 2 * kSecond)});
@@ -328,8 +328,8 @@
 // aims hold it doesn't fall under its seed.
 TEST(Bound, StepsUpAndTakesBackAStepThatDidNotPay) {
   Settings s = SomeSettings();
-  s.classes[0].aim = s.classes[0].deadline = 60 * kSecond;
-  s.tells_cost = true;
+  s.classes[0].latency_objective = s.classes[0].deadline = 60 * kSecond;
+  s.reports_cost = true;
   Host host(s);
   host.List({Ready(1)});
   MakeBusy(host, 1000, 1);
@@ -365,7 +365,7 @@
 TEST(Bound, LightQueriesAreCountedApart) {
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5, 4)};
-  s.classes[0].aim = 100 * kMs;
+  s.classes[0].latency_objective = 100 * kMs;
   Host host(s);
   host.List({Ready(1)});
   for (RequestId id = 1; id <= 20; ++id) host.Step({Ask(id, 1, 4 * kSecond, kSecond)});
@@ -501,10 +501,10 @@
 // the whole of a cold engine's budget.
 TEST(Rule4, AHugeEstimateIsNoDemand) {
   Settings s = SomeSettings();
-  s.cold_from = 0.3;
-  s.warm_within = 10 * kSecond;
-  s.overload_multiple = 4;
-  s.fall_window = kSecond;
+  s.slow_start_initial_share = 0.3;
+  s.slow_start_duration = 10 * kSecond;
+  s.overload_factor = 4;
+  s.overload_window = kSecond;
   std::array<std::size_t, 2> sent{};
   for (const bool huge : {false, true}) {
     Host host(s);
@@ -523,7 +523,7 @@
 // A load that hangs would do so until its client gives up; while its repeats are discarded it goes elsewhere.
 TEST(Health, AHungLoadIsTriedElsewhereWellWithinItsDeadline) {
   Settings s = SomeSettings();
-  s.tells_cost = true;
+  s.reports_cost = true;
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].deadline = s.classes[0].repeat_window = 20 * kSecond;
   Host host(s);
@@ -546,11 +546,11 @@
 // On an engine that is still cold a load takes long without hanging: cut short, all its work would be lost.
 TEST(Health, ALoadOnAColdEngineIsLeftToRun) {
   Settings s = SomeSettings();
-  s.tells_cost = true;
-  s.cold_from = 0.3;
-  s.warm_within = 14 * kSecond;
-  s.overload_multiple = 4;
-  s.fall_window = kSecond;
+  s.reports_cost = true;
+  s.slow_start_initial_share = 0.3;
+  s.slow_start_duration = 14 * kSecond;
+  s.overload_factor = 4;
+  s.overload_window = kSecond;
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].deadline = s.classes[0].repeat_window = 20 * kSecond;
   Host host(s);
@@ -570,7 +570,7 @@
 // lost when it hangs, keeps away from it.
 TEST(Health, HeavyQueriesKeepAwayFromAnEngineThatHangsSome) {
   Settings s = SomeSettings();
-  s.tells_cost = true;
+  s.reports_cost = true;
   s.report_fields.clear();
   s.classes = {SomeClass(1), SomeClass(10, 2)};
   Host host(s);
@@ -597,7 +597,7 @@
 TEST(Health, OverdueAttemptsWeighOnTheirEngine) {
   Settings s = SomeSettings();
   s.may_cancel = false;
-  s.tells_cost = true;
+  s.reports_cost = true;
   Host host(s);
   host.List({Ready(1)});
   host.Step({Ask(1)});
@@ -641,9 +641,9 @@
 TEST(Health, AClassThatTurnsHeavyLeavesNoEndlessCheck) {
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5)};
-  s.classes[1].aim = 8 * kSecond;
+  s.classes[1].latency_objective = 8 * kSecond;
   s.progress_every = 500 * kMs;
-  s.tells_cost = true;
+  s.reports_cost = true;
   Host host(s);
   host.List({Ready(1), Ready(2)});
   host.Step({Ask(1)});
@@ -660,8 +660,8 @@
 // late.
 TEST(Release, NothingIsSentThatCannotMeetItsAimAtThePresentPace) {
   Settings s = SomeSettings();
-  s.classes[0].late_worth = 0;
-  s.tells_cost = true;
+  s.classes[0].late_weight_share = 0;
+  s.reports_cost = true;
   Host host(s);
   host.List({Ready(1)});
   for (RequestId id = 1; id <= 60; ++id) {  // ten times the time of an idle engine
@@ -695,11 +695,11 @@
 
 // Attempts of one query of a class, each of `time`, while the fleet is slow and a heavy class, which is worth
 // 12 for a second of one thread, has spent the credit of one gateway of a hundred.
-int AttemptsWithoutCredit(const ClassSettings& klass, Nanos time) {
+int AttemptsWithoutCredit(const ClassSettings& class_id, Nanos time) {
   Settings s = SomeSettings();
   s.gateways = 100;
   s.report_fields.clear();
-  s.classes = {klass, SomeClass(12)};
+  s.classes = {class_id, SomeClass(12)};
   s.classes[0].deadline = s.classes[1].deadline = 60 * kSecond;
   Host host(s);
   std::vector<EngineEntry> fleet;
@@ -732,7 +732,7 @@
   ClassSettings load = SomeClass(13);
   load.holds_tables = true;
   EXPECT_EQ(AttemptsWithoutCredit(load, kSecond), 1);
-  load.worth = 4;
+  load.priority_weight = 4;
   EXPECT_EQ(AttemptsWithoutCredit(load, kSecond), 0);
 }
 
@@ -742,7 +742,7 @@
   s.gateways = 100;
   s.may_probe = true;
   s.classes = {SomeClass(1), SomeClass(5, 4)};
-  s.classes[0].aim = 100 * kMs;
+  s.classes[0].latency_objective = 100 * kMs;
   Host host(s);
   host.List({Ready(1), Ready(2)});
   host.Step({Ask(1, 1, 4 * kSecond, kSecond), Ask(2, 0, 4 * kSecond, 10 * kMs)});
@@ -816,7 +816,7 @@
 // engines.
 TEST(Reports, AClassThatItsPaceRulesOutSendsATrialNowAndThen) {
   Settings s = SomeSettings();
-  s.classes[0].late_worth = 0;
+  s.classes[0].late_weight_share = 0;
   Host host(s);
   host.List({Ready(1), Ready(2)});
   RequestId id = 0;
@@ -852,10 +852,10 @@
 TEST(Rule4, AllGatewaysTogetherKeepAColdEnginesBudget) {
   Settings s = SomeSettings();
   s.gateways = 100;
-  s.cold_from = 0.3;
-  s.warm_within = 15 * kSecond;
-  s.overload_multiple = 2.5;
-  s.fall_window = 1500 * kMs;
+  s.slow_start_initial_share = 0.3;
+  s.slow_start_duration = 15 * kSecond;
+  s.overload_factor = 2.5;
+  s.overload_window = 1500 * kMs;
   double sent = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Host host(s, seed);
@@ -911,7 +911,7 @@
 // from.
 TEST(Memory, AFewAnswersTellHowFarEstimatesLie) {
   Settings s = SomeSettings();
-  s.grants_heeded = true;
+  s.honors_memory_grants = true;
   Host host(s);
   host.List({Ready(1)});
   for (RequestId id = 1; id <= 12; ++id) {
@@ -936,7 +936,7 @@
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].deadline = 20 * kSecond;
-  s.classes[0].aim = 10 * kSecond;
+  s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
   host.List({Ready(1), Ready(2)});
   const Nanos start = host.now;
@@ -967,7 +967,7 @@
   EXPECT_LT(host.sends.back().not_after, start + kSecond);
   const Nanos first = host.sends.back().not_after;
   host.now += 200 * kMs;
-  host.End(1, Outcome::kMoot);  // an attempt that never left starts no window of its own
+  host.End(1, Outcome::kNotSent);  // an attempt that never left starts no window of its own
   ASSERT_EQ(host.Attempts(1), 3);
   EXPECT_EQ(host.sends.back().not_after, first);
 }
@@ -987,7 +987,7 @@
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].repeat_window = kSecond;
   s.classes[0].deadline = 20 * kSecond;
-  s.classes[0].aim = 10 * kSecond;
+  s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
   host.List({Ready(1), Ready(2)});
   host.Step({Ask(1, 0, 20 * kSecond, 5 * kSecond)});
@@ -996,7 +996,7 @@
 }
 
 // The repeat may still wait for its connection when its class turns unsafe.
-TEST(Retune, ARepeatThatIsNoLongerAllowedIsCalledOff) {
+TEST(ApplySettings, ARepeatThatIsNoLongerAllowedIsCalledOff) {
   Settings before = SomeSettings();
   Host host(before);
   host.List({Ready(1), Ready(2)});
@@ -1006,10 +1006,10 @@
   ASSERT_EQ(host.Attempts(1), 2);
   Settings after = before;
   after.classes[0].effect = Effect::kUnsafe;
-  host.Step({Retuned{std::make_shared<const Settings>(after), {0}}});
+  host.Step({SettingsChanged{std::make_shared<const Settings>(after), {0}}});
   EXPECT_TRUE(host.cancels.contains(1));
   EXPECT_FALSE(host.cancels.contains(2)) << "a first attempt is no repeat";
-  host.End(1, Outcome::kMoot);
+  host.End(1, Outcome::kNotSent);
   EXPECT_TRUE(host.failed.contains(1)) << "the attempt before may have run";
 }
 
@@ -1214,13 +1214,13 @@
   }
 }
 
-TEST(Siblings, TakeThePlaceOfWhatTheSettingsTellAlsoOverAReload) {
+TEST(FleetSize, TakeThePlaceOfWhatTheSettingsTellAlsoOverAReload) {
   Settings s = SomeSettings();
   s.gateways = 2;
   const auto used = [&](bool told, bool reloaded) {
     Host host(s);
-    if (told) host.Step({Siblings{100, 3}});
-    if (reloaded) host.Step({Retuned{std::make_shared<Settings>(s), {0, 1, 2}}});
+    if (told) host.Step({FleetSize{100, 3}});
+    if (reloaded) host.Step({SettingsChanged{std::make_shared<Settings>(s), {0, 1, 2}}});
     std::vector<EngineEntry> fleet;
     for (EngineId id = 1; id <= 60; ++id) fleet.push_back(Ready(id));
     host.List(fleet);
@@ -1241,17 +1241,17 @@
 
 // A cold engine's budget, divided by who is known to live: all gateways together stay within what it bears,
 // also when every one of them is flooded and would guess that the whole demand is its own.
-TEST(Siblings, TogetherKeepWithinAColdEnginesBudget) {
+TEST(FleetSize, TogetherKeepWithinAColdEnginesBudget) {
   Settings s = SomeSettings();
-  s.fall_window = kSecond;
-  s.overload_multiple = 4;
-  s.cold_from = 0.3;
-  s.warm_within = 14 * kSecond;
+  s.overload_window = kSecond;
+  s.overload_factor = 4;
+  s.slow_start_initial_share = 0.3;
+  s.slow_start_duration = 14 * kSecond;
   constexpr int kGateways = 20;
   double work = 0;  // thread seconds sent to the cold engine within its first second
   for (int place = 0; place < kGateways; ++place) {
     Host host(s, 5 + place);
-    host.Step({Siblings{kGateways, place}});
+    host.Step({FleetSize{kGateways, place}});
     host.now = kSecond;
     EngineEntry cold = Ready(1);
     cold.started_at = host.now;
@@ -1263,7 +1263,8 @@
     work += 0.1 * static_cast<double>(host.sends.size());
   }
   const double cores = s.kinds.empty() || s.kinds[0].cores <= 0 ? 1 : s.kinds[0].cores;
-  EXPECT_LE(work, s.overload_multiple * s.cold_from * cores * 1.15) << "of " << kGateways << " gateways";
+  EXPECT_LE(work, s.overload_factor * s.slow_start_initial_share * cores * 1.15)
+      << "of " << kGateways << " gateways";
   EXPECT_GT(work, 0);
 }
 
@@ -1288,8 +1289,8 @@
   host.Step({});
   AttemptEnded stray;
   stray.id = 77;
-  host.Step({stray, ClientGone{78}, Note{79, 0, NoteKind::kProgress, 0.5}, Probed{}, TimerFired{5},
-             EngineList{ListKind::kFailed, nullptr}});
+  host.Step({stray, ClientGone{78}, ProgressNotice{79, 0, NoticeKind::kProgress, 0.5}, Probed{},
+             TimerFired{5}, EngineList{ListKind::kFailed, nullptr}});
   EXPECT_TRUE(host.sends.empty());
   host.Step({Ask(1, 9)});
   EXPECT_TRUE(host.failed.contains(1)) << "a class that the settings do not have";
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -142,10 +142,10 @@
     return writer.Finish();
   };
   golden::ExpectGolden("bench_replies.txt", {{"empty", reply({}), {}},
-                                             {"terms", reply({Terms{kId, 7, 384.5}}), {}},
+                                             {"terms", reply({ResourceGrant{kId, 7, 384.5}}), {}},
                                              {"send", reply({Send{kId, 0x03124a07, 0x04c4b400, 5}}), {}},
                                              {"cancel", reply({Cancel{kId, 3}}), {}},
-                                             {"refuse", reply({Refuse{kId, 1'000'000'000}}), {}},
+                                             {"refuse", reply({RejectRequest{kId, 1'000'000'000}}), {}},
                                              {"fail", reply({Fail{kId}}), {}},
                                              {"wake_at", reply({WakeAt{0x213362490, 0x4d}}), {}},
                                              {"probe", reply({Probe{0x03124a07}}), {}},
@@ -216,10 +216,10 @@
   const auto& message = std::get<PeerMessage>(events[2]);
   EXPECT_EQ(message.sender, 0x0102);
   EXPECT_EQ(message.body, "abc");
-  const auto& note = std::get<Note>(events[3]);
+  const auto& note = std::get<ProgressNotice>(events[3]);
   EXPECT_EQ(note.id, 0x0123456789abcdefu);
   EXPECT_EQ(note.attempt, 2);
-  EXPECT_EQ(note.kind, NoteKind::kSpills);
+  EXPECT_EQ(note.kind, NoticeKind::kSpills);
   EXPECT_EQ(note.amount, 2.0);
   const auto& list = std::get<EngineList>(events[4]);
   EXPECT_EQ(list.kind, ListKind::kFailed);
@@ -229,7 +229,7 @@
 TEST(BenchEvent_EachOutcomeCode, IsItsOutcome) {
   const Outcome outcomes[] = {Outcome::kOk,        Outcome::kError,         Outcome::kFull,
                               Outcome::kTimeout,   Outcome::kConnectFailed, Outcome::kReset,
-                              Outcome::kCancelled, Outcome::kMoot};
+                              Outcome::kCancelled, Outcome::kNotSent};
   for (std::size_t i = 0; i < std::size(outcomes); ++i) {
     const auto batches = Decoded(
         "0d0003"
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -156,8 +156,8 @@
       return seen.event.type == change && (!by || seen.process == *by);
     }));
   }
-  double PeriodsToConverge(double patience = 60) {
-    const auto took = fleet.ConvergeWithin(Span(static_cast<Span::rep>(patience * 0.25e9)));
+  double PeriodsToConverge(double client_timeout = 60) {
+    const auto took = fleet.ConvergeWithin(Span(static_cast<Span::rep>(client_timeout * 0.25e9)));
     return took ? std::chrono::duration<double>(*took).count() / 0.25 : 1e9;
   }
 
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -102,10 +102,10 @@
   site.tenants = {"north", "south"};
   site.classes = {"lookup", "report"};
   site.module.classes.resize(2);
-  site.module.classes[0].aim = 600'000'000;
-  site.module.classes[1].aim = 3'000'000'000;
+  site.module.classes[0].latency_objective = 600'000'000;
+  site.module.classes[1].latency_objective = 3'000'000'000;
   site.module.classes[1].threads = 2;
-  site.module.classes[1].worth = 10;
+  site.module.classes[1].priority_weight = 10;
   site.module.gateways = 2;
   return site;
 }
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -242,11 +242,11 @@
       return;
     }
     Named named(words, words[2] == "answer" ? 5 : words[2] == "drain" ? 3 : 4);
-    auto patience = kPatience;
+    auto client_timeout = kPatience;
     for (const auto& [name, value] : named.values) {
-      if (name == "within") patience = std::chrono::milliseconds(std::stoi(value));
+      if (name == "within") client_timeout = std::chrono::milliseconds(std::stoi(value));
     }
-    if (!Next(frame, patience)) Wrong(ended_ ? "the connection was closed" : "nothing came");
+    if (!Next(frame, client_timeout)) Wrong(ended_ ? "the connection was closed" : "nothing came");
     const std::string kind = frame.type == codec::kAnswerFrame     ? "answer"
                              : frame.type == codec::kReadyFrame    ? "ready"
                              : frame.type == codec::kEstimateFrame ? "estimate"
@@ -348,12 +348,12 @@
       return;
     }
     Named named(words, 4);
-    auto patience = kPatience;
+    auto client_timeout = kPatience;
     std::erase_if(named.values, [&](const auto& value) {
-      if (value.first == "within") patience = std::chrono::milliseconds(std::stoi(value.second));
+      if (value.first == "within") client_timeout = std::chrono::milliseconds(std::stoi(value.second));
       return value.first == "within";
     });
-    const auto call = Await(words[2], words.size() > 3 ? words[3] : "", patience);
+    const auto call = Await(words[2], words.size() > 3 ? words[3] : "", client_timeout);
     if (!call) Wrong("no such call; there are: " + Waiting());
     last_ = call->connection;
     const std::size_t end = call->text.find("\r\n\r\n");
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -19,14 +19,15 @@
   Settings s;
   s.tick = 5 * kMs;
   ClassSettings lookup, report;
-  lookup.aim = 600 * kMs, lookup.deadline = 3 * kSecond, lookup.late_worth = 0.5;
-  report.aim = 3 * kSecond, report.deadline = 15 * kSecond, report.late_worth = 0.5, report.worth = 4;
+  lookup.latency_objective = 600 * kMs, lookup.deadline = 3 * kSecond, lookup.late_weight_share = 0.5;
+  report.latency_objective = 3 * kSecond, report.deadline = 15 * kSecond, report.late_weight_share = 0.5,
+  report.priority_weight = 4;
   report.threads = 2;
   s.classes = {lookup, report};
   s.kinds = {{8, 16384}};
   s.max_attempts = 3;
-  s.may_cancel = s.may_probe = s.may_advise = true;
-  s.max_come_back = 500 * kMs;
+  s.may_cancel = s.may_probe = s.may_send_retry_after = true;
+  s.max_retry_after = 500 * kMs;
   s.connect_timeout = 250 * kMs;
   s.max_grant_share = 0.4;
   return s;
@@ -41,13 +42,13 @@
     events_.push_back(EngineList{ListKind::kCached, list});
   }
 
-  RequestId Take(std::uint16_t klass, Nanos patience = 3 * kSecond, double memory_mb = 0,
+  RequestId Take(std::uint16_t class_id, Nanos client_timeout = 3 * kSecond, double memory_mb = 0,
                  std::uint16_t tenant = 0) {
     Request request;
     request.id = ++last_;
-    request.klass = klass, request.tenant = tenant;
-    request.patience = patience, request.est_memory_mb = memory_mb;
-    ends_[last_] = now_ + patience;
+    request.class_id = class_id, request.tenant = tenant;
+    request.client_timeout = client_timeout, request.est_memory_mb = memory_mb;
+    ends_[last_] = now_ + client_timeout;
     events_.push_back(request);
     return last_;
   }
@@ -123,19 +124,19 @@
 };
 
 bool AnyGrant(const World& world) {
-  const auto all = world.All<Terms>();
-  return std::any_of(all.begin(), all.end(), [](const Terms& terms) { return terms.grant_mb > 0; });
+  const auto all = world.All<ResourceGrant>();
+  return std::any_of(all.begin(), all.end(), [](const ResourceGrant& terms) { return terms.grant_mb > 0; });
 }
 
 bool AnyPriority(const World& world) {
-  const auto all = world.All<Terms>();
-  return std::any_of(all.begin(), all.end(), [](const Terms& terms) { return terms.priority != 1; });
+  const auto all = world.All<ResourceGrant>();
+  return std::any_of(all.begin(), all.end(), [](const ResourceGrant& terms) { return terms.priority != 1; });
 }
 
 TEST(SettingsEffect, GrantsAreSetWhereTheyAreHeeded) {
   for (const bool heeded : {false, true}) {
     Settings settings = Usual();
-    settings.grants_heeded = heeded;
+    settings.honors_memory_grants = heeded;
     World world(settings);
     world.Take(kReport, 10 * kSecond, 1000);
     world.RunFor(kSecond);
@@ -143,17 +144,17 @@
     EXPECT_EQ(world.served, 1u);
   }
   Settings settings = Usual();
-  settings.grants_heeded = true;
+  settings.honors_memory_grants = true;
   World world(settings);
   world.Take(kReport, 10 * kSecond, 16000);
   world.RunFor(kSecond);
-  for (const Terms& terms : world.All<Terms>()) EXPECT_LE(terms.grant_mb, 0.4 * 16384);
+  for (const ResourceGrant& terms : world.All<ResourceGrant>()) EXPECT_LE(terms.grant_mb, 0.4 * 16384);
 }
 
 TEST(SettingsEffect, PrioritiesAreSetWhereTheyAreHeeded) {
   for (const bool heeded : {false, true}) {
     Settings settings = Usual();
-    settings.priorities_heeded = heeded;
+    settings.honors_priorities = heeded;
     World world(settings);
     world.Take(kLookup);
     world.Take(kReport, 10 * kSecond);
@@ -194,7 +195,7 @@
 TEST(SettingsEffect, OneAttemptIsOutAtATime) {
   for (const bool allowed : {false, true}) {
     Settings settings = Usual();
-    settings.may_copy = allowed;
+    settings.may_hedge = allowed;
     World world(settings);
     world.answer_after = 0;
     world.Take(kLookup);
@@ -213,20 +214,20 @@
     world.Take(kLookup);
     world.RunFor(4 * kSecond);
     EXPECT_EQ(world.All<Send>().size(), static_cast<std::size_t>(most));
-    EXPECT_EQ(world.All<Refuse>().size() + world.All<Fail>().size(), 1u);
+    EXPECT_EQ(world.All<RejectRequest>().size() + world.All<Fail>().size(), 1u);
   }
 }
 
 TEST(SettingsEffect, RefusalsTellWhenToComeBackWhereThatIsHeard) {
   for (const bool heard : {false, true}) {
     Settings settings = Usual();
-    settings.may_advise = heard;
+    settings.may_send_retry_after = heard;
     World world(settings, 0);
     world.Take(kLookup);
     world.RunFor(4 * kSecond);
-    const auto refused = world.All<Refuse>();
+    const auto refused = world.All<RejectRequest>();
     ASSERT_EQ(refused.size(), 1u);
-    EXPECT_EQ(refused[0].come_back, heard ? settings.max_come_back : 0);
+    EXPECT_EQ(refused[0].retry_after, heard ? settings.max_retry_after : 0);
   }
 }
 
@@ -246,7 +247,7 @@
 TEST(SettingsEffect, PastItsShareATenantGoesLater) {
   Settings settings = Usual();
   settings.tenants = {{1}, {1000}};
-  settings.over_share_worth = 0.2;
+  settings.over_quota_weight_share = 0.2;
   settings.kinds = {{1, 16384}};
   World world(settings, 1);
   world.RunFor(kSecond);
@@ -278,13 +279,13 @@
   for (const MemoryShort way : {MemoryShort::kQueue, MemoryShort::kTrim, MemoryShort::kSwap}) {
     Settings settings = Usual();
     settings.memory_short = way;
-    settings.grants_heeded = true;
+    settings.honors_memory_grants = true;
     World world(settings, 1);
     world.answer_after = 0;
     for (int i = 0; i < 10; ++i) world.Take(kReport, 14 * kSecond, 4000);
     world.RunFor(500 * kMs);
     double granted = 0;
-    for (const Terms& terms : world.All<Terms>()) granted += terms.grant_mb;
+    for (const ResourceGrant& terms : world.All<ResourceGrant>()) granted += terms.grant_mb;
     EXPECT_GT(granted, 0);
     EXPECT_LE(granted, 16384);
   }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -248,8 +248,9 @@
 
 // An aim of 0 would be missed by every request before it could be sent.
 TEST(Settings, AClassWithoutAnAimHasItsDeadline) {
-  EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 0)).site.module.classes[1].aim, 20'000 * kMs);
-  EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 7)).site.module.classes[1].aim, 7);
+  EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 0)).site.module.classes[1].latency_objective,
+            20'000 * kMs);
+  EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 7)).site.module.classes[1].latency_objective, 7);
 }
 
 // An engine of one core would never be sent a query of four threads.
@@ -313,14 +314,14 @@
 }
 
 // Whether a request of class `klass` leaves for the engine.
-bool Goes(const Fleet& fleet, std::uint16_t klass) {
+bool Goes(const Fleet& fleet, std::uint16_t class_id) {
   Settings settings = fleet.site().module;
   settings.report_fields.clear();  // else the engine would be asked for its load first
   Gateway gateway(settings, 1);
   Request request;
   request.id = 1;
-  request.klass = klass;
-  request.patience = 10'000 * kMs;
+  request.class_id = class_id;
+  request.client_timeout = 10'000 * kMs;
   std::vector<Action> actions;
   gateway.Step(0, std::vector<Event>{fleet.last(), request}, actions);
   return std::any_of(actions.begin(), actions.end(),
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -55,7 +55,7 @@
   const auto& r = std::get<Request>(batches[0].events[0]);
   EXPECT_EQ(r.id, 0x0003fcd55d3a91c4u);
   EXPECT_EQ(r.key, 0x91f03b7c55d20a64u);
-  EXPECT_EQ(r.patience, 0x0e4e1c00);
+  EXPECT_EQ(r.client_timeout, 0x0e4e1c00);
   EXPECT_EQ(r.est_work, 0xb71b00);
   EXPECT_EQ(r.est_memory_mb, 384);
   EXPECT_EQ(r.tables, 11u);
@@ -123,7 +123,7 @@
   EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
   EXPECT_EQ(s.classes[0].zones, std::vector<std::uint16_t>{1});
   EXPECT_EQ(s.classes[0].threads, 4);
-  EXPECT_EQ(s.fall_window, 1500 * 1000000);
+  EXPECT_EQ(s.overload_window, 1500 * 1000000);
   EXPECT_FALSE(s.attempt_budget.has_value());
   EXPECT_THROW(ParseSettings("siblings=many"), WireError);
   EXPECT_THROW(ParseSettings("siblings"), WireError);
