--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
+#include <ranges>
 
 namespace lemoncroft::simulation {
 namespace {
@@ -170,8 +171,8 @@
 }
 
 LoadReport QueryEngine::Report(Nanos now) const {
-  for (auto it = snapshots_.rbegin(); it != snapshots_.rend(); ++it)
-    if (it->at + traits_.report_delay <= now) return it->report;
+  for (const auto& snapshot : std::ranges::reverse_view(snapshots_))
+    if (snapshot.at + traits_.report_delay <= now) return snapshot.report;
   return {};
 }
 
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -354,7 +354,7 @@
     constexpr const char* kSecondPage = "HTTP/1.1 200 X\r\nChunk: 1\r\nContent-Length: 6\r\n\r\nd\te\tf\n";
     if (call.starts_with("POST ")) co_return co_await Say(socket, kAccepted);
     if (!call.starts_with("GET /v2")) co_return co_await Say(socket, kNoContent);
-    if (cancels) co_return cancel_.Cancel();
+    if (cancels_) co_return cancel_.Cancel();
     const bool first = call.starts_with("GET /v2/q/00000000000000aa/0 ");
     co_await Say(socket, first ? kFirstPage : kSecondPage);
   }
@@ -362,7 +362,7 @@
   std::regex host_;
 
  protected:
-  bool cancels = false;  // the client leaves while its request runs
+  bool cancels_ = false;  // the client leaves while its request runs
 };
 
 // The figure of X-Limit-Ms by N, where it is one that an attempt within 3 s can have.
@@ -394,7 +394,7 @@
 }
 
 TEST_F(Calls, OfAMinimalRequestThatIsGivenUpAreTheseBytes) {
-  cancels = true;
+  cancels_ = true;
   const auto act = [&]() -> runtime::Task<> {
     const auto attempt = SomeAttempt();
     result_ = co_await engines_.Run(attempt, cancel_);
