--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -76,7 +76,7 @@
   using codec::HttpRequest;
   const struct {
     HttpRequest request;
-    const char* head;
+    const char* head = nullptr;
   } cases[] = {
       {{"GET", "/v2/q/aa/0", {}, {}}, "GET /v2/q/aa/0 HTTP/1.1\r\nHost: engine:1\r\n\r\n"},
       {{"DELETE", "/v2/q/aa", {}, {}}, "DELETE /v2/q/aa HTTP/1.1\r\nHost: engine:1\r\n\r\n"},
