--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -224,10 +224,10 @@
 TEST(EjectionStore, WrittenByAnEarlierProcess_Read_GivesTheEngines) {
   const TemporaryFolder folder;
   fs::copy(kFixtures / "tmpdir", folder.path(), fs::copy_options::recursive);
-  const fs::file_time_type::clock::duration kReturned = 1'700'000'000s;
+  const fs::file_time_type::clock::duration returned = 1'700'000'000s;
   fs::last_write_time(folder.path() / "lemoncroft-hand-1/back-6539",
                       fs::file_time_type::clock::from_sys(std::chrono::sys_time<std::chrono::nanoseconds>(
-                          std::chrono::duration_cast<std::chrono::nanoseconds>(kReturned))));
+                          std::chrono::duration_cast<std::chrono::nanoseconds>(returned))));
   const auto ejections = hot_restart::EjectionStore(folder.path()).Read();
   ASSERT_TRUE(ejections);
   EXPECT_EQ(ejections->ejected, (std::set<std::string>{"db/2:x", "s-1"}));
--- a/tests/surface_test.cpp
+++ b/tests/surface_test.cpp
@@ -5,7 +5,6 @@
 // them anew.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
-#include <signal.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <sys/time.h>
@@ -14,6 +13,7 @@
 
 #include <array>
 #include <chrono>
+#include <csignal>
 #include <cstdio>
 #include <cstdlib>
 #include <filesystem>
