--- a/src/testing/fault_test/process.cpp
+++ b/src/testing/fault_test/process.cpp
@@ -16,8 +16,32 @@
 constexpr int kListening = 3;
 constexpr std::size_t kLineMost = 4096;
 
+// Lets the parent wait until the child has closed its copies of the parent's descriptors.
+struct StartupPipe {
+  runtime::Descriptor read_end, write_end;
+};
+
+StartupPipe OpenStartupPipe() {
+  int ends[2];
+  if (::pipe2(ends, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe2");
+  StartupPipe pipe{runtime::Descriptor(ends[0]), runtime::Descriptor(ends[1])};
+  // Above the descriptors that the child is given.
+  pipe.write_end = runtime::Descriptor(::fcntl(pipe.write_end.get(), F_DUPFD_CLOEXEC, kListening + 1));
+  if (!pipe.write_end) throw std::system_error(errno, std::generic_category(), "fcntl");
+  return pipe;
+}
+
+// While the child has a copy of a socket that the parent closes, epoll goes on reporting that socket to an
+// owner that is gone. Returns at the child's end too.
+void AwaitDescriptorsClosed(StartupPipe& pipe) {
+  pipe.write_end = {};
+  char byte = 0;
+  while (::read(pipe.read_end.get(), &byte, 1) < 0 && errno == EINTR) {
+  }
+}
+
 // Between fork and exec: only what is safe there.
-[[noreturn]] void Become(pid_t parent, int output, int listening, char* const* words,
+[[noreturn]] void Become(pid_t parent, int output, int listening, int startup, char* const* words,
                          char* const* environment) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::getppid() != parent) ::_exit(126);  // the rig ended before that
@@ -29,7 +53,11 @@
     else
       ::dup2(listening, kListening);
   }
-  ::close_range(listening >= 0 ? kListening + 1 : kListening, ~0U, 0);
+  const int first_unused = listening >= 0 ? kListening + 1 : kListening;
+  if (startup > first_unused) ::close_range(first_unused, startup - 1, 0);
+  ::close_range(startup + 1, ~0U, 0);
+  const char closed = 1;
+  if (::write(startup, &closed, 1) != 1) ::_exit(125);
   sigset_t none;
   sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -54,10 +82,13 @@
   for (std::string& entry : environment) envp.push_back(entry.data());
   argv.push_back(nullptr);
   envp.push_back(nullptr);
+  StartupPipe startup = OpenStartupPipe();
   const pid_t parent = ::getpid();
   pid_ = ::fork();
   if (pid_ < 0) throw std::system_error(errno, std::generic_category(), "fork");
-  if (pid_ == 0) Become(parent, theirs.get(), command.listening, argv.data(), envp.data());
+  if (pid_ == 0)
+    Become(parent, theirs.get(), command.listening, startup.write_end.get(), argv.data(), envp.data());
+  AwaitDescriptorsClosed(startup);
   loop.Spawn(ReadLines(std::make_shared<runtime::Socket>(loop, std::move(ours)), std::move(line)));
 }
 
--- a/src/testing/fault_test/process.h
+++ b/src/testing/fault_test/process.h
@@ -26,7 +26,8 @@
 
 class ChildProcess {
  public:
-  // `line` is called with each line of its output, from a task on the loop.
+  // `line` is called with each line of its output, from a task on the loop. Returns once the child holds no
+  // descriptor of the caller's but those that it was given.
   ChildProcess(runtime::Loop& loop, const Command& command, std::function<void(const std::string&)> line);
   ~ChildProcess();  // kills it where it still runs
   ChildProcess(const ChildProcess&) = delete;
