--- a/src/testing/benchmark/admission_queue_cost.cpp
+++ b/src/testing/benchmark/admission_queue_cost.cpp
@@ -33,17 +33,17 @@
   }
 
   void Submit() {
-    boost::random::uniform_int_distribution<std::uint32_t> team(0, 3), class_id(0, 2);
+    boost::random::uniform_int_distribution<std::uint32_t> tenant(0, 3), class_id(0, 2);
     boost::random::uniform_real_distribution<double> work(0.01, 0.3);
     const auto submitted = queue_.Submit({.id = ++last_,
-                                          .tenant = team(random_),
+                                          .tenant = tenant(random_),
                                           .class_id = class_id(random_),
                                           .estimated_work = admission_queue::FromSeconds(work(random_)),
                                           .deadline = now_ + std::chrono::minutes(10),
                                           .wants_updates = wants_updates_},
                                          now_);
     if (submitted.rejected) {
-      std::fprintf(stderr, "refused: %s, estimate %.1f s, pace %.1f, %zu wait\n",
+      std::fprintf(stderr, "rejected: %s, estimate %.1f s, dispatch rate %.1f, %zu waiting\n",
                    Description(submitted.rejected->reason),
                    admission_queue::Seconds(submitted.rejected->retry_after), queue_.Describe(now_).pace[0],
                    waiting());
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "testing/benchmark/peers.h"
+#include "testing/benchmark/percentile.h"
 #include "testing/model_check/lease_world.h"
 #include "testing/model_check/raft_model.h"
 #include "testing/simulation/config_replica_fleet.h"
@@ -59,13 +60,6 @@
   at "15s" { heal }
 })";
 
-double Percentile(std::vector<double> values, double part) {
-  if (values.empty()) return 0;
-  std::sort(values.begin(), values.end());
-  return values[std::min(values.size() - 1,
-                         static_cast<std::size_t>(part * static_cast<double>(values.size())))];
-}
-
 std::vector<double> Numbers(const ordered_json& json, const char* name) {
   return json.contains(name) ? json.at(name).get<std::vector<double>>() : std::vector<double>();
 }
@@ -83,51 +77,64 @@
   return one;
 }
 
-void PlayReal(const AgreementPlan& plan, ordered_json& out) {
+// Runs the random fault tests, several in parallel; returns their outputs.
+std::vector<std::string> PlayRandomTrials(const AgreementPlan& plan) {
   std::vector<std::string> outputs(kParallelRuns);
   {
-    std::vector<std::jthread> rigs;
-    rigs.reserve(kParallelRuns);
+    std::vector<std::jthread> runs;
+    runs.reserve(kParallelRuns);
     for (int i = 0; i < kParallelRuns; ++i)
-      rigs.emplace_back([&, i] {
+      runs.emplace_back([&, i] {
         outputs[static_cast<std::size_t>(i)] =
             OutputOf(plan.trial + " --rules --random " +
                      std::to_string(plan.seed * 1000 + static_cast<std::uint64_t>(i * kTrialsPerRun) + 1) +
                      " --count " + std::to_string(kTrialsPerRun) + " --proxies 7");
       });
   }
+  return outputs;
+}
+
+// Sums over fault tests; a test without a result counts as the worst.
+struct TrialSums {
+  double contradiction_ms = 0, stale_acts = 0, histories = 0, not_linearizable = 0, inconclusive = 0,
+         acts = 0;
+
+  void Add(const ordered_json& trial) {
+    contradiction_ms = std::max(contradiction_ms, trial.value("contradiction_ms_max", 1e9));
+    stale_acts += trial.value("stale_acts", 1e9);
+    histories += trial.value("histories", 0.0);
+    not_linearizable += trial.value("not_linearizable", 1.0);
+    inconclusive += trial.value("real_void", 0.0);
+    acts += trial.value("acts", 0.0);
+  }
+};
+
+void PlayReal(const AgreementPlan& plan, ordered_json& out) {
+  const std::vector<std::string> outputs = PlayRandomTrials(plan);
   ordered_json sum = ordered_json::object();
   const ordered_json changes = Play(plan, kChanges, sum);
   const ordered_json leaders = Play(plan, kLeaders, sum);
   const ordered_json cuts = Play(plan, kCuts, sum);
   const ordered_json files = Play(plan, kFiles, sum);
-  double contradiction = 0, stale = 0, histories = 0, unlinear = 0, voided = 0, acts = 0;
+  TrialSums sums;
   double trials = sum.value("trials", 0.0), failed = sum.value("trials_failed", 0.0);
-  const auto add = [&](const ordered_json& one) {
-    contradiction = std::max(contradiction, one.value("contradiction_ms_max", 1e9));
-    stale += one.value("stale_acts", 1e9);
-    histories += one.value("histories", 0.0);
-    unlinear += one.value("not_linearizable", 1.0);
-    voided += one.value("real_void", 0.0);
-    acts += one.value("acts", 0.0);
-  };
   for (const std::string& output : outputs) {
     const ordered_json one = LastLine(output);
-    add(one);
+    sums.Add(one);
     trials += one.value("trials", 0.0);
     failed += one.value("trials_failed", 1.0);
     if (one.value("trials_failed", 1.0) > 0) std::fputs(output.c_str(), stderr);
   }
-  for (const ordered_json* one : {&changes, &leaders, &cuts}) add(*one);
-  out["contradiction_ms_max"] = contradiction;
+  for (const ordered_json* one : {&changes, &leaders, &cuts}) sums.Add(*one);
+  out["contradiction_ms_max"] = sums.contradiction_ms;
   out["contradiction_ms_stated"] = kStatedContradictionMs;
-  out["stale_acts"] = stale;
-  out["acts"] = acts;
-  out["linearizable"] = unlinear == 0 ? 1 : 0;
-  out["histories"] = histories;
+  out["stale_acts"] = sums.stale_acts;
+  out["acts"] = sums.acts;
+  out["linearizable"] = sums.not_linearizable == 0 ? 1 : 0;
+  out["histories"] = sums.histories;
   out["trials"] = trials;
   out["trials_failed"] = failed;
-  out["real_void"] = voided;
+  out["real_void"] = sums.inconclusive;
   out["changes_timed"] = Numbers(changes, "change_ms").size();
   out["change_ms_p50"] = Percentile(Numbers(changes, "change_ms"), 0.5);
   out["change_ms_p99"] = Percentile(Numbers(changes, "change_ms"), 0.99);
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -51,7 +51,7 @@
   return s;
 }
 
-// A gateway before engines that serve each attempt in its work's time, as an unloaded fleet does.
+// A gateway whose engines serve each attempt in the time of its work, without queueing.
 class DecisionLoad {
  public:
   explicit DecisionLoad(const DecisionPlan& plan)
--- a/src/testing/benchmark/decisions.h
+++ b/src/testing/benchmark/decisions.h
@@ -1,7 +1,7 @@
-// What one request costs the decision module, in processor time, by the number of engines before it.
+// Benchmark of the decision module: processor time per request, by the number of engines.
 //
-// Contract. Deterministic decisions for a seed, in virtual time; the time measured is this thread's processor
-// time within Gateway::Step. Owner: none. Units: microseconds a request. Errors: none.
+// The decisions are deterministic for a seed, in virtual time; measured is this thread's processor time
+// within Gateway::Step, in microseconds.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_DECISIONS_H_
 #define LEMONCROFT_TESTING_BENCHMARK_DECISIONS_H_
 
--- a/src/testing/benchmark/heartbeats.cpp
+++ b/src/testing/benchmark/heartbeats.cpp
@@ -8,61 +8,110 @@
 namespace lemoncroft::benchmark {
 namespace {
 
-constexpr double kMissedBeforeFailure = 4;  // periods without a word, and it is called failed
+constexpr double kMissedBeforeFailure = 4;  // periods
 constexpr double kMaxLatePeriods = 3, kLateIntervalPeriods = 6;
+constexpr double kSecondsPerHour = 3600;
 
-}  // namespace
+// All members send to all others once a period, each at a phase of its own. Times are in periods.
+class HeartbeatSimulation {
+ public:
+  explicit HeartbeatSimulation(const HeartbeatPlan& plan)
+      : plan_(plan),
+        random_(plan.seed),
+        duration_(plan.periods * static_cast<double>(std::max<std::size_t>(1, plan.crashes))),
+        phase_(plan.members),
+        late_until_(plan.members, 0),
+        crashed_at_(plan.members, std::numeric_limits<double>::max()),
+        last_heard_(plan.members, std::vector<double>(plan.members, 0)),
+        declared_failed_(plan.members, std::vector<bool>(plan.members, false)),
+        detection_delays_(plan.members) {
+    for (double& phase : phase_) phase = Draw();
+  }
+
+  HeartbeatResult Run() {
+    for (int period = 0; period < static_cast<int>(duration_); ++period) {
+      const double now = period;
+      CrashNext(now);
+      DelayLateMembers(now);
+      for (std::size_t sender = 0; sender < plan_.members; ++sender) SendHeartbeats(sender, now);
+      for (std::size_t observer = 0; observer < plan_.members; ++observer) CheckHeartbeats(observer, now);
+    }
+    return Result();
+  }
+
+ private:
+  double Draw() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
+
+  void CrashNext(double now) {
+    if (crashed_ >= plan_.crashes) return;
+    if (now < plan_.periods * (static_cast<double>(crashed_) + 0.5)) return;
+    crashed_at_[crashed_] = now + Draw();
+    ++crashed_;
+  }
+
+  void DelayLateMembers(double now) {
+    if (std::fmod(now, kLateIntervalPeriods) >= 1) return;
+    for (std::size_t i = 0; i < plan_.late; ++i)
+      late_until_[plan_.members - 1 - i] = now + kMaxLatePeriods * Draw();
+  }
 
-HeartbeatResult PlayHeartbeats(const HeartbeatPlan& plan) {
-  std::mt19937_64 random(plan.seed);
-  const auto draw = [&random] { return static_cast<double>(random() >> 11) * 0x1.0p-53; };
-  const std::size_t n = plan.members;
-  HeartbeatResult result;
-  std::vector<double> phase(n), held_until(n, 0);
-  for (double& p : phase) p = draw();
-  std::vector<std::vector<double>> heard(n, std::vector<double>(n, 0));
-  std::vector<std::vector<bool>> failed(n, std::vector<bool>(n, false));
-  std::vector<double> died(n, std::numeric_limits<double>::max());
-  std::uint64_t wrong = 0, sent = 0;
-  const double all = plan.periods * static_cast<double>(std::max<std::size_t>(1, plan.crashes));
-  std::vector<std::vector<double>> told(n);  // of each that died, when others called it failed
-  std::size_t next = 0;
-  for (int beat = 0; beat < static_cast<int>(all); ++beat) {
-    const double at = beat;
-    if (plan.crashes > 0 && at >= plan.periods * (static_cast<double>(next) + 0.5) && next < plan.crashes)
-      died[next] = at + draw(), ++next;
-    if (std::fmod(at, kLateIntervalPeriods) < 1)
-      for (std::size_t i = 0; i < plan.late; ++i) held_until[n - 1 - i] = at + kMaxLatePeriods * draw();
-    for (std::size_t from = 0; from < n; ++from) {
-      const double when = std::max(at + phase[from], held_until[from]);
-      if (when >= died[from]) continue;
-      sent += n - 1;
-      for (std::size_t to = 0; to < n; ++to)
-        if (to != from && !(draw() < plan.loss))
-          heard[to][from] = std::max({heard[to][from], when, held_until[to]});
+  void SendHeartbeats(std::size_t sender, double now) {
+    const double sent_at = std::max(now + phase_[sender], late_until_[sender]);
+    if (sent_at >= crashed_at_[sender]) return;
+    sent_ += plan_.members - 1;
+    for (std::size_t receiver = 0; receiver < plan_.members; ++receiver) {
+      if (receiver == sender) continue;
+      if (Draw() < plan_.loss) continue;
+      double& last = last_heard_[receiver][sender];
+      last = std::max({last, sent_at, late_until_[receiver]});
     }
-    for (std::size_t by = 0; by < n; ++by) {
-      if (at >= died[by]) continue;
-      for (std::size_t of = 0; of < n; ++of) {
-        const bool missing = of != by && at - heard[by][of] > kMissedBeforeFailure;
-        if (missing && !failed[by][of]) {
-          if (at < died[of]) ++wrong;
-          if (died[of] <= at) told[of].push_back(heard[by][of] + kMissedBeforeFailure - died[of]);
-        }
-        failed[by][of] = missing;
-      }
+  }
+
+  void CheckHeartbeats(std::size_t observer, double now) {
+    if (now >= crashed_at_[observer]) return;
+    for (std::size_t subject = 0; subject < plan_.members; ++subject) {
+      const double last = last_heard_[observer][subject];
+      const bool missing = subject != observer && now - last > kMissedBeforeFailure;
+      if (missing && !declared_failed_[observer][subject]) RecordFailure(subject, last, now);
+      declared_failed_[observer][subject] = missing;
     }
   }
-  for (const std::vector<double>& times : told) {
-    if (times.empty()) continue;
-    result.detect.push_back(*std::min_element(times.begin(), times.end()));
-    result.known_all.push_back(*std::max_element(times.begin(), times.end()));
+
+  void RecordFailure(std::size_t subject, double last_heard, double now) {
+    if (now < crashed_at_[subject])
+      ++false_failures_;
+    else
+      detection_delays_[subject].push_back(last_heard + kMissedBeforeFailure - crashed_at_[subject]);
+  }
+
+  HeartbeatResult Result() const {
+    HeartbeatResult result;
+    for (const std::vector<double>& delays : detection_delays_) {
+      if (delays.empty()) continue;
+      const auto [first, last] = std::minmax_element(delays.begin(), delays.end());
+      result.detect.push_back(*first);
+      result.known_all.push_back(*last);
+    }
+    const double seconds = duration_ * plan_.period_s;
+    result.false_failures_per_hour = static_cast<double>(false_failures_) * kSecondsPerHour / seconds;
+    result.messages_per_s = static_cast<double>(sent_) / static_cast<double>(plan_.members) / seconds;
+    result.bytes_per_s = result.messages_per_s * plan_.bytes;
+    return result;
   }
-  const double seconds = all * plan.period_s;
-  result.false_failures_per_hour = static_cast<double>(wrong) * 3600 / seconds;
-  result.messages_per_s = static_cast<double>(sent) / static_cast<double>(n) / seconds;
-  result.bytes_per_s = result.messages_per_s * plan.bytes;
-  return result;
-}
+
+  const HeartbeatPlan& plan_;
+  std::mt19937_64 random_;
+  double duration_;
+  std::vector<double> phase_, late_until_, crashed_at_;  // by member
+  std::vector<std::vector<double>> last_heard_;          // by observer and subject
+  std::vector<std::vector<bool>> declared_failed_;       // by observer and subject
+  std::vector<std::vector<double>> detection_delays_;    // by crashed member, of each observer
+  std::size_t crashed_ = 0;
+  std::uint64_t false_failures_ = 0, sent_ = 0;
+};
+
+}  // namespace
+
+HeartbeatResult PlayHeartbeats(const HeartbeatPlan& plan) { return HeartbeatSimulation(plan).Run(); }
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/main.cpp
+++ b/src/testing/benchmark/main.cpp
@@ -4,6 +4,7 @@
 #include <cstdio>
 #include <filesystem>
 #include <nlohmann/json.hpp>
+#include <string>
 
 #include "testing/benchmark/admission_queue_cost.h"
 #include "testing/benchmark/agreement.h"
@@ -16,7 +17,7 @@
 using lemoncroft::benchmark::WorkloadReplayResult;
 using nlohmann::ordered_json;
 
-double Part(std::uint64_t some, std::uint64_t all) {
+double Share(std::uint64_t some, std::uint64_t all) {
   return all == 0 ? 1 : static_cast<double>(some) / static_cast<double>(all);
 }
 
@@ -27,9 +28,9 @@
           {"refused_while_waiting", r.rejected_waiting},
           {"failed", r.failed},
           {"estimates", r.estimates},
-          {"within_25", Part(r.within, r.estimates)},
-          {"within_25_first", Part(r.first_estimates_within, r.first_estimates)},
-          {"within_25_waited", Part(r.long_waits_within, r.long_waits)},
+          {"within_25", Share(r.within, r.estimates)},
+          {"within_25_first", Share(r.first_estimates_within, r.first_estimates)},
+          {"within_25_waited", Share(r.long_waits_within, r.long_waits)},
           {"waited", r.long_waits},
           {"past_give_up", r.past_deadline},
           {"share_error", r.share_error},
@@ -37,14 +38,14 @@
           {"shares", r.shares},
           {"wait_bound_broken", r.bound_violations},
           {"came_back", r.retries},
-          {"came_back_served", Part(r.retries_served, r.retries)},
+          {"came_back_served", Share(r.retries_served, r.retries)},
           {"worth", r.weighted_success},
           {"wait_p50_s", r.wait_p50},
           {"wait_p99_s", r.wait_p99},
           {"wait_longest_s", r.longest_wait}};
 }
 
-void Waiting(std::uint64_t seed, double seconds, bool json) {
+void RunWaiting(std::uint64_t seed, double seconds, bool json) {
   const WorkloadReplayResult with = lemoncroft::benchmark::ReplayWorkload({.seed = seed, .seconds = seconds});
   const WorkloadReplayResult without =
       lemoncroft::benchmark::ReplayWorkload({.seed = seed, .seconds = seconds, .use_admission_queue = false});
@@ -79,7 +80,7 @@
   std::printf("%s\n", out.dump().c_str());
 }
 
-void Peers(const lemoncroft::benchmark::PeersPlan& plan, bool json) {
+void RunPeers(const lemoncroft::benchmark::PeersPlan& plan, bool json) {
   const ordered_json out = lemoncroft::benchmark::MeasurePeers(plan);
   if (!json) {
     std::printf("the view of the fleet, seed %llu\n", static_cast<unsigned long long>(plan.seed));
@@ -92,59 +93,90 @@
   std::printf("%s\n", out.dump().c_str());
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
-  CLI::App app("Measurements of lemoncroft", "lemoncroft_measure");
-  app.require_subcommand(1);
+// What the sub-commands share.
+struct CommonOptions {
   std::uint64_t seed = 1;
-  double seconds = 1200;
   bool json = false;
-  CLI::App* waiting = app.add_subcommand("waiting", "replay a day's load ahead of the admission queue");
-  waiting->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
-  waiting->add_option("--seconds", seconds, "of the replay")
+  bool virtual_only = false;
+};
+
+void AddCommonOptions(CLI::App& command, CommonOptions& options) {
+  command.add_option("--seed", options.seed, "of all that is drawn")->capture_default_str();
+}
+
+void AddOutputOption(CLI::App& command, CommonOptions& options) {
+  command.add_flag("--json", options.json, "the JSON object alone");
+}
+
+std::string FaultTestProgram(const char* own_path) {
+  return (std::filesystem::path(own_path).parent_path() / "lemoncroft_fault_test").string();
+}
+
+void AddWaiting(CLI::App& app, CommonOptions& options, double& seconds) {
+  CLI::App* command = app.add_subcommand("waiting", "replay a day's load ahead of the admission queue");
+  AddCommonOptions(*command, options);
+  command->add_option("--seconds", seconds, "of the replay")
       ->capture_default_str()
       ->check(CLI::Range(60, 7200));
-  waiting->add_flag("--json", json, "the JSON object alone");
-  lemoncroft::benchmark::PeersPlan plan;
-  plan.trial = (std::filesystem::path(argv[0]).parent_path() / "lemoncroft_fault_test").string();
-  bool virtual_only = false;
-  CLI::App* peers =
+  AddOutputOption(*command, options);
+  command->callback([&] { RunWaiting(options.seed, seconds, options.json); });
+}
+
+void AddPeers(CLI::App& app, CommonOptions& options, const std::string& fault_test_program) {
+  CLI::App* command =
       app.add_subcommand("peers", "the view of the fleet, in virtual time and on real processes");
-  peers->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
-  peers->add_flag("--virtual", virtual_only, "no real processes");
-  peers->add_flag("--json", json, "the JSON object alone");
-  lemoncroft::benchmark::AgreementPlan rules;
-  CLI::App* agreement = app.add_subcommand("agreement", "the rules that a fleet agrees on");
-  agreement->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
-  agreement->add_option("--states", rules.states, "that are searched")->capture_default_str();
-  agreement->add_flag("--virtual", virtual_only, "no real processes");
-  agreement->add_flag("--json", json, "the JSON object alone");
-  lemoncroft::benchmark::ScalePlan scale;
-  CLI::App* capacity = app.add_subcommand("scale", "what control costs a fleet of up to 4,000 proxies");
-  capacity->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
-  capacity->add_option("--most", scale.most, "members of the largest fleet")->capture_default_str();
-  capacity->add_flag("--virtual", virtual_only, "no sockets");
-  capacity->add_flag("--json", json, "the JSON object alone");
+  AddCommonOptions(*command, options);
+  command->add_flag("--virtual", options.virtual_only, "no real processes");
+  AddOutputOption(*command, options);
+  command->callback([&] {
+    RunPeers({.seed = options.seed, .real = !options.virtual_only, .trial = fault_test_program},
+             options.json);
+  });
+}
+
+void AddAgreement(CLI::App& app, CommonOptions& options, std::uint64_t& states,
+                  const std::string& fault_test_program) {
+  CLI::App* command = app.add_subcommand("agreement", "the rules that a fleet agrees on");
+  AddCommonOptions(*command, options);
+  command->add_option("--states", states, "that are searched")->capture_default_str();
+  command->add_flag("--virtual", options.virtual_only, "no real processes");
+  AddOutputOption(*command, options);
+  command->callback([&] {
+    Print(lemoncroft::benchmark::MeasureAgreement({.seed = options.seed,
+                                                   .real = !options.virtual_only,
+                                                   .trial = fault_test_program,
+                                                   .states = states}),
+          options.json);
+  });
+}
+
+void AddScale(CLI::App& app, CommonOptions& options, std::size_t& max_members) {
+  CLI::App* command = app.add_subcommand("scale", "what control costs a fleet of up to 4,000 proxies");
+  AddCommonOptions(*command, options);
+  command->add_option("--most", max_members, "members of the largest fleet")->capture_default_str();
+  command->add_flag("--virtual", options.virtual_only, "no sockets");
+  AddOutputOption(*command, options);
+  command->callback([&] {
+    Print(lemoncroft::benchmark::MeasureScale(
+              {.seed = options.seed, .max_members = max_members, .sockets = !options.virtual_only}),
+          options.json);
+  });
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  CLI::App app("Measurements of lemoncroft", "lemoncroft_measure");
+  app.require_subcommand(1);
+  const std::string fault_test_program = FaultTestProgram(argv[0]);
+  CommonOptions options;
+  double replay_seconds = 1200;
+  std::uint64_t states = lemoncroft::benchmark::AgreementPlan().states;
+  std::size_t max_members = lemoncroft::benchmark::ScalePlan().max_members;
+  AddWaiting(app, options, replay_seconds);
+  AddPeers(app, options, fault_test_program);
+  AddAgreement(app, options, states, fault_test_program);
+  AddScale(app, options, max_members);
   CLI11_PARSE(app, argc, argv);
-  rules.seed = seed;
-  rules.real = !virtual_only;
-  rules.trial = plan.trial;
-  scale.seed = seed;
-  scale.sockets = !virtual_only;
-  if (*agreement) {
-    Print(lemoncroft::benchmark::MeasureAgreement(rules), json);
-    return 0;
-  }
-  if (*capacity) {
-    Print(lemoncroft::benchmark::MeasureScale(scale), json);
-    return 0;
-  }
-  plan.seed = seed;
-  plan.real = !virtual_only;
-  if (*peers)
-    Peers(plan, json);
-  else
-    Waiting(seed, seconds, json);
   return 0;
 }
--- a/src/testing/benchmark/peers.cpp
+++ b/src/testing/benchmark/peers.cpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "testing/benchmark/heartbeats.h"
+#include "testing/benchmark/percentile.h"
 #include "testing/simulation/peer_fleet.h"
 
 namespace lemoncroft::benchmark {
@@ -24,18 +25,12 @@
 namespace {
 
 constexpr std::array<std::size_t, 3> kSizes = {16, 128, 1024};
+constexpr double kNeverKnownPeriods = 1e3;
 constexpr double kMaxLatePeriods = 3, kLateIntervalPeriods = 6;
-constexpr int kMaxSettlePeriods = 40;  // periods that a fleet is watched for after a heal
+constexpr int kMaxSettlePeriods = 40;  // that a fleet is observed after a partition heals
 constexpr int kParallelRuns = 4, kTrialsPerRun = 10;
 
-double PercentileOf(std::vector<double> values, double part) {
-  if (values.empty()) return 0;
-  std::sort(values.begin(), values.end());
-  const auto at = static_cast<std::size_t>(part * static_cast<double>(values.size()));
-  return values[std::min(at, values.size() - 1)];
-}
-
-// A fleet that has known itself for long.
+// A fleet whose members have known each other for twenty periods.
 struct SettledFleet {
   explicit SettledFleet(std::size_t n, std::uint64_t seed) : fleet({seed, {}, 0.01}) {
     for (Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1, 2});
@@ -56,7 +51,7 @@
   }
   void Run(double periods) { fleet.RunFor(Periods(periods)); }
 
-  // When the views last differed, of the periods to come; the horizon where they still do at its end.
+  // Periods from now until all views agree; kMaxSettlePeriods if they still differ then.
   double SettledAfter() {
     const Instant since = fleet.now();
     double last = 0;
@@ -89,7 +84,7 @@
     world.fleet.Kill(world.watched);
     world.Run(30);
     if (world.failed_at.size() < world.fleet.live_count()) {
-      out.known_all.push_back(1e3);  // some never learnt
+      out.known_all.push_back(kNeverKnownPeriods);
       continue;
     }
     out.detect.push_back(world.InPeriods(world.failed_at.front() - at));
@@ -117,7 +112,7 @@
 
 IdleTraffic PlayIdle(std::size_t n, double seconds, std::uint64_t seed) {
   SettledFleet world(n, seed);
-  // Until all gave proof of life: those known by hearsay are probed beside the others, three a period.
+  // Until all have been in direct contact: members known indirectly are probed three a period.
   world.Run(40 + static_cast<double>(n) / 3);
   std::uint64_t bytes = 0, messages = 0;
   const auto count = [&] {
@@ -151,7 +146,7 @@
   return world.wrong * 3600 / seconds;
 }
 
-bool Deterministic(std::uint64_t seed) {
+bool IsDeterministic(std::uint64_t seed) {
   const auto trace = [seed] {
     SettledFleet world(64, seed);
     world.fleet.links().usual().loss = 0.05;
@@ -188,14 +183,14 @@
 
 namespace {
 
-// Random trials, some rigs beside each other; then a fleet of sixteen by itself, for what it costs.
+// Random fault tests, several runs in parallel; then an idle fleet of sixteen alone, for its cost.
 ordered_json PlayReal(const PeersPlan& plan) {
   std::vector<std::string> outputs(kParallelRuns);
   {
-    std::vector<std::jthread> rigs;
-    rigs.reserve(kParallelRuns);
+    std::vector<std::jthread> runs;
+    runs.reserve(kParallelRuns);
     for (int i = 0; i < kParallelRuns; ++i)
-      rigs.emplace_back([&, i] {
+      runs.emplace_back([&, i] {
         outputs[static_cast<std::size_t>(i)] =
             OutputOf(plan.trial + " --random " +
                      std::to_string(plan.seed * 1000 + static_cast<std::uint64_t>(i * kTrialsPerRun) + 1) +
@@ -208,7 +203,7 @@
   for (const std::string& output : outputs) {
     const ordered_json one = LastLine(output);
     trials += one.value("trials", 0.0);
-    failed += one.value("trials_failed", 1.0);  // a rig that says nothing has failed
+    failed += one.value("trials_failed", 1.0);  // a run without a result has failed
     voided += one.value("real_void", 0.0);
     settle = std::max(settle, one.value("real_settle_ms", 0.0));
     detect = std::max(detect, one.value("real_detect_ms", 0.0));
@@ -230,12 +225,12 @@
   for (const std::size_t n : kSizes) {
     const HeartbeatResult crashes =
         PlayHeartbeats({.seed = seed, .members = n, .crashes = n > 500 ? std::size_t{2} : std::size_t{10}});
-    out[OfSize("known_all_periods_p99", n)] = PercentileOf(crashes.known_all, 0.99);
+    out[OfSize("known_all_periods_p99", n)] = Percentile(crashes.known_all, 0.99);
     out[OfSize("bytes_per_s", n)] = crashes.bytes_per_s;
     out[OfSize("messages_per_s", n)] = crashes.messages_per_s;
     if (n != 128) continue;
-    out["detect_periods_p50"] = PercentileOf(crashes.detect, 0.5);
-    out["detect_periods_p99"] = PercentileOf(crashes.detect, 0.99);
+    out["detect_periods_p50"] = Percentile(crashes.detect, 0.5);
+    out["detect_periods_p99"] = Percentile(crashes.detect, 0.99);
     out["false_failures_per_hour"] =
         PlayHeartbeats(
             {.seed = seed, .members = n, .crashes = 0, .loss = 0.02, .late = n / 50, .periods = 1200})
@@ -244,48 +239,67 @@
   return out;
 }
 
-}  // namespace
+// By size, as kSizes.
+struct SimulatedResults {
+  std::array<Crashes, kSizes.size()> crashes;
+  std::array<double, kSizes.size()> settle_periods{};
+  std::array<IdleTraffic, kSizes.size()> idle;
+  double false_failures_per_hour = 0;
+  ordered_json heartbeats;
+};
 
-ordered_json MeasurePeers(const PeersPlan& plan) {
-  ordered_json out = {{"measurement", "peers"}, {"seed", plan.seed}};
-  std::array<Crashes, 3> crashes;
-  std::array<double, 3> settle{};
-  std::array<IdleTraffic, 3> quiet;
-  double wrong = 0;
-  ordered_json baseline;
-  {
-    // Each is a world of its own; four cores.
-    std::jthread small([&] {
-      for (std::size_t i = 0; i < 2; ++i) {
-        crashes[i] = PlayCrashes(kSizes[i], kSizes[i] == 16 ? 12 : 60, plan.seed);
-        settle[i] = PlayPartitions(kSizes[i], 8, plan.seed);
-        quiet[i] = PlayIdle(kSizes[i], 60, plan.seed);
-      }
-      baseline = Heartbeats(plan.seed);
-    });
-    std::jthread large([&] { crashes[2] = PlayCrashes(1024, 5, plan.seed); });
-    std::jthread calm([&] { quiet[2] = PlayIdle(1024, 10, plan.seed); });
-    std::jthread parted([&] { settle[2] = PlayPartitions(1024, 2, plan.seed); });
-    wrong = FalseFailuresPerHour(128, 900, plan.seed);
+constexpr std::size_t kSmall = 0, kMedium = 1, kLarge = 2;  // indices in kSizes
+
+void PlaySmallFleets(std::uint64_t seed, SimulatedResults& results) {
+  for (const std::size_t i : {kSmall, kMedium}) {
+    results.crashes[i] = PlayCrashes(kSizes[i], i == kSmall ? 12 : 60, seed);
+    results.settle_periods[i] = PlayPartitions(kSizes[i], 8, seed);
+    results.idle[i] = PlayIdle(kSizes[i], 60, seed);
   }
-  // Of a fleet of sixteen only a few can crash in one world.
+  results.heartbeats = Heartbeats(seed);
+}
+
+// A fleet of sixteen has only a few members that can crash in one simulation.
+void PlayMoreCrashesOfSmallFleet(std::uint64_t seed, Crashes& crashes) {
   for (std::uint64_t more = 1; more <= 4; ++more) {
-    const Crashes again = PlayCrashes(16, 12, plan.seed + more);
-    crashes[0].detect.insert(crashes[0].detect.end(), again.detect.begin(), again.detect.end());
-    crashes[0].known_all.insert(crashes[0].known_all.end(), again.known_all.begin(), again.known_all.end());
+    const Crashes again = PlayCrashes(kSizes[kSmall], 12, seed + more);
+    crashes.detect.insert(crashes.detect.end(), again.detect.begin(), again.detect.end());
+    crashes.known_all.insert(crashes.known_all.end(), again.known_all.begin(), again.known_all.end());
   }
-  out["detect_periods_p50"] = PercentileOf(crashes[1].detect, 0.5);
-  out["detect_periods_p99"] = PercentileOf(crashes[1].detect, 0.99);
+}
+
+SimulatedResults PlaySimulations(std::uint64_t seed) {
+  SimulatedResults results;
+  {
+    // The simulations are independent of each other; four threads beside this one.
+    std::jthread small([&] { PlaySmallFleets(seed, results); });
+    std::jthread crashes([&] { results.crashes[kLarge] = PlayCrashes(kSizes[kLarge], 5, seed); });
+    std::jthread idle([&] { results.idle[kLarge] = PlayIdle(kSizes[kLarge], 10, seed); });
+    std::jthread partitions(
+        [&] { results.settle_periods[kLarge] = PlayPartitions(kSizes[kLarge], 2, seed); });
+    results.false_failures_per_hour = FalseFailuresPerHour(kSizes[kMedium], 900, seed);
+  }
+  PlayMoreCrashesOfSmallFleet(seed, results.crashes[kSmall]);
+  return results;
+}
+
+}  // namespace
+
+ordered_json MeasurePeers(const PeersPlan& plan) {
+  ordered_json out = {{"measurement", "peers"}, {"seed", plan.seed}};
+  SimulatedResults results = PlaySimulations(plan.seed);
+  out["detect_periods_p50"] = Percentile(results.crashes[kMedium].detect, 0.5);
+  out["detect_periods_p99"] = Percentile(results.crashes[kMedium].detect, 0.99);
   for (std::size_t i = 0; i < kSizes.size(); ++i) {
-    out[OfSize("known_all_periods_p99", kSizes[i])] = PercentileOf(crashes[i].known_all, 0.99);
-    out[OfSize("settle_periods_after_heal", kSizes[i])] = settle[i];
-    out[OfSize("bytes_per_s", kSizes[i])] = quiet[i].bytes_per_s;
-    out[OfSize("messages_per_s", kSizes[i])] = quiet[i].messages_per_s;
+    out[OfSize("known_all_periods_p99", kSizes[i])] = Percentile(results.crashes[i].known_all, 0.99);
+    out[OfSize("settle_periods_after_heal", kSizes[i])] = results.settle_periods[i];
+    out[OfSize("bytes_per_s", kSizes[i])] = results.idle[i].bytes_per_s;
+    out[OfSize("messages_per_s", kSizes[i])] = results.idle[i].messages_per_s;
   }
-  out["false_failures_per_hour"] = wrong;
-  out["deterministic"] = Deterministic(plan.seed) ? 1 : 0;
+  out["false_failures_per_hour"] = results.false_failures_per_hour;
+  out["deterministic"] = IsDeterministic(plan.seed) ? 1 : 0;
   if (plan.real) out.update(PlayReal(plan));
-  out["heartbeats_all_to_all"] = std::move(baseline);
+  out["heartbeats_all_to_all"] = std::move(results.heartbeats);
   return out;
 }
 
--- a/src/testing/benchmark/scale.cpp
+++ b/src/testing/benchmark/scale.cpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "testing/benchmark/decisions.h"
+#include "testing/benchmark/percentile.h"
 #include "testing/benchmark/scale_leases.h"
 #include "testing/benchmark/scale_view.h"
 #include "testing/benchmark/socket_fleet.h"
@@ -25,14 +26,18 @@
 constexpr std::array<std::size_t, 3> kEngineCounts = {8, 2048, 4400};
 constexpr std::size_t kTargetMembers = 4000;
 
-// The operators' day, and what they allow control to take of a proxy.
+// The load of a day, and the targets for what the control plane may take of a proxy.
 constexpr double kChangesPerDay = 23'000, kReplacedPerDay = 2900, kSecondsPerDay = 86'400;
 constexpr double kStatementsPerSecond = 400;
 constexpr double kFluxShare = 0.1;  // of the members that are replaced in a minute of flux
-constexpr double kMaxCorePercent = 2.9, kMaxMemoryMb = 128, kMaxBytesPerSecond = 22'000,
-                 kMaxControlMachines = 7;
-constexpr double kMaxInForceMs = 6000, kMaxContradictionMs = 1200, kMaxVirtualDeviationPercent = 20;
-constexpr double kViewBytesPerMember = 700;  // of memory, more than a member takes in a view: to plan by
+constexpr double kMaxCorePercent = 2.9;
+constexpr double kMaxMemoryMb = 128;
+constexpr double kMaxBytesPerSecond = 22'000;
+constexpr double kMaxControlMachines = 7;
+constexpr double kMaxInForceMs = 6000;
+constexpr double kMaxContradictionMs = 1200;
+constexpr double kMaxVirtualDeviationPercent = 20;
+constexpr double kViewBytesPerMember = 700;  // upper estimate of the memory of one member in one view
 
 double HalfOfMemory() {
   return static_cast<double>(::sysconf(_SC_PHYS_PAGES)) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 2;
@@ -42,14 +47,7 @@
   return static_cast<double>(members) * static_cast<double>(members) * kViewBytesPerMember <= HalfOfMemory();
 }
 
-double Percentile(std::vector<double> values, double part) {
-  if (values.empty()) return 0;
-  std::sort(values.begin(), values.end());
-  const auto at = static_cast<std::size_t>(part * static_cast<double>(values.size()));
-  return values[std::min(at, values.size() - 1)];
-}
-
-// The metrics, by the names: of a size where they go by size.
+// The results by name, some of them for each size of the fleet, and the targets that were missed.
 class Metrics {
  public:
   void Put(const char* name, double value) { out_[name] = value; }
@@ -77,7 +75,7 @@
 
 void MeasureViewSizes(const ScalePlan& plan, Metrics& metrics) {
   for (const std::size_t members : kSizes) {
-    if (members > plan.most || !FitsMemory(members)) continue;
+    if (members > plan.max_members || !FitsMemory(members)) continue;
     std::fprintf(stderr, "scale: the view of %zu members\n", members);
     ViewPlan view;
     view.seed = plan.seed;
@@ -101,7 +99,7 @@
 void MeasureLeaseSizes(const ScalePlan& plan, Metrics& metrics) {
   double contradiction = 0, stale = 0;
   for (const std::size_t members : kSizes) {
-    if (members > plan.most) continue;
+    if (members > plan.max_members) continue;
     std::fprintf(stderr, "scale: the leases of %zu members\n", members);
     LeasePlan leases;
     leases.seed = plan.seed;
@@ -142,7 +140,7 @@
   double off = -1;
   std::size_t largest = 0, voided = 0;
   for (const std::size_t members : kSocketSizes) {
-    if (members > plan.most) continue;
+    if (members > plan.max_members) continue;
     std::fprintf(stderr, "scale: %zu hollow proxies on sockets\n", members);
     SocketFleetPlan hollow;
     hollow.seed = plan.seed;
@@ -170,7 +168,8 @@
   if (off >= 0) metrics.Put("virtual_vs_sockets_percent", off);
 }
 
-// What a proxy of 4,000 spends, from the metrics at that size; nothing where one of them is absent.
+// Derives what one of kTargetMembers proxies spends from the measured metrics of that size; leaves the totals
+// out if one of those is absent.
 void DeriveTotals(Metrics& metrics) {
   if (!metrics.Has("view_bytes_per_s", kTargetMembers) || !metrics.Has("lease_bytes_per_s", kTargetMembers))
     return;
@@ -220,7 +219,7 @@
 ordered_json MeasureScale(const ScalePlan& plan) {
   Metrics metrics;
   metrics.Put("seed", static_cast<double>(plan.seed));
-  metrics.Put("members_max", static_cast<double>(plan.most));
+  metrics.Put("members_max", static_cast<double>(plan.max_members));
   metrics.Put("real_processes", 0);
   metrics.Put("machine_cores", static_cast<double>(::sysconf(_SC_NPROCESSORS_ONLN)));
   metrics.Put("hollow_members_max", 0);
--- a/src/testing/benchmark/scale.h
+++ b/src/testing/benchmark/scale.h
@@ -1,9 +1,10 @@
-// What control costs a fleet that grows to thousands of proxies: the view, leases and documents, decisions,
-// in virtual time at all sizes and on real loopback sockets at those that one process reaches.
+// Benchmark of the control plane's cost in fleets of up to thousands of proxies: membership, leases,
+// documents and decisions, in virtual time at all sizes and on loopback sockets at those that one process can
+// hold.
 //
-// Contract. Ends by itself; what would take more than half of the machine's memory is left out. A run on
-// sockets that the machine held up is void: its figures are left out. What isn't measured is absent, and its
-// name is among `aims_missed`. Owner: the command line. Units: by name. docs/CAPACITY.md reads the figures.
+// Sizes that would take more than half of the machine's memory are skipped, and the metrics of inconclusive
+// runs on sockets left out; a target whose metric is absent is named in `aims_missed`. Called by the command
+// line. Units are part of the metrics' names. docs/CAPACITY.md has the results.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_SCALE_H_
 #define LEMONCROFT_TESTING_BENCHMARK_SCALE_H_
 
@@ -15,7 +16,7 @@
 
 struct ScalePlan {
   std::uint64_t seed = 1;
-  std::size_t most = 4000;  // members of the largest fleet
+  std::size_t max_members = 4000;
   bool sockets = true;
 };
 
--- a/src/testing/benchmark/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -14,11 +14,12 @@
 
 constexpr Instant kFirstLeaseTimeout = 30s, kChangeTimeout = 20s, kPollInterval = 5ms;
 constexpr Instant kPauseAfterChange = 500ms;
-constexpr double kNever = 1e9;  // milliseconds
+constexpr double kTimedOutMs = 1e9;
+constexpr std::size_t kProposerStride = 7919;  // a prime: changes come from all over the fleet
 
 double InSeconds(Instant span) { return std::chrono::duration<double>(span).count(); }
 
-// What was sent, and the processor time used, by now.
+// Bytes sent and processor time used since the start.
 struct Totals {
   double bytes = 0, leader_bytes = 0, leader_us = 0, others_us = 0;
 };
@@ -40,7 +41,7 @@
           after.leader_us - before.leader_us, after.others_us - before.others_us};
 }
 
-bool RunUntilAllActOn(ConfigReplicaFleet& fleet, replicated_config::Version version, Instant client_timeout) {
+bool RunUntilAllUse(ConfigReplicaFleet& fleet, replicated_config::Version version, Instant client_timeout) {
   const Instant until = fleet.now() + client_timeout;
   while (fleet.now() < until) {
     if (fleet.AllUse(version)) return true;
@@ -55,48 +56,59 @@
   return text;
 }
 
-}  // namespace
-
-LeaseCost MeasureLeases(const LeasePlan& plan) {
+ConfigReplicaFleet::Plan SetupOf(const LeasePlan& plan) {
   ConfigReplicaFleet::Plan setup;
   setup.seed = plan.seed;
   setup.voters = plan.voters;
   setup.proxies = plan.members;
   setup.timed = true;
-  ConfigReplicaFleet fleet(setup);
-  fleet.links().usual().delay = plan.delay;
-  fleet.links().usual().spread = plan.spread;
-  LeaseCost cost;
-  cost.began = RunUntilAllActOn(fleet, 0, kFirstLeaseTimeout);
-  const auto leader = fleet.Leader();
-  if (!cost.began || !leader) return cost;
-  fleet.RunFor(2s);
+  return setup;
+}
 
-  const Totals calm_from = TotalsOf(fleet, *leader);
+void MeasureCalm(ConfigReplicaFleet& fleet, const LeasePlan& plan, std::size_t leader, LeaseCost& cost) {
+  const Totals before = TotalsOf(fleet, leader);
   fleet.RunFor(Instant(static_cast<Instant::rep>(plan.calm_seconds * 1e9)));
-  const Totals calm = Difference(TotalsOf(fleet, *leader), calm_from);
+  const Totals calm = Difference(TotalsOf(fleet, leader), before);
   const double members = static_cast<double>(plan.members);
   cost.bytes_per_s = calm.bytes / plan.calm_seconds / members;
   cost.leader_bytes_per_s = calm.leader_bytes / plan.calm_seconds;
   cost.leader_core_percent = calm.leader_us / 1e4 / plan.calm_seconds;
   cost.member_core_percent = calm.others_us / 1e4 / plan.calm_seconds / (members - 1);
+}
 
-  const Totals changes_from = TotalsOf(fleet, *leader);
+void MeasureChanges(ConfigReplicaFleet& fleet, const LeasePlan& plan, std::size_t leader, LeaseCost& cost) {
+  if (plan.changes == 0) return;
+  const Totals before = TotalsOf(fleet, leader);
   const Instant begun = fleet.now();
   for (std::size_t i = 0; i < plan.changes; ++i) {
     const Instant since = fleet.now();
-    fleet.Propose(i * 7919 % plan.members, i, DocumentOf(i, plan.document_bytes), kChangeTimeout);
-    const bool in_force = RunUntilAllActOn(fleet, i + 1, kChangeTimeout);
-    cost.in_force_ms.push_back(in_force ? InSeconds(fleet.now() - since) * 1e3 : kNever);
+    fleet.Propose(i * kProposerStride % plan.members, i, DocumentOf(i, plan.document_bytes), kChangeTimeout);
+    const bool in_force = RunUntilAllUse(fleet, i + 1, kChangeTimeout);
+    cost.in_force_ms.push_back(in_force ? InSeconds(fleet.now() - since) * 1e3 : kTimedOutMs);
     fleet.RunFor(kPauseAfterChange);
   }
-  if (plan.changes > 0) {
-    const Totals all = Difference(TotalsOf(fleet, *leader), changes_from);
-    const double seconds = InSeconds(fleet.now() - begun), changes = static_cast<double>(plan.changes);
-    cost.bytes_per_change = (all.bytes - cost.bytes_per_s * members * seconds) / changes;
-    cost.leader_bytes_per_change = (all.leader_bytes - cost.leader_bytes_per_s * seconds) / changes;
-    cost.leader_change_percent = all.leader_us / 1e4 / seconds;
-  }
+  const Totals all = Difference(TotalsOf(fleet, leader), before);
+  const double seconds = InSeconds(fleet.now() - begun);
+  const double changes = static_cast<double>(plan.changes);
+  const double members = static_cast<double>(plan.members);
+  cost.bytes_per_change = (all.bytes - cost.bytes_per_s * members * seconds) / changes;
+  cost.leader_bytes_per_change = (all.leader_bytes - cost.leader_bytes_per_s * seconds) / changes;
+  cost.leader_change_percent = all.leader_us / 1e4 / seconds;
+}
+
+}  // namespace
+
+LeaseCost MeasureLeases(const LeasePlan& plan) {
+  ConfigReplicaFleet fleet(SetupOf(plan));
+  fleet.links().usual().delay = plan.delay;
+  fleet.links().usual().spread = plan.spread;
+  LeaseCost cost;
+  cost.began = RunUntilAllUse(fleet, 0, kFirstLeaseTimeout);
+  const auto leader = fleet.Leader();
+  if (!cost.began || !leader) return cost;
+  fleet.RunFor(2s);
+  MeasureCalm(fleet, plan, *leader, cost);
+  MeasureChanges(fleet, plan, *leader, cost);
   cost.contradiction_ms = InSeconds(fleet.contradiction()) * 1e3;
   cost.stale_acts = fleet.stale();
   return cost;
--- a/src/testing/benchmark/scale_view.cpp
+++ b/src/testing/benchmark/scale_view.cpp
@@ -39,7 +39,7 @@
   return settings;
 }
 
-// What all members have sent by now.
+// Sums over all members since the start.
 struct Totals {
   double messages = 0, bytes = 0, datagram_bytes = 0, syncs = 0;
 };
@@ -56,8 +56,8 @@
   return totals;
 }
 
-// Replaces members one at a time at an even pace, seeds excepted: the old process leaves, or every second
-// time ends without a word, and a new one starts on its machine a second later.
+// Replaces all members but the seeds, one at a time at a constant rate. Old processes leave and crash in
+// turn; a new one starts on the same machine a second later.
 class Replacer {
  public:
   Replacer(PeerFleet& fleet, std::size_t members, double per_second)
@@ -118,7 +118,8 @@
   std::vector<Start> starts_;
 };
 
-// Runs `play` and gives what each member sent a second, and its part of a core, in that time.
+// Runs `play`. Returns what each member sent per second meanwhile; `core_percent` receives its share of a
+// core.
 template <typename Play>
 Totals RatesDuring(PeerFleet& fleet, std::size_t members, double& core_percent, const Play& play) {
   const Totals before = TotalsOf(fleet);
@@ -134,8 +135,8 @@
           (after.syncs - before.syncs) / member_seconds};
 }
 
-// As cli::ReplicatedConfigService does at each change: every proxy publishes its version, paced.
-void TellAttributes(PeerFleet& fleet, const ViewPlan& plan) {
+// Every proxy publishes its version at each change, paced as in the replicated configuration's service.
+void PublishAttributes(PeerFleet& fleet, const ViewPlan& plan) {
   const Instant begun = fleet.now(), until = begun + Seconds(plan.attribute_seconds);
   std::vector<replicated_config::NotificationPacer> paces;
   for (Process p = 0; p < fleet.size(); ++p) paces.emplace_back(plan.seed + p);
@@ -155,7 +156,7 @@
   }
 }
 
-// Of the processes that live through it all.
+// Bytes sent since `before` by the busiest of the processes that have run throughout.
 double BusiestBytes(const PeerFleet& fleet, const std::vector<std::uint64_t>& before) {
   std::uint64_t most = 0;
   for (Process p = 0; p < before.size(); ++p)
@@ -163,47 +164,57 @@
   return static_cast<double>(most);
 }
 
-}  // namespace
-
-ViewCost MeasureView(const ViewPlan& plan) {
-  ViewCost cost;
-  const double empty = AllocatedBytes();
+std::unique_ptr<PeerFleet> StartFleet(const ViewPlan& plan) {
   auto fleet = std::make_unique<PeerFleet>(PeerFleet::Options{plan.seed, SettingsOf(plan), 0.01});
   for (Node machine = 0; machine < plan.members; ++machine) fleet->Start(machine, NameOf(machine), Seeds());
   fleet->IntroduceWithDirectContact();
   fleet->RunFor(Seconds(2));
-  const double places = static_cast<double>(plan.members) * static_cast<double>(plan.members);
-  const double full = AllocatedBytes();
-  cost.bytes_per_member = (full - empty) / places;
+  return fleet;
+}
 
-  const Totals calm = RatesDuring(*fleet, plan.members, cost.core_percent,
-                                  [&] { fleet->RunFor(Seconds(plan.calm_seconds)); });
+void MeasureCalm(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
+  const Totals calm =
+      RatesDuring(fleet, plan.members, cost.core_percent, [&] { fleet.RunFor(Seconds(plan.calm_seconds)); });
   cost.bytes_per_s = calm.bytes;
   cost.datagram_bytes_per_s = calm.datagram_bytes;
   cost.messages_per_s = calm.messages;
+}
 
-  if (plan.attribute_seconds > 0) {
-    const Totals tell =
-        RatesDuring(*fleet, plan.members, cost.attribute_core_percent, [&] { TellAttributes(*fleet, plan); });
-    cost.attribute_bytes_per_s = tell.bytes;
-    fleet->ConvergeWithin(Seconds(kSettleTimeoutSeconds));
-  }
-  if (plan.flux_seconds > 0) {
-    Replacer replacer(*fleet, plan.members,
-                      plan.replaced_per_minute * static_cast<double>(plan.members) / 60);
-    replacer.Run(plan.flux_warm_seconds);
-    std::vector<std::uint64_t> before;
-    for (Process p = 0; p < fleet->size(); ++p) before.push_back(fleet->sent(p).bytes);
-    const Totals flux =
-        RatesDuring(*fleet, plan.members, cost.flux_core_percent, [&] { replacer.Run(plan.flux_seconds); });
-    cost.flux_bytes_per_s = flux.bytes;
-    cost.flux_exchanges_per_s = flux.syncs;
-    cost.flux_busiest_bytes_per_s = BusiestBytes(*fleet, before) / plan.flux_seconds;
-    cost.replaced = replacer.replaced();
-    replacer.StartRemaining();
-    const auto settled = fleet->ConvergeWithin(Seconds(kSettleTimeoutSeconds));
-    if (settled) cost.settled_after_s = std::chrono::duration<double>(*settled).count();
-  }
+void MeasureAttributes(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
+  const Totals rates =
+      RatesDuring(fleet, plan.members, cost.attribute_core_percent, [&] { PublishAttributes(fleet, plan); });
+  cost.attribute_bytes_per_s = rates.bytes;
+  fleet.ConvergeWithin(Seconds(kSettleTimeoutSeconds));
+}
+
+void MeasureFlux(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
+  Replacer replacer(fleet, plan.members, plan.replaced_per_minute * static_cast<double>(plan.members) / 60);
+  replacer.Run(plan.flux_warm_seconds);
+  std::vector<std::uint64_t> before;
+  for (Process p = 0; p < fleet.size(); ++p) before.push_back(fleet.sent(p).bytes);
+  const Totals flux =
+      RatesDuring(fleet, plan.members, cost.flux_core_percent, [&] { replacer.Run(plan.flux_seconds); });
+  cost.flux_bytes_per_s = flux.bytes;
+  cost.flux_exchanges_per_s = flux.syncs;
+  cost.flux_busiest_bytes_per_s = BusiestBytes(fleet, before) / plan.flux_seconds;
+  cost.replaced = replacer.replaced();
+  replacer.StartRemaining();
+  const auto settled = fleet.ConvergeWithin(Seconds(kSettleTimeoutSeconds));
+  if (settled) cost.settled_after_s = std::chrono::duration<double>(*settled).count();
+}
+
+}  // namespace
+
+ViewCost MeasureView(const ViewPlan& plan) {
+  ViewCost cost;
+  const double empty = AllocatedBytes();
+  std::unique_ptr<PeerFleet> fleet = StartFleet(plan);
+  const double full = AllocatedBytes();
+  cost.bytes_per_member =
+      (full - empty) / (static_cast<double>(plan.members) * static_cast<double>(plan.members));
+  MeasureCalm(*fleet, plan, cost);
+  if (plan.attribute_seconds > 0) MeasureAttributes(*fleet, plan, cost);
+  if (plan.flux_seconds > 0) MeasureFlux(*fleet, plan, cost);
   fleet.reset();
   cost.memory_share_kept_after_end = std::max(0.0, AllocatedBytes() - empty) / (full - empty);
   return cost;
--- a/src/testing/benchmark/socket_fleet.h
+++ b/src/testing/benchmark/socket_fleet.h
@@ -1,10 +1,10 @@
-// Hollow proxies: the real view, keeper of rules, frames and sockets of many proxies in one process, on
-// loopback addresses of their own, without clients and engines.
+// Benchmark of the control plane on real sockets: membership, replicated configuration and peer transport of
+// many proxies in one process, each on a loopback address of its own, without clients and engines.
 //
-// Contract. Blocks the calling thread until the run ends by itself: all waits are bounded. A run in which the
-// loop was late by more than kMaxLoopLag while it was measured is void: neither passed nor failed. A voter
-// keeps its log in memory. Owner: none. Units: bytes of frames that a member sends; milliseconds; percent of
-// one core. Errors: std::system_error where an address can't be bound.
+// Blocks the calling thread; all waits are bounded. A run whose event loop was late by more than kMaxLoopLag
+// while measured is inconclusive: neither passed nor failed. Voters keep their logs in memory. Units: bytes
+// of frames that a member sends; milliseconds; percent of one core. Errors: std::system_error if an address
+// can't be bound.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_SOCKET_FLEET_H_
 #define LEMONCROFT_TESTING_BENCHMARK_SOCKET_FLEET_H_
 
@@ -15,7 +15,7 @@
 
 namespace lemoncroft::benchmark {
 
-inline constexpr std::chrono::milliseconds kMaxLoopLag{125};  // half a period of the view
+inline constexpr std::chrono::milliseconds kMaxLoopLag{125};  // half a protocol period
 
 struct SocketFleetPlan {
   std::uint64_t seed = 1;
@@ -29,8 +29,8 @@
 };
 
 struct SocketFleetCost {
-  bool settled = false;          // within the patience
-  bool is_inconclusive = false;  // the machine held the run up
+  bool settled = false;          // within the timeout
+  bool is_inconclusive = false;  // the loop was late
   double longest_lag_ms = 0;     // of the loop, while measured
   double settled_after_s = 0;
   double datagram_bytes_per_s = 0, view_bytes_per_s = 0, lease_bytes_per_s = 0;  // calm, a member
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -22,6 +22,7 @@
 namespace {
 
 constexpr double kTickSeconds = 0.005;
+constexpr double kLongWaitSeconds = 0.2;
 constexpr std::array<double, 4> kBudgetShares = {0.4, 0.3, 0.2, 0.1};  // of the fleet
 constexpr double kWorkSpread = 0.6;           // deviation of the logarithm of the work
 constexpr double kEstimateSpread = 0.2;       // likewise of estimates
@@ -191,10 +192,12 @@
     q.submitted_at = now_;
     q.retry = arrival.retry;
     q.deadline = now_ + kClassProfiles[q.class_id].timeout * Uniform(0.8, 1);
-    if (arrival.retry)
+    if (arrival.retry) {
       ++result_.retries;
-    else
-      ++result_.requests, requested_weight_ += MakeSite().classes[q.class_id].priority_weight;
+    } else {
+      ++result_.requests;
+      requested_weight_ += MakeSite().classes[q.class_id].priority_weight;
+    }
     if (options_.use_admission_queue) {
       const auto taken = queue_->Submit({.id = id,
                                          .tenant = static_cast<admission_queue::TenantId>(q.tenant),
@@ -220,11 +223,11 @@
   // Counts a request that leaves the queue after its dispatch deadline, or after one of its tenant and lane
   // that was submitted later by more than the greatest ageing credit (the greatest ratio of weights here is
   // 12).
-  void CheckDispatchBound(const Query& q, bool handed) {
+  void CheckDispatchBound(const Query& q, bool dispatched) {
     double& last = last_dispatched_[q.tenant][q.class_id != 0];
-    const bool overtaken = handed && last - q.submitted_at > 2 * std::log10(12.0) + kTickSeconds;
+    const bool overtaken = dispatched && last - q.submitted_at > 2 * std::log10(12.0) + kTickSeconds;
     if (now_ > q.dispatch_deadline + kTickSeconds || overtaken) ++result_.bound_violations;
-    if (handed) last = std::max(last, q.submitted_at);
+    if (dispatched) last = std::max(last, q.submitted_at);
   }
 
   // Half of the requests rejected for the first time are retried after the time given.
@@ -250,19 +253,19 @@
     decisions_.clear();
     queue_->Step(At(now_), decisions_);
     for (const admission_queue::Decision& decision : decisions_) {
-      if (const auto* hand = std::get_if<admission_queue::Dispatch>(&decision)) {
-        CheckDispatchBound(queries_.at(hand->id), true);
-        SendToModule(hand->id);
-      } else if (const auto* refuse = std::get_if<admission_queue::Reject>(&decision)) {
+      if (const auto* dispatch = std::get_if<admission_queue::Dispatch>(&decision)) {
+        CheckDispatchBound(queries_.at(dispatch->id), true);
+        SendToModule(dispatch->id);
+      } else if (const auto* reject = std::get_if<admission_queue::Reject>(&decision)) {
         ++result_.rejected;
         ++result_.rejected_waiting;
-        const Query q = queries_.at(refuse->id);
+        const Query q = queries_.at(reject->id);
         CheckDispatchBound(q, false);
         CheckDeadline(q);
-        queries_.erase(refuse->id);
-        ScheduleRetry(q, admission_queue::Seconds(refuse->retry_after));
-      } else if (const auto* tell = std::get_if<admission_queue::EstimateUpdate>(&decision)) {
-        queries_.at(tell->id).estimates.push_back({now_, admission_queue::Seconds(tell->estimate.wait)});
+        queries_.erase(reject->id);
+        ScheduleRetry(q, admission_queue::Seconds(reject->retry_after));
+      } else if (const auto* update = std::get_if<admission_queue::EstimateUpdate>(&decision)) {
+        queries_.at(update->id).estimates.push_back({now_, admission_queue::Seconds(update->estimate.wait)});
       }
     }
   }
@@ -283,10 +286,10 @@
 
   Nanos NowNanos() const { return static_cast<Nanos>(now_ * 1e9) + 1'000'000'000; }
 
-  void Apply(const ResourceGrant& terms) {
-    Query& q = queries_.at(terms.id);
-    q.priority = terms.priority;
-    for (int n = 0; n < q.sent; ++n) fleet_.SetPriority({terms.id, n}, terms.priority);
+  void Apply(const ResourceGrant& grant) {
+    Query& q = queries_.at(grant.id);
+    q.priority = grant.priority;
+    for (int n = 0; n < q.sent; ++n) fleet_.SetPriority({grant.id, n}, grant.priority);
   }
   void Apply(const Send& send) {
     Query& q = queries_.at(send.id);
@@ -306,11 +309,11 @@
     if (fleet_.Stop({cancel.id, cancel.attempt}))
       End({{cancel.id, cancel.attempt}, 0, now_, 0, false}, Outcome::kCancelled);
   }
-  void Apply(const RejectRequest& refuse) {
-    const Query q = queries_.at(refuse.id);
+  void Apply(const RejectRequest& rejection) {
+    const Query q = queries_.at(rejection.id);
     ++result_.rejected;
-    Complete(refuse.id);
-    ScheduleRetry(q, static_cast<double>(refuse.retry_after) / 1e9);
+    Complete(rejection.id);
+    ScheduleRetry(q, static_cast<double>(rejection.retry_after) / 1e9);
   }
   void Apply(const Fail& fail) {
     ++result_.failed;
@@ -360,11 +363,17 @@
     for (std::size_t i = 0; i < q.estimates.size(); ++i) {
       const double left = now_ - q.estimates[i].at;
       const double off = std::abs(q.estimates[i].wait - left);
-      const bool good = left < 0.2 ? off <= 0.05 : off <= 0.25 * left;
+      const bool good = left < kLongWaitSeconds ? off <= 0.05 : off <= 0.25 * left;
       ++result_.estimates;
       result_.within += good;
-      if (left >= 0.2) ++result_.long_waits, result_.long_waits_within += good;
-      if (i == 0) ++result_.first_estimates, result_.first_estimates_within += good;
+      if (left >= kLongWaitSeconds) {
+        ++result_.long_waits;
+        result_.long_waits_within += good;
+      }
+      if (i == 0) {
+        ++result_.first_estimates;
+        result_.first_estimates_within += good;
+      }
     }
     CheckDeadline(q);
   }
