--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -5,8 +5,8 @@
 // only what leases rely on is modelled: a leader starts after its predecessor's lease has expired, and knows
 // all that is committed. Invariant checked in each state: no holder acts on an older version for longer than
 // a lease after its successor was activated. LeaseBudget bounds the search. Owner: a search.
-#ifndef LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
-#define LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
+#ifndef LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
+#define LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
 
 #include <array>
 #include <string>
@@ -74,4 +74,4 @@
 
 }  // namespace lemoncroft::model_check
 
-#endif  // LEMONCROFT_MODEL_CHECK_LEASE_WORLD_H_
+#endif  // LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -25,10 +25,29 @@
              .size() -
          payload.size();
 }
+
+replicated_config::DocumentChecks DocumentChecksOf(const std::string& name) {
+  using replicated_config::DocumentRejection;
+  using Cause = DocumentRejection::Cause;
+  using Checked = tl::expected<void, DocumentRejection>;
+  replicated_config::DocumentChecks checks;
+  checks.check_successor = [](const replicated_config::VersionRecord*, const std::string& text) -> Checked {
+    if (text.starts_with("wrong")) return tl::unexpected(DocumentRejection{Cause::kInvalid, "it is wrong"});
+    return {};
+  };
+  checks.check_compatible = [name](const std::string& text) -> Checked {
+    if (text.starts_with("not for " + name))
+      return tl::unexpected(DocumentRejection{Cause::kIncompatible, "so it says"});
+    return {};
+  };
+  checks.required_format = [](const std::string&) { return std::uint64_t{1}; };
+  checks.isolation_duration = [](const std::string&) { return replicated_config::Span(); };
+  return checks;
+}
 }  // namespace
 
 ConfigReplicaFleet::ConfigReplicaFleet(const Plan& plan)
-    : plan_(plan), random_(plan.seed), links_(random_()) {
+    : plan_(plan), random_(plan.seed), links_(random_()), version_uses_(kTick, plan.stale_limit) {
   while (instances_per_incarnation_ <= plan.proxies) instances_per_incarnation_ *= 10;
   machines_.resize(plan.proxies);
   for (std::size_t i = 0; i < plan.proxies; ++i) {
@@ -56,33 +75,22 @@
   m.stalled_until = now_;
 }
 
-void ConfigReplicaFleet::Restart(std::size_t i) {
-  Machine& m = machines_[i];
-  ++m.incarnation;
-  m.active_version = 0;
+replicated_config::ConfigReplicaOptions ConfigReplicaFleet::ReplicaOptionsOf(std::size_t i) const {
   replicated_config::ConfigReplicaOptions options;
   options.self = NameOf(i);
   for (std::size_t v = 0; v < plan_.voters; ++v) options.initial_voters.push_back(NameOf(v));
   options.log = plan_.log;
   options.lease = plan_.lease_options;
   options.safety_checks = plan_.safety_checks;
-  using replicated_config::DocumentRejection;
-  using Cause = DocumentRejection::Cause;
-  using Checked = tl::expected<void, DocumentRejection>;
-  replicated_config::DocumentChecks checks;
-  checks.check_successor = [](const replicated_config::VersionRecord*, const std::string& text) -> Checked {
-    if (text.starts_with("wrong")) return tl::unexpected(DocumentRejection{Cause::kInvalid, "it is wrong"});
-    return {};
-  };
-  checks.check_compatible = [i](const std::string& text) -> Checked {
-    if (text.starts_with("not for " + NameOf(i)))
-      return tl::unexpected(DocumentRejection{Cause::kIncompatible, "so it says"});
-    return {};
-  };
-  checks.required_format = [](const std::string&) { return std::uint64_t{1}; };
-  checks.isolation_duration = [](const std::string&) { return replicated_config::Span(); };
-  m.replica =
-      std::make_unique<replicated_config::ConfigReplica>(options, InstanceOf(i), checks, random_(), Local(m));
+  return options;
+}
+
+void ConfigReplicaFleet::Restart(std::size_t i) {
+  Machine& m = machines_[i];
+  ++m.incarnation;
+  m.active_version = 0;
+  m.replica = std::make_unique<replicated_config::ConfigReplica>(
+      ReplicaOptionsOf(i), InstanceOf(i), DocumentChecksOf(NameOf(i)), random_(), Local(m));
   const bool votes = i < plan_.voters || m.disk.store != 0;
   if (votes) {
     if (m.disk.store == 0) m.disk.store = random_() | 1;
@@ -128,7 +136,8 @@
   HandleOutputs(at);
 }
 
-void ConfigReplicaFleet::Post(std::size_t from, std::size_t to, const replicated_config::Message& message) {
+void ConfigReplicaFleet::SendEncoded(std::size_t from, std::size_t to,
+                                     const replicated_config::Message& message) {
   static const std::size_t kFrameBytes = FrameBytes();
   const auto bytes = std::make_shared<const std::string>(replicated_config::Encode(message));
   ++message_count_;
@@ -141,35 +150,47 @@
               });
 }
 
-void ConfigReplicaFleet::HandleOutputs(std::size_t i) {
+void ConfigReplicaFleet::HandleDocument(std::size_t i, const replicated_config::DocumentReceived& received) {
+  const auto [it, fresh] = documents_.try_emplace(received.version, received.document);
+  if (!fresh && it->second != received.document)
+    violations_.push_back("version " + std::to_string(received.version) + " has two texts");
   Machine& m = machines_[i];
-  for (auto outputs = m.replica->TakeOutputs(); !outputs.empty(); outputs = m.replica->TakeOutputs()) {
-    for (replicated_config::ConfigReplicaOutput& output : outputs) {
-      if (const auto* post = std::get_if<replicated_config::SendMessage>(&output)) {
-        const std::optional<std::size_t> to = MachineOf(post->to);
-        if (to && *to != i) Post(i, *to, post->message);
-      } else if (std::holds_alternative<replicated_config::Persist>(output) ||
-                 std::holds_alternative<replicated_config::PersistBootstrapVoters>(output)) {
-        const Instant begun = m.pending_writes.empty() ? now_ : std::max(now_, m.pending_writes.back().first);
-        Push(begun + m.sync, i, ScheduledEvent::Kind::kSynced, m.incarnation);
-        m.pending_writes.emplace_back(begun + m.sync, std::move(output));
-      } else if (const auto* learnt = std::get_if<replicated_config::DocumentReceived>(&output)) {
-        const auto [it, fresh] = documents_.try_emplace(learnt->version, learnt->document);
-        if (!fresh && it->second != learnt->document)
-          violations_.push_back("version " + std::to_string(learnt->version) + " has two texts");
-        if (learnt->document.starts_with("not for " + NameOf(i)))
-          m.replica->MarkIncompatible(learnt->version);
-        else
-          m.replica->MarkPrepared(Local(m), learnt->version);
-      } else if (const auto* active_version = std::get_if<replicated_config::VersionActivated>(&output)) {
-        if (active_version->version < m.active_version)
-          violations_.push_back(NameOf(i) + " went back to an older version");
-        m.active_version = active_version->version;
-      } else if (const auto* finished = std::get_if<replicated_config::RequestCompleted>(&output)) {
-        outcomes_[finished->outcome.id] = finished->outcome;
-      }
-    }
+  if (received.document.starts_with("not for " + NameOf(i)))
+    m.replica->MarkIncompatible(received.version);
+  else
+    m.replica->MarkPrepared(Local(m), received.version);
+}
+
+void ConfigReplicaFleet::HandleOutput(std::size_t i, replicated_config::ConfigReplicaOutput& output) {
+  Machine& m = machines_[i];
+  if (const auto* send = std::get_if<replicated_config::SendMessage>(&output)) {
+    const std::optional<std::size_t> to = MachineOf(send->to);
+    if (to && *to != i) SendEncoded(i, *to, send->message);
+  } else if (std::holds_alternative<replicated_config::Persist>(output) ||
+             std::holds_alternative<replicated_config::PersistBootstrapVoters>(output)) {
+    const Instant begun = m.pending_writes.empty() ? now_ : std::max(now_, m.pending_writes.back().first);
+    Push(begun + m.sync, i, ScheduledEvent::Kind::kSynced, m.incarnation);
+    m.pending_writes.emplace_back(begun + m.sync, std::move(output));
+  } else if (const auto* received = std::get_if<replicated_config::DocumentReceived>(&output)) {
+    HandleDocument(i, *received);
+  } else if (const auto* activated = std::get_if<replicated_config::VersionActivated>(&output)) {
+    if (activated->version < m.active_version)
+      violations_.push_back(NameOf(i) + " went back to an older version");
+    m.active_version = activated->version;
+  } else if (const auto* completed = std::get_if<replicated_config::RequestCompleted>(&output)) {
+    outcomes_[completed->outcome.id] = completed->outcome;
   }
+}
+
+void ConfigReplicaFleet::HandleOutputs(std::size_t i) {
+  Machine& m = machines_[i];
+  for (auto outputs = m.replica->TakeOutputs(); !outputs.empty(); outputs = m.replica->TakeOutputs())
+    for (replicated_config::ConfigReplicaOutput& output : outputs) HandleOutput(i, output);
+  ScheduleStep(i);
+}
+
+void ConfigReplicaFleet::ScheduleStep(std::size_t i) {
+  const Machine& m = machines_[i];
   const raft::Time due = m.replica->due();
   if (due == raft::kNever) return;
   const auto at =
@@ -193,47 +214,50 @@
   return same ? std::optional(machine) : std::nullopt;
 }
 
-void ConfigReplicaFleet::HandleTimed(const ScheduledEvent& h) {
+void ConfigReplicaFleet::HandleTimed(const ScheduledEvent& event) {
   const double begun = ProcessorMicroseconds();
-  Handle(h);
-  machines_[h.machine].sent.processor_us += ProcessorMicroseconds() - begun;
+  Handle(event);
+  machines_[event.machine].sent.processor_us += ProcessorMicroseconds() - begun;
 }
 
-void ConfigReplicaFleet::Handle(const ScheduledEvent& h) {
-  Machine& m = machines_[h.machine];
-  if (m.replica == nullptr || (h.incarnation != 0 && h.incarnation != m.incarnation)) return;
-  if (m.stalled_until > now_ && h.kind != ScheduledEvent::Kind::kSynced) {
-    ScheduledEvent later = h;
+void ConfigReplicaFleet::Handle(const ScheduledEvent& event) {
+  Machine& m = machines_[event.machine];
+  if (m.replica == nullptr || (event.incarnation != 0 && event.incarnation != m.incarnation)) return;
+  if (m.stalled_until > now_ && event.kind != ScheduledEvent::Kind::kSynced) {
+    ScheduledEvent later = event;
     later.at = m.stalled_until;
     later.order = order_++;
     queue_.push(std::move(later));
     return;
   }
-  switch (h.kind) {
+  switch (event.kind) {
     case ScheduledEvent::Kind::kStep:
       if (m.replica->due() > Local(m)) return;  // rescheduled since
       m.replica->Step(Local(m));
       break;
     case ScheduledEvent::Kind::kMessage:
-      if (const auto message = replicated_config::DecodeMessage(*h.bytes))
-        m.replica->Receive(Local(m), h.from, *message);
+      if (const auto message = replicated_config::DecodeMessage(*event.bytes))
+        m.replica->Receive(Local(m), event.from, *message);
       break;
-    case ScheduledEvent::Kind::kSynced: {
+    case ScheduledEvent::Kind::kSynced:
       if (m.pending_writes.empty() || m.pending_writes.front().first > now_) return;
-      const replicated_config::ConfigReplicaOutput output = std::move(m.pending_writes.front().second);
-      m.pending_writes.erase(m.pending_writes.begin());
-      if (const auto* keep = std::get_if<replicated_config::Persist>(&output)) {
-        ApplyUpdate(keep->update, m.disk.persistent_state);
-        m.replica->OnStored(Local(m), keep->update.sequence);
-      } else if (const auto* bootstrap_voters =
-                     std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
-        m.disk.bootstrap_voters = bootstrap_voters->bootstrap_voters;
-        m.replica->OnBootstrapVotersStored(Local(m));
-      }
+      CompleteWrite(event.machine);
       break;
-    }
   }
-  HandleOutputs(h.machine);
+  HandleOutputs(event.machine);
+}
+
+void ConfigReplicaFleet::CompleteWrite(std::size_t i) {
+  Machine& m = machines_[i];
+  const replicated_config::ConfigReplicaOutput output = std::move(m.pending_writes.front().second);
+  m.pending_writes.erase(m.pending_writes.begin());
+  if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
+    ApplyUpdate(persist->update, m.disk.persistent_state);
+    m.replica->OnStored(Local(m), persist->update.sequence);
+  } else if (const auto* bootstrap = std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
+    m.disk.bootstrap_voters = bootstrap->bootstrap_voters;
+    m.replica->OnBootstrapVotersStored(Local(m));
+  }
 }
 
 void ConfigReplicaFleet::RunFor(Instant span) {
@@ -241,16 +265,16 @@
   while (now_ < until) {
     const Instant tick = std::min(until, now_ + kTick);
     while (!queue_.empty() && queue_.top().at <= tick) {
-      const ScheduledEvent h = queue_.top();
+      const ScheduledEvent event = queue_.top();
       queue_.pop();
-      now_ = std::max(now_, h.at);
+      now_ = std::max(now_, event.at);
       if (plan_.timed)
-        HandleTimed(h);
+        HandleTimed(event);
       else
-        Handle(h);
+        Handle(event);
     }
     now_ = tick;
-    RecordUse();
+    ObserveUse();
   }
 }
 
@@ -261,26 +285,16 @@
   return version && *version == m.active_version ? version : std::nullopt;
 }
 
-void ConfigReplicaFleet::RecordUse() {
-  std::set<Version> versions;
+void ConfigReplicaFleet::ObserveUse() {
+  std::vector<Version> usable;
   std::size_t leaders = 0;
   for (std::size_t i = 0; i < machines_.size(); ++i) {
-    leaders += IsRunning(i) && machines_[i].stalled_until <= now_ &&
-               machines_[i].replica->Leads(Local(machines_[i]));
-    const auto version = UsableVersion(i);
-    if (!version) continue;
-    versions.insert(*version);
-    first_acted_.try_emplace(*version, now_);
-    const auto later = first_acted_.upper_bound(*version);
-    if (later != first_acted_.end() && now_ - later->second > plan_.stale_limit) ++stale_;
+    const Machine& m = machines_[i];
+    if (IsRunning(i) && m.stalled_until <= now_ && m.replica->Leads(Local(m))) ++leaders;
+    if (const auto version = UsableVersion(i)) usable.push_back(*version);
   }
   if (leaders > 1) violations_.push_back("two lead at once");
-  if (versions.size() < 2) {
-    contradiction_since_.reset();
-    return;
-  }
-  if (!contradiction_since_) contradiction_since_ = now_;
-  longest_contradiction_ = std::max(longest_contradiction_, now_ - *contradiction_since_ + kTick);
+  version_uses_.Observe(now_, usable);
 }
 
 bool ConfigReplicaFleet::AllUse(Version version) const {
--- a/src/testing/simulation/config_replica_fleet.h
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -4,8 +4,8 @@
 // Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Messages
 // travel encoded. All times are true time. A process that is resumed acts first, and handles its messages and
 // timers afterwards.
-#ifndef LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
-#define LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_CONFIG_REPLICA_FLEET_H_
+#define LEMONCROFT_TESTING_SIMULATION_CONFIG_REPLICA_FLEET_H_
 
 #include <map>
 #include <memory>
@@ -18,6 +18,7 @@
 
 #include "replicated_config/config_replica.h"
 #include "testing/simulation/links.h"
+#include "testing/simulation/version_use_recorder.h"
 
 namespace lemoncroft::simulation {
 
@@ -67,8 +68,8 @@
   Links& links() { return links_; }
   Instant now() const { return now_; }
 
-  Instant contradiction() const { return longest_contradiction_; }
-  std::uint64_t stale() const { return stale_; }
+  Instant contradiction() const { return version_uses_.longest_contradiction(); }
+  std::uint64_t stale() const { return version_uses_.stale_uses(); }
   const std::vector<std::string>& violations() const { return violations_; }
   std::uint64_t messages() const { return message_count_; }
   struct Sent {
@@ -103,6 +104,7 @@
     }
   };
 
+  replicated_config::ConfigReplicaOptions ReplicaOptionsOf(std::size_t i) const;
   raft::Time Local(const Machine& m) const;
   replicated_config::Instance InstanceOf(std::size_t i) const {
     return instances_per_incarnation_ * machines_[i].incarnation + i + 1;
@@ -111,11 +113,16 @@
   std::optional<std::size_t> MachineOf(
       const std::variant<raft::NodeId, replicated_config::Instance>& to) const;
   void Push(Instant at, std::size_t machine, ScheduledEvent::Kind kind, std::uint64_t incarnation);
-  void Handle(const ScheduledEvent& happening);
-  void HandleTimed(const ScheduledEvent& happening);
+  void Handle(const ScheduledEvent& event);
+  void HandleTimed(const ScheduledEvent& event);
+  // Processes the outputs of the replica and schedules its next step.
   void HandleOutputs(std::size_t i);
-  void Post(std::size_t from, std::size_t to, const replicated_config::Message& message);
-  void RecordUse();
+  void HandleOutput(std::size_t i, replicated_config::ConfigReplicaOutput& output);
+  void HandleDocument(std::size_t i, const replicated_config::DocumentReceived& document);
+  void ScheduleStep(std::size_t i);
+  void CompleteWrite(std::size_t i);
+  void SendEncoded(std::size_t from, std::size_t to, const replicated_config::Message& message);
+  void ObserveUse();
 
   Plan plan_;
   std::mt19937_64 random_;
@@ -128,13 +135,10 @@
   std::map<std::string, replicated_config::ChangeOutcome> outcomes_;
   std::map<replicated_config::Version, std::string> documents_;  // as first seen
   std::map<std::string, std::string> proposed_;
-  std::optional<Instant> contradiction_since_;
-  Instant longest_contradiction_{};
-  std::map<replicated_config::Version, Instant> first_acted_;
-  std::uint64_t stale_ = 0;
+  VersionUseRecorder version_uses_;
   std::vector<std::string> violations_;
 };
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_SIMULATION_CONFIG_REPLICA_FLEET_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_CONFIG_REPLICA_FLEET_H_
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -36,9 +36,9 @@
   std::vector<EngineId> Avoided(Nanos) const override { return {}; }
 
  private:
-  struct Line {
+  struct KeyQueue {
     std::vector<RequestId> order;
-    Nanos rest_until = 0;
+    Nanos settled_at = 0;
   };
 
   bool Ordered(const Request& r) const { return settings_.classes[r.class_id].in_order && r.key != 0; }
@@ -50,46 +50,47 @@
   void On(const Request& request) {
     requests_[request.id] = request;
     if (!Ordered(request)) return Forward(request);
-    Line& line = lines_[request.key];
-    line.order.push_back(request.id);
-    if (line.order.size() == 1) ForwardFirst(request.key);
+    KeyQueue& queue = key_queues_[request.key];
+    queue.order.push_back(request.id);
+    if (queue.order.size() == 1) ForwardFirst(request.key);
   }
 
   void On(const AttemptEnded& end) {
     if (!end.finished) actions_->push_back(Fail{end.id});
-    const bool unknown = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
-                         end.outcome == Outcome::kCancelled;
-    Leave(end.id, unknown);
+    const bool may_still_run = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
+                               end.outcome == Outcome::kCancelled;
+    Remove(end.id, may_still_run);
   }
 
-  void On(const ClientGone& gone) {  // of what is out, the end comes later
-    if (!out_.contains(gone.id)) Leave(gone.id, false);
+  // The end of an attempt in flight is reported later.
+  void On(const ClientGone& gone) {
+    if (!in_flight_.contains(gone.id)) Remove(gone.id, false);
   }
 
   void On(const TimerFired& timer) { ForwardFirst(timer.token); }
   void On(const auto&) {}
 
-  void Leave(RequestId id, bool unknown) {
+  void Remove(RequestId id, bool may_still_run) {
     const auto it = requests_.find(id);
     if (it == requests_.end()) return;
     const Request request = it->second;
     requests_.erase(it);
-    if (const auto sent = out_.find(id); sent != out_.end()) {
+    if (const auto sent = in_flight_.find(id); sent != in_flight_.end()) {
       threads_[sent->second] -= settings_.classes[request.class_id].threads;
-      out_.erase(sent);
+      in_flight_.erase(sent);
     }
     if (!Ordered(request)) return;
-    Line& line = lines_[request.key];
-    std::erase(line.order, id);
-    if (unknown) line.rest_until = now_ + settings_.order_settle;
+    KeyQueue& queue = key_queues_[request.key];
+    std::erase(queue.order, id);
+    if (may_still_run) queue.settled_at = now_ + settings_.order_settle;
     ForwardFirst(request.key);
   }
 
   void ForwardFirst(std::uint64_t key) {
-    Line& line = lines_[key];
-    if (line.order.empty() || out_.contains(line.order.front())) return;
-    if (now_ < line.rest_until) return actions_->push_back(WakeAt{line.rest_until, key});
-    Forward(requests_.at(line.order.front()));
+    KeyQueue& queue = key_queues_[key];
+    if (queue.order.empty() || in_flight_.contains(queue.order.front())) return;
+    if (now_ < queue.settled_at) return actions_->push_back(WakeAt{queue.settled_at, key});
+    Forward(requests_.at(queue.order.front()));
   }
 
   void Forward(const Request& request) {
@@ -98,13 +99,16 @@
       return places.empty() || std::find(places.begin(), places.end(), place) != places.end();
     };
     EngineId best = 0;
-    double least = 0;
+    double least_load = 0;
     for (const auto& [id, e] : listed_) {
       if (e.readiness != Readiness::kReady || !within(c.zones, e.zone) || !within(c.kinds, e.kind)) continue;
       const double load = (threads_[id] + c.threads + Uniform(random_())) / settings_.kinds[e.kind].cores;
-      if (best == 0 || load < least) best = id, least = load;
+      if (best == 0 || load < least_load) {
+        best = id;
+        least_load = load;
+      }
     }
-    out_[request.id] = best;
+    in_flight_[request.id] = best;
     threads_[best] += c.threads;
     actions_->push_back(Send{request.id, best});
   }
@@ -115,9 +119,9 @@
   std::vector<Action>* actions_ = nullptr;
   std::map<EngineId, EngineEntry> listed_;
   std::map<RequestId, Request> requests_;
-  std::map<RequestId, EngineId> out_;
-  std::map<EngineId, double> threads_;  // of its own queries there
-  std::map<std::uint64_t, Line> lines_;
+  std::map<RequestId, EngineId> in_flight_;
+  std::map<EngineId, double> threads_;  // of this gateway's requests
+  std::map<std::uint64_t, KeyQueue> key_queues_;
 };
 
 }  // namespace
--- a/src/testing/simulation/deciders.h
+++ b/src/testing/simulation/deciders.h
@@ -3,8 +3,8 @@
 //
 // Contract: that of the module's interface (lemoncroft/gateway.h): no I/O, no clock, deterministic for its
 // settings and seed. Errors: none.
-#ifndef LEMONCROFT_SIMULATION_DECIDERS_H_
-#define LEMONCROFT_SIMULATION_DECIDERS_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_DECIDERS_H_
+#define LEMONCROFT_TESTING_SIMULATION_DECIDERS_H_
 
 #include <cstdint>
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace lemoncroft::simulation {
 
-// Who decides in the place of one gateway.
+// Takes the place of one gateway.
 class Decider {
  public:
   virtual ~Decider() = default;
@@ -27,10 +27,10 @@
 
 // The decision module.
 std::unique_ptr<Decider> MakeGateway(const Settings& settings, std::uint64_t seed);
-// A reference: sends each request once, at once, to a random engine that its placement allows, knows of
-// nothing but the list and the order of keys, and waits for the end.
+// A reference without limits, retries or ejections: forwards each request once and at once to the least
+// loaded engine that its class allows, and keeps the order of keys.
 std::unique_ptr<Decider> MakeLeastLoadedForwarder(const Settings& settings, std::uint64_t seed);
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_SIMULATION_DECIDERS_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_DECIDERS_H_
--- a/src/testing/simulation/lease_fleet.cpp
+++ b/src/testing/simulation/lease_fleet.cpp
@@ -23,13 +23,14 @@
 
 }  // namespace
 
-LeaseFleet::LeaseFleet(const Plan& plan) : plan_(plan), voters_(VotersOf(plan)), random_(plan.seed + 1) {
+LeaseFleet::LeaseFleet(const Plan& plan)
+    : plan_(plan), voters_(VotersOf(plan)), random_(plan.seed + 1), version_uses_(kTick, plan.stale_limit) {
   leaders_.assign(plan.voters, Leader(plan.lease_options));
   for (std::size_t i = 0; i < plan.proxies; ++i) {
     Proxy& proxy = proxies_.emplace_back(plan.lease_options);
     proxy.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
     proxy.origin = replicated_config::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
-    proxy.ask_at = Instant(static_cast<Instant::rep>(random_() % 250'000'000));
+    proxy.renew_at = Instant(static_cast<Instant::rep>(random_() % 250'000'000));
     proxy.fetch_delay = plan.fetch_delay;
   }
   voters_.on_committed = [this](std::size_t i, const raft::Entry& entry) {
@@ -77,54 +78,85 @@
   voters_.Propose(i, "for " + std::to_string(leader.latest_version));
 }
 
-void LeaseFleet::Handle(const ScheduledEvent& h) {
-  Proxy& proxy = proxies_[h.proxy];
-  const auto voter = static_cast<Node>(h.voter), machine = static_cast<Node>(h.proxy);
-  if (h.renewal) {
-    Leader& leader = leaders_[h.voter];
-    if (!voters_.IsRunning(h.voter) || leader.term != voters_.raft(h.voter).term()) return;
-    const auto grant = leader.grantor.HandleRenewal(
-        voters_.LocalNow(h.voter), voters_.HoldsLeaderLease(h.voter), std::to_string(h.proxy), *h.renewal,
-        leader.active_version, leader.latest_version);
-    if (!grant) return;
-    ScheduledEvent answer;
-    answer.proxy = h.proxy;
-    answer.voter = h.voter;
-    answer.grant = grant;
-    const auto put = [&](Instant at, const std::string&) {
-      answer.at = at;
-      answer.order = order_++;
-      queue_.push(answer);
-    };
-    if (voter == machine)
-      put(now(), {});
-    else
-      links().Send(now(), voter, machine, {}, put);
-    return;
-  }
+void LeaseFleet::HandleRenewal(const ScheduledEvent& event) {
+  const auto voter = static_cast<Node>(event.voter), machine = static_cast<Node>(event.proxy);
+  Leader& leader = leaders_[event.voter];
+  if (!voters_.IsRunning(event.voter) || leader.term != voters_.raft(event.voter).term()) return;
+  const auto grant = leader.grantor.HandleRenewal(
+      voters_.LocalNow(event.voter), voters_.HoldsLeaderLease(event.voter), std::to_string(event.proxy),
+      *event.renewal, leader.active_version, leader.latest_version);
+  if (!grant) return;
+  ScheduledEvent response;
+  response.proxy = event.proxy;
+  response.voter = event.voter;
+  response.grant = grant;
+  const auto deliver = [&](Instant at, const std::string&) {
+    response.at = at;
+    response.order = order_++;
+    queue_.push(response);
+  };
+  if (voter == machine)
+    deliver(now(), {});
+  else
+    links().Send(now(), voter, machine, {}, deliver);
+}
+
+void LeaseFleet::HandleGrant(const ScheduledEvent& event) {
+  Proxy& proxy = proxies_[event.proxy];
+  proxy.holder.HandleGrant(Local(proxy), *event.grant);
+  const bool prepared = proxy.holder.latest_version() <= proxy.holder.prepared_version();
+  if (prepared || proxy.fetching_version != 0) return;
+  if (!links().Open(static_cast<Node>(event.proxy), static_cast<Node>(event.voter))) return;
+  proxy.fetching_version = proxy.holder.latest_version();
+  ScheduledEvent fetched;
+  fetched.at = now() + proxy.fetch_delay;
+  fetched.order = order_++;
+  fetched.proxy = event.proxy;
+  fetched.fetched_version = proxy.fetching_version;
+  queue_.push(fetched);
+}
+
+void LeaseFleet::Handle(const ScheduledEvent& event) {
+  if (event.renewal) return HandleRenewal(event);
+  Proxy& proxy = proxies_[event.proxy];
   if (proxy.stalled_until > now()) {
-    ScheduledEvent later = h;
+    ScheduledEvent later = event;
     later.at = proxy.stalled_until;
     later.order = order_++;
     queue_.push(later);
     return;
   }
-  if (h.fetched_version > 0) {
+  if (event.fetched_version > 0) {
     proxy.fetching_version = 0;
-    proxy.holder.MarkPrepared(h.fetched_version);
-    proxy.ask_at = now();  // reports it at once
+    proxy.holder.MarkPrepared(event.fetched_version);
+    proxy.renew_at = now();  // reports it at once
     return;
   }
-  proxy.holder.HandleGrant(Local(proxy), *h.grant);
-  if (proxy.holder.latest_version() > proxy.holder.prepared_version() && proxy.fetching_version == 0 &&
-      links().Open(machine, voter)) {
-    proxy.fetching_version = proxy.holder.latest_version();
-    ScheduledEvent fetched_version;
-    fetched_version.at = now() + proxy.fetch_delay;
-    fetched_version.order = order_++;
-    fetched_version.proxy = h.proxy;
-    fetched_version.fetched_version = proxy.fetching_version;
-    queue_.push(fetched_version);
+  HandleGrant(event);
+}
+
+void LeaseFleet::RequestRenewals() {
+  for (std::size_t p = 0; p < proxies_.size(); ++p) {
+    Proxy& proxy = proxies_[p];
+    if (proxy.stalled_until > now()) continue;
+    proxy.holder.Tick(Local(proxy));
+    if (proxy.renew_at > now()) continue;
+    proxy.renew_at = now() + plan_.lease_options.renewal_interval;
+    ScheduledEvent request;
+    request.proxy = p;
+    request.renewal = proxy.holder.RequestRenewal(Local(proxy));
+    for (std::size_t v = 0; v < plan_.voters; ++v) {
+      request.voter = v;
+      const auto deliver = [&](Instant at, const std::string&) {
+        request.at = at;
+        request.order = order_++;
+        queue_.push(request);
+      };
+      if (v == p)
+        deliver(now(), {});
+      else
+        links().Send(now(), static_cast<Node>(p), static_cast<Node>(v), {}, deliver);
+    }
   }
 }
 
@@ -133,34 +165,13 @@
   while (now() < until) {
     voters_.RunFor(kTick);
     for (std::size_t i = 0; i < plan_.voters; ++i) RunLeaderDuties(i);
-    // A process that is resumed acts first, and handles its messages and timers afterwards.
-    RecordUse();
-    for (std::size_t p = 0; p < proxies_.size(); ++p) {
-      Proxy& proxy = proxies_[p];
-      if (proxy.stalled_until > now()) continue;
-      proxy.holder.Tick(Local(proxy));
-      if (proxy.ask_at > now()) continue;
-      proxy.ask_at = now() + plan_.lease_options.renewal_interval;
-      ScheduledEvent ask;
-      ask.proxy = p;
-      ask.renewal = proxy.holder.RequestRenewal(Local(proxy));
-      for (std::size_t v = 0; v < plan_.voters; ++v) {
-        ask.voter = v;
-        const auto put = [&](Instant at, const std::string&) {
-          ask.at = at;
-          ask.order = order_++;
-          queue_.push(ask);
-        };
-        if (v == p)
-          put(now(), {});
-        else
-          links().Send(now(), static_cast<Node>(p), static_cast<Node>(v), {}, put);
-      }
-    }
+    // A resumed process acts first, and handles its messages and timers afterwards.
+    ObserveUse();
+    RequestRenewals();
     while (!queue_.empty() && queue_.top().at <= now()) {
-      const ScheduledEvent h = queue_.top();
+      const ScheduledEvent event = queue_.top();
       queue_.pop();
-      Handle(h);
+      Handle(event);
     }
   }
 }
@@ -170,25 +181,16 @@
   return one.stalled_until > now() ? std::nullopt : one.holder.UsableVersion(Local(one));
 }
 
-void LeaseFleet::RecordUse() {
-  std::set<Version> versions;
+void LeaseFleet::ObserveUse() {
+  std::vector<Version> usable;
   for (std::size_t p = 0; p < proxies_.size(); ++p) {
-    if (const auto version = UsableVersion(p)) {
-      versions.insert(*version);
-      first_acted_.try_emplace(*version, now());
-      const auto later = first_acted_.upper_bound(*version);
-      if (later != first_acted_.end() && now() - later->second > plan_.stale_limit) ++stale_;
-    }
-    const Proxy& one = proxies_[p];
-    const bool leased = Local(one) < one.holder.lease_expiry() && one.stalled_until <= now();
-    if (leased && one.holder.prepared_version() < one.holder.active_version()) ++uses_without_document_;
-  }
-  if (versions.size() < 2) {
-    contradiction_since_.reset();
-    return;
+    if (const auto version = UsableVersion(p)) usable.push_back(*version);
+    const Proxy& proxy = proxies_[p];
+    const bool has_lease = Local(proxy) < proxy.holder.lease_expiry() && proxy.stalled_until <= now();
+    if (has_lease && proxy.holder.prepared_version() < proxy.holder.active_version())
+      ++uses_without_document_;
   }
-  if (!contradiction_since_) contradiction_since_ = now();
-  longest_contradiction_ = std::max(longest_contradiction_, now() - *contradiction_since_ + kTick);
+  version_uses_.Observe(now(), usable);
 }
 
 bool LeaseFleet::ActiveEverywhere(Version version) const {
--- a/src/testing/simulation/lease_fleet.h
+++ b/src/testing/simulation/lease_fleet.h
@@ -3,8 +3,8 @@
 //
 // Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Versions have
 // no documents here, only numbers. All times are true time.
-#ifndef LEMONCROFT_SIMULATION_LEASE_FLEET_H_
-#define LEMONCROFT_SIMULATION_LEASE_FLEET_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_LEASE_FLEET_H_
+#define LEMONCROFT_TESTING_SIMULATION_LEASE_FLEET_H_
 
 #include <map>
 #include <optional>
@@ -15,6 +15,7 @@
 
 #include "replicated_config/lease.h"
 #include "testing/simulation/raft_cluster.h"
+#include "testing/simulation/version_use_recorder.h"
 
 namespace lemoncroft::simulation {
 
@@ -45,10 +46,10 @@
   std::optional<replicated_config::Version> UsableVersion(std::size_t proxy) const;
   const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
   // The longest time for which two proxies could act on different versions.
-  Instant contradiction() const { return longest_contradiction_; }
+  Instant contradiction() const { return version_uses_.longest_contradiction(); }
   // Number of instants at which a proxy could act on a version more than `stale_limit` after a later one was
   // first usable.
-  std::uint64_t stale() const { return stale_; }
+  std::uint64_t stale() const { return version_uses_.stale_uses(); }
   // Number of instants at which a running proxy had a lease but not the document of the active version.
   std::uint64_t uses_without_document() const { return uses_without_document_; }
   bool ActiveEverywhere(replicated_config::Version version) const;
@@ -59,7 +60,7 @@
     replicated_config::LeaseHolder holder;
     double rate = 1;
     replicated_config::Time origin{};
-    Instant stalled_until{}, ask_at{}, fetch_delay{};
+    Instant stalled_until{}, renew_at{}, fetch_delay{};
     replicated_config::Version fetching_version = 0;
   };
   struct Leader {
@@ -81,9 +82,12 @@
   };
 
   replicated_config::Time Local(const Proxy& proxy) const;
-  void Handle(const ScheduledEvent& happening);
+  void Handle(const ScheduledEvent& event);
   void RunLeaderDuties(std::size_t i);
-  void RecordUse();
+  void ObserveUse();
+  void RequestRenewals();
+  void HandleRenewal(const ScheduledEvent& event);
+  void HandleGrant(const ScheduledEvent& event);
 
   Plan plan_;
   RaftCluster voters_;
@@ -93,12 +97,9 @@
   std::vector<Proxy> proxies_;
   std::vector<Leader> leaders_;
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
-  std::optional<Instant> contradiction_since_;
-  Instant longest_contradiction_{};
-  std::map<replicated_config::Version, Instant> first_acted_;
-  std::uint64_t stale_ = 0;
+  VersionUseRecorder version_uses_;
 };
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_SIMULATION_LEASE_FLEET_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_LEASE_FLEET_H_
--- a/src/testing/simulation/processor_time.h
+++ b/src/testing/simulation/processor_time.h
@@ -1,6 +1,6 @@
 // The processor time that the calling thread has used, for measurements.
-#ifndef LEMONCROFT_STANDIN_PROCESSOR_TIME_H_
-#define LEMONCROFT_STANDIN_PROCESSOR_TIME_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_PROCESSOR_TIME_H_
+#define LEMONCROFT_TESTING_SIMULATION_PROCESSOR_TIME_H_
 
 #include <ctime>
 
@@ -14,4 +14,4 @@
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_PROCESSOR_TIME_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_PROCESSOR_TIME_H_
--- a/src/testing/simulation/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -10,8 +10,8 @@
 // Deterministic; the caller's times never run backwards. What a change sets free (memory, a table group) is
 // taken up by the next call, so the caller's steps should be short. Not modelled: disks, groups kept warm, a
 // load that stops readers which already run.
-#ifndef LEMONCROFT_STANDIN_QUERY_ENGINE_H_
-#define LEMONCROFT_STANDIN_QUERY_ENGINE_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_QUERY_ENGINE_H_
+#define LEMONCROFT_TESTING_SIMULATION_QUERY_ENGINE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -106,4 +106,4 @@
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_QUERY_ENGINE_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_QUERY_ENGINE_H_
--- a/src/testing/simulation/site_shapes.h
+++ b/src/testing/simulation/site_shapes.h
@@ -3,8 +3,8 @@
 //
 // Contract. Deterministic by seed. A shape chooses one value of each dimension; `BuildSite` turns it into the
 // decision module's settings and into what the stand-in engines and clients do.
-#ifndef LEMONCROFT_STANDIN_SITE_SHAPES_H_
-#define LEMONCROFT_STANDIN_SITE_SHAPES_H_
+#ifndef LEMONCROFT_TESTING_SIMULATION_SITE_SHAPES_H_
+#define LEMONCROFT_TESTING_SIMULATION_SITE_SHAPES_H_
 
 #include <array>
 #include <cstddef>
@@ -104,4 +104,4 @@
 
 }  // namespace lemoncroft::simulation
 
-#endif  // LEMONCROFT_STANDIN_SITE_SHAPES_H_
+#endif  // LEMONCROFT_TESTING_SIMULATION_SITE_SHAPES_H_
