--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -186,9 +186,11 @@
 
 }  // namespace
 
-class Gateway::Impl {
+namespace decision {
+
+class Scheduler {
  public:
-  Impl(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_engine_(seed) {
+  Scheduler(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_engine_(seed) {
     ApplySettings({});
   }
 
@@ -1174,16 +1176,18 @@
         first_step_at_ = -1;  // born_: the first step
 };
 
+}  // namespace decision
+
 Gateway::Gateway(Settings settings, std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
+    : scheduler_(std::make_unique<decision::Scheduler>(std::move(settings), seed)) {}
 Gateway::~Gateway() = default;
 Gateway::Gateway(Gateway&&) noexcept = default;
 Gateway& Gateway::operator=(Gateway&&) noexcept = default;
 
-std::vector<EngineId> Gateway::Avoided(Nanos now) const { return impl_->Avoided(now); }
+std::vector<EngineId> Gateway::Avoided(Nanos now) const { return scheduler_->Avoided(now); }
 
 void Gateway::Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions) {
-  impl_->Step(now, events, actions);
+  scheduler_->Step(now, events, actions);
 }
 
 }  // namespace lemoncroft
--- a/src/decision/limits/circuit_breaker.h
+++ b/src/decision/limits/circuit_breaker.h
@@ -9,7 +9,7 @@
 
 #include <algorithm>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::limits {
 
--- a/src/decision/limits/cold_budget.h
+++ b/src/decision/limits/cold_budget.h
@@ -7,7 +7,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/settings.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::limits {
 
--- a/src/decision/limits/key_queues.h
+++ b/src/decision/limits/key_queues.h
@@ -16,7 +16,7 @@
 #include <utility>
 #include <vector>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::limits {
 
--- a/src/decision/limits/placement.h
+++ b/src/decision/limits/placement.h
@@ -9,7 +9,8 @@
 #include <cstdint>
 #include <vector>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/settings.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::limits {
 
--- a/src/decision/limits/retry_budget.h
+++ b/src/decision/limits/retry_budget.h
@@ -8,7 +8,8 @@
 
 #include <deque>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/settings.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::limits {
 
--- a/src/decision/module_clock.h
+++ b/src/decision/module_clock.h
@@ -7,7 +7,7 @@
 
 #include <chrono>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/types.h"
 #include "runtime/loop.h"
 
 namespace lemoncroft::decision {
--- a/src/decision/reports/reported_load.h
+++ b/src/decision/reports/reported_load.h
@@ -10,7 +10,8 @@
 #include <cstddef>
 #include <optional>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/settings.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::reports {
 
--- a/src/decision/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "decision/subset/subset.h"
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::subset {
 
--- a/src/decision/subset/subset.h
+++ b/src/decision/subset/subset.h
@@ -11,7 +11,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "lemoncroft/gateway.h"
+#include "lemoncroft/types.h"
 
 namespace lemoncroft::subset {
 
