--- /dev/null
+++ b/src/decision/limits/concurrency_limit.cpp
@@ -0,0 +1,62 @@
+#include "decision/limits/concurrency_limit.h"
+
+#include <algorithm>
+
+namespace lemoncroft::limits {
+namespace {
+
+constexpr double kStepShare = 1.0 / 6;     // of the seed, that one step raises or lowers the limit by
+constexpr double kMinStep = 1;             // threads
+constexpr double kMinThreads = 1;          // of any limit
+constexpr double kChangeThreshold = 0.05;  // share by which throughput or latency must differ to count
+constexpr double kPeriodJitter = 0.3;      // share of the period
+constexpr int kMaxPeriodResponses = 100;   // that complete a period as well
+constexpr double kNanosPerSecond = 1'000'000'000;
+
+}  // namespace
+
+void ConcurrencyLimit::Start(double seed, Nanos now) {
+  threads_ = seed;
+  period_start_ = now;
+}
+
+void ConcurrencyLimit::RecordResponse(double work, double latency_ratio) {
+  period_.work += work;
+  period_.latency += latency_ratio;
+  ++period_.responses;
+}
+
+bool ConcurrencyLimit::PeriodComplete(bool had_pending, Nanos now) const {
+  const Nanos length = now - period_start_;
+  const bool long_enough = had_pending && length >= period_length_;
+  return length > 0 && (long_enough || period_.responses >= kMaxPeriodResponses);
+}
+
+void ConcurrencyLimit::Adjust(double seed, const Pressure& pressure, double uniform, Nanos now) {
+  Step(seed, pressure, static_cast<double>(now - period_start_) / kNanosPerSecond);
+  period_start_ = now;
+  period_length_ = static_cast<Nanos>(kPeriod * (1 + kPeriodJitter * (2 * uniform - 1)));
+  period_ = Period();
+}
+
+void ConcurrencyLimit::Step(double seed, const Pressure& pressure, double seconds) {
+  const double step = std::max(kMinStep, seed * kStepShare);
+  const double throughput = period_.work / seconds;
+  const double latency = period_.responses > 0 ? period_.latency / period_.responses : last_latency_;
+  const bool gained = throughput >= last_throughput_ * (1 + kChangeThreshold);
+  const bool slower = last_latency_ > 0 && latency > last_latency_ * (1 + kChangeThreshold);
+  const double floor = !pressure.objective_missed && !period_.full ? seed : kMinThreads;
+  if (raised_ && (!gained || period_.full)) {  // the raise didn't pay: taken back, whatever is pending
+    threads_ = std::max(kMinThreads, threads_ - step);
+    raised_ = false;
+  } else if (pressure.had_pending && !period_.full) {
+    threads_ += step;
+    raised_ = true;
+  } else if (!pressure.had_pending || !(pressure.objective_missed || slower)) {
+    threads_ = std::max(floor, threads_ - step);
+  }
+  last_throughput_ = throughput;
+  last_latency_ = latency;
+}
+
+}  // namespace lemoncroft::limits
--- /dev/null
+++ b/src/decision/scheduler.h
@@ -0,0 +1,302 @@
+// The scheduler behind lemoncroft::Gateway: decides which request goes to which engine, when, with which
+// memory and priority, when an attempt is cancelled, and when a request is ended without a response from an
+// engine.
+//
+// Concept. The number of threads at each engine is limited (limits::ConcurrencyLimit) while the engine is
+// under pressure; what exceeds the limit is kept pending here, ordered by priority weight. docs/design.md has
+// the design and the sources.
+//
+// A request's path: Handle(Request) -> Enqueue -> pending -> DispatchPending -> ChooseEngine -> Dispatch ->
+// in flight -> Handle(AttemptEnded) -> Finish, or Enqueue again for a retry, or RejectOrFail.
+//
+// Contract. No clock, no I/O; one thread. The same settings, seed and steps give the same actions: all
+// containers that are walked are ordered, and random draws happen in the order of the walk. Owner: Gateway.
+// Errors: none; events about unknown ids are ignored.
+//
+// Files: scheduler.cpp (step, settings, endpoint list), scheduler_requests.cpp (arrival, order by key, end),
+// scheduler_deadlines.cpp (objectives, deadlines, timers), scheduler_admission.cpp (may an engine take a
+// request now), scheduler_selection.cpp (which of those engines), scheduler_dispatch.cpp (sending pending
+// requests, retry rules), scheduler_attempts.cpp (runaway attempts, progress, outcomes) and
+// scheduler_learning.cpp (estimates, load reports, outlier detection, limits).
+#ifndef LEMONCROFT_DECISION_SCHEDULER_H_
+#define LEMONCROFT_DECISION_SCHEDULER_H_
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <random>
+#include <span>
+#include <unordered_map>
+#include <vector>
+
+#include "decision/constants.h"
+#include "decision/engine_state.h"
+#include "decision/estimates/class_estimates.h"
+#include "decision/estimates/running_mix.h"
+#include "decision/limits/capacity_credit.h"
+#include "decision/limits/key_queues.h"
+#include "decision/limits/retry_budget.h"
+#include "decision/limits/token_bucket.h"
+#include "decision/pending_requests.h"
+#include "decision/reports/reported_load.h"
+#include "decision/request_state.h"
+#include "decision/request_timers.h"
+#include "decision/subset/ranking_cache.h"
+#include "decision/time_units.h"
+#include "lemoncroft/gateway.h"
+
+namespace lemoncroft::decision {
+
+class Scheduler {
+ public:
+  Scheduler(Settings settings, std::uint64_t seed);
+
+  // See Gateway::Step.
+  void Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions);
+  // See Gateway::Avoided.
+  std::vector<EngineId> EjectedEngines(Nanos now) const;
+
+ private:
+  // ---- Events ----
+  void Handle(const SettingsChanged& change);
+  void Handle(const ProcessShare& share);
+  void Handle(const FleetSize& fleet_size);
+  void Handle(const Closing&);
+  void Handle(const EngineList& list);
+  void Handle(const Request& request);
+  void Handle(const AttemptEnded& end);
+  void Handle(const StreamStarted& start);
+  void Handle(const ClientGone& gone);
+  void Handle(const DeadlineReached& reached);
+  void Handle(const ProgressNotice& notice);
+  void Handle(const Probed& probed);
+  void Handle(const PeerMessage&) {}
+  void Handle(const TimerFired&) {}
+
+  // ---- Settings and endpoint list ----
+  void ApplySettings(const std::vector<int>& inherits_estimates_from);
+  void InheritEstimates(const std::vector<int>& inherits_estimates_from);
+  void ApplyFleetSize();
+  void ApplyEntry(const EngineEntry& entry);
+  void ChooseSubset();
+  double SeedConcurrencyLimit(const EngineState& engine) const;
+  // Gateways that send to one engine, on average.
+  double GatewaysPerEngine() const;
+
+  // ---- Time ----
+  // Brings everything that decays or accrues up to date, `seconds` after the last step.
+  void AdvanceTime(double seconds);
+  limits::FleetCapacity AdvanceEngines(double seconds);
+  void UpdateClassWeights();
+
+  // ---- Requests ----
+  bool IsOverQuota(const Request& request);
+  // Makes the request pending, or lets it wait for its turn behind its ordering key.
+  void Enqueue(RequestState& request);
+  void AddPending(RequestState& request);
+  void RemovePending(const RequestState& request);
+  double CurrentWeight(const RequestState& request) const;
+  void RebuildKeyQueues(const std::vector<int>& inherits_estimates_from);
+  // Makes the first request of the key pending, if the key isn't paused.
+  void AdvanceKey(std::uint64_t key);
+  void LeaveKey(const RequestState& request);
+  // Ends the request without a response from an engine: as rejected where that can't hide an effect, else as
+  // failed. An attempt in flight is cancelled.
+  void RejectOrFail(RequestState& request);
+  // Drops the request's state, or keeps it until the outcome of an attempt in flight.
+  void Finish(RequestState& request);
+  void RejectOrFailAllPending();
+  // The request of which attempt number `attempt` is in flight; null: none.
+  RequestState* FindAttempt(RequestId id, int attempt);
+
+  // ---- Objectives and deadlines ----
+  void RunTimers();
+  void ScheduleCheck(RequestState& request, Nanos due);
+  // The last moment to send a request so that it meets its latency objective, or once late its deadline.
+  Nanos LatestStart(const RequestState& request) const;
+  void OnLatestStartPassed(RequestState& request);
+  bool ExplorationDue(const RequestState& request);
+
+  // ---- Admission: whether an engine may take a request now ----
+  bool CanTake(const RequestState& request, EngineState& engine);
+  bool Available(const EngineState& engine) const;
+  bool MayRunOn(const RequestState& request, const EngineState& engine) const;
+  bool RunsLoadOfTables(const RequestState& request, const EngineState& engine) const;
+  static bool FailedOn(const RequestState& request, const EngineState& engine);
+  bool OtherEngineAvailable(const RequestState& request) const;
+  bool BypassesCredit(const RequestState& request) const;
+  bool MaySpendCredit(const RequestState& request, const EngineState& engine) const;
+  bool MemoryAllows(const RequestState& request, const EngineState& engine) const;
+  bool UnderPressure(const RequestState& request, const EngineState& engine) const;
+  bool ConcurrencyAllows(const RequestState& request, const EngineState& engine) const;
+  bool InSlowStart(const EngineState& engine) const;
+  bool SlowStartAllows(const RequestState& request, EngineState& engine);
+  double SlowStartShare(const EngineState& engine) const;
+  double SlowStartRate(const EngineState& engine) const;
+  double SlowStartCharge(const RequestState& request, const EngineState& engine) const;
+
+  // ---- Choice among the engines that can take a request ----
+  EngineState* ChooseEngine(const RequestState& request);
+  std::vector<EngineState*> Candidates(const RequestState& request);
+  void KeepEnginesForTables(const RequestState& request, std::vector<EngineState*>& candidates);
+  bool KeepInformedEngines(std::vector<EngineState*>& candidates);
+  void SendProbe(const std::vector<EngineState*>& engines, Nanos& next_at, Nanos interval);
+  EngineState* ShortestDelay(const RequestState& request, std::vector<EngineState*>& candidates);
+  bool PreferredEngineHasRoom(const EngineState& engine, double work) const;
+  // Seconds until a response, as far as it can be expected.
+  double ExpectedDelay(const RequestState& request, const EngineState& engine) const;
+  struct InFlightLoad {
+    double remaining_work = 0;  // thread seconds
+    int overdue = 0;            // attempts far past their expected duration
+  };
+  InFlightLoad LoadInFlight(const EngineState& engine) const;
+
+  // ---- Dispatch ----
+  void DispatchPending();
+  // Sends pending requests of one group; adds those sent to `sent`.
+  void DispatchGroup(const PendingRequests::Group& group, std::vector<RequestId>& sent);
+  bool AllManuallyEjected() const;
+  bool RetryBudgetAllows(const RequestState& request);
+  // The last moment at which a retry may leave for an engine without risk of a double effect.
+  Nanos RetryDeadline(const RequestState& request) const;
+  bool RetryMayLeave(const RequestState& request) const { return now_ <= RetryDeadline(request); }
+  void Dispatch(RequestState& request, EngineState& engine);
+  void GrantResources(const RequestState& request, const EngineState& engine, double memory_mb);
+  int EnginePriority(const RequestState& request) const;
+
+  // ---- Attempts in flight ----
+  void CheckRunaway(RequestState& request);
+  // How long after its send an attempt counts as a runaway; 0: never.
+  Nanos RunawayTimeout(const RequestState& request) const;
+  Nanos KeyedRunawayTimeout(const RequestState& request, double factor) const;
+  double RunawayFactor(const RequestState& request) const;
+  // The last moment to cancel a keyed attempt and still have its retry recognised as a repeat.
+  Nanos LastSafeCancel(const RequestState& request) const;
+  bool MayCancelAndRetry(const RequestState& request) const;
+  // Returns whether the attempt was cancelled.
+  bool CancelAndRetry(RequestState& request);
+  void CancelAttempt(RequestState& request);
+  void RetryOrEnd(RequestState& request);
+
+  // ---- Learning and outlier detection ----
+  void RecordOutcome(RequestState& request, EngineState& engine, const AttemptEnded& end);
+  void RecordUsage(const RequestState& request);
+  void RecordHealth(RequestState& request, EngineState& engine, const AttemptEnded& end);
+  enum class ReportExpectation { kOptional, kDue };
+  void RecordReport(EngineState& engine, const LoadReport& report, ReportExpectation expectation);
+  void RecordSuccess(const RequestState& request, EngineState& engine, const AttemptEnded& end);
+  void RecordHung(EngineState& engine, bool hung);
+  void BlameFailedEngines(const RequestState& request);
+  // Ejects the engine if too many of its attempts have failed.
+  void RecordFailure(EngineState& engine, double weight);
+  void AdjustConcurrencyLimits();
+
+  // ---- Figures of classes, requests and engines ----
+  const ClassSettings& Class(const RequestState& request) const {
+    return settings_.classes[request.spec.class_id];
+  }
+  const estimates::ClassEstimates& Estimates(const RequestState& request) const {
+    return estimates_[request.spec.class_id];
+  }
+  // Light classes need little work against the heaviest one. They are counted apart from heavy ones, so that
+  // a few long requests don't shut out many short ones.
+  bool IsLight(std::size_t class_id) const;
+  bool IsLight(const RequestState& request) const { return IsLight(request.spec.class_id); }
+  // Priority weight for a thread second of the class.
+  double WeightRate(std::size_t class_id) const;
+  // Duration of an attempt at the fleet's present pace.
+  double ExpectedSeconds(const RequestState& request) const {
+    return Estimates(request).Time(request.work) / request.threads;
+  }
+  double MemoryNeed(const RequestState& request) const {
+    return Estimates(request).MemoryMb(request.spec.est_memory_mb);
+  }
+  // Speed of the engine's responses against the fleet's, at most 1.
+  double RelativeSpeed(const EngineState& engine) const;
+  // Requests of other gateways at the engine, from its last load report.
+  double OtherGatewaysRequests(const EngineState& engine) const {
+    return engine.reported_load.Others(static_cast<double>(engine.in_flight.size()),
+                                       max_gateways_per_engine_);
+  }
+  // Threads at the engine, of all gateways as far as known.
+  double ThreadsInUse(const EngineState& engine) const {
+    const double others =
+        engine.reported_load.Fresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.threads() : 0;
+    return engine.sent_load.threads() + others;
+  }
+
+  double RandomUniform() { return static_cast<double>(random_engine_() >> 11) * 0x1.0p-53; }
+  std::size_t RandomIndex(std::size_t size);
+
+  // Configuration.
+  Settings settings_;
+  reports::Promise report_layout_;
+  std::optional<FleetSize> fleet_size_;  // none: the settings tell
+  int process_parts_ = 1;                // that budgets are divided by
+  bool loads_block_readers_ = false;     // some class waits for loads of its table group
+
+  // Step under way.
+  Nanos now_ = -1;
+  Nanos first_step_at_ = -1;
+  std::vector<Action>* actions_ = nullptr;
+  std::mt19937_64 random_engine_;
+
+  // Engines.
+  std::map<EngineId, EngineState> engines_;
+  subset::RankingCache<EngineState> rankings_;
+  double subset_share_ = 1;          // of the serving engines, in the subset
+  int max_gateways_per_engine_ = 1;  // that have one engine in their subsets
+  bool any_engine_reported_ = false;
+  double mean_other_requests_ = 0;  // of other gateways, at an engine
+  double fleet_latency_ratio_ = 1;
+  double fleet_hung_share_ = 0;
+
+  // Requests.
+  std::unordered_map<RequestId, RequestState> requests_;  // walked only into an ordered set
+  PendingRequests pending_;
+  limits::KeyQueues keys_;
+  RequestTimers timers_;
+  std::vector<Nanos> last_attempt_at_;  // for each class
+  limits::RetryBudget retries_;
+  std::vector<limits::TokenBucket> quotas_;  // for each tenant
+
+  // Estimates and load.
+  std::vector<estimates::ClassEstimates> estimates_;  // for each class
+  estimates::RunningMix running_mix_;
+  limits::CapacityCredit credit_;
+  double heaviest_class_work_ = 0;     // mean work, thread seconds
+  double best_heavy_weight_rate_ = 0;  // of the classes that aren't light
+  double recent_work_ = 0;             // thread seconds sent lately
+  double preferred_load_factor_ = 0;   // share of the recent work that one core of a preferred engine may get
+
+  // Since the last review of concurrency limits.
+  limits::Pressure pressure_;
+  Nanos pressure_reset_at_ = 0;
+
+  Nanos next_probe_at_ = -kSecond;
+  Nanos next_silent_probe_at_ = -kSecond;
+  Nanos next_wake_at_ = -1;
+};
+
+inline bool Scheduler::IsLight(std::size_t class_id) const {
+  return estimates_[class_id].mean_work() <= kLightWorkShare * heaviest_class_work_;
+}
+
+inline double Scheduler::WeightRate(std::size_t class_id) const {
+  return settings_.classes[class_id].priority_weight / std::max(1e-6, estimates_[class_id].mean_work());
+}
+
+inline double Scheduler::RelativeSpeed(const EngineState& engine) const {
+  if (engine.responses == 0) return 1;
+  return std::clamp(fleet_latency_ratio_ / std::max(engine.latency_ratio, 1e-3), kMinRelativeSpeed, 1.0);
+}
+
+inline std::size_t Scheduler::RandomIndex(std::size_t size) {
+  return std::min(size - 1, static_cast<std::size_t>(RandomUniform() * size));
+}
+
+}  // namespace lemoncroft::decision
+
+#endif  // LEMONCROFT_DECISION_SCHEDULER_H_
--- /dev/null
+++ b/src/decision/scheduler_attempts.cpp
@@ -0,0 +1,144 @@
+// Attempts in flight: runaways, progress, and what follows their outcome.
+#include <algorithm>
+#include <cmath>
+
+#include "decision/constants.h"
+#include "decision/scheduler.h"
+
+namespace lemoncroft::decision {
+namespace {
+
+bool MayHaveRun(Outcome outcome) {
+  return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
+}
+
+// Whether the engine may still be running the attempt.
+bool MayStillRun(Outcome outcome) {
+  return MayHaveRun(outcome) && outcome != Outcome::kOk && outcome != Outcome::kError;
+}
+
+}  // namespace
+
+RequestState* Scheduler::FindAttempt(RequestId id, int attempt) {
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return nullptr;
+  RequestState& request = it->second;
+  const bool current = request.attempt_in_flight && attempt == request.attempts - 1;
+  return current ? &request : nullptr;
+}
+
+// ---- Runaway attempts ----
+
+// An attempt that runs far longer than its request should need is cancelled and retried elsewhere while that
+// can be in time. In an overload this throws work away.
+void Scheduler::CheckRunaway(RequestState& request) {
+  const Nanos timeout = RunawayTimeout(request);
+  if (timeout <= 0) return;
+  if (now_ < request.sent_at + timeout) return ScheduleCheck(request, request.sent_at + timeout);
+  CancelAndRetry(request);
+}
+
+Nanos Scheduler::RunawayTimeout(const RequestState& request) const {
+  if (!settings_.may_cancel || !MayCancelAndRetry(request)) return 0;
+  if (settings_.progress_every > 0 && !IsLight(request)) return 0;  // its progress tells
+  const double factor = RunawayFactor(request);
+  if (Class(request).effect == Effect::kKeyed) return KeyedRunawayTimeout(request, factor);
+  return FromSeconds(ExpectedSeconds(request) * factor);
+}
+
+// Cancelling a keyed attempt costs much. While durations are unknown it runs as long as a retry allows; one
+// that is expected to run longer than that isn't cancelled at all.
+Nanos Scheduler::KeyedRunawayTimeout(const RequestState& request, double factor) const {
+  const auto engine = engines_.find(request.engine_id);
+  const bool pace_known =
+      Estimates(request).known() && engine != engines_.end() && !InSlowStart(engine->second);
+  const double keyed_factor = pace_known ? std::max(factor, kMinRunawayFactorKeyed) : HUGE_VAL;
+  const Nanos last = LastSafeCancel(request) - request.sent_at;
+  if (FromSeconds(ExpectedSeconds(request)) > last) return 0;
+  return std::min(FromSeconds(ExpectedSeconds(request) * keyed_factor), last);
+}
+
+double Scheduler::RunawayFactor(const RequestState& request) const {
+  const double spread = std::exp(kRunawayDeviations * Estimates(request).deviation());
+  const double max_factor =
+      IsLight(request) ? std::clamp(spread, kMinMaxRunawayFactorLight, kMaxRunawayFactor) : kMaxRunawayFactor;
+  return std::clamp(kRunawaySpreadFactor * spread, kMinRunawayFactor, max_factor);
+}
+
+Nanos Scheduler::LastSafeCancel(const RequestState& request) const {
+  const Nanos first_sent_at = request.may_have_run_at >= 0 ? request.may_have_run_at : request.sent_at;
+  const Nanos window_end = first_sent_at + Class(request).repeat_window;
+  return window_end - settings_.order_settle - 4 * kTimerInterval - kResponseMargin;
+}
+
+bool Scheduler::MayCancelAndRetry(const RequestState& request) const {
+  const Effect effect = Class(request).effect;
+  if (effect != Effect::kKeyed) return effect == Effect::kSafe;
+  return now_ <= LastSafeCancel(request) + 2 * kTimerInterval;
+}
+
+bool Scheduler::CancelAndRetry(RequestState& request) {
+  if (!settings_.may_cancel || !MayCancelAndRetry(request)) return false;
+  if (request.runaway_cancels >= kMaxRunawayCancels) return false;
+  if (request.attempts >= settings_.max_attempts) return false;
+  if (now_ + FromSeconds(ExpectedSeconds(request)) > request.deadline - kResponseMargin) return false;
+  ++request.runaway_cancels;
+  CancelAttempt(request);
+  return true;
+}
+
+void Scheduler::CancelAttempt(RequestState& request) {
+  if (settings_.may_cancel && !request.attempt_cancelled)
+    actions_->push_back(Cancel{request.spec.id, request.attempts - 1});
+  request.attempt_cancelled = true;
+}
+
+// ---- Progress ----
+
+void Scheduler::Handle(const ProgressNotice& notice) {
+  RequestState* const request = FindAttempt(notice.id, notice.attempt);
+  if (request == nullptr || notice.kind != NoticeKind::kProgress) return;
+  if (request->phase != RequestPhase::kInFlight || request->attempt_cancelled) return;
+  const double elapsed = ToSeconds(now_ - request->sent_at);
+  const double projected = elapsed / std::clamp(notice.amount, kMinProgress, 1.0);
+  const double remaining = (projected - elapsed) * kProjectionMargin;
+  const bool misses_deadline = now_ + FromSeconds(remaining) > request->deadline;
+  const bool runaway = misses_deadline || projected > ExpectedSeconds(*request) * kRunawayFactorProgress;
+  const bool heavy_itself =
+      request->runaway_cancels > 0 && projected > kHeavyProjectionShare * request->projected_seconds;
+  if (runaway && !heavy_itself && CancelAndRetry(*request)) {
+    request->projected_seconds = projected;
+  } else if (misses_deadline && elapsed > kMinSecondsBeforeGivingUp) {
+    RejectOrFail(*request);
+  }
+}
+
+// ---- Outcomes ----
+
+void Scheduler::Handle(const AttemptEnded& end) {
+  RequestState* const request = FindAttempt(end.id, end.attempt);
+  if (request == nullptr) return;
+  request->attempt_in_flight = false;
+  const auto engine = engines_.find(request->engine_id);
+  if (engine != engines_.end()) RecordOutcome(*request, engine->second, end);
+  if (MayHaveRun(end.outcome) && request->may_have_run_at < 0) {
+    request->may_have_run_at = request->sent_at;
+    if (engine != engines_.end()) request->may_have_run_on = engine->second.entry;
+  }
+  if (MayStillRun(end.outcome) && request->ordered)
+    keys_.RestUntil(request->spec.key, now_ + settings_.order_settle);
+  if (end.finished || request->phase == RequestPhase::kDone) return Finish(*request);
+  RetryOrEnd(*request);
+}
+
+void Scheduler::RetryOrEnd(RequestState& request) {
+  const Nanos run = FromSeconds(request.work / request.threads);
+  const bool in_time = now_ < request.deadline - kResponseMargin - run;
+  const bool exhausted =
+      request.attempts >= settings_.max_attempts || request.failed_on.size() >= kMaxEnginesInError;
+  if (!in_time || exhausted || !RetryMayLeave(request)) return RejectOrFail(request);
+  request.late = request.late || now_ > request.objective_at;
+  Enqueue(request);
+}
+
+}  // namespace lemoncroft::decision
--- /dev/null
+++ b/src/decision/scheduler_learning.cpp
@@ -0,0 +1,147 @@
+// What outcomes and load reports teach: estimates of classes, load and health of engines, concurrency limits.
+#include <algorithm>
+#include <string>
+
+#include "decision/constants.h"
+#include "decision/scheduler.h"
+
+namespace lemoncroft::decision {
+
+using estimates::Blend;
+
+// ---- Outcomes ----
+
+void Scheduler::RecordOutcome(RequestState& request, EngineState& engine, const AttemptEnded& end) {
+  engine.in_flight.erase(request.spec.id);
+  RecordUsage(request);
+  const Outcome outcome = end.outcome;
+  const bool may_run_on =
+      outcome == Outcome::kCancelled || outcome == Outcome::kTimeout || outcome == Outcome::kLost;
+  engine.sent_load.Ended(request.charge, may_run_on);
+  const bool report_due = report_layout_.in_answers && outcome == Outcome::kOk;
+  RecordReport(engine, end.load, report_due ? ReportExpectation::kDue : ReportExpectation::kOptional);
+  RecordHealth(request, engine, end);
+}
+
+void Scheduler::RecordUsage(const RequestState& request) {
+  const double seconds = ToSeconds(now_ - request.sent_at);
+  credit_.Settle(request.reserved_credit, seconds * request.threads);
+  const double weight = std::min(kMaxMixWeight, kSlowWeight * seconds);
+  running_mix_.Record(request.work, request.threads, request.charge.memory_mb, weight);
+}
+
+void Scheduler::RecordHealth(RequestState& request, EngineState& engine, const AttemptEnded& end) {
+  switch (end.outcome) {
+    case Outcome::kOk:
+      RecordSuccess(request, engine, end);
+      BlameFailedEngines(request);
+      if (request.charge.light) RecordHung(engine, false);
+      break;
+    case Outcome::kFull:
+      engine.concurrency_limit.RecordFull();
+      engine.breaker.RestUntil(now_ + kFullBackoff);
+      break;
+    case Outcome::kError:
+      request.failed_on.push_back(request.engine_id);
+      break;
+    case Outcome::kLost:
+      RecordFailure(engine, kLostResponseWeight);
+      break;
+    case Outcome::kTimeout:  // at the request's deadline it says nothing about the engine
+      if (now_ < request.deadline - kResponseMargin) RecordFailure(engine, kBrokenConnectionWeight);
+      break;
+    case Outcome::kConnectFailed:
+    case Outcome::kReset:
+      RecordFailure(engine, kBrokenConnectionWeight);
+      break;
+    case Outcome::kCancelled: {
+      const bool runaway = request.runaway_cancels > 0 && request.phase != RequestPhase::kDone;
+      if (!runaway) break;
+      const double sample = std::min(kMaxLatencyRatio, kHungLatencyFactor * engine.latency_ratio);
+      Blend(engine.latency_ratio, sample, kFastWeight);
+      RecordFailure(engine, kErrorWeight);
+      if (request.charge.light) RecordHung(engine, true);
+      break;
+    }
+    case Outcome::kNotSent:
+      break;
+  }
+}
+
+void Scheduler::RecordSuccess(const RequestState& request, EngineState& engine, const AttemptEnded& end) {
+  engine.breaker.Succeeded(kErrorWeight);
+  const double reported_work = ToSeconds(end.work);
+  const double ratio =
+      estimates_[request.spec.class_id].Learn({.estimated_work = ToSeconds(request.spec.est_work),
+                                               .told_work = reported_work,
+                                               .time = ToSeconds(end.waited) * request.threads,
+                                               .estimated_memory_mb = request.spec.est_memory_mb,
+                                               .told_memory_mb = end.memory_mb,
+                                               .trial = request.exploratory});
+  const double sample = std::min(ratio, kMaxLatencyRatio);
+  ++engine.responses;
+  Blend(engine.latency_ratio, sample, std::max(kFastWeight, 1.0 / (engine.responses + 3)));
+  Blend(fleet_latency_ratio_, sample, kFastWeight);
+  engine.concurrency_limit.RecordResponse(reported_work > 0 ? reported_work : request.work, ratio);
+}
+
+void Scheduler::RecordHung(EngineState& engine, bool hung) {
+  Blend(engine.hung_share, hung, kHungWeight);
+  Blend(fleet_hung_share_, hung, kFleetHungWeight);
+}
+
+// ---- Load reports ----
+
+void Scheduler::Handle(const Probed& probed) {
+  const auto engine = engines_.find(probed.engine);
+  if (engine != engines_.end()) RecordReport(engine->second, probed.load, ReportExpectation::kDue);
+}
+
+void Scheduler::RecordReport(EngineState& engine, const LoadReport& report, ReportExpectation expectation) {
+  const auto own = static_cast<double>(engine.in_flight.size());
+  if (engine.reported_load.Take(report_layout_, report, own, now_)) {
+    Blend(mean_other_requests_, engine.reported_load.others(), kFastWeight);
+    any_engine_reported_ = true;
+  } else if (expectation == ReportExpectation::kDue) {
+    engine.reported_load.Missed();
+  }
+}
+
+// ---- Outlier detection ----
+
+// An error counts against its engine only once another engine has served the request: a request that no
+// engine can serve must eject none.
+void Scheduler::BlameFailedEngines(const RequestState& request) {
+  for (auto& [id, engine] : engines_)
+    if (id != request.engine_id && FailedOn(request, engine)) RecordFailure(engine, kErrorWeight);
+}
+
+// An engine that fails fast looks idle and would draw requests. After its backoff it is ejected again by its
+// next failure, until successes have brought the share of failures down.
+void Scheduler::RecordFailure(EngineState& engine, double weight) {
+  if (!engine.breaker.Failed(weight, now_)) return;
+  double ejected = 1;  // this engine
+  double listed = 0;
+  for (const auto& [id, other] : engines_) {
+    if (!other.listed) continue;
+    ++listed;
+    if (other.breaker.IsOpen(now_)) ++ejected;
+  }
+  if (ejected > kMaxEjectedShare * listed) return;  // a fault of the whole fleet
+  engine.breaker.Open(now_, kMinEjectionJitter + kEjectionJitterRange * RandomUniform());
+  actions_->push_back(LogLine{"engine " + std::to_string(engine.entry.engine) + " ejected: attempts fail"});
+}
+
+// ---- Concurrency limits ----
+
+void Scheduler::AdjustConcurrencyLimits() {
+  for (auto& [id, engine] : engines_) {
+    if (!engine.concurrency_limit.PeriodComplete(pressure_.had_pending, now_)) continue;
+    engine.concurrency_limit.Adjust(SeedConcurrencyLimit(engine), pressure_, RandomUniform(), now_);
+  }
+  if (now_ - pressure_reset_at_ < limits::ConcurrencyLimit::kPeriod) return;
+  pressure_ = limits::Pressure();
+  pressure_reset_at_ = now_;
+}
+
+}  // namespace lemoncroft::decision
--- /dev/null
+++ b/src/decision/scheduler_requests.cpp
@@ -0,0 +1,156 @@
+// Requests: arrival, quotas, order by key, and their end.
+#include <algorithm>
+#include <optional>
+#include <set>
+
+#include "decision/constants.h"
+#include "decision/scheduler.h"
+
+namespace lemoncroft::decision {
+
+// ---- Arrival ----
+
+void Scheduler::Handle(const Request& spec) {
+  if (requests_.contains(spec.id)) return;
+  if (spec.class_id >= settings_.classes.size()) return actions_->push_back(Fail{spec.id});
+  RequestState& request = requests_[spec.id];
+  request.spec = spec;
+  const ClassSettings& class_settings = Class(request);
+  request.threads = class_settings.threads;
+  request.work = std::max(kMinWork, Estimates(request).Work(ToSeconds(spec.est_work)));
+  const double stretch = class_settings.latency_objective_stretch * request.work / request.threads;
+  request.objective_at = now_ + class_settings.latency_objective + FromSeconds(stretch);
+  request.deadline = now_ + spec.client_timeout;
+  request.priority_weight =
+      class_settings.priority_weight * (IsOverQuota(spec) ? settings_.over_quota_weight_share : 1);
+  // Work that can't be done within the timeout is no demand, however large the client's estimate is.
+  credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
+  if (settings_.attempt_budget) retries_.Taken(now_);
+  request.ordered = class_settings.in_order && spec.key != 0;
+  if (request.ordered) keys_.Join(spec.key, spec.id);
+  Enqueue(request);
+}
+
+// Each gateway gets an even part of a tenant's quota; while the number of gateways isn't known from the
+// membership view, a part by its share of the fleet's usual traffic.
+bool Scheduler::IsOverQuota(const Request& spec) {
+  if (spec.tenant >= quotas_.size()) return false;
+  const double quota_per_s = settings_.tenants[spec.tenant].quota_per_s;
+  if (quota_per_s <= 0) return false;
+  const double part = fleet_size_
+                          ? 1.0 / settings_.gateways
+                          : std::min(1.0, credit_.demand_share() / limits::CapacityCredit::kAssumedLoad);
+  return !quotas_[spec.tenant].Take(now_, quota_per_s * part, kQuotaBurstSeconds);
+}
+
+// ---- Pending requests ----
+
+void Scheduler::Enqueue(RequestState& request) {
+  if (!request.ordered) return AddPending(request);
+  request.phase = RequestPhase::kBehindKey;
+  ScheduleCheck(request, LatestStart(request));
+  AdvanceKey(request.spec.key);
+}
+
+void Scheduler::AddPending(RequestState& request) {
+  request.phase = RequestPhase::kPending;
+  pending_.Add({CurrentWeight(request), request.spec.class_id}, request.work, request.spec.id);
+  const Nanos retry_deadline = request.attempts > 0 ? RetryDeadline(request) : kNoLimit;
+  ScheduleCheck(request, std::min(LatestStart(request), retry_deadline));
+}
+
+void Scheduler::RemovePending(const RequestState& request) {
+  pending_.Remove({CurrentWeight(request), request.spec.class_id}, request.work, request.spec.id);
+}
+
+double Scheduler::CurrentWeight(const RequestState& request) const {
+  return request.priority_weight * (request.late ? Class(request).late_weight_share : 1);
+}
+
+void Scheduler::RejectOrFailAllPending() {
+  while (!pending_.empty()) RejectOrFail(requests_.at(pending_.front()));
+}
+
+// ---- Order by key ----
+
+// Open requests of a class that now keeps an order take part in it, so that later ones wait for them.
+void Scheduler::RebuildKeyQueues(const std::vector<int>& inherits_estimates_from) {
+  std::set<RequestId> ordered;  // in the order of arrival
+  for (auto& [id, request] : requests_) {
+    for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.key != 0; ++i) {
+      const bool successor = inherits_estimates_from[i] == request.spec.class_id;
+      request.ordered = request.ordered || (settings_.classes[i].in_order && successor);
+    }
+    if (request.ordered) ordered.insert(id);
+  }
+  keys_.Clear();
+  for (RequestId id : ordered) keys_.Join(requests_.at(id).spec.key, id);
+  for (RequestId id : ordered) {
+    RequestState& request = requests_.at(id);
+    if (request.phase == RequestPhase::kPending) RemovePending(request);
+    if (request.phase == RequestPhase::kPending || request.phase == RequestPhase::kBehindKey)
+      Enqueue(request);
+  }
+}
+
+void Scheduler::AdvanceKey(std::uint64_t key) {
+  const std::optional<RequestId> first = keys_.First(key, now_);
+  if (!first) return;
+  RequestState& request = requests_.at(*first);
+  if (request.phase == RequestPhase::kBehindKey) AddPending(request);
+}
+
+void Scheduler::LeaveKey(const RequestState& request) {
+  if (!request.ordered) return;
+  keys_.Leave(request.spec.key, request.spec.id);
+  AdvanceKey(request.spec.key);
+}
+
+// ---- End ----
+
+void Scheduler::RejectOrFail(RequestState& request) {
+  RemovePending(request);
+  const bool may_have_run = request.may_have_run_at >= 0 || request.attempt_in_flight;
+  if (Class(request).effect == Effect::kSafe || !may_have_run) {
+    const Nanos retry_after = settings_.may_send_retry_after ? settings_.max_retry_after : 0;
+    actions_->push_back(RejectRequest{request.spec.id, retry_after});
+  } else {
+    actions_->push_back(Fail{request.spec.id});
+  }
+  Finish(request);
+}
+
+void Scheduler::Finish(RequestState& request) {
+  request.phase = RequestPhase::kDone;
+  if (request.attempt_in_flight) return CancelAttempt(request);
+  const RequestState finished = request;
+  requests_.erase(finished.spec.id);
+  LeaveKey(finished);
+}
+
+void Scheduler::Handle(const Closing&) {
+  std::set<RequestId> open;  // in the order of arrival
+  for (const auto& [id, request] : requests_)
+    if (request.phase != RequestPhase::kDone) open.insert(id);
+  for (RequestId id : open) RejectOrFail(requests_.at(id));
+}
+
+void Scheduler::Handle(const DeadlineReached& reached) {
+  const auto it = requests_.find(reached.id);
+  if (it != requests_.end() && it->second.phase != RequestPhase::kDone) RejectOrFail(it->second);
+}
+
+void Scheduler::Handle(const ClientGone& gone) {
+  const auto it = requests_.find(gone.id);
+  if (it == requests_.end() || it->second.phase == RequestPhase::kDone) return;
+  RemovePending(it->second);
+  Finish(it->second);
+}
+
+void Scheduler::Handle(const StreamStarted& start) {
+  const auto it = requests_.find(start.id);
+  if (it != requests_.end())
+    it->second.next_check_at = 0;  // its response has begun: no runaway check any more
+}
+
+}  // namespace lemoncroft::decision
