--- a/src/decision/limits/concurrency_limit.cpp
+++ b/src/decision/limits/concurrency_limit.cpp
@@ -10,7 +10,6 @@
 constexpr double kMinThreads = 1;          // of any limit
 constexpr double kChangeThreshold = 0.05;  // share by which throughput or latency must differ to count
 constexpr double kPeriodJitter = 0.3;      // share of the period
-constexpr int kMaxPeriodResponses = 100;   // that complete a period as well
 constexpr double kNanosPerSecond = 1'000'000'000;
 
 }  // namespace
@@ -26,12 +25,6 @@
   ++period_.responses;
 }
 
-bool ConcurrencyLimit::PeriodComplete(bool had_pending, Nanos now) const {
-  const Nanos length = now - period_start_;
-  const bool long_enough = had_pending && length >= period_length_;
-  return length > 0 && (long_enough || period_.responses >= kMaxPeriodResponses);
-}
-
 void ConcurrencyLimit::Adjust(double seed, const Pressure& pressure, double uniform, Nanos now) {
   Step(seed, pressure, static_cast<double>(now - period_start_) / kNanosPerSecond);
   period_start_ = now;
--- a/src/decision/limits/concurrency_limit.h
+++ b/src/decision/limits/concurrency_limit.h
@@ -31,7 +31,11 @@
   void RecordFull() { period_.full = true; }
 
   // Whether the observation period has seen enough to adjust the limit.
-  bool PeriodComplete(bool had_pending, Nanos now) const;
+  bool PeriodComplete(bool had_pending, Nanos now) const {
+    const Nanos length = now - period_start_;
+    const bool long_enough = had_pending && length >= period_length_;
+    return length > 0 && (long_enough || period_.responses >= kMaxPeriodResponses);
+  }
   // Adjusts the limit and begins the next period. `seed` is the limit to fall back to. `uniform`, from 0 to
   // 1, varies the length of the next period, so that gateways don't adjust in step.
   void Adjust(double seed, const Pressure& pressure, double uniform, Nanos now);
@@ -46,6 +50,8 @@
     bool full = false;
   };
 
+  static constexpr int kMaxPeriodResponses = 100;  // that complete a period as well
+
   void Step(double seed, const Pressure& pressure, double seconds);
 
   double threads_ = 0;
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -135,7 +135,8 @@
   bool SlowStartAllows(const RequestState& request, EngineState& engine);
   double SlowStartShare(const EngineState& engine) const;
   double SlowStartRate(const EngineState& engine) const;
-  double SlowStartCharge(const RequestState& request, const EngineState& engine) const;
+  // What the request takes from a slow-start budget of `rate`.
+  double SlowStartCharge(const RequestState& request, double rate) const;
 
   // ---- Choice among the engines that can take a request ----
   EngineState* ChooseEngine(const RequestState& request);
@@ -280,6 +281,23 @@
   Nanos next_wake_at_ = -1;
 };
 
+// Small functions that every decision calls for many engines.
+
+inline bool Scheduler::Available(const EngineState& engine) const {
+  return engine.Serving() && !engine.breaker.IsOpen(now_);
+}
+
+inline bool Scheduler::InSlowStart(const EngineState& engine) const {
+  const Nanos started_at = engine.entry.started_at;
+  if (settings_.overload_window <= 0 || settings_.overload_factor <= 0 || started_at <= 0) return false;
+  return now_ - started_at <= settings_.slow_start_duration + settings_.overload_window;
+}
+
+inline double Scheduler::SlowStartRate(const EngineState& engine) const {
+  const double capacity_share = limits::SlowStartCapacityShare(settings_, now_ - engine.entry.started_at);
+  return kSlowStartSafetyFactor * settings_.overload_factor * capacity_share * engine.cores;
+}
+
 inline bool Scheduler::IsLight(std::size_t class_id) const {
   return estimates_[class_id].mean_work() <= kLightWorkShare * heaviest_class_work_;
 }
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -8,21 +8,6 @@
 
 namespace lemoncroft::decision {
 
-bool Scheduler::CanTake(const RequestState& request, EngineState& engine) {
-  if (!Available(engine)) return false;
-  if (!MayRunOn(request, engine) || RunsLoadOfTables(request, engine)) return false;
-  if (!SlowStartAllows(request, engine)) return false;
-  // An engine that fails fast looks idle while others are busy: it must not get again all that it has failed.
-  if (FailedOn(request, engine) && OtherEngineAvailable(request)) return false;
-  if (engine.breaker.OnTrial() && !engine.in_flight.empty()) return false;
-  if (!BypassesCredit(request) && !MaySpendCredit(request, engine)) return false;
-  return MemoryAllows(request, engine) && ConcurrencyAllows(request, engine);
-}
-
-bool Scheduler::Available(const EngineState& engine) const {
-  return engine.Serving() && !engine.breaker.IsOpen(now_);
-}
-
 // ---- Placement ----
 
 bool Scheduler::MayRunOn(const RequestState& request, const EngineState& engine) const {
@@ -33,7 +18,7 @@
 }
 
 // A second load of a table group would wait at the engine, its memory granted, until the first has ended.
-bool Scheduler::RunsLoadOfTables(const RequestState& request, const EngineState& engine) const {
+inline bool Scheduler::RunsLoadOfTables(const RequestState& request, const EngineState& engine) const {
   if (!Class(request).holds_tables) return false;
   return std::any_of(engine.in_flight.begin(), engine.in_flight.end(), [&](RequestId id) {
     const RequestState& other = requests_.at(id);
@@ -107,23 +92,9 @@
 
 // ---- Slow start ----
 
-bool Scheduler::InSlowStart(const EngineState& engine) const {
-  const Nanos started_at = engine.entry.started_at;
-  if (settings_.overload_window <= 0 || settings_.overload_factor <= 0 || started_at <= 0) return false;
-  return now_ - started_at <= settings_.slow_start_duration + settings_.overload_window;
-}
-
-bool Scheduler::SlowStartAllows(const RequestState& request, EngineState& engine) {
-  if (!InSlowStart(engine)) return true;
-  const Nanos window = settings_.overload_window;
-  engine.slow_start.Accrue(SlowStartRate(engine) * SlowStartShare(engine) / process_parts_, window, now_);
-  if (engine.slow_start.ThresholdExpired(window, now_)) engine.slow_start.SetThreshold(RandomUniform(), now_);
-  return engine.slow_start.Covers(SlowStartCharge(request, engine));
-}
-
 // The gateways that have the engine in their subsets divide most of its budget, evenly or by their traffic;
 // all others divide the rest.
-double Scheduler::SlowStartShare(const EngineState& engine) const {
+inline double Scheduler::SlowStartShare(const EngineState& engine) const {
   if (fleet_size_) {
     return engine.in_subset ? kSubsetSlowStartShare / max_gateways_per_engine_
                             : (1 - kSubsetSlowStartShare) / settings_.gateways;
@@ -134,18 +105,35 @@
   return demand_share * std::min(1.0, (1 - kSubsetSlowStartShare) * subset_share_ / (1 - subset_share_));
 }
 
-double Scheduler::SlowStartRate(const EngineState& engine) const {
-  const double capacity_share = limits::SlowStartCapacityShare(settings_, now_ - engine.entry.started_at);
-  return kSlowStartSafetyFactor * settings_.overload_factor * capacity_share * engine.cores;
+inline bool Scheduler::SlowStartAllows(const RequestState& request, EngineState& engine) {
+  if (!InSlowStart(engine)) return true;
+  const Nanos window = settings_.overload_window;
+  const double rate = SlowStartRate(engine);
+  engine.slow_start.Accrue(rate * SlowStartShare(engine) / process_parts_, window, now_);
+  if (engine.slow_start.ThresholdExpired(window, now_)) engine.slow_start.SetThreshold(RandomUniform(), now_);
+  return engine.slow_start.Covers(SlowStartCharge(request, rate));
 }
 
 // No request is charged less than the mean of its class, or the lightest would all leave first. Where costs
 // aren't reported that mean is a guess.
-double Scheduler::SlowStartCharge(const RequestState& request, const EngineState& engine) const {
+double Scheduler::SlowStartCharge(const RequestState& request, double rate) const {
   const double guess_factor = settings_.reports_cost || IsLight(request) ? 1 : kUnreportedCostFactor;
   const double work = std::max(request.work, Estimates(request).mean_work()) * guess_factor;
-  const double budget = SlowStartRate(engine) * ToSeconds(settings_.overload_window);
+  const double budget = rate * ToSeconds(settings_.overload_window);
   return limits::ChargeWithMargin(work, budget, kSlowStartDeviations);
 }
 
+// ---- All conditions ----
+
+bool Scheduler::CanTake(const RequestState& request, EngineState& engine) {
+  if (!Available(engine)) return false;
+  if (!MayRunOn(request, engine) || RunsLoadOfTables(request, engine)) return false;
+  if (!SlowStartAllows(request, engine)) return false;
+  // An engine that fails fast looks idle while others are busy: it must not get again all that it has failed.
+  if (FailedOn(request, engine) && OtherEngineAvailable(request)) return false;
+  if (engine.breaker.OnTrial() && !engine.in_flight.empty()) return false;
+  if (!BypassesCredit(request) && !MaySpendCredit(request, engine)) return false;
+  return MemoryAllows(request, engine) && ConcurrencyAllows(request, engine);
+}
+
 }  // namespace lemoncroft::decision
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -86,7 +86,7 @@
   engine.in_flight.insert(request.spec.id);
   engine.sent_load.Sent(request.charge);
   recent_work_ += request.work;
-  if (InSlowStart(engine)) engine.slow_start.Spend(SlowStartCharge(request, engine));
+  if (InSlowStart(engine)) engine.slow_start.Spend(SlowStartCharge(request, SlowStartRate(engine)));
   engine.warm_tables.Read(request.spec.tables);
   CheckRunaway(request);
 }
