--- a/src/decision/estimates/class_estimates.cpp
+++ b/src/decision/estimates/class_estimates.cpp
@@ -9,117 +9,122 @@
 namespace {
 
 // Weights of the newest sample in a mean.
-constexpr double kSlow = 0.03;         // class means: outlast bursts
-constexpr double kRecent = 0.05;       // the pace: some twenty answers
-constexpr double kTrial = 0.4;         // the pace, of the few that go while it rules the class out
-constexpr double kOutlier = 3;         // times the mean: a sample counts as no more
-constexpr double kBestCreep = 1.001;   // a sample: forgets a best that no longer exists
-constexpr double kMemoryMargin = 1.5;  // mean errors over the mean: a spill costs more than slack
+constexpr double kSlowWeight = 0.03;             // class means: outlast bursts
+constexpr double kRecentWeight = 0.05;           // the pace: some twenty answers
+constexpr double kExploratoryWeight = 0.4;       // the pace, of the few that go while it rules the class out
+constexpr double kMaxSampleFactor = 3;           // times the mean: a sample counts as no more
+constexpr double kBestPaceGrowth = 1.001;        // a sample: forgets a best that no longer exists
+constexpr double kMemoryMarginDeviations = 1.5;  // mean errors over the mean: a spill costs more than slack
 
 }  // namespace
 
-double ClassEstimates::Work(double estimate) const {
+double ClassEstimates::ExpectedWork(double estimate) const {
   if (estimate <= 0) return mean_work_;
-  if (!told_ && works_learnt_ > 0) return mean_work_ * Relative(estimate);
-  return std::exp(true_mean_ + Slope() * (std::log(estimate) - estimate_mean_));
+  if (!cost_reported_ && work_samples_ > 0) return mean_work_ * RelativeWork(estimate);
+  return std::exp(log_work_mean_ + Slope() * (std::log(estimate) - log_estimate_mean_));
 }
 
-double ClassEstimates::Relative(double estimate) const {
-  return estimate > 0 && works_learnt_ > 0 ? std::exp(Slope() * (std::log(estimate) - estimate_mean_)) : 1;
+double ClassEstimates::RelativeWork(double estimate) const {
+  return estimate > 0 && work_samples_ > 0 ? std::exp(Slope() * (std::log(estimate) - log_estimate_mean_))
+                                           : 1;
 }
 
-double ClassEstimates::Time(double work) const {
-  if (answers_ == 0) return work;
-  return recent_ * (told_ ? work : work / std::max(1e-6, mean_work_));
+double ClassEstimates::ExpectedTime(double work) const {
+  if (responses_ == 0) return work;
+  return recent_pace_ * (cost_reported_ ? work : work / std::max(1e-6, mean_work_));
 }
 
 double ClassEstimates::BestTime(double work) const {
-  if (answers_ == 0) return work;
-  return best_ * (told_ ? work : work / std::max(1e-6, mean_work_));
+  if (responses_ == 0) return work;
+  return best_pace_ * (cost_reported_ ? work : work / std::max(1e-6, mean_work_));
 }
 
-double ClassEstimates::MemoryMb(double estimate_mb) const {
+double ClassEstimates::ExpectedMemoryMb(double estimate_mb) const {
   if (estimate_mb <= 0) return 0;
-  if (told_ || memories_told_ > 0 || answers_ == 0)
-    return estimate_mb * std::exp(memory_mean_ + kMemoryMargin * memory_deviation_);
-  const double off = std::log(estimate_mb) - memory_estimate_mean_;
-  return std::exp(memory_estimate_mean_ + Slope() * off + kMemoryMargin * deviation_);
+  if (cost_reported_ || memory_samples_ > 0 || responses_ == 0)
+    return estimate_mb *
+           std::exp(log_memory_ratio_mean_ + kMemoryMarginDeviations * log_memory_ratio_deviation_);
+  const double off = std::log(estimate_mb) - log_memory_estimate_mean_;
+  return std::exp(log_memory_estimate_mean_ + Slope() * off + kMemoryMarginDeviations * deviation_);
 }
 
-double ClassEstimates::Learn(const Answer& answer) {
-  if (answer.told_memory_mb > 0 && answer.estimated_memory_mb > 0)
-    LearnMemory(answer.estimated_memory_mb, answer.told_memory_mb);
-  if (answer.told_work > 0) {
-    if (!std::exchange(told_, true)) ForgetPace();
-    if (answer.estimated_work > 0) LearnWork(answer.estimated_work, answer.told_work);
-    Blend(mean_work_, answer.told_work, std::max(kSlow, 1.0 / (answers_ + 2)));
-    return LearnPace(answer.time / std::max(answer.told_work, 1e-3), answer.trial);
+double ClassEstimates::Learn(const Response& response) {
+  if (response.reported_memory_mb > 0 && response.estimated_memory_mb > 0)
+    LearnMemory(response.estimated_memory_mb, response.reported_memory_mb);
+  if (response.reported_work > 0) {
+    if (!std::exchange(cost_reported_, true)) ForgetPace();
+    if (response.estimated_work > 0) LearnWork(response.estimated_work, response.reported_work);
+    Blend(mean_work_, response.reported_work, std::max(kSlowWeight, 1.0 / (responses_ + 2)));
+    return LearnPace(response.time / std::max(response.reported_work, 1e-3), response.exploratory);
   }
-  if (told_) return LearnPace(answer.time / std::max(Work(answer.estimated_work), 1e-3), answer.trial);
+  if (cost_reported_)
+    return LearnPace(response.time / std::max(ExpectedWork(response.estimated_work), 1e-3),
+                     response.exploratory);
   // Set against what the estimate made expect, times scatter less: what is left tells of the pace.
-  const double ratio = LearnPace(answer.time / Relative(answer.estimated_work), answer.trial);
-  mean_work_ = best_;
-  LearnTime(answer.estimated_work, std::max(answer.time, 1e-4));
-  if (answer.estimated_memory_mb > 0) {
-    const double log_memory = std::log(answer.estimated_memory_mb);
-    Blend(memory_estimate_mean_, log_memory, std::max(kSlow, 1.0 / ++memories_estimated_));
+  const double ratio = LearnPace(response.time / RelativeWork(response.estimated_work), response.exploratory);
+  mean_work_ = best_pace_;
+  LearnTime(response.estimated_work, std::max(response.time, 1e-4));
+  if (response.estimated_memory_mb > 0) {
+    const double log_memory = std::log(response.estimated_memory_mb);
+    Blend(log_memory_estimate_mean_, log_memory, std::max(kSlowWeight, 1.0 / ++memory_estimate_samples_));
   }
   return ratio;
 }
 
-void ClassEstimates::LearnWork(double estimate, double told) {
-  const double weight = std::max(kSlow, 1.0 / (++works_learnt_ + 3));
-  const double x = std::log(estimate), y = std::log(told);
-  Blend(deviation_, std::abs(y - std::log(Work(estimate))), weight);
+void ClassEstimates::LearnWork(double estimate, double reported) {
+  const double weight = std::max(kSlowWeight, 1.0 / (++work_samples_ + 3));
+  const double x = std::log(estimate), y = std::log(reported);
+  Blend(deviation_, std::abs(y - std::log(ExpectedWork(estimate))), weight);
   LearnRegression(x, y, weight);
 }
 
-// The level of the times is the pace's business (`recent_`, `best_`), the regression has but their slope: if
-// its level were learnt from times over the pace, and the pace from times over it, both would drift.
+// The level of the times is the pace's business (`recent_pace_`, `best_pace_`), the regression has but their
+// slope: if its level were learnt from times over the pace, and the pace from times over it, both would
+// drift.
 void ClassEstimates::LearnTime(double estimate, double time) {
-  const double off = std::log(time / Relative(estimate)) - usual_log_;
-  if (answers_ == 1) usual_log_ += off;
-  const double weight = std::max(kSlow, 1.0 / (answers_ + 3));
-  if (answers_ > 1) Blend(deviation_, std::abs(off), weight);
-  if (answers_ > 1) usual_log_ += std::max(kRecent, 1.0 / answers_) * off;
+  const double off = std::log(time / RelativeWork(estimate)) - mean_log_time_;
+  if (responses_ == 1) mean_log_time_ += off;
+  const double weight = std::max(kSlowWeight, 1.0 / (responses_ + 3));
+  if (responses_ > 1) Blend(deviation_, std::abs(off), weight);
+  if (responses_ > 1) mean_log_time_ += std::max(kRecentWeight, 1.0 / responses_) * off;
   if (estimate <= 0) return;
-  ++works_learnt_;
+  ++work_samples_;
   LearnRegression(std::log(estimate), std::log(time), weight);
 }
 
 void ClassEstimates::LearnRegression(double log_estimate, double log_work, double weight) {
-  const double dx = log_estimate - estimate_mean_, dy = log_work - true_mean_;
-  if (works_learnt_ == 1) estimate_mean_ = log_estimate, true_mean_ = log_work;
-  Blend(estimate_mean_, log_estimate, weight);
-  Blend(true_mean_, log_work, weight);
-  if (works_learnt_ == 1) return;
-  Blend(estimate_variance_, dx * dx, weight);
+  const double dx = log_estimate - log_estimate_mean_, dy = log_work - log_work_mean_;
+  if (work_samples_ == 1) log_estimate_mean_ = log_estimate, log_work_mean_ = log_work;
+  Blend(log_estimate_mean_, log_estimate, weight);
+  Blend(log_work_mean_, log_work, weight);
+  if (work_samples_ == 1) return;
+  Blend(log_estimate_variance_, dx * dx, weight);
   Blend(covariance_, dx * dy, weight);
-  covariance_ = std::clamp(covariance_, 0.2 * estimate_variance_, estimate_variance_);
+  covariance_ = std::clamp(covariance_, 0.2 * log_estimate_variance_, log_estimate_variance_);
 }
 
 // What was learnt of times alone is in another unit than times over work.
 void ClassEstimates::ForgetPace() {
-  recent_ = best_ = 0;
-  answers_ = 0;
-  works_learnt_ = 0;
+  recent_pace_ = best_pace_ = 0;
+  responses_ = 0;
+  work_samples_ = 0;
 }
 
-double ClassEstimates::LearnPace(double sample, bool trial) {
-  if (answers_ == 0) recent_ = told_ ? sample : mean_work_;
+double ClassEstimates::LearnPace(double sample, bool exploratory) {
+  if (responses_ == 0) recent_pace_ = cost_reported_ ? sample : mean_work_;
   // A hung one tells nothing of the pace; a mean of few is no best.
-  ++answers_;
-  const double weight = trial ? kTrial : std::max(kRecent, 1.0 / (answers_ + 2));
-  Blend(recent_, std::min(sample, kOutlier * recent_), weight);
-  best_ = known() ? std::min(best_ * kBestCreep, recent_) : recent_;
-  return sample / std::max(best_, 1e-6);
+  ++responses_;
+  const double weight = exploratory ? kExploratoryWeight : std::max(kRecentWeight, 1.0 / (responses_ + 2));
+  Blend(recent_pace_, std::min(sample, kMaxSampleFactor * recent_pace_), weight);
+  best_pace_ = known() ? std::min(best_pace_ * kBestPaceGrowth, recent_pace_) : recent_pace_;
+  return sample / std::max(best_pace_, 1e-6);
 }
 
-void ClassEstimates::LearnMemory(double estimate_mb, double told_mb) {
-  const double off = std::log(told_mb / estimate_mb) - memory_mean_;
-  const double weight = std::max(kSlow, 1.0 / (++memories_told_ + 2));
-  memory_mean_ += weight * off;
-  Blend(memory_deviation_, std::abs(off), weight);
+void ClassEstimates::LearnMemory(double estimate_mb, double reported_mb) {
+  const double off = std::log(reported_mb / estimate_mb) - log_memory_ratio_mean_;
+  const double weight = std::max(kSlowWeight, 1.0 / (++memory_samples_ + 2));
+  log_memory_ratio_mean_ += weight * off;
+  Blend(log_memory_ratio_deviation_, std::abs(off), weight);
 }
 
 }  // namespace lemoncroft::estimates
--- a/src/decision/limits/circuit_breaker.h
+++ b/src/decision/limits/circuit_breaker.h
@@ -15,37 +15,37 @@
 
 class CircuitBreaker {
  public:
-  static constexpr double kOpensAt = 0.25;             // share of recent attempts that failed
+  static constexpr double kFailureThreshold = 0.25;    // share of recent attempts that failed
   static constexpr Nanos kMinBackoff = 500'000'000;    // of the first opening ...
   static constexpr Nanos kMaxBackoff = 4'000'000'000;  // ... and the most: troubles last 5 to 30 s
 
-  void Succeeded(double weight) {
-    failing_ -= weight * failing_;
-    if (failing_ < kOpensAt / 2) backoff_ = kMinBackoff;
+  void RecordSuccess(double weight) {
+    failure_share_ -= weight * failure_share_;
+    if (failure_share_ < kFailureThreshold / 2) backoff_ = kMinBackoff;
   }
 
   // Returns whether it should be opened now.
-  bool Failed(double weight, Nanos now) {
-    failing_ += weight * (1 - failing_);
-    return failing_ > kOpensAt && !IsOpen(now);
+  bool RecordFailure(double weight, Nanos now) {
+    failure_share_ += weight * (1 - failure_share_);
+    return failure_share_ > kFailureThreshold && !IsOpen(now);
   }
 
   // `jitter` scales the backoff, so that callers don't try again together.
   void Open(Nanos now, double jitter) {
     open_until_ = now + static_cast<Nanos>(static_cast<double>(backoff_) * jitter);
     backoff_ = std::min(kMaxBackoff, 2 * backoff_);
-    failing_ = kOpensAt;
+    failure_share_ = kFailureThreshold;
   }
 
   // Rests without a failure: the engine said that it is full.
-  void RestUntil(Nanos until) { open_until_ = std::max(open_until_, until); }
+  void HoldOpenUntil(Nanos until) { open_until_ = std::max(open_until_, until); }
 
   bool IsOpen(Nanos now) const { return open_until_ > now; }
   // Half open after an opening: one attempt at a time, until successes have brought the share down.
-  bool OnTrial() const { return failing_ >= kOpensAt && backoff_ > kMinBackoff; }
+  bool IsHalfOpen() const { return failure_share_ >= kFailureThreshold && backoff_ > kMinBackoff; }
 
  private:
-  double failing_ = 0;
+  double failure_share_ = 0;
   Nanos open_until_ = 0;
   Nanos backoff_ = kMinBackoff;
 };
--- a/src/decision/limits/key_queues.h
+++ b/src/decision/limits/key_queues.h
@@ -24,9 +24,9 @@
  public:
   using Key = std::uint64_t;
 
-  void Join(Key key, RequestId id) { queues_[key].order.push_back(id); }
+  void Append(Key key, RequestId id) { queues_[key].order.push_back(id); }
 
-  void Leave(Key key, RequestId id) {
+  void Remove(Key key, RequestId id) {
     const auto it = queues_.find(key);
     if (it != queues_.end()) std::erase(it->second.order, id);
   }
@@ -36,15 +36,16 @@
     for (auto& [key, queue] : queues_) queue.order.clear();
   }
 
-  void RestUntil(Key key, Nanos until) { queues_[key].rest_until = until; }
+  void PauseUntil(Key key, Nanos until) { queues_[key].paused_until = until; }
 
-  // The request whose turn it is. None while the key rests (`Rested` tells of it then) or has no request.
-  std::optional<RequestId> First(Key key, Nanos now) {
+  // The request whose turn it is. None while the key rests (`TakeResumed` tells of it then) or has no
+  // request.
+  std::optional<RequestId> Front(Key key, Nanos now) {
     const auto it = queues_.find(key);
     if (it == queues_.end()) return std::nullopt;
     const Queue& queue = it->second;
-    if (queue.rest_until > now) {
-      resting_.emplace(queue.rest_until, key);
+    if (queue.paused_until > now) {
+      paused_.emplace(queue.paused_until, key);
       return std::nullopt;
     }
     if (!queue.order.empty()) return queue.order.front();
@@ -53,20 +54,20 @@
   }
 
   // Keys that were asked for while they rested, and whose rest is over; each is told once.
-  std::vector<Key> Rested(Nanos now) {
+  std::vector<Key> TakeResumed(Nanos now) {
     std::vector<Key> keys;
-    for (; !resting_.empty() && resting_.begin()->first <= now; resting_.erase(resting_.begin()))
-      keys.push_back(resting_.begin()->second);
+    for (; !paused_.empty() && paused_.begin()->first <= now; paused_.erase(paused_.begin()))
+      keys.push_back(paused_.begin()->second);
     return keys;
   }
 
  private:
   struct Queue {
     std::deque<RequestId> order;
-    Nanos rest_until = 0;
+    Nanos paused_until = 0;
   };
   std::map<Key, Queue> queues_;
-  std::set<std::pair<Nanos, Key>> resting_;
+  std::set<std::pair<Nanos, Key>> paused_;
 };
 
 }  // namespace lemoncroft::limits
--- a/src/decision/limits/retry_budget.h
+++ b/src/decision/limits/retry_budget.h
@@ -15,24 +15,24 @@
 
 class RetryBudget {
  public:
-  void Taken(Nanos now) { taken_.push_back(now); }
-  void Retried(Nanos now) { retried_.push_back(now); }
+  void RecordRequest(Nanos now) { requests_.push_back(now); }
+  void RecordRetry(Nanos now) { retries_.push_back(now); }
 
   // Whether one more retry fits. The budget is divided by `parts`; retries count for `margin` longer than
   // requests, since the span is measured where they arrive.
   bool Allows(const AttemptBudget& budget, int parts, Nanos margin, Nanos now) {
-    DropUntil(retried_, now - budget.budget_window - margin);
-    DropUntil(taken_, now - budget.budget_window);
-    const double allowed = budget.free / parts + budget.ratio * static_cast<double>(taken_.size());
-    return static_cast<double>(retried_.size()) + 1 <= allowed;
+    DropThrough(retries_, now - budget.budget_window - margin);
+    DropThrough(requests_, now - budget.budget_window);
+    const double allowed = budget.free / parts + budget.ratio * static_cast<double>(requests_.size());
+    return static_cast<double>(retries_.size()) + 1 <= allowed;
   }
 
  private:
-  static void DropUntil(std::deque<Nanos>& times, Nanos until) {
+  static void DropThrough(std::deque<Nanos>& times, Nanos until) {
     while (!times.empty() && times.front() <= until) times.pop_front();
   }
 
-  std::deque<Nanos> taken_, retried_;
+  std::deque<Nanos> requests_, retries_;
 };
 
 }  // namespace lemoncroft::limits
--- a/src/decision/limits/sent_load.h
+++ b/src/decision/limits/sent_load.h
@@ -22,29 +22,29 @@
 
 class SentLoad {
  public:
-  static constexpr double kRecentSeconds = 8;  // time constant of what left lately
+  static constexpr double kRecentTimeConstantSeconds = 8;  // time constant of what left lately
 
-  void Sent(const AttemptCharge& charge) {
+  void RecordSend(const AttemptCharge& charge) {
     threads_[charge.light] += charge.threads;
     memory_mb_ += charge.memory_mb;
     recent_ += charge.work;
   }
 
   // `may_run_on`: given up without an answer. An engine may heed a cancellation late or not at all.
-  void Ended(const AttemptCharge& charge, bool may_run_on) {
+  void RecordEnd(const AttemptCharge& charge, bool may_run_on) {
     threads_[charge.light] -= charge.threads;
     memory_mb_ -= charge.memory_mb;
     if (may_run_on) backlog_ += charge.work;
   }
 
   // Time goes by; `rate`: thread seconds a second in which the engine works off what was given up there.
-  void Pass(double seconds, double rate) {
-    recent_ *= std::exp(-seconds / kRecentSeconds);
+  void Advance(double seconds, double rate) {
+    recent_ *= std::exp(-seconds / kRecentTimeConstantSeconds);
     backlog_ = std::max(0.0, backlog_ - rate * seconds);
   }
 
   // The engine was started anew: nothing of the former process runs on.
-  void Restarted() { recent_ = backlog_ = 0; }
+  void ResetForRestart() { recent_ = backlog_ = 0; }
 
   double threads() const { return threads_[0] + threads_[1]; }
   double threads(bool light) const { return threads_[light]; }
--- a/src/decision/reports/reported_load.h
+++ b/src/decision/reports/reported_load.h
@@ -15,47 +15,47 @@
 
 namespace lemoncroft::reports {
 
-// Which reports the settings promise, as far as the module can use them.
-struct Promise {
+// Which reports the settings layout, as far as the module can use them.
+struct ReportLayout {
   std::optional<std::size_t> inflight;  // its position in a report; none: reports tell nothing of use
   std::optional<std::size_t> memory;    // likewise of the share of memory granted
-  bool in_answers = false;              // else in the results of probes alone
+  bool in_responses = false;            // else in the results of probes alone
 
-  static Promise Of(const Settings& settings);
-  bool promised() const { return inflight.has_value(); }
+  static ReportLayout FromSettings(const Settings& settings);
+  bool tells_load() const { return inflight.has_value(); }
 };
 
 class ReportedLoad {
  public:
   // Takes the report of an answer or a probe, of which `own` queries are this gateway's. Returns whether it
   // told the engine's load.
-  bool Take(const Promise& promise, const LoadReport& report, double own, Nanos now);
+  bool Update(const ReportLayout& layout, const LoadReport& report, double own, Nanos now);
   // A report was due and none came.
-  void Missed() { missed_ += missed_ < kMaxMissedReports; }
+  void RecordMissing() { missing_reports_ += missing_reports_ < kMaxMissingReports; }
 
   // Whether the last report is young enough to decide by.
-  bool Fresh(Nanos now) const { return at_ >= 0 && now - at_ < kFreshFor; }
-  // Whether the engine doesn't keep the promise: what depends on its reports goes on without them.
-  bool Silent() const { return missed_ >= kMaxMissedReports; }
+  bool IsFresh(Nanos now) const { return reported_at_ >= 0 && now - reported_at_ < kFreshDuration; }
+  // Whether the engine doesn't keep the layout: what depends on its reports goes on without them.
+  bool IsSilent() const { return missing_reports_ >= kMaxMissingReports; }
   // Queries that other gateways run there, by the last report.
-  double others() const { return others_; }
+  double other_requests() const { return other_requests_; }
   // The same now, when this gateway has `own` there: the others have read the same report, and each is taken
   // to have sent as much since.
-  double Others(double own, double gateways) const {
-    return std::max(0.0, others_ + (own - own_) * (gateways - 1));
+  double OtherRequests(double own, double gateways) const {
+    return std::max(0.0, other_requests_ + (own - own_requests_) * (gateways - 1));
   }
   // The share of the engine's memory that is granted, with `own` queries of this gateway there now in the
-  // place of those at the last report. Nothing where reports don't tell it.
-  std::optional<double> MemoryGranted(double own, double gateways) const;
+  // position of those at the last report. Nothing where reports don't tell it.
+  std::optional<double> GrantedMemoryShare(double own, double gateways) const;
 
  private:
-  static constexpr Nanos kFreshFor = 1'000'000'000;  // a load older than this has changed
-  static constexpr int kMaxMissedReports = 3;        // in a row: one or two may be lost with their answers
+  static constexpr Nanos kFreshDuration = 1'000'000'000;  // a load older than this has changed
+  static constexpr int kMaxMissingReports = 3;  // in a row: one or two may be lost with their answers
 
-  Nanos at_ = -1;
-  double others_ = 0, own_ = 0;
-  std::optional<double> memory_;
-  int missed_ = 0;
+  Nanos reported_at_ = -1;
+  double other_requests_ = 0, own_requests_ = 0;
+  std::optional<double> granted_memory_;
+  int missing_reports_ = 0;
 };
 
 }  // namespace lemoncroft::reports
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -46,7 +46,7 @@
 
 void Scheduler::ApplySettings(const std::vector<int>& inherits_estimates_from) {
   ApplyFleetSize();
-  report_layout_ = reports::Promise::Of(settings_);
+  report_layout_ = reports::ReportLayout::FromSettings(settings_);
   quotas_.resize(settings_.tenants.size());
   last_attempt_at_.resize(std::max(last_attempt_at_.size(), settings_.classes.size()));
   loads_block_readers_ =
@@ -131,7 +131,7 @@
   const bool restarted = !added && entry.started_at != engine.entry.started_at;
   if (restarted) {
     static_cast<IncarnationState&>(engine) = IncarnationState();
-    engine.sent_load.Restarted();
+    engine.sent_load.ResetForRestart();
   }
   engine.entry = entry;
   engine.listed = entry.readiness != Readiness::kGone;
@@ -153,9 +153,9 @@
     engine.in_subset = false;
     if (engine.Serving()) serving.push_back(id);
   }
-  max_gateways_per_engine_ = subset::Sharers(serving.size(), settings_.gateways);
-  const std::vector<EngineId> chosen =
-      (fleet_size_ ? subset::ByPlace : subset::ByNumber)(serving, settings_.gateways, settings_.self);
+  max_gateways_per_engine_ = subset::MaxGatewaysPerEngine(serving.size(), settings_.gateways);
+  const std::vector<EngineId> chosen = (fleet_size_ ? subset::SubsetByMembershipRank : subset::SubsetByHash)(
+      serving, settings_.gateways, settings_.self);
   for (EngineId id : chosen) engines_.at(id).in_subset = true;
   subset_share_ =
       serving.empty() ? 1 : static_cast<double>(chosen.size()) / static_cast<double>(serving.size());
@@ -170,7 +170,7 @@
 // ---- Time ----
 
 void Scheduler::AdvanceTime(double seconds) {
-  recent_work_ *= std::exp(-seconds / limits::SentLoad::kRecentSeconds);
+  recent_work_ *= std::exp(-seconds / limits::SentLoad::kRecentTimeConstantSeconds);
   limits::FleetCapacity fleet = AdvanceEngines(seconds);
   UpdateClassWeights();
   fleet.heaviest_class_work = heaviest_class_work_;
@@ -187,7 +187,7 @@
   fleet.latency_ratio = fleet_latency_ratio_;
   const double gateways_per_engine = GatewaysPerEngine();
   for (auto& [id, engine] : engines_) {
-    engine.sent_load.Pass(seconds, engine.cores * RelativeSpeed(engine) / gateways_per_engine);
+    engine.sent_load.Advance(seconds, engine.cores * RelativeSpeed(engine) / gateways_per_engine);
     if (engine.listed) fleet.listed_cores += engine.cores;
     if (engine.in_subset) fleet.subset_cores += engine.cores;
   }
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -209,22 +209,22 @@
   double WeightRate(std::size_t class_id) const;
   // Duration of an attempt at the fleet's present pace.
   double ExpectedSeconds(const RequestState& request) const {
-    return Estimates(request).Time(request.work) / request.threads;
+    return Estimates(request).ExpectedTime(request.work) / request.threads;
   }
   double MemoryNeed(const RequestState& request) const {
-    return Estimates(request).MemoryMb(request.spec.est_memory_mb);
+    return Estimates(request).ExpectedMemoryMb(request.spec.est_memory_mb);
   }
   // Speed of the engine's responses against the fleet's, at most 1.
   double RelativeSpeed(const EngineState& engine) const;
   // Requests of other gateways at the engine, from its last load report.
   double OtherGatewaysRequests(const EngineState& engine) const {
-    return engine.reported_load.Others(static_cast<double>(engine.in_flight.size()),
-                                       max_gateways_per_engine_);
+    return engine.reported_load.OtherRequests(static_cast<double>(engine.in_flight.size()),
+                                              max_gateways_per_engine_);
   }
   // Threads at the engine, of all gateways as far as known.
   double ThreadsInUse(const EngineState& engine) const {
     const double others =
-        engine.reported_load.Fresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.threads() : 0;
+        engine.reported_load.IsFresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.threads() : 0;
     return engine.sent_load.threads() + others;
   }
 
@@ -233,7 +233,7 @@
 
   // Configuration.
   Settings settings_;
-  reports::Promise report_layout_;
+  reports::ReportLayout report_layout_;
   std::optional<FleetSize> fleet_size_;  // none: the settings tell
   int process_parts_ = 1;                // that budgets are divided by
   bool loads_block_readers_ = false;     // some class waits for loads of its table group
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -49,9 +49,9 @@
   if (credit_.HasCredit()) return true;
   if (Class(request).holds_tables && WeightRate(request.spec.class_id) >= best_heavy_weight_rate_)
     return true;
-  if (!report_layout_.promised() || engine.reported_load.Silent())
+  if (!report_layout_.tells_load() || engine.reported_load.IsSilent())
     return fleet_latency_ratio_ < kSlowFleetLatencyRatio;
-  if (!engine.reported_load.Fresh(now_)) return settings_.may_probe;  // probed before the request is sent
+  if (!engine.reported_load.IsFresh(now_)) return settings_.may_probe;  // probed before the request is sent
   return ThreadsInUse(engine) + request.threads <= kIdleThreadsPerCore * engine.cores;
 }
 
@@ -61,11 +61,11 @@
 bool Scheduler::MemoryAllows(const RequestState& request, const EngineState& engine) const {
   const bool light = IsLight(request);
   const auto own = static_cast<double>(engine.in_flight.size());
-  const auto granted = engine.reported_load.MemoryGranted(own, max_gateways_per_engine_);
+  const auto granted = engine.reported_load.GrantedMemoryShare(own, max_gateways_per_engine_);
   const double max_granted = kUnestimatedGrantFactor * (light ? 1 : kMaxHeavyMemoryShare);
   if (granted && request.spec.est_memory_mb <= 0 && *granted > max_granted) return false;
   const double others =
-      engine.reported_load.Fresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.memory_mb() : 0;
+      engine.reported_load.IsFresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.memory_mb() : 0;
   if (light || (engine.in_flight.empty() && others == 0)) return true;
   if (engine.memory_mb <= 0) return true;
   return engine.sent_load.memory_mb() + others + MemoryNeed(request) <=
@@ -131,7 +131,7 @@
   if (!SlowStartAllows(request, engine)) return false;
   // An engine that fails fast looks idle while others are busy: it must not get again all that it has failed.
   if (FailedOn(request, engine) && OtherEngineAvailable(request)) return false;
-  if (engine.breaker.OnTrial() && !engine.in_flight.empty()) return false;
+  if (engine.breaker.IsHalfOpen() && !engine.in_flight.empty()) return false;
   if (!BypassesCredit(request) && !MaySpendCredit(request, engine)) return false;
   return MemoryAllows(request, engine) && ConcurrencyAllows(request, engine);
 }
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -7,7 +7,7 @@
 namespace lemoncroft::decision {
 
 void Scheduler::DispatchPending() {
-  for (const std::uint64_t key : keys_.Rested(now_)) AdvanceKey(key);
+  for (const std::uint64_t key : keys_.TakeResumed(now_)) AdvanceKey(key);
   if (pending_.empty()) return;
   if (AllManuallyEjected()) return RejectOrFailAllPending();
   std::vector<RequestId> sent;
@@ -69,7 +69,7 @@
   const double memory_mb = MemoryNeed(request);
   GrantResources(request, engine, memory_mb);
   actions_->push_back(Send{request.spec.id, engine.entry.engine, 0, RetryDeadline(request)});
-  if (request.attempts > 0 && settings_.attempt_budget) retries_.Retried(now_);
+  if (request.attempts > 0 && settings_.attempt_budget) retries_.RecordRetry(now_);
   last_attempt_at_[request.spec.class_id] = now_;
 
   ++request.attempts;
@@ -84,10 +84,10 @@
 
   credit_.Reserve(request.reserved_credit);
   engine.in_flight.insert(request.spec.id);
-  engine.sent_load.Sent(request.charge);
+  engine.sent_load.RecordSend(request.charge);
   recent_work_ += request.work;
   if (InSlowStart(engine)) engine.slow_start.Spend(SlowStartCharge(request, SlowStartRate(engine)));
-  engine.warm_tables.Read(request.spec.tables);
+  engine.warm_tables.RecordRead(request.spec.tables);
   CheckRunaway(request);
 }
 
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -17,8 +17,8 @@
   const Outcome outcome = end.outcome;
   const bool may_run_on =
       outcome == Outcome::kCancelled || outcome == Outcome::kTimeout || outcome == Outcome::kLost;
-  engine.sent_load.Ended(request.charge, may_run_on);
-  const bool report_due = report_layout_.in_answers && outcome == Outcome::kOk;
+  engine.sent_load.RecordEnd(request.charge, may_run_on);
+  const bool report_due = report_layout_.in_responses && outcome == Outcome::kOk;
   RecordReport(engine, end.load, report_due ? ReportExpectation::kDue : ReportExpectation::kOptional);
   RecordHealth(request, engine, end);
 }
@@ -39,7 +39,7 @@
       break;
     case Outcome::kFull:
       engine.concurrency_limit.RecordFull();
-      engine.breaker.RestUntil(now_ + kFullBackoff);
+      engine.breaker.HoldOpenUntil(now_ + kFullBackoff);
       break;
     case Outcome::kError:
       request.failed_on.push_back(request.engine_id);
@@ -69,15 +69,15 @@
 }
 
 void Scheduler::RecordSuccess(const RequestState& request, EngineState& engine, const AttemptEnded& end) {
-  engine.breaker.Succeeded(kErrorWeight);
+  engine.breaker.RecordSuccess(kErrorWeight);
   const double reported_work = ToSeconds(end.work);
   const double ratio =
       estimates_[request.spec.class_id].Learn({.estimated_work = ToSeconds(request.spec.est_work),
-                                               .told_work = reported_work,
+                                               .reported_work = reported_work,
                                                .time = ToSeconds(end.waited) * request.threads,
                                                .estimated_memory_mb = request.spec.est_memory_mb,
-                                               .told_memory_mb = end.memory_mb,
-                                               .trial = request.exploratory});
+                                               .reported_memory_mb = end.memory_mb,
+                                               .exploratory = request.exploratory});
   const double sample = std::min(ratio, kMaxLatencyRatio);
   ++engine.responses;
   Blend(engine.latency_ratio, sample, std::max(kFastWeight, 1.0 / (engine.responses + 3)));
@@ -99,11 +99,11 @@
 
 void Scheduler::RecordReport(EngineState& engine, const LoadReport& report, ReportExpectation expectation) {
   const auto own = static_cast<double>(engine.in_flight.size());
-  if (engine.reported_load.Take(report_layout_, report, own, now_)) {
-    Blend(mean_other_requests_, engine.reported_load.others(), kFastWeight);
+  if (engine.reported_load.Update(report_layout_, report, own, now_)) {
+    Blend(mean_other_requests_, engine.reported_load.other_requests(), kFastWeight);
     any_engine_reported_ = true;
   } else if (expectation == ReportExpectation::kDue) {
-    engine.reported_load.Missed();
+    engine.reported_load.RecordMissing();
   }
 }
 
@@ -119,7 +119,7 @@
 // An engine that fails fast looks idle and would draw requests. After its backoff it is ejected again by its
 // next failure, until successes have brought the share of failures down.
 void Scheduler::RecordFailure(EngineState& engine, double weight) {
-  if (!engine.breaker.Failed(weight, now_)) return;
+  if (!engine.breaker.RecordFailure(weight, now_)) return;
   double ejected = 1;  // this engine
   double listed = 0;
   for (const auto& [id, other] : engines_) {
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -17,7 +17,7 @@
   request.spec = spec;
   const ClassSettings& class_settings = Class(request);
   request.threads = class_settings.threads;
-  request.work = std::max(kMinWork, Estimates(request).Work(ToSeconds(spec.est_work)));
+  request.work = std::max(kMinWork, Estimates(request).ExpectedWork(ToSeconds(spec.est_work)));
   const double stretch = class_settings.latency_objective_stretch * request.work / request.threads;
   request.objective_at = now_ + class_settings.latency_objective + FromSeconds(stretch);
   request.deadline = now_ + spec.client_timeout;
@@ -25,9 +25,9 @@
       class_settings.priority_weight * (IsOverQuota(spec) ? settings_.over_quota_weight_share : 1);
   // Work that can't be done within the timeout is no demand, however large the client's estimate is.
   credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
-  if (settings_.attempt_budget) retries_.Taken(now_);
+  if (settings_.attempt_budget) retries_.RecordRequest(now_);
   request.ordered = class_settings.in_order && spec.key != 0;
-  if (request.ordered) keys_.Join(spec.key, spec.id);
+  if (request.ordered) keys_.Append(spec.key, spec.id);
   Enqueue(request);
 }
 
@@ -84,7 +84,7 @@
     if (request.ordered) ordered.insert(id);
   }
   keys_.Clear();
-  for (RequestId id : ordered) keys_.Join(requests_.at(id).spec.key, id);
+  for (RequestId id : ordered) keys_.Append(requests_.at(id).spec.key, id);
   for (RequestId id : ordered) {
     RequestState& request = requests_.at(id);
     if (request.phase == RequestPhase::kPending) RemovePending(request);
@@ -94,7 +94,7 @@
 }
 
 void Scheduler::AdvanceKey(std::uint64_t key) {
-  const std::optional<RequestId> first = keys_.First(key, now_);
+  const std::optional<RequestId> first = keys_.Front(key, now_);
   if (!first) return;
   RequestState& request = requests_.at(*first);
   if (request.phase == RequestPhase::kBehindKey) AddPending(request);
@@ -102,7 +102,7 @@
 
 void Scheduler::LeaveKey(const RequestState& request) {
   if (!request.ordered) return;
-  keys_.Leave(request.spec.key, request.spec.id);
+  keys_.Remove(request.spec.key, request.spec.id);
   AdvanceKey(request.spec.key);
 }
 
--- a/src/decision/scheduler_selection.cpp
+++ b/src/decision/scheduler_selection.cpp
@@ -64,20 +64,20 @@
 // reports although the settings promise them are kept as they are, and probed from time to time. Returns
 // whether the request may go now.
 bool Scheduler::KeepInformedEngines(std::vector<EngineState*>& candidates) {
-  if (!settings_.may_probe || !report_layout_.promised()) return true;
+  if (!settings_.may_probe || !report_layout_.tells_load()) return true;
   const std::vector<EngineState*> all = candidates;
   std::vector<EngineState*> unknown;
   std::vector<EngineState*> silent;
   for (EngineState* engine : candidates) {
-    if (engine->reported_load.Fresh(now_)) continue;
-    (engine->reported_load.Silent() ? silent : unknown).push_back(engine);
+    if (engine->reported_load.IsFresh(now_)) continue;
+    (engine->reported_load.IsSilent() ? silent : unknown).push_back(engine);
   }
   std::erase_if(candidates, [this](const EngineState* engine) {
-    return !engine->reported_load.Fresh(now_) && !engine->reported_load.Silent();
+    return !engine->reported_load.IsFresh(now_) && !engine->reported_load.IsSilent();
   });
   if (candidates.size() < kMinInformedEngines && !unknown.empty())
     SendProbe(unknown, next_probe_at_, kProbeInterval);
-  if (!silent.empty() && !report_layout_.in_answers)
+  if (!silent.empty() && !report_layout_.in_responses)
     SendProbe(silent, next_silent_probe_at_, kSilentProbeInterval);
 
   // With many heavy requests pending one probe an interval is too little: without a probe under way they go
@@ -130,7 +130,7 @@
 double Scheduler::ExpectedDelay(const RequestState& request, const EngineState& engine) const {
   const InFlightLoad in_flight = LoadInFlight(engine);
   const double others =
-      engine.reported_load.Fresh(now_) ? OtherGatewaysRequests(engine) : mean_other_requests_;
+      engine.reported_load.IsFresh(now_) ? OtherGatewaysRequests(engine) : mean_other_requests_;
   const double remaining_work =
       in_flight.remaining_work + (engine.sent_load.backlog() + others * running_mix_.remaining_work());
   const bool preferred = engine.rank < kPreferredEngines && !Class(request).holds_tables;
--- a/src/decision/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -25,11 +25,11 @@
 template <typename Engine>
 class RankingCache {
  public:
-  static constexpr std::size_t kMaxCachedPlaces = std::size_t{1} << 20;  // 8 MB
+  static constexpr std::size_t kMaxCachedEntries = std::size_t{1} << 20;  // 8 MB
 
   void Clear() {
     orders_.clear();
-    places_ = 0;
+    entries_ = 0;
   }
 
   // Numbers the allowed ones among the listed engines by their `rank`, the highest hash first: how many.
@@ -41,15 +41,15 @@
     return ranked;
   }
 
-  std::size_t places() const { return places_; }
+  std::size_t entries() const { return entries_; }
 
  private:
   const std::vector<Engine*>& Ordered(std::map<EngineId, Engine>& engines, std::uint64_t key) {
     const auto known = orders_.find(key);
     if (known != orders_.end()) return known->second;
-    if (places_ + engines.size() > kMaxCachedPlaces) Clear();
+    if (entries_ + engines.size() > kMaxCachedEntries) Clear();
     const std::vector<Engine*>& order = orders_.emplace(key, Sorted(engines, key)).first->second;
-    places_ += order.size();
+    entries_ += order.size();
     return order;
   }
 
@@ -66,7 +66,7 @@
   }
 
   std::unordered_map<std::uint64_t, std::vector<Engine*>> orders_;
-  std::size_t places_ = 0;  // in all orders
+  std::size_t entries_ = 0;  // in all orders
 };
 
 }  // namespace lemoncroft::subset
--- a/src/decision/subset/subset.cpp
+++ b/src/decision/subset/subset.cpp
@@ -7,12 +7,12 @@
 namespace lemoncroft::subset {
 namespace {
 
-constexpr double kShared = 25;  // gateways that share an engine: enough to smooth out their bursts
+constexpr double kGatewaysPerEngine = 25;  // gateways that share an engine: enough to smooth out their bursts
 constexpr std::size_t kMinSubsetSize = 10;  // engines in a subset: room for cold and sick ones among them
 
 }  // namespace
 
-std::vector<EngineId> Ranked(const std::vector<EngineId>& engines, std::uint64_t key) {
+std::vector<EngineId> RankByHash(const std::vector<EngineId>& engines, std::uint64_t key) {
   std::vector<std::pair<std::uint64_t, EngineId>> ranks;
   ranks.reserve(engines.size());
   for (const EngineId id : engines) ranks.emplace_back(Mix(key ^ id), id);
@@ -23,30 +23,30 @@
   return ranked;
 }
 
-std::size_t Size(std::size_t engines, int gateways) {
-  const double wanted = std::ceil(static_cast<double>(engines) * kShared / std::max(1, gateways));
+std::size_t SubsetSize(std::size_t engines, int gateways) {
+  const double wanted = std::ceil(static_cast<double>(engines) * kGatewaysPerEngine / std::max(1, gateways));
   return std::min(engines, std::max(kMinSubsetSize, static_cast<std::size_t>(wanted)));
 }
 
-std::vector<EngineId> ByNumber(const std::vector<EngineId>& engines, int gateways, int self) {
-  std::vector<EngineId> ranked = Ranked(engines, Mix(static_cast<std::uint64_t>(self) + 1));
-  ranked.resize(Size(ranked.size(), gateways));
+std::vector<EngineId> SubsetByHash(const std::vector<EngineId>& engines, int gateways, int self) {
+  std::vector<EngineId> ranked = RankByHash(engines, Mix(static_cast<std::uint64_t>(self) + 1));
+  ranked.resize(SubsetSize(ranked.size(), gateways));
   return ranked;
 }
 
-std::vector<EngineId> ByPlace(const std::vector<EngineId>& engines, int gateways, int place) {
-  const std::vector<EngineId> ring = Ranked(engines, 0);
+std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways, int place) {
+  const std::vector<EngineId> ring = RankByHash(engines, 0);
   std::vector<EngineId> window;
   const std::size_t all = static_cast<std::size_t>(std::max(1, gateways));
   const std::size_t first = static_cast<std::size_t>(std::max(0, place)) * ring.size() / all;
-  for (std::size_t i = 0; i < Size(ring.size(), gateways); ++i)
+  for (std::size_t i = 0; i < SubsetSize(ring.size(), gateways); ++i)
     window.push_back(ring[(first + i) % ring.size()]);
   return window;
 }
 
-int Sharers(std::size_t engines, int gateways) {
+int MaxGatewaysPerEngine(std::size_t engines, int gateways) {
   if (engines == 0) return 1;
-  const std::size_t all = Size(engines, gateways) * static_cast<std::size_t>(std::max(1, gateways));
+  const std::size_t all = SubsetSize(engines, gateways) * static_cast<std::size_t>(std::max(1, gateways));
   // A window covers an engine by its place on the ring, rounded: one more than the mean may meet there.
   const std::size_t mean = (all + engines - 1) / engines;
   return static_cast<int>(std::min<std::size_t>(mean + 1, static_cast<std::size_t>(std::max(1, gateways))));
--- a/src/decision/subset/subset.h
+++ b/src/decision/subset/subset.h
@@ -24,22 +24,22 @@
 }
 
 // The engines in an order that only they and the key make.
-std::vector<EngineId> Ranked(const std::vector<EngineId>& engines, std::uint64_t key);
+std::vector<EngineId> RankByHash(const std::vector<EngineId>& engines, std::uint64_t key);
 
 // How many of so many engines one of `gateways` sends to.
-std::size_t Size(std::size_t engines, int gateways);
+std::size_t SubsetSize(std::size_t engines, int gateways);
 
 // By rendezvous hashing of the gateway's number: an engine that comes or goes moves few others. How many
 // gateways meet on an engine is up to chance.
-std::vector<EngineId> ByNumber(const std::vector<EngineId>& engines, int gateways, int self);
+std::vector<EngineId> SubsetByHash(const std::vector<EngineId>& engines, int gateways, int self);
 
 // By the gateway's place among those known to live: a window on the ring of engines. Every engine is in as
 // many windows as any other, but for one; an engine or a gateway that comes or goes moves each window by one
 // at the most.
-std::vector<EngineId> ByPlace(const std::vector<EngineId>& engines, int gateways, int place);
+std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways, int place);
 
 // The greatest number of gateways that have one engine in their windows.
-int Sharers(std::size_t engines, int gateways);
+int MaxGatewaysPerEngine(std::size_t engines, int gateways);
 
 }  // namespace lemoncroft::subset
 
--- a/src/decision/subset/warm_tables.h
+++ b/src/decision/subset/warm_tables.h
@@ -14,7 +14,7 @@
 class WarmTables {
  public:
   // A query on this group goes to the engine; the group read longest ago gives way.
-  void Read(std::uint32_t group) {
+  void RecordRead(std::uint32_t group) {
     std::erase(groups_, group);
     groups_.push_front(group);
     if (groups_.size() > kMaxGroups) groups_.pop_back();
--- a/tests/class_estimates_test.cpp
+++ b/tests/class_estimates_test.cpp
@@ -10,9 +10,9 @@
 
 TEST(ClassEstimates, BeforeAnyAnswerEstimatesAndTheAssumedWorkAreTaken) {
   const ClassEstimates estimates(0.25, false);
-  EXPECT_NEAR(estimates.Work(0), 0.25, 1e-9);
-  EXPECT_NEAR(estimates.Work(0.4), 0.4, 1e-9);
-  EXPECT_NEAR(estimates.Time(0.4), 0.4, 1e-9);
+  EXPECT_NEAR(estimates.ExpectedWork(0), 0.25, 1e-9);
+  EXPECT_NEAR(estimates.ExpectedWork(0.4), 0.4, 1e-9);
+  EXPECT_NEAR(estimates.ExpectedTime(0.4), 0.4, 1e-9);
   EXPECT_FALSE(estimates.known());
 }
 
@@ -20,10 +20,10 @@
   ClassEstimates estimates(0.25, true);
   for (int i = 0; i < 300; ++i) {
     const double work = 0.05 * std::exp(0.1 * (i % 10));
-    estimates.Learn({.estimated_work = 3 * work, .told_work = work, .time = 2 * work});
+    estimates.Learn({.estimated_work = 3 * work, .reported_work = work, .time = 2 * work});
   }
-  EXPECT_NEAR(estimates.Work(0.3), 0.1, 0.02);
-  EXPECT_NEAR(estimates.Time(0.1), 0.2, 0.01);  // twice its work, as all answers took
+  EXPECT_NEAR(estimates.ExpectedWork(0.3), 0.1, 0.02);
+  EXPECT_NEAR(estimates.ExpectedTime(0.1), 0.2, 0.01);  // twice its work, as all answers took
   EXPECT_LT(estimates.deviation(), 0.1);
 }
 
@@ -39,9 +39,9 @@
 TEST(ClassEstimates, WhereCostsAreUntoldTimesTellWhatEstimatesAreWorth) {
   ClassEstimates estimates(1, false);
   LearnTimes(estimates, 350, 1);
-  EXPECT_NEAR(estimates.Work(0.6), 0.2, 0.05);
-  EXPECT_GT(estimates.Work(0.06), 0.08) << "a scattered estimate is drawn towards the mean";
-  EXPECT_LT(estimates.Work(6), 0.6);
+  EXPECT_NEAR(estimates.ExpectedWork(0.6), 0.2, 0.05);
+  EXPECT_GT(estimates.ExpectedWork(0.06), 0.08) << "a scattered estimate is drawn towards the mean";
+  EXPECT_LT(estimates.ExpectedWork(6), 0.6);
   EXPECT_GT(estimates.deviation(), 0.2);
   EXPECT_LT(estimates.deviation(), 0.5);
 }
@@ -55,9 +55,10 @@
                      .time = 0.2 * std::exp(i % 4 < 2 ? 0.6 : -0.6),
                      .estimated_memory_mb = 200 * scatter});
   }
-  EXPECT_GT(estimates.MemoryMb(200 / 2.7), 300) << "drawn to the mean of 200, and a margin of its scatter";
-  EXPECT_LT(estimates.MemoryMb(200 * 2.7), 800);
-  EXPECT_EQ(estimates.MemoryMb(0), 0) << "no estimate: the engine's own choice";
+  EXPECT_GT(estimates.ExpectedMemoryMb(200 / 2.7), 300)
+      << "drawn to the mean of 200, and a margin of its scatter";
+  EXPECT_LT(estimates.ExpectedMemoryMb(200 * 2.7), 800);
+  EXPECT_EQ(estimates.ExpectedMemoryMb(0), 0) << "no estimate: the engine's own choice";
 }
 
 TEST(ClassEstimates, WithNoEstimatesTheSpreadOfTimesIsTheDeviation) {
@@ -69,10 +70,10 @@
 TEST(ClassEstimates, ASlowFleetLengthensTimesAndLeavesWorkAsItWas) {
   ClassEstimates estimates(1, false);
   LearnTimes(estimates, 350, 1);
-  const double work = estimates.Work(0.6);
+  const double work = estimates.ExpectedWork(0.6);
   LearnTimes(estimates, 70, 3);
-  EXPECT_NEAR(estimates.Work(0.6), work, 0.15 * work);
-  EXPECT_NEAR(estimates.Time(work), 3 * work, 0.6 * work);
+  EXPECT_NEAR(estimates.ExpectedWork(0.6), work, 0.15 * work);
+  EXPECT_NEAR(estimates.ExpectedTime(work), 3 * work, 0.6 * work);
 }
 
 // Times over told work and times alone are two units: a class that mixes them expects nonsense.
@@ -80,24 +81,24 @@
   for (const bool settings_tell : {true, false}) {
     ClassEstimates estimates(0.25, settings_tell);
     for (int i = 0; i < 30; ++i) estimates.Learn({.time = 8});
-    for (int i = 0; i < 200; ++i) estimates.Learn({.told_work = i % 3 == 0 ? 4.0 : 0.0, .time = 8});
-    EXPECT_NEAR(estimates.Time(4), 8, 0.8) << settings_tell;
+    for (int i = 0; i < 200; ++i) estimates.Learn({.reported_work = i % 3 == 0 ? 4.0 : 0.0, .time = 8});
+    EXPECT_NEAR(estimates.ExpectedTime(4), 8, 0.8) << settings_tell;
   }
 }
 
 TEST(ClassEstimates, AnAnswerIsSetAgainstTheBestRecentMean) {
   ClassEstimates estimates(0.25, false);
-  for (int i = 0; i < 200; ++i) estimates.Learn({.told_work = 0.1, .time = 0.1});
+  for (int i = 0; i < 200; ++i) estimates.Learn({.reported_work = 0.1, .time = 0.1});
   EXPECT_TRUE(estimates.known());
-  EXPECT_NEAR(estimates.Learn({.told_work = 0.1, .time = 0.3}), 3, 0.1);
+  EXPECT_NEAR(estimates.Learn({.reported_work = 0.1, .time = 0.3}), 3, 0.1);
 }
 
 TEST(ClassEstimates, MemoryIsExpectedWithAMarginThatFewAnswersNarrow) {
   ClassEstimates estimates(0.25, false);
-  EXPECT_GT(estimates.MemoryMb(100), 120);
+  EXPECT_GT(estimates.ExpectedMemoryMb(100), 120);
   for (int i = 0; i < 100; ++i)
-    estimates.Learn({.time = 0.1, .estimated_memory_mb = 100, .told_memory_mb = 50});
-  EXPECT_NEAR(estimates.MemoryMb(100), 50, 5);
+    estimates.Learn({.time = 0.1, .estimated_memory_mb = 100, .reported_memory_mb = 50});
+  EXPECT_NEAR(estimates.ExpectedMemoryMb(100), 50, 5);
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -16,76 +16,76 @@
 
 TEST(CircuitBreaker, OpensByTheShareThatFailsAndBacksOffLonger) {
   limits::CircuitBreaker breaker;
-  EXPECT_FALSE(breaker.Failed(0.15, 0));
-  EXPECT_TRUE(breaker.Failed(0.15, 0));
+  EXPECT_FALSE(breaker.RecordFailure(0.15, 0));
+  EXPECT_TRUE(breaker.RecordFailure(0.15, 0));
   breaker.Open(0, 1);
   EXPECT_TRUE(breaker.IsOpen(limits::CircuitBreaker::kMinBackoff - 1));
   EXPECT_FALSE(breaker.IsOpen(limits::CircuitBreaker::kMinBackoff));
-  EXPECT_TRUE(breaker.OnTrial());
+  EXPECT_TRUE(breaker.IsHalfOpen());
   const Nanos later = kSecond;
-  EXPECT_TRUE(breaker.Failed(0.15, later)) << "the trial failed";
+  EXPECT_TRUE(breaker.RecordFailure(0.15, later)) << "the trial failed";
   breaker.Open(later, 1);
   EXPECT_TRUE(breaker.IsOpen(later + 2 * limits::CircuitBreaker::kMinBackoff - 1));
-  for (int i = 0; i < 10; ++i) breaker.Succeeded(0.15);
-  EXPECT_FALSE(breaker.OnTrial());
+  for (int i = 0; i < 10; ++i) breaker.RecordSuccess(0.15);
+  EXPECT_FALSE(breaker.IsHalfOpen());
 }
 
 TEST(SentLoad, KeepsWhatMayRunOnUntilTheEngineHasWorkedItOff) {
   limits::SentLoad load;
   const limits::AttemptCharge charge{true, 2, 100, 6};
-  load.Sent(charge);
-  load.Sent(charge);
+  load.RecordSend(charge);
+  load.RecordSend(charge);
   EXPECT_EQ(load.threads(), 4);
   EXPECT_EQ(load.threads(false), 0);
   EXPECT_EQ(load.memory_mb(), 200);
-  load.Ended(charge, false);
+  load.RecordEnd(charge, false);
   EXPECT_EQ(load.backlog(), 0);
-  load.Ended(charge, true);
+  load.RecordEnd(charge, true);
   EXPECT_EQ(load.threads(), 0);
   EXPECT_EQ(load.backlog(), 6);
-  load.Pass(1, 4);
+  load.Advance(1, 4);
   EXPECT_EQ(load.backlog(), 2);
-  EXPECT_NEAR(load.recent(), 12 * std::exp(-1 / limits::SentLoad::kRecentSeconds), 1e-9);
-  load.Restarted();
+  EXPECT_NEAR(load.recent(), 12 * std::exp(-1 / limits::SentLoad::kRecentTimeConstantSeconds), 1e-9);
+  load.ResetForRestart();
   EXPECT_EQ(load.recent() + load.backlog(), 0);
 }
 
 TEST(KeyQueues, HandOutTheRequestsOfAKeyInTheirOrder) {
   limits::KeyQueues queues;
-  queues.Join(7, 1);
-  queues.Join(7, 2);
-  queues.Join(8, 3);
-  EXPECT_EQ(queues.First(7, 0), std::optional<RequestId>(1));
-  EXPECT_EQ(queues.First(8, 0), std::optional<RequestId>(3));
-  queues.Leave(7, 2);
-  queues.Leave(7, 1);
-  EXPECT_EQ(queues.First(7, 0), std::nullopt);
+  queues.Append(7, 1);
+  queues.Append(7, 2);
+  queues.Append(8, 3);
+  EXPECT_EQ(queues.Front(7, 0), std::optional<RequestId>(1));
+  EXPECT_EQ(queues.Front(8, 0), std::optional<RequestId>(3));
+  queues.Remove(7, 2);
+  queues.Remove(7, 1);
+  EXPECT_EQ(queues.Front(7, 0), std::nullopt);
   queues.Clear();
-  EXPECT_EQ(queues.First(8, 0), std::nullopt);
+  EXPECT_EQ(queues.Front(8, 0), std::nullopt);
 }
 
 TEST(KeyQueues, AKeyThatRestsIsToldOnceItsRestIsOver) {
   limits::KeyQueues queues;
-  queues.RestUntil(7, kSecond);
-  queues.Join(7, 1);
-  EXPECT_TRUE(queues.Rested(2 * kSecond).empty()) << "nobody asked for it";
-  EXPECT_EQ(queues.First(7, kSecond - 1), std::nullopt);
-  EXPECT_TRUE(queues.Rested(kSecond - 1).empty());
-  EXPECT_EQ(queues.Rested(kSecond), std::vector<limits::KeyQueues::Key>{7});
-  EXPECT_TRUE(queues.Rested(kSecond).empty());
-  EXPECT_EQ(queues.First(7, kSecond), std::optional<RequestId>(1));
+  queues.PauseUntil(7, kSecond);
+  queues.Append(7, 1);
+  EXPECT_TRUE(queues.TakeResumed(2 * kSecond).empty()) << "nobody asked for it";
+  EXPECT_EQ(queues.Front(7, kSecond - 1), std::nullopt);
+  EXPECT_TRUE(queues.TakeResumed(kSecond - 1).empty());
+  EXPECT_EQ(queues.TakeResumed(kSecond), std::vector<limits::KeyQueues::Key>{7});
+  EXPECT_TRUE(queues.TakeResumed(kSecond).empty());
+  EXPECT_EQ(queues.Front(7, kSecond), std::optional<RequestId>(1));
 }
 
 TEST(KeyQueues, ARestOutlivesAnEmptyQueue) {
   limits::KeyQueues queues;
-  queues.Join(7, 1);
-  queues.RestUntil(7, kSecond);
-  queues.Leave(7, 1);
-  EXPECT_EQ(queues.First(7, 0), std::nullopt);
+  queues.Append(7, 1);
+  queues.PauseUntil(7, kSecond);
+  queues.Remove(7, 1);
+  EXPECT_EQ(queues.Front(7, 0), std::nullopt);
   queues.Clear();
-  queues.Join(7, 2);
-  EXPECT_EQ(queues.First(7, kSecond - 1), std::nullopt);
-  EXPECT_EQ(queues.First(7, kSecond), std::optional<RequestId>(2));
+  queues.Append(7, 2);
+  EXPECT_EQ(queues.Front(7, kSecond - 1), std::nullopt);
+  EXPECT_EQ(queues.Front(7, kSecond), std::optional<RequestId>(2));
 }
 
 }  // namespace
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -85,7 +85,7 @@
   subset::RankingCache<RankedEngine> cache;
   for (const std::uint64_t key : {1u, 2u, 1u, 3u, 2u}) {
     const std::size_t ranked = cache.Rank(engines, key, [](const RankedEngine&) { return true; });
-    EXPECT_EQ(ByRank(engines, ranked), subset::Ranked(Listed(engines), key)) << key;
+    EXPECT_EQ(ByRank(engines, ranked), subset::RankByHash(Listed(engines), key)) << key;
   }
 }
 
@@ -100,7 +100,7 @@
   for (auto& [id, engine] : engines) engine.rank = 1000, id_of[&engine] = id;
   const std::size_t ranked =
       cache.Rank(engines, 7, [&](const RankedEngine& engine) { return is_even(id_of.at(&engine)); });
-  EXPECT_EQ(ByRank(engines, ranked), subset::Ranked(even, 7));
+  EXPECT_EQ(ByRank(engines, ranked), subset::RankByHash(even, 7));
 }
 
 TEST(RankingCache, RanksAnewOnceCleared) {
@@ -112,16 +112,16 @@
   cache.Clear();
   const std::size_t ranked = cache.Rank(engines, 7, all);
   EXPECT_EQ(ranked, 199u);
-  EXPECT_EQ(ByRank(engines, ranked), subset::Ranked(Listed(engines), 7));
+  EXPECT_EQ(ByRank(engines, ranked), subset::RankByHash(Listed(engines), 7));
 }
 
 TEST(RankingCache, IsBoundedHoweverManyKeysThereAre) {
   RankedEngines engines = EnginesTo(4400);
   subset::RankingCache<RankedEngine> cache;
-  const std::size_t keys = 2 * cache.kMaxCachedPlaces / engines.size();
+  const std::size_t keys = 2 * cache.kMaxCachedEntries / engines.size();
   for (std::uint64_t key = 0; key < keys; ++key) {
     cache.Rank(engines, key, [](const RankedEngine&) { return true; });
-    ASSERT_LE(cache.places(), cache.kMaxCachedPlaces);
+    ASSERT_LE(cache.entries(), cache.kMaxCachedEntries);
   }
 }
 
@@ -159,20 +159,21 @@
     std::size_t moved_by_gateway = 0, moved_by_engine = 0;
     std::vector<EngineId> fewer(engines.begin() + 1, engines.end());
     for (int place = 0; place < gateways; ++place) {
-      const auto own = subset::ByPlace(engines, gateways, place);
-      EXPECT_EQ(own.size(), subset::Size(engines.size(), gateways));
+      const auto own = subset::SubsetByMembershipRank(engines, gateways, place);
+      EXPECT_EQ(own.size(), subset::SubsetSize(engines.size(), gateways));
       for (const EngineId id : own) ++sharing[id];
       const std::set<EngineId> now(own.begin(), own.end());
       EXPECT_EQ(now.size(), own.size());
-      for (const EngineId id : subset::ByPlace(engines, gateways + 1, place))
+      for (const EngineId id : subset::SubsetByMembershipRank(engines, gateways + 1, place))
         moved_by_gateway += !now.contains(id);
-      for (const EngineId id : subset::ByPlace(fewer, gateways, place)) moved_by_engine += !now.contains(id);
+      for (const EngineId id : subset::SubsetByMembershipRank(fewer, gateways, place))
+        moved_by_engine += !now.contains(id);
     }
     int least = gateways, most = 0;
     for (const auto& [id, count] : sharing) least = std::min(least, count), most = std::max(most, count);
-    EXPECT_LE(most - least, gateways <= 25 ? 0 : static_cast<int>(subset::Size(80, gateways) / 5 + 1))
+    EXPECT_LE(most - least, gateways <= 25 ? 0 : static_cast<int>(subset::SubsetSize(80, gateways) / 5 + 1))
         << gateways;
-    EXPECT_LE(most, subset::Sharers(engines.size(), gateways)) << gateways;
+    EXPECT_LE(most, subset::MaxGatewaysPerEngine(engines.size(), gateways)) << gateways;
     if (gateways < 100) continue;
     EXPECT_LE(moved_by_gateway, 2u * static_cast<std::size_t>(gateways)) << "a gateway more";
     EXPECT_LE(moved_by_engine, 2u * static_cast<std::size_t>(gateways)) << "an engine less";
