--- a/src/decision/estimates/class_estimates.cpp
+++ b/src/decision/estimates/class_estimates.cpp
@@ -5,16 +5,17 @@
 #include <utility>
 
 namespace lemoncroft::estimates {
-
 namespace {
 
-// Weights of the newest sample in a mean.
-constexpr double kSlowWeight = 0.03;             // class means: outlast bursts
-constexpr double kRecentWeight = 0.05;           // the pace: some twenty answers
-constexpr double kExploratoryWeight = 0.4;       // the pace, of the few that go while it rules the class out
-constexpr double kMaxSampleFactor = 3;           // times the mean: a sample counts as no more
-constexpr double kBestPaceGrowth = 1.001;        // a sample: forgets a best that no longer exists
-constexpr double kMemoryMarginDeviations = 1.5;  // mean errors over the mean: a spill costs more than slack
+// Weights of the newest sample in a moving mean.
+constexpr double kSlowWeight = 0.03;        // means of the class
+constexpr double kRecentWeight = 0.05;      // the recent pace
+constexpr double kExploratoryWeight = 0.4;  // the recent pace, of an exploratory request
+
+constexpr double kMaxSampleFactor = 3;           // times the recent pace, that one sample counts at most
+constexpr double kBestPaceGrowth = 1.001;        // per sample, so that an outdated best pace is forgotten
+constexpr double kMemoryMarginDeviations = 1.5;  // mean errors that are added to the expected memory
+constexpr double kMinSlope = 0.2;                // of the regression; the greatest is 1
 
 }  // namespace
 
@@ -60,59 +61,67 @@
   if (cost_reported_)
     return LearnPace(response.time / std::max(ExpectedWork(response.estimated_work), 1e-3),
                      response.exploratory);
-  // Set against what the estimate made expect, times scatter less: what is left tells of the pace.
+  // The time over the relative work scatters less than the time itself.
   const double ratio = LearnPace(response.time / RelativeWork(response.estimated_work), response.exploratory);
   mean_work_ = best_pace_;
   LearnTime(response.estimated_work, std::max(response.time, 1e-4));
   if (response.estimated_memory_mb > 0) {
     const double log_memory = std::log(response.estimated_memory_mb);
-    Blend(log_memory_estimate_mean_, log_memory, std::max(kSlowWeight, 1.0 / ++memory_estimate_samples_));
+    ++memory_estimate_samples_;
+    const double weight = std::max(kSlowWeight, 1.0 / memory_estimate_samples_);
+    Blend(log_memory_estimate_mean_, log_memory, weight);
   }
   return ratio;
 }
 
 void ClassEstimates::LearnWork(double estimate, double reported) {
-  const double weight = std::max(kSlowWeight, 1.0 / (++work_samples_ + 3));
-  const double x = std::log(estimate), y = std::log(reported);
-  Blend(deviation_, std::abs(y - std::log(ExpectedWork(estimate))), weight);
-  LearnRegression(x, y, weight);
+  ++work_samples_;
+  const double weight = std::max(kSlowWeight, 1.0 / (work_samples_ + 3));
+  const double log_work = std::log(reported);
+  Blend(deviation_, std::abs(log_work - std::log(ExpectedWork(estimate))), weight);
+  LearnRegression(std::log(estimate), log_work, weight);
 }
 
-// The level of the times is the pace's business (`recent_pace_`, `best_pace_`), the regression has but their
-// slope: if its level were learnt from times over the pace, and the pace from times over it, both would
-// drift.
+// Only the slope of the regression is used here. Its level is that of the pace: if each were learnt from
+// times over the other, both would drift.
 void ClassEstimates::LearnTime(double estimate, double time) {
   const double off = std::log(time / RelativeWork(estimate)) - mean_log_time_;
   if (responses_ == 1) mean_log_time_ += off;
   const double weight = std::max(kSlowWeight, 1.0 / (responses_ + 3));
-  if (responses_ > 1) Blend(deviation_, std::abs(off), weight);
-  if (responses_ > 1) mean_log_time_ += std::max(kRecentWeight, 1.0 / responses_) * off;
+  if (responses_ > 1) {
+    Blend(deviation_, std::abs(off), weight);
+    mean_log_time_ += std::max(kRecentWeight, 1.0 / responses_) * off;
+  }
   if (estimate <= 0) return;
   ++work_samples_;
   LearnRegression(std::log(estimate), std::log(time), weight);
 }
 
 void ClassEstimates::LearnRegression(double log_estimate, double log_work, double weight) {
-  const double dx = log_estimate - log_estimate_mean_, dy = log_work - log_work_mean_;
-  if (work_samples_ == 1) log_estimate_mean_ = log_estimate, log_work_mean_ = log_work;
+  const double dx = log_estimate - log_estimate_mean_;
+  const double dy = log_work - log_work_mean_;
+  if (work_samples_ == 1) {
+    log_estimate_mean_ = log_estimate;
+    log_work_mean_ = log_work;
+  }
   Blend(log_estimate_mean_, log_estimate, weight);
   Blend(log_work_mean_, log_work, weight);
   if (work_samples_ == 1) return;
   Blend(log_estimate_variance_, dx * dx, weight);
   Blend(covariance_, dx * dy, weight);
-  covariance_ = std::clamp(covariance_, 0.2 * log_estimate_variance_, log_estimate_variance_);
+  covariance_ = std::clamp(covariance_, kMinSlope * log_estimate_variance_, log_estimate_variance_);
 }
 
-// What was learnt of times alone is in another unit than times over work.
+// From now on the pace is the time over the work, no longer the time.
 void ClassEstimates::ForgetPace() {
-  recent_pace_ = best_pace_ = 0;
+  recent_pace_ = 0;
+  best_pace_ = 0;
   responses_ = 0;
   work_samples_ = 0;
 }
 
 double ClassEstimates::LearnPace(double sample, bool exploratory) {
   if (responses_ == 0) recent_pace_ = cost_reported_ ? sample : mean_work_;
-  // A hung one tells nothing of the pace; a mean of few is no best.
   ++responses_;
   const double weight = exploratory ? kExploratoryWeight : std::max(kRecentWeight, 1.0 / (responses_ + 2));
   Blend(recent_pace_, std::min(sample, kMaxSampleFactor * recent_pace_), weight);
@@ -122,7 +131,8 @@
 
 void ClassEstimates::LearnMemory(double estimate_mb, double reported_mb) {
   const double off = std::log(reported_mb / estimate_mb) - log_memory_ratio_mean_;
-  const double weight = std::max(kSlowWeight, 1.0 / (++memory_samples_ + 2));
+  ++memory_samples_;
+  const double weight = std::max(kSlowWeight, 1.0 / (memory_samples_ + 2));
   log_memory_ratio_mean_ += weight * off;
   Blend(log_memory_ratio_deviation_, std::abs(off), weight);
 }
--- a/src/decision/estimates/class_estimates.h
+++ b/src/decision/estimates/class_estimates.h
@@ -1,8 +1,12 @@
-// What the answers of one class of queries teach about it: the work and the memory that a query needs, given
-// its client's estimates, and how long the engines take for it now against their best.
+// Estimates for one class of requests, learnt from responses: the work and memory that a request needs, given
+// its client's estimates, and the class's pace, which is the time of a response over its work.
 //
-// Contract. No clock, no I/O. Works in thread seconds: seconds times the threads that a query runs. Owner:
-// the decision module, one for each class. Errors: none; an estimate or a figure of 0 means "not reported".
+// Clients' estimates are biased by class and scatter. A regression of the log of the reported work on the log
+// of its estimate corrects them. Where engines don't report the work, the regression is on the log of the
+// time.
+//
+// Contract. No clock, no I/O. Units: thread seconds (seconds times the threads that a request runs), MB.
+// Owner: the decision module, one for each class. Errors: none; an estimate or a figure of 0 means "unknown".
 #ifndef LEMONCROFT_ESTIMATES_CLASS_ESTIMATES_H_
 #define LEMONCROFT_ESTIMATES_CLASS_ESTIMATES_H_
 
@@ -11,46 +15,47 @@
 // Moves a mean towards its newest sample.
 inline void Blend(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
-// One answered query.
+// A response to one request.
 struct Response {
   double estimated_work = 0;  // thread seconds, as its client estimated
   double reported_work = 0;   // thread seconds, as the engine reported
-  double time = 0;            // thread seconds from the attempt's start to the answer
+  double time = 0;            // thread seconds from the send to the response
   double estimated_memory_mb = 0;
   double reported_memory_mb = 0;
-  bool exploratory = false;  // of a query that went to renew a pace that few answers renew
+  bool exploratory = false;  // sent although the recent pace ruled out the latency objective
 };
 
 class ClassEstimates {
  public:
-  static constexpr int kMinResponses = 20;  // fewer don't make a mean to call best
-  // Mean error of the log of expected work before any answer: a factor of 1.6, and of 2.7.
-  static constexpr double kDeviationReported = 0.5, kDeviationUnreported = 1;
+  static constexpr int kMinResponses = 20;  // before a best pace is known
+  // Mean error of the log of the expected work before any response, where engines report the work and not.
+  static constexpr double kDeviationReported = 0.5;
+  static constexpr double kDeviationUnreported = 1;
 
-  // `assumed_work`: thread seconds that a query is taken to need before any has been answered. Estimates
-  // whose errors no reported cost corrects are trusted less at first.
+  // `assumed_work`: mean work before any response. `reports_cost`: engines report the work.
   ClassEstimates(double assumed_work, bool reports_cost)
       : deviation_(reports_cost ? kDeviationReported : kDeviationUnreported), mean_work_(assumed_work) {}
 
-  // Thread seconds that a query needs. Estimates lie by class and scatter: what past answers make of one.
+  // Work of a request with this estimate.
   double ExpectedWork(double estimate) const;
-  // Thread seconds until the answer to a query of `work`, at the fleet's present pace.
+  // Thread seconds until the response to a request of `work`, at the recent pace.
   double ExpectedTime(double work) const;
   // The same at the best pace seen.
   double BestTime(double work) const;
-  // Memory that a query will hardly exceed; 0 with no estimate.
+  // Memory that a request will hardly exceed; 0 without an estimate.
   double ExpectedMemoryMb(double estimate_mb) const;
 
-  // Takes an answer in. Returns how much slower it was than the class's best mean: 1 = as fast.
+  // Learns from a response. Returns its latency ratio: its pace over the best pace, 1 = as fast.
   double Learn(const Response& response);
 
   double mean_work() const { return mean_work_; }  // thread seconds
-  double deviation() const { return deviation_; }  // mean error of the log of expected work
+  double deviation() const { return deviation_; }  // mean error of the log of the expected work
+  // Whether enough responses have come for a best pace.
   bool known() const { return responses_ >= kMinResponses; }
 
  private:
   double Slope() const { return covariance_ / log_estimate_variance_; }
-  // What an estimate says of its query's work against the class's mean, where costs aren't reported.
+  // Work of a request with this estimate over the class's mean work, where the work isn't reported.
   double RelativeWork(double estimate) const;
   void LearnWork(double estimate, double reported);
   void LearnTime(double estimate, double time);
@@ -59,21 +64,24 @@
   void ForgetPace();
   void LearnMemory(double estimate_mb, double reported_mb);
 
-  // Regression of the log of the true work on that of its estimate: means, variance, covariance. Where costs
-  // aren't reported, of the log of the time instead.
-  double log_estimate_mean_ = 0, log_work_mean_ = 0, log_estimate_variance_ = 0.5, covariance_ = 0.5;
+  // Regression of the log of the work (or of the time, where the work isn't reported) on that of its
+  // estimate.
+  double log_estimate_mean_ = 0;
+  double log_work_mean_ = 0;
+  double log_estimate_variance_ = 0.5;
+  double covariance_ = 0.5;
   double deviation_;
   int work_samples_ = 0;
-  bool cost_reported_ = false;  // an answer has reported its cost, whatever the settings say
-  double mean_log_time_ = 0;  // where they aren't: recent mean of the log of the time, estimates allowed for
+  bool cost_reported_ = false;  // by some response, whatever the settings say
+  double mean_log_time_ = 0;    // recent, of the time over the relative work; where the work isn't reported
   double mean_work_;
-  double recent_pace_ = 0;  // recent mean of the time (over the work, where it is reported)
-  double best_pace_ = 0;    // the least recent mean seen
-  double log_memory_ratio_mean_ = 0,
-         log_memory_ratio_deviation_ = 0.2;  // of the log of memory needed over its estimate
+  double recent_pace_ = 0;  // recent mean of the time, over the work where it is reported
+  double best_pace_ = 0;    // least recent pace seen
+  // Log of the memory needed over its estimate.
+  double log_memory_ratio_mean_ = 0;
+  double log_memory_ratio_deviation_ = 0.2;
   int memory_samples_ = 0;
-  // Where costs aren't reported, the memory needed isn't either: its estimates are taken to be as rough as
-  // those of work. Mean of their log.
+  // Where the memory isn't reported its estimates are assumed to be as rough as those of the work.
   double log_memory_estimate_mean_ = 0;
   int memory_estimate_samples_ = 0;
   int responses_ = 0;
--- a/src/decision/limits/circuit_breaker.h
+++ b/src/decision/limits/circuit_breaker.h
@@ -1,9 +1,9 @@
-// A circuit breaker for one engine: opened by the share of its recent attempts that failed, closed for a
-// trial after a backoff that doubles while trials fail.
+// A circuit breaker for one engine: opened by the share of its recent attempts that failed, half open after a
+// backoff, which doubles while attempts go on failing.
 //
 // Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. Weights are those of the newest outcome in the share, 0 to 1. Owner: whoever limits. Errors:
-// none. Source: Nygard, "Release It!" (2007), chapter 5.2.
+// backwards. Weights, from 0 to 1, are those of the newest outcome in the share that failed. Owner: the
+// decision module, one for each engine. Errors: none. Source: Nygard, "Release It!" (2007), chapter 5.2.
 #ifndef LEMONCROFT_LIMITS_CIRCUIT_BREAKER_H_
 #define LEMONCROFT_LIMITS_CIRCUIT_BREAKER_H_
 
@@ -16,8 +16,8 @@
 class CircuitBreaker {
  public:
   static constexpr double kFailureThreshold = 0.25;    // share of recent attempts that failed
-  static constexpr Nanos kMinBackoff = 500'000'000;    // of the first opening ...
-  static constexpr Nanos kMaxBackoff = 4'000'000'000;  // ... and the most: troubles last 5 to 30 s
+  static constexpr Nanos kMinBackoff = 500'000'000;    // of the first opening
+  static constexpr Nanos kMaxBackoff = 4'000'000'000;  // of any opening
 
   void RecordSuccess(double weight) {
     failure_share_ -= weight * failure_share_;
@@ -37,11 +37,11 @@
     failure_share_ = kFailureThreshold;
   }
 
-  // Rests without a failure: the engine said that it is full.
+  // Opens without a failure, as for an engine that reports itself full.
   void HoldOpenUntil(Nanos until) { open_until_ = std::max(open_until_, until); }
 
   bool IsOpen(Nanos now) const { return open_until_ > now; }
-  // Half open after an opening: one attempt at a time, until successes have brought the share down.
+  // After its backoff: one attempt at a time is let through until successes have brought the share down.
   bool IsHalfOpen() const { return failure_share_ >= kFailureThreshold && backoff_ > kMinBackoff; }
 
  private:
--- a/src/decision/limits/key_queues.h
+++ b/src/decision/limits/key_queues.h
@@ -1,9 +1,9 @@
-// Requests that run one at a time for each key, in the order in which they were taken, with a rest behind an
-// attempt whose end is not known.
+// Requests that run one at a time for each ordering key, in order of arrival. After an attempt that may still
+// run the key is paused.
 //
 // Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. A key is kept while it has requests or rests. Owner: the decision module. Errors: none; what is
-// not in a queue is passed over.
+// backwards. A key is kept while it has requests or is paused. Owner: the decision module. Errors: none;
+// removing what isn't queued does nothing.
 #ifndef LEMONCROFT_LIMITS_KEY_QUEUES_H_
 #define LEMONCROFT_LIMITS_KEY_QUEUES_H_
 
@@ -31,15 +31,15 @@
     if (it != queues_.end()) std::erase(it->second.order, id);
   }
 
-  // Empties all queues; keys that rest go on resting.
+  // Empties all queues; paused keys stay paused.
   void Clear() {
     for (auto& [key, queue] : queues_) queue.order.clear();
   }
 
   void PauseUntil(Key key, Nanos until) { queues_[key].paused_until = until; }
 
-  // The request whose turn it is. None while the key rests (`TakeResumed` tells of it then) or has no
-  // request.
+  // The request whose turn it is. None if the key has no request or is paused; in the latter case TakeResumed
+  // will return the key.
   std::optional<RequestId> Front(Key key, Nanos now) {
     const auto it = queues_.find(key);
     if (it == queues_.end()) return std::nullopt;
@@ -53,7 +53,7 @@
     return std::nullopt;
   }
 
-  // Keys that were asked for while they rested, and whose rest is over; each is told once.
+  // Keys for which Front was called while they were paused and whose pause is over; each is returned once.
   std::vector<Key> TakeResumed(Nanos now) {
     std::vector<Key> keys;
     for (; !paused_.empty() && paused_.begin()->first <= now; paused_.erase(paused_.begin()))
--- a/src/decision/limits/placement.h
+++ b/src/decision/limits/placement.h
@@ -1,5 +1,5 @@
-// Where a request may run: the zones and kinds of machine that its class is bound to, and the engines that
-// discard its repeats.
+// Where a request may run: the zones and kinds of engines that its class is restricted to, and the engines
+// that recognise its repeats.
 //
 // Contract. Pure functions. Errors: none.
 #ifndef LEMONCROFT_LIMITS_PLACEMENT_H_
@@ -14,7 +14,7 @@
 
 namespace lemoncroft::limits {
 
-// Whether requests of the class may run on the engine; a class without zones or kinds isn't bound by them.
+// Whether requests of the class may run on the engine. A class without zones or kinds isn't restricted.
 inline bool PlacementAllows(const ClassSettings& settings, const EngineEntry& engine) {
   const auto within = [](const std::vector<std::uint16_t>& places, std::uint16_t place) {
     return places.empty() || std::find(places.begin(), places.end(), place) != places.end();
@@ -22,7 +22,7 @@
   return within(settings.zones, engine.zone) && within(settings.kinds, engine.kind);
 }
 
-// Whether `engine` discards repeats of what may have run on `ran`.
+// Whether `engine` recognises repeats of a request that may have run on `ran`.
 inline bool SharesRepeats(RepeatGroup group, const EngineEntry& ran, const EngineEntry& engine) {
   switch (group) {
     case RepeatGroup::kAll:
--- a/src/decision/limits/retry_budget.h
+++ b/src/decision/limits/retry_budget.h
@@ -1,8 +1,8 @@
-// A retry budget: in any span of `look_back`, attempts after a request's first may total `free` and `ratio`
-// for each request taken in it.
+// A retry budget: the retries in any `budget_window` may number `free` plus `ratio` for each request received
+// in it.
 //
 // Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. Owner: whoever limits. Errors: none.
+// backwards. Owner: the decision module. Errors: none.
 #ifndef LEMONCROFT_LIMITS_RETRY_BUDGET_H_
 #define LEMONCROFT_LIMITS_RETRY_BUDGET_H_
 
@@ -18,8 +18,8 @@
   void RecordRequest(Nanos now) { requests_.push_back(now); }
   void RecordRetry(Nanos now) { retries_.push_back(now); }
 
-  // Whether one more retry fits. The budget is divided by `parts`; retries count for `margin` longer than
-  // requests, since the span is measured where they arrive.
+  // Whether one more retry fits. `free` is divided by `parts`. Retries count for `margin` longer than
+  // requests, since engines measure the window at the arrival of retries.
   bool Allows(const AttemptBudget& budget, int parts, Nanos margin, Nanos now) {
     DropThrough(retries_, now - budget.budget_window - margin);
     DropThrough(requests_, now - budget.budget_window);
@@ -32,7 +32,8 @@
     while (!times.empty() && times.front() <= until) times.pop_front();
   }
 
-  std::deque<Nanos> requests_, retries_;
+  std::deque<Nanos> requests_;  // times, oldest first
+  std::deque<Nanos> retries_;   // likewise
 };
 
 }  // namespace lemoncroft::limits
--- a/src/decision/limits/sent_load.h
+++ b/src/decision/limits/sent_load.h
@@ -1,9 +1,9 @@
-// What one gateway has sent to one engine: what runs there now, what left for it lately, and what was given
-// up there without the engine's word and may run on.
+// The load that one gateway has put on one engine: what runs there now, what was sent recently, and the
+// backlog of attempts that were abandoned and may still run.
 //
-// Contract. No clock, no I/O. Work in thread seconds (seconds times the threads that a query runs), memory in
-// MB. `Ended` is called once for each `Sent`, with the same charge. Owner: the decision module, one for each
-// engine. Errors: none.
+// Contract. No clock, no I/O. Work in thread seconds (seconds times the threads that a request runs), memory
+// in MB. RecordEnd is called once for each RecordSend, with the same charge. Owner: the decision module, one
+// for each engine. Errors: none.
 #ifndef LEMONCROFT_LIMITS_SENT_LOAD_H_
 #define LEMONCROFT_LIMITS_SENT_LOAD_H_
 
@@ -22,7 +22,7 @@
 
 class SentLoad {
  public:
-  static constexpr double kRecentTimeConstantSeconds = 8;  // time constant of what left lately
+  static constexpr double kRecentTimeConstantSeconds = 8;  // of the recent work
 
   void RecordSend(const AttemptCharge& charge) {
     threads_[charge.light] += charge.threads;
@@ -30,21 +30,24 @@
     recent_ += charge.work;
   }
 
-  // `may_run_on`: given up without an answer. An engine may heed a cancellation late or not at all.
+  // `may_run_on`: the attempt ended without a response. An engine may act on a cancellation late or never.
   void RecordEnd(const AttemptCharge& charge, bool may_run_on) {
     threads_[charge.light] -= charge.threads;
     memory_mb_ -= charge.memory_mb;
     if (may_run_on) backlog_ += charge.work;
   }
 
-  // Time goes by; `rate`: thread seconds a second in which the engine works off what was given up there.
+  // Lets `seconds` go by. `rate`: thread seconds a second in which the engine works off the backlog.
   void Advance(double seconds, double rate) {
     recent_ *= std::exp(-seconds / kRecentTimeConstantSeconds);
     backlog_ = std::max(0.0, backlog_ - rate * seconds);
   }
 
-  // The engine was started anew: nothing of the former process runs on.
-  void ResetForRestart() { recent_ = backlog_ = 0; }
+  // The engine has restarted: nothing that its former process ran is left.
+  void ResetForRestart() {
+    recent_ = 0;
+    backlog_ = 0;
+  }
 
   double threads() const { return threads_[0] + threads_[1]; }
   double threads(bool light) const { return threads_[light]; }
@@ -53,7 +56,7 @@
   double backlog() const { return backlog_; }
 
  private:
-  std::array<double, 2> threads_{};  // of heavy and of light queries
+  std::array<double, 2> threads_{};  // of heavy and of light requests
   double memory_mb_ = 0;
   double recent_ = 0;
   double backlog_ = 0;
--- a/src/decision/limits/token_bucket.h
+++ b/src/decision/limits/token_bucket.h
@@ -1,7 +1,7 @@
-// A token bucket: so many tokens a second, at most `depth` seconds of them saved up; full at first.
+// A token bucket: `rate` tokens a second, at most `depth` seconds of them saved up; full at first.
 //
 // Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. Owner: whoever limits. Errors: none.
+// backwards. Owner: whoever limits a rate. Errors: none.
 #ifndef LEMONCROFT_LIMITS_TOKEN_BUCKET_H_
 #define LEMONCROFT_LIMITS_TOKEN_BUCKET_H_
 
@@ -12,11 +12,13 @@
 
 class TokenBucket {
  public:
-  // Takes one token, if one is there.
+  // Takes one token; returns false if there is none.
   bool Take(std::int64_t now, double rate, double depth) {
-    tokens_ += at_ < 0 ? rate * depth : rate * (static_cast<double>(now - at_) / 1e9);
+    constexpr double kNanosPerSecond = 1e9;
+    const bool first = updated_at_ < 0;
+    tokens_ += first ? rate * depth : rate * (static_cast<double>(now - updated_at_) / kNanosPerSecond);
     tokens_ = std::min(rate * depth, tokens_);
-    at_ = now;
+    updated_at_ = now;
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
@@ -24,7 +26,7 @@
 
  private:
   double tokens_ = 0;
-  std::int64_t at_ = -1;
+  std::int64_t updated_at_ = -1;  // -1: never
 };
 
 }  // namespace lemoncroft::limits
--- a/src/decision/reports/reported_load.cpp
+++ b/src/decision/reports/reported_load.cpp
@@ -42,8 +42,8 @@
 
 std::optional<double> ReportedLoad::GrantedMemoryShare(double own, double gateways) const {
   if (!granted_memory_) return std::nullopt;
-  const double each = *granted_memory_ / std::max(1.0, other_requests_ + own_requests_);
-  return std::max(0.0, *granted_memory_ + (own - own_requests_) * each * gateways);
+  const double per_request = *granted_memory_ / std::max(1.0, other_requests_ + own_requests_);
+  return std::max(0.0, *granted_memory_ + (own - own_requests_) * per_request * gateways);
 }
 
 }  // namespace lemoncroft::reports
--- a/src/decision/reports/reported_load.h
+++ b/src/decision/reports/reported_load.h
@@ -1,8 +1,9 @@
-// What the decision module knows of an engine's load by the engine's own reports: how many queries of other
-// gateways it holds, how old that figure is, and whether reports come at all.
+// The load of an engine by its own load reports: how many requests of other gateways it runs, how old that
+// figure is, and whether reports come at all.
 //
 // Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. Units: queries. Errors: none; a report without a usable value counts as missing.
+// backwards. Units: requests. Owner: the decision module, one for each engine. Errors: none; a report without
+// a usable value counts as missing.
 #ifndef LEMONCROFT_REPORTS_REPORTED_LOAD_H_
 #define LEMONCROFT_REPORTS_REPORTED_LOAD_H_
 
@@ -15,10 +16,10 @@
 
 namespace lemoncroft::reports {
 
-// Which reports the settings layout, as far as the module can use them.
+// Which usable figures the settings promise in a load report, and where they stand.
 struct ReportLayout {
-  std::optional<std::size_t> inflight;  // its position in a report; none: reports tell nothing of use
-  std::optional<std::size_t> memory;    // likewise of the share of memory granted
+  std::optional<std::size_t> inflight;  // position of the requests in flight; none: no usable reports
+  std::optional<std::size_t> memory;    // position of the share of memory granted
   bool in_responses = false;            // else in the results of probes alone
 
   static ReportLayout FromSettings(const Settings& settings);
@@ -27,33 +28,33 @@
 
 class ReportedLoad {
  public:
-  // Takes the report of an answer or a probe, of which `own` queries are this gateway's. Returns whether it
-  // told the engine's load.
+  // Takes the report of a response or a probe. `own`: requests of this gateway at the engine now. Returns
+  // whether the report had the requests in flight.
   bool Update(const ReportLayout& layout, const LoadReport& report, double own, Nanos now);
   // A report was due and none came.
   void RecordMissing() { missing_reports_ += missing_reports_ < kMaxMissingReports; }
 
-  // Whether the last report is young enough to decide by.
+  // Whether the last report is recent enough to decide by.
   bool IsFresh(Nanos now) const { return reported_at_ >= 0 && now - reported_at_ < kFreshDuration; }
-  // Whether the engine doesn't keep the layout: what depends on its reports goes on without them.
+  // Whether the engine sends no reports although the settings promise them.
   bool IsSilent() const { return missing_reports_ >= kMaxMissingReports; }
-  // Queries that other gateways run there, by the last report.
+  // Requests of other gateways at the time of the last report.
   double other_requests() const { return other_requests_; }
-  // The same now, when this gateway has `own` there: the others have read the same report, and each is taken
-  // to have sent as much since.
+  // The same now. Each other gateway that shares the engine has read the same report, and is assumed to have
+  // sent as much since as this one, which now has `own` requests there.
   double OtherRequests(double own, double gateways) const {
     return std::max(0.0, other_requests_ + (own - own_requests_) * (gateways - 1));
   }
-  // The share of the engine's memory that is granted, with `own` queries of this gateway there now in the
-  // position of those at the last report. Nothing where reports don't tell it.
+  // The share of the engine's memory that is granted now, by the same assumption; none if unreported.
   std::optional<double> GrantedMemoryShare(double own, double gateways) const;
 
  private:
-  static constexpr Nanos kFreshDuration = 1'000'000'000;  // a load older than this has changed
-  static constexpr int kMaxMissingReports = 3;  // in a row: one or two may be lost with their answers
+  static constexpr Nanos kFreshDuration = 1'000'000'000;  // of a report
+  static constexpr int kMaxMissingReports = 3;            // in a row
 
   Nanos reported_at_ = -1;
-  double other_requests_ = 0, own_requests_ = 0;
+  double other_requests_ = 0;
+  double own_requests_ = 0;
   std::optional<double> granted_memory_;
   int missing_reports_ = 0;
 };
--- a/src/decision/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -1,10 +1,10 @@
-// The listed engines in rendezvous order, kept by key: a gateway ranks all of them for the table group of
-// each request, and neither the keys nor the engines change nearly as often as requests come.
+// Cache of the rendezvous order of the listed engines, by key. Engines are ranked for the table group of each
+// request, while table groups and engines change rarely.
 //
-// Contract. What Rank() does depends on the engines, the key and `allowed` alone. Its owner calls Clear()
-// whenever an engine comes, goes or changes its `listed`: the orders point to the engines. Bounded by
-// kPlacesMost pointers in all. Owner: one thread. Units: engines. Errors: none. Source: Thaler and
-// Ravishankar 1998.
+// Contract. The result of Rank() depends only on the engines, the key and `allowed`. The owner calls Clear()
+// whenever an engine is added or removed or changes its `listed`, since the cache points to the engines. It
+// holds at most kMaxCachedEntries pointers. Owner: the decision module; one thread. Errors: none. Source:
+// Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998).
 #ifndef LEMONCROFT_SUBSET_RANKING_CACHE_H_
 #define LEMONCROFT_SUBSET_RANKING_CACHE_H_
 
@@ -32,7 +32,7 @@
     entries_ = 0;
   }
 
-  // Numbers the allowed ones among the listed engines by their `rank`, the highest hash first: how many.
+  // Sets the `rank` of each listed engine that is allowed, 0 for the highest hash. Returns their number.
   template <typename Allowed>
   std::size_t Rank(std::map<EngineId, Engine>& engines, std::uint64_t key, const Allowed& allowed) {
     std::size_t ranked = 0;
--- a/src/decision/subset/subset.h
+++ b/src/decision/subset/subset.h
@@ -1,9 +1,8 @@
-// The engines that one gateway of many sends to: its part of a large fleet, which it meets often enough to
-// learn it and keep connections warm.
+// The subset of engines that one gateway of many sends to: small enough that the gateway learns their load
+// and keeps connections to them.
 //
-// Contract. Pure functions of their arguments; all gateways that pass the same engines get parts that fit
-// together. docs/design.md tells why subsets. Units: engines. Errors: none; a fleet without gateways counts
-// as one of one.
+// Contract. Pure functions. Gateways that pass the same engines get subsets that spread evenly. Units:
+// engines. Errors: none; less than one gateway counts as one. docs/design.md has the reasons.
 #ifndef LEMONCROFT_SUBSET_SUBSET_H_
 #define LEMONCROFT_SUBSET_SUBSET_H_
 
@@ -15,7 +14,7 @@
 
 namespace lemoncroft::subset {
 
-// A mixing function, so that all gateways rank engines alike: splitmix64 (Steele, Lea, Flood 2014).
+// A hash that is the same in all gateways: splitmix64 (Steele, Lea, Flood 2014).
 inline std::uint64_t Mix(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -23,19 +22,19 @@
   return x ^ (x >> 31);
 }
 
-// The engines in an order that only they and the key make.
+// The engines in rendezvous order for the key: highest hash of key and engine first.
 std::vector<EngineId> RankByHash(const std::vector<EngineId>& engines, std::uint64_t key);
 
-// How many of so many engines one of `gateways` sends to.
+// Size of the subset of each of `gateways`.
 std::size_t SubsetSize(std::size_t engines, int gateways);
 
-// By rendezvous hashing of the gateway's number: an engine that comes or goes moves few others. How many
-// gateways meet on an engine is up to chance.
+// The subset by rendezvous hashing of the gateway's number. An engine that comes or goes changes few subsets,
+// but the number of gateways of one engine is random.
 std::vector<EngineId> SubsetByHash(const std::vector<EngineId>& engines, int gateways, int self);
 
-// By the gateway's place among those known to live: a window on the ring of engines. Every engine is in as
-// many windows as any other, but for one; an engine or a gateway that comes or goes moves each window by one
-// at the most.
+// The subset by the gateway's rank among the live gateways: a window on the ring of engines. The numbers of
+// gateways of any two engines differ by at most one; an engine or a gateway that comes or goes moves each
+// window by at most one engine.
 std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways, int place);
 
 // The greatest number of gateways that have one engine in their windows.
--- a/src/decision/subset/warm_tables.h
+++ b/src/decision/subset/warm_tables.h
@@ -1,6 +1,6 @@
-// The table groups that an engine is assumed to hold warm: those that it has read last.
+// The table groups that an engine is assumed to have in memory: those that it has read last.
 //
-// Contract. No clock, no I/O. Errors: none.
+// Contract. No clock, no I/O. Owner: the decision module, one for each engine. Errors: none.
 #ifndef LEMONCROFT_SUBSET_WARM_TABLES_H_
 #define LEMONCROFT_SUBSET_WARM_TABLES_H_
 
@@ -13,7 +13,7 @@
 
 class WarmTables {
  public:
-  // A query on this group goes to the engine; the group read longest ago gives way.
+  // A request for this group goes to the engine. The group read longest ago is dropped.
   void RecordRead(std::uint32_t group) {
     std::erase(groups_, group);
     groups_.push_front(group);
