--- a/tests/class_estimates_test.cpp
+++ b/tests/class_estimates_test.cpp
@@ -1,4 +1,4 @@
-// Tests of what answers teach about a class of queries.
+// What responses teach about a class of requests.
 #include "decision/estimates/class_estimates.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   EXPECT_LT(estimates.deviation(), 0.1);
 }
 
-// Times that scatter by themselves and by what the estimate tells of them, on a fleet of a given pace.
+// Times that scatter by themselves and with their estimates, on a fleet of a given pace.
 void LearnTimes(ClassEstimates& estimates, int answers, double pace) {
   for (int i = 0; i < answers; ++i) {
     const double work = 0.2 * std::exp(0.3 * (i % 5 - 2));
@@ -46,7 +46,7 @@
   EXPECT_LT(estimates.deviation(), 0.5);
 }
 
-// Boxoffice: a grant of a third more than a raw estimate was too little for many, and they spilled.
+// A fixed margin over a raw estimate is too little for many requests, which spill.
 TEST(ClassEstimates, MemoryThatIsNeverToldIsExpectedAsRoughlyAsWorkIsEstimated) {
   ClassEstimates estimates(1, false);
   for (int i = 0; i < 350; ++i) {
@@ -76,7 +76,7 @@
   EXPECT_NEAR(estimates.ExpectedTime(work), 3 * work, 0.6 * work);
 }
 
-// Times over told work and times alone are two units: a class that mixes them expects nonsense.
+// Times over reported work and times alone are different units, which a class must not mix.
 TEST(ClassEstimates, CostsThatAFewAnswersTellAreNotMixedWithTimes) {
   for (const bool settings_tell : {true, false}) {
     ClassEstimates estimates(0.25, settings_tell);
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Cold engines under the sum of what a whole fleet of gateways sends, in virtual time: 20, 30 and 300
-// modules, which share nothing, with equal and with skewed traffic, with restarts of most of them at once.
+// Engines in slow start under the load of a whole fleet of gateways, in virtual time: 20, 30 and 300 modules,
+// which share nothing, with equal and with skewed traffic, and with restarts of most of them at once.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -74,8 +74,8 @@
 }
 
 struct Outcomes {
-  // Calls of mean work that the first cold engine got within any window of the settings' length, over what it
-  // may get then: at most 1 where the fleet keeps to N + 2 root N + 2.
+  // Calls of mean work that the first engine in slow start got in any overload window, over what it may get:
+  // at most 1 if the fleet keeps to N + 2 sqrt(N) + 2.
   double worst = 0;
   double sent = 0;  // calls of mean work in all
 };
@@ -224,7 +224,7 @@
 
 TEST(ColdFleet, TwentyKeepToTheBudgetTogether) { KeepsTo(Plan{20}, {0.7, 1.3}, {false, true}); }
 TEST(ColdFleet, ThirtyKeepToTheBudgetTogether) { KeepsTo(Plan{30}, {0.7, 1.3}, {false, true}); }
-// With subsets an engine is beyond those of most, who come as well where nobody in theirs has room.
+// Most gateways have the engine outside their subsets, and use it only if none inside has room.
 TEST(ColdFleet, ThreeHundredKeepToTheBudgetTogether) {
   Plan plan{300};
   plan.warm_up = 1500 * kMs;
@@ -234,9 +234,8 @@
   KeepsTo(plan, {1.3}, {true});
 }
 
-// With many small calls chance has little part in it, and seven in ten gateways start anew within a window.
-// That a new one has nothing to spend at first doesn't show here, since so much is never sent: Rule4 has a
-// test of it.
+// With many small calls chance has little effect, and seven in ten gateways restart within a window. That a
+// new gateway has no credit at first doesn't show here, since so much is never sent: Rule4 has a test of it.
 TEST(ColdFleet, SmallCallsAndRestartsKeepToTheBudgetTogether) {
   for (const Nanos restart : {200 * kMs, 500 * kMs, 900 * kMs}) {
     for (const bool skewed : {false, true}) {
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -1,6 +1,4 @@
-// An engine that is jammed: it takes attempts and answers none, and may work on behind a cancellation. Seen
-// on a drawn site of 8 gateways before 40 engines, of whose cores 0.45 were asked for: 0.32 of the look-ups
-// were served in time, where a forwarder that cancels nothing served 0.99.
+// A jammed engine: it accepts attempts, responds to none, and may go on working after a cancellation.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,7 +23,7 @@
   return settings;
 }
 
-// Plays so many requests, one in 20 ms, of which the jammed engine answers none. Returns its attempts.
+// Plays so many requests, one in 20 ms; the jammed engine responds to none. Returns its attempts.
 int PlayBesideJam(Host& host, RequestId first, int requests) {
   int jammed = 0;
   std::map<RequestId, Nanos> answers;  // that come later
@@ -57,8 +55,7 @@
   EXPECT_LE(late, 5);
 }
 
-// The work of an attempt that was given up may run on: the engine is loaded, though nothing of ours runs
-// there.
+// The work of an abandoned attempt may go on: the engine is loaded though no attempt is in flight there.
 TEST(EngineJam, WhatWasGivenUpWeighsOnItsEngine) {
   Host host(WithoutReports());
   host.List(Engines(1));
@@ -78,7 +75,7 @@
   EXPECT_EQ(there, 0);
 }
 
-// Every gateway sends a group of tables to the same homes, and sees its own part of their load alone.
+// All gateways prefer the same engines for a table group, and each sees only its own part of their load.
 TEST(EngineJam, AHomeIsPreferredOnlyUpToWhatFillsIt) {
   constexpr int kRequests = 1000, kFirst = 3000;  // until the demand that a start assumes is forgotten
   Settings settings = WithoutReports();
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -9,8 +9,8 @@
 namespace lemoncroft {
 namespace {
 
-// Incident i4016ea: with hundreds of gateways one query each at every engine is a flood. A gateway's heavy
-// queries pay for their thread seconds, and without credit none leaves unless an engine is seen to be idle.
+// With hundreds of gateways one heavy request of each at every engine is an overload. Heavy requests are
+// charged to the gateway's credit; without credit none leaves unless an engine is idle.
 TEST(Share, HeavyQueriesAreHeldToAPartOfTheFleet) {
   Settings s = SomeSettings();
   s.gateways = 100;
@@ -27,8 +27,8 @@
   EXPECT_LE(host.sends.size(), 8u) << "twenty engines run none of ours, but the share is of all gateways";
 }
 
-// Attempts of one query of a class, each of `time`, while the fleet is slow and a heavy class, which is worth
-// 12 for a second of one thread, has spent the credit of one gateway of a hundred.
+// Attempts of one request of the class, which takes `time`, while the fleet is slow and a heavy class, whose
+// weight is 12 for a thread second, has spent the credit of one gateway of a hundred.
 int AttemptsWithoutCredit(const ClassSettings& class_id, Nanos time) {
   Settings s = SomeSettings();
   s.gateways = 100;
@@ -52,16 +52,15 @@
   return host.Attempts(1000);
 }
 
-// Boxoffice, calm+mass: light queries made half of the load, and each went out at once while the fleet was
-// slow; those of the heavy class, worth three times as much a thread second, were held behind them for 5 to
-// 11 s.
+// Light requests may be half of the load. If they always went first, requests of a heavy class with a higher
+// weight for a thread second would wait behind them.
 TEST(Share, ALightClassGoesAheadWithoutCreditOnlyWhereItMakesMoreOfTheEnginesTime) {
   EXPECT_EQ(AttemptsWithoutCredit(SomeClass(2), 100 * kMs), 1);
   EXPECT_EQ(AttemptsWithoutCredit(SomeClass(1), 100 * kMs), 0) << "the heavy class earns a fifth more";
 }
 
-// Kigali, retune+scrape: loads, which earned a third of what reports did in the engines' time, left without
-// credit and spent it for both; reports were held, and served 0.63 where loads were served 0.88.
+// Loads that leave without credit spend it for all heavy classes, also for those with a higher weight for a
+// thread second.
 TEST(Share, LoadsGoWithoutCreditOnlyWhereNoHeavyClassEarnsMore) {
   ClassSettings load = SomeClass(13);
   load.holds_tables = true;
@@ -70,7 +69,7 @@
   EXPECT_EQ(AttemptsWithoutCredit(load, kSecond), 0);
 }
 
-// The same incident: nearly all load is others', so a heavy query waits to be told of an engine's load.
+// With many gateways nearly all load is that of others, so that a heavy request waits for a load report.
 TEST(Share, AHeavyQueryAsksAnEnginesLoadBeforeItGoes) {
   Settings s = SomeSettings();
   s.gateways = 100;
@@ -115,8 +114,7 @@
   return s;
 }
 
-// Kigali, big-2 of the simulator: four gateways read of an idle engine in the same report and sent it 27, 26,
-// 21 and 20 queries before the next one.
+// All gateways see an engine as idle in the same report, and all send to it before the next one.
 TEST(Reports, OtherGatewaysAreTakenToSendAsMuchSinceAReport) {
   Settings s = WithReports();
   Host host(s);
@@ -129,8 +127,7 @@
   EXPECT_LE(host.sends.size(), 4u) << "four gateways share 12 threads: one and a half a core";
 }
 
-// The same day: engines let queries in beyond their memory, and all that ran there stood nearly still (memory
-// granted 3.0, disks busy 0.04).
+// Engines admit requests beyond their memory, and then all that run there come to a standstill.
 TEST(Reports, AnEngineWhoseMemoryIsGrantedTakesNoMore) {
   Settings s = WithReports();
   s.memory_short = MemoryShort::kSwap;
@@ -145,9 +142,8 @@
   EXPECT_EQ(host.Attempts(1), 1);
 }
 
-// The same day: once a class's answers had been slower than its aim, all of it was turned away at once,
-// nothing was sent whose answer would have told otherwise, and 1,100 requests were refused beside idle
-// engines.
+// A class whose recent responses missed its latency objective is rejected at once. Without an exploratory
+// request now and then no response would show that the engines have become idle.
 TEST(Reports, AClassThatItsPaceRulesOutSendsATrialNowAndThen) {
   Settings s = SomeSettings();
   s.classes[0].late_weight_share = 0;
@@ -181,8 +177,7 @@
   EXPECT_EQ(served(), 20) << "trials have shown the pace";
 }
 
-// Half of oslo-main-later's reports spilled: a small gateway has a dozen answers to learn a class's bias
-// from.
+// A small gateway has only a dozen responses to learn a class's bias from.
 TEST(Memory, AFewAnswersTellHowFarEstimatesLie) {
   Settings s = SomeSettings();
   s.honors_memory_grants = true;
@@ -200,8 +195,8 @@
     e.finished = true;
     host.Step({e});
   }
-  EXPECT_GE(host.terms[12].grant_mb, 180);
-  EXPECT_LE(host.terms[12].grant_mb, 300);
+  EXPECT_GE(host.grants[12].grant_mb, 180);
+  EXPECT_LE(host.grants[12].grant_mb, 300);
 }
 
 }  // namespace
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -12,7 +12,7 @@
 namespace lemoncroft {
 namespace {
 
-// Makes every engine of the host report itself busy, so that the bounds bind.
+// Makes every engine of the host report itself busy, so that the concurrency limits apply.
 void MakeBusy(Host& host, RequestId first, int n) {
   for (int i = 0; i < n; ++i) {
     RequestId id = first + static_cast<RequestId>(i);
@@ -48,12 +48,12 @@
   draining.readiness = Readiness::kDraining;
   host.List({draining});
   host.Step({Ask(1)});
-  EXPECT_FALSE(host.refused.contains(1)) << "the feed's engines come and go by themselves";
+  EXPECT_FALSE(host.rejected.contains(1)) << "the feed's engines come and go by themselves";
   host.List({out}, ListKind::kChange);
-  EXPECT_TRUE(host.refused.contains(1));
+  EXPECT_TRUE(host.rejected.contains(1));
   host.Step({Ask(2)});
-  EXPECT_TRUE(host.refused.contains(2));
-  EXPECT_EQ(host.advice[2], 2 * kSecond);
+  EXPECT_TRUE(host.rejected.contains(2));
+  EXPECT_EQ(host.retry_after[2], 2 * kSecond);
   host.List({Ready(1)}, ListKind::kChange);
   host.Step({Ask(3)});
   EXPECT_EQ(host.Attempts(3), 1);
@@ -122,7 +122,7 @@
   EXPECT_EQ(busy.sends.size(), 6u) << "1.5 threads x 8 cores / 2 gateways";
 }
 
-// Many gateways that each add a first heavy query to a full engine bring it down together.
+// Many gateways that each add a first heavy request to a full engine overload it together.
 TEST(Bound, NoFirstHeavyQueryOnAnEngineThatOthersCrowd) {
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5)};
@@ -145,8 +145,8 @@
   EXPECT_EQ(host.Attempts(3), 1) << "the report is no longer fresh";
 }
 
-// While queries are held the bound steps up; without a gain in throughput the step is taken back, and while
-// aims hold it doesn't fall under its seed.
+// While requests are pending the limit is raised; without a gain in throughput the step is taken back. While
+// latency objectives are met it doesn't fall below its seed.
 TEST(Bound, StepsUpAndTakesBackAStepThatDidNotPay) {
   Settings s = SomeSettings();
   s.classes[0].latency_objective = s.classes[0].deadline = 60 * kSecond;
@@ -182,7 +182,7 @@
   EXPECT_LE(most, 8u);
 }
 
-// Incident i9a47c6: a class of many short queries must not wait for the heavy lane.
+// Many short requests must not wait for heavy ones.
 TEST(Bound, LightQueriesAreCountedApart) {
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5, 4)};
@@ -205,8 +205,7 @@
   EXPECT_NEAR(count[1], 20, 8);
 }
 
-// Incident i4f0e97: a query whose aim is out of reach at the present pace is turned away, not sent to be
-// late.
+// A request that can't meet its latency objective at the recent pace is rejected, not sent to be late.
 TEST(Release, NothingIsSentThatCannotMeetItsAimAtThePresentPace) {
   Settings s = SomeSettings();
   s.classes[0].late_weight_share = 0;
@@ -215,16 +214,16 @@
   host.List({Ready(1)});
   for (RequestId id = 1; id <= 60; ++id) {  // ten times the time of an idle engine
     host.Step({Ask(id)});
-    if (host.refused.contains(id)) continue;
+    if (host.rejected.contains(id)) continue;
     host.End(id, Outcome::kOk, kSecond, 100 * kMs);
   }
   host.List({});
   host.Step({Ask(100)});
   host.RunUntil(host.now + 500 * kMs);
-  EXPECT_TRUE(host.refused.contains(100));
+  EXPECT_TRUE(host.rejected.contains(100));
 }
 
-// A fifth of oslo-main-later's sends met a load that held their table group at another gateway's word.
+// A reader would wait at an engine for the load of another gateway that holds its table group.
 TEST(Choice, LoadsAndReadersOfATableGroupNeverShareAnEngine) {
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5, 2)};
--- a/tests/gateway_health_test.cpp
+++ b/tests/gateway_health_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_GT(to_bad(100, false), 10);
 }
 
-// A client that sends what no engine can use gets errors from all of them, and must not have them ejected.
+// A request that no engine can serve must not eject them all.
 TEST(Health, AQueryThatIsAnErrorEverywhereEjectsNoEngine) {
   Settings s = SomeSettings();
   s.max_attempts = 5;
@@ -40,7 +40,7 @@
   RequestId id = 1;
   for (; id <= 40; ++id) {
     host.Step({Ask(id)});
-    while (!host.refused.contains(id)) host.End(id, Outcome::kError);
+    while (!host.rejected.contains(id)) host.End(id, Outcome::kError);
     EXPECT_EQ(host.Attempts(id), 3) << "three engines agree";
   }
   std::set<EngineId> used;
@@ -53,9 +53,8 @@
   EXPECT_EQ(used.size(), 4u);
 }
 
-// Kigali, retune+scrape: an engine that failed four attempts in five within milliseconds looked idle while
-// all others were busy. Held reports went there again and again, 187 of 390 attempts in 5 s, until none was
-// left; and since nobody else served them, the engine was not blamed.
+// An engine that fails most attempts within milliseconds looks idle. Requests that it failed must not go
+// there again while another engine is left, or it would never be blamed.
 TEST(Health, AQueryThatAnEngineFailedWaitsForAnother) {
   Settings s = SomeSettings();
   s.report_fields.clear();
@@ -81,7 +80,7 @@
   EXPECT_EQ(host.engine_of[waits], 2u);
 }
 
-// Where no other engine is left the same one has to do.
+// Without another engine the request is retried at the same one.
 TEST(Health, AQueryThatTheOnlyEngineFailedGoesThereAgain) {
   Host host(SomeSettings());
   host.List({Ready(1)});
@@ -90,7 +89,7 @@
   EXPECT_EQ(host.Attempts(1), 2);
 }
 
-// Answers are lost on the way from all engines alike: that ejects none, unless nearly all are.
+// Lost responses concern all engines alike. They eject one only if it loses nearly all.
 TEST(Health, LostAnswersEjectOnlyAnEngineThatLosesMost) {
   for (const int one_in : {5, 1}) {
     Host host(SomeSettings());
@@ -107,7 +106,7 @@
   }
 }
 
-// A silent engine holds every attempt for long: two are enough.
+// A silent engine delays each attempt for long, so that two are enough to eject it.
 TEST(Health, AnEngineGoneSilentIsEjected) {
   Host host(SomeSettings());
   host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
@@ -122,7 +121,7 @@
   EXPECT_LE(to_silent, 3);
 }
 
-// A load that hangs would do so until its client gives up; while its repeats are discarded it goes elsewhere.
+// A hung keyed attempt is cancelled and retried elsewhere while its repeats are still recognised.
 TEST(Health, AHungLoadIsTriedElsewhereWellWithinItsDeadline) {
   Settings s = SomeSettings();
   s.reports_cost = true;
@@ -145,7 +144,7 @@
   EXPECT_NE(host.engine_of[99], hung);
 }
 
-// On an engine that is still cold a load takes long without hanging: cut short, all its work would be lost.
+// During slow start a load takes long without hanging. Cancelling it would lose its work.
 TEST(Health, ALoadOnAColdEngineIsLeftToRun) {
   Settings s = SomeSettings();
   s.reports_cost = true;
@@ -168,8 +167,7 @@
   EXPECT_FALSE(host.cancels.contains(99));
 }
 
-// An engine that leaves a part of its queries hanging answers the rest as fast as ever: what is heavy, and
-// lost when it hangs, keeps away from it.
+// An engine that hangs some requests responds fast to the others. Heavy requests, which lose most, avoid it.
 TEST(Health, HeavyQueriesKeepAwayFromAnEngineThatHangsSome) {
   Settings s = SomeSettings();
   s.reports_cost = true;
@@ -195,7 +193,7 @@
   EXPECT_LT(heavy_to_sick, heavy / 8) << heavy;
 }
 
-// An engine that accepts and never answers looks idle but for its attempts being overdue.
+// An engine that accepts requests and never responds shows only by its overdue attempts.
 TEST(Health, OverdueAttemptsWeighOnTheirEngine) {
   Settings s = SomeSettings();
   s.may_cancel = false;
@@ -218,8 +216,8 @@
   EXPECT_EQ(to_hung, 0);
 }
 
-// Boxoffice, calm+mass: a quarter of the light attempts were called off at 2.5 to 4 times what an estimate
-// said that lay by half and scattered, and their work was done again.
+// Estimates may be biased and scatter. Honest attempts must not be cancelled for it and their work done
+// twice.
 TEST(Health, WhereCostsAreUntoldTheTimesTellHowFarAnHonestAttemptMayStray) {
   Settings s = SomeSettings();
   s.classes[0].deadline = 60 * kSecond;
@@ -238,8 +236,8 @@
   EXPECT_TRUE(host.cancels.contains(100)) << "it hangs";
 }
 
-// Found by a bench day that ended in a fault: a class that turns heavy while a light attempt of it runs lost
-// its time limit, and its check came due again and again within one step.
+// A class that turns heavy while a light attempt of it runs loses its runaway timeout. The check of that
+// attempt must not come due again and again within one step.
 TEST(Health, AClassThatTurnsHeavyLeavesNoEndlessCheck) {
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5)};
@@ -258,8 +256,7 @@
   EXPECT_EQ(host.Attempts(1), 1);
 }
 
-// Found by a hunt (hd39902): full answers were tried again at once, 22,000 in five seconds, and each was work
-// for a cold engine.
+// Attempts rejected as full must not be retried at the same engine at once: each rejection is work for it.
 TEST(Health, AnEngineThatSaidFullRests) {
   Settings s = SomeSettings();
   s.max_attempts = 6;
@@ -273,7 +270,7 @@
   EXPECT_EQ(host.Attempts(1), 2);
 }
 
-// Where every class is keyed, an ejected engine must come back all the same.
+// An ejected engine must come back even if every class is keyed.
 TEST(Health, AnEngineOfKeyedClassesComesBackFromProbation) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -1,4 +1,5 @@
-// One decision module under the hand of a test: its host, and settings, engines and requests to begin with.
+// A host for tests of one Gateway: it keeps the time, records actions and delivers events. Also settings,
+// engines and requests to start from.
 #ifndef LEMONCROFT_TESTS_GATEWAY_HOST_H_
 #define LEMONCROFT_TESTS_GATEWAY_HOST_H_
 
@@ -16,7 +17,7 @@
 inline constexpr Nanos kMs = 1'000'000;
 inline constexpr Nanos kSecond = 1000 * kMs;
 
-// A host of one gateway: it keeps the clock, carries the actions out on paper and lets time pass.
+// Drives one Gateway in virtual time. Records actions instead of carrying them out.
 class Host {
  public:
   explicit Host(Settings settings, std::uint64_t seed = 7) : gateway_(std::move(settings), seed) {}
@@ -29,30 +30,13 @@
     Nanos not_after;
   };
 
+  // Passes the events to the gateway and records the actions that it returns.
   void Step(std::vector<Event> events) {
     std::vector<Action> actions;
     gateway_.Step(now, events, actions);
-    for (const Action& a : actions) {
-      if (auto* s = std::get_if<Send>(&a)) {
-        sends.push_back({s->id, s->engine, attempts_[s->id]++, now, s->not_after});
-        engine_of[s->id] = s->engine;
-      } else if (auto* r = std::get_if<RejectRequest>(&a)) {
-        refused[r->id] = now;
-        advice[r->id] = r->retry_after;
-      } else if (auto* f = std::get_if<Fail>(&a)) {
-        failed[f->id] = now;
-      } else if (auto* c = std::get_if<Cancel>(&a)) {
-        cancels.insert(c->id);
-      } else if (auto* t = std::get_if<ResourceGrant>(&a)) {
-        terms[t->id] = *t;
-      } else if (auto* p = std::get_if<Probe>(&a)) {
-        probes.push_back(p->engine);
-      } else if (auto* w = std::get_if<WakeAt>(&a)) {
-        wakes_.insert(w->at);
-      }
-    }
+    for (const Action& action : actions) Record(action);
   }
-  // Fires the timers that come due on the way to `at`.
+  // Lets time pass until `at` and fires the timers that come due.
   void RunUntil(Nanos at) {
     while (!wakes_.empty() && *wakes_.begin() <= at) {
       now = *wakes_.begin();
@@ -61,9 +45,11 @@
     }
     now = at;
   }
+  // Delivers an endpoint list.
   void List(std::vector<EngineEntry> entries, ListKind kind = ListKind::kFull) {
     Step({EngineList{kind, std::make_shared<const std::vector<EngineEntry>>(std::move(entries))}});
   }
+  // Ends the last attempt of the request.
   void End(RequestId id, Outcome outcome, Nanos waited = kMs, Nanos work = 0, bool finished = false) {
     AttemptEnded e;
     e.id = id;
@@ -79,13 +65,35 @@
 
   Nanos now = 100 * kSecond;
   std::vector<Sent> sends;
-  std::map<RequestId, EngineId> engine_of;
-  std::map<RequestId, Nanos> refused, failed, advice;
+  std::map<RequestId, EngineId> engine_of;  // of the last attempt
+  std::map<RequestId, Nanos> rejected;      // when
+  std::map<RequestId, Nanos> failed;        // when
+  std::map<RequestId, Nanos> retry_after;   // of rejected requests
   std::set<RequestId> cancels;
   std::vector<EngineId> probes;
-  std::map<RequestId, ResourceGrant> terms;
+  std::map<RequestId, ResourceGrant> grants;  // the last one
 
  private:
+  void Record(const Action& action) {
+    if (auto* send = std::get_if<Send>(&action)) {
+      sends.push_back({send->id, send->engine, attempts_[send->id]++, now, send->not_after});
+      engine_of[send->id] = send->engine;
+    } else if (auto* reject = std::get_if<RejectRequest>(&action)) {
+      rejected[reject->id] = now;
+      retry_after[reject->id] = reject->retry_after;
+    } else if (auto* fail = std::get_if<Fail>(&action)) {
+      failed[fail->id] = now;
+    } else if (auto* cancel = std::get_if<Cancel>(&action)) {
+      cancels.insert(cancel->id);
+    } else if (auto* grant = std::get_if<ResourceGrant>(&action)) {
+      grants[grant->id] = *grant;
+    } else if (auto* probe = std::get_if<Probe>(&action)) {
+      probes.push_back(probe->engine);
+    } else if (auto* wake = std::get_if<WakeAt>(&action)) {
+      wakes_.insert(wake->at);
+    }
+  }
+
   Gateway gateway_;
   std::map<RequestId, int> attempts_;
   std::multiset<Nanos> wakes_;
--- a/tests/gateway_requests_test.cpp
+++ b/tests/gateway_requests_test.cpp
@@ -15,9 +15,9 @@
   host.List({});
   host.Step({Ask(1, 0, 2 * kSecond)});
   host.RunUntil(host.now + 2 * kSecond - kMs);
-  ASSERT_TRUE(host.refused.contains(1));
+  ASSERT_TRUE(host.rejected.contains(1));
   EXPECT_TRUE(host.sends.empty());
-  EXPECT_EQ(host.advice[1], 2 * kSecond);
+  EXPECT_EQ(host.retry_after[1], 2 * kSecond);
 }
 
 TEST(Rule1, ATimeoutAtTheDeadlineIsAnswered) {
@@ -26,7 +26,7 @@
   host.Step({Ask(1)});
   host.RunUntil(host.now + 4 * kSecond);
   host.End(1, Outcome::kTimeout, 4 * kSecond);
-  EXPECT_EQ(host.refused.count(1) + host.failed.count(1), 1u);
+  EXPECT_EQ(host.rejected.count(1) + host.failed.count(1), 1u);
 }
 
 TEST(Rule1, NothingIsSentOnceTheClientIsGone) {
@@ -49,7 +49,7 @@
   host.End(1, Outcome::kReset);
   EXPECT_EQ(host.Attempts(1), 2);
   EXPECT_TRUE(host.failed.contains(1));
-  EXPECT_FALSE(host.refused.contains(1));
+  EXPECT_FALSE(host.rejected.contains(1));
 }
 
 TEST(Rule2, AKeyedRequestStaysInItsGroupAndWindow) {
@@ -99,8 +99,7 @@
   EXPECT_EQ(host.Attempts(2), 1);
 }
 
-// Lost answers: a keyed attempt that stays silent is called off while its repeat is still discarded, not
-// before.
+// A keyed attempt without a response is cancelled near the end of its repeat window, not before.
 TEST(Rule2, ASilentKeyedAttemptIsRepeatedAtTheEndOfItsWindow) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
@@ -119,7 +118,7 @@
   EXPECT_LE(host.sends.back().at, start + s.classes[0].repeat_window);
 }
 
-// A connection that comes up late must not carry a repeat past the window in which engines discard it.
+// A slow connection must not delay a repeat beyond the window in which engines recognise it.
 TEST(Rule2, AKeyedRepeatLeavesWithinItsWindowCountedFromTheFirstSend) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
@@ -150,7 +149,7 @@
   EXPECT_EQ(host.sends.back().not_after, kNoLimit);
 }
 
-// A load that should take longer than its window is no runaway at the window's end.
+// A load that is expected to outlast its repeat window is no runaway at the window's end.
 TEST(Rule2, AKeyedAttemptExpectedToOutlastItsWindowIsLeftToRun) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -31,10 +31,10 @@
   draining.readiness = Readiness::kDraining;
   host.List({draining}, ListKind::kChange);
   host.End(2, Outcome::kFull);
-  EXPECT_FALSE(host.refused.contains(2));
+  EXPECT_FALSE(host.rejected.contains(2));
   after.max_attempts = 1;
   host.Step({SettingsChanged{std::make_shared<const Settings>(after), {0, 1}}});
-  EXPECT_TRUE(host.refused.contains(2)) << "held for an attempt that is no more allowed";
+  EXPECT_TRUE(host.rejected.contains(2)) << "held for an attempt that is no more allowed";
 }
 
 TEST(Closing, AnswersWhatIsOpenByWhatMayHaveRun) {
@@ -50,13 +50,13 @@
   host.List({draining}, ListKind::kChange);
   host.Step({Ask(3, 1)});
   host.Step({Closing{}});
-  EXPECT_TRUE(host.refused.contains(1));
+  EXPECT_TRUE(host.rejected.contains(1));
   EXPECT_TRUE(host.failed.contains(2)) << "it may have run";
-  EXPECT_TRUE(host.refused.contains(3)) << "held: it never ran";
+  EXPECT_TRUE(host.rejected.contains(3)) << "held: it never ran";
   EXPECT_EQ(host.cancels, (std::set<RequestId>{1, 2}));
 }
 
-// The repeat may still wait for its connection when its class turns unsafe.
+// The repeat may still wait for its connection when its class becomes unsafe.
 TEST(ApplySettings, ARepeatThatIsNoLongerAllowedIsCalledOff) {
   Settings before = SomeSettings();
   Host host(before);
--- a/tests/gateway_slow_start_test.cpp
+++ b/tests/gateway_slow_start_test.cpp
@@ -51,8 +51,8 @@
   EXPECT_LT(sent(2), 0.65 * sent(1));
 }
 
-// What can't be done within its client's patience is no demand: a huge estimate would else buy this gateway
-// the whole of a cold engine's budget.
+// Work beyond the client's timeout is no demand: otherwise a huge estimate would give this gateway the whole
+// slow-start budget of an engine.
 TEST(Rule4, AHugeEstimateIsNoDemand) {
   Settings s = SomeSettings();
   s.slow_start_initial_share = 0.3;
@@ -74,8 +74,8 @@
   EXPECT_LE(sent[1], sent[0] + sent[0] / 4) << sent[0];
 }
 
-// Found on a bench day: a cold engine that was left alone for 13 s had credit saved up at every gateway and
-// was rushed. All gateways together send no more than its budget in any window, and still send something.
+// Credit must not be saved up at every gateway for an engine that was left alone. All gateways together send
+// no more than its budget in any window, and still send something.
 TEST(Rule4, AllGatewaysTogetherKeepAColdEnginesBudget) {
   Settings s = SomeSettings();
   s.gateways = 100;
@@ -95,7 +95,7 @@
   EXPECT_LE(sent, 2.5 * 0.76 * 8 * 1.5) << "multiple x present share x cores x window";
 }
 
-// The process that it takes the place of may have spent the window a moment ago.
+// Its predecessor may have spent the budget of the window a moment ago.
 TEST(Rule4, ARestartedGatewayHasNothingToSpendOnAColdEngineAtFirst) {
   Settings s = WithColdEngines();
   int at_once = 0, later = 0;
@@ -112,8 +112,8 @@
   EXPECT_GT(later, 40) << "a window's worth is earned within the window";
 }
 
-// A cold engine's budget, divided by who is known to live: all gateways together stay within what it bears,
-// also when every one of them is flooded and would guess that the whole demand is its own.
+// The slow-start budget is divided by the number of live gateways: all together keep it, even if each of them
+// is overloaded and would take the whole demand for its own.
 TEST(FleetSize, TogetherKeepWithinAColdEnginesBudget) {
   Settings s = SomeSettings();
   s.overload_window = kSecond;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// The arithmetic that the decision module limits by (src/decision/limits/).
+// The parts of the decision module that limit (src/decision/limits/).
 #include <gtest/gtest.h>
 
 #include <cmath>
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -15,8 +15,7 @@
 namespace lemoncroft {
 namespace {
 
-// Days at size: a hundred gateways that each sent to all sixty engines met every one seldom, and paid a
-// handshake at nearly every attempt. Each sends to a subset of its own, and every engine is in some.
+// The engines that gateway number `self` sends to.
 std::set<EngineId> EnginesUsed(Settings s, int self, int engines) {
   s.self = self;
   s.report_fields = {};
@@ -65,7 +64,7 @@
   return engines;
 }
 
-// The engines in the order that the ranks give.
+// The engines in the order of their ranks.
 std::vector<EngineId> ByRank(const RankedEngines& engines, std::size_t ranked) {
   std::vector<EngineId> order(ranked);
   for (const auto& [id, engine] : engines)
@@ -125,7 +124,7 @@
   }
 }
 
-// Loads go to the last half of the order alone: an engine that came after the order was made has its place.
+// Loads go only to the last half of the order. An engine that is listed later must get its rank.
 TEST(RankingCache, TheModuleRanksAnewWhenTheListChanges) {
   Settings s = SomeSettings();
   s.gateways = 1;
@@ -148,8 +147,7 @@
   EXPECT_TRUE(host.engine_of.contains(2)) << "three of the five that take loads are ready";
 }
 
-// By place every engine is in as many subsets as any other, but for one, and little moves when one comes or
-// goes.
+// Subsets by membership rank spread evenly, and an engine or gateway that comes or goes changes little.
 TEST(Subset, ByPlaceIsEvenAndMovesLittle) {
   std::vector<EngineId> engines;
   for (EngineId id = 1; id <= 80; ++id) engines.push_back(id * 977);
