--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -135,7 +135,8 @@
   bool SlowStartAllows(const RequestState& request, EngineState& engine);
   double SlowStartShare(const EngineState& engine) const;
   double SlowStartRate(const EngineState& engine) const;
-  double SlowStartCharge(const RequestState& request, const EngineState& engine) const;
+  // What the request takes from a slow-start budget of `rate`.
+  double SlowStartCharge(const RequestState& request, double rate) const;
 
   // ---- Choice among the engines that can take a request ----
   EngineState* ChooseEngine(const RequestState& request);
@@ -208,22 +209,22 @@
   double WeightRate(std::size_t class_id) const;
   // Duration of an attempt at the fleet's present pace.
   double ExpectedSeconds(const RequestState& request) const {
-    return Estimates(request).Time(request.work) / request.threads;
+    return Estimates(request).ExpectedTime(request.work) / request.threads;
   }
   double MemoryNeed(const RequestState& request) const {
-    return Estimates(request).MemoryMb(request.spec.est_memory_mb);
+    return Estimates(request).ExpectedMemoryMb(request.spec.est_memory_mb);
   }
   // Speed of the engine's responses against the fleet's, at most 1.
   double RelativeSpeed(const EngineState& engine) const;
   // Requests of other gateways at the engine, from its last load report.
   double OtherGatewaysRequests(const EngineState& engine) const {
-    return engine.reported_load.Others(static_cast<double>(engine.in_flight.size()),
-                                       max_gateways_per_engine_);
+    return engine.reported_load.OtherRequests(static_cast<double>(engine.in_flight.size()),
+                                              max_gateways_per_engine_);
   }
   // Threads at the engine, of all gateways as far as known.
   double ThreadsInUse(const EngineState& engine) const {
     const double others =
-        engine.reported_load.Fresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.threads() : 0;
+        engine.reported_load.IsFresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.threads() : 0;
     return engine.sent_load.threads() + others;
   }
 
@@ -232,7 +233,7 @@
 
   // Configuration.
   Settings settings_;
-  reports::Promise report_layout_;
+  reports::ReportLayout report_layout_;
   std::optional<FleetSize> fleet_size_;  // none: the settings tell
   int process_parts_ = 1;                // that budgets are divided by
   bool loads_block_readers_ = false;     // some class waits for loads of its table group
@@ -280,6 +281,23 @@
   Nanos next_wake_at_ = -1;
 };
 
+// Small functions that every decision calls for many engines.
+
+inline bool Scheduler::Available(const EngineState& engine) const {
+  return engine.Serving() && !engine.breaker.IsOpen(now_);
+}
+
+inline bool Scheduler::InSlowStart(const EngineState& engine) const {
+  const Nanos started_at = engine.entry.started_at;
+  if (settings_.overload_window <= 0 || settings_.overload_factor <= 0 || started_at <= 0) return false;
+  return now_ - started_at <= settings_.slow_start_duration + settings_.overload_window;
+}
+
+inline double Scheduler::SlowStartRate(const EngineState& engine) const {
+  const double capacity_share = limits::SlowStartCapacityShare(settings_, now_ - engine.entry.started_at);
+  return kSlowStartSafetyFactor * settings_.overload_factor * capacity_share * engine.cores;
+}
+
 inline bool Scheduler::IsLight(std::size_t class_id) const {
   return estimates_[class_id].mean_work() <= kLightWorkShare * heaviest_class_work_;
 }
--- a/src/decision/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -1,10 +1,10 @@
-// The listed engines in rendezvous order, kept by key: a gateway ranks all of them for the table group of
-// each request, and neither the keys nor the engines change nearly as often as requests come.
+// Cache of the rendezvous order of the listed engines, by key. Engines are ranked for the table group of each
+// request, while table groups and engines change rarely.
 //
-// Contract. What Rank() does depends on the engines, the key and `allowed` alone. Its owner calls Clear()
-// whenever an engine comes, goes or changes its `listed`: the orders point to the engines. Bounded by
-// kPlacesMost pointers in all. Owner: one thread. Units: engines. Errors: none. Source: Thaler and
-// Ravishankar 1998.
+// Contract. The result of Rank() depends only on the engines, the key and `allowed`. The owner calls Clear()
+// whenever an engine is added or removed or changes its `listed`, since the cache points to the engines. It
+// holds at most kMaxCachedEntries pointers. Owner: the decision module; one thread. Errors: none. Source:
+// Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998).
 #ifndef LEMONCROFT_SUBSET_RANKING_CACHE_H_
 #define LEMONCROFT_SUBSET_RANKING_CACHE_H_
 
@@ -25,14 +25,14 @@
 template <typename Engine>
 class RankingCache {
  public:
-  static constexpr std::size_t kMaxCachedPlaces = std::size_t{1} << 20;  // 8 MB
+  static constexpr std::size_t kMaxCachedEntries = std::size_t{1} << 20;  // 8 MB
 
   void Clear() {
     orders_.clear();
-    places_ = 0;
+    entries_ = 0;
   }
 
-  // Numbers the allowed ones among the listed engines by their `rank`, the highest hash first: how many.
+  // Sets the `rank` of each listed engine that is allowed, 0 for the highest hash. Returns their number.
   template <typename Allowed>
   std::size_t Rank(std::map<EngineId, Engine>& engines, std::uint64_t key, const Allowed& allowed) {
     std::size_t ranked = 0;
@@ -41,15 +41,15 @@
     return ranked;
   }
 
-  std::size_t places() const { return places_; }
+  std::size_t entries() const { return entries_; }
 
  private:
   const std::vector<Engine*>& Ordered(std::map<EngineId, Engine>& engines, std::uint64_t key) {
     const auto known = orders_.find(key);
     if (known != orders_.end()) return known->second;
-    if (places_ + engines.size() > kMaxCachedPlaces) Clear();
+    if (entries_ + engines.size() > kMaxCachedEntries) Clear();
     const std::vector<Engine*>& order = orders_.emplace(key, Sorted(engines, key)).first->second;
-    places_ += order.size();
+    entries_ += order.size();
     return order;
   }
 
@@ -66,7 +66,7 @@
   }
 
   std::unordered_map<std::uint64_t, std::vector<Engine*>> orders_;
-  std::size_t places_ = 0;  // in all orders
+  std::size_t entries_ = 0;  // in all orders
 };
 
 }  // namespace lemoncroft::subset
