--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -11,8 +11,8 @@
 #include <sstream>
 #include <thread>
 
-#include "cli/config.h"
 #include "peer_transport/link.h"
+#include "proxy/config.h"
 #include "raft/codec.h"
 #include "replicated_config/document.h"
 #include "storage/database.h"
@@ -61,14 +61,14 @@
 
 Document ParseOrThrow(const std::string& text, const char* of) {
   auto read = replicated_config::ParseDocument(text);
-  if (!read) throw ConfigError(std::string(of) + ":\n" + read.error().Text());
+  if (!read) throw proxy::ConfigError(std::string(of) + ":\n" + read.error().Text());
   return std::move(*read);
 }
 
 std::string TextOf(const RulesCommand& command, std::uint64_t version) {
   if (version == 0) return {};
   const ordered_json answer = Ask(command, {{"call", "text"}, {"version", version}});
-  if (answer.contains("error")) throw ConfigError(answer["error"].get<std::string>());
+  if (answer.contains("error")) throw proxy::ConfigError(answer["error"].get<std::string>());
   return answer.at("text").get<std::string>();
 }
 
@@ -191,10 +191,10 @@
   storage::Database::Options terms;
   terms.path = command.store;
   terms.owner = command.fleet + "/" + command.who;
-  if (!std::ifstream(command.store)) throw ConfigError(command.store + ": no store there");
+  if (!std::ifstream(command.store)) throw proxy::ConfigError(command.store + ": no store there");
   storage::Database database(terms);
   const auto opened = database.Open();
-  if (!opened) throw ConfigError(opened.error().ToString());
+  if (!opened) throw proxy::ConfigError(opened.error().ToString());
   const storage::StoreContents& contents = *opened;
   raft::HardState promise;
   raft::Snapshot snapshot;
@@ -224,7 +224,8 @@
   const std::string store = contents.records.contains("store") ? contents.records.at("store") : "1";
   batch.records = {{"promise", raft::Encode(promise)}, {"founders", command.who + " " + store + "\n"}};
   batch.log.emplace_back(entry.index, raft::Encode(entry));
-  if (const auto written = database.Write(batch); !written) throw ConfigError(written.error().ToString());
+  if (const auto written = database.Write(batch); !written)
+    throw proxy::ConfigError(written.error().ToString());
   std::printf(
       "%s is the only voter from log entry %llu on. Start it, then let others in: rules voters in NAME\n",
       command.who.c_str(), static_cast<unsigned long long>(entry.index));
@@ -243,7 +244,7 @@
       text << std::cin.rdbuf();
     } else {
       std::ifstream file(command.file, std::ios::binary);
-      if (!file) throw ConfigError(command.file + ": cannot be read");
+      if (!file) throw proxy::ConfigError(command.file + ": cannot be read");
       text << file.rdbuf();
     }
     return Propose(command, ParseOrThrow(text.str(), command.file.c_str()));
--- a/src/cli/rules_command.h
+++ b/src/cli/rules_command.h
@@ -1,7 +1,7 @@
 // The `lemoncroft rules` sub-commands: show and change the replicated configuration through a running proxy,
 // and recover from the permanent loss of a majority of the voters.
 //
-// Errors: ConfigError for unusable input; otherwise an exit code.
+// Errors: proxy::ConfigError for unusable input; otherwise an exit code.
 #ifndef LEMONCROFT_CLI_RULES_COMMAND_H_
 #define LEMONCROFT_CLI_RULES_COMMAND_H_
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,14 +8,14 @@
 #include <string>
 #include <utility>
 
-#include "cli/config.h"
-#include "cli/fleet.h"
 #include "cli/log.h"
-#include "cli/proxy.h"
 #include "cli/rules_command.h"
-#include "cli/state.h"
 #include "operator_config/operator_file.h"
 #include "peer_transport/link.h"
+#include "proxy/config.h"
+#include "proxy/fleet.h"
+#include "proxy/proxy.h"
+#include "proxy/state.h"
 
 namespace {
 
@@ -31,14 +31,14 @@
 
 int CheckConfig(const Options& options) {
   using namespace lemoncroft;
-  const cli::Config config = cli::LoadConfig(options.config);
+  const proxy::Config config = proxy::LoadConfig(options.config);
   for (const settings::Finding& finding : config.findings)
     if (finding.severity == settings::Severity::kWarning)
       std::printf("%s: warning: %s\n", options.config.c_str(), finding.text.c_str());
   try {
-    cli::CheckFigures(config);
-  } catch (const cli::ConfigError& e) {
-    throw cli::ConfigError(options.config + ": " + e.what());
+    proxy::CheckFigures(config);
+  } catch (const proxy::ConfigError& e) {
+    throw proxy::ConfigError(options.config + ": " + e.what());
   }
   if (!options.operator_file.empty()) operator_config::LoadOperatorFile(options.operator_file, config.site);
   std::printf("%s: good: %s on %s, %zu classes\n", options.config.c_str(), config.name.c_str(),
@@ -53,7 +53,7 @@
 }
 
 int Serve(const Options& options) {
-  using namespace lemoncroft::cli;
+  using namespace lemoncroft::proxy;
   Config config = LoadConfig(options.config);
   CheckServable(config);
   LogFindings(config);
@@ -66,13 +66,13 @@
 // The file that a running proxy keeps up to date for the command, as its operator's file names it.
 std::string StateFile(const Options& options, const std::string& command) {
   using namespace lemoncroft;
-  if (options.operator_file.empty()) throw cli::ConfigError(command + ": give --state or --operator");
+  if (options.operator_file.empty()) throw proxy::ConfigError(command + ": give --state or --operator");
   const operator_config::OperatorFile file =
-      operator_config::LoadOperatorFile(options.operator_file, cli::LoadConfig(options.config).site);
+      operator_config::LoadOperatorFile(options.operator_file, proxy::LoadConfig(options.config).site);
   std::string state;
   if (command == "peers" && file.fleet) state = file.fleet->state;
   if (command == "waiting" && file.waiting) state = file.waiting->state;
-  if (state.empty()) throw cli::ConfigError(options.operator_file + ": names no state file for " + command);
+  if (state.empty()) throw proxy::ConfigError(options.operator_file + ": names no state file for " + command);
   return state;
 }
 
@@ -80,11 +80,11 @@
 void Locate(const Options& options, lemoncroft::cli::RulesCommand& command) {
   using namespace lemoncroft;
   if (!command.fleet.empty() && (!command.at.empty() || command.what == "refound")) return;
-  if (options.operator_file.empty()) throw cli::ConfigError("rules: give --operator, or --fleet and --at");
-  const cli::Config config = cli::LoadConfig(options.config);
+  if (options.operator_file.empty()) throw proxy::ConfigError("rules: give --operator, or --fleet and --at");
+  const proxy::Config config = proxy::LoadConfig(options.config);
   const operator_config::OperatorFile file =
       operator_config::LoadOperatorFile(options.operator_file, config.site);
-  if (!file.fleet || !file.rules) throw cli::ConfigError(options.operator_file + ": has no `rules`");
+  if (!file.fleet || !file.rules) throw proxy::ConfigError(options.operator_file + ": has no `rules`");
   command.fleet = file.fleet->name;
   if (command.at.empty())
     for (const gossip::Endpoint& listen : file.fleet->listen)
@@ -175,11 +175,11 @@
   }
   const bool shows = *waiting || *peers;
   if (options.config.empty() && !(shows && !options.state.empty()))
-    throw lemoncroft::cli::ConfigError("no configuration: give --config or set PROXY_CONFIG");
+    throw lemoncroft::proxy::ConfigError("no configuration: give --config or set PROXY_CONFIG");
   if (shows) {
     if (options.state.empty()) options.state = StateFile(options, *peers ? "peers" : "waiting");
-    return *peers ? lemoncroft::cli::ShowPeers(options.state, options.json)
-                  : lemoncroft::cli::ShowState(options.state, options.json);
+    return *peers ? lemoncroft::proxy::ShowPeers(options.state, options.json)
+                  : lemoncroft::proxy::ShowState(options.state, options.json);
   }
   return *check ? CheckConfig(options) : Serve(options);
 }
@@ -187,7 +187,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  lemoncroft::cli::HoldSignals();
+  lemoncroft::proxy::HoldSignals();
   try {
     return Run(argc, argv);
   } catch (const std::exception& e) {
--- a/src/cli/config.cpp
+++ b/src/proxy/config.cpp
@@ -1,4 +1,4 @@
-#include "cli/config.h"
+#include "proxy/config.h"
 
 #include <spdlog/spdlog.h>
 
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 namespace {
 
 using codec::Json;
@@ -178,4 +178,4 @@
   }
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/config.h
+++ b/src/proxy/config.h
@@ -1,6 +1,6 @@
 // The proxy's configuration: the JSON file that PROXY_CONFIG names.
-#ifndef LEMONCROFT_CLI_CONFIG_H_
-#define LEMONCROFT_CLI_CONFIG_H_
+#ifndef LEMONCROFT_PROXY_CONFIG_H_
+#define LEMONCROFT_PROXY_CONFIG_H_
 
 #include <cstdint>
 #include <map>
@@ -15,7 +15,7 @@
 #include "settings/check.h"
 #include "settings/settings.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 // What is wrong with a configuration, in one plain line.
 class ConfigError : public std::runtime_error {
@@ -61,6 +61,6 @@
 // Nested JSON as path=value pairs in the form of the simulator's first message.
 settings::Pairs Flatten(const codec::Json& settings);
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_CONFIG_H_
+#endif  // LEMONCROFT_PROXY_CONFIG_H_
--- a/src/cli/fleet.cpp
+++ b/src/proxy/fleet.cpp
@@ -1,4 +1,4 @@
-#include "cli/fleet.h"
+#include "proxy/fleet.h"
 
 #include <spdlog/spdlog.h>
 
@@ -9,10 +9,10 @@
 #include <cstring>
 #include <nlohmann/json.hpp>
 
-#include "cli/state.h"
-#include "cli/state_writer.h"
+#include "proxy/state.h"
+#include "proxy/state_writer.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -251,4 +251,4 @@
 
 int ShowPeers(const std::string& path, bool json) { return ShowFile(path, json, Print); }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/fleet.h
+++ b/src/proxy/fleet.h
@@ -1,7 +1,7 @@
 // The proxy's part in its fleet: owns the Link, logs membership events, and provides the metrics and the
 // state file that `lemoncroft peers` shows. Exists only if the operator's file has a `fleet` node.
-#ifndef LEMONCROFT_CLI_FLEET_H_
-#define LEMONCROFT_CLI_FLEET_H_
+#ifndef LEMONCROFT_PROXY_FLEET_H_
+#define LEMONCROFT_PROXY_FLEET_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,12 +9,12 @@
 #include <utility>
 #include <vector>
 
-#include "cli/operations.h"
 #include "decision/limits/token_bucket.h"
 #include "operator_config/operator_file.h"
 #include "peer_transport/link.h"
+#include "proxy/operations.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 class Fleet {
  public:
@@ -50,6 +50,6 @@
 // out of date; 3 if members are suspected or failed, a name is contested, or views differ.
 int ShowPeers(const std::string& path, bool json);
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_FLEET_H_
+#endif  // LEMONCROFT_PROXY_FLEET_H_
--- a/src/cli/operations.cpp
+++ b/src/proxy/operations.cpp
@@ -1,8 +1,8 @@
-#include "cli/operations.h"
+#include "proxy/operations.h"
 
 #include <spdlog/spdlog.h>
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 using admin::Call;
 using admin::Reply;
@@ -77,4 +77,4 @@
   directory_.ImportEjections(ejections->ejected, ejections->returned_at, on_update_);
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/operations.h
+++ b/src/proxy/operations.h
@@ -2,8 +2,8 @@
 //
 // Contract. State of the proxy without I/O but for the ejection store. Owner: the event loop's thread.
 // Errors: a call that can't be carried out is answered with the reason.
-#ifndef LEMONCROFT_CLI_OPERATIONS_H_
-#define LEMONCROFT_CLI_OPERATIONS_H_
+#ifndef LEMONCROFT_PROXY_OPERATIONS_H_
+#define LEMONCROFT_PROXY_OPERATIONS_H_
 
 #include <functional>
 #include <memory>
@@ -18,7 +18,7 @@
 #include "hot_restart/ejection_store.h"
 #include "metrics/counters.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 class Operations {
  public:
@@ -73,6 +73,6 @@
   Phase phase_ = Phase::kStarting;
 };
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_OPERATIONS_H_
+#endif  // LEMONCROFT_PROXY_OPERATIONS_H_
--- a/src/cli/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,4 +1,4 @@
-#include "cli/proxy.h"
+#include "proxy/proxy.h"
 
 #include <spdlog/spdlog.h>
 #include <sys/signalfd.h>
@@ -15,18 +15,18 @@
 #include "admin/listener.h"
 #include "backend/engines.h"
 #include "broker/broker.h"
-#include "cli/fleet.h"
-#include "cli/operations.h"
-#include "cli/replicated_config_service.h"
-#include "cli/state.h"
-#include "cli/state_writer.h"
 #include "discovery/endpoint_directory.h"
 #include "discovery/endpoint_watch.h"
 #include "frontend/frame_server.h"
 #include "hot_restart/process_registry.h"
 #include "operator_config/operator_file.h"
+#include "proxy/fleet.h"
+#include "proxy/operations.h"
+#include "proxy/replicated_config_service.h"
+#include "proxy/state.h"
+#include "proxy/state_writer.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -490,4 +490,4 @@
   return 0;
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,12 +1,12 @@
 // The whole proxy, wired together: runs until a signal has ended it; SIGHUP has it read its file again.
-#ifndef LEMONCROFT_CLI_PROXY_H_
-#define LEMONCROFT_CLI_PROXY_H_
+#ifndef LEMONCROFT_PROXY_PROXY_H_
+#define LEMONCROFT_PROXY_PROXY_H_
 
 #include <string>
 
-#include "cli/config.h"
+#include "proxy/config.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 // Holds back the signals that the proxy handles until it can. The first thing a program does: a SIGHUP that
 // came before would end it.
@@ -22,6 +22,6 @@
 // wrong.
 int RunProxy(Config config, const Paths& paths);
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_PROXY_H_
+#endif  // LEMONCROFT_PROXY_PROXY_H_
--- a/src/cli/replicated_config_calls.cpp
+++ b/src/proxy/replicated_config_calls.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "cli/replicated_config_service.h"
-#include "cli/state.h"
+#include "proxy/replicated_config_service.h"
+#include "proxy/state.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 using nlohmann::ordered_json;
 using replicated_config::Version;
@@ -159,4 +159,4 @@
   co_return Error("unknown call '" + what + "'");
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/replicated_config_ejections.cpp
+++ b/src/proxy/replicated_config_ejections.cpp
@@ -1,10 +1,10 @@
 // Manual ejections in a ReplicatedConfigService: takes effect here first, then becomes a change of the fleet.
 #include <algorithm>
 
-#include "cli/replicated_config_service.h"
-#include "cli/state.h"
+#include "proxy/replicated_config_service.h"
+#include "proxy/state.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 using replicated_config::Document;
 using replicated_config::Version;
@@ -115,4 +115,4 @@
   co_return reply;
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -1,15 +1,15 @@
-#include "cli/replicated_config_service.h"
+#include "proxy/replicated_config_service.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <random>
 
-#include "cli/config.h"
-#include "cli/state.h"
-#include "cli/voter_store.h"
+#include "proxy/config.h"
+#include "proxy/state.h"
+#include "proxy/voter_store.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 using replicated_config::Document;
 using replicated_config::Version;
@@ -419,4 +419,4 @@
   co_return co_await AwaitCompletion(id);
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -12,8 +12,8 @@
 // Errors: the constructor throws ConfigError where this proxy is a voter without a store.
 //
 // Design: docs/agreement.md.
-#ifndef LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
-#define LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
+#ifndef LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
+#define LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
 
 #include <functional>
 #include <map>
@@ -26,15 +26,15 @@
 
 #include "admin/listener.h"
 #include "broker/lease_fence.h"
-#include "cli/fleet.h"
 #include "discovery/endpoint_directory.h"
 #include "operator_config/operator_file.h"
+#include "proxy/fleet.h"
 #include "replicated_config/config_replica.h"
 #include "replicated_config/document.h"
 #include "replicated_config/notification_pacer.h"
 #include "storage/worker.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 class ReplicatedConfigService : public broker::LeaseFence {
  public:
@@ -149,6 +149,6 @@
   bool isolated_ = false;
 };
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
+#endif  // LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
--- a/src/cli/state.cpp
+++ b/src/proxy/state.cpp
@@ -1,4 +1,4 @@
-#include "cli/state.h"
+#include "proxy/state.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -11,7 +11,7 @@
 
 #include "runtime/descriptor.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 using nlohmann::ordered_json;
 
@@ -107,4 +107,4 @@
 
 int ShowState(const std::string& path, bool json) { return ShowFile(path, json, Print); }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/state.h
+++ b/src/proxy/state.h
@@ -1,7 +1,7 @@
 // What a running proxy tells of itself to operators: a state file, replaced whole once a second, and the
 // command that shows it. A file that can't be written costs a log line, never a request.
-#ifndef LEMONCROFT_CLI_STATE_H_
-#define LEMONCROFT_CLI_STATE_H_
+#ifndef LEMONCROFT_PROXY_STATE_H_
+#define LEMONCROFT_PROXY_STATE_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,7 +11,7 @@
 #include "admission_queue/admission_queue.h"
 #include "runtime/loop.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 // The state as JSON text.
 std::string StateText(const std::string& proxy, const admission_queue::AdmissionQueue::State& state);
@@ -30,6 +30,6 @@
 // longer kept up to date.
 int ShowState(const std::string& path, bool json);
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_STATE_H_
+#endif  // LEMONCROFT_PROXY_STATE_H_
--- a/src/cli/state_writer.cpp
+++ b/src/proxy/state_writer.cpp
@@ -1,4 +1,4 @@
-#include "cli/state_writer.h"
+#include "proxy/state_writer.h"
 
 #include <spdlog/spdlog.h>
 
@@ -10,9 +10,9 @@
 #include <thread>
 #include <utility>
 
-#include "cli/state.h"
+#include "proxy/state.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 struct StateWriter::Shared {
   std::mutex mutex;
@@ -53,4 +53,4 @@
   shared_->wake.notify_one();
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/state_writer.h
+++ b/src/proxy/state_writer.h
@@ -4,13 +4,13 @@
 // Contract. The newest text wins: one that was not written when the next comes is never written. A file that
 // can't be written costs a log line, the first time. Owner: one object on the loop; its destructor doesn't
 // wait for a disk that is slow.
-#ifndef LEMONCROFT_CLI_STATE_WRITER_H_
-#define LEMONCROFT_CLI_STATE_WRITER_H_
+#ifndef LEMONCROFT_PROXY_STATE_WRITER_H_
+#define LEMONCROFT_PROXY_STATE_WRITER_H_
 
 #include <memory>
 #include <string>
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 class StateWriter {
  public:
@@ -26,6 +26,6 @@
   std::shared_ptr<Shared> shared_;
 };
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_STATE_WRITER_H_
+#endif  // LEMONCROFT_PROXY_STATE_WRITER_H_
--- a/src/cli/voter_store.cpp
+++ b/src/proxy/voter_store.cpp
@@ -1,4 +1,4 @@
-#include "cli/voter_store.h"
+#include "proxy/voter_store.h"
 
 #include <charconv>
 #include <sstream>
@@ -7,7 +7,7 @@
 
 #include "raft/codec.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 namespace {
 
@@ -80,4 +80,4 @@
   return out;
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/voter_store.h
+++ b/src/proxy/voter_store.h
@@ -2,8 +2,8 @@
 // "founders", "promise" and "snapshot", and the Raft log.
 //
 // Contract: pure functions; the names and bytes are the stored format.
-#ifndef LEMONCROFT_CLI_VOTER_STORE_H_
-#define LEMONCROFT_CLI_VOTER_STORE_H_
+#ifndef LEMONCROFT_PROXY_VOTER_STORE_H_
+#define LEMONCROFT_PROXY_VOTER_STORE_H_
 
 #include <cstdint>
 #include <optional>
@@ -12,7 +12,7 @@
 #include "replicated_config/config_replica.h"
 #include "storage/database.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 storage::WriteBatch EncodeStoreId(std::uint64_t store);
 storage::WriteBatch EncodeBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters);
@@ -22,6 +22,6 @@
 [[nodiscard]] std::optional<replicated_config::StoredState> DecodeStore(
     const storage::StoreContents& contents);
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_VOTER_STORE_H_
+#endif  // LEMONCROFT_PROXY_VOTER_STORE_H_
--- a/src/testing/benchmark/hollow_fleet.cpp
+++ b/src/testing/benchmark/hollow_fleet.cpp
@@ -61,7 +61,7 @@
           [](const std::string&) { return replicated_config::Span(); }};
 }
 
-// One proxy without clients and engines, wired as in cli::Fleet and cli::ReplicatedConfigService.
+// One proxy without clients and engines, wired as in proxy::Fleet and proxy::ReplicatedConfigService.
 class HollowProxy {
  public:
   HollowProxy(runtime::Loop& loop, const HollowPlan& plan, std::size_t i)
--- a/src/testing/benchmark/scale_view.cpp
+++ b/src/testing/benchmark/scale_view.cpp
@@ -134,7 +134,7 @@
           (after.syncs - before.syncs) / member_seconds};
 }
 
-// As cli::ReplicatedConfigService does at each change: every proxy publishes its version, paced.
+// As proxy::ReplicatedConfigService does at each change: every proxy publishes its version, paced.
 void TellAttributes(PeerFleet& fleet, const ViewPlan& plan) {
   const Instant begun = fleet.now(), until = begun + Seconds(plan.tell_seconds);
   std::vector<replicated_config::NotificationPacer> paces;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "cli/config.h"
 #include "codec/json.h"
 #include "discovery/endpoint_directory.h"
 #include "discovery/endpoint_watch.h"
 #include "gossip/membership_view.h"
 #include "hot_restart/ejection_store.h"
 #include "peer_transport/frame.h"
+#include "proxy/config.h"
 #include "replicated_config/config_state_machine.h"
 #include "replicated_config/document.h"
 #include "runtime/loop.h"
@@ -84,10 +84,10 @@
 };
 
 TEST(Scale, SettingsWithFifteenHundredNames) {
-  const cli::Config config =
-      cli::ReadConfig(ConfigText("a", Document(1, Event(1, true, Engines(0, kEngines)))));
+  const proxy::Config config =
+      proxy::ReadConfig(ConfigText("a", Document(1, Event(1, true, Engines(0, kEngines)))));
   EXPECT_TRUE(config.findings.empty()) << config.findings.front().text;
-  EXPECT_NO_THROW(cli::CheckFigures(config));
+  EXPECT_NO_THROW(proxy::CheckFigures(config));
   ASSERT_EQ(config.site.classes.size(), static_cast<std::size_t>(kNames));
   EXPECT_EQ(config.site.module.classes[kNames - 1].zones, std::vector<std::uint16_t>{kNames - 1});
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
@@ -101,8 +101,8 @@
 
 // All names change while a request of each is under way: both sets are in force for a while.
 TEST(Scale, AReloadThatChangesFifteenHundredNames) {
-  const settings::Site before = cli::ReadConfig(ConfigText("a", Document(0, ""))).site;
-  const settings::Site after = cli::ReadConfig(ConfigText("b", Document(0, ""))).site;
+  const settings::Site before = proxy::ReadConfig(ConfigText("a", Document(0, ""))).site;
+  const settings::Site after = proxy::ReadConfig(ConfigText("b", Document(0, ""))).site;
   settings::ReferencedNumbers used;
   for (std::uint16_t i = 0; i < kNames; ++i) used.classes.insert(i), used.tenants.insert(i);
   const settings::Migration migration = settings::MigrateSettings(before, after, used);
--- a/tests/scenario_parsers.cpp
+++ b/tests/scenario_parsers.cpp
@@ -1,11 +1,11 @@
 // The parsers as parties of a scenario. Incremental ones are fed byte by byte.
 #include <functional>
 
-#include "cli/config.h"
 #include "codec/frame.h"
 #include "codec/http.h"
 #include "codec/json.h"
 #include "codec/statement.h"
+#include "proxy/config.h"
 #include "scenario.h"
 
 namespace lemoncroft::scenario {
@@ -74,7 +74,7 @@
 }
 
 std::string Settings(const std::string& text) {
-  const settings::Site site = settings::ParseSite(cli::Flatten(codec::Json::Parse(text)));
+  const settings::Site site = settings::ParseSite(proxy::Flatten(codec::Json::Parse(text)));
   std::string out = std::to_string(site.module.gateways);
   for (std::size_t i = 0; i < site.classes.size(); ++i) {
     out += " " + site.classes[i] + ":" + std::to_string(site.module.classes[i].threads);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 
 #include "admin/call.h"
-#include "cli/config.h"
 #include "metrics/counters.h"
+#include "proxy/config.h"
 
 namespace lemoncroft {
 namespace {
@@ -46,11 +46,11 @@
 
 bool Taken(const std::string& text) {
   try {
-    const cli::Config config = cli::ReadConfig(text);
-    cli::CheckFigures(config);
-    cli::CheckShape(config, cli::ReadConfig(kFile));
+    const proxy::Config config = proxy::ReadConfig(text);
+    proxy::CheckFigures(config);
+    proxy::CheckShape(config, proxy::ReadConfig(kFile));
     return true;
-  } catch (const cli::ConfigError& e) {
+  } catch (const proxy::ConfigError& e) {
     EXPECT_STRNE(e.what(), "");
     return false;
   }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "cli/config.h"
 #include "discovery/endpoint_directory.h"
 #include "lemoncroft/gateway.h"
+#include "proxy/config.h"
 #include "settings/check.h"
 #include "settings/migration.h"
 
@@ -68,18 +68,18 @@
   return config;
 }
 
-cli::Config Read(const json& config) { return cli::ReadConfig(config.dump()); }
+proxy::Config Read(const json& config) { return proxy::ReadConfig(config.dump()); }
 
-std::vector<std::string> TextsOf(const cli::Config& config) {
+std::vector<std::string> TextsOf(const proxy::Config& config) {
   std::vector<std::string> texts;
   for (const settings::Finding& finding : config.findings) texts.push_back(finding.text);
   return texts;
 }
 
 TEST(SettingsCheck, HasNothingToSayOfGoodSettings) {
-  const cli::Config config = Read(GoodConfig());
+  const proxy::Config config = Read(GoodConfig());
   EXPECT_EQ(TextsOf(config), std::vector<std::string>());
-  EXPECT_NO_THROW(cli::CheckFigures(config));
+  EXPECT_NO_THROW(proxy::CheckFigures(config));
 }
 
 struct Fault {
@@ -188,8 +188,8 @@
 TEST(SettingsCheck, TellsEachFaultInAPlainLine) {
   for (const Fault& fault : Faults()) {
     SCOPED_TRACE(fault.path + " = " + fault.value.dump());
-    const cli::Config config = Read(With(fault.path, fault.value));
-    EXPECT_NO_THROW(cli::CheckServable(config));
+    const proxy::Config config = Read(With(fault.path, fault.value));
+    EXPECT_NO_THROW(proxy::CheckServable(config));
     if (fault.text.empty()) {
       EXPECT_EQ(TextsOf(config), std::vector<std::string>());
       continue;
@@ -198,9 +198,9 @@
     EXPECT_NE(std::find(config.findings.begin(), config.findings.end(), expected), config.findings.end())
         << "said: " << json(TextsOf(config)).dump();
     if (fault.severity == Severity::kWarning)
-      EXPECT_NO_THROW(cli::CheckFigures(config));
+      EXPECT_NO_THROW(proxy::CheckFigures(config));
     else
-      EXPECT_THROW(cli::CheckFigures(config), cli::ConfigError);
+      EXPECT_THROW(proxy::CheckFigures(config), proxy::ConfigError);
   }
 }
 
@@ -216,28 +216,28 @@
 TEST(SettingsCheck, RefusesAStartWithoutANamedClass) {
   json config = GoodConfig();
   for (json& of_class : config["settings"]["requestClasses"]) of_class["name"] = "";
-  EXPECT_THROW(cli::CheckServable(Read(config)), cli::ConfigError);
-  EXPECT_THROW(Read(With("/requestClasses", json::array())), cli::ConfigError);
+  EXPECT_THROW(proxy::CheckServable(Read(config)), proxy::ConfigError);
+  EXPECT_THROW(Read(With("/requestClasses", json::array())), proxy::ConfigError);
 }
 
 TEST(SettingsCheck, AllowsSitesWithoutTenants) {
   for (const json& tenants : {json::array(), json()}) {
-    const cli::Config config = Read(With("/tenants", tenants));
+    const proxy::Config config = Read(With("/tenants", tenants));
     EXPECT_EQ(TextsOf(config), std::vector<std::string>());
-    EXPECT_NO_THROW(cli::CheckFigures(config));
+    EXPECT_NO_THROW(proxy::CheckFigures(config));
   }
 }
 
 // A reload may take the last tenant away, or bring the first; a key that members lack is another matter.
 TEST(SettingsShape, ListsMayBecomeEmptyAndFull) {
-  const cli::Config some = Read(GoodConfig()), none = Read(With("/tenants", json::array()));
-  EXPECT_NO_THROW(cli::CheckShape(none, some));
-  EXPECT_NO_THROW(cli::CheckShape(some, none));
-  EXPECT_THROW(cli::CheckShape(Read(With("/tenants/0/quotaPerS", nullptr)), some), cli::ConfigError);
-  EXPECT_THROW(cli::CheckShape(Read(With("/tenants", nullptr)), some), cli::ConfigError);
+  const proxy::Config some = Read(GoodConfig()), none = Read(With("/tenants", json::array()));
+  EXPECT_NO_THROW(proxy::CheckShape(none, some));
+  EXPECT_NO_THROW(proxy::CheckShape(some, none));
+  EXPECT_THROW(proxy::CheckShape(Read(With("/tenants/0/quotaPerS", nullptr)), some), proxy::ConfigError);
+  EXPECT_THROW(proxy::CheckShape(Read(With("/tenants", nullptr)), some), proxy::ConfigError);
   json mixed = GoodConfig();
   mixed["settings"]["tenants"].push_back(5);
-  EXPECT_THROW(cli::CheckShape(Read(mixed), some), cli::ConfigError);
+  EXPECT_THROW(proxy::CheckShape(Read(mixed), some), proxy::ConfigError);
 }
 
 // A word that a later version brings must not keep a proxy from starting, nor loosen a rule.
