--- a/src/main.cpp
+++ b/src/main.cpp
@@ -187,7 +187,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  lemoncroft::proxy::HoldSignals();
+  lemoncroft::proxy::BlockHandledSignals();
   try {
     return Run(argc, argv);
   } catch (const std::exception& e) {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -36,39 +36,40 @@
 
 // After SIGTERM, where no successor holds the listening socket: how long new connections, and then requests
 // on open ones, are still served.
-constexpr auto kAcceptFor = 500ms;
-constexpr auto kServeFor = 700ms;
-constexpr auto kDrainBeat = 10ms;
+constexpr auto kKeepAcceptingDuration = 500ms;
+constexpr auto kKeepServingDuration = 700ms;
+constexpr auto kDrainPollInterval = 10ms;
 // Where another process takes its place, SIGKILL comes when the longest deadline, or this if that is longer,
 // has passed since then. An answer that says so, some time before it, is better than none.
-constexpr auto kOutlives = 5000ms, kLastAnswers = 200ms;
-constexpr auto kShutFor = 200ms;     // for clients to end connections that are shut
-constexpr auto kGiveUpFor = 100ms;   // for attempts that nobody waits for to be called off
-constexpr auto kFeedFirst = 1000ms;  // for the control feed to answer a process that takes another's place
-constexpr auto kStartBeat = 5ms;
-constexpr auto kRegistryInterval = 100ms;  // of what the processes of this proxy hold
-constexpr auto kTidyBeat = 1s;             // of what reloads have left
-constexpr auto kStateBeat = 1s;            // of the state file
-
-constexpr std::size_t kSocketsUntold = 1024;
-constexpr std::size_t kOwnDescriptors = 40;  // epoll, signals, log, control feed, those of short calls
+constexpr auto kMaxDrainWithSuccessor = 5000ms, kFinalAnswerMargin = 200ms;
+constexpr auto kClientCloseTimeout = 200ms;     // for clients to end connections that are shut
+constexpr auto kCancelAttemptsTimeout = 100ms;  // for attempts that nobody waits for to be called off
+constexpr auto kControlFeedTimeout = 1000ms;    // for the feed's first response during a hot restart
+constexpr auto kReadinessPollInterval = 5ms;
+constexpr auto kProcessRegistryInterval = 100ms;  // of what the processes of this proxy hold
+constexpr auto kRetiredNumbersInterval = 1s;      // of what reloads have left
+constexpr auto kStateFileInterval = 1s;           // of the state file
+
+constexpr std::size_t kDefaultMaxDescriptors = 1024;
+constexpr std::size_t kReservedDescriptors = 40;  // epoll, signals, log, control feed, those of short calls
 
 // Well before the engine closes it: a statement must not cross a close.
-runtime::Span IdleFor(const settings::Site& site) {
+runtime::Span EngineIdleTimeout(const settings::Site& site) {
   return decision::ToSpan(site.keepalive > 0 ? site.keepalive : Nanos{5'000'000'000}) * 3 / 4;
 }
 
 // What this proxy may hold, however many processes it is.
 hot_restart::ProxyLimits ProxyLimitsOf(const Config& config) {
-  const std::size_t sockets = config.sockets > 0 ? config.sockets : kSocketsUntold;
+  const std::size_t sockets = config.sockets > 0 ? config.sockets : kDefaultMaxDescriptors;
   const std::size_t operators = config.management ? admin::Listener::kMaxConnections + 1 : 0;
-  return {sockets, sockets * 2 / 5, kOwnDescriptors + operators};  // clients hold a third; some reconnect
+  return {sockets, sockets * 2 / 5,
+          kReservedDescriptors + operators};  // clients hold a third; some reconnect
 }
 
 backend::Pool::Limits PoolLimits(const Config& config) {
   backend::Pool::Limits limits;
   limits.connections = hot_restart::DivideLimits(ProxyLimitsOf(config), {}, {}).engines;
-  limits.idle = IdleFor(config.site);
+  limits.idle = EngineIdleTimeout(config.site);
   return limits;
 }
 
@@ -83,20 +84,21 @@
 }
 
 // `most`: where the settings name no number.
-std::size_t MostRequests(const settings::Site& site, std::size_t most) {
+std::size_t MaxOpenRequests(const settings::Site& site, std::size_t most) {
   return site.max_open > 0 ? std::min(most, static_cast<std::size_t>(site.max_open)) : most;
 }
 
 broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb, std::size_t most) {
   broker::Broker::Limits limits;
-  limits.requests = MostRequests(config.site, most);
+  limits.requests = MaxOpenRequests(config.site, most);
   if (memory_mb > 0) limits.bytes = (memory_mb << 20) / 8;
   return limits;
 }
 
-operator_config::OperatorFile ReadOperator(const Paths& paths, const settings::Site& site) {
-  return paths.operator_file.empty() ? operator_config::OperatorFile()
-                                     : operator_config::LoadOperatorFile(paths.operator_file, site);
+operator_config::OperatorFile ReadOperatorSettings(const StartupOptions& options,
+                                                   const settings::Site& site) {
+  return options.operator_path.empty() ? operator_config::OperatorFile()
+                                       : operator_config::LoadOperatorFile(options.operator_path, site);
 }
 
 sigset_t HandledSignals() {
@@ -106,9 +108,9 @@
   return set;
 }
 
-class Signals {
+class SignalReader {
  public:
-  explicit Signals(runtime::Loop& loop) : loop_(loop) {
+  explicit SignalReader(runtime::Loop& loop) : loop_(loop) {
     const sigset_t set = HandledSignals();
     fd_ = runtime::Descriptor(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     if (!fd_) throw std::system_error(errno, std::generic_category(), "signalfd");
@@ -130,46 +132,49 @@
 };
 
 // What a reload may change.
-struct Running {
+struct ReloadableState {
   Config config;  // in force, but for its site
-  settings::ActiveSettings& site;
+  settings::ActiveSettings& active_settings;
   frontend::FrameServer& server;
   broker::Broker& broker;
   backend::Engines& engines;
   discovery::EndpointDirectory& directory;
   discovery::EndpointWatch& endpoint_watch;
   metrics::Counters& counters;
-  discovery::EndpointDirectory::UpdateCallback tell;
-  std::size_t most;                                       // requests open, where the settings name no number
-  std::string state;                                      // file; empty: none
-  const operator_config::FleetSettings* fleet = nullptr;  // null: off
-  std::optional<admission_queue::Settings> own_line;  // as the operator's file has it; none: no waiting line
-  ReplicatedConfigService* rules = nullptr;           // null: off
-  bool tidying = false;
+  discovery::EndpointDirectory::UpdateCallback on_endpoint_update;
+  std::size_t default_max_open_requests;  // requests open, where the settings name no number
+  std::string queue_state_file;           // file; empty: none
+  const operator_config::FleetSettings* fleet_settings = nullptr;  // null: off
+  std::optional<admission_queue::Settings>
+      own_queue_settings;  // as the operator's file has it; none: no waiting line
+  ReplicatedConfigService* replicated_config_service = nullptr;  // null: off
+  bool freeing_retired_numbers = false;
 };
 
-void PutInForce(Running& running, settings::Migration migration) {
-  running.site.Replace(std::move(migration.site));
-  running.broker.ApplySettings(std::move(migration.inherits_estimates_from),
-                               MostRequests(*running.site, running.most));
-  running.directory.RenumberKindsAndZones(running.tell);
-  running.engines.set_connect_timeout(decision::ToSpan(running.site->module.connect_timeout));
-  running.engines.set_report_fields(running.site->report_fields);
-  running.engines.pool().set_idle(IdleFor(*running.site));
-  for (const std::string& class_id : running.site->classes)
-    if (!class_id.empty()) running.counters.Know(class_id);
+void ApplySettings(ReloadableState& state, settings::Migration migration) {
+  state.active_settings.Replace(std::move(migration.site));
+  state.broker.ApplySettings(std::move(migration.inherits_estimates_from),
+                             MaxOpenRequests(*state.active_settings, state.default_max_open_requests));
+  state.directory.RenumberKindsAndZones(state.on_endpoint_update);
+  state.engines.set_connect_timeout(decision::ToSpan(state.active_settings->module.connect_timeout));
+  state.engines.set_report_fields(state.active_settings->report_fields);
+  state.engines.pool().set_idle(EngineIdleTimeout(*state.active_settings));
+  for (const std::string& class_id : state.active_settings->classes)
+    if (!class_id.empty()) state.counters.Know(class_id);
 }
 
 // Settings of this proxy's own, as the rules that the fleet agrees on change them.
-settings::Site UnderRules(const Running& running, const settings::Site& own) {
-  return running.rules == nullptr ? own : replicated_config::ApplyDocument(running.rules->document(), own);
+settings::Site WithReplicatedConfig(const ReloadableState& state, const settings::Site& own) {
+  return state.replicated_config_service == nullptr
+             ? own
+             : replicated_config::ApplyDocument(state.replicated_config_service->document(), own);
 }
 
-void PutLineInForce(Running& running, const replicated_config::Document* document) {
-  if (!running.own_line) return;
-  running.broker.admission_queue()->Configure(
-      document == nullptr ? *running.own_line
-                          : replicated_config::ApplyDocument(*document, *running.own_line));
+void ApplyQueueSettings(ReloadableState& state, const replicated_config::Document* document) {
+  if (!state.own_queue_settings) return;
+  state.broker.admission_queue()->Configure(
+      document == nullptr ? *state.own_queue_settings
+                          : replicated_config::ApplyDocument(*document, *state.own_queue_settings));
 }
 
 // A process is started with these for good.
@@ -186,131 +191,137 @@
 // What new files change while the process runs: the settings, the control feed's address, events it knows
 // that are new, and the budgets of the waiting line. All of it is checked before anything is touched; where
 // something can't be used nothing changes.
-void Reload(const Paths& paths, Running& running) {
+void Reload(const StartupOptions& options, ReloadableState& state) {
   try {
-    Config config = LoadConfig(paths.config);
+    Config config = LoadConfig(options.config_path);
     try {
       CheckFigures(config);
-      CheckShape(config, running.config);
+      CheckShape(config, state.config);
     } catch (const ConfigError& e) {
-      throw ConfigError(paths.config + ": " + e.what());
+      throw ConfigError(options.config_path + ": " + e.what());
     }
-    settings::Migration migration =
-        MigrateSettings(*running.site, UnderRules(running, config.site), running.broker.used());
-    operator_config::OperatorFile file = ReadOperator(paths, migration.site);
-    if (file.waiting.has_value() != (running.broker.admission_queue() != nullptr))
-      throw ConfigError(paths.operator_file + ": waiting is switched on and off by a restart only");
-    if (file.fleet.has_value() != (running.fleet != nullptr))
-      throw ConfigError(paths.operator_file + ": fleet is switched on and off by a restart only");
-    if (file.rules.has_value() != (running.rules != nullptr))
-      throw ConfigError(paths.operator_file + ": rules are switched on and off by a restart only");
-    if (file.rules && *file.rules != running.rules->settings())
-      spdlog::warn("{}: rules changes by a restart only; it stays as it was", paths.operator_file);
-    if (running.rules != nullptr) {
-      const auto compatible =
-          running.rules->CheckCompatible(config.site, file.waiting ? &file.waiting->queue : nullptr);
+    settings::Migration migration = MigrateSettings(
+        *state.active_settings, WithReplicatedConfig(state, config.site), state.broker.used());
+    operator_config::OperatorFile file = ReadOperatorSettings(options, migration.site);
+    if (file.waiting.has_value() != (state.broker.admission_queue() != nullptr))
+      throw ConfigError(options.operator_path + ": waiting is switched on and off by a restart only");
+    if (file.fleet.has_value() != (state.fleet_settings != nullptr))
+      throw ConfigError(options.operator_path + ": fleet is switched on and off by a restart only");
+    if (file.rules.has_value() != (state.replicated_config_service != nullptr))
+      throw ConfigError(options.operator_path + ": rules are switched on and off by a restart only");
+    if (file.rules && *file.rules != state.replicated_config_service->settings())
+      spdlog::warn("{}: rules changes by a restart only; it stays as it was", options.operator_path);
+    if (state.replicated_config_service != nullptr) {
+      const auto compatible = state.replicated_config_service->CheckCompatible(
+          config.site, file.waiting ? &file.waiting->queue : nullptr);
       if (!compatible) throw ConfigError("the rules in force can't be carried: " + compatible.error().Text());
     }
-    if (file.fleet && *file.fleet != *running.fleet)
-      spdlog::warn("{}: fleet changes by a restart only; it stays as it was", paths.operator_file);
-    WarnAboutStartOnlySettings(config, running.config);
+    if (file.fleet && *file.fleet != *state.fleet_settings)
+      spdlog::warn("{}: fleet changes by a restart only; it stays as it was", options.operator_path);
+    WarnAboutStartOnlySettings(config, state.config);
     LogFindings(config);
-    PutInForce(running, std::move(migration));
+    ApplySettings(state, std::move(migration));
     if (file.waiting) {
-      running.own_line = std::move(file.waiting->queue);
-      PutLineInForce(running, running.rules == nullptr ? nullptr : &running.rules->document());
-      running.server.set_foretells(file.waiting->tell_clients);
-      running.state = std::move(file.waiting->state);
-      spdlog::info("operator's file read again: {}", paths.operator_file);
+      state.own_queue_settings = std::move(file.waiting->queue);
+      ApplyQueueSettings(state, state.replicated_config_service == nullptr
+                                    ? nullptr
+                                    : &state.replicated_config_service->document());
+      state.server.set_foretells(file.waiting->tell_clients);
+      state.queue_state_file = std::move(file.waiting->state);
+      spdlog::info("operator's file read again: {}", options.operator_path);
     }
-    running.directory.Apply(std::exchange(config.known, {}), running.tell);
+    state.directory.Apply(std::exchange(config.known, {}), state.on_endpoint_update);
     spdlog::info("configuration read again: {} classes, control feed at {}", config.site.classes.size(),
                  config.feed);
-    running.endpoint_watch.ChangeAddress(config.feed);
-    running.config = std::move(config);
-    running.counters.Reloaded(true);
+    state.endpoint_watch.ChangeAddress(config.feed);
+    state.config = std::move(config);
+    state.counters.Reloaded(true);
   } catch (const std::exception& e) {
-    running.counters.Reloaded(false);
+    state.counters.Reloaded(false);
     spdlog::error("configuration not taken, the old one stays: {}", e.what());
   }
 }
 
 // Frees the numbers of classes and tenants that were kept for requests under way, once these have ended.
-Task<> Tidy(runtime::Loop& loop, Running& running) {
-  if (std::exchange(running.tidying, true)) co_return;
-  while (settings::HasRetired(*running.site)) {
-    co_await loop.Sleep(kTidyBeat);
-    settings::Migration now =
-        MigrateSettings(*running.site, settings::RemoveRetired(*running.site), running.broker.used());
-    if (now.site.module.classes != running.site->module.classes) PutInForce(running, std::move(now));
+Task<> FreeRetiredNumbers(runtime::Loop& loop, ReloadableState& state) {
+  if (std::exchange(state.freeing_retired_numbers, true)) co_return;
+  while (settings::HasRetired(*state.active_settings)) {
+    co_await loop.Sleep(kRetiredNumbersInterval);
+    settings::Migration now = MigrateSettings(
+        *state.active_settings, settings::RemoveRetired(*state.active_settings), state.broker.used());
+    if (now.site.module.classes != state.active_settings->module.classes)
+      ApplySettings(state, std::move(now));
   }
-  running.tidying = false;
+  state.freeing_retired_numbers = false;
 }
 
 // Keeps the state file up to date, once a second.
-Task<> WriteState(runtime::Loop& loop, Running& running) {
+Task<> WriteQueueState(runtime::Loop& loop, ReloadableState& state) {
   std::optional<StateWriter> writer;
-  for (;; co_await loop.Sleep(kStateBeat)) {
-    if (running.state.empty()) continue;
+  for (;; co_await loop.Sleep(kStateFileInterval)) {
+    if (state.queue_state_file.empty()) continue;
     if (!writer) writer.emplace();
-    writer->Write(running.state,
-                  StateText(running.config.name, running.broker.admission_queue()->Describe()));
+    writer->Write(state.queue_state_file,
+                  StateText(state.config.name, state.broker.admission_queue()->Describe()));
   }
 }
 
 // Lets what was taken come to its end. Who comes meanwhile is another process's where that holds the
 // listening socket too.
-Task<> End(runtime::Loop& loop, frontend::FrameServer& server, broker::Broker& broker,
-           const settings::ActiveSettings& site, bool shared, Fleet* fleet) {
+Task<> ShutDownGracefully(runtime::Loop& loop, frontend::FrameServer& server, broker::Broker& broker,
+                          const settings::ActiveSettings& site, bool listener_inherited, Fleet* fleet) {
   using Queue = frontend::FrameServer::Queue;
   const Time since = Now();
   spdlog::info("ending: {} requests open", broker.open());
-  if (shared) server.StopAccepting(Queue::kLeave);
+  if (listener_inherited) server.StopAccepting(Queue::kLeave);
   server.AnnounceEnd();
-  co_await loop.SleepUntil(since + kAcceptFor);
-  if (!shared) server.StopAccepting(Queue::kLetIn);
+  co_await loop.SleepUntil(since + kKeepAcceptingDuration);
+  if (!listener_inherited) server.StopAccepting(Queue::kLetIn);
   server.AnnounceEnd();  // to those who came meanwhile
-  co_await loop.SleepUntil(since + kServeFor);
+  co_await loop.SleepUntil(since + kKeepServingDuration);
   broker.Close();
-  if (shared) {
+  if (listener_inherited) {
     Nanos longest = 0;
     for (const ClassSettings& c : site->module.classes) longest = std::max(longest, c.deadline);
-    const Time last =
-        since + kServeFor + std::min<runtime::Span>(decision::ToSpan(longest), kOutlives) - kLastAnswers;
-    while (broker.open() > 0 && Now() < last) co_await loop.Sleep(kDrainBeat);
+    const Time last = since + kKeepServingDuration +
+                      std::min<runtime::Span>(decision::ToSpan(longest), kMaxDrainWithSuccessor) -
+                      kFinalAnswerMargin;
+    while (broker.open() > 0 && Now() < last) co_await loop.Sleep(kDrainPollInterval);
     if (broker.open() > 0) spdlog::info("ending: {} requests can't be waited for", broker.open());
     broker.CompleteAllRequests();
   }
-  for (; broker.open() > 0 || !server.flushed(); co_await loop.Sleep(kDrainBeat)) server.CloseResting();
+  for (; broker.open() > 0 || !server.flushed(); co_await loop.Sleep(kDrainPollInterval))
+    server.CloseResting();
   // A process that ended now would reset the connections on which something has come meanwhile.
-  const Time shut_by = Now() + kShutFor;
-  for (; server.connections() > 0 && (Now() < shut_by || !server.flushed()); co_await loop.Sleep(kDrainBeat))
+  const Time shut_by = Now() + kClientCloseTimeout;
+  for (; server.connections() > 0 && (Now() < shut_by || !server.flushed());
+       co_await loop.Sleep(kDrainPollInterval))
     server.CloseResting();
   // Engines are still being told of what was given up: else it would run on for nobody.
-  const Time last = Now() + kGiveUpFor;
-  while (!broker.idle() && Now() < last) co_await loop.Sleep(kDrainBeat);
+  const Time last = Now() + kCancelAttemptsTimeout;
+  while (!broker.idle() && Now() < last) co_await loop.Sleep(kDrainPollInterval);
   if (fleet != nullptr) co_await fleet->Leave();
   spdlog::info("ended");
   loop.Stop();
 }
 
 // Keeps to this process's share of the limits while there are others, and tells them what it holds.
-Task<> ShareLimits(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
-                   const Operations& operations, Running& running) {
-  const hot_restart::ProxyLimits limits = ProxyLimitsOf(running.config);
+Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
+                            const Operations& operations, ReloadableState& state) {
+  const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);
   std::size_t before = 0;
   int parts = 0;  // not told yet
-  for (;; co_await loop.Sleep(kRegistryInterval)) {
-    const hot_restart::ConnectionUsage own{static_cast<std::uint32_t>(running.server.connections()),
-                                           static_cast<std::uint32_t>(running.engines.pool().open()),
+  for (;; co_await loop.Sleep(kProcessRegistryInterval)) {
+    const hot_restart::ConnectionUsage own{static_cast<std::uint32_t>(state.server.connections()),
+                                           static_cast<std::uint32_t>(state.engines.pool().open()),
                                            operations.phase() == Operations::Phase::kServing};
     registry.Publish(own);
     const hot_restart::PeerProcesses others = registry.ReadPeers();
     const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
-    running.server.set_connections(share.clients);
-    running.engines.pool().set_connections(share.engines);
+    state.server.set_connections(share.clients);
+    state.engines.pool().set_connections(share.engines);
     if (const int now = ProcessCount(own, others); std::exchange(parts, now) != now)
-      running.broker.SetProcessShare(now);
+      state.broker.SetProcessShare(now);
     if (std::exchange(before, others.processes) == others.processes) continue;
     spdlog::info(
         "{} other processes of this proxy live: at most {} connections to clients, {} to engines now", before,
@@ -320,15 +331,16 @@
 
 // In place of another process: clients are let in once this one can serve as well as that one did. What the
 // configuration knows may be old, so the control feed is heard first, if it answers.
-Task<> StartInPlace(runtime::Loop& loop, const discovery::EndpointDirectory& directory,
-                    const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
-                    Operations& operations) {
-  const Time until = Now() + kFeedFirst;
+Task<> AcceptOnceReady(runtime::Loop& loop, const discovery::EndpointDirectory& directory,
+                       const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
+                       Operations& operations) {
+  const Time until = Now() + kControlFeedTimeout;
   const auto waits = [&] {
     return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
            (operations.has_valid_lease && !operations.has_valid_lease());
   };
-  while (!directory.has_complete_list() || (waits() && Now() < until)) co_await loop.Sleep(kStartBeat);
+  while (!directory.has_complete_list() || (waits() && Now() < until))
+    co_await loop.Sleep(kReadinessPollInterval);
   server.Start();
   operations.set_phase(Operations::Phase::kServing);
   spdlog::info("serving in place of another process");
@@ -344,36 +356,37 @@
 
 }  // namespace
 
-void HoldSignals() {
+void BlockHandledSignals() {
   const sigset_t set = HandledSignals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
 }
 
 // Builds and connects every part of the process in order; not split yet.
 // NOLINTNEXTLINE(readability-function-size)
-int RunProxy(Config config, const Paths& paths) {
-  HoldSignals();
+int RunProxy(Config config, const StartupOptions& options) {
+  BlockHandledSignals();
   std::signal(SIGPIPE, SIG_IGN);
-  const bool shared = !paths.inherited.empty();
+  const bool listener_inherited = !options.inherited_listener.empty();
   runtime::Descriptor inherited;
-  if (shared) inherited = runtime::InheritedListener(DescriptorNumber(paths.inherited));
+  if (listener_inherited)
+    inherited = runtime::InheritedListener(DescriptorNumber(options.inherited_listener));
   runtime::Loop loop;
-  Signals signals(loop);
+  SignalReader signals(loop);
   settings::ActiveSettings site(config.site);
   discovery::EndpointDirectory directory(site);
   // Another process may live beside this one at any time, and bytes can't be handed back at once.
-  const std::size_t memory_mb = shared ? config.memory_mb / 2 : config.memory_mb;
+  const std::size_t memory_mb = listener_inherited ? config.memory_mb / 2 : config.memory_mb;
   metrics::Counters counters;
   for (const std::string& class_id : site->classes) counters.Know(class_id);
   backend::Engines engines(loop, directory, PoolLimits(config),
                            decision::ToSpan(site->module.connect_timeout), counters);
   engines.set_report_fields(site->report_fields);
-  operator_config::OperatorFile file = ReadOperator(paths, *site);
+  operator_config::OperatorFile file = ReadOperatorSettings(options, *site);
   const std::size_t most = file.waiting ? file.waiting->queue.max_waiting : broker::Broker::Limits().requests;
   broker::Broker broker(loop, site, config.seed, engines, counters, RequestLimits(config, memory_mb, most));
   if (file.waiting) broker.EnableAdmissionQueue(file.waiting->queue);
-  auto listener = shared ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
-                         : std::make_unique<runtime::Listener>(loop, config.listen);
+  auto listener = listener_inherited ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
+                                     : std::make_unique<runtime::Listener>(loop, config.listen);
   frontend::FrameServer server(loop, std::move(listener), site, broker, counters,
                                ClientLimits(config, memory_mb));
   directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
@@ -385,10 +398,12 @@
   Operations operations(loop, directory, broker, counters, tell);
   const char* tmpdir = std::getenv("TMPDIR");
   std::unique_ptr<hot_restart::ProcessRegistry> registry;
-  if (shared && tmpdir != nullptr) registry = std::make_unique<hot_restart::ProcessRegistry>(tmpdir);
-  if (shared && (tmpdir == nullptr || !registry->registered()))
+  if (listener_inherited && tmpdir != nullptr)
+    registry = std::make_unique<hot_restart::ProcessRegistry>(tmpdir);
+  if (listener_inherited && (tmpdir == nullptr || !registry->registered()))
     spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
-  if (shared && tmpdir != nullptr && !file.rules)  // else the fleet's rules tell of engines out by hand
+  if (listener_inherited && tmpdir != nullptr &&
+      !file.rules)  // else the fleet's rules tell of engines out by hand
     operations.EnableEjectionStore(
         tmpdir, decision::ToSpan(site->module.slow_start_duration + site->module.overload_window));
   // Before the list: what a cold engine takes may have been sent it just now.
@@ -412,42 +427,43 @@
   if (!directory.Apply(std::exchange(config.known, {}), tell))
     spdlog::warn("the configuration knows no list of engines");
   discovery::EndpointWatch endpoint_watch(loop, directory, config.feed, tell, config.seed);
-  Running running{config,
-                  site,
-                  server,
-                  broker,
-                  engines,
-                  directory,
-                  endpoint_watch,
-                  counters,
-                  tell,
-                  most,
-                  "",
-                  file.fleet ? &fleet->settings() : nullptr,
-                  {},
-                  nullptr};
+  ReloadableState state{config,
+                        site,
+                        server,
+                        broker,
+                        engines,
+                        directory,
+                        endpoint_watch,
+                        counters,
+                        tell,
+                        most,
+                        "",
+                        file.fleet ? &fleet->settings() : nullptr,
+                        {},
+                        nullptr};
   if (file.waiting) {
     server.set_foretells(file.waiting->tell_clients);
-    running.state = file.waiting->state;
-    running.own_line = file.waiting->queue;
-    loop.Spawn(WriteState(loop, running));
+    state.queue_state_file = file.waiting->state;
+    state.own_queue_settings = file.waiting->queue;
+    loop.Spawn(WriteQueueState(loop, state));
   }
   if (file.rules) {
-    const auto put_in_force = [&](const replicated_config::Document& document) {
-      PutInForce(running, MigrateSettings(*running.site,
-                                          replicated_config::ApplyDocument(document, running.config.site),
-                                          running.broker.used()));
-      PutLineInForce(running, &document);
-      loop.Spawn(Tidy(loop, running));
+    const auto activate = [&](const replicated_config::Document& document) {
+      ApplySettings(state, MigrateSettings(*state.active_settings,
+                                           replicated_config::ApplyDocument(document, state.config.site),
+                                           state.broker.used()));
+      ApplyQueueSettings(state, &document);
+      loop.Spawn(FreeRetiredNumbers(loop, state));
     };
     rules = std::make_unique<ReplicatedConfigService>(
         loop, *fleet, *file.rules, config.name, directory, tell,
-        ReplicatedConfigService::LocalConfig{[&]() -> const settings::Site& { return running.config.site; },
+        ReplicatedConfigService::LocalConfig{[&]() -> const settings::Site& { return state.config.site; },
                                              [&]() -> const admission_queue::Settings* {
-                                               return running.own_line ? &*running.own_line : nullptr;
+                                               return state.own_queue_settings ? &*state.own_queue_settings
+                                                                               : nullptr;
                                              },
-                                             put_in_force});
-    running.rules = rules.get();
+                                             activate});
+    state.replicated_config_service = rules.get();
     broker.set_lease_fence(rules.get());
     operations.set_ejections_replicated();
     operations.has_valid_lease = [&] { return rules->ready(); };
@@ -456,10 +472,10 @@
   loop.Spawn(endpoint_watch.Run());
   loop.Spawn(engines.pool().CloseIdle());
   broker.Start();
-  if (shared) {
-    loop.Spawn(StartInPlace(loop, directory, endpoint_watch, server, operations));
+  if (listener_inherited) {
+    loop.Spawn(AcceptOnceReady(loop, directory, endpoint_watch, server, operations));
     if (rules == nullptr) loop.Spawn(operations.WatchEjectionStore());
-    if (registry) loop.Spawn(ShareLimits(loop, *registry, operations, running));
+    if (registry) loop.Spawn(ShareLimitsWithPeers(loop, *registry, operations, state));
   } else {
     server.Start();
     operations.set_phase(Operations::Phase::kServing);
@@ -477,12 +493,12 @@
   // Signals that come while one is handled are not lost: the next turn reads them.
   const auto handle_signals = [&]() -> Task<> {
     while (co_await signals.Next() == SIGHUP) {
-      Reload(paths, running);
-      loop.Spawn(Tidy(loop, running));
+      Reload(options, state);
+      loop.Spawn(FreeRetiredNumbers(loop, state));
     }
     operations.set_phase(Operations::Phase::kEnding);
     if (rules != nullptr) rules->Shutdown();
-    co_await End(loop, server, broker, site, shared, fleet.get());
+    co_await ShutDownGracefully(loop, server, broker, site, listener_inherited, fleet.get());
   };
   loop.Spawn(handle_signals());
   spdlog::info("{} listens on {}", config.name, config.listen_text);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -10,17 +10,18 @@
 
 // Holds back the signals that the proxy handles until it can. The first thing a program does: a SIGHUP that
 // came before would end it.
-void HoldSignals();
+void BlockHandledSignals();
 
-struct Paths {
-  std::string config, operator_file;  // the latter empty: none
-  std::string inherited;              // $PROXY_FD: the clients' listening socket; empty: it binds its own
+struct StartupOptions {
+  std::string config_path;
+  std::string operator_path;       // empty: no operator's file
+  std::string inherited_listener;  // $PROXY_FD: descriptor of the clients' listening socket; empty: bind one
 };
 
-// Returns the exit code; `paths` tells where `config` was read, and may be read again. Throws
+// Returns the exit code; `options` tells where `config` was read, and may be read again. Throws
 // std::system_error where it cannot listen, operator_config::OperatorError for an operator's file that is
 // wrong.
-int RunProxy(Config config, const Paths& paths);
+int RunProxy(Config config, const StartupOptions& options);
 
 }  // namespace lemoncroft::proxy
 
