--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,12 +10,12 @@
 
 #include "cli/log.h"
 #include "cli/rules_command.h"
+#include "cli/state_command.h"
 #include "operator_config/operator_file.h"
 #include "peer_transport/link.h"
 #include "proxy/config.h"
-#include "proxy/fleet.h"
 #include "proxy/proxy.h"
-#include "proxy/state.h"
+#include "proxy/signals.h"
 
 namespace {
 
@@ -178,8 +178,10 @@
     throw lemoncroft::proxy::ConfigError("no configuration: give --config or set PROXY_CONFIG");
   if (shows) {
     if (options.state.empty()) options.state = StateFile(options, *peers ? "peers" : "waiting");
-    return *peers ? lemoncroft::proxy::ShowPeers(options.state, options.json)
-                  : lemoncroft::proxy::ShowState(options.state, options.json);
+    using lemoncroft::cli::OutputFormat;
+    const OutputFormat format = options.json ? OutputFormat::kJson : OutputFormat::kText;
+    return *peers ? lemoncroft::cli::ShowFleetState(options.state, format)
+                  : lemoncroft::cli::ShowQueueState(options.state, format);
   }
   return *check ? CheckConfig(options) : Serve(options);
 }
--- a/src/proxy/fleet.h
+++ b/src/proxy/fleet.h
@@ -1,5 +1,8 @@
 // The proxy's part in its fleet: owns the Link, logs membership events, and provides the metrics and the
 // state file that `lemoncroft peers` shows. Exists only if the operator's file has a `fleet` node.
+//
+// Owner: RunProxy; the event loop's thread. Errors: the constructor throws std::system_error where it can't
+// listen.
 #ifndef LEMONCROFT_PROXY_FLEET_H_
 #define LEMONCROFT_PROXY_FLEET_H_
 
@@ -33,7 +36,6 @@
  private:
   void HandleEvent(const gossip::Event& event);
   void NotifyServingRank();
-  std::string StateText() const;
   runtime::Task<> WriteState();
 
   runtime::Loop& loop_;
@@ -46,10 +48,6 @@
   std::uint64_t suppressed_events_ = 0;
 };
 
-// Prints a state file. Returns the exit code: 0 for a healthy fleet; 1 if the file is missing, unreadable or
-// out of date; 3 if members are suspected or failed, a name is contested, or views differ.
-int ShowPeers(const std::string& path, bool json);
-
 }  // namespace lemoncroft::proxy
 
 #endif  // LEMONCROFT_PROXY_FLEET_H_
--- /dev/null
+++ b/src/proxy/hot_restart.cpp
@@ -0,0 +1,106 @@
+#include "proxy/hot_restart.h"
+
+#include <spdlog/spdlog.h>
+
+#include <charconv>
+#include <chrono>
+#include <cstdint>
+#include <cstdlib>
+#include <system_error>
+#include <utility>
+
+#include "hot_restart/process_limits.h"
+#include "proxy/resource_limits.h"
+#include "runtime/socket.h"
+
+namespace lemoncroft::proxy {
+namespace {
+
+using namespace std::chrono_literals;
+using runtime::Now;
+using runtime::Task;
+using runtime::Time;
+
+constexpr auto kControlFeedTimeout = 1000ms;  // for its first response, and for a valid lease
+constexpr auto kReadinessPollInterval = 5ms;
+constexpr auto kProcessRegistryInterval = 100ms;  // between two publications of this process's usage
+constexpr int kProcessesAtStart = 2;              // this one and its predecessor
+
+int DescriptorNumber(const std::string& text) {
+  int number = -1;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc() || end != text.data() + text.size() || number < 0)
+    throw ConfigError("PROXY_FD: '" + text + "' is no descriptor");
+  return number;
+}
+
+hot_restart::ConnectionUsage OwnUsage(const Operations& operations, ReloadableState& state) {
+  hot_restart::ConnectionUsage own;
+  own.clients = static_cast<std::uint32_t>(state.server.connections());
+  own.engines = static_cast<std::uint32_t>(state.engines.pool().open());
+  own.serving = operations.phase() == Operations::Phase::kServing;
+  return own;
+}
+
+}  // namespace
+
+runtime::Descriptor InheritListener(const std::string& descriptor_number) {
+  return runtime::InheritedListener(DescriptorNumber(descriptor_number));
+}
+
+std::unique_ptr<hot_restart::ProcessRegistry> JoinPeerProcesses(
+    const operator_config::OperatorFile& operator_file, const settings::Site& site, Operations& operations,
+    broker::Broker& broker) {
+  const char* tmpdir = std::getenv("TMPDIR");
+  std::unique_ptr<hot_restart::ProcessRegistry> registry;
+  if (tmpdir != nullptr) registry = std::make_unique<hot_restart::ProcessRegistry>(tmpdir);
+  if (registry == nullptr || !registry->registered())
+    spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
+  // With a replicated configuration manual ejections are part of that.
+  if (tmpdir != nullptr && !operator_file.rules)
+    operations.EnableEjectionStore(
+        tmpdir, decision::ToSpan(site.module.slow_start_duration + site.module.overload_window));
+  // Before the endpoint list: the predecessor may just have sent an engine in slow start all that it takes.
+  if (registry && registry->ReadPeers().usage.serving > 0) broker.SetProcessShare(kProcessesAtStart);
+  return registry;
+}
+
+Task<> AcceptOnceReady(runtime::Loop& loop, const discovery::EndpointDirectory& directory,
+                       const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
+                       Operations& operations) {
+  const Time until = Now() + kControlFeedTimeout;
+  // The endpoint list of the configuration may be old, so the control feed is heard first.
+  const auto waits = [&] {
+    return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
+           (operations.has_valid_lease && !operations.has_valid_lease());
+  };
+  while (!directory.has_complete_list() || (waits() && Now() < until))
+    co_await loop.Sleep(kReadinessPollInterval);
+  server.Start();
+  operations.set_phase(Operations::Phase::kServing);
+  spdlog::info("serving in place of another process");
+}
+
+Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
+                            const Operations& operations, ReloadableState& state) {
+  const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);  // a reload doesn't change them
+  std::size_t known_peers = 0;
+  int known_process_count = 0;  // 0: the broker hasn't been told yet
+  for (;; co_await loop.Sleep(kProcessRegistryInterval)) {
+    const hot_restart::ConnectionUsage own = OwnUsage(operations, state);
+    registry.Publish(own);
+    const hot_restart::PeerProcesses others = registry.ReadPeers();
+    const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
+    state.server.set_connections(share.clients);
+    state.engines.pool().set_connections(share.engines);
+    const int process_count = ProcessCount(own, others);
+    if (std::exchange(known_process_count, process_count) != process_count)
+      state.broker.SetProcessShare(process_count);
+    if (std::exchange(known_peers, others.processes) == others.processes) continue;
+    spdlog::info(
+        "{} other processes of this proxy live: at most {} connections to clients, {} to engines now",
+        known_peers, share.clients, share.engines);
+  }
+}
+
+}  // namespace lemoncroft::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,4 +1,11 @@
-// The whole proxy, wired together: runs until a signal has ended it; SIGHUP has it read its file again.
+// The running proxy: builds and connects its parts, runs the event loop, and ends after SIGTERM.
+//
+// Files of this folder: resource_limits (figures from the configuration), signals, reload (SIGHUP, the
+// replicated configuration), hot_restart (beside another process), shutdown (SIGTERM), operations (operators'
+// calls), fleet and fleet_state, replicated_config_* and voter_store, queue_state, state_file and
+// state_writer, config.
+//
+// Owner: main; one thread. docs/architecture.md has the parts and what each owns.
 #ifndef LEMONCROFT_PROXY_PROXY_H_
 #define LEMONCROFT_PROXY_PROXY_H_
 
@@ -8,19 +15,16 @@
 
 namespace lemoncroft::proxy {
 
-// Holds back the signals that the proxy handles until it can. The first thing a program does: a SIGHUP that
-// came before would end it.
-void BlockHandledSignals();
-
 struct StartupOptions {
-  std::string config_path;
-  std::string operator_path;       // empty: no operator's file
+  std::string config_path;         // read again at a reload
+  std::string operator_path;       // likewise; empty: no operator's file
   std::string inherited_listener;  // $PROXY_FD: descriptor of the clients' listening socket; empty: bind one
 };
 
-// Returns the exit code; `options` tells where `config` was read, and may be read again. Throws
-// std::system_error where it cannot listen, operator_config::OperatorError for an operator's file that is
-// wrong.
+// Runs the proxy until a signal has ended it; SIGHUP reloads its files. `config` was read from
+// `options.config_path`. Returns the exit code. Throws std::system_error if it can't listen, ConfigError for
+// an inherited descriptor or a configuration of the fleet that can't be used, operator_config::OperatorError
+// for a faulty operator's file.
 int RunProxy(Config config, const StartupOptions& options);
 
 }  // namespace lemoncroft::proxy
--- /dev/null
+++ b/src/proxy/reload.cpp
@@ -0,0 +1,163 @@
+#include "proxy/reload.h"
+
+#include <spdlog/spdlog.h>
+
+#include <chrono>
+#include <exception>
+#include <utility>
+
+#include "proxy/resource_limits.h"
+#include "settings/migration.h"
+
+namespace lemoncroft::proxy {
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr auto kRetiredNumbersInterval = 1s;  // between two looks whether requests still use them
+
+void ApplySettings(ReloadableState& state, settings::Migration migration) {
+  settings::ActiveSettings& active = state.active_settings;
+  active.Replace(std::move(migration.site));
+  state.broker.ApplySettings(std::move(migration.inherits_estimates_from),
+                             MaxOpenRequests(*active, state.default_max_open_requests));
+  state.directory.RenumberKindsAndZones(state.on_endpoint_update);
+  state.engines.set_connect_timeout(decision::ToSpan(active->module.connect_timeout));
+  state.engines.set_report_fields(active->report_fields);
+  state.engines.pool().set_idle(EngineIdleTimeout(*active));
+  for (const std::string& class_id : active->classes)
+    if (!class_id.empty()) state.counters.Know(class_id);
+}
+
+// This proxy's own settings with the overrides of the replicated configuration's active version.
+settings::Site WithReplicatedConfig(const ReloadableState& state, const settings::Site& own) {
+  if (state.replicated_config_service == nullptr) return own;
+  return replicated_config::ApplyDocument(state.replicated_config_service->document(), own);
+}
+
+// `document`: the overrides to apply; null: none.
+void ApplyQueueSettings(ReloadableState& state, const replicated_config::Document* document) {
+  if (!state.own_queue_settings) return;
+  state.broker.admission_queue()->Configure(
+      document == nullptr ? *state.own_queue_settings
+                          : replicated_config::ApplyDocument(*document, *state.own_queue_settings));
+}
+
+Config LoadReloadableConfig(const std::string& path, const Config& in_force) {
+  Config config = LoadConfig(path);
+  try {
+    CheckFigures(config);
+    CheckShape(config, in_force);
+  } catch (const ConfigError& e) {
+    throw ConfigError(path + ": " + e.what());
+  }
+  return config;
+}
+
+// Throws ConfigError if the operator's file switches a part on or off, which only a start can do.
+void CheckSamePartsEnabled(const std::string& path, const operator_config::OperatorFile& file,
+                           const ReloadableState& state) {
+  if (file.waiting.has_value() != (state.broker.admission_queue() != nullptr))
+    throw ConfigError(path + ": waiting is switched on and off by a restart only");
+  if (file.fleet.has_value() != (state.fleet_settings != nullptr))
+    throw ConfigError(path + ": fleet is switched on and off by a restart only");
+  if (file.rules.has_value() != (state.replicated_config_service != nullptr))
+    throw ConfigError(path + ": rules are switched on and off by a restart only");
+}
+
+// Throws ConfigError if the active version of the replicated configuration doesn't fit the new settings.
+void CheckReplicatedConfigFits(const ReloadableState& state, const settings::Site& site,
+                               const operator_config::OperatorFile& file) {
+  if (state.replicated_config_service == nullptr) return;
+  const auto compatible =
+      state.replicated_config_service->CheckCompatible(site, file.waiting ? &file.waiting->queue : nullptr);
+  if (!compatible) throw ConfigError("the rules in force can't be carried: " + compatible.error().Text());
+}
+
+// Only a start changes these.
+void WarnAboutStartOnlySettings(const Config& now, const Config& before) {
+  const std::pair<const char*, bool> parts[] = {
+      {"name", now.name == before.name},
+      {"listen", now.listen_text == before.listen_text},
+      {"management", now.management_text == before.management_text},
+      {"limits", now.memory_mb == before.memory_mb && now.sockets == before.sockets}};
+  for (const auto& [part, same] : parts)
+    if (!same) spdlog::warn("configuration: {} changes by a start only; it stays as it was", part);
+}
+
+void ApplyOperatorSettings(ReloadableState& state, operator_config::WaitingSettings waiting) {
+  state.own_queue_settings = std::move(waiting.queue);
+  ApplyQueueSettings(state, state.replicated_config_service == nullptr
+                                ? nullptr
+                                : &state.replicated_config_service->document());
+  state.server.set_foretells(waiting.tell_clients);
+  state.queue_state_file = std::move(waiting.state);
+}
+
+// Throws for files that can't be used, and changes nothing then.
+void ReloadOrThrow(const StartupOptions& options, ReloadableState& state) {
+  Config config = LoadReloadableConfig(options.config_path, state.config);
+  settings::Migration migration =
+      MigrateSettings(*state.active_settings, WithReplicatedConfig(state, config.site), state.broker.used());
+  operator_config::OperatorFile file = ReadOperatorSettings(options, migration.site);
+  CheckSamePartsEnabled(options.operator_path, file, state);
+  if (file.rules && *file.rules != state.replicated_config_service->settings())
+    spdlog::warn("{}: rules changes by a restart only; it stays as it was", options.operator_path);
+  CheckReplicatedConfigFits(state, config.site, file);
+  if (file.fleet && *file.fleet != *state.fleet_settings)
+    spdlog::warn("{}: fleet changes by a restart only; it stays as it was", options.operator_path);
+  WarnAboutStartOnlySettings(config, state.config);
+  LogFindings(config);
+
+  ApplySettings(state, std::move(migration));
+  if (file.waiting) {
+    ApplyOperatorSettings(state, std::move(*file.waiting));
+    spdlog::info("operator's file read again: {}", options.operator_path);
+  }
+  state.directory.Apply(std::exchange(config.known, {}), state.on_endpoint_update);
+  spdlog::info("configuration read again: {} classes, control feed at {}", config.site.classes.size(),
+               config.feed);
+  state.endpoint_watch.ChangeAddress(config.feed);
+  state.config = std::move(config);
+}
+
+}  // namespace
+
+operator_config::OperatorFile ReadOperatorSettings(const StartupOptions& options,
+                                                   const settings::Site& site) {
+  if (options.operator_path.empty()) return {};
+  return operator_config::LoadOperatorFile(options.operator_path, site);
+}
+
+void Reload(const StartupOptions& options, ReloadableState& state) {
+  try {
+    ReloadOrThrow(options, state);
+    state.counters.Reloaded(true);
+  } catch (const std::exception& e) {
+    state.counters.Reloaded(false);
+    spdlog::error("configuration not taken, the old one stays: {}", e.what());
+  }
+}
+
+void ActivateDocument(runtime::Loop& loop, ReloadableState& state,
+                      const replicated_config::Document& document) {
+  ApplySettings(state, MigrateSettings(*state.active_settings,
+                                       replicated_config::ApplyDocument(document, state.config.site),
+                                       state.broker.used()));
+  ApplyQueueSettings(state, &document);
+  loop.Spawn(FreeRetiredNumbers(loop, state));
+}
+
+runtime::Task<> FreeRetiredNumbers(runtime::Loop& loop, ReloadableState& state) {
+  if (std::exchange(state.freeing_retired_numbers, true)) co_return;
+  while (settings::HasRetired(*state.active_settings)) {
+    co_await loop.Sleep(kRetiredNumbersInterval);
+    settings::Migration migration = MigrateSettings(
+        *state.active_settings, settings::RemoveRetired(*state.active_settings), state.broker.used());
+    if (migration.site.module.classes != state.active_settings->module.classes)
+      ApplySettings(state, std::move(migration));
+  }
+  state.freeing_retired_numbers = false;
+}
+
+}  // namespace lemoncroft::proxy
--- /dev/null
+++ b/src/proxy/reload.h
@@ -0,0 +1,71 @@
+// Brings new settings into force while the proxy runs: from its files (SIGHUP) or from the replicated
+// configuration.
+//
+// Contract. Everything is read and checked before anything is changed; requests in flight keep the class and
+// the tenant that they arrived with. Settings change between two turns of the loop. Owner: RunProxy; the
+// event loop's thread. Errors: Reload logs and counts files that can't be used, and changes nothing then.
+#ifndef LEMONCROFT_PROXY_RELOAD_H_
+#define LEMONCROFT_PROXY_RELOAD_H_
+
+#include <cstddef>
+#include <optional>
+#include <string>
+
+#include "admission_queue/types.h"
+#include "backend/engines.h"
+#include "broker/broker.h"
+#include "discovery/endpoint_directory.h"
+#include "discovery/endpoint_watch.h"
+#include "frontend/frame_server.h"
+#include "metrics/counters.h"
+#include "operator_config/operator_file.h"
+#include "proxy/config.h"
+#include "proxy/proxy.h"
+#include "proxy/replicated_config_service.h"
+#include "replicated_config/document.h"
+#include "settings/settings.h"
+
+namespace lemoncroft::proxy {
+
+// The parts of the running proxy that a change of settings reaches. RunProxy owns them; all of them outlive
+// the coroutines that use this.
+struct ReloadableState {
+  Config config;  // as read last; its site is this proxy's own, without the replicated configuration
+  settings::ActiveSettings& active_settings;
+  frontend::FrameServer& server;
+  broker::Broker& broker;
+  backend::Engines& engines;
+  discovery::EndpointDirectory& directory;
+  discovery::EndpointWatch& endpoint_watch;
+  metrics::Counters& counters;
+  discovery::EndpointDirectory::UpdateCallback on_endpoint_update;
+  std::size_t default_max_open_requests;  // where the settings give no number
+
+  std::string queue_state_file;  // empty: none is written
+  // As the operator's file has them, without the replicated configuration; nullopt: no admission queue.
+  std::optional<admission_queue::Settings> own_queue_settings;
+
+  const operator_config::FleetSettings* fleet_settings = nullptr;  // null: no fleet
+  ReplicatedConfigService* replicated_config_service = nullptr;    // null: no replicated configuration
+
+  bool freeing_retired_numbers = false;  // FreeRetiredNumbers runs
+};
+
+// Reads the operator's file for `site`; without one every optional part is off.
+// Throws operator_config::OperatorError.
+operator_config::OperatorFile ReadOperatorSettings(const StartupOptions& options, const settings::Site& site);
+
+// Reads both files again and applies them. SIGHUP.
+void Reload(const StartupOptions& options, ReloadableState& state);
+
+// Applies a document of the replicated configuration to this proxy's own settings.
+void ActivateDocument(runtime::Loop& loop, ReloadableState& state,
+                      const replicated_config::Document& document);
+
+// Frees the numbers of classes and tenants that were kept for requests in flight, once these have ended. To
+// be spawned after each change of settings; does nothing while another one runs.
+runtime::Task<> FreeRetiredNumbers(runtime::Loop& loop, ReloadableState& state);
+
+}  // namespace lemoncroft::proxy
+
+#endif  // LEMONCROFT_PROXY_RELOAD_H_
--- a/src/proxy/replicated_config_calls.cpp
+++ b/src/proxy/replicated_config_calls.cpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 
 #include "proxy/replicated_config_service.h"
-#include "proxy/state.h"
+#include "proxy/state_file.h"
 
 namespace lemoncroft::proxy {
 
--- a/src/proxy/replicated_config_ejections.cpp
+++ b/src/proxy/replicated_config_ejections.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "proxy/replicated_config_service.h"
-#include "proxy/state.h"
+#include "proxy/state_file.h"
 
 namespace lemoncroft::proxy {
 
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "proxy/config.h"
-#include "proxy/state.h"
+#include "proxy/state_file.h"
 #include "proxy/voter_store.h"
 
 namespace lemoncroft::proxy {
--- /dev/null
+++ b/src/proxy/resource_limits.cpp
@@ -0,0 +1,61 @@
+#include "proxy/resource_limits.h"
+
+#include <algorithm>
+
+#include "admin/listener.h"
+
+namespace lemoncroft::proxy {
+namespace {
+
+constexpr std::size_t kDefaultMaxDescriptors = 1024;
+constexpr std::size_t kReservedDescriptors = 40;    // epoll, signals, log, control feed, those of short calls
+constexpr Nanos kDefaultKeepalive = 5'000'000'000;  // of engines, where the settings give none
+
+}  // namespace
+
+runtime::Span EngineIdleTimeout(const settings::Site& site) {
+  // Well before the engine closes the connection: a statement must not cross a close.
+  return decision::ToSpan(site.keepalive > 0 ? site.keepalive : kDefaultKeepalive) * 3 / 4;
+}
+
+hot_restart::ProxyLimits ProxyLimitsOf(const Config& config) {
+  const std::size_t descriptors = config.sockets > 0 ? config.sockets : kDefaultMaxDescriptors;
+  const std::size_t admin = config.management ? admin::Listener::kMaxConnections + 1 : 0;
+  hot_restart::ProxyLimits limits;
+  limits.descriptors = descriptors;
+  limits.clients = descriptors * 2 / 5;  // a third is in use as a rule; some clients reconnect
+  limits.reserved_per_process = kReservedDescriptors + admin;
+  return limits;
+}
+
+backend::Pool::Limits PoolLimits(const Config& config) {
+  backend::Pool::Limits limits;
+  limits.connections = hot_restart::DivideLimits(ProxyLimitsOf(config), {}, {}).engines;
+  limits.idle = EngineIdleTimeout(config.site);
+  return limits;
+}
+
+frontend::FrameServer::Limits ClientLimits(const Config& config, std::size_t memory_mb) {
+  frontend::FrameServer::Limits limits;
+  limits.connections = ProxyLimitsOf(config).clients;
+  if (memory_mb > 0) {
+    limits.unread_by_all = (memory_mb << 20) / 8;
+    limits.unparsed_of_all = (memory_mb << 20) / 4;
+  }
+  return limits;
+}
+
+broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb,
+                                     std::size_t default_max_open) {
+  broker::Broker::Limits limits;
+  limits.requests = MaxOpenRequests(config.site, default_max_open);
+  if (memory_mb > 0) limits.bytes = (memory_mb << 20) / 8;
+  return limits;
+}
+
+std::size_t MaxOpenRequests(const settings::Site& site, std::size_t default_max_open) {
+  if (site.max_open <= 0) return default_max_open;
+  return std::min(default_max_open, static_cast<std::size_t>(site.max_open));
+}
+
+}  // namespace lemoncroft::proxy
--- /dev/null
+++ b/src/proxy/state_file.cpp
@@ -0,0 +1,27 @@
+#include "proxy/state_file.h"
+
+#include <fcntl.h>
+#include <unistd.h>
+
+#include <chrono>
+#include <cstdio>
+
+#include "runtime/descriptor.h"
+
+namespace lemoncroft::proxy {
+
+std::int64_t UnixMs() {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(
+             std::chrono::system_clock::now().time_since_epoch())
+      .count();
+}
+
+bool ReplaceFile(const std::string& path, const std::string& text) {
+  const std::string fresh = path + ".new";
+  runtime::Descriptor file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
+  if (!file) return false;
+  const bool complete = ::write(file.get(), text.data(), text.size()) == static_cast<ssize_t>(text.size());
+  return complete && std::rename(fresh.c_str(), path.c_str()) == 0;
+}
+
+}  // namespace lemoncroft::proxy
--- a/src/proxy/state_writer.cpp
+++ b/src/proxy/state_writer.cpp
@@ -10,7 +10,7 @@
 #include <thread>
 #include <utility>
 
-#include "proxy/state.h"
+#include "proxy/state_file.h"
 
 namespace lemoncroft::proxy {
 
