--- a/src/main.cpp
+++ b/src/main.cpp
@@ -70,8 +70,8 @@
   const operator_config::OperatorFile file =
       operator_config::LoadOperatorFile(options.operator_file, proxy::LoadConfig(options.config).site);
   std::string state;
-  if (command == "peers" && file.fleet) state = file.fleet->state;
-  if (command == "waiting" && file.waiting) state = file.waiting->state;
+  if (command == "peers" && file.fleet) state = file.fleet->state_file;
+  if (command == "waiting" && file.admission_queue) state = file.admission_queue->state_file;
   if (state.empty()) throw proxy::ConfigError(options.operator_file + ": names no state file for " + command);
   return state;
 }
@@ -84,12 +84,13 @@
   const proxy::Config config = proxy::LoadConfig(options.config);
   const operator_config::OperatorFile file =
       operator_config::LoadOperatorFile(options.operator_file, config.site);
-  if (!file.fleet || !file.rules) throw proxy::ConfigError(options.operator_file + ": has no `rules`");
+  if (!file.fleet || !file.replicated_config)
+    throw proxy::ConfigError(options.operator_file + ": has no `rules`");
   command.fleet = file.fleet->name;
   if (command.at.empty())
     for (const gossip::Endpoint& listen : file.fleet->listen)
       command.at.push_back(peer_transport::ToString(listen));
-  if (command.store.empty()) command.store = file.rules->store;
+  if (command.store.empty()) command.store = file.replicated_config->store;
   if (command.who.empty()) command.who = config.name;
 }
 
--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -84,8 +84,8 @@
   if (const KdlValue* value = Only(node, KdlValue::Kind::kText, "a text", faults)) out = value->text;
 }
 
-void ReadBlock(const std::vector<KdlNode>& nodes, const Known& known, const std::vector<std::string>& many,
-               Faults& faults) {
+void ReadBlock(const std::vector<KdlNode>& nodes, const NodeReaders& known,
+               const std::vector<std::string>& many, Faults& faults) {
   std::set<std::string> seen;
   for (const KdlNode& node : nodes) {
     const auto it = known.find(node.name);
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr std::size_t kListensMost = 2;  // a process, and the one that takes its place
-constexpr std::size_t kSeedsMost = 64;
-constexpr double kMembersMost = 8192;
-constexpr int kRememberPeriods = 40;  // at the least: a verdict and a healing take longer than a few
+constexpr std::size_t kMaxListenAddresses = 2;  // a process, and the one that takes its place
+constexpr std::size_t kMaxSeeds = 64;
+constexpr double kMaxMembers = 8192;
+constexpr int kMinRetentionIntervals = 40;  // at the least: a verdict and a healing take longer than a few
 
 std::vector<gossip::Endpoint> ReadEndpoints(const KdlNode& node, std::size_t most, Faults& faults) {
   std::vector<gossip::Endpoint> out;
@@ -62,15 +62,17 @@
       read(n);
     };
   };
-  const Known known = {
-      {"listen", noted([&](const KdlNode& n) { out.listen = ReadEndpoints(n, kListensMost, faults); })},
-      {"advertise", noted([&](const KdlNode& n) { out.advertise = ReadEndpoints(n, kListensMost, faults); })},
-      {"seeds", noted([&](const KdlNode& n) { out.view.seeds = ReadEndpoints(n, kSeedsMost, faults); })},
+  const NodeReaders known = {
+      {"listen",
+       noted([&](const KdlNode& n) { out.listen = ReadEndpoints(n, kMaxListenAddresses, faults); })},
+      {"advertise",
+       noted([&](const KdlNode& n) { out.advertise = ReadEndpoints(n, kMaxListenAddresses, faults); })},
+      {"seeds", noted([&](const KdlNode& n) { out.membership.seeds = ReadEndpoints(n, kMaxSeeds, faults); })},
       {"zone", [&](const KdlNode& n) { ReadName(n, gossip::kMaxZoneBytes, out.zone, faults); }},
-      {"state-file", [&](const KdlNode& n) { ReadText(n, out.state, faults); }},
-      {"period", [&](const KdlNode& n) { ReadSpan(n, 50ms, 10s, out.view.probe_interval, faults); }},
-      {"remember", [&](const KdlNode& n) { ReadSpan(n, 1s, 24h, out.view.failed_retention, faults); }},
-      {"most", [&](const KdlNode& n) { ReadCount(n, kMembersMost, out.view.max_members, faults); }},
+      {"state-file", [&](const KdlNode& n) { ReadText(n, out.state_file, faults); }},
+      {"period", [&](const KdlNode& n) { ReadSpan(n, 50ms, 10s, out.membership.probe_interval, faults); }},
+      {"remember", [&](const KdlNode& n) { ReadSpan(n, 1s, 24h, out.membership.failed_retention, faults); }},
+      {"most", [&](const KdlNode& n) { ReadCount(n, kMaxMembers, out.membership.max_members, faults); }},
   };
   ReadBlock(node.children, known, {}, faults);
   if (!given.contains("listen"))
@@ -82,9 +84,9 @@
     faults.Add(node.place, "fleet: `advertise` needs an address for each of `listen`");
   for (const gossip::Endpoint& told : out.advertise)
     if (told.host == 0) faults.Add(node.place, "fleet: nobody can reach 0.0.0.0: give `advertise`");
-  if (out.view.max_members < 2) faults.Add(node.place, "most: a fleet has two members and more");
-  if (out.view.failed_retention < kRememberPeriods * out.view.probe_interval)
-    faults.Add(node.place, "remember: shorter than " + std::to_string(kRememberPeriods) + " periods");
+  if (out.membership.max_members < 2) faults.Add(node.place, "most: a fleet has two members and more");
+  if (out.membership.failed_retention < kMinRetentionIntervals * out.membership.probe_interval)
+    faults.Add(node.place, "remember: shorter than " + std::to_string(kMinRetentionIntervals) + " periods");
   return out;
 }
 
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr double kCoresMost = 1e6;
-constexpr double kThreadsMost = 1e7;
-constexpr double kWaitingMost = 2e6;
+constexpr double kMaxCores = 1e6;
+constexpr double kMaxThreads = 1e7;
+constexpr double kMaxWaiting = 2e6;
 
 // The one text argument of a node that also has children: a name out of `names`.
 std::optional<std::size_t> Named(const KdlNode& node, const std::vector<std::string>& names, const char* what,
@@ -41,17 +41,17 @@
 void ReadTeam(const KdlNode& node, const settings::Site& site, admission_queue::TenantBudget& budget,
               Faults& faults) {
   bool has_cores = false;
-  const Known known = {
+  const NodeReaders known = {
       {"cores",
-       [&](const KdlNode& n) { has_cores = true, ReadNumber(n, 0, kCoresMost, budget.cores, faults); }},
+       [&](const KdlNode& n) { has_cores = true, ReadNumber(n, 0, kMaxCores, budget.cores, faults); }},
       {"burst", [&](const KdlNode& n) { ReadSpan(n, 0s, 1h, budget.burst, faults); }},
       {"threads",
        [&](const KdlNode& n) {
          std::size_t threads = 0;
-         ReadCount(n, kThreadsMost, threads, faults);
+         ReadCount(n, kMaxThreads, threads, faults);
          budget.max_threads = static_cast<int>(threads);
        }},
-      {"waiting", [&](const KdlNode& n) { ReadCount(n, kWaitingMost, budget.max_waiting, faults); }},
+      {"waiting", [&](const KdlNode& n) { ReadCount(n, kMaxWaiting, budget.max_waiting, faults); }},
       {"bar",
        [&](const KdlNode& n) {
          if (const auto class_id = Named(n, site.classes, "class", faults))
@@ -64,7 +64,7 @@
 }
 
 void ReadClass(const KdlNode& node, admission_queue::ClassPolicy& policy, Faults& faults) {
-  const Known known = {
+  const NodeReaders known = {
       {"wait-most", [&](const KdlNode& n) { ReadSpan(n, 1ms, 1h, policy.max_wait, faults); }},
       {"worth", [&](const KdlNode& n) { ReadNumber(n, 1e-6, 1e6, policy.priority_weight, faults); }},
       {"light", [&](const KdlNode& n) { ReadFlag(n, policy.light, faults); }},
@@ -92,8 +92,8 @@
   return policies;
 }
 
-WaitingSettings ReadWaiting(const KdlNode& node, const settings::Site& site, Faults& faults) {
-  WaitingSettings out;
+AdmissionQueueSettings ReadAdmissionQueue(const KdlNode& node, const settings::Site& site, Faults& faults) {
+  AdmissionQueueSettings out;
   admission_queue::Settings& queue = out.queue;
   queue.budget_share = 1.0 / std::max(1, site.module.gateways);
   queue.max_retry_after = admission_queue::Span(site.module.max_retry_after);
@@ -101,12 +101,12 @@
   for (const std::string& name : site.tenants)
     queue.tenants.push_back({.name = name, .burst = 1s, .barred_classes = {}});
   std::set<std::size_t> given;
-  const Known known = {
+  const NodeReaders known = {
       {"ageing", [&](const KdlNode& n) { ReadSpan(n, 0s, 24h, queue.ageing, faults); }},
       {"level", [&](const KdlNode& n) { ReadNumber(n, 0.1, 16, queue.heavy_threads_per_core, faults); }},
-      {"most", [&](const KdlNode& n) { ReadCount(n, kWaitingMost, queue.max_waiting, faults); }},
-      {"tell-clients", [&](const KdlNode& n) { ReadFlag(n, out.tell_clients, faults); }},
-      {"state", [&](const KdlNode& n) { ReadText(n, out.state, faults); }},
+      {"most", [&](const KdlNode& n) { ReadCount(n, kMaxWaiting, queue.max_waiting, faults); }},
+      {"tell-clients", [&](const KdlNode& n) { ReadFlag(n, out.report_estimates, faults); }},
+      {"state", [&](const KdlNode& n) { ReadText(n, out.state_file, faults); }},
       {"class",
        [&](const KdlNode& n) {
          if (const auto class_id = Named(n, site.classes, "class", faults))
@@ -137,9 +137,9 @@
   return out;
 }
 
-std::string Lines(const std::string& path, const std::vector<Problem>& problems) {
+std::string Lines(const std::string& path, const std::vector<Fault>& problems) {
   std::string text;
-  for (const Problem& p : problems) {
+  for (const Fault& p : problems) {
     text += (text.empty() ? "" : "\n") + path + ":" + std::to_string(p.place.line) + ":" +
             std::to_string(p.place.column) + ": " + p.text;
   }
@@ -148,7 +148,7 @@
 
 }  // namespace
 
-OperatorError::OperatorError(const std::string& path, const std::vector<Problem>& problems)
+OperatorError::OperatorError(const std::string& path, const std::vector<Fault>& problems)
     : std::runtime_error(Lines(path, problems)) {}
 
 OperatorFile ReadOperatorFile(const std::string& path, std::string_view text, const settings::Site& site) {
@@ -156,11 +156,13 @@
   Faults faults;
   try {
     const std::vector<KdlNode> nodes = codec::ReadKdl(text);
-    const Known known = {{"waiting", [&](const KdlNode& n) { file.waiting = ReadWaiting(n, site, faults); }},
-                         {"fleet", [&](const KdlNode& n) { file.fleet = ReadFleet(n, faults); }},
-                         {"rules", [&](const KdlNode& n) { file.rules = ReadRules(n, faults); }}};
+    const NodeReaders known = {
+        {"waiting", [&](const KdlNode& n) { file.admission_queue = ReadAdmissionQueue(n, site, faults); }},
+        {"fleet", [&](const KdlNode& n) { file.fleet = ReadFleet(n, faults); }},
+        {"rules", [&](const KdlNode& n) { file.replicated_config = ReadReplicatedConfig(n, faults); }}};
     ReadBlock(nodes, known, {}, faults);
-    if (file.rules && !file.fleet) faults.Add({}, "rules: needs a `fleet`, on whose way they are agreed");
+    if (file.replicated_config && !file.fleet)
+      faults.Add({}, "rules: needs a `fleet`, on whose way they are agreed");
   } catch (const codec::KdlError& e) {
     const std::string what = e.what();
     faults.Add(e.place(), what.substr(what.find(": ") + 2));
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -3,8 +3,8 @@
 // A typed layer over KDL. Everything that is wrong is told at once, each with its line and column: nodes that
 // are not known, values of another kind, times without a unit, contradictions. docs/operating-waiting.md and
 // docs/operating-peers.md tell what each setting does.
-#ifndef LEMONCROFT_OPERATOR_OPERATOR_FILE_H_
-#define LEMONCROFT_OPERATOR_OPERATOR_FILE_H_
+#ifndef LEMONCROFT_OPERATOR_CONFIG_OPERATOR_FILE_H_
+#define LEMONCROFT_OPERATOR_CONFIG_OPERATOR_FILE_H_
 
 #include <optional>
 #include <stdexcept>
@@ -19,7 +19,7 @@
 
 namespace lemoncroft::operator_config {
 
-struct Problem {
+struct Fault {
   codec::KdlPlace place;
   std::string text;
 };
@@ -27,35 +27,36 @@
 // All that is wrong with a file, a line each.
 class OperatorError : public std::runtime_error {
  public:
-  OperatorError(const std::string& path, const std::vector<Problem>& problems);
+  OperatorError(const std::string& path, const std::vector<Fault>& problems);
 };
 
-struct WaitingSettings {
+struct AdmissionQueueSettings {
   admission_queue::Settings queue;
-  bool tell_clients = false;  // estimates to clients that ask for them
-  std::string state;          // the file that `lemoncroft waiting` reads; empty: none is written
+  bool report_estimates = false;  // estimates to clients that ask for them
+  std::string state_file;         // the file that `lemoncroft waiting` reads; empty: none is written
 };
 
 struct FleetSettings {
   std::string name;                                 // of the fleet
   std::vector<gossip::Endpoint> listen, advertise;  // as many of each
   std::string zone;
-  gossip::Settings view;
-  std::string state;  // the file that `lemoncroft peers` reads; empty: none is written
+  gossip::Settings membership;
+  std::string state_file;  // the file that `lemoncroft peers` reads; empty: none is written
   bool operator==(const FleetSettings&) const = default;
 };
 
-struct RulesSettings {
+struct ReplicatedConfigSettings {
   std::vector<std::string> voters;  // the first of the fleet
   std::string store;                // file of a voter; empty: this proxy can't be one
-  admission_queue::Span lease = std::chrono::milliseconds(1000), beat = std::chrono::milliseconds(250);
-  bool operator==(const RulesSettings&) const = default;
+  admission_queue::Span lease = std::chrono::milliseconds(1000),
+                        renewal_interval = std::chrono::milliseconds(250);
+  bool operator==(const ReplicatedConfigSettings&) const = default;
 };
 
 struct OperatorFile {
-  std::optional<WaitingSettings> waiting;  // none: off
-  std::optional<FleetSettings> fleet;      // likewise
-  std::optional<RulesSettings> rules;      // likewise
+  std::optional<AdmissionQueueSettings> admission_queue;      // none: off
+  std::optional<FleetSettings> fleet;                         // likewise
+  std::optional<ReplicatedConfigSettings> replicated_config;  // likewise
 };
 
 // Reads a file's text against the site that it is for. Throws OperatorError.
@@ -64,4 +65,4 @@
 
 }  // namespace lemoncroft::operator_config
 
-#endif  // LEMONCROFT_OPERATOR_OPERATOR_FILE_H_
+#endif  // LEMONCROFT_OPERATOR_CONFIG_OPERATOR_FILE_H_
--- a/src/operator_config/rules_block.cpp
+++ b/src/operator_config/rules_block.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::size_t kVotersLeast = 3, kVotersMost = 7;
-constexpr int kBeatsInLease = 3;  // at the least: one answer lost must not cut a proxy off
+constexpr std::size_t kMinVoters = 3, kMaxVoters = 7;
+constexpr int kMinRenewalsPerLease = 3;  // at the least: one answer lost must not cut a proxy off
 
 void ReadVoters(const KdlNode& node, std::vector<std::string>& out, Faults& faults) {
   for (const KdlValue& value : node.arguments) {
@@ -26,25 +26,25 @@
     else
       out.push_back(value.text);
   }
-  if (out.size() < kVotersLeast || out.size() > kVotersMost || !node.properties.empty() ||
+  if (out.size() < kMinVoters || out.size() > kMaxVoters || !node.properties.empty() ||
       !node.children.empty())
     faults.Add(node.place, "voters: expected three to seven names of proxies");
 }
 
 }  // namespace
 
-RulesSettings ReadRules(const KdlNode& node, Faults& faults) {
-  RulesSettings out;
-  const Known known = {
+ReplicatedConfigSettings ReadReplicatedConfig(const KdlNode& node, Faults& faults) {
+  ReplicatedConfigSettings out;
+  const NodeReaders known = {
       {"voters", [&](const KdlNode& n) { ReadVoters(n, out.voters, faults); }},
       {"store", [&](const KdlNode& n) { ReadText(n, out.store, faults); }},
       {"lease", [&](const KdlNode& n) { ReadSpan(n, 300ms, 10s, out.lease, faults); }},
-      {"beat", [&](const KdlNode& n) { ReadSpan(n, 50ms, 2s, out.beat, faults); }},
+      {"beat", [&](const KdlNode& n) { ReadSpan(n, 50ms, 2s, out.renewal_interval, faults); }},
   };
   if (!node.arguments.empty() || !node.properties.empty()) faults.Add(node.place, "rules takes a block only");
   ReadBlock(node.children, known, {}, faults);
   if (out.voters.empty()) faults.Add(node.place, "rules: needs `voters`, the proxies that keep the log");
-  if (out.lease < kBeatsInLease * out.beat)
+  if (out.lease < kMinRenewalsPerLease * out.renewal_interval)
     faults.Add(node.place, "lease: shorter than three beats; one lost answer would cut proxies off");
   return out;
 }
--- a/src/proxy/fleet.cpp
+++ b/src/proxy/fleet.cpp
@@ -37,7 +37,7 @@
 
 peer_transport::LinkOptions LinkOptionsOf(const operator_config::FleetSettings& settings,
                                           const std::string& name) {
-  return {settings.name, name, settings.zone, settings.listen, settings.advertise, settings.view};
+  return {settings.name, name, settings.zone, settings.listen, settings.advertise, settings.membership};
 }
 
 }  // namespace
@@ -121,12 +121,12 @@
 }
 
 runtime::Task<> Fleet::WriteState() {
-  if (settings_.state.empty()) co_return;
+  if (settings_.state_file.empty()) co_return;
   StateWriter writer;
   for (int check = 0;; ++check, co_await loop_.Sleep(kStateCheckInterval)) {
     if (!changed_ && check % kStateRefreshChecks != 0) continue;
     changed_ = false;
-    writer.Write(settings_.state, FleetStateText(link_, settings_.name));
+    writer.Write(settings_.state_file, FleetStateText(link_, settings_.name));
   }
 }
 
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -57,7 +57,7 @@
   if (registry == nullptr || !registry->registered())
     spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
   // With a replicated configuration manual ejections are part of that.
-  if (tmpdir != nullptr && !operator_file.rules)
+  if (tmpdir != nullptr && !operator_file.replicated_config)
     operations.EnableEjectionStore(
         tmpdir, decision::ToSpan(site.module.slow_start_duration + site.module.overload_window));
   // Before the endpoint list: the predecessor may just have sent an engine in slow start all that it takes.
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -46,7 +46,7 @@
 }
 
 std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& file) {
-  return file.waiting ? file.waiting->queue.max_waiting : broker::Broker::Limits().requests;
+  return file.admission_queue ? file.admission_queue->queue.max_waiting : broker::Broker::Limits().requests;
 }
 
 // Tells the fleet of this process's phase, and has telemetry list the fleet's metrics.
@@ -75,16 +75,16 @@
 }
 
 // Starts what the operator's file says of the admission queue, except the queue itself.
-void StartQueueReports(runtime::Loop& loop, const operator_config::WaitingSettings& settings,
+void StartQueueReports(runtime::Loop& loop, const operator_config::AdmissionQueueSettings& settings,
                        ReloadableState& state) {
-  state.server.set_foretells(settings.tell_clients);
-  state.queue_state_file = settings.state;
+  state.server.set_foretells(settings.report_estimates);
+  state.queue_state_file = settings.state_file;
   state.own_queue_settings = settings.queue;
   loop.Spawn(WriteQueueState(loop, state));
 }
 
 std::unique_ptr<ReplicatedConfigService> MakeReplicatedConfigService(
-    runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
+    runtime::Loop& loop, Fleet& fleet, const operator_config::ReplicatedConfigSettings& settings,
     ReloadableState& state) {
   ReplicatedConfigService::LocalConfig local;
   local.site = [&state]() -> const settings::Site& { return state.config.site; };
@@ -98,10 +98,9 @@
                                                    state.on_endpoint_update, std::move(local));
 }
 
-std::unique_ptr<ReplicatedConfigService> StartReplicatedConfig(runtime::Loop& loop, Fleet& fleet,
-                                                               const operator_config::RulesSettings& settings,
-                                                               ReloadableState& state,
-                                                               Operations& operations) {
+std::unique_ptr<ReplicatedConfigService> StartReplicatedConfig(
+    runtime::Loop& loop, Fleet& fleet, const operator_config::ReplicatedConfigSettings& settings,
+    ReloadableState& state, Operations& operations) {
   auto service = MakeReplicatedConfigService(loop, fleet, settings, state);
   state.replicated_config_service = service.get();
   state.broker.set_lease_fence(service.get());
@@ -179,7 +178,7 @@
   const std::size_t max_open = DefaultMaxOpenRequests(file);
   broker::Broker broker(loop, active_settings, config.seed, engines, counters,
                         RequestLimits(config, memory_mb, max_open));
-  if (file.waiting) broker.EnableAdmissionQueue(file.waiting->queue);
+  if (file.admission_queue) broker.EnableAdmissionQueue(file.admission_queue->queue);
   frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited)), active_settings,
                                broker, counters, ClientLimits(config, memory_mb));
   directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
@@ -210,8 +209,9 @@
                         .queue_state_file = {},
                         .own_queue_settings = {},
                         .fleet_settings = fleet ? &fleet->settings() : nullptr};
-  if (file.waiting) StartQueueReports(loop, *file.waiting, state);
-  if (file.rules) service = StartReplicatedConfig(loop, *fleet, *file.rules, state, operations);
+  if (file.admission_queue) StartQueueReports(loop, *file.admission_queue, state);
+  if (file.replicated_config)
+    service = StartReplicatedConfig(loop, *fleet, *file.replicated_config, state, operations);
   loop.Spawn(endpoint_watch.Run());
   loop.Spawn(engines.pool().CloseIdle());
   broker.Start();
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -57,11 +57,11 @@
 // Throws ConfigError if the operator's file switches a part on or off, which only a start can do.
 void CheckSamePartsEnabled(const std::string& path, const operator_config::OperatorFile& file,
                            const ReloadableState& state) {
-  if (file.waiting.has_value() != (state.broker.admission_queue() != nullptr))
+  if (file.admission_queue.has_value() != (state.broker.admission_queue() != nullptr))
     throw ConfigError(path + ": waiting is switched on and off by a restart only");
   if (file.fleet.has_value() != (state.fleet_settings != nullptr))
     throw ConfigError(path + ": fleet is switched on and off by a restart only");
-  if (file.rules.has_value() != (state.replicated_config_service != nullptr))
+  if (file.replicated_config.has_value() != (state.replicated_config_service != nullptr))
     throw ConfigError(path + ": rules are switched on and off by a restart only");
 }
 
@@ -69,8 +69,8 @@
 void CheckReplicatedConfigFits(const ReloadableState& state, const settings::Site& site,
                                const operator_config::OperatorFile& file) {
   if (state.replicated_config_service == nullptr) return;
-  const auto compatible =
-      state.replicated_config_service->CheckCompatible(site, file.waiting ? &file.waiting->queue : nullptr);
+  const auto compatible = state.replicated_config_service->CheckCompatible(
+      site, file.admission_queue ? &file.admission_queue->queue : nullptr);
   if (!compatible) throw ConfigError("the rules in force can't be carried: " + compatible.error().Text());
 }
 
@@ -85,13 +85,13 @@
     if (!same) spdlog::warn("configuration: {} changes by a start only; it stays as it was", part);
 }
 
-void ApplyOperatorSettings(ReloadableState& state, operator_config::WaitingSettings waiting) {
+void ApplyOperatorSettings(ReloadableState& state, operator_config::AdmissionQueueSettings waiting) {
   state.own_queue_settings = std::move(waiting.queue);
   ApplyQueueSettings(state, state.replicated_config_service == nullptr
                                 ? nullptr
                                 : &state.replicated_config_service->document());
-  state.server.set_foretells(waiting.tell_clients);
-  state.queue_state_file = std::move(waiting.state);
+  state.server.set_foretells(waiting.report_estimates);
+  state.queue_state_file = std::move(waiting.state_file);
 }
 
 // Throws for files that can't be used, and changes nothing then.
@@ -101,7 +101,7 @@
       MigrateSettings(*state.active_settings, WithReplicatedConfig(state, config.site), state.broker.used());
   operator_config::OperatorFile file = ReadOperatorSettings(options, migration.site);
   CheckSamePartsEnabled(options.operator_path, file, state);
-  if (file.rules && *file.rules != state.replicated_config_service->settings())
+  if (file.replicated_config && *file.replicated_config != state.replicated_config_service->settings())
     spdlog::warn("{}: rules changes by a restart only; it stays as it was", options.operator_path);
   CheckReplicatedConfigFits(state, config.site, file);
   if (file.fleet && *file.fleet != *state.fleet_settings)
@@ -110,8 +110,8 @@
   LogFindings(config);
 
   ApplySettings(state, std::move(migration));
-  if (file.waiting) {
-    ApplyOperatorSettings(state, std::move(*file.waiting));
+  if (file.admission_queue) {
+    ApplyOperatorSettings(state, std::move(*file.admission_queue));
     spdlog::info("operator's file read again: {}", options.operator_path);
   }
   state.directory.Apply(std::exchange(config.known, {}), state.on_endpoint_update);
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -35,12 +35,12 @@
 }  // namespace
 
 replicated_config::ConfigReplicaOptions ReplicatedConfigService::ReplicaOptionsOf(
-    const operator_config::RulesSettings& settings, const std::string& name) {
+    const operator_config::ReplicatedConfigSettings& settings, const std::string& name) {
   replicated_config::ConfigReplicaOptions options;
   options.self = name;
   options.initial_voters = settings.voters;
   options.lease.duration = settings.lease;
-  options.lease.renewal_interval = settings.beat;
+  options.lease.renewal_interval = settings.renewal_interval;
   options.format = replicated_config::kNewestDocumentFormat;
   return options;
 }
@@ -81,7 +81,7 @@
 }
 
 ReplicatedConfigService::ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
-                                                 const operator_config::RulesSettings& settings,
+                                                 const operator_config::ReplicatedConfigSettings& settings,
                                                  const std::string& name,
                                                  discovery::EndpointDirectory& directory,
                                                  discovery::EndpointDirectory::UpdateCallback tell,
--- a/src/proxy/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -44,8 +44,9 @@
     std::function<void(const replicated_config::Document&)> activate;  // applies a document; may throw
   };
 
-  ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
-                          const std::string& name, discovery::EndpointDirectory& directory,
+  ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
+                          const operator_config::ReplicatedConfigSettings& settings, const std::string& name,
+                          discovery::EndpointDirectory& directory,
                           discovery::EndpointDirectory::UpdateCallback tell, LocalConfig local_config);
 
   void Start();
@@ -62,7 +63,7 @@
   const replicated_config::Document& document() const {
     return document_;
   }  // active here; empty before the first
-  const operator_config::RulesSettings& settings() const { return settings_; }
+  const operator_config::ReplicatedConfigSettings& settings() const { return settings_; }
 
   // Proposes to the fleet an `exclude` or `include` that was carried out here. Returns `reply` with what the
   // fleet has decided so far.
@@ -85,7 +86,7 @@
   };
 
   static replicated_config::ConfigReplicaOptions ReplicaOptionsOf(
-      const operator_config::RulesSettings& settings, const std::string& name);
+      const operator_config::ReplicatedConfigSettings& settings, const std::string& name);
   replicated_config::DocumentChecks MakeDocumentChecks();
 
   runtime::Task<> RunTimers();
@@ -120,7 +121,7 @@
 
   runtime::Loop& loop_;
   Fleet& fleet_;
-  operator_config::RulesSettings settings_;
+  operator_config::ReplicatedConfigSettings settings_;
   std::string name_;
   discovery::EndpointDirectory& directory_;
   discovery::EndpointDirectory::UpdateCallback tell_;
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -32,7 +32,7 @@
  public:
   tl::expected<Document, InvalidDocument> Parse(std::string_view text) {
     try {
-      const operator_config::Known known = {
+      const operator_config::NodeReaders known = {
           {"format", [&](const KdlNode& n) { Count(n, 1e6, document_.format); }},
           {"attempts", [&](const KdlNode& n) { document_.max_attempts = Integer(n, 1, 100); }},
           {"open-most", [&](const KdlNode& n) { document_.max_open_requests = Integer(n, 1, 1e6); }},
@@ -55,7 +55,7 @@
         errors_.Add({}, std::to_string(count) + " of one kind: at most " + std::to_string(kMaxNames));
     if (errors_.all().empty()) return std::move(document_);
     InvalidDocument invalid;
-    for (const operator_config::Problem& problem : errors_.all())
+    for (const operator_config::Fault& problem : errors_.all())
       invalid.faults.push_back({problem.place.line, problem.place.column, problem.text});
     return tl::unexpected(std::move(invalid));
   }
--- a/src/testing/fault_test/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -75,7 +75,7 @@
   name.children.clear();
   operator_config::ReadText(name, trial.name, faults);
   std::size_t seed = 1;
-  const operator_config::Known known = {
+  const operator_config::NodeReaders known = {
       {"proxies",
        [&](const KdlNode& n) { operator_config::ReadCount(n, kMachinesMost, trial.proxies, faults); }},
       {"machines",
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -128,8 +128,8 @@
       team "south" { cores 0 }
     })",
                                                       Site());
-  ASSERT_TRUE(file.waiting);
-  const admission_queue::Settings& queue = file.waiting->queue;
+  ASSERT_TRUE(file.admission_queue);
+  const admission_queue::Settings& queue = file.admission_queue->queue;
   EXPECT_EQ(queue.ageing, std::chrono::milliseconds(500));
   EXPECT_DOUBLE_EQ(queue.budget_share, 0.5);
   EXPECT_EQ(queue.tenants[0].cores, 40);
@@ -139,8 +139,8 @@
   EXPECT_TRUE(queue.classes[0].light);
   EXPECT_FALSE(queue.classes[1].light);
   EXPECT_EQ(queue.classes[1].max_wait, std::chrono::seconds(8));
-  EXPECT_TRUE(file.waiting->tell_clients);
-  EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).waiting);
+  EXPECT_TRUE(file.admission_queue->report_estimates);
+  EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).admission_queue);
 }
 
 TEST(OperatorFile, TellsAllThatIsWrongAtOnce) {
@@ -180,10 +180,10 @@
   EXPECT_EQ(file.fleet->name, "hanul");
   EXPECT_EQ(file.fleet->listen.size(), 2u);
   EXPECT_EQ(file.fleet->advertise, file.fleet->listen) << "told as it is bound";
-  EXPECT_EQ(file.fleet->view.seeds, (std::vector<gossip::Endpoint>{{0x7f000101, 7100}}))
+  EXPECT_EQ(file.fleet->membership.seeds, (std::vector<gossip::Endpoint>{{0x7f000101, 7100}}))
       << "itself alone: the first";
-  EXPECT_EQ(file.fleet->view.probe_interval, std::chrono::milliseconds(100));
-  EXPECT_EQ(file.fleet->view.max_members, 500u);
+  EXPECT_EQ(file.fleet->membership.probe_interval, std::chrono::milliseconds(100));
+  EXPECT_EQ(file.fleet->membership.max_members, 500u);
   EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).fleet.has_value());
 }
 
