--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -5,6 +5,8 @@
 #include <cmath>
 #include <cstdio>
 #include <set>
+#include <string_view>
+#include <utility>
 
 namespace lemoncroft::operator_config {
 
@@ -13,94 +15,118 @@
 
 namespace {
 
-const KdlValue* Only(const KdlNode& node, KdlValue::Kind kind, const char* wanted, Faults& faults) {
+// The node's one argument; null, with a fault, if it has other content or the argument is of another kind.
+const KdlValue* OnlyArgument(const KdlNode& node, KdlValue::Kind kind, const char* expected, Faults& faults) {
   const bool one = node.arguments.size() == 1 && node.properties.empty() && node.children.empty();
   if (one && node.arguments[0].kind == kind) return &node.arguments[0];
-  faults.Add(one ? node.arguments[0].place : node.place, node.name + ": expected " + wanted);
+  const std::string message = node.name + ": expected " + expected;
+  if (one)
+    faults.AddAt(node, node.arguments[0], message);
+  else
+    faults.AddAt(node, message);
   return nullptr;
 }
 
-std::string Written(double number) {
+std::string FormatNumber(double number) {
   char text[32];
   std::snprintf(text, sizeof text, "%g", number);
   return text;
 }
 
+// Zero for a text that is no unit.
+double SecondsOf(std::string_view unit) {
+  if (unit == "us") return 1e-6;
+  if (unit == "ms") return 1e-3;
+  if (unit == "s") return 1;
+  if (unit == "m") return 60;
+  if (unit == "h") return 3600;
+  return 0;
+}
+
+std::string KeysOf(const NodeReaders& readers) {
+  std::string keys;
+  for (const auto& [key, reader] : readers) keys += (keys.empty() ? "" : ", ") + key;
+  return keys;
+}
+
 }  // namespace
 
+void Faults::AddAt(const KdlNode& node, std::string message) {
+  faults_.push_back({node.place, node.name, "", std::move(message)});
+}
+
+void Faults::AddAt(const KdlNode& node, const KdlValue& value, std::string message) {
+  faults_.push_back({value.place, node.name, value.text, std::move(message)});
+}
+
 bool ParseSpan(const std::string& text, admission_queue::Span& out) {
   double number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || !std::isfinite(number) || number < 0) return false;
   const std::string unit(end, text.data() + text.size());
-  const double seconds = unit == "us"   ? 1e-6
-                         : unit == "ms" ? 1e-3
-                         : unit == "s"  ? 1
-                         : unit == "m"  ? 60
-                         : unit == "h"  ? 3600
-                                        : 0;
+  const double seconds = SecondsOf(unit);
   out = admission_queue::FromSeconds(number * seconds);
   return seconds > 0;
 }
 
-void ReadSpan(const KdlNode& node, admission_queue::Span least, admission_queue::Span most,
+void ReadSpan(const KdlNode& node, admission_queue::Span min, admission_queue::Span max,
               admission_queue::Span& out, Faults& faults) {
   const KdlValue* value =
-      Only(node, KdlValue::Kind::kText, "a time with its unit, such as \"250ms\" or \"2s\"", faults);
+      OnlyArgument(node, KdlValue::Kind::kText, "a time with its unit, such as \"250ms\" or \"2s\"", faults);
   if (value == nullptr) return;
   admission_queue::Span span{};
   if (!ParseSpan(value->text, span))
-    return faults.Add(value->place,
-                      node.name + ": '" + value->text + "' is no time with a unit (us, ms, s, m, h)");
-  if (span < least || span > most)
-    return faults.Add(value->place, node.name + ": '" + value->text + "' is not from " +
-                                        Written(admission_queue::Seconds(least)) + "s to " +
-                                        Written(admission_queue::Seconds(most)) + "s");
+    return faults.AddAt(node, *value,
+                        node.name + ": '" + value->text + "' is no time with a unit (us, ms, s, m, h)");
+  if (span < min || span > max)
+    return faults.AddAt(node, *value,
+                        node.name + ": '" + value->text + "' is not from " +
+                            FormatNumber(admission_queue::Seconds(min)) + "s to " +
+                            FormatNumber(admission_queue::Seconds(max)) + "s");
   out = span;
 }
 
-void ReadNumber(const KdlNode& node, double least, double most, double& out, Faults& faults) {
-  const KdlValue* value = Only(node, KdlValue::Kind::kNumber, "a number", faults);
+void ReadNumber(const KdlNode& node, double min, double max, double& out, Faults& faults) {
+  const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kNumber, "a number", faults);
   if (value == nullptr) return;
-  if (!(value->number >= least && value->number <= most))
-    return faults.Add(value->place, node.name + ": " + value->text + " is not from " + Written(least) +
-                                        " to " + Written(most));
+  if (!(value->number >= min && value->number <= max))
+    return faults.AddAt(
+        node, *value,
+        node.name + ": " + value->text + " is not from " + FormatNumber(min) + " to " + FormatNumber(max));
   out = value->number;
 }
 
-void ReadCount(const KdlNode& node, double most, std::size_t& out, Faults& faults) {
+void ReadCount(const KdlNode& node, double max, std::size_t& out, Faults& faults) {
   double number = static_cast<double>(out);
-  ReadNumber(node, 0, most, number, faults);
-  if (number != std::floor(number)) return faults.Add(node.place, node.name + ": expected a whole number");
+  ReadNumber(node, 0, max, number, faults);
+  if (number != std::floor(number)) return faults.AddAt(node, node.name + ": expected a whole number");
   out = static_cast<std::size_t>(number);
 }
 
 void ReadFlag(const KdlNode& node, bool& out, Faults& faults) {
-  if (const KdlValue* value = Only(node, KdlValue::Kind::kBool, "#true or #false", faults))
+  if (const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kBool, "#true or #false", faults))
     out = value->truth;
 }
 
 void ReadText(const KdlNode& node, std::string& out, Faults& faults) {
-  if (const KdlValue* value = Only(node, KdlValue::Kind::kText, "a text", faults)) out = value->text;
+  if (const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kText, "a text", faults)) out = value->text;
 }
 
-void ReadBlock(const std::vector<KdlNode>& nodes, const NodeReaders& known,
-               const std::vector<std::string>& many, Faults& faults) {
+void ReadBlock(const std::vector<KdlNode>& nodes, const NodeReaders& readers,
+               const std::vector<std::string>& repeatable, Faults& faults) {
   std::set<std::string> seen;
   for (const KdlNode& node : nodes) {
-    const auto it = known.find(node.name);
-    if (it == known.end()) {
-      std::string names;
-      for (const auto& [name, read] : known) names += (names.empty() ? "" : ", ") + name;
-      faults.Add(node.place, "'" + node.name + "' is not known here; known are " + names);
+    const auto reader = readers.find(node.name);
+    if (reader == readers.end()) {
+      faults.AddAt(node, "'" + node.name + "' is not known here; known are " + KeysOf(readers));
       continue;
     }
     const bool again = !seen.insert(node.name).second;
-    if (again && std::count(many.begin(), many.end(), node.name) == 0) {
-      faults.Add(node.place, node.name + ": given twice");
+    if (again && std::count(repeatable.begin(), repeatable.end(), node.name) == 0) {
+      faults.AddAt(node, node.name + ": given twice");
       continue;
     }
-    it->second(node);
+    reader->second(node);
   }
 }
 
--- a/src/operator_config/fields.h
+++ b/src/operator_config/fields.h
@@ -1,10 +1,16 @@
-// Typed reads of KDL nodes that note what is wrong and go on: so that a file's faults are told all at once.
+// Typed reads of KDL nodes. A fault is recorded and reading goes on, so that all faults of a file are
+// reported together.
+//
+// Contract. Pure functions. Owner of a Faults: the reader of one file. Errors: recorded in Faults; the output
+// parameter keeps its value then. Also used for documents of the replicated configuration and for fault
+// tests' scripts.
 #ifndef LEMONCROFT_OPERATOR_CONFIG_FIELDS_H_
 #define LEMONCROFT_OPERATOR_CONFIG_FIELDS_H_
 
 #include <functional>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "codec/kdl.h"
@@ -12,30 +18,39 @@
 
 namespace lemoncroft::operator_config {
 
+// The faults found so far.
 class Faults {
  public:
-  void Add(codec::KdlPlace place, std::string text) { problems_.push_back({place, std::move(text)}); }
-  const std::vector<Fault>& all() const { return problems_; }
+  // A fault of no single key, such as a contradiction.
+  void Add(codec::KdlPlace place, std::string message) {
+    faults_.push_back({place, "", "", std::move(message)});
+  }
+  // A fault of a node, or of one of its arguments. The message is complete: it names what it is about.
+  void AddAt(const codec::KdlNode& node, std::string message);
+  void AddAt(const codec::KdlNode& node, const codec::KdlValue& value, std::string message);
+  const std::vector<Fault>& all() const { return faults_; }
 
  private:
-  std::vector<Fault> problems_;
+  std::vector<Fault> faults_;
 };
 
-// Each reads a node's one argument into `out`, or notes why it can't.
-void ReadSpan(const codec::KdlNode& node, admission_queue::Span least, admission_queue::Span most,
+// Each reads a node's one argument into `out`, or records why it can't.
+void ReadSpan(const codec::KdlNode& node, admission_queue::Span min, admission_queue::Span max,
               admission_queue::Span& out, Faults& faults);
-void ReadNumber(const codec::KdlNode& node, double least, double most, double& out, Faults& faults);
-void ReadCount(const codec::KdlNode& node, double most, std::size_t& out, Faults& faults);
+void ReadNumber(const codec::KdlNode& node, double min, double max, double& out, Faults& faults);
+void ReadCount(const codec::KdlNode& node, double max, std::size_t& out, Faults& faults);
 void ReadFlag(const codec::KdlNode& node, bool& out, Faults& faults);
 void ReadText(const codec::KdlNode& node, std::string& out, Faults& faults);
 
-// The children of a block by name, each at most once unless it is in `many`; others are faults.
+// How to read each node of a block, by its key.
 using NodeReaders = std::map<std::string, std::function<void(const codec::KdlNode&)>>;
-void ReadBlock(const std::vector<codec::KdlNode>& nodes, const NodeReaders& known,
-               const std::vector<std::string>& many, Faults& faults);
+// Reads the nodes of a block. A key without a reader is a fault, and so is one given twice, unless it is in
+// `repeatable`.
+void ReadBlock(const std::vector<codec::KdlNode>& nodes, const NodeReaders& readers,
+               const std::vector<std::string>& repeatable, Faults& faults);
 
-// "250ms", "2s", "5m", "1h": a number with its unit. False where it is none.
-bool ParseSpan(const std::string& text, admission_queue::Span& out);
+// Parses a number with its unit (us, ms, s, m, h), such as "250ms". Returns false for any other text.
+[[nodiscard]] bool ParseSpan(const std::string& text, admission_queue::Span& out);
 
 }  // namespace lemoncroft::operator_config
 
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <set>
 
+#include "operator_config/operator_keys.h"
 #include "peer_transport/frame.h"
 #include "peer_transport/link.h"
 
@@ -14,16 +15,17 @@
 
 namespace {
 
-constexpr std::size_t kMaxListenAddresses = 2;  // a process, and the one that takes its place
+constexpr std::size_t kMaxListenAddresses = 2;  // of a process and of its successor in a hot restart
 constexpr std::size_t kMaxSeeds = 64;
 constexpr double kMaxMembers = 8192;
-constexpr int kMinRetentionIntervals = 40;  // at the least: a verdict and a healing take longer than a few
+// Probe intervals for which failed members are kept: a suspicion and its refutation take several.
+constexpr int kMinRetentionIntervals = 40;
 
-std::vector<gossip::Endpoint> ReadEndpoints(const KdlNode& node, std::size_t most, Faults& faults) {
+std::vector<gossip::Endpoint> ReadEndpoints(const KdlNode& node, std::size_t max, Faults& faults) {
   std::vector<gossip::Endpoint> out;
-  if (node.arguments.empty() || node.arguments.size() > most || !node.properties.empty() ||
+  if (node.arguments.empty() || node.arguments.size() > max || !node.properties.empty() ||
       !node.children.empty()) {
-    faults.Add(node.place, node.name + ": expected 1 to " + std::to_string(most) + " addresses");
+    faults.AddAt(node, node.name + ": expected 1 to " + std::to_string(max) + " addresses");
     return out;
   }
   for (const KdlValue& value : node.arguments) {
@@ -31,21 +33,37 @@
         value.kind == KdlValue::Kind::kText ? runtime::Address::Parse(value.text) : std::nullopt;
     const gossip::Endpoint endpoint = address ? peer_transport::ToEndpoint(*address) : gossip::Endpoint();
     if (!endpoint)
-      faults.Add(value.place, node.name + ": '" + value.text + "' is not an IPv4 address with a port");
+      faults.AddAt(node, value, node.name + ": '" + value.text + "' is not an IPv4 address with a port");
     else if (std::find(out.begin(), out.end(), endpoint) != out.end())
-      faults.Add(value.place, node.name + ": '" + value.text + "' is given twice");
+      faults.AddAt(node, value, node.name + ": '" + value.text + "' is given twice");
     else
       out.push_back(endpoint);
   }
   return out;
 }
 
-void ReadName(const KdlNode& node, std::size_t most, std::string& out, Faults& faults) {
+void ReadName(const KdlNode& node, std::size_t max_bytes, std::string& out, Faults& faults) {
   ReadText(node, out, faults);
   const bool plain = std::all_of(out.begin(), out.end(), [](char c) { return c > ' ' && c < 0x7f; });
-  if (out.size() > most || !plain)
-    faults.Add(node.place,
-               node.name + ": at most " + std::to_string(most) + " plain characters without blanks");
+  if (out.size() > max_bytes || !plain)
+    faults.AddAt(node,
+                 node.name + ": at most " + std::to_string(max_bytes) + " plain characters without blanks");
+}
+
+// Checks settings that depend on each other; `given`: the keys that the block has.
+void CheckFleet(const KdlNode& node, const FleetSettings& fleet, const std::set<std::string>& given,
+                Faults& faults) {
+  const bool has_listen = given.contains(keys::fleet::kListen);
+  if (!has_listen) faults.AddAt(node, "fleet: needs `listen`, where peers reach this proxy");
+  if (!given.contains(keys::fleet::kSeeds))
+    faults.AddAt(node, "fleet: needs `seeds`; the first proxy of a fleet names itself alone");
+  if (fleet.advertise.size() != fleet.listen.size() && has_listen)
+    faults.AddAt(node, "fleet: `advertise` needs an address for each of `listen`");
+  for (const gossip::Endpoint& advertised : fleet.advertise)
+    if (advertised.host == 0) faults.AddAt(node, "fleet: nobody can reach 0.0.0.0: give `advertise`");
+  if (fleet.membership.max_members < 2) faults.AddAt(node, "most: a fleet has two members and more");
+  if (fleet.membership.failed_retention < kMinRetentionIntervals * fleet.membership.probe_interval)
+    faults.AddAt(node, "remember: shorter than " + std::to_string(kMinRetentionIntervals) + " periods");
 }
 
 }  // namespace
@@ -56,37 +74,32 @@
   name.children.clear();
   ReadName(name, peer_transport::kMaxFleetNameBytes, out.name, faults);
   std::set<std::string> given;
-  const auto noted = [&](auto read) {
+  const auto noting = [&given](auto read) {
     return [&given, read](const KdlNode& n) {
       given.insert(n.name);
       read(n);
     };
   };
-  const NodeReaders known = {
-      {"listen",
-       noted([&](const KdlNode& n) { out.listen = ReadEndpoints(n, kMaxListenAddresses, faults); })},
-      {"advertise",
-       noted([&](const KdlNode& n) { out.advertise = ReadEndpoints(n, kMaxListenAddresses, faults); })},
-      {"seeds", noted([&](const KdlNode& n) { out.membership.seeds = ReadEndpoints(n, kMaxSeeds, faults); })},
-      {"zone", [&](const KdlNode& n) { ReadName(n, gossip::kMaxZoneBytes, out.zone, faults); }},
-      {"state-file", [&](const KdlNode& n) { ReadText(n, out.state_file, faults); }},
-      {"period", [&](const KdlNode& n) { ReadSpan(n, 50ms, 10s, out.membership.probe_interval, faults); }},
-      {"remember", [&](const KdlNode& n) { ReadSpan(n, 1s, 24h, out.membership.failed_retention, faults); }},
-      {"most", [&](const KdlNode& n) { ReadCount(n, kMaxMembers, out.membership.max_members, faults); }},
+  const auto addresses = [&faults, &noting](std::vector<gossip::Endpoint>& into, std::size_t max) {
+    return noting([&faults, &into, max](const KdlNode& n) { into = ReadEndpoints(n, max, faults); });
+  };
+  gossip::Settings& membership = out.membership;
+  const NodeReaders readers = {
+      {keys::fleet::kListen, addresses(out.listen, kMaxListenAddresses)},
+      {keys::fleet::kAdvertise, addresses(out.advertise, kMaxListenAddresses)},
+      {keys::fleet::kSeeds, addresses(membership.seeds, kMaxSeeds)},
+      {keys::fleet::kZone, [&](const KdlNode& n) { ReadName(n, gossip::kMaxZoneBytes, out.zone, faults); }},
+      {keys::fleet::kStateFile, [&](const KdlNode& n) { ReadText(n, out.state_file, faults); }},
+      {keys::fleet::kProbeInterval,
+       [&](const KdlNode& n) { ReadSpan(n, 50ms, 10s, membership.probe_interval, faults); }},
+      {keys::fleet::kFailedRetention,
+       [&](const KdlNode& n) { ReadSpan(n, 1s, 24h, membership.failed_retention, faults); }},
+      {keys::fleet::kMaxMembers,
+       [&](const KdlNode& n) { ReadCount(n, kMaxMembers, membership.max_members, faults); }},
   };
-  ReadBlock(node.children, known, {}, faults);
-  if (!given.contains("listen"))
-    faults.Add(node.place, "fleet: needs `listen`, where peers reach this proxy");
-  if (!given.contains("seeds"))
-    faults.Add(node.place, "fleet: needs `seeds`; the first proxy of a fleet names itself alone");
-  if (!given.contains("advertise")) out.advertise = out.listen;
-  if (out.advertise.size() != out.listen.size() && given.contains("listen"))
-    faults.Add(node.place, "fleet: `advertise` needs an address for each of `listen`");
-  for (const gossip::Endpoint& told : out.advertise)
-    if (told.host == 0) faults.Add(node.place, "fleet: nobody can reach 0.0.0.0: give `advertise`");
-  if (out.membership.max_members < 2) faults.Add(node.place, "most: a fleet has two members and more");
-  if (out.membership.failed_retention < kMinRetentionIntervals * out.membership.probe_interval)
-    faults.Add(node.place, "remember: shorter than " + std::to_string(kMinRetentionIntervals) + " periods");
+  ReadBlock(node.children, readers, {}, faults);
+  if (!given.contains(keys::fleet::kAdvertise)) out.advertise = out.listen;
+  CheckFleet(node, out, given, faults);
   return out;
 }
 
--- a/src/operator_config/fleet_block.h
+++ b/src/operator_config/fleet_block.h
@@ -1,4 +1,4 @@
-// The block `fleet` of the operator's file: the view of the fleet, and how this proxy is reached in it.
+// The block `fleet` of the operator's file: membership of the fleet, and how peers reach this proxy.
 #ifndef LEMONCROFT_OPERATOR_CONFIG_FLEET_BLOCK_H_
 #define LEMONCROFT_OPERATOR_CONFIG_FLEET_BLOCK_H_
 
@@ -6,7 +6,7 @@
 
 namespace lemoncroft::operator_config {
 
-// Notes all that is wrong with it; docs/operating-peers.md tells what each setting does.
+// Records all faults of the block. docs/operating-peers.md has the settings.
 FleetSettings ReadFleet(const codec::KdlNode& node, Faults& faults);
 
 }  // namespace lemoncroft::operator_config
--- a/src/operator_config/rules_block.h
+++ b/src/operator_config/rules_block.h
@@ -1,4 +1,4 @@
-// The block `rules` of the operator's file: who votes on the rules that the fleet agrees on.
+// The block `rules` of the operator's file: voters and leases of the replicated configuration.
 #ifndef LEMONCROFT_OPERATOR_CONFIG_RULES_BLOCK_H_
 #define LEMONCROFT_OPERATOR_CONFIG_RULES_BLOCK_H_
 
@@ -6,6 +6,7 @@
 
 namespace lemoncroft::operator_config {
 
+// Records all faults of the block. docs/operating-rules.md has the settings.
 ReplicatedConfigSettings ReadReplicatedConfig(const codec::KdlNode& node, Faults& faults);
 
 }  // namespace lemoncroft::operator_config
