--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -2,114 +2,102 @@
 
 #include <algorithm>
 #include <initializer_list>
+#include <iterator>
 #include <set>
+#include <string>
 #include <string_view>
 #include <utility>
 
+#include "settings/setting_fields.h"
+
 namespace lemoncroft::settings {
 namespace {
 
+namespace request_class = fields::request_class;
+
 constexpr std::size_t kMaxNameLength = 64;          // characters
-constexpr std::size_t kMaxNames = 16'384;           // of one kind: well below what a 16-bit number can tell
-constexpr Nanos kMaxDeadline = 86'400'000'000'000;  // a day: past it, it is no figure
+constexpr std::size_t kMaxNames = 16'384;           // of one kind; they are numbered with 16 bits
+constexpr Nanos kMaxDeadline = 86'400'000'000'000;  // a day
 constexpr Nanos kMaxTick = 1'000'000'000;
 constexpr double kMaxValue = 1e9;
 constexpr int kMaxAttempts = 100;
 constexpr std::size_t kMaxUnknownKeysListed = 16;  // keys that nothing reads, named one by one
 
-// Every key of the settings' page. Members of lists are written with [] in the place of their number.
-constexpr std::string_view kKnownKeys[] = {
-    "siblings",
-    "requestClasses.count",
-    "requestClasses[].aimStretch",
-    "requestClasses[].promiseNs",
-    "requestClasses[].deadlineNs",
-    "requestClasses[].effect",
-    "requestClasses[].group",
-    "requestClasses[].fifoByKey",
-    "requestClasses[].lateWorth",
-    "requestClasses[].name",
-    "requestClasses[].boundTo",
-    "requestClasses[].staysIn",
-    "requestClasses[].streaming",
-    "requestClasses[].repeatWindowNs",
-    "requestClasses[].credit",
-    "clients.marksRetry",
-    "membershipMode",
-    "serviceType",
-    "specifics.holdsTables",
-    "specifics.threadsByClass",
-    "specifics.blockedByLoads",
-    "specifics.takesGrants",
-    "specifics.cpuOfKind",
-    "specifics.ramOfKindMb",
-    "specifics.maxGrantShare",
-    "specifics.notes",
-    "specifics.ranksHeeded",
-    "specifics.progressNs",
-    "specifics.reportX0",
-    "specifics.reportX1",
-    "specifics.saysCost",
-    "specifics.memoryShort",
-    "scoreParts.whole",
-    "scoreParts.worstClass",
-    "scoreParts.worstTenant",
-    "scoreParts.worstWindow",
-    "flavors",
-    "limits.cancel",
-    "limits.keepaliveNs",
-    "limits.connectTimeoutNs",
-    "limits.cpuUsPerRequest",
-    "limits.cpuUsPerS",
-    "limits.maxAttempts",
-    "limits.maxOpen",
-    "limits.maxRetryAfterNs",
-    "limits.peers",
-    "limits.probing",
-    "limits.retryAfter",
-    "limits.mayDuplicate",
-    "limits.streamsPerConn",
-    "me",
-    "overShareWorth",
-    "prices.connection",
-    "prices.crossZone",
-    "prices.membershipMode",
-    "prices.fleet",
-    "prices.handshake",
-    "prices.lateFail",
-    "prices.moves",
-    "prices.origin",
-    "prices.peer",
-    "prices.probe",
-    "prices.waste",
-    "report.fields",
-    "report.source",
-    "guarantees.answerSlackNs",
-    "guarantees.mustAskInNs",
-    "guarantees.freeResends",
-    "guarantees.extraRatio",
-    "guarantees.lookBackNs",
-    "guarantees.coldFrom",
-    "guarantees.warmWithinNs",
-    "guarantees.drainGraceNs",
-    "guarantees.overloadFactor",
-    "guarantees.fallNs",
-    "guarantees.orderPauseNs",
-    "tenants",  // an empty list is a plain value
-    "tenants.count",
-    "tenants[].name",
-    "tenants[].quotaPerS",
-    "tenants[].portion",
-    "tickNs",
-    "tier",
-    "tiers",
-    "weights",
-    "worthBy",
-    "zone",
-    "dcs",
+// Fields of each class, of each tenant, and the other keys that are read.
+constexpr const char* kClassFields[] = {request_class::kName,
+                                        request_class::kLatencyObjective,
+                                        request_class::kDeadline,
+                                        request_class::kLatencyObjectiveStretch,
+                                        request_class::kPriorityWeight,
+                                        request_class::kLateWeightShare,
+                                        request_class::kEffect,
+                                        request_class::kRepeatGroup,
+                                        request_class::kRepeatWindow,
+                                        request_class::kInOrder,
+                                        request_class::kStreaming,
+                                        request_class::kBoundZones,
+                                        request_class::kBoundMachineKinds};
+constexpr const char* kTenantFields[] = {fields::tenant::kName, fields::tenant::kQuota};
+constexpr const char* kOtherKeys[] = {
+    fields::kProxyCount,
+    fields::kOwnIndex,
+    fields::kOwnZone,
+    fields::kZones,
+    fields::kMachineKinds,
+    fields::kDecisionInterval,
+    fields::kListMode,
+    fields::kClassCount,
+    fields::kTenants,  // an empty list is a plain value
+    fields::kTenantCount,
+    fields::kOverQuotaWeightShare,
+    fields::kReportSource,
+    fields::kReportFields,
+    fields::kDrainGrace,
+    fields::kSlowStartInitialShare,
+    fields::kSlowStartDuration,
+    fields::kOverloadFactor,
+    fields::kOverloadWindow,
+    fields::kOrderSettle,
+    fields::kMustAskWithin,
+    fields::kRetryBudgetWindow,
+    fields::kRetryBudgetFree,
+    fields::kRetryBudgetRatio,
+    fields::kAnswerSlack,
+    fields::kMayCancel,
+    fields::kMayProbe,
+    fields::kMayHedge,
+    fields::kMayMessage,
+    fields::kMaySendRetryAfter,
+    fields::kMaxAttempts,
+    fields::kMaxRetryAfter,
+    fields::kConnectTimeout,
+    fields::kKeepalive,
+    fields::kMaxOpen,
+    fields::kLateFailPrice,
+    fields::kCrossZonePrice,
+    fields::kThreads,
+    fields::kHoldsTables,
+    fields::kBlockedByLoads,
+    fields::kCores,
+    fields::kMemory,
+    fields::kHonorsMemoryGrants,
+    fields::kHonorsPriorities,
+    fields::kMaxGrantShare,
+    fields::kMemoryShort,
+    fields::kProgressInterval,
+    fields::kReportsCost,
 };
 
-// requestClasses.3.name as requestClasses[].name.
+// Every key of docs/settings.md, with [] in the place of a member's number.
+std::set<std::string> KnownKeys() {
+  std::set<std::string> keys(std::begin(kOtherKeys), std::end(kOtherKeys));
+  for (const char* field : kClassFields) keys.insert(fields::AnyClassPath(field));
+  for (const char* field : kTenantFields) keys.insert(fields::AnyTenantPath(field));
+  keys.insert(std::begin(fields::kUnused), std::end(fields::kUnused));
+  return keys;
+}
+
+// Writes requestClasses.3.name as requestClasses[].name.
 std::string WithoutNumbers(const std::string& path) {
   std::string out;
   for (std::size_t from = 0; from <= path.size();) {
@@ -123,7 +111,7 @@
   return out;
 }
 
-// Names become fields of frames, headers and figures.
+// Names are sent in frames and headers and appear in metrics.
 bool IsName(const std::string& name) {
   return !name.empty() && name.size() <= kMaxNameLength &&
          std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 0x7f && c != '='; });
@@ -135,9 +123,9 @@
 
   std::vector<Finding> Run() {
     if (std::none_of(site_.classes.begin(), site_.classes.end(), IsName))
-      Add(Severity::kFatal, "requestClasses: none has a name that a request could give");
-    Names(site_.classes, "requestClasses");
-    Names(site_.tenants, "tenants");
+      Add(Severity::kFatal, std::string(fields::kClasses) + ": none has a name that a request could give");
+    Names(site_.classes, fields::kClasses);
+    Names(site_.tenants, fields::kTenants);
     for (std::size_t i = 0; i < site_.classes.size(); ++i) Class(i);
     Tenants();
     Attempts();
@@ -156,7 +144,10 @@
   void Add(Severity severity, std::string text) {
     findings_.push_back({severity, "settings." + std::move(text)});
   }
-  void Warn(std::string text) { Add(Severity::kWarning, std::move(text)); }
+  // `where` names the setting: its key, with the name of its class or tenant ahead of it.
+  void Warn(const std::string& where, const std::string& text) {
+    Add(Severity::kWarning, where + ": " + text);
+  }
   void OutOfRange(const std::string& where) { Add(Severity::kError, where + ": out of range"); }
 
   void Names(const std::vector<std::string>& names, const std::string& what) {
@@ -171,155 +162,199 @@
     if (names.size() > kMaxNames) Add(Severity::kError, what + ": more than " + std::to_string(kMaxNames));
   }
 
+  // Checks that a value, if there is one, is one of `words`.
   void Word(Severity severity, const std::string& key, const std::string& where,
-            std::initializer_list<std::string_view> words, const std::string& taken) {
+            std::initializer_list<std::string_view> words, const std::string& taken_as) {
     const std::string word = in_.Text(key);
     if (word.empty() || std::find(words.begin(), words.end(), word) != words.end()) return;
-    Add(severity, where + ": '" + word + "' is unknown, and taken as " + taken);
+    Add(severity, where + ": '" + word + "' is unknown, and taken as " + taken_as);
+  }
+
+  // How findings name a setting of a class or tenant.
+  std::string ClassSetting(std::size_t i, const char* field) const {
+    return std::string(fields::kClasses) + " '" + site_.classes[i] + "' " + field;
+  }
+  std::string TenantSetting(std::size_t i, const char* field) const {
+    return std::string(fields::kTenants) + " '" + site_.tenants[i] + "' " + field;
   }
 
   void Class(std::size_t i) {
+    ClassRanges(i);
+    ClassWords(i);
+    ClassContradictions(i);
+    ClassPlacement(i);
+  }
+
+  void ClassRanges(std::size_t i) {
     const ClassSettings& c = site_.module.classes[i];
-    const std::string key = "requestClasses." + std::to_string(i) + ".";
-    const std::string where = "requestClasses '" + site_.classes[i] + "' ";
-    if (c.deadline <= 0 || c.deadline > kMaxDeadline) OutOfRange(where + "deadlineNs");
-    if (c.latency_objective > kMaxDeadline) OutOfRange(where + "promiseNs");
-    if (!(c.priority_weight >= 0 && c.priority_weight <= kMaxValue)) OutOfRange(where + "credit");
-    if (!(c.late_weight_share >= 0 && c.late_weight_share <= 1)) OutOfRange(where + "lateWorth");
-    if (!(c.latency_objective_stretch >= 0 && c.latency_objective_stretch <= kMaxValue))
-      OutOfRange(where + "aimStretch");
-    Word(Severity::kError, key + "effect", where + "effect", {"pure", "token", "side_effect"}, "side_effect");
-    Word(Severity::kError, key + "group", where + "group", {"all", "zone", "cell"}, "cell");
-    if (in_.Time(key + "promiseNs") == 0 && c.latency_objective_stretch <= 0)
-      Warn(where + "promiseNs: none; its deadline is taken in its place");
+    const auto check = [this, i](const char* field, bool in_range) {
+      if (!in_range) OutOfRange(ClassSetting(i, field));
+    };
+    check(request_class::kDeadline, c.deadline > 0 && c.deadline <= kMaxDeadline);
+    check(request_class::kLatencyObjective, c.latency_objective <= kMaxDeadline);
+    check(request_class::kPriorityWeight, c.priority_weight >= 0 && c.priority_weight <= kMaxValue);
+    check(request_class::kLateWeightShare, c.late_weight_share >= 0 && c.late_weight_share <= 1);
+    check(request_class::kLatencyObjectiveStretch,
+          c.latency_objective_stretch >= 0 && c.latency_objective_stretch <= kMaxValue);
+  }
+
+  void ClassWords(std::size_t i) {
+    namespace f = request_class;
+    Word(Severity::kError, fields::ClassPath(i, f::kEffect), ClassSetting(i, f::kEffect),
+         {f::kEffectSafe, f::kEffectKeyed, f::kEffectUnsafe}, f::kEffectUnsafe);
+    Word(Severity::kError, fields::ClassPath(i, f::kRepeatGroup), ClassSetting(i, f::kRepeatGroup),
+         {f::kGroupAll, f::kGroupZone, f::kGroupCell}, f::kGroupCell);
+  }
+
+  void ClassContradictions(std::size_t i) {
+    const ClassSettings& c = site_.module.classes[i];
+    const auto warn = [this, i](const char* field, const std::string& text) {
+      Warn(ClassSetting(i, field), text);
+    };
+    const bool has_objective = in_.Time(fields::ClassPath(i, request_class::kLatencyObjective)) != 0;
+    if (!has_objective && c.latency_objective_stretch <= 0)
+      warn(request_class::kLatencyObjective, "none; its deadline is taken in its place");
     if (c.latency_objective > c.deadline)
-      Warn(where + "promiseNs: past its deadline, where nobody waits any more");
+      warn(request_class::kLatencyObjective, "past its deadline, where nobody waits any more");
     if (c.effect == Effect::kKeyed && c.repeat_window <= 0)
-      Warn(where + "repeatWindowNs: none, so what may have run is never tried again");
+      warn(request_class::kRepeatWindow, "none, so what may have run is never tried again");
     if (c.in_order && site_.module.order_settle <= 0)
-      Warn(where + "fifoByKey: guarantees.orderPauseNs is absent, so a key's next request follows at once");
-    if (c.streaming) Warn(where + "streaming: answers are passed on whole");
-    Bound(key + "staysIn", where + "staysIn", c.zones, in_.List("dcs").size(), site_.zones, "zone");
-    Bound(key + "boundTo", where + "boundTo", c.kinds, in_.List("flavors").size(), site_.kinds,
-          "machine kind");
+      warn(request_class::kInOrder,
+           std::string(fields::kOrderSettle) + " is absent, so a key's next request follows at once");
+    if (c.streaming) warn(request_class::kStreaming, "answers are passed on whole");
+  }
+
+  void ClassPlacement(std::size_t i) {
+    namespace f = request_class;
+    const ClassSettings& c = site_.module.classes[i];
+    Bound(fields::ClassPath(i, f::kBoundZones), ClassSetting(i, f::kBoundZones), c.zones,
+          in_.List(fields::kZones).size(), site_.zones, "zone");
+    Bound(fields::ClassPath(i, f::kBoundMachineKinds), ClassSetting(i, f::kBoundMachineKinds), c.kinds,
+          in_.List(fields::kMachineKinds).size(), site_.kinds, "machine kind");
   }
 
-  // Places that the settings don't list may still come up in the list of engines.
+  // A zone or machine kind that the settings don't list may still come up in the endpoint list.
   void Bound(const std::string& key, const std::string& where, const std::vector<std::uint16_t>& places,
              std::size_t listed, const std::vector<std::string>& names, const std::string& what) {
-    if (in_.all().contains(key) && places.empty()) Warn(where + ": an empty list binds it to nothing");
+    if (in_.all().contains(key) && places.empty()) Warn(where, "an empty list binds it to nothing");
     std::size_t unlisted = 0;
     for (const std::uint16_t place : places) {
       if (place < listed) continue;
       ++unlisted;
       const std::string name = place < names.size() ? names[place] : std::to_string(place);
-      Warn(where + ": the settings list no " + what + " '" + name + "'");
+      Warn(where, "the settings list no " + what + " '" + name + "'");
     }
     if (unlisted > 0 && unlisted == places.size())
-      Warn(where + ": its requests wait until an engine of such a " + what + " is listed");
+      Warn(where, "its requests wait until an engine of such a " + what + " is listed");
   }
 
   void Tenants() {
     for (std::size_t i = 0; i < site_.tenants.size(); ++i) {
       const double quota = site_.module.tenants[i].quota_per_s;
-      if (!(quota >= 0 && quota <= kMaxValue)) OutOfRange("tenants '" + site_.tenants[i] + "' quotaPerS");
+      if (!(quota >= 0 && quota <= kMaxValue)) OutOfRange(TenantSetting(i, fields::tenant::kQuota));
     }
-    const double priority_weight = site_.module.over_quota_weight_share;
-    if (!(priority_weight >= 0 && priority_weight <= 1)) Warn("overShareWorth: not between 0 and 1");
+    const double share = site_.module.over_quota_weight_share;
+    if (!(share >= 0 && share <= 1)) Warn(fields::kOverQuotaWeightShare, "not between 0 and 1");
   }
 
   void Attempts() {
     if (site_.module.max_attempts < 1 || site_.module.max_attempts > kMaxAttempts)
-      OutOfRange("limits.maxAttempts");
-    const bool window = in_.Has("guarantees.lookBackNs");
-    const bool budget = in_.Has("guarantees.freeResends") || in_.Has("guarantees.extraRatio");
-    if (budget && !window) Warn("guarantees.lookBackNs: absent, so no budget of further attempts is kept");
+      OutOfRange(fields::kMaxAttempts);
+    const bool window = in_.Has(fields::kRetryBudgetWindow);
+    const bool budget = in_.Has(fields::kRetryBudgetFree) || in_.Has(fields::kRetryBudgetRatio);
+    if (budget && !window)
+      Warn(fields::kRetryBudgetWindow, "absent, so no budget of further attempts is kept");
     if (window && !budget)
-      Warn("guarantees.lookBackNs: without freeResends and extraRatio nothing is tried a second time");
-    if (window && in_.Time("guarantees.lookBackNs") <= 0)
-      Warn("guarantees.lookBackNs: 0, so no budget of further attempts is kept");
+      Warn(fields::kRetryBudgetWindow, "without freeResends and extraRatio nothing is tried a second time");
+    if (window && in_.Time(fields::kRetryBudgetWindow) <= 0)
+      Warn(fields::kRetryBudgetWindow, "0, so no budget of further attempts is kept");
     if (site_.module.may_send_retry_after && site_.module.max_retry_after <= 0)
-      Warn("limits.retryAfter: maxRetryAfterNs is 0, so no refusal tells when to come back");
+      Warn(fields::kMaySendRetryAfter, "maxRetryAfterNs is 0, so no refusal tells when to come back");
   }
 
   void ColdEngines() {
     const Settings& s = site_.module;
     if ((s.overload_window > 0) != (s.overload_factor > 0))
-      Warn("guarantees: one of fallNs and overloadFactor is absent, so engines that start are not spared");
+      Warn("guarantees", "one of fallNs and overloadFactor is absent, so engines that start are not spared");
     if (!(s.slow_start_initial_share >= 0 && s.slow_start_initial_share <= 1))
-      Warn("guarantees.coldFrom: not between 0 and 1");
+      Warn(fields::kSlowStartInitialShare, "not between 0 and 1");
   }
 
   void Reports() {
-    const std::string source = in_.Text("report.source");
-    const std::vector<std::string> fields = in_.List("report.fields");
-    if (source != "answers" && source != "probe" && source != "none" && !source.empty())
-      Warn("report.source: '" + source + "' is none of answers, probe and none");
-    const bool reports = source == "answers" || source == "probe";
-    if (reports && fields.empty()) Warn("report.fields: none, so reports tell nothing");
-    if (!reports && !fields.empty()) Warn("report.fields: no source brings them");
-    if (source == "probe" && !site_.module.may_probe)
-      Warn("report.source: reports come with probes alone, and limits.probing allows none");
-    const bool too_many = fields.size() > kMaxReportFields;
-    const auto read_end = too_many ? fields.begin() + kMaxReportFields : fields.end();
-    if (too_many) Warn("report.fields: only the first four are read");
-    if (reports && !fields.empty() && std::find(fields.begin(), read_end, "inflight") == read_end)
-      Warn("report.fields: without inflight a report tells nothing that is used");
+    const std::string source = in_.Text(fields::kReportSource);
+    const std::vector<std::string> names = in_.List(fields::kReportFields);
+    const bool in_answers = source == fields::kReportsInAnswers,
+               in_probes = source == fields::kReportsInProbes;
+    const bool reports = in_answers || in_probes;
+    if (!reports && source != fields::kNoReports && !source.empty())
+      Warn(fields::kReportSource, "'" + source + "' is none of answers, probe and none");
+    if (reports && names.empty()) Warn(fields::kReportFields, "none, so reports tell nothing");
+    if (!reports && !names.empty()) Warn(fields::kReportFields, "no source brings them");
+    if (in_probes && !site_.module.may_probe)
+      Warn(fields::kReportSource, "reports come with probes alone, and limits.probing allows none");
+    const bool too_many = names.size() > kMaxReportFields;
+    const auto read_end = too_many ? names.begin() + kMaxReportFields : names.end();
+    if (too_many) Warn(fields::kReportFields, "only the first four are read");
+    const bool has_inflight = std::find(names.begin(), read_end, fields::kReportInflight) != read_end;
+    if (reports && !names.empty() && !has_inflight)
+      Warn(fields::kReportFields, "without inflight a report tells nothing that is used");
   }
 
   void Fleet() {
     const Settings& s = site_.module;
-    const std::size_t zones = in_.List("dcs").size();
-    if (in_.Has("siblings") && in_.Count("siblings") == 0) Warn("siblings: 0 is taken as 1");
-    if (s.self >= std::max(1, s.gateways)) Warn("me: not below siblings");
-    if (zones > 0 && s.zone >= zones) Warn("zone: the settings list no such zone");
-    if (s.tick > kMaxTick) OutOfRange("tickNs");
-    const std::string mode = in_.Text("membershipMode");
-    if (!mode.empty() && mode != "pushed" && mode != "on_request")
-      Warn("membershipMode: '" + mode + "' is neither pushed nor on_request");
-    if (s.list_on_request) Warn("membershipMode: on_request; the control feed is followed all the time");
+    const std::size_t zones = in_.List(fields::kZones).size();
+    if (in_.Has(fields::kProxyCount) && in_.Count(fields::kProxyCount) == 0)
+      Warn(fields::kProxyCount, "0 is taken as 1");
+    if (s.self >= std::max(1, s.gateways)) Warn(fields::kOwnIndex, "not below siblings");
+    if (zones > 0 && s.zone >= zones) Warn(fields::kOwnZone, "the settings list no such zone");
+    if (s.tick > kMaxTick) OutOfRange(fields::kDecisionInterval);
+    const std::string mode = in_.Text(fields::kListMode);
+    if (!mode.empty() && mode != fields::kListPushed && mode != fields::kListOnRequest)
+      Warn(fields::kListMode, "'" + mode + "' is neither pushed nor on_request");
+    if (s.list_on_request) Warn(fields::kListMode, "on_request; the control feed is followed all the time");
   }
 
   void Engines() {
     const Settings& s = site_.module;
     if (site_.per_class < site_.classes.size())
       Add(Severity::kError, "specifics: values of some classes are missing, and: out of range");
-    Word(Severity::kWarning, "specifics.memoryShort", "specifics.memoryShort", {"queue", "trim", "swap"},
-         "trim");
-    const std::size_t kinds = in_.List("flavors").size();
-    const std::vector<double> cores = in_.Numbers("specifics.cpuOfKind");
-    const std::vector<double> memory = in_.Numbers("specifics.ramOfKindMb");
+    Word(Severity::kWarning, fields::kMemoryShort, fields::kMemoryShort,
+         {fields::kMemoryShortQueue, fields::kMemoryShortTrim, fields::kMemoryShortSwap},
+         fields::kMemoryShortTrim);
+    const std::size_t kinds = in_.List(fields::kMachineKinds).size();
+    const std::vector<double> cores = in_.Numbers(fields::kCores);
+    const std::vector<double> memory = in_.Numbers(fields::kMemory);
     if (cores.size() < kinds || std::any_of(cores.begin(), cores.end(), [](double c) { return !(c > 0); }))
-      Warn("specifics.cpuOfKind: cores of some kinds are missing; the least of the others is taken");
+      Warn(fields::kCores, "cores of some kinds are missing; the least of the others is taken");
     if (s.honors_memory_grants && memory.size() < kinds)
-      Warn("specifics.ramOfKindMb: engines of a kind without memory choose their grants themselves");
+      Warn(fields::kMemory, "engines of a kind without memory choose their grants themselves");
     if (s.honors_memory_grants && !(s.max_grant_share > 0 && s.max_grant_share <= 1))
-      Warn("specifics.maxGrantShare: not above 0 and at most 1");
+      Warn(fields::kMaxGrantShare, "not above 0 and at most 1");
   }
 
   void Sockets() {
     const Settings& s = site_.module;
-    if (s.connect_timeout > kMaxDeadline) OutOfRange("limits.connectTimeoutNs");
-    if (in_.Time("limits.connectTimeoutNs") == 0)
-      Warn("limits.connectTimeoutNs: none; 250 ms is taken in its place");
+    if (s.connect_timeout > kMaxDeadline) OutOfRange(fields::kConnectTimeout);
+    if (in_.Time(fields::kConnectTimeout) == 0)
+      Warn(fields::kConnectTimeout, "none; 250 ms is taken in its place");
     if (s.progress_every > 0)
-      Warn("specifics.progressNs: notes are not read; attempts are judged by how long they run");
+      Warn(fields::kProgressInterval, "notes are not read; attempts are judged by how long they run");
   }
 
   void UnknownKeys() {
-    static const std::set<std::string_view> kKnown(std::begin(kKnownKeys), std::end(kKnownKeys));
+    static const std::set<std::string> kKnown = KnownKeys();
     std::set<std::string> unknown;
     for (const auto& [path, value] : in_.all()) {
       std::string key = WithoutNumbers(path);
       if (!kKnown.contains(key)) unknown.insert(std::move(key));
     }
-    std::size_t told = 0;
+    std::size_t listed = 0;
     for (const std::string& key : unknown) {
-      if (++told > kMaxUnknownKeysListed) break;
-      Warn(key + ": unknown, without effect");
+      if (++listed > kMaxUnknownKeysListed) break;
+      Warn(key, "unknown, without effect");
     }
     if (unknown.size() > kMaxUnknownKeysListed)
-      Warn("*: " + std::to_string(unknown.size() - kMaxUnknownKeysListed) + " further keys are unknown");
+      Warn("*", std::to_string(unknown.size() - kMaxUnknownKeysListed) + " further keys are unknown");
   }
 
   const Pairs& in_;
