--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -7,16 +7,29 @@
 #include <fstream>
 #include <sstream>
 
+#include "proxy/config_fields.h"
+#include "settings/setting_fields.h"
+
 namespace lemoncroft::proxy {
 namespace {
 
 using codec::Json;
 
+// The path, in Config::shape, of a setting that each class may have.
+std::string ClassSettingPath(const char* field) {
+  return std::string(fields::kSettings) + "." + settings::fields::AnyClassPath(field);
+}
+
 // May come and go with the classes that have them.
 bool IsOptional(const std::string& path) {
-  const std::string of_class = "settings.requestClasses[].";
-  return path == of_class + "fifoByKey" || path.starts_with(of_class + "staysIn") ||
-         path.starts_with(of_class + "boundTo");
+  namespace f = settings::fields::request_class;
+  return path == ClassSettingPath(f::kInOrder) || path.starts_with(ClassSettingPath(f::kBoundZones)) ||
+         path.starts_with(ClassSettingPath(f::kBoundMachineKinds));
+}
+
+// The control feed's events come and go, so that their members have no shape of their own.
+bool IsEventList(const std::string& path) {
+  return path == std::string(fields::kKnownEvents) + "." + fields::kKnownEventList;
 }
 
 void FlattenInto(settings::Pairs& out, const std::string& path, const Json& json) {
@@ -51,8 +64,7 @@
       ShapeInto(out, path.empty() ? name : path + "." + name, json.items[i]);
     }
   }
-  const bool events = path == "known.events";  // these come and go
-  if (!json.Is(Json::Kind::kArray) || json.items.empty() || events) return;
+  if (!json.Is(Json::Kind::kArray) || json.items.empty() || IsEventList(path)) return;
   Shape all;
   for (std::size_t i = 0; i < json.items.size(); ++i) {
     Shape one;
@@ -73,7 +85,7 @@
   return shape;
 }
 
-// Whether the path is of members of a list that is there and has none.
+// True if the path is of a member of a list that is present and empty.
 bool IsOfEmptyList(const std::string& path, const Shape& shape) {
   for (std::size_t at = path.find("[]"); at != std::string::npos; at = path.find("[]", at + 1)) {
     const bool list = shape.contains(path.substr(0, at));
@@ -82,10 +94,10 @@
   return false;
 }
 
-// Throws the first finding that is at least as severe.
-void RefuseFrom(settings::Severity least, const Config& config) {
+// Throws ConfigError with the first finding of at least this severity.
+void ThrowFrom(settings::Severity min_severity, const Config& config) {
   for (const settings::Finding& finding : config.findings)
-    if (finding.severity >= least) throw ConfigError(finding.text);
+    if (finding.severity >= min_severity) throw ConfigError(finding.text);
 }
 
 std::uint64_t ReadSeed(const std::string& text) {
@@ -99,6 +111,30 @@
   return static_cast<std::size_t>(std::clamp<std::int64_t>(json.Integer(), 0, std::int64_t{1} << 40));
 }
 
+void ReadMembers(const Json& json, Config& config) {
+  config.name = json[fields::kName].text;
+  config.listen_text = json[fields::kListenAddress].text;
+  config.listen = ReadAddress(config.listen_text, fields::kListenAddress);
+  config.management_text = json[fields::kAdminAddress].text;
+  if (!config.management_text.empty())
+    config.management = ReadAddress(config.management_text, fields::kAdminAddress);
+  config.seed = ReadSeed(json[fields::kSeed].text);
+  const Json& limits = json[fields::kLimits];
+  config.memory_mb = ReadSize(limits[fields::kMemoryMb]);
+  config.sockets = ReadSize(limits[fields::kMaxDescriptors]);
+  config.feed = json[fields::kControlFeed].text;
+  if (!config.feed.empty()) ReadAddress(config.feed, fields::kControlFeed);
+}
+
+void ReadSettings(const Json& json, Config& config) {
+  const Json& settings = json[fields::kSettings];
+  if (!settings.Is(Json::Kind::kObject)) throw ConfigError("settings: missing");
+  const settings::Pairs pairs = Flatten(settings);
+  config.site = settings::ParseSite(pairs);
+  config.findings = settings::Check(pairs, config.site);
+  config.site.module.progress_every = 0;  // engines' responses bring no progress notices
+}
+
 }  // namespace
 
 runtime::Address ReadAddress(const std::string& text, const char* what) {
@@ -114,40 +150,26 @@
 }
 
 Config ReadConfig(std::string_view text) {
-  Config config;
   try {
     Json json = Json::Parse(text);
     if (!json.Is(Json::Kind::kObject)) throw ConfigError("not a JSON object");
-    config.name = json["name"].text;
-    config.listen_text = json["listen"].text;
-    config.listen = ReadAddress(config.listen_text, "listen");
-    config.management_text = json["management"].text;
-    if (!config.management_text.empty())
-      config.management = ReadAddress(config.management_text, "management");
-    config.seed = ReadSeed(json["seed"].text);
-    config.memory_mb = ReadSize(json["limits"]["memory_mb"]);
-    config.sockets = ReadSize(json["limits"]["sockets"]);
-    config.feed = json["feed"].text;
-    if (!config.feed.empty()) ReadAddress(config.feed, "feed");
-    if (!json["settings"].Is(Json::Kind::kObject)) throw ConfigError("settings: missing");
-    const settings::Pairs pairs = Flatten(json["settings"]);
-    config.site = settings::ParseSite(pairs);
-    config.findings = settings::Check(pairs, config.site);
-    config.site.module.progress_every = 0;  // engines' answers bring no notes that are read
+    Config config;
+    ReadMembers(json, config);
+    ReadSettings(json, config);
     config.shape = ShapeOf(json);
     if (config.site.classes.empty()) throw ConfigError("settings: no request classes");
-    config.known = json.Take("known");  // it may be long
+    config.known = json.Take(fields::kKnownEvents);  // moved: it may be long
+    return config;
   } catch (const codec::JsonError& e) {
     throw ConfigError(e.what());
   } catch (const settings::SettingsError& e) {
     throw ConfigError(std::string("settings: ") + e.what());
   }
-  return config;
 }
 
-void CheckServable(const Config& config) { RefuseFrom(settings::Severity::kFatal, config); }
+void CheckServable(const Config& config) { ThrowFrom(settings::Severity::kFatal, config); }
 
-void CheckFigures(const Config& config) { RefuseFrom(settings::Severity::kError, config); }
+void CheckFigures(const Config& config) { ThrowFrom(settings::Severity::kError, config); }
 
 void LogFindings(const Config& config) {
   for (const settings::Finding& finding : config.findings) {
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -1,4 +1,8 @@
-// The proxy's configuration: the JSON file that PROXY_CONFIG names.
+// The proxy's configuration: the JSON file that $PROXY_CONFIG names.
+//
+// Contract. A plain value; reading is pure but for the file. Units as the members say. Owner: the caller.
+// Errors: ConfigError, which names the key and the value. Read at the start, at each reload and by
+// sub-commands. README.md has the members, docs/settings.md the settings.
 #ifndef LEMONCROFT_PROXY_CONFIG_H_
 #define LEMONCROFT_PROXY_CONFIG_H_
 
@@ -17,7 +21,7 @@
 
 namespace lemoncroft::proxy {
 
-// What is wrong with a configuration, in one plain line.
+// A configuration or a command that can't be used; what() is one line that says why.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -28,16 +32,16 @@
   std::string listen_text;
   runtime::Address listen;
   std::string management_text;
-  std::optional<runtime::Address> management;  // none: operators can't call
+  std::optional<runtime::Address> management;  // nullopt: no admin listener
   std::uint64_t seed = 0;
-  std::size_t memory_mb = 0;  // 0 = not told
-  std::size_t sockets = 0;    // likewise
-  std::string feed;           // empty: none is followed
+  std::size_t memory_mb = 0;  // 0: not given
+  std::size_t sockets = 0;    // open descriptors; 0: not given
+  std::string feed;           // address of the control feed; empty: none is followed
   codec::Json known;          // the control feed's events up to now
   settings::Site site;
   std::vector<settings::Finding> findings;  // about the settings, the worst first
-  // Where each value of the file stands, in the way of settings.requestClasses[].deadlineNs, and of what kind
-  // it is. Of the members of a list, what all have.
+  // The kind of each value, by its path, such as settings.requestClasses[].deadlineNs. Of the members of a
+  // list only what all of them have.
   std::map<std::string, codec::Json::Kind> shape;
 };
 
@@ -45,17 +49,17 @@
 Config ReadConfig(std::string_view text);
 Config LoadConfig(const std::string& path);
 
-// What a file must be beyond that. For a start: some request can be served. For a process that runs, whose
-// settings are better than half-broken ones: no errors, and, with the one in force at hand, every key that
-// this has, with a value of the same kind. All throw ConfigError.
+// Further checks, which throw ConfigError. A start requires that some request can be served:
 void CheckServable(const Config& config);
+// A reload, which can keep the settings in force, requires that no setting has an error, and every key that
+// the configuration in force has, with a value of the same kind:
 void CheckFigures(const Config& config);
 void CheckShape(const Config& config, const Config& in_force);
 
 // Writes a log line for each finding about the settings.
 void LogFindings(const Config& config);
 
-// An address in a configuration; `what` names it in the error.
+// Parses an address; `what` names it in the ConfigError that is thrown for another text.
 runtime::Address ReadAddress(const std::string& text, const char* what);
 
 // Nested JSON as path=value pairs in the form of the simulator's first message.
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -10,6 +10,7 @@
 #include <utility>
 
 #include "hot_restart/process_limits.h"
+#include "proxy/config_fields.h"
 #include "proxy/resource_limits.h"
 #include "runtime/socket.h"
 
@@ -30,7 +31,7 @@
   int number = -1;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || end != text.data() + text.size() || number < 0)
-    throw ConfigError("PROXY_FD: '" + text + "' is no descriptor");
+    throw ConfigError(std::string(fields::kInheritedListenerVariable) + ": '" + text + "' is no descriptor");
   return number;
 }
 
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -6,6 +6,7 @@
 #include <exception>
 #include <utility>
 
+#include "proxy/config_fields.h"
 #include "proxy/resource_limits.h"
 #include "settings/migration.h"
 
@@ -77,10 +78,10 @@
 // Only a start changes these.
 void WarnAboutStartOnlySettings(const Config& now, const Config& before) {
   const std::pair<const char*, bool> parts[] = {
-      {"name", now.name == before.name},
-      {"listen", now.listen_text == before.listen_text},
-      {"management", now.management_text == before.management_text},
-      {"limits", now.memory_mb == before.memory_mb && now.sockets == before.sockets}};
+      {fields::kName, now.name == before.name},
+      {fields::kListenAddress, now.listen_text == before.listen_text},
+      {fields::kAdminAddress, now.management_text == before.management_text},
+      {fields::kLimits, now.memory_mb == before.memory_mb && now.sockets == before.sockets}};
   for (const auto& [part, same] : parts)
     if (!same) spdlog::warn("configuration: {} changes by a start only; it stays as it was", part);
 }
