--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -13,6 +13,7 @@
 
 #include "peer_transport/link.h"
 #include "proxy/config.h"
+#include "proxy/voter_store.h"
 #include "raft/codec.h"
 #include "replicated_config/document.h"
 #include "storage/database.h"
@@ -72,7 +73,11 @@
   return answer.at("text").get<std::string>();
 }
 
-std::string Time(std::int64_t unix_ms) {
+std::uint64_t TimeoutMs(const RulesCommand& command) {
+  return static_cast<std::uint64_t>(1000 * command.timeout_s);
+}
+
+std::string FormatTime(std::int64_t unix_ms) {
   const std::time_t seconds = unix_ms / 1000;
   std::tm parts{};
   ::gmtime_r(&seconds, &parts);
@@ -109,7 +114,7 @@
   if (command.json) return std::printf("%s\n", answer.dump().c_str()) < 0;
   for (const ordered_json& v : answer.at("versions"))
     std::printf("%6llu %s %7zu bytes %s%s\n", v.at("version").get<unsigned long long>(),
-                Time(v.at("at_unix_ms").get<std::int64_t>()).c_str(), v.at("bytes").get<std::size_t>(),
+                FormatTime(v.at("at_unix_ms").get<std::int64_t>()).c_str(), v.at("bytes").get<std::size_t>(),
                 v.at("by").get<std::string>().c_str(), v.at("in_force").get<bool>() ? " (in force)" : "");
   return kRulesDone;
 }
@@ -148,7 +153,7 @@
                              {"from", from},
                              {"text", replicated_config::SerializeDocument(to)},
                              {"by", user == nullptr ? "an operator" : user},
-                             {"patience_ms", static_cast<std::uint64_t>(1000 * command.timeout_s)}};
+                             {"patience_ms", TimeoutMs(command)}};
   return ReportOutcome(command, Ask(command, call));
 }
 
@@ -185,88 +190,129 @@
   }
 }
 
-// Recovers from the permanent loss of a majority of the stores: makes this store the fleet's, with its proxy
-// as the only voter. Entries that were committed and are not in this store are lost.
-int RecoverFromOneStore(const RulesCommand& command) {
-  storage::Database::Options terms;
-  terms.path = command.store;
-  terms.owner = command.fleet + "/" + command.who;
-  if (!std::ifstream(command.store)) throw proxy::ConfigError(command.store + ": no store there");
-  storage::Database database(terms);
-  const auto opened = database.Open();
-  if (!opened) throw proxy::ConfigError(opened.error().ToString());
-  const storage::StoreContents& contents = *opened;
-  raft::HardState promise;
+// `path`: "-" is standard input.
+std::string ReadDocumentFile(const std::string& path) {
+  std::ostringstream text;
+  if (path == "-") {
+    text << std::cin.rdbuf();
+  } else {
+    std::ifstream file(path, std::ios::binary);
+    if (!file) throw proxy::ConfigError(path + ": cannot be read");
+    text << file.rdbuf();
+  }
+  return text.str();
+}
+
+int Revert(const RulesCommand& command) {
+  RulesCommand from_latest = command;
+  from_latest.first = 0;
+  return Propose(from_latest, ParseOrThrow(TextOf(command, command.first), "the version to go back to"));
+}
+
+int Diff(const RulesCommand& command) {
+  const auto lines =
+      replicated_config::Differences(ParseOrThrow(TextOf(command, command.first), "the first"),
+                                     ParseOrThrow(TextOf(command, command.second), "the second"));
+  for (const std::string& line : lines) std::printf("%s\n", line.c_str());
+  return kRulesDone;
+}
+
+int ChangeVoters(const RulesCommand& command) {
+  const ordered_json call = {
+      {"call", "voters"}, {"way", command.way}, {"who", command.who}, {"patience_ms", TimeoutMs(command)}};
+  return ReportOutcome(command, Ask(command, call));
+}
+
+// What recovery needs of a store.
+struct StoreState {
+  std::string store_id;
+  raft::HardState hard_state;
+  raft::Index last_index = 0;  // of the log
+};
+
+StoreState ReadStoreState(const storage::StoreContents& contents) {
+  StoreState state;
   raft::Snapshot snapshot;
-  if (const auto it = contents.records.find("promise"); it != contents.records.end())
-    promise = raft::DecodeHardState(it->second).value_or(promise);
-  if (const auto it = contents.records.find("snapshot"); it != contents.records.end())
+  const auto& records = contents.records;
+  if (const auto it = records.find(proxy::kRecordHardState); it != records.end())
+    state.hard_state = raft::DecodeHardState(it->second).value_or(state.hard_state);
+  if (const auto it = records.find(proxy::kRecordSnapshot); it != records.end())
     snapshot = raft::DecodeSnapshot(it->second).value_or(snapshot);
-  const std::uint64_t last = contents.log.empty() ? snapshot.index : contents.log.rbegin()->first;
-  const std::string wanted = command.fleet + ":" + std::to_string(promise.term) + ":" + std::to_string(last);
-  std::printf("store %s: term %llu, log up to %llu\n", command.store.c_str(),
-              static_cast<unsigned long long>(promise.term), static_cast<unsigned long long>(last));
-  if (command.confirm != wanted) {
-    std::printf(
-        "Nothing is changed. This makes %s the only voter; what other voters committed and this store "
-        "lacks is lost, and a voter of the old fleet that is started again must be kept away.\n"
-        "Do it only where a majority of the voters' stores is gone for good, then say: --confirm %s\n",
-        command.who.c_str(), wanted.c_str());
-    return kRulesRejected;
-  }
+  const auto store_id = records.find(proxy::kRecordStoreId);
+  state.store_id = store_id == records.end() ? "1" : store_id->second;
+  state.last_index = contents.log.empty() ? snapshot.index : contents.log.rbegin()->first;
+  return state;
+}
+
+// Appends an entry that makes `voter` the only one, in a term of its own.
+storage::WriteBatch SingleVoterBatch(const StoreState& state, const std::string& voter) {
   raft::Entry entry;
-  entry.term = promise.term + 1;
-  entry.index = last + 1;
+  entry.term = state.hard_state.term + 1;
+  entry.index = state.last_index + 1;
   entry.kind = raft::EntryKind::kVoters;
-  entry.voters = {command.who};
-  promise = {promise.term + 1, command.who};
+  entry.voters = {voter};
+  const raft::HardState hard_state = {entry.term, voter};
   storage::WriteBatch batch;
-  const std::string store = contents.records.contains("store") ? contents.records.at("store") : "1";
-  batch.records = {{"promise", raft::Encode(promise)}, {"founders", command.who + " " + store + "\n"}};
+  batch.records = {{proxy::kRecordHardState, raft::Encode(hard_state)},
+                   {proxy::kRecordBootstrapVoters, voter + " " + state.store_id + "\n"}};
   batch.log.emplace_back(entry.index, raft::Encode(entry));
-  if (const auto written = database.Write(batch); !written)
+  return batch;
+}
+
+int AskForConfirmation(const RulesCommand& command, const std::string& confirmation) {
+  std::printf(
+      "Nothing is changed. This makes %s the only voter; what other voters committed and this store "
+      "lacks is lost, and a voter of the old fleet that is started again must be kept away.\n"
+      "Do it only where a majority of the voters' stores is gone for good, then say: --confirm %s\n",
+      command.who.c_str(), confirmation.c_str());
+  return kRulesRejected;
+}
+
+// Recovers from the permanent loss of a majority of the stores: makes this store the fleet's, with its proxy
+// as the only voter. Entries that were committed and are not in this store are lost.
+int RecoverFromOneStore(const RulesCommand& command) {
+  storage::Database::Options options;
+  options.path = command.store;
+  options.owner = command.fleet + "/" + command.who;
+  if (!std::ifstream(command.store)) throw proxy::ConfigError(command.store + ": no store there");
+  storage::Database database(options);
+  const auto opened = database.Open();
+  if (!opened) throw proxy::ConfigError(opened.error().ToString());
+  const StoreState state = ReadStoreState(*opened);
+  const auto term = static_cast<unsigned long long>(state.hard_state.term);
+  const auto last_index = static_cast<unsigned long long>(state.last_index);
+  std::printf("store %s: term %llu, log up to %llu\n", command.store.c_str(), term, last_index);
+  const std::string confirmation =
+      command.fleet + ":" + std::to_string(term) + ":" + std::to_string(last_index);
+  if (command.confirm != confirmation) return AskForConfirmation(command, confirmation);
+  if (const auto written = database.Write(SingleVoterBatch(state, command.who)); !written)
     throw proxy::ConfigError(written.error().ToString());
   std::printf(
       "%s is the only voter from log entry %llu on. Start it, then let others in: rules voters in NAME\n",
-      command.who.c_str(), static_cast<unsigned long long>(entry.index));
+      command.who.c_str(), last_index + 1);
   return kRulesDone;
 }
 
 }  // namespace
 
 int RunRules(const RulesCommand& command) {
-  if (command.what == "refound") return RecoverFromOneStore(command);
-  if (command.what == "history") return History(command);
-  if (command.what == "wait") return Wait(command);
-  if (command.what == "propose") {
-    std::ostringstream text;
-    if (command.file == "-") {
-      text << std::cin.rdbuf();
-    } else {
-      std::ifstream file(command.file, std::ios::binary);
-      if (!file) throw proxy::ConfigError(command.file + ": cannot be read");
-      text << file.rdbuf();
-    }
-    return Propose(command, ParseOrThrow(text.str(), command.file.c_str()));
-  }
-  if (command.what == "revert") {
-    RulesCommand from = command;
-    from.first = 0;
-    return Propose(from, ParseOrThrow(TextOf(command, command.first), "the version to go back to"));
-  }
-  if (command.what == "diff") {
-    const auto lines =
-        replicated_config::Differences(ParseOrThrow(TextOf(command, command.first), "the first"),
-                                       ParseOrThrow(TextOf(command, command.second), "the second"));
-    for (const std::string& line : lines) std::printf("%s\n", line.c_str());
-    return kRulesDone;
-  }
-  if (command.what == "voters") {
-    const ordered_json call = {{"call", "voters"},
-                               {"way", command.way},
-                               {"who", command.who},
-                               {"patience_ms", static_cast<std::uint64_t>(1000 * command.timeout_s)}};
-    return ReportOutcome(command, Ask(command, call));
+  switch (command.action) {
+    case RulesAction::kShow:
+      return Show(command);
+    case RulesAction::kHistory:
+      return History(command);
+    case RulesAction::kPropose:
+      return Propose(command, ParseOrThrow(ReadDocumentFile(command.file), command.file.c_str()));
+    case RulesAction::kDiff:
+      return Diff(command);
+    case RulesAction::kRevert:
+      return Revert(command);
+    case RulesAction::kWait:
+      return Wait(command);
+    case RulesAction::kChangeVoters:
+      return ChangeVoters(command);
+    case RulesAction::kRecover:
+      return RecoverFromOneStore(command);
   }
   return Show(command);
 }
--- a/src/cli/rules_command.h
+++ b/src/cli/rules_command.h
@@ -11,8 +11,19 @@
 
 namespace lemoncroft::cli {
 
+enum class RulesAction {
+  kShow,
+  kHistory,
+  kPropose,
+  kDiff,
+  kRevert,
+  kWait,          // until all live proxies are on a version
+  kChangeVoters,  // `voters`
+  kRecover,       // `refound`: from one store
+};
+
 struct RulesCommand {
-  std::string what;  // show, history, propose, diff, revert, wait, voters, refound
+  RulesAction action = RulesAction::kShow;
   std::string fleet;
   std::vector<std::string> at;  // addresses of proxies; the first that responds is used
   bool json = false;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -79,7 +79,7 @@
 // Where a running proxy is reached on its peers' way, as its operator's file tells.
 void Locate(const Options& options, lemoncroft::cli::RulesCommand& command) {
   using namespace lemoncroft;
-  if (!command.fleet.empty() && (!command.at.empty() || command.what == "refound")) return;
+  if (!command.fleet.empty() && (!command.at.empty() || command.action == cli::RulesAction::kRecover)) return;
   if (options.operator_file.empty()) throw proxy::ConfigError("rules: give --operator, or --fleet and --at");
   const proxy::Config config = proxy::LoadConfig(options.config);
   const operator_config::OperatorFile file =
@@ -103,29 +103,31 @@
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
   rules->add_flag("--json", command.json, "as JSON");
-  const auto add = [&](const char* name, const char* about) {
-    CLI::App* one = rules->add_subcommand(name, about)->fallthrough();
-    one->callback([&command, name] { command.what = name; });
-    return one;
+  using Action = lemoncroft::cli::RulesAction;
+  const auto add = [&](Action action, const char* name, const char* about) {
+    CLI::App* subcommand = rules->add_subcommand(name, about)->fallthrough();
+    subcommand->callback([&command, action] { command.action = action; });
+    return subcommand;
   };
-  add("show", "the version in force at this proxy, and who is on which (the default)");
-  add("history", "the versions that are kept");
-  auto* propose = add("propose", "propose a document as the next version");
+  add(Action::kShow, "show", "the version in force at this proxy, and who is on which (the default)");
+  add(Action::kHistory, "history", "the versions that are kept");
+  auto* propose = add(Action::kPropose, "propose", "propose a document as the next version");
   propose->add_option("file", command.file, "the document, in KDL; - for standard input")->required();
   propose->add_option("--from", command.first, "the version that it was made from; without it the newest");
-  auto* diff = add("diff", "what differs between two versions");
+  auto* diff = add(Action::kDiff, "diff", "what differs between two versions");
   diff->add_option("first", command.first, "a version")->required();
   diff->add_option("second", command.second, "another")->required();
-  add("revert", "propose an earlier version's document as the next one")
+  add(Action::kRevert, "revert", "propose an earlier version's document as the next one")
       ->add_option("version", command.first, "the earlier version")
       ->required();
-  add("wait", "wait until every live proxy is on a version")
+  add(Action::kWait, "wait", "wait until every live proxy is on a version")
       ->add_option("version", command.first, "the version")
       ->required();
-  auto* voters = add("voters", "let a voter in, or out");
+  auto* voters = add(Action::kChangeVoters, "voters", "let a voter in, or out");
   voters->add_option("way", command.way, "in or out")->required()->check(CLI::IsMember({"in", "out"}));
   voters->add_option("name", command.who, "the proxy's name")->required();
-  auto* refound = add("refound", "where a majority of the voters' stores is lost: go on with this one");
+  auto* refound =
+      add(Action::kRecover, "refound", "where a majority of the voters' stores is lost: go on with this one");
   refound->add_option("--store", command.store, "the store; without it, the one of the operator's file");
   refound->add_option("--name", command.who, "its proxy's name; likewise");
   refound->add_option("--confirm", command.confirm, "what the command prints without it");
--- a/src/proxy/state_writer.cpp
+++ b/src/proxy/state_writer.cpp
@@ -15,24 +15,28 @@
 namespace lemoncroft::proxy {
 
 struct StateWriter::Shared {
+  struct PendingFile {
+    std::string path, text;
+  };
+
   std::mutex mutex;
   std::condition_variable wake;
-  std::optional<std::pair<std::string, std::string>> next;  // path, text
+  std::optional<PendingFile> next;
   bool ended = false;
 
   static void Run(const std::shared_ptr<Shared>& shared) {
-    for (bool told = false;;) {
-      std::pair<std::string, std::string> one;
+    for (bool failure_logged = false;;) {
+      PendingFile file;
       {
         std::unique_lock lock(shared->mutex);
         shared->wake.wait(lock, [&] { return shared->ended || shared->next; });
         if (shared->ended) return;
-        one = std::move(*std::exchange(shared->next, std::nullopt));
+        file = std::move(*std::exchange(shared->next, std::nullopt));
       }
-      const bool written = ReplaceFile(one.first, one.second);
-      if (!written && !told)
-        spdlog::warn("the state can't be written to {}: {}", one.first, std::strerror(errno));
-      told = !written;
+      const bool written = ReplaceFile(file.path, file.text);
+      if (!written && !failure_logged)
+        spdlog::warn("the state can't be written to {}: {}", file.path, std::strerror(errno));
+      failure_logged = !written;
     }
   }
 };
@@ -49,7 +53,7 @@
 
 void StateWriter::Write(const std::string& path, std::string text) {
   const std::lock_guard lock(shared_->mutex);
-  shared_->next = {path, std::move(text)};
+  shared_->next = Shared::PendingFile{path, std::move(text)};
   shared_->wake.notify_one();
 }
 
--- a/src/proxy/state_writer.h
+++ b/src/proxy/state_writer.h
@@ -1,9 +1,9 @@
-// Replaces a state file on a thread of its own: a rename over a file waits for the disk where this is busy
-// (89 to 102 ms were seen beside a program that writes much), and the loop must not.
+// Replaces a state file on a thread of its own: a rename over a file may wait for a busy disk, and the event
+// loop must not.
 //
-// Contract. The newest text wins: one that was not written when the next comes is never written. A file that
-// can't be written costs a log line, the first time. Owner: one object on the loop; its destructor doesn't
-// wait for a disk that is slow.
+// Contract. The newest text wins: one that has not been written when the next arrives is dropped. Owner: one
+// object, used by the event loop's thread; its destructor doesn't wait for the disk. Errors: a file that
+// can't be written is logged once until a write succeeds.
 #ifndef LEMONCROFT_PROXY_STATE_WRITER_H_
 #define LEMONCROFT_PROXY_STATE_WRITER_H_
 
@@ -19,6 +19,7 @@
   StateWriter(const StateWriter&) = delete;
   StateWriter& operator=(const StateWriter&) = delete;
 
+  // Has the file replaced; returns at once.
   void Write(const std::string& path, std::string text);
 
  private:
--- a/src/proxy/voter_store.cpp
+++ b/src/proxy/voter_store.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-std::string FoundersText(const replicated_config::BootstrapVoters& bootstrap_voters) {
+std::string FormatBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters) {
   std::string out;
   for (const auto& [name, store] : bootstrap_voters) out += name + " " + std::to_string(store) + "\n";
   return out;
 }
 
-replicated_config::BootstrapVoters ReadFounders(const std::string& text) {
+replicated_config::BootstrapVoters ParseBootstrapVoters(const std::string& text) {
   replicated_config::BootstrapVoters bootstrap_voters;
   std::istringstream in(text);
   std::string name;
@@ -29,21 +29,21 @@
 
 storage::WriteBatch EncodeStoreId(std::uint64_t store) {
   storage::WriteBatch batch;
-  batch.records.emplace_back("store", std::to_string(store));
+  batch.records.emplace_back(kRecordStoreId, std::to_string(store));
   return batch;
 }
 
 storage::WriteBatch EncodeBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters) {
   storage::WriteBatch batch;
-  batch.records.emplace_back("founders", FoundersText(bootstrap_voters));
+  batch.records.emplace_back(kRecordBootstrapVoters, FormatBootstrapVoters(bootstrap_voters));
   return batch;
 }
 
 storage::WriteBatch EncodeUpdate(const raft::StorageUpdate& update) {
   storage::WriteBatch batch;
-  batch.records.emplace_back("promise", raft::Encode(update.hard_state));
+  batch.records.emplace_back(kRecordHardState, raft::Encode(update.hard_state));
   if (update.replaces_log) {
-    batch.records.emplace_back("snapshot", raft::Encode(update.snapshot));
+    batch.records.emplace_back(kRecordSnapshot, raft::Encode(update.snapshot));
     batch.compact_through = update.snapshot.index;
   }
   batch.truncate_after = update.replaces_log ? update.snapshot.index : update.truncate_after;
@@ -57,11 +57,13 @@
     const auto it = contents.records.find(name);
     return it == contents.records.end() ? std::string() : it->second;
   };
-  const std::string store = record("store"), promise = record("promise"), snapshot = record("snapshot");
+  const std::string store = record(kRecordStoreId);
+  const std::string hard_state = record(kRecordHardState);
+  const std::string snapshot = record(kRecordSnapshot);
   std::from_chars(store.data(), store.data() + store.size(), out.store);
-  out.bootstrap_voters = ReadFounders(record("founders"));
-  if (!promise.empty()) {
-    const auto read = raft::DecodeHardState(promise);
+  out.bootstrap_voters = ParseBootstrapVoters(record(kRecordBootstrapVoters));
+  if (!hard_state.empty()) {
+    const auto read = raft::DecodeHardState(hard_state);
     if (!read) return std::nullopt;
     out.persistent_state.hard_state = *read;
   }
--- a/src/proxy/voter_store.h
+++ b/src/proxy/voter_store.h
@@ -1,7 +1,6 @@
-// Maps what a ConfigReplica persists to records and log entries of a storage::Database: the records "store",
-// "founders", "promise" and "snapshot", and the Raft log.
+// Maps what a ConfigReplica persists to records and log entries of a storage::Database.
 //
-// Contract: pure functions; the names and bytes are the stored format.
+// Contract. Pure functions; the names and bytes are the stored format. Errors: DecodeStore returns nullopt.
 #ifndef LEMONCROFT_PROXY_VOTER_STORE_H_
 #define LEMONCROFT_PROXY_VOTER_STORE_H_
 
@@ -14,6 +13,12 @@
 
 namespace lemoncroft::proxy {
 
+// The names of the records in a voter's store; its log is the Raft log.
+inline constexpr const char* kRecordStoreId = "store";
+inline constexpr const char* kRecordBootstrapVoters = "founders";  // a line "NAME STORE" for each
+inline constexpr const char* kRecordHardState = "promise";
+inline constexpr const char* kRecordSnapshot = "snapshot";
+
 storage::WriteBatch EncodeStoreId(std::uint64_t store);
 storage::WriteBatch EncodeBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters);
 storage::WriteBatch EncodeUpdate(const raft::StorageUpdate& update);
