--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,11 +14,14 @@
 #include "operator_config/operator_file.h"
 #include "peer_transport/link.h"
 #include "proxy/config.h"
+#include "proxy/config_fields.h"
 #include "proxy/proxy.h"
 #include "proxy/signals.h"
 
 namespace {
 
+namespace fields = lemoncroft::proxy::fields;
+
 constexpr const char* kVersion = LEMONCROFT_VERSION;  // the project's, from the build
 constexpr int kUsageError = 2;
 
@@ -58,12 +61,13 @@
   CheckServable(config);
   LogFindings(config);
   // Each process that takes another's place has an address of its own; the file may be shared.
-  const std::string management = Environment("PROXY_MANAGEMENT");
-  if (!management.empty()) config.management = ReadAddress(management, "PROXY_MANAGEMENT");
-  return RunProxy(std::move(config), {options.config, options.operator_file, Environment("PROXY_FD")});
+  const std::string management = Environment(fields::kAdminAddressVariable);
+  if (!management.empty()) config.management = ReadAddress(management, fields::kAdminAddressVariable);
+  return RunProxy(std::move(config),
+                  {options.config, options.operator_file, Environment(fields::kInheritedListenerVariable)});
 }
 
-// The file that a running proxy keeps up to date for the command, as its operator's file names it.
+// The state file that a running proxy keeps up to date for the command, as its operator's file names it.
 std::string StateFile(const Options& options, const std::string& command) {
   using namespace lemoncroft;
   if (options.operator_file.empty()) throw proxy::ConfigError(command + ": give --state or --operator");
@@ -76,8 +80,8 @@
   return state;
 }
 
-// Where a running proxy is reached on its peers' way, as its operator's file tells.
-void Locate(const Options& options, lemoncroft::cli::RulesCommand& command) {
+// Fills in what the command line leaves out, from the files: the fleet's name, the proxy's address and store.
+void CompleteRulesCommand(const Options& options, lemoncroft::cli::RulesCommand& command) {
   using namespace lemoncroft;
   if (!command.fleet.empty() && (!command.at.empty() || command.action == cli::RulesAction::kRecover)) return;
   if (options.operator_file.empty()) throw proxy::ConfigError("rules: give --operator, or --fleet and --at");
@@ -133,10 +137,12 @@
   refound->add_option("--confirm", command.confirm, "what the command prints without it");
 }
 
-int Run(int argc, char** argv) {
-  Options options;
-  options.config = Environment("PROXY_CONFIG");
-  CLI::App app("A proxy between clients that send SQL queries and the engines that run them.", "lemoncroft");
+// The sub-commands that RunCommand tells apart.
+struct Subcommands {
+  CLI::App *check_config, *waiting, *peers, *version, *help;
+};
+
+void AddOptions(CLI::App& app, Options& options) {
   app.set_help_flag("-h,--help", "print this text");
   app.set_version_flag("-V,--version", std::string("lemoncroft ") + kVersion);
   app.add_option("-c,--config", options.config,
@@ -148,19 +154,59 @@
   app.add_option("--log-format", options.log_format, "text, or json: an object a line")
       ->check(CLI::IsMember({"text", "json"}))
       ->capture_default_str();
+}
+
+Subcommands AddSubcommands(CLI::App& app, Options& options) {
   app.require_subcommand(0, 1);
   app.add_subcommand("serve", "run the proxy (the default)")->fallthrough();
-  auto* check = app.add_subcommand("check-config", "read the files, say what is wrong with them, and end");
-  auto* waiting = app.add_subcommand("waiting", "show what waits at a running proxy, by team");
-  auto* peers = app.add_subcommand("peers", "show whom a running proxy holds for alive in its fleet");
-  auto* version = app.add_subcommand("version", "print the version");
-  auto* help = app.add_subcommand("help", "print this text");
+  Subcommands commands{};
+  commands.check_config =
+      app.add_subcommand("check-config", "read the files, say what is wrong with them, and end");
+  commands.waiting = app.add_subcommand("waiting", "show what waits at a running proxy, by team");
+  commands.peers = app.add_subcommand("peers", "show whom a running proxy holds for alive in its fleet");
+  commands.version = app.add_subcommand("version", "print the version");
+  commands.help = app.add_subcommand("help", "print this text");
   AddRules(app, options.rules);
-  for (CLI::App* command : {check, waiting, peers, version, help}) command->fallthrough();
-  for (CLI::App* command : {waiting, peers}) {
+  for (CLI::App* command :
+       {commands.check_config, commands.waiting, commands.peers, commands.version, commands.help})
+    command->fallthrough();
+  for (CLI::App* command : {commands.waiting, commands.peers}) {
     command->add_option("-s,--state", options.state, "the state file that the operator's file names");
     command->add_flag("--json", options.json, "as JSON");
   }
+  return commands;
+}
+
+int ShowState(Options& options, const Subcommands& commands) {
+  using namespace lemoncroft;
+  const bool of_fleet = *commands.peers;
+  if (options.state.empty()) options.state = StateFile(options, of_fleet ? "peers" : "waiting");
+  const cli::OutputFormat format = options.json ? cli::OutputFormat::kJson : cli::OutputFormat::kText;
+  return of_fleet ? cli::ShowFleetState(options.state, format) : cli::ShowQueueState(options.state, format);
+}
+
+int RunCommand(const CLI::App& app, Options& options, const Subcommands& commands) {
+  using namespace lemoncroft;
+  if (*commands.help) return std::fputs(app.help().c_str(), stdout) < 0;
+  if (*commands.version) return std::printf("lemoncroft %s\n", kVersion) < 0;
+  cli::SetUpLog(options.log_level, options.log_format == "json");
+  if (app.got_subcommand("rules")) {
+    CompleteRulesCommand(options, options.rules);
+    return cli::RunRules(options.rules);
+  }
+  const bool shows_state = *commands.waiting || *commands.peers;
+  if (options.config.empty() && !(shows_state && !options.state.empty()))
+    throw proxy::ConfigError("no configuration: give --config or set PROXY_CONFIG");
+  if (shows_state) return ShowState(options, commands);
+  return *commands.check_config ? CheckConfig(options) : Serve(options);
+}
+
+int Run(int argc, char** argv) {
+  Options options;
+  options.config = Environment(fields::kConfigPathVariable);
+  CLI::App app("A proxy between clients that send SQL queries and the engines that run them.", "lemoncroft");
+  AddOptions(app, options);
+  const Subcommands commands = AddSubcommands(app, options);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -169,24 +215,7 @@
                  app.help().c_str());
     return kUsageError;
   }
-  if (*help) return std::fputs(app.help().c_str(), stdout) < 0;
-  if (*version) return std::printf("lemoncroft %s\n", kVersion) < 0;
-  lemoncroft::cli::SetUpLog(options.log_level, options.log_format == "json");
-  if (app.got_subcommand("rules")) {
-    Locate(options, options.rules);
-    return lemoncroft::cli::RunRules(options.rules);
-  }
-  const bool shows = *waiting || *peers;
-  if (options.config.empty() && !(shows && !options.state.empty()))
-    throw lemoncroft::proxy::ConfigError("no configuration: give --config or set PROXY_CONFIG");
-  if (shows) {
-    if (options.state.empty()) options.state = StateFile(options, *peers ? "peers" : "waiting");
-    using lemoncroft::cli::OutputFormat;
-    const OutputFormat format = options.json ? OutputFormat::kJson : OutputFormat::kText;
-    return *peers ? lemoncroft::cli::ShowFleetState(options.state, format)
-                  : lemoncroft::cli::ShowQueueState(options.state, format);
-  }
-  return *check ? CheckConfig(options) : Serve(options);
+  return RunCommand(app, options, commands);
 }
 
 }  // namespace
