--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -13,6 +13,7 @@
 
 #include "peer_transport/link.h"
 #include "proxy/config.h"
+#include "proxy/replicated_config_call_fields.h"
 #include "proxy/voter_store.h"
 #include "raft/codec.h"
 #include "replicated_config/document.h"
@@ -27,12 +28,14 @@
 
 namespace {
 
+namespace calls = proxy::calls;
+
 constexpr auto kCallTimeout = 12s;
 constexpr auto kWaitPollInterval = 200ms;
 
 // Makes one call and returns the response; an object with "error" without one.
 ordered_json Ask(const RulesCommand& command, const ordered_json& call) {
-  ordered_json answer = {{"error", "no proxy answers"}};
+  ordered_json answer = {{calls::kError, "no proxy answers"}};
   for (const std::string& at : command.at) {
     const auto address = runtime::Address::Parse(at);
     if (!address) continue;
@@ -50,13 +53,14 @@
     loop.Spawn(ask());
     loop.Run();
     if (answered) break;
-    answer = {{"error", "no answer from " + at}};
+    answer = {{calls::kError, "no answer from " + at}};
   }
   return answer;
 }
 
 int ReportNoResponse(const ordered_json& answer) {
-  std::fprintf(stderr, "lemoncroft: rules: %s\n", answer.value("error", std::string("no answer")).c_str());
+  std::fprintf(stderr, "lemoncroft: rules: %s\n",
+               answer.value(calls::kError, std::string("no answer")).c_str());
   return kRulesNoResponse;
 }
 
@@ -68,9 +72,9 @@
 
 std::string TextOf(const RulesCommand& command, std::uint64_t version) {
   if (version == 0) return {};
-  const ordered_json answer = Ask(command, {{"call", "text"}, {"version", version}});
-  if (answer.contains("error")) throw proxy::ConfigError(answer["error"].get<std::string>());
-  return answer.at("text").get<std::string>();
+  const ordered_json answer = Ask(command, {{calls::kCall, calls::kGetDocument}, {calls::kVersion, version}});
+  if (answer.contains(calls::kError)) throw proxy::ConfigError(answer[calls::kError].get<std::string>());
+  return answer.at(calls::kDocument).get<std::string>();
 }
 
 std::uint64_t TimeoutMs(const RulesCommand& command) {
@@ -87,8 +91,8 @@
 }
 
 int Show(const RulesCommand& command) {
-  const ordered_json status = Ask(command, {{"call", "status"}});
-  if (status.contains("error")) return ReportNoResponse(status);
+  const ordered_json status = Ask(command, {{calls::kCall, calls::kGetStatus}});
+  if (status.contains(calls::kError)) return ReportNoResponse(status);
   if (command.json) return std::printf("%s\n", status.dump().c_str()) < 0;
   const auto version = status.at("version").get<std::uint64_t>();
   std::printf("%s of fleet %s: acts on version %llu%s; newest %llu; lease for %.0f ms; leader %s%s\n",
@@ -109,8 +113,8 @@
 }
 
 int History(const RulesCommand& command) {
-  const ordered_json answer = Ask(command, {{"call", "history"}});
-  if (answer.contains("error")) return ReportNoResponse(answer);
+  const ordered_json answer = Ask(command, {{calls::kCall, calls::kGetHistory}});
+  if (answer.contains(calls::kError)) return ReportNoResponse(answer);
   if (command.json) return std::printf("%s\n", answer.dump().c_str()) < 0;
   for (const ordered_json& v : answer.at("versions"))
     std::printf("%6llu %s %7zu bytes %s%s\n", v.at("version").get<unsigned long long>(),
@@ -120,27 +124,27 @@
 }
 
 int ReportOutcome(const RulesCommand& command, const ordered_json& answer) {
-  if (answer.contains("error")) return ReportNoResponse(answer);
-  const std::string verdict = answer.at("verdict").get<std::string>(),
-                    why = answer.at("why").get<std::string>();
+  if (answer.contains(calls::kError)) return ReportNoResponse(answer);
+  const std::string outcome = answer.at(calls::kOutcome).get<std::string>();
+  const std::string why = answer.at(calls::kReason).get<std::string>();
   if (command.json)
     std::printf("%s\n", answer.dump().c_str());
   else
-    std::printf("%s: version %llu%s%s\n", verdict.c_str(), answer.at("version").get<unsigned long long>(),
-                why.empty() ? "" : ": ", why.c_str());
-  return verdict == "taken"      ? kRulesDone
-         : verdict == "conflict" ? kRulesConflict
-         : verdict == "refused"  ? kRulesRejected
-                                 : kRulesUnknown;
+    std::printf("%s: version %llu%s%s\n", outcome.c_str(),
+                answer.at(calls::kVersion).get<unsigned long long>(), why.empty() ? "" : ": ", why.c_str());
+  if (outcome == calls::kCommitted) return kRulesDone;
+  if (outcome == calls::kConflict) return kRulesConflict;
+  return outcome == calls::kRejected ? kRulesRejected : kRulesUnknown;
 }
 
 int Propose(const RulesCommand& command, const Document& to) {
   std::uint64_t from = command.first;
   if (from == 0) {
-    const ordered_json read = Ask(command, {{"call", "read"}, {"patience_ms", 2000}});
-    if (read.contains("error")) return ReportNoResponse(read);
-    if (read.at("verdict") != "taken") return ReportOutcome(command, read);
-    from = read.at("newest").get<std::uint64_t>();
+    const ordered_json read =
+        Ask(command, {{calls::kCall, calls::kReadCommitted}, {calls::kTimeoutMs, 2000}});
+    if (read.contains(calls::kError)) return ReportNoResponse(read);
+    if (read.at(calls::kOutcome) != calls::kCommitted) return ReportOutcome(command, read);
+    from = read.at(calls::kLatestVersion).get<std::uint64_t>();
   }
   const Document before = ParseOrThrow(TextOf(command, from), "the version it is made from");
   const std::vector<std::string> differences = replicated_config::Differences(before, to);
@@ -149,11 +153,11 @@
     for (const std::string& line : differences) std::printf("  %s\n", line.c_str());
   }
   const char* user = std::getenv("USER");
-  const ordered_json call = {{"call", "propose"},
-                             {"from", from},
-                             {"text", replicated_config::SerializeDocument(to)},
-                             {"by", user == nullptr ? "an operator" : user},
-                             {"patience_ms", TimeoutMs(command)}};
+  const ordered_json call = {{calls::kCall, calls::kPropose},
+                             {calls::kBaseVersion, from},
+                             {calls::kDocument, replicated_config::SerializeDocument(to)},
+                             {calls::kAuthor, user == nullptr ? "an operator" : user},
+                             {calls::kTimeoutMs, TimeoutMs(command)}};
   return ReportOutcome(command, Ask(command, call));
 }
 
@@ -162,8 +166,8 @@
       Now() + std::chrono::duration_cast<runtime::Span>(std::chrono::duration<double>(command.timeout_s));
   std::string before;
   for (;;) {
-    const ordered_json status = Ask(command, {{"call", "status"}});
-    if (status.contains("error")) return ReportNoResponse(status);
+    const ordered_json status = Ask(command, {{calls::kCall, calls::kGetStatus}});
+    if (status.contains(calls::kError)) return ReportNoResponse(status);
     std::size_t alive = 0, there = 0;
     std::string missing;
     for (const ordered_json& p : status.at("proxies")) {
@@ -218,8 +222,10 @@
 }
 
 int ChangeVoters(const RulesCommand& command) {
-  const ordered_json call = {
-      {"call", "voters"}, {"way", command.way}, {"who", command.who}, {"patience_ms", TimeoutMs(command)}};
+  const ordered_json call = {{calls::kCall, calls::kChangeVoters},
+                             {calls::kVoterChange, command.way},
+                             {calls::kVoterName, command.who},
+                             {calls::kTimeoutMs, TimeoutMs(command)}};
   return ReportOutcome(command, Ask(command, call));
 }
 
--- a/src/proxy/operations.h
+++ b/src/proxy/operations.h
@@ -67,7 +67,7 @@
   const metrics::Counters& counters_;
   discovery::EndpointDirectory::UpdateCallback on_update_;
   std::unique_ptr<hot_restart::EjectionStore> ejection_store_;  // null: not shared
-  std::set<std::string> unsaved_ejections_;                     // out by hand, but without a mark
+  std::set<std::string> unsaved_ejections_;                     // ejected here, not in the store
   std::function<std::vector<std::pair<std::string, std::uint64_t>>()> additional_metrics_;
   bool ejections_are_replicated_ = false;
   Phase phase_ = Phase::kStarting;
--- a/src/proxy/replicated_config_calls.cpp
+++ b/src/proxy/replicated_config_calls.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
+#include "proxy/replicated_config_call_fields.h"
 #include "proxy/replicated_config_service.h"
 #include "proxy/state_file.h"
 
@@ -18,19 +19,20 @@
 namespace {
 
 constexpr auto kForwardTimeout = 1500ms;
+constexpr Span kMinCallTimeout = 100ms, kMaxCallTimeout = 10s;
 
 ordered_json Json(const replicated_config::ChangeOutcome& outcome) {
-  return {{"id", outcome.id},
-          {"verdict", replicated_config::NameOf(outcome.status)},
-          {"version", outcome.version},
-          {"why", outcome.reason}};
+  return {{calls::kRequestId, outcome.id},
+          {calls::kOutcome, replicated_config::NameOf(outcome.status)},
+          {calls::kVersion, outcome.version},
+          {calls::kReason, outcome.reason}};
 }
 
 std::string Dump(const ordered_json& json) {
   return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-std::string Error(const std::string& text) { return Dump({{"error", text}}); }
+std::string Error(const std::string& text) { return Dump({{calls::kError, text}}); }
 
 std::string TextField(const ordered_json& call, const char* key) {
   const auto it = call.find(key);
@@ -111,52 +113,63 @@
   co_return Error("no voter answers");
 }
 
+// Proposes a document, changes the voters or reads the committed versions, and waits for the outcome. `call`
+// outlives the task.
+Task<std::string> ReplicatedConfigService::HandleChangeCall(const ordered_json& call) {
+  const std::string name = TextField(call, calls::kCall);
+  std::string id = TextField(call, calls::kRequestId);
+  if (id.empty()) id = DrawId();
+  const auto asked_timeout = std::chrono::milliseconds(NumberField(call, calls::kTimeoutMs));
+  const Span timeout = std::clamp<Span>(asked_timeout, kMinCallTimeout, kMaxCallTimeout);
+  if (name == calls::kPropose) {
+    replicated_config::ConfigChange change;
+    change.id = id;
+    change.base_version = NumberField(call, calls::kBaseVersion);
+    change.document = TextField(call, calls::kDocument);
+    change.author = TextField(call, calls::kAuthor).substr(0, replicated_config::kMaxAuthorBytes);
+    change.proposed_at_unix_ms = UnixMs();
+    co_return Dump(Json((co_await Propose(std::move(change), timeout)).outcome));
+  }
+  if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
+    co_return Error("too many calls at once");
+  pending_calls_[id] = std::make_shared<PendingCall>();
+  if (name == calls::kReadCommitted) {
+    replica_.ReadCommitted(Now(), id, Now() + timeout);
+  } else {
+    const bool adds = TextField(call, calls::kVoterChange) == calls::kAddVoter;
+    replica_.ChangeVoters(Now(), {id, TextField(call, calls::kVoterName), adds}, Now() + timeout);
+  }
+  DispatchOutputs();
+  const replicated_config::RequestCompleted finished = co_await AwaitCompletion(id);
+  ordered_json out = Json(finished.outcome);
+  if (finished.read)
+    out.update({{calls::kLatestVersion, finished.read->latest_version},
+                {calls::kActiveVersion, finished.read->active_version},
+                {calls::kVoters, finished.read->voters}});
+  co_return Dump(out);
+}
+
 Task<std::string> ReplicatedConfigService::HandleCall(std::string bytes) {
   const ordered_json call = ordered_json::parse(bytes, nullptr, false);
   if (!call.is_object()) co_return Error("not a call");
-  const auto text = [&](const char* key) { return TextField(call, key); };
-  const auto number = [&](const char* key) { return NumberField(call, key); };
-  const std::string what = text("call");
-  if (what == "status") co_return StatusText();
-  if (what == "propose" || what == "voters" || what == "read") {
-    std::string id = text("id").empty() ? DrawId() : text("id");
-    const Span timeout = std::clamp<Span>(std::chrono::milliseconds(number("patience_ms")), 100ms, 10s);
-    if (what == "propose") {
-      const replicated_config::ConfigChange change{id, number("from"), text("text"),
-                                                   text("by").substr(0, replicated_config::kMaxAuthorBytes),
-                                                   UnixMs()};
-      co_return Dump(Json((co_await Propose(change, timeout)).outcome));
-    }
-    if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
-      co_return Error("too many calls at once");
-    pending_calls_[id] = std::make_shared<PendingCall>();
-    if (what == "read")
-      replica_.ReadCommitted(Now(), id, Now() + timeout);
-    else
-      replica_.ChangeVoters(Now(), {id, text("who"), text("way") == "in"}, Now() + timeout);
-    DispatchOutputs();
-    const replicated_config::RequestCompleted finished = co_await AwaitCompletion(id);
-    ordered_json out = Json(finished.outcome);
-    if (finished.read)
-      out.update({{"newest", finished.read->latest_version},
-                  {"in_force", finished.read->active_version},
-                  {"voters", finished.read->voters}});
-    co_return Dump(out);
-  }
-  if (what == "text") {
-    const Version version = number("version");
+  const std::string name = TextField(call, calls::kCall);
+  if (name == calls::kGetStatus) co_return StatusText();
+  if (name == calls::kPropose || name == calls::kChangeVoters || name == calls::kReadCommitted)
+    co_return co_await HandleChangeCall(call);
+  const Version version = NumberField(call, calls::kVersion);
+  if (name == calls::kGetDocument) {
     if (const std::string* found = replica_.FindDocument(version))
-      co_return Dump({{"version", version}, {"text", *found}});
+      co_return Dump({{calls::kVersion, version}, {calls::kDocument, *found}});
   }
-  if (what == "history" && replica_.state_machine() != nullptr) co_return HistoryText();
-  const bool forwarded = call.contains("forwarded");
-  if ((what == "text" || what == "history") && !forwarded) {
-    ordered_json on = call;
-    on["forwarded"] = true;
-    co_return co_await ForwardToVoter(Dump(on));
+  if (name == calls::kGetHistory && replica_.state_machine() != nullptr) co_return HistoryText();
+  const bool needs_voter = name == calls::kGetDocument || name == calls::kGetHistory;
+  if (needs_voter && !call.contains(calls::kForwarded)) {
+    ordered_json forwarded = call;
+    forwarded[calls::kForwarded] = true;
+    co_return co_await ForwardToVoter(Dump(forwarded));
   }
-  if (what == "text") co_return Error("version " + std::to_string(number("version")) + " isn't kept");
-  co_return Error("unknown call '" + what + "'");
+  if (name == calls::kGetDocument) co_return Error("version " + std::to_string(version) + " isn't kept");
+  co_return Error("unknown call '" + name + "'");
 }
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -18,6 +18,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <string>
 #include <tl/expected.hpp>
@@ -60,9 +61,8 @@
   // Checks that the active version can be applied to new settings of this proxy.
   [[nodiscard]] tl::expected<void, replicated_config::IncompatibleDocument> CheckCompatible(
       const settings::Site& site, const admission_queue::Settings* queue) const;
-  const replicated_config::Document& document() const {
-    return document_;
-  }  // active here; empty before the first
+  // The document that is active here; empty before the first.
+  const replicated_config::Document& document() const { return document_; }
   const operator_config::ReplicatedConfigSettings& settings() const { return settings_; }
 
   // Proposes to the fleet an `exclude` or `include` that was carried out here. Returns `reply` with what the
@@ -112,6 +112,7 @@
   runtime::Task<replicated_config::RequestCompleted> Propose(replicated_config::ConfigChange change,
                                                              runtime::Span timeout);
   runtime::Task<std::string> HandleCall(std::string bytes);
+  runtime::Task<std::string> HandleChangeCall(const nlohmann::ordered_json& call);
   runtime::Task<std::string> ForwardToVoter(std::string bytes);
   std::string StatusText() const;
   std::string HistoryText() const;
@@ -129,7 +130,7 @@
   replicated_config::DocumentChecks document_checks_;
   replicated_config::ConfigReplica replica_;
   replicated_config::NotificationPacer notification_pacer_;
-  std::uint64_t peers_as_of_ = 0;  // value of the roster's changes() at the last UpdatePeers
+  std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last UpdatePeers
   runtime::Gate timer_changed_, ejections_changed_;
   runtime::Time planned_at_ = runtime::kNever;
 
@@ -141,8 +142,8 @@
 
   replicated_config::Document document_;
   replicated_config::Version active_version_ = 0;
-  std::map<std::string, ManualEjection>
-      manual_ejections_;  // by engine; requested here, not in an active version yet
+  // By engine: those requested here that no active version has yet.
+  std::map<std::string, ManualEjection> manual_ejections_;
   std::map<std::string, std::shared_ptr<PendingCall>> pending_calls_;
   mutable std::uint64_t last_change_number_ = 0;
   std::uint64_t sends_ = 0, isolated_sends_ = 0, rejected_sends_ = 0, step_downs_ = 0;
