--- a/src/cli/log.cpp
+++ b/src/cli/log.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// The message as a JSON string: ids and errors in it may hold anything.
-class Quoted : public spdlog::custom_flag_formatter {
+// Writes the message as a JSON string, since clients' ids and errors in it may hold any character.
+class QuotedMessage : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& message, const std::tm&, spdlog::memory_buf_t& out) override {
     const std::string text(message.payload.begin(), message.payload.end());
@@ -19,15 +19,15 @@
         nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     out.append(quoted.data(), quoted.data() + quoted.size());
   }
-  std::unique_ptr<custom_flag_formatter> clone() const override { return std::make_unique<Quoted>(); }
+  std::unique_ptr<custom_flag_formatter> clone() const override { return std::make_unique<QuotedMessage>(); }
 };
 
 }  // namespace
 
-void SetUpLog(const std::string& level, bool json) {
-  if (json) {
+void SetUpLog(const std::string& level, LogFormat format) {
+  if (format == LogFormat::kJson) {
     auto formatter = std::make_unique<spdlog::pattern_formatter>();
-    formatter->add_flag<Quoted>('Q').set_pattern(
+    formatter->add_flag<QuotedMessage>('Q').set_pattern(
         R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l","message":%Q})");
     spdlog::set_formatter(std::move(formatter));
   } else {
--- a/src/cli/log.h
+++ b/src/cli/log.h
@@ -1,4 +1,6 @@
-// The form of log lines, on standard output: plain text, or one JSON object a line.
+// Sets up the log: lines on standard output.
+//
+// Owner: main, which calls it once, before the first line is logged.
 #ifndef LEMONCROFT_CLI_LOG_H_
 #define LEMONCROFT_CLI_LOG_H_
 
@@ -6,7 +8,13 @@
 
 namespace lemoncroft::cli {
 
-void SetUpLog(const std::string& level, bool json);
+enum class LogFormat {
+  kText,
+  kJson,  // an object a line
+};
+
+// `level`: trace, debug, info, warning, error or off. Lines of level info and above are flushed at once.
+void SetUpLog(const std::string& level, LogFormat format);
 
 }  // namespace lemoncroft::cli
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,10 +24,11 @@
 
 constexpr const char* kVersion = LEMONCROFT_VERSION;  // the project's, from the build
 constexpr int kUsageError = 2;
+constexpr const char *kTextFormat = "text", *kJsonFormat = "json";  // of --log-format
 
 struct Options {
   std::string config, operator_file, state;
-  std::string log_level = "info", log_format = "text";
+  std::string log_level = "info", log_format = kTextFormat;
   bool json = false;
   lemoncroft::cli::RulesCommand rules;
 };
@@ -152,7 +153,7 @@
   app.add_option("-l,--log-level", options.log_level, "trace, debug, info, warning, error or off")
       ->capture_default_str();
   app.add_option("--log-format", options.log_format, "text, or json: an object a line")
-      ->check(CLI::IsMember({"text", "json"}))
+      ->check(CLI::IsMember({kTextFormat, kJsonFormat}))
       ->capture_default_str();
 }
 
@@ -189,7 +190,8 @@
   using namespace lemoncroft;
   if (*commands.help) return std::fputs(app.help().c_str(), stdout) < 0;
   if (*commands.version) return std::printf("lemoncroft %s\n", kVersion) < 0;
-  cli::SetUpLog(options.log_level, options.log_format == "json");
+  cli::SetUpLog(options.log_level,
+                options.log_format == kJsonFormat ? cli::LogFormat::kJson : cli::LogFormat::kText);
   if (app.got_subcommand("rules")) {
     CompleteRulesCommand(options, options.rules);
     return cli::RunRules(options.rules);
