--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -155,9 +155,9 @@
 
 }  // namespace
 
-// The order of construction is the order of dependence, and parts are destroyed in reverse. The order of the
-// calls between matters as well: where a part must know something before another one starts, a comment says
-// so.
+// Parts are constructed in the order of their dependence and destroyed in reverse. The order of the calls in
+// between is part of the contract too: each part knows its classes, settings and callbacks before the first
+// endpoint list and the first client.
 int RunProxy(Config config, const StartupOptions& options) {
   BlockHandledSignals();
   std::signal(SIGPIPE, SIG_IGN);
