--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -11,8 +11,10 @@
 #include <sstream>
 #include <thread>
 
-#include "cli/config.h"
 #include "peer_transport/link.h"
+#include "proxy/config.h"
+#include "proxy/replicated_config_call_fields.h"
+#include "proxy/voter_store.h"
 #include "raft/codec.h"
 #include "replicated_config/document.h"
 #include "storage/database.h"
@@ -26,12 +28,14 @@
 
 namespace {
 
+namespace calls = proxy::calls;
+
 constexpr auto kCallTimeout = 12s;
 constexpr auto kWaitPollInterval = 200ms;
 
 // Makes one call and returns the response; an object with "error" without one.
 ordered_json Ask(const RulesCommand& command, const ordered_json& call) {
-  ordered_json answer = {{"error", "no proxy answers"}};
+  ordered_json answer = {{calls::kError, "no proxy answers"}};
   for (const std::string& at : command.at) {
     const auto address = runtime::Address::Parse(at);
     if (!address) continue;
@@ -49,30 +53,35 @@
     loop.Spawn(ask());
     loop.Run();
     if (answered) break;
-    answer = {{"error", "no answer from " + at}};
+    answer = {{calls::kError, "no answer from " + at}};
   }
   return answer;
 }
 
 int ReportNoResponse(const ordered_json& answer) {
-  std::fprintf(stderr, "lemoncroft: rules: %s\n", answer.value("error", std::string("no answer")).c_str());
+  std::fprintf(stderr, "lemoncroft: rules: %s\n",
+               answer.value(calls::kError, std::string("no answer")).c_str());
   return kRulesNoResponse;
 }
 
 Document ParseOrThrow(const std::string& text, const char* of) {
   auto read = replicated_config::ParseDocument(text);
-  if (!read) throw ConfigError(std::string(of) + ":\n" + read.error().Text());
+  if (!read) throw proxy::ConfigError(std::string(of) + ":\n" + read.error().Text());
   return std::move(*read);
 }
 
 std::string TextOf(const RulesCommand& command, std::uint64_t version) {
   if (version == 0) return {};
-  const ordered_json answer = Ask(command, {{"call", "text"}, {"version", version}});
-  if (answer.contains("error")) throw ConfigError(answer["error"].get<std::string>());
-  return answer.at("text").get<std::string>();
+  const ordered_json answer = Ask(command, {{calls::kCall, calls::kGetDocument}, {calls::kVersion, version}});
+  if (answer.contains(calls::kError)) throw proxy::ConfigError(answer[calls::kError].get<std::string>());
+  return answer.at(calls::kDocument).get<std::string>();
+}
+
+std::uint64_t TimeoutMs(const RulesCommand& command) {
+  return static_cast<std::uint64_t>(1000 * command.timeout_s);
 }
 
-std::string Time(std::int64_t unix_ms) {
+std::string FormatTime(std::int64_t unix_ms) {
   const std::time_t seconds = unix_ms / 1000;
   std::tm parts{};
   ::gmtime_r(&seconds, &parts);
@@ -82,8 +91,8 @@
 }
 
 int Show(const RulesCommand& command) {
-  const ordered_json status = Ask(command, {{"call", "status"}});
-  if (status.contains("error")) return ReportNoResponse(status);
+  const ordered_json status = Ask(command, {{calls::kCall, calls::kGetStatus}});
+  if (status.contains(calls::kError)) return ReportNoResponse(status);
   if (command.json) return std::printf("%s\n", status.dump().c_str()) < 0;
   const auto version = status.at("version").get<std::uint64_t>();
   std::printf("%s of fleet %s: acts on version %llu%s; newest %llu; lease for %.0f ms; leader %s%s\n",
@@ -104,38 +113,38 @@
 }
 
 int History(const RulesCommand& command) {
-  const ordered_json answer = Ask(command, {{"call", "history"}});
-  if (answer.contains("error")) return ReportNoResponse(answer);
+  const ordered_json answer = Ask(command, {{calls::kCall, calls::kGetHistory}});
+  if (answer.contains(calls::kError)) return ReportNoResponse(answer);
   if (command.json) return std::printf("%s\n", answer.dump().c_str()) < 0;
   for (const ordered_json& v : answer.at("versions"))
     std::printf("%6llu %s %7zu bytes %s%s\n", v.at("version").get<unsigned long long>(),
-                Time(v.at("at_unix_ms").get<std::int64_t>()).c_str(), v.at("bytes").get<std::size_t>(),
+                FormatTime(v.at("at_unix_ms").get<std::int64_t>()).c_str(), v.at("bytes").get<std::size_t>(),
                 v.at("by").get<std::string>().c_str(), v.at("in_force").get<bool>() ? " (in force)" : "");
   return kRulesDone;
 }
 
 int ReportOutcome(const RulesCommand& command, const ordered_json& answer) {
-  if (answer.contains("error")) return ReportNoResponse(answer);
-  const std::string verdict = answer.at("verdict").get<std::string>(),
-                    why = answer.at("why").get<std::string>();
+  if (answer.contains(calls::kError)) return ReportNoResponse(answer);
+  const std::string outcome = answer.at(calls::kOutcome).get<std::string>();
+  const std::string why = answer.at(calls::kReason).get<std::string>();
   if (command.json)
     std::printf("%s\n", answer.dump().c_str());
   else
-    std::printf("%s: version %llu%s%s\n", verdict.c_str(), answer.at("version").get<unsigned long long>(),
-                why.empty() ? "" : ": ", why.c_str());
-  return verdict == "taken"      ? kRulesDone
-         : verdict == "conflict" ? kRulesConflict
-         : verdict == "refused"  ? kRulesRejected
-                                 : kRulesUnknown;
+    std::printf("%s: version %llu%s%s\n", outcome.c_str(),
+                answer.at(calls::kVersion).get<unsigned long long>(), why.empty() ? "" : ": ", why.c_str());
+  if (outcome == calls::kCommitted) return kRulesDone;
+  if (outcome == calls::kConflict) return kRulesConflict;
+  return outcome == calls::kRejected ? kRulesRejected : kRulesUnknown;
 }
 
 int Propose(const RulesCommand& command, const Document& to) {
   std::uint64_t from = command.first;
   if (from == 0) {
-    const ordered_json read = Ask(command, {{"call", "read"}, {"patience_ms", 2000}});
-    if (read.contains("error")) return ReportNoResponse(read);
-    if (read.at("verdict") != "taken") return ReportOutcome(command, read);
-    from = read.at("newest").get<std::uint64_t>();
+    const ordered_json read =
+        Ask(command, {{calls::kCall, calls::kReadCommitted}, {calls::kTimeoutMs, 2000}});
+    if (read.contains(calls::kError)) return ReportNoResponse(read);
+    if (read.at(calls::kOutcome) != calls::kCommitted) return ReportOutcome(command, read);
+    from = read.at(calls::kLatestVersion).get<std::uint64_t>();
   }
   const Document before = ParseOrThrow(TextOf(command, from), "the version it is made from");
   const std::vector<std::string> differences = replicated_config::Differences(before, to);
@@ -144,11 +153,11 @@
     for (const std::string& line : differences) std::printf("  %s\n", line.c_str());
   }
   const char* user = std::getenv("USER");
-  const ordered_json call = {{"call", "propose"},
-                             {"from", from},
-                             {"text", replicated_config::SerializeDocument(to)},
-                             {"by", user == nullptr ? "an operator" : user},
-                             {"patience_ms", static_cast<std::uint64_t>(1000 * command.timeout_s)}};
+  const ordered_json call = {{calls::kCall, calls::kPropose},
+                             {calls::kBaseVersion, from},
+                             {calls::kDocument, replicated_config::SerializeDocument(to)},
+                             {calls::kAuthor, user == nullptr ? "an operator" : user},
+                             {calls::kTimeoutMs, TimeoutMs(command)}};
   return ReportOutcome(command, Ask(command, call));
 }
 
@@ -157,8 +166,8 @@
       Now() + std::chrono::duration_cast<runtime::Span>(std::chrono::duration<double>(command.timeout_s));
   std::string before;
   for (;;) {
-    const ordered_json status = Ask(command, {{"call", "status"}});
-    if (status.contains("error")) return ReportNoResponse(status);
+    const ordered_json status = Ask(command, {{calls::kCall, calls::kGetStatus}});
+    if (status.contains(calls::kError)) return ReportNoResponse(status);
     std::size_t alive = 0, there = 0;
     std::string missing;
     for (const ordered_json& p : status.at("proxies")) {
@@ -185,87 +194,131 @@
   }
 }
 
-// Recovers from the permanent loss of a majority of the stores: makes this store the fleet's, with its proxy
-// as the only voter. Entries that were committed and are not in this store are lost.
-int RecoverFromOneStore(const RulesCommand& command) {
-  storage::Database::Options terms;
-  terms.path = command.store;
-  terms.owner = command.fleet + "/" + command.who;
-  if (!std::ifstream(command.store)) throw ConfigError(command.store + ": no store there");
-  storage::Database database(terms);
-  const auto opened = database.Open();
-  if (!opened) throw ConfigError(opened.error().ToString());
-  const storage::StoreContents& contents = *opened;
-  raft::HardState promise;
+// `path`: "-" is standard input.
+std::string ReadDocumentFile(const std::string& path) {
+  std::ostringstream text;
+  if (path == "-") {
+    text << std::cin.rdbuf();
+  } else {
+    std::ifstream file(path, std::ios::binary);
+    if (!file) throw proxy::ConfigError(path + ": cannot be read");
+    text << file.rdbuf();
+  }
+  return text.str();
+}
+
+int Revert(const RulesCommand& command) {
+  RulesCommand from_latest = command;
+  from_latest.first = 0;
+  return Propose(from_latest, ParseOrThrow(TextOf(command, command.first), "the version to go back to"));
+}
+
+int Diff(const RulesCommand& command) {
+  const auto lines =
+      replicated_config::Differences(ParseOrThrow(TextOf(command, command.first), "the first"),
+                                     ParseOrThrow(TextOf(command, command.second), "the second"));
+  for (const std::string& line : lines) std::printf("%s\n", line.c_str());
+  return kRulesDone;
+}
+
+int ChangeVoters(const RulesCommand& command) {
+  const ordered_json call = {{calls::kCall, calls::kChangeVoters},
+                             {calls::kVoterChange, command.way},
+                             {calls::kVoterName, command.who},
+                             {calls::kTimeoutMs, TimeoutMs(command)}};
+  return ReportOutcome(command, Ask(command, call));
+}
+
+// What recovery needs of a store.
+struct StoreState {
+  std::string store_id;
+  raft::HardState hard_state;
+  raft::Index last_index = 0;  // of the log
+};
+
+StoreState ReadStoreState(const storage::StoreContents& contents) {
+  StoreState state;
   raft::Snapshot snapshot;
-  if (const auto it = contents.records.find("promise"); it != contents.records.end())
-    promise = raft::DecodeHardState(it->second).value_or(promise);
-  if (const auto it = contents.records.find("snapshot"); it != contents.records.end())
+  const auto& records = contents.records;
+  if (const auto it = records.find(proxy::kRecordHardState); it != records.end())
+    state.hard_state = raft::DecodeHardState(it->second).value_or(state.hard_state);
+  if (const auto it = records.find(proxy::kRecordSnapshot); it != records.end())
     snapshot = raft::DecodeSnapshot(it->second).value_or(snapshot);
-  const std::uint64_t last = contents.log.empty() ? snapshot.index : contents.log.rbegin()->first;
-  const std::string wanted = command.fleet + ":" + std::to_string(promise.term) + ":" + std::to_string(last);
-  std::printf("store %s: term %llu, log up to %llu\n", command.store.c_str(),
-              static_cast<unsigned long long>(promise.term), static_cast<unsigned long long>(last));
-  if (command.confirm != wanted) {
-    std::printf(
-        "Nothing is changed. This makes %s the only voter; what other voters committed and this store "
-        "lacks is lost, and a voter of the old fleet that is started again must be kept away.\n"
-        "Do it only where a majority of the voters' stores is gone for good, then say: --confirm %s\n",
-        command.who.c_str(), wanted.c_str());
-    return kRulesRejected;
-  }
+  const auto store_id = records.find(proxy::kRecordStoreId);
+  state.store_id = store_id == records.end() ? "1" : store_id->second;
+  state.last_index = contents.log.empty() ? snapshot.index : contents.log.rbegin()->first;
+  return state;
+}
+
+// Appends an entry that makes `voter` the only one, in a term of its own.
+storage::WriteBatch SingleVoterBatch(const StoreState& state, const std::string& voter) {
   raft::Entry entry;
-  entry.term = promise.term + 1;
-  entry.index = last + 1;
+  entry.term = state.hard_state.term + 1;
+  entry.index = state.last_index + 1;
   entry.kind = raft::EntryKind::kVoters;
-  entry.voters = {command.who};
-  promise = {promise.term + 1, command.who};
+  entry.voters = {voter};
+  const raft::HardState hard_state = {entry.term, voter};
   storage::WriteBatch batch;
-  const std::string store = contents.records.contains("store") ? contents.records.at("store") : "1";
-  batch.records = {{"promise", raft::Encode(promise)}, {"founders", command.who + " " + store + "\n"}};
+  batch.records = {{proxy::kRecordHardState, raft::Encode(hard_state)},
+                   {proxy::kRecordBootstrapVoters, voter + " " + state.store_id + "\n"}};
   batch.log.emplace_back(entry.index, raft::Encode(entry));
-  if (const auto written = database.Write(batch); !written) throw ConfigError(written.error().ToString());
+  return batch;
+}
+
+int AskForConfirmation(const RulesCommand& command, const std::string& confirmation) {
+  std::printf(
+      "Nothing is changed. This makes %s the only voter; what other voters committed and this store "
+      "lacks is lost, and a voter of the old fleet that is started again must be kept away.\n"
+      "Do it only where a majority of the voters' stores is gone for good, then say: --confirm %s\n",
+      command.who.c_str(), confirmation.c_str());
+  return kRulesRejected;
+}
+
+// Recovers from the permanent loss of a majority of the stores: makes this store the fleet's, with its proxy
+// as the only voter. Entries that were committed and are not in this store are lost.
+int RecoverFromOneStore(const RulesCommand& command) {
+  storage::Database::Options options;
+  options.path = command.store;
+  options.owner = command.fleet + "/" + command.who;
+  if (!std::ifstream(command.store)) throw proxy::ConfigError(command.store + ": no store there");
+  storage::Database database(options);
+  const auto opened = database.Open();
+  if (!opened) throw proxy::ConfigError(opened.error().ToString());
+  const StoreState state = ReadStoreState(*opened);
+  const auto term = static_cast<unsigned long long>(state.hard_state.term);
+  const auto last_index = static_cast<unsigned long long>(state.last_index);
+  std::printf("store %s: term %llu, log up to %llu\n", command.store.c_str(), term, last_index);
+  const std::string confirmation =
+      command.fleet + ":" + std::to_string(term) + ":" + std::to_string(last_index);
+  if (command.confirm != confirmation) return AskForConfirmation(command, confirmation);
+  if (const auto written = database.Write(SingleVoterBatch(state, command.who)); !written)
+    throw proxy::ConfigError(written.error().ToString());
   std::printf(
       "%s is the only voter from log entry %llu on. Start it, then let others in: rules voters in NAME\n",
-      command.who.c_str(), static_cast<unsigned long long>(entry.index));
+      command.who.c_str(), last_index + 1);
   return kRulesDone;
 }
 
 }  // namespace
 
 int RunRules(const RulesCommand& command) {
-  if (command.what == "refound") return RecoverFromOneStore(command);
-  if (command.what == "history") return History(command);
-  if (command.what == "wait") return Wait(command);
-  if (command.what == "propose") {
-    std::ostringstream text;
-    if (command.file == "-") {
-      text << std::cin.rdbuf();
-    } else {
-      std::ifstream file(command.file, std::ios::binary);
-      if (!file) throw ConfigError(command.file + ": cannot be read");
-      text << file.rdbuf();
-    }
-    return Propose(command, ParseOrThrow(text.str(), command.file.c_str()));
-  }
-  if (command.what == "revert") {
-    RulesCommand from = command;
-    from.first = 0;
-    return Propose(from, ParseOrThrow(TextOf(command, command.first), "the version to go back to"));
-  }
-  if (command.what == "diff") {
-    const auto lines =
-        replicated_config::Differences(ParseOrThrow(TextOf(command, command.first), "the first"),
-                                       ParseOrThrow(TextOf(command, command.second), "the second"));
-    for (const std::string& line : lines) std::printf("%s\n", line.c_str());
-    return kRulesDone;
-  }
-  if (command.what == "voters") {
-    const ordered_json call = {{"call", "voters"},
-                               {"way", command.way},
-                               {"who", command.who},
-                               {"patience_ms", static_cast<std::uint64_t>(1000 * command.timeout_s)}};
-    return ReportOutcome(command, Ask(command, call));
+  switch (command.action) {
+    case RulesAction::kShow:
+      return Show(command);
+    case RulesAction::kHistory:
+      return History(command);
+    case RulesAction::kPropose:
+      return Propose(command, ParseOrThrow(ReadDocumentFile(command.file), command.file.c_str()));
+    case RulesAction::kDiff:
+      return Diff(command);
+    case RulesAction::kRevert:
+      return Revert(command);
+    case RulesAction::kWait:
+      return Wait(command);
+    case RulesAction::kChangeVoters:
+      return ChangeVoters(command);
+    case RulesAction::kRecover:
+      return RecoverFromOneStore(command);
   }
   return Show(command);
 }
--- a/src/cli/rules_command.h
+++ b/src/cli/rules_command.h
@@ -1,7 +1,7 @@
 // The `lemoncroft rules` sub-commands: show and change the replicated configuration through a running proxy,
 // and recover from the permanent loss of a majority of the voters.
 //
-// Errors: ConfigError for unusable input; otherwise an exit code.
+// Errors: proxy::ConfigError for unusable input; otherwise an exit code.
 #ifndef LEMONCROFT_CLI_RULES_COMMAND_H_
 #define LEMONCROFT_CLI_RULES_COMMAND_H_
 
@@ -11,8 +11,19 @@
 
 namespace lemoncroft::cli {
 
+enum class RulesAction {
+  kShow,
+  kHistory,
+  kPropose,
+  kDiff,
+  kRevert,
+  kWait,          // until all live proxies are on a version
+  kChangeVoters,  // `voters`
+  kRecover,       // `refound`: from one store
+};
+
 struct RulesCommand {
-  std::string what;  // show, history, propose, diff, revert, wait, voters, refound
+  RulesAction action = RulesAction::kShow;
   std::string fleet;
   std::vector<std::string> at;  // addresses of proxies; the first that responds is used
   bool json = false;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,37 +8,41 @@
 #include <string>
 #include <utility>
 
-#include "cli/config.h"
-#include "cli/fleet.h"
 #include "cli/log.h"
-#include "cli/proxy.h"
 #include "cli/rules_command.h"
-#include "cli/state.h"
+#include "cli/state_command.h"
 #include "operator_config/operator_file.h"
 #include "peer_transport/link.h"
+#include "proxy/config.h"
+#include "proxy/config_fields.h"
+#include "proxy/proxy.h"
+#include "proxy/signals.h"
 
 namespace {
 
+namespace fields = lemoncroft::proxy::fields;
+
 constexpr const char* kVersion = LEMONCROFT_VERSION;  // the project's, from the build
 constexpr int kUsageError = 2;
+constexpr const char *kTextFormat = "text", *kJsonFormat = "json";  // of --log-format
 
 struct Options {
   std::string config, operator_file, state;
-  std::string log_level = "info", log_format = "text";
+  std::string log_level = "info", log_format = kTextFormat;
   bool json = false;
   lemoncroft::cli::RulesCommand rules;
 };
 
 int CheckConfig(const Options& options) {
   using namespace lemoncroft;
-  const cli::Config config = cli::LoadConfig(options.config);
+  const proxy::Config config = proxy::LoadConfig(options.config);
   for (const settings::Finding& finding : config.findings)
     if (finding.severity == settings::Severity::kWarning)
       std::printf("%s: warning: %s\n", options.config.c_str(), finding.text.c_str());
   try {
-    cli::CheckFigures(config);
-  } catch (const cli::ConfigError& e) {
-    throw cli::ConfigError(options.config + ": " + e.what());
+    proxy::CheckFigures(config);
+  } catch (const proxy::ConfigError& e) {
+    throw proxy::ConfigError(options.config + ": " + e.what());
   }
   if (!options.operator_file.empty()) operator_config::LoadOperatorFile(options.operator_file, config.site);
   std::printf("%s: good: %s on %s, %zu classes\n", options.config.c_str(), config.name.c_str(),
@@ -53,43 +57,45 @@
 }
 
 int Serve(const Options& options) {
-  using namespace lemoncroft::cli;
+  using namespace lemoncroft::proxy;
   Config config = LoadConfig(options.config);
   CheckServable(config);
   LogFindings(config);
   // Each process that takes another's place has an address of its own; the file may be shared.
-  const std::string management = Environment("PROXY_MANAGEMENT");
-  if (!management.empty()) config.management = ReadAddress(management, "PROXY_MANAGEMENT");
-  return RunProxy(std::move(config), {options.config, options.operator_file, Environment("PROXY_FD")});
+  const std::string management = Environment(fields::kAdminAddressVariable);
+  if (!management.empty()) config.management = ReadAddress(management, fields::kAdminAddressVariable);
+  return RunProxy(std::move(config),
+                  {options.config, options.operator_file, Environment(fields::kInheritedListenerVariable)});
 }
 
-// The file that a running proxy keeps up to date for the command, as its operator's file names it.
+// The state file that a running proxy keeps up to date for the command, as its operator's file names it.
 std::string StateFile(const Options& options, const std::string& command) {
   using namespace lemoncroft;
-  if (options.operator_file.empty()) throw cli::ConfigError(command + ": give --state or --operator");
+  if (options.operator_file.empty()) throw proxy::ConfigError(command + ": give --state or --operator");
   const operator_config::OperatorFile file =
-      operator_config::LoadOperatorFile(options.operator_file, cli::LoadConfig(options.config).site);
+      operator_config::LoadOperatorFile(options.operator_file, proxy::LoadConfig(options.config).site);
   std::string state;
-  if (command == "peers" && file.fleet) state = file.fleet->state;
-  if (command == "waiting" && file.waiting) state = file.waiting->state;
-  if (state.empty()) throw cli::ConfigError(options.operator_file + ": names no state file for " + command);
+  if (command == "peers" && file.fleet) state = file.fleet->state_file;
+  if (command == "waiting" && file.admission_queue) state = file.admission_queue->state_file;
+  if (state.empty()) throw proxy::ConfigError(options.operator_file + ": names no state file for " + command);
   return state;
 }
 
-// Where a running proxy is reached on its peers' way, as its operator's file tells.
-void Locate(const Options& options, lemoncroft::cli::RulesCommand& command) {
+// Fills in what the command line leaves out, from the files: the fleet's name, the proxy's address and store.
+void CompleteRulesCommand(const Options& options, lemoncroft::cli::RulesCommand& command) {
   using namespace lemoncroft;
-  if (!command.fleet.empty() && (!command.at.empty() || command.what == "refound")) return;
-  if (options.operator_file.empty()) throw cli::ConfigError("rules: give --operator, or --fleet and --at");
-  const cli::Config config = cli::LoadConfig(options.config);
+  if (!command.fleet.empty() && (!command.at.empty() || command.action == cli::RulesAction::kRecover)) return;
+  if (options.operator_file.empty()) throw proxy::ConfigError("rules: give --operator, or --fleet and --at");
+  const proxy::Config config = proxy::LoadConfig(options.config);
   const operator_config::OperatorFile file =
       operator_config::LoadOperatorFile(options.operator_file, config.site);
-  if (!file.fleet || !file.rules) throw cli::ConfigError(options.operator_file + ": has no `rules`");
+  if (!file.fleet || !file.replicated_config)
+    throw proxy::ConfigError(options.operator_file + ": has no `rules`");
   command.fleet = file.fleet->name;
   if (command.at.empty())
     for (const gossip::Endpoint& listen : file.fleet->listen)
       command.at.push_back(peer_transport::ToString(listen));
-  if (command.store.empty()) command.store = file.rules->store;
+  if (command.store.empty()) command.store = file.replicated_config->store;
   if (command.who.empty()) command.who = config.name;
 }
 
@@ -102,38 +108,42 @@
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
   rules->add_flag("--json", command.json, "as JSON");
-  const auto add = [&](const char* name, const char* about) {
-    CLI::App* one = rules->add_subcommand(name, about)->fallthrough();
-    one->callback([&command, name] { command.what = name; });
-    return one;
+  using Action = lemoncroft::cli::RulesAction;
+  const auto add = [&](Action action, const char* name, const char* about) {
+    CLI::App* subcommand = rules->add_subcommand(name, about)->fallthrough();
+    subcommand->callback([&command, action] { command.action = action; });
+    return subcommand;
   };
-  add("show", "the version in force at this proxy, and who is on which (the default)");
-  add("history", "the versions that are kept");
-  auto* propose = add("propose", "propose a document as the next version");
+  add(Action::kShow, "show", "the version in force at this proxy, and who is on which (the default)");
+  add(Action::kHistory, "history", "the versions that are kept");
+  auto* propose = add(Action::kPropose, "propose", "propose a document as the next version");
   propose->add_option("file", command.file, "the document, in KDL; - for standard input")->required();
   propose->add_option("--from", command.first, "the version that it was made from; without it the newest");
-  auto* diff = add("diff", "what differs between two versions");
+  auto* diff = add(Action::kDiff, "diff", "what differs between two versions");
   diff->add_option("first", command.first, "a version")->required();
   diff->add_option("second", command.second, "another")->required();
-  add("revert", "propose an earlier version's document as the next one")
+  add(Action::kRevert, "revert", "propose an earlier version's document as the next one")
       ->add_option("version", command.first, "the earlier version")
       ->required();
-  add("wait", "wait until every live proxy is on a version")
+  add(Action::kWait, "wait", "wait until every live proxy is on a version")
       ->add_option("version", command.first, "the version")
       ->required();
-  auto* voters = add("voters", "let a voter in, or out");
+  auto* voters = add(Action::kChangeVoters, "voters", "let a voter in, or out");
   voters->add_option("way", command.way, "in or out")->required()->check(CLI::IsMember({"in", "out"}));
   voters->add_option("name", command.who, "the proxy's name")->required();
-  auto* refound = add("refound", "where a majority of the voters' stores is lost: go on with this one");
+  auto* refound =
+      add(Action::kRecover, "refound", "where a majority of the voters' stores is lost: go on with this one");
   refound->add_option("--store", command.store, "the store; without it, the one of the operator's file");
   refound->add_option("--name", command.who, "its proxy's name; likewise");
   refound->add_option("--confirm", command.confirm, "what the command prints without it");
 }
 
-int Run(int argc, char** argv) {
-  Options options;
-  options.config = Environment("PROXY_CONFIG");
-  CLI::App app("A proxy between clients that send SQL queries and the engines that run them.", "lemoncroft");
+// The sub-commands that RunCommand tells apart.
+struct Subcommands {
+  CLI::App *check_config, *waiting, *peers, *version, *help;
+};
+
+void AddOptions(CLI::App& app, Options& options) {
   app.set_help_flag("-h,--help", "print this text");
   app.set_version_flag("-V,--version", std::string("lemoncroft ") + kVersion);
   app.add_option("-c,--config", options.config,
@@ -143,21 +153,62 @@
   app.add_option("-l,--log-level", options.log_level, "trace, debug, info, warning, error or off")
       ->capture_default_str();
   app.add_option("--log-format", options.log_format, "text, or json: an object a line")
-      ->check(CLI::IsMember({"text", "json"}))
+      ->check(CLI::IsMember({kTextFormat, kJsonFormat}))
       ->capture_default_str();
+}
+
+Subcommands AddSubcommands(CLI::App& app, Options& options) {
   app.require_subcommand(0, 1);
   app.add_subcommand("serve", "run the proxy (the default)")->fallthrough();
-  auto* check = app.add_subcommand("check-config", "read the files, say what is wrong with them, and end");
-  auto* waiting = app.add_subcommand("waiting", "show what waits at a running proxy, by team");
-  auto* peers = app.add_subcommand("peers", "show whom a running proxy holds for alive in its fleet");
-  auto* version = app.add_subcommand("version", "print the version");
-  auto* help = app.add_subcommand("help", "print this text");
+  Subcommands commands{};
+  commands.check_config =
+      app.add_subcommand("check-config", "read the files, say what is wrong with them, and end");
+  commands.waiting = app.add_subcommand("waiting", "show what waits at a running proxy, by team");
+  commands.peers = app.add_subcommand("peers", "show whom a running proxy holds for alive in its fleet");
+  commands.version = app.add_subcommand("version", "print the version");
+  commands.help = app.add_subcommand("help", "print this text");
   AddRules(app, options.rules);
-  for (CLI::App* command : {check, waiting, peers, version, help}) command->fallthrough();
-  for (CLI::App* command : {waiting, peers}) {
+  for (CLI::App* command :
+       {commands.check_config, commands.waiting, commands.peers, commands.version, commands.help})
+    command->fallthrough();
+  for (CLI::App* command : {commands.waiting, commands.peers}) {
     command->add_option("-s,--state", options.state, "the state file that the operator's file names");
     command->add_flag("--json", options.json, "as JSON");
   }
+  return commands;
+}
+
+int ShowState(Options& options, const Subcommands& commands) {
+  using namespace lemoncroft;
+  const bool of_fleet = *commands.peers;
+  if (options.state.empty()) options.state = StateFile(options, of_fleet ? "peers" : "waiting");
+  const cli::OutputFormat format = options.json ? cli::OutputFormat::kJson : cli::OutputFormat::kText;
+  return of_fleet ? cli::ShowFleetState(options.state, format) : cli::ShowQueueState(options.state, format);
+}
+
+int RunCommand(const CLI::App& app, Options& options, const Subcommands& commands) {
+  using namespace lemoncroft;
+  if (*commands.help) return std::fputs(app.help().c_str(), stdout) < 0;
+  if (*commands.version) return std::printf("lemoncroft %s\n", kVersion) < 0;
+  cli::SetUpLog(options.log_level,
+                options.log_format == kJsonFormat ? cli::LogFormat::kJson : cli::LogFormat::kText);
+  if (app.got_subcommand("rules")) {
+    CompleteRulesCommand(options, options.rules);
+    return cli::RunRules(options.rules);
+  }
+  const bool shows_state = *commands.waiting || *commands.peers;
+  if (options.config.empty() && !(shows_state && !options.state.empty()))
+    throw proxy::ConfigError("no configuration: give --config or set PROXY_CONFIG");
+  if (shows_state) return ShowState(options, commands);
+  return *commands.check_config ? CheckConfig(options) : Serve(options);
+}
+
+int Run(int argc, char** argv) {
+  Options options;
+  options.config = Environment(fields::kConfigPathVariable);
+  CLI::App app("A proxy between clients that send SQL queries and the engines that run them.", "lemoncroft");
+  AddOptions(app, options);
+  const Subcommands commands = AddSubcommands(app, options);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -166,28 +217,13 @@
                  app.help().c_str());
     return kUsageError;
   }
-  if (*help) return std::fputs(app.help().c_str(), stdout) < 0;
-  if (*version) return std::printf("lemoncroft %s\n", kVersion) < 0;
-  lemoncroft::cli::SetUpLog(options.log_level, options.log_format == "json");
-  if (app.got_subcommand("rules")) {
-    Locate(options, options.rules);
-    return lemoncroft::cli::RunRules(options.rules);
-  }
-  const bool shows = *waiting || *peers;
-  if (options.config.empty() && !(shows && !options.state.empty()))
-    throw lemoncroft::cli::ConfigError("no configuration: give --config or set PROXY_CONFIG");
-  if (shows) {
-    if (options.state.empty()) options.state = StateFile(options, *peers ? "peers" : "waiting");
-    return *peers ? lemoncroft::cli::ShowPeers(options.state, options.json)
-                  : lemoncroft::cli::ShowState(options.state, options.json);
-  }
-  return *check ? CheckConfig(options) : Serve(options);
+  return RunCommand(app, options, commands);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  lemoncroft::cli::HoldSignals();
+  lemoncroft::proxy::BlockHandledSignals();
   try {
     return Run(argc, argv);
   } catch (const std::exception& e) {
--- /dev/null
+++ b/src/proxy/fleet.cpp
@@ -0,0 +1,133 @@
+#include "proxy/fleet.h"
+
+#include <spdlog/spdlog.h>
+
+#include <chrono>
+
+#include "proxy/fleet_state.h"
+#include "proxy/state_writer.h"
+
+namespace lemoncroft::proxy {
+namespace {
+
+using namespace std::chrono_literals;
+using gossip::EventType;
+using gossip::Member;
+using gossip::Status;
+
+constexpr auto kStateCheckInterval = 200ms;  // the state file is written after a change
+constexpr int kStateRefreshChecks = 5;       // ... and at every fifth check without one
+// Limits the log lines about members without direct contact.
+constexpr double kUnconfirmedLogLinesPerSecond = 50, kUnconfirmedLogBurstSeconds = 10;
+constexpr std::uint64_t kSuppressedLogInterval = 1000;  // events per summary line
+
+spdlog::level::level_enum LevelOf(EventType type) {
+  switch (type) {
+    case EventType::kChanged:
+    case EventType::kReaped:
+      return spdlog::level::debug;
+    case EventType::kFailed:
+    case EventType::kNameConflict:
+    case EventType::kPaused:
+      return spdlog::level::warn;
+    default:
+      return spdlog::level::info;
+  }
+}
+
+peer_transport::LinkOptions LinkOptionsOf(const operator_config::FleetSettings& settings,
+                                          const std::string& name) {
+  return {settings.name, name, settings.zone, settings.listen, settings.advertise, settings.membership};
+}
+
+}  // namespace
+
+Fleet::Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
+             std::uint64_t seed, std::function<void(const gossip::ServingRank&)> on_serving_rank)
+    : loop_(loop),
+      settings_(settings),
+      on_serving_rank_(std::move(on_serving_rank)),
+      link_(loop, LinkOptionsOf(settings, name), seed,
+            [this](const gossip::Event& event) { HandleEvent(event); }) {}
+
+void Fleet::Start() {
+  link_.Start();
+  spdlog::info("fleet {}: listens on {}, id {}", settings_.name,
+               peer_transport::ToString(link_.listen_address()), Hex(link_.view().members().self()));
+  loop_.Spawn(WriteState());
+}
+
+void Fleet::SetPhase(Operations::Phase phase) {
+  link_.SetPhase(phase == Operations::Phase::kServing  ? gossip::Phase::kServing
+                 : phase == Operations::Phase::kEnding ? gossip::Phase::kDraining
+                                                       : gossip::Phase::kStarting);
+  NotifyServingRank();
+}
+
+void Fleet::NotifyServingRank() {
+  changed_ = true;
+  const gossip::ServingRank now = link_.view().serving_rank();
+  if (now == notified_rank_ || now.rank < 0) return;
+  notified_rank_ = now;
+  on_serving_rank_(now);
+}
+
+void Fleet::HandleEvent(const gossip::Event& event) {
+  const gossip::MemberRecord& r = event.record;
+  NotifyServingRank();
+  // Forged members must not fill the log.
+  const Member* about = link_.view().members().Find(r.id);
+  if (about != nullptr && !about->last_direct_contact && r.id != link_.view().members().self() &&
+      !unconfirmed_log_budget_.Take(runtime::Now().time_since_epoch().count(), kUnconfirmedLogLinesPerSecond,
+                                    kUnconfirmedLogBurstSeconds)) {
+    if (suppressed_events_++ % kSuppressedLogInterval == 0)
+      spdlog::warn("fleet: many members without direct contact; {} events of them are not logged",
+                   suppressed_events_);
+    return;
+  }
+  const Member* by = link_.view().members().Find(event.reported_by);
+  spdlog::log(
+      LevelOf(event.type),
+      "peers event={} name={} id={} generation={} incarnation={} phase={} address={} by={} mono_us={}",
+      gossip::NameOf(event.type), r.name, Hex(r.id), r.generation, r.incarnation, PhaseName(r.phase),
+      peer_transport::ToString(r.address), by == nullptr ? "-" : by->record.name, MonotonicUs());
+  if (event.type == EventType::kNameConflict)
+    spdlog::error("fleet: another process serves as {} too, at {}: one of the two has a wrong name", r.name,
+                  peer_transport::ToString(r.address));
+}
+
+std::vector<std::pair<std::string, std::uint64_t>> Fleet::Metrics() const {
+  const gossip::MembershipView& view = link_.view();
+  const peer_transport::LinkMetrics& f = link_.metrics();
+  std::uint64_t suspected = 0, faults = 0;
+  for (const auto& [id, member] : view.members().all()) suspected += member.status == Status::kSuspect;
+  for (const std::uint64_t count : f.frame_errors) faults += count;
+  return {{"fleet.alive", view.members().live_count() - suspected},
+          {"fleet.suspected", suspected},
+          {"fleet.failed", view.members().failed().size()},
+          {"fleet.serving", static_cast<std::uint64_t>(view.serving_rank().serving_count)},
+          {"fleet.differing", view.diverged_count()},
+          {"fleet.health", static_cast<std::uint64_t>(view.local_health())},
+          {"fleet.sent", f.sent},
+          {"fleet.sent_bytes", f.sent_bytes},
+          {"fleet.unsent", f.send_failures},
+          {"fleet.received", f.received},
+          {"fleet.exchanges", f.syncs},
+          {"fleet.exchanges_failed", f.syncs_failed},
+          {"fleet.exchange_bytes", f.sync_bytes},
+          {"fleet.parcel_bytes", f.app_message_bytes},
+          {"fleet.refused", view.rejected()},
+          {"fleet.dropped", faults}};
+}
+
+runtime::Task<> Fleet::WriteState() {
+  if (settings_.state_file.empty()) co_return;
+  StateWriter writer;
+  for (int check = 0;; ++check, co_await loop_.Sleep(kStateCheckInterval)) {
+    if (!changed_ && check % kStateRefreshChecks != 0) continue;
+    changed_ = false;
+    writer.Write(settings_.state_file, FleetStateText(link_, settings_.name));
+  }
+}
+
+}  // namespace lemoncroft::proxy
--- a/src/cli/operations.h
+++ b/src/proxy/operations.h
@@ -2,8 +2,8 @@
 //
 // Contract. State of the proxy without I/O but for the ejection store. Owner: the event loop's thread.
 // Errors: a call that can't be carried out is answered with the reason.
-#ifndef LEMONCROFT_CLI_OPERATIONS_H_
-#define LEMONCROFT_CLI_OPERATIONS_H_
+#ifndef LEMONCROFT_PROXY_OPERATIONS_H_
+#define LEMONCROFT_PROXY_OPERATIONS_H_
 
 #include <functional>
 #include <memory>
@@ -18,7 +18,7 @@
 #include "hot_restart/ejection_store.h"
 #include "metrics/counters.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 class Operations {
  public:
@@ -67,12 +67,12 @@
   const metrics::Counters& counters_;
   discovery::EndpointDirectory::UpdateCallback on_update_;
   std::unique_ptr<hot_restart::EjectionStore> ejection_store_;  // null: not shared
-  std::set<std::string> unsaved_ejections_;                     // out by hand, but without a mark
+  std::set<std::string> unsaved_ejections_;                     // ejected here, not in the store
   std::function<std::vector<std::pair<std::string, std::uint64_t>>()> additional_metrics_;
   bool ejections_are_replicated_ = false;
   Phase phase_ = Phase::kStarting;
 };
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_OPERATIONS_H_
+#endif  // LEMONCROFT_PROXY_OPERATIONS_H_
--- /dev/null
+++ b/src/proxy/proxy.cpp
@@ -0,0 +1,226 @@
+#include "proxy/proxy.h"
+
+#include <spdlog/spdlog.h>
+
+#include <csignal>
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <utility>
+
+#include "admin/listener.h"
+#include "backend/engines.h"
+#include "broker/broker.h"
+#include "discovery/endpoint_directory.h"
+#include "discovery/endpoint_watch.h"
+#include "frontend/frame_server.h"
+#include "hot_restart/process_registry.h"
+#include "operator_config/operator_file.h"
+#include "proxy/fleet.h"
+#include "proxy/hot_restart.h"
+#include "proxy/operations.h"
+#include "proxy/queue_state.h"
+#include "proxy/reload.h"
+#include "proxy/replicated_config_service.h"
+#include "proxy/resource_limits.h"
+#include "proxy/shutdown.h"
+#include "proxy/signals.h"
+
+namespace lemoncroft::proxy {
+namespace {
+
+ListenerOwnership OwnershipOf(const StartupOptions& options) {
+  return options.inherited_listener.empty() ? ListenerOwnership::kExclusive : ListenerOwnership::kShared;
+}
+
+// Another process may run beside one that inherited its socket at any time, and memory can't be handed back
+// at once.
+std::size_t ProcessMemoryMb(const Config& config, ListenerOwnership ownership) {
+  return ownership == ListenerOwnership::kShared ? config.memory_mb / 2 : config.memory_mb;
+}
+
+std::unique_ptr<runtime::Listener> MakeListener(runtime::Loop& loop, const Config& config,
+                                                runtime::Descriptor inherited) {
+  return inherited ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
+                   : std::make_unique<runtime::Listener>(loop, config.listen);
+}
+
+std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& file) {
+  return file.admission_queue ? file.admission_queue->queue.max_waiting : broker::Broker::Limits().requests;
+}
+
+// Tells the fleet of this process's phase, and has telemetry list the fleet's metrics.
+void ConnectFleet(Fleet& fleet, const std::unique_ptr<ReplicatedConfigService>& service,
+                  Operations& operations) {
+  operations.on_phase = [&fleet](Operations::Phase phase) { fleet.SetPhase(phase); };
+  operations.AddMetrics([&fleet, &service] {
+    auto metrics = fleet.Metrics();
+    if (service == nullptr) return metrics;
+    const auto more = service->Metrics();
+    metrics.insert(metrics.end(), more.begin(), more.end());
+    return metrics;
+  });
+}
+
+// `service`: where RunProxy will keep the replicated configuration's service; null as yet.
+std::unique_ptr<Fleet> StartFleet(runtime::Loop& loop, const operator_config::FleetSettings& settings,
+                                  const Config& config, broker::Broker& broker, Operations& operations,
+                                  const std::unique_ptr<ReplicatedConfigService>& service) {
+  auto fleet = std::make_unique<Fleet>(
+      loop, settings, config.name, config.seed,
+      [&broker](const gossip::ServingRank& own) { broker.SetFleetSize(own.serving_count, own.rank); });
+  ConnectFleet(*fleet, service, operations);
+  fleet->Start();
+  return fleet;
+}
+
+// Starts what the operator's file says of the admission queue, except the queue itself.
+void StartQueueReports(runtime::Loop& loop, const operator_config::AdmissionQueueSettings& settings,
+                       ReloadableState& state) {
+  state.server.set_foretells(settings.report_estimates);
+  state.queue_state_file = settings.state_file;
+  state.own_queue_settings = settings.queue;
+  loop.Spawn(WriteQueueState(loop, state));
+}
+
+std::unique_ptr<ReplicatedConfigService> MakeReplicatedConfigService(
+    runtime::Loop& loop, Fleet& fleet, const operator_config::ReplicatedConfigSettings& settings,
+    ReloadableState& state) {
+  ReplicatedConfigService::LocalConfig local;
+  local.site = [&state]() -> const settings::Site& { return state.config.site; };
+  local.queue = [&state]() -> const admission_queue::Settings* {
+    return state.own_queue_settings ? &*state.own_queue_settings : nullptr;
+  };
+  local.activate = [&loop, &state](const replicated_config::Document& document) {
+    ActivateDocument(loop, state, document);
+  };
+  return std::make_unique<ReplicatedConfigService>(loop, fleet, settings, state.config.name, state.directory,
+                                                   state.on_endpoint_update, std::move(local));
+}
+
+std::unique_ptr<ReplicatedConfigService> StartReplicatedConfig(
+    runtime::Loop& loop, Fleet& fleet, const operator_config::ReplicatedConfigSettings& settings,
+    ReloadableState& state, Operations& operations) {
+  auto service = MakeReplicatedConfigService(loop, fleet, settings, state);
+  state.replicated_config_service = service.get();
+  state.broker.set_lease_fence(service.get());
+  operations.set_ejections_replicated();
+  operations.has_valid_lease = [service = service.get()] { return service->ready(); };
+  service->Start();
+  return service;
+}
+
+// Accepts clients: at once, or in place of another process once this one is ready.
+void StartServing(runtime::Loop& loop, ListenerOwnership ownership,
+                  const hot_restart::ProcessRegistry* registry, Operations& operations,
+                  ReloadableState& state) {
+  if (ownership == ListenerOwnership::kExclusive) {
+    state.server.Start();
+    operations.set_phase(Operations::Phase::kServing);
+    return;
+  }
+  loop.Spawn(AcceptOnceReady(loop, state.directory, state.endpoint_watch, state.server, operations));
+  if (state.replicated_config_service == nullptr) loop.Spawn(operations.WatchEjectionStore());
+  if (registry != nullptr) loop.Spawn(ShareLimitsWithPeers(loop, *registry, operations, state));
+}
+
+// Returns null if the configuration names no address for operators.
+std::unique_ptr<admin::Listener> StartAdminListener(runtime::Loop& loop, const Config& config,
+                                                    Operations& operations,
+                                                    ReplicatedConfigService* service) {
+  if (!config.management) return nullptr;
+  auto listener = std::make_unique<admin::Listener>(
+      loop, *config.management, [&operations](const admin::Call& call) { return operations.Answer(call); });
+  if (service != nullptr)
+    listener->after = [service](admin::Call call, admin::Reply reply) {
+      return service->ReplicateManualEjection(std::move(call), std::move(reply));
+    };
+  loop.Spawn(listener->Run());
+  return listener;
+}
+
+// Reloads at each SIGHUP; any other signal that is handled ends the proxy. Signals that arrive while one is
+// handled are read in the next turn.
+runtime::Task<> HandleSignals(runtime::Loop& loop, SignalReader& signals, const StartupOptions& options,
+                              ReloadableState& state, Operations& operations, Fleet* fleet) {
+  while (co_await signals.Next() == SIGHUP) {
+    Reload(options, state);
+    loop.Spawn(FreeRetiredNumbers(loop, state));
+  }
+  operations.set_phase(Operations::Phase::kEnding);
+  if (state.replicated_config_service != nullptr) state.replicated_config_service->Shutdown();
+  co_await ShutDownGracefully(loop, state.server, state.broker, state.active_settings, OwnershipOf(options),
+                              fleet);
+}
+
+}  // namespace
+
+// Parts are constructed in the order of their dependence and destroyed in reverse. The order of the calls in
+// between is part of the contract too: each part knows its classes, settings and callbacks before the first
+// endpoint list and the first client.
+int RunProxy(Config config, const StartupOptions& options) {
+  BlockHandledSignals();
+  std::signal(SIGPIPE, SIG_IGN);
+  const ListenerOwnership ownership = OwnershipOf(options);
+  const bool inherits = ownership == ListenerOwnership::kShared;
+  auto inherited = inherits ? InheritListener(options.inherited_listener) : runtime::Descriptor();
+  runtime::Loop loop;
+  SignalReader signals(loop);
+  settings::ActiveSettings active_settings(config.site);
+  discovery::EndpointDirectory directory(active_settings);
+  const std::size_t memory_mb = ProcessMemoryMb(config, ownership);
+  metrics::Counters counters;
+  for (const std::string& class_id : active_settings->classes) counters.Know(class_id);
+  backend::Engines engines(loop, directory, PoolLimits(config),
+                           decision::ToSpan(active_settings->module.connect_timeout), counters);
+  engines.set_report_fields(active_settings->report_fields);
+  const operator_config::OperatorFile file = ReadOperatorSettings(options, *active_settings);
+  const std::size_t max_open = DefaultMaxOpenRequests(file);
+  broker::Broker broker(loop, active_settings, config.seed, engines, counters,
+                        RequestLimits(config, memory_mb, max_open));
+  if (file.admission_queue) broker.EnableAdmissionQueue(file.admission_queue->queue);
+  frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited)), active_settings,
+                               broker, counters, ClientLimits(config, memory_mb));
+  directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
+  const auto on_endpoint_update = [&](EngineList list) {
+    broker.UpdateEndpoints(std::move(list));
+    server.set_ready(directory.has_complete_list());
+  };
+  Operations operations(loop, directory, broker, counters, on_endpoint_update);
+  std::unique_ptr<hot_restart::ProcessRegistry> registry;
+  if (inherits) registry = JoinPeerProcesses(file, *active_settings, operations, broker);
+
+  std::unique_ptr<Fleet> fleet;
+  std::unique_ptr<ReplicatedConfigService> service;
+  if (file.fleet) fleet = StartFleet(loop, *file.fleet, config, broker, operations, service);
+  if (!directory.Apply(std::exchange(config.known, {}), on_endpoint_update))
+    spdlog::warn("the configuration knows no list of engines");
+  discovery::EndpointWatch endpoint_watch(loop, directory, config.feed, on_endpoint_update, config.seed);
+  ReloadableState state{.config = config,
+                        .active_settings = active_settings,
+                        .server = server,
+                        .broker = broker,
+                        .engines = engines,
+                        .directory = directory,
+                        .endpoint_watch = endpoint_watch,
+                        .counters = counters,
+                        .on_endpoint_update = on_endpoint_update,
+                        .default_max_open_requests = max_open,
+                        .queue_state_file = {},
+                        .own_queue_settings = {},
+                        .fleet_settings = fleet ? &fleet->settings() : nullptr};
+  if (file.admission_queue) StartQueueReports(loop, *file.admission_queue, state);
+  if (file.replicated_config)
+    service = StartReplicatedConfig(loop, *fleet, *file.replicated_config, state, operations);
+  loop.Spawn(endpoint_watch.Run());
+  loop.Spawn(engines.pool().CloseIdle());
+  broker.Start();
+  StartServing(loop, ownership, registry.get(), operations, state);
+  const auto admin_listener = StartAdminListener(loop, config, operations, service.get());
+  loop.Spawn(HandleSignals(loop, signals, options, state, operations, fleet.get()));
+  spdlog::info("{} listens on {}", config.name, config.listen_text);
+  loop.Run();
+  return 0;
+}
+
+}  // namespace lemoncroft::proxy
--- a/src/cli/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -1,15 +1,15 @@
-#include "cli/replicated_config_service.h"
+#include "proxy/replicated_config_service.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <random>
 
-#include "cli/config.h"
-#include "cli/state.h"
-#include "cli/voter_store.h"
+#include "proxy/config.h"
+#include "proxy/state_file.h"
+#include "proxy/voter_store.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 using replicated_config::Document;
 using replicated_config::Version;
@@ -35,12 +35,12 @@
 }  // namespace
 
 replicated_config::ConfigReplicaOptions ReplicatedConfigService::ReplicaOptionsOf(
-    const operator_config::RulesSettings& settings, const std::string& name) {
+    const operator_config::ReplicatedConfigSettings& settings, const std::string& name) {
   replicated_config::ConfigReplicaOptions options;
   options.self = name;
   options.initial_voters = settings.voters;
   options.lease.duration = settings.lease;
-  options.lease.renewal_interval = settings.beat;
+  options.lease.renewal_interval = settings.renewal_interval;
   options.format = replicated_config::kNewestDocumentFormat;
   return options;
 }
@@ -81,7 +81,7 @@
 }
 
 ReplicatedConfigService::ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
-                                                 const operator_config::RulesSettings& settings,
+                                                 const operator_config::ReplicatedConfigSettings& settings,
                                                  const std::string& name,
                                                  discovery::EndpointDirectory& directory,
                                                  discovery::EndpointDirectory::UpdateCallback tell,
@@ -419,4 +419,4 @@
   co_return co_await AwaitCompletion(id);
 }
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
--- a/src/cli/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -12,12 +12,13 @@
 // Errors: the constructor throws ConfigError where this proxy is a voter without a store.
 //
 // Design: docs/agreement.md.
-#ifndef LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
-#define LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
+#ifndef LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
+#define LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
 
 #include <functional>
 #include <map>
 #include <memory>
+#include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <string>
 #include <tl/expected.hpp>
@@ -26,15 +27,15 @@
 
 #include "admin/listener.h"
 #include "broker/lease_fence.h"
-#include "cli/fleet.h"
 #include "discovery/endpoint_directory.h"
 #include "operator_config/operator_file.h"
+#include "proxy/fleet.h"
 #include "replicated_config/config_replica.h"
 #include "replicated_config/document.h"
 #include "replicated_config/notification_pacer.h"
 #include "storage/worker.h"
 
-namespace lemoncroft::cli {
+namespace lemoncroft::proxy {
 
 class ReplicatedConfigService : public broker::LeaseFence {
  public:
@@ -44,8 +45,9 @@
     std::function<void(const replicated_config::Document&)> activate;  // applies a document; may throw
   };
 
-  ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet, const operator_config::RulesSettings& settings,
-                          const std::string& name, discovery::EndpointDirectory& directory,
+  ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
+                          const operator_config::ReplicatedConfigSettings& settings, const std::string& name,
+                          discovery::EndpointDirectory& directory,
                           discovery::EndpointDirectory::UpdateCallback tell, LocalConfig local_config);
 
   void Start();
@@ -59,10 +61,9 @@
   // Checks that the active version can be applied to new settings of this proxy.
   [[nodiscard]] tl::expected<void, replicated_config::IncompatibleDocument> CheckCompatible(
       const settings::Site& site, const admission_queue::Settings* queue) const;
-  const replicated_config::Document& document() const {
-    return document_;
-  }  // active here; empty before the first
-  const operator_config::RulesSettings& settings() const { return settings_; }
+  // The document that is active here; empty before the first.
+  const replicated_config::Document& document() const { return document_; }
+  const operator_config::ReplicatedConfigSettings& settings() const { return settings_; }
 
   // Proposes to the fleet an `exclude` or `include` that was carried out here. Returns `reply` with what the
   // fleet has decided so far.
@@ -85,7 +86,7 @@
   };
 
   static replicated_config::ConfigReplicaOptions ReplicaOptionsOf(
-      const operator_config::RulesSettings& settings, const std::string& name);
+      const operator_config::ReplicatedConfigSettings& settings, const std::string& name);
   replicated_config::DocumentChecks MakeDocumentChecks();
 
   runtime::Task<> RunTimers();
@@ -111,6 +112,7 @@
   runtime::Task<replicated_config::RequestCompleted> Propose(replicated_config::ConfigChange change,
                                                              runtime::Span timeout);
   runtime::Task<std::string> HandleCall(std::string bytes);
+  runtime::Task<std::string> HandleChangeCall(const nlohmann::ordered_json& call);
   runtime::Task<std::string> ForwardToVoter(std::string bytes);
   std::string StatusText() const;
   std::string HistoryText() const;
@@ -120,7 +122,7 @@
 
   runtime::Loop& loop_;
   Fleet& fleet_;
-  operator_config::RulesSettings settings_;
+  operator_config::ReplicatedConfigSettings settings_;
   std::string name_;
   discovery::EndpointDirectory& directory_;
   discovery::EndpointDirectory::UpdateCallback tell_;
@@ -128,7 +130,7 @@
   replicated_config::DocumentChecks document_checks_;
   replicated_config::ConfigReplica replica_;
   replicated_config::NotificationPacer notification_pacer_;
-  std::uint64_t peers_as_of_ = 0;  // value of the roster's changes() at the last UpdatePeers
+  std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last UpdatePeers
   runtime::Gate timer_changed_, ejections_changed_;
   runtime::Time planned_at_ = runtime::kNever;
 
@@ -140,8 +142,8 @@
 
   replicated_config::Document document_;
   replicated_config::Version active_version_ = 0;
-  std::map<std::string, ManualEjection>
-      manual_ejections_;  // by engine; requested here, not in an active version yet
+  // By engine: those requested here that no active version has yet.
+  std::map<std::string, ManualEjection> manual_ejections_;
   std::map<std::string, std::shared_ptr<PendingCall>> pending_calls_;
   mutable std::uint64_t last_change_number_ = 0;
   std::uint64_t sends_ = 0, isolated_sends_ = 0, rejected_sends_ = 0, step_downs_ = 0;
@@ -149,6 +151,6 @@
   bool isolated_ = false;
 };
 
-}  // namespace lemoncroft::cli
+}  // namespace lemoncroft::proxy
 
-#endif  // LEMONCROFT_CLI_REPLICATED_CONFIG_SERVICE_H_
+#endif  // LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
--- a/src/testing/benchmark/socket_fleet.cpp
+++ b/src/testing/benchmark/socket_fleet.cpp
@@ -62,7 +62,7 @@
           [](const std::string&) { return replicated_config::Span(); }};
 }
 
-// One proxy without clients and engines, wired as in cli::Fleet and cli::ReplicatedConfigService.
+// One proxy without clients and engines, wired as in proxy::Fleet and proxy::ReplicatedConfigService.
 class BareProxy {
  public:
   BareProxy(runtime::Loop& loop, const SocketFleetPlan& plan, std::size_t i)
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "cli/config.h"
 #include "codec/json.h"
 #include "discovery/endpoint_directory.h"
 #include "discovery/endpoint_watch.h"
 #include "gossip/membership_view.h"
 #include "hot_restart/ejection_store.h"
 #include "peer_transport/frame.h"
+#include "proxy/config.h"
 #include "replicated_config/config_state_machine.h"
 #include "replicated_config/document.h"
 #include "runtime/loop.h"
@@ -26,7 +26,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kEngineCounts = 1500, kProxies = 1500, kNames = 1500;
+constexpr int kEngines = 1500, kProxies = 1500, kNames = 1500;
 
 std::string Name(const std::string& what, int number) { return what + "-" + std::to_string(number); }
 
@@ -84,10 +84,10 @@
 };
 
 TEST(Scale, SettingsWithFifteenHundredNames) {
-  const cli::Config config =
-      cli::ReadConfig(ConfigText("a", Document(1, Event(1, true, Engines(0, kEngineCounts)))));
+  const proxy::Config config =
+      proxy::ReadConfig(ConfigText("a", Document(1, Event(1, true, Engines(0, kEngines)))));
   EXPECT_TRUE(config.findings.empty()) << config.findings.front().text;
-  EXPECT_NO_THROW(cli::CheckFigures(config));
+  EXPECT_NO_THROW(proxy::CheckFigures(config));
   ASSERT_EQ(config.site.classes.size(), static_cast<std::size_t>(kNames));
   EXPECT_EQ(config.site.module.classes[kNames - 1].zones, std::vector<std::uint16_t>{kNames - 1});
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
@@ -95,14 +95,14 @@
   discovery::EndpointDirectory directory(site);
   EngineList told;
   ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { told = list; }));
-  ASSERT_EQ(told.entries->size(), static_cast<std::size_t>(kEngineCounts));
+  ASSERT_EQ(told.entries->size(), static_cast<std::size_t>(kEngines));
   EXPECT_EQ(told.entries->back().zone, kNames - 1);
 }
 
 // All names change while a request of each is under way: both sets are in force for a while.
 TEST(Scale, AReloadThatChangesFifteenHundredNames) {
-  const settings::Site before = cli::ReadConfig(ConfigText("a", Document(0, ""))).site;
-  const settings::Site after = cli::ReadConfig(ConfigText("b", Document(0, ""))).site;
+  const settings::Site before = proxy::ReadConfig(ConfigText("a", Document(0, ""))).site;
+  const settings::Site after = proxy::ReadConfig(ConfigText("b", Document(0, ""))).site;
   settings::ReferencedNumbers used;
   for (std::uint16_t i = 0; i < kNames; ++i) used.classes.insert(i), used.tenants.insert(i);
   const settings::Migration migration = settings::MigrateSettings(before, after, used);
@@ -120,41 +120,41 @@
 }
 
 TEST_F(Engines1500, AWholeListTakesThePlaceOfAnother) {
-  ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngineCounts)))));
-  EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngineCounts));
+  ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
+  EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngines));
   int ended = 0;
   directory_.on_incarnation_ended = [&](EngineId) { ++ended; };
-  ASSERT_TRUE(Apply(Document(2, Event(2, true, Engines(1000, kEngineCounts)))));
+  ASSERT_TRUE(Apply(Document(2, Event(2, true, Engines(1000, kEngines)))));
   EXPECT_EQ(ended, 1000);
-  EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngineCounts));
-  EXPECT_EQ(told_.entries->size(), static_cast<std::size_t>(kEngineCounts));
+  EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngines));
+  EXPECT_EQ(told_.entries->size(), static_cast<std::size_t>(kEngines));
 }
 
 TEST_F(Engines1500, AllCanBeOutByHandAndBack) {
-  ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngineCounts)))));
+  ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
   const auto tell = [](const EngineList&) {};
   using ByHand = discovery::ManualEjectionResult;
-  for (int i = 0; i < kEngineCounts; ++i) ASSERT_EQ(directory_.Eject(Name("s", i), tell), ByHand::kDone) << i;
-  EXPECT_EQ(directory_.CountEjected({}), static_cast<std::size_t>(kEngineCounts));
+  for (int i = 0; i < kEngines; ++i) ASSERT_EQ(directory_.Eject(Name("s", i), tell), ByHand::kDone) << i;
+  EXPECT_EQ(directory_.CountEjected({}), static_cast<std::size_t>(kEngines));
   std::set<std::string> out;
-  for (int i = 0; i < kEngineCounts; ++i) out.insert(Name("s", i));
+  for (int i = 0; i < kEngines; ++i) out.insert(Name("s", i));
   settings::ActiveSettings site{settings::Site()};
   discovery::EndpointDirectory successor(site);
   successor.ImportEjections(out, {}, tell);
   for (const std::string& id : out) EXPECT_TRUE(successor.IsEjected(id));
-  for (int i = 0; i < kEngineCounts; ++i)
+  for (int i = 0; i < kEngines; ++i)
     directory_.ReturnToService(Name("s", i), std::chrono::system_clock::now(), tell);
   EXPECT_EQ(directory_.CountEjected({}), 0u);
 }
 
 TEST_F(Engines1500, ThoseAvoidedAreCountedOnce) {
-  ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngineCounts)))));
+  ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
   std::vector<EngineId> avoided;
   for (const EngineEntry& entry : *told_.entries) avoided.push_back(entry.engine);
   avoided.push_back(avoided.front());
   avoided.push_back(1);  // not listed
   directory_.Eject("s-0", [](const EngineList&) {});
-  EXPECT_EQ(directory_.CountEjected(avoided), static_cast<std::size_t>(kEngineCounts));
+  EXPECT_EQ(directory_.CountEjected(avoided), static_cast<std::size_t>(kEngines));
 }
 
 // Each known engine was looked for in the whole list: a list of 64,000 kept a proxy busy for seconds.
@@ -223,7 +223,7 @@
 TEST(Scale, ALongListThatComesSlowlyIsTaken) {
   std::string events;
   constexpr int kLists = 25;
-  for (int n = 1; n <= kLists; ++n) events += (n > 1 ? "," : "") + Event(n, true, Engines(n, kEngineCounts));
+  for (int n = 1; n <= kLists; ++n) events += (n > 1 ? "," : "") + Event(n, true, Engines(n, kEngines));
   const std::string body = Document(kLists, events);
   ASSERT_GT(body.size(), std::size_t{4} << 20) << "some MB";
   runtime::Loop loop;
@@ -245,7 +245,7 @@
   loop.Run();
   EXPECT_EQ(directory.last_event(), kLists);
   EXPECT_EQ(lists, kLists);
-  EXPECT_EQ(directory.size(), static_cast<std::size_t>(kEngineCounts));
+  EXPECT_EQ(directory.size(), static_cast<std::size_t>(kEngines));
   EXPECT_EQ(connections, 1);
 }
 
@@ -256,13 +256,13 @@
       std::filesystem::temp_directory_path() / ("lemoncroft-scale-" + std::to_string(::getpid()));
   std::filesystem::create_directories(folder);
   const hot_restart::EjectionStore store(folder);
-  for (int i = 0; i < kEngineCounts; ++i) ASSERT_TRUE(store.SaveEjection(Name("s", i)));
-  for (int i = 0; i < kEngineCounts; i += 2) ASSERT_TRUE(store.SaveReturn(Name("s", i)));
+  for (int i = 0; i < kEngines; ++i) ASSERT_TRUE(store.SaveEjection(Name("s", i)));
+  for (int i = 0; i < kEngines; i += 2) ASSERT_TRUE(store.SaveReturn(Name("s", i)));
   const auto read = store.Read();
   std::filesystem::remove_all(folder);
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->ejected.size(), static_cast<std::size_t>(kEngineCounts / 2));
-  EXPECT_EQ(read->returned_at.size(), static_cast<std::size_t>(kEngineCounts / 2));
+  EXPECT_EQ(read->ejected.size(), static_cast<std::size_t>(kEngines / 2));
+  EXPECT_EQ(read->returned_at.size(), static_cast<std::size_t>(kEngines / 2));
 }
 
 TEST(Scale, RulesThatNameFifteenHundredOfEachKind) {
