--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-std::variant<Call, std::string> ReadCall(std::string_view line) {
+std::variant<Command, std::string> ParseCommand(std::string_view line) {
   const auto words = Words(line);
   if (words.empty()) return "empty call";
   for (const std::string_view word : words) {
@@ -43,7 +43,7 @@
     const std::string word(known.word);
     if (known.names_engine && words.size() != 2) return word + " takes the id of one database";
     if (!known.names_engine && words.size() != 1) return word + " takes no argument";
-    return Call{known.verb, known.names_engine ? std::string(words[1]) : std::string()};
+    return Command{known.verb, known.names_engine ? std::string(words[1]) : std::string()};
   }
   return "unknown call; there are readyz, telemetry, exclude ID, include ID";
 }
--- a/src/admin/call.h
+++ b/src/admin/call.h
@@ -13,13 +13,13 @@
 
 enum class Verb { kReadyz, kTelemetry, kExclude, kInclude };
 
-struct Call {
+struct Command {
   Verb verb = Verb::kReadyz;
   std::string engine;  // of kExclude and kInclude
 };
 
 // Reads a line without its end. What is wrong comes as text that fits on one line, whatever the line held.
-std::variant<Call, std::string> ReadCall(std::string_view line);
+std::variant<Command, std::string> ParseCommand(std::string_view line);
 
 // Collects a line as it comes, in pieces of any size.
 class LineReader {
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -22,8 +22,8 @@
 constexpr std::size_t kReadAtOnce = 512;
 
 std::string Text(const Reply& reply) {
-  std::string text = reply.yes ? "ACK" : "NAK";
-  if (!reply.why.empty()) text.append(" ").append(reply.why);
+  std::string text = reply.accepted ? "ACK" : "NAK";
+  if (!reply.message.empty()) text.append(" ").append(reply.message);
   return text.append("\n").append(reply.body);
 }
 
@@ -79,12 +79,12 @@
     if (state == LineReader::State::kLine) break;
     co_await loop_.NextTurn();
   }
-  auto call = ReadCall(reader.line());
+  auto call = ParseCommand(reader.line());
   if (const auto* wrong = std::get_if<std::string>(&call)) co_return Reply{false, *wrong, {}};
-  const Call& known = std::get<Call>(call);
+  const Command& known = std::get<Command>(call);
   Reply reply = answer_(known);
-  if (!after) co_return reply;
-  co_return co_await after(known, std::move(reply));
+  if (!follow_up) co_return reply;
+  co_return co_await follow_up(known, std::move(reply));
 }
 
 }  // namespace lemoncroft::admin
--- a/src/admin/listener.h
+++ b/src/admin/listener.h
@@ -17,9 +17,9 @@
 namespace lemoncroft::admin {
 
 struct Reply {
-  bool yes = false;
-  std::string why;   // behind ACK or NAK, one line; may be empty
-  std::string body;  // whole lines that follow
+  bool accepted = false;
+  std::string message;  // behind ACK or NAK, one line; may be empty
+  std::string body;     // whole lines that follow
 };
 
 class Listener {
@@ -27,12 +27,12 @@
   static constexpr std::size_t kMaxConnections = 16;  // descriptors that it may take beside its own
 
   // Throws std::system_error where it cannot listen.
-  Listener(runtime::Loop& loop, const runtime::Address& address, std::function<Reply(const Call&)> answer)
+  Listener(runtime::Loop& loop, const runtime::Address& address, std::function<Reply(const Command&)> answer)
       : loop_(loop), listener_(loop, address), answer_(std::move(answer)) {}
 
   // What is done behind an answer before it is given, within `kAfterMost`; none: nothing.
   static constexpr auto kMaxFollowUps = std::chrono::milliseconds(900);
-  std::function<runtime::Task<Reply>(Call, Reply)> after;
+  std::function<runtime::Task<Reply>(Command, Reply)> follow_up;
 
   runtime::Task<> Run();
 
@@ -49,7 +49,7 @@
 
   runtime::Loop& loop_;
   runtime::Listener listener_;
-  std::function<Reply(const Call&)> answer_;
+  std::function<Reply(const Command&)> answer_;
   std::list<CallerPtr> callers_;  // by age
 };
 
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -149,7 +149,7 @@
     query.asked = Now();
     Io io = co_await query.lease->Send(post, std::min(until, attempt.not_after), &query.cancel);
     if (io == Io::kOk) {
-      counters_.Tried();
+      counters_.CountAttempt();
       io = co_await query.lease->Receive(until, &query.cancel, query.response);
     }
     if (io == Io::kOk && Fits(*query.lease, query.response, 0)) {
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -80,15 +80,15 @@
 
 void Broker::Finish(const std::string& lane, ResponseSink& sink, const Answer& answer) {
   using metrics::End;
-  counters_.Ended(lane, answer.verdict == Verdict::kServed    ? End::kOk
-                        : answer.verdict == Verdict::kRefused ? End::kShed
-                                                              : End::kError);
+  counters_.CountEnded(lane, answer.verdict == Verdict::kServed    ? End::kOk
+                             : answer.verdict == Verdict::kRefused ? End::kShed
+                                                                   : End::kError);
   sink.Finish(answer);
 }
 
 RequestId Broker::Take(ClientRequest request, std::unique_ptr<ResponseSink> sink) {
   const std::string& lane = request.passed.lane;
-  counters_.Taken(lane);
+  counters_.CountReceived(lane);
   const std::size_t bytes = request.passed.bytes();
   // Refused before the module hears of it: nothing ran, and the process lives.
   const bool allowed = lease_fence_ == nullptr || lease_fence_->AdmitsClass(lane);
@@ -192,7 +192,7 @@
                          return served;
                        },
                        [&](const Abandoned&) {
-                         counters_.Ended(lane, metrics::End::kWithdrawn);
+                         counters_.CountEnded(lane, metrics::End::kWithdrawn);
                          host_.Post(ClientGone{life->id});
                          return true;
                        },
--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -4,7 +4,7 @@
 
 namespace lemoncroft::cli {
 
-using admin::Call;
+using admin::Command;
 using admin::Reply;
 using admin::Verb;
 using namespace std::chrono_literals;
@@ -14,7 +14,7 @@
 constexpr auto kEjectionStoreInterval = 50ms;
 }  // namespace
 
-Reply Operations::Answer(const Call& call) {
+Reply Operations::Answer(const Command& call) {
   switch (call.verb) {
     case Verb::kReadyz:
       if (phase_ == Phase::kEnding) return {false, "ending", {}};
@@ -34,7 +34,7 @@
   return {false, "unknown call", {}};
 }
 
-Reply Operations::HandleManualEjection(const Call& call) {
+Reply Operations::HandleManualEjection(const Command& call) {
   const bool out = call.verb == Verb::kExclude;
   const std::string& id = call.engine;
   const bool was_out = directory_.IsEjected(id);
--- a/src/cli/operations.h
+++ b/src/cli/operations.h
@@ -32,7 +32,7 @@
         counters_(counters),
         on_update_(std::move(tell)) {}
 
-  admin::Reply Answer(const admin::Call& call);
+  admin::Reply Answer(const admin::Command& call);
   void set_phase(Phase phase) {
     phase_ = phase;
     if (on_phase) on_phase(phase);
@@ -58,7 +58,7 @@
   runtime::Task<> WatchEjectionStore();
 
  private:
-  admin::Reply HandleManualEjection(const admin::Call& call);
+  admin::Reply HandleManualEjection(const admin::Command& call);
   void ImportEjections();
 
   runtime::Loop& loop_;
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -76,8 +76,8 @@
   frontend::FrameServer::Limits limits;
   limits.connections = ProxyLimitsOf(config).clients;
   if (memory_mb > 0) {
-    limits.unread_by_all = (memory_mb << 20) / 8;
-    limits.unparsed_of_all = (memory_mb << 20) / 4;
+    limits.max_total_unread_bytes = (memory_mb << 20) / 8;
+    limits.max_total_unparsed_bytes = (memory_mb << 20) / 4;
   }
   return limits;
 }
@@ -157,7 +157,7 @@
   running.engines.set_report_fields(running.site->report_fields);
   running.engines.pool().set_idle(IdleFor(*running.site));
   for (const std::string& class_id : running.site->classes)
-    if (!class_id.empty()) running.counters.Know(class_id);
+    if (!class_id.empty()) running.counters.AddClass(class_id);
 }
 
 // Settings of this proxy's own, as the rules that the fleet agrees on change them.
@@ -219,7 +219,7 @@
     if (file.waiting) {
       running.own_line = std::move(file.waiting->queue);
       PutLineInForce(running, running.rules == nullptr ? nullptr : &running.rules->document());
-      running.server.set_foretells(file.waiting->tell_clients);
+      running.server.set_wait_notices_enabled(file.waiting->tell_clients);
       running.state = std::move(file.waiting->state);
       spdlog::info("operator's file read again: {}", paths.operator_file);
     }
@@ -228,9 +228,9 @@
                  config.feed);
     running.endpoint_watch.ChangeAddress(config.feed);
     running.config = std::move(config);
-    running.counters.Reloaded(true);
+    running.counters.CountReload(metrics::ReloadResult::kApplied);
   } catch (const std::exception& e) {
-    running.counters.Reloaded(false);
+    running.counters.CountReload(metrics::ReloadResult::kRejected);
     spdlog::error("configuration not taken, the old one stays: {}", e.what());
   }
 }
@@ -265,11 +265,11 @@
   using Queue = frontend::FrameServer::Queue;
   const Time since = Now();
   spdlog::info("ending: {} requests open", broker.open());
-  if (shared) server.StopAccepting(Queue::kLeave);
-  server.AnnounceEnd();
+  if (shared) server.StopAccepting(Queue::kLeaveQueued);
+  server.AnnounceDrain();
   co_await loop.SleepUntil(since + kAcceptFor);
-  if (!shared) server.StopAccepting(Queue::kLetIn);
-  server.AnnounceEnd();  // to those who came meanwhile
+  if (!shared) server.StopAccepting(Queue::kAcceptQueued);
+  server.AnnounceDrain();  // to those who came meanwhile
   co_await loop.SleepUntil(since + kServeFor);
   broker.Close();
   if (shared) {
@@ -281,11 +281,12 @@
     if (broker.open() > 0) spdlog::info("ending: {} requests can't be waited for", broker.open());
     broker.CompleteAllRequests();
   }
-  for (; broker.open() > 0 || !server.flushed(); co_await loop.Sleep(kDrainBeat)) server.CloseResting();
+  for (; broker.open() > 0 || !server.flushed(); co_await loop.Sleep(kDrainBeat))
+    server.CloseIdleConnections();
   // A process that ended now would reset the connections on which something has come meanwhile.
   const Time shut_by = Now() + kShutFor;
   for (; server.connections() > 0 && (Now() < shut_by || !server.flushed()); co_await loop.Sleep(kDrainBeat))
-    server.CloseResting();
+    server.CloseIdleConnections();
   // Engines are still being told of what was given up: else it would run on for nobody.
   const Time last = Now() + kGiveUpFor;
   while (!broker.idle() && Now() < last) co_await loop.Sleep(kDrainBeat);
@@ -364,7 +365,7 @@
   // Another process may live beside this one at any time, and bytes can't be handed back at once.
   const std::size_t memory_mb = shared ? config.memory_mb / 2 : config.memory_mb;
   metrics::Counters counters;
-  for (const std::string& class_id : site->classes) counters.Know(class_id);
+  for (const std::string& class_id : site->classes) counters.AddClass(class_id);
   backend::Engines engines(loop, directory, PoolLimits(config),
                            decision::ToSpan(site->module.connect_timeout), counters);
   engines.set_report_fields(site->report_fields);
@@ -427,7 +428,7 @@
                   {},
                   nullptr};
   if (file.waiting) {
-    server.set_foretells(file.waiting->tell_clients);
+    server.set_wait_notices_enabled(file.waiting->tell_clients);
     running.state = file.waiting->state;
     running.own_line = file.waiting->queue;
     loop.Spawn(WriteState(loop, running));
@@ -467,9 +468,9 @@
   std::unique_ptr<admin::Listener> operators;
   if (config.management) {
     operators = std::make_unique<admin::Listener>(
-        loop, *config.management, [&](const admin::Call& call) { return operations.Answer(call); });
+        loop, *config.management, [&](const admin::Command& call) { return operations.Answer(call); });
     if (rules != nullptr)
-      operators->after = [&](admin::Call call, admin::Reply reply) {
+      operators->follow_up = [&](admin::Command call, admin::Reply reply) {
         return rules->ReplicateManualEjection(std::move(call), std::move(reply));
       };
     loop.Spawn(operators->Run());
--- a/src/cli/replicated_config_ejections.cpp
+++ b/src/cli/replicated_config_ejections.cpp
@@ -89,9 +89,9 @@
   }
 }
 
-Task<admin::Reply> ReplicatedConfigService::ReplicateManualEjection(admin::Call call, admin::Reply reply) {
+Task<admin::Reply> ReplicatedConfigService::ReplicateManualEjection(admin::Command call, admin::Reply reply) {
   using admin::Verb;
-  if (!reply.yes || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
+  if (!reply.accepted || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
   manual_ejections_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
   ejections_changed_.Open();
   const Time last = Now() + kManualEjectionTimeout;
@@ -100,18 +100,18 @@
     if (it == manual_ejections_.end() || it->second.committed_version > 0) {
       const Version version =
           it == manual_ejections_.end() ? replica_.holder().latest_version() : it->second.committed_version;
-      reply.why = "for the fleet, version " + std::to_string(version);
+      reply.message = "for the fleet, version " + std::to_string(version);
       co_return reply;
     }
     if (Now() >= last || !it->second.why.empty()) break;
     co_await loop_.Sleep(10ms);
   }
   const auto it = manual_ejections_.find(call.engine);
-  reply.why =
+  reply.message =
       std::string(call.verb == Verb::kExclude ? "here; " : "later; ") +
       "the fleet has not agreed yet and is asked again until it does" +
       (it == manual_ejections_.end() || it->second.why.empty() ? std::string() : ": " + it->second.why);
-  std::replace(reply.why.begin(), reply.why.end(), '\n', ' ');
+  std::replace(reply.message.begin(), reply.message.end(), '\n', ' ');
   co_return reply;
 }
 
--- a/src/cli/replicated_config_service.h
+++ b/src/cli/replicated_config_service.h
@@ -66,7 +66,7 @@
 
   // Proposes to the fleet an `exclude` or `include` that was carried out here. Returns `reply` with what the
   // fleet has decided so far.
-  runtime::Task<admin::Reply> ReplicateManualEjection(admin::Call call, admin::Reply reply);
+  runtime::Task<admin::Reply> ReplicateManualEjection(admin::Command call, admin::Reply reply);
   bool ready() const { return replica_.UsableVersion(runtime::Now()).has_value(); }
   std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
 
--- a/src/codec/frame.cpp
+++ b/src/codec/frame.cpp
@@ -3,46 +3,59 @@
 namespace lemoncroft::codec {
 namespace {
 
-std::uint32_t Little(std::string_view bytes) {
+constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kTypeOffset = kLengthBytes;
+constexpr std::size_t kStreamOffset = kTypeOffset + 1;
+constexpr std::size_t kStreamBytes = 4;
+constexpr std::size_t kPayloadOffset = kStreamOffset + kStreamBytes;
+constexpr std::size_t kNameSizeBytes = 1;
+constexpr std::size_t kValueSizeBytes = 2;
+
+std::uint32_t ReadLittleEndian(std::string_view bytes) {
   std::uint32_t value = 0;
   for (std::size_t i = bytes.size(); i > 0; --i)
     value = (value << 8) | static_cast<unsigned char>(bytes[i - 1]);
   return value;
 }
 
-void PutLittle(std::string& out, std::size_t value, int bytes) {
-  for (int i = 0; i < bytes; ++i) out.push_back(static_cast<char>((value >> (8 * i)) & 0xff));
+void AppendLittleEndian(std::string& out, std::size_t value, std::size_t bytes) {
+  for (std::size_t i = 0; i < bytes; ++i) out.push_back(static_cast<char>((value >> (8 * i)) & 0xff));
 }
 
-// Takes a text behind its size of `width` bytes off the front.
-std::optional<std::string_view> TakeText(std::string_view& from, std::size_t width) {
-  if (from.size() < width) return std::nullopt;
-  const std::size_t size = Little(from.substr(0, width));
-  if (from.size() - width < size) return std::nullopt;
-  const std::string_view text = from.substr(width, size);
-  from.remove_prefix(width + size);
+// Removes a size of `size_bytes` bytes and a text of that size from the front of `in`.
+std::optional<std::string_view> ReadSizedText(std::string_view& in, std::size_t size_bytes) {
+  if (in.size() < size_bytes) return std::nullopt;
+  const std::size_t size = ReadLittleEndian(in.substr(0, size_bytes));
+  if (in.size() - size_bytes < size) return std::nullopt;
+  const std::string_view text = in.substr(size_bytes, size);
+  in.remove_prefix(size_bytes + size);
   return text;
 }
 
+void AppendSizedText(std::string& out, std::string_view text, std::size_t size_bytes) {
+  AppendLittleEndian(out, text.size(), size_bytes);
+  out.append(text);
+}
+
 }  // namespace
 
 FrameReader::Result FrameReader::Next(std::string_view buffer, Frame& frame) {
-  const std::string_view rest = buffer.substr(taken_);
-  if (rest.size() < 4) return Result::kNeedMore;
-  const std::size_t length = Little(rest.substr(0, 4));
-  // Checked before the rest has come, so that no buffer grows for a length that can't be right.
+  const std::string_view rest = buffer.substr(read_bytes_);
+  if (rest.size() < kLengthBytes) return Result::kNeedMore;
+  const std::size_t length = ReadLittleEndian(rest.substr(0, kLengthBytes));
+  // Checked before the rest has arrived, so that no buffer grows for an impossible length.
   if (length < kMinFrameBytes || length > kMaxFrameBytes) return Result::kBadLength;
-  if (rest.size() < 4 + length) return Result::kNeedMore;
-  frame.type = static_cast<std::uint8_t>(rest[4]);
-  frame.stream = Little(rest.substr(5, 4));
-  frame.payload = rest.substr(9, length - kMinFrameBytes);
-  taken_ += 4 + length;
+  if (rest.size() < kLengthBytes + length) return Result::kNeedMore;
+  frame.type = static_cast<std::uint8_t>(rest[kTypeOffset]);
+  frame.stream = ReadLittleEndian(rest.substr(kStreamOffset, kStreamBytes));
+  frame.payload = rest.substr(kPayloadOffset, length - kMinFrameBytes);
+  read_bytes_ += kLengthBytes + length;
   return Result::kFrame;
 }
 
 void FrameReader::Compact(std::string& buffer) {
-  buffer.erase(0, taken_);
-  taken_ = 0;
+  buffer.erase(0, read_bytes_);
+  read_bytes_ = 0;
 }
 
 std::string_view Fields::Get(std::string_view name) const {
@@ -58,9 +71,9 @@
   const auto count = static_cast<unsigned char>(payload[0]);
   payload.remove_prefix(1);
   for (int i = 0; i < count; ++i) {
-    const auto name = TakeText(payload, 1);
+    const auto name = ReadSizedText(payload, kNameSizeBytes);
     if (!name) return std::nullopt;
-    const auto value = TakeText(payload, 2);
+    const auto value = ReadSizedText(payload, kValueSizeBytes);
     if (!value) return std::nullopt;
     out.fields.emplace_back(*name, *value);
   }
@@ -69,21 +82,19 @@
 }
 
 void WriteFrame(std::string& out, std::uint8_t type, std::uint32_t stream, std::string_view payload) {
-  PutLittle(out, kMinFrameBytes + payload.size(), 4);
+  AppendLittleEndian(out, kMinFrameBytes + payload.size(), kLengthBytes);
   out.push_back(static_cast<char>(type));
-  PutLittle(out, stream, 4);
+  AppendLittleEndian(out, stream, kStreamBytes);
   out.append(payload);
 }
 
-void WriteAnswer(std::string& out, std::uint8_t type, std::uint32_t stream, std::uint8_t code,
-                 const FieldViews& fields, std::string_view body) {
+void WriteResponse(std::string& out, std::uint8_t type, std::uint32_t stream, std::uint8_t code,
+                   const FieldViews& fields, std::string_view body) {
   std::string payload(1, static_cast<char>(code));
   payload.push_back(static_cast<char>(fields.size()));
   for (const auto& [name, value] : fields) {
-    PutLittle(payload, name.size(), 1);
-    payload.append(name);
-    PutLittle(payload, value.size(), 2);
-    payload.append(value);
+    AppendSizedText(payload, name, kNameSizeBytes);
+    AppendSizedText(payload, value, kValueSizeBytes);
   }
   payload.append(body);
   WriteFrame(out, type, stream, payload);
--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -57,9 +57,9 @@
 class Input {
  public:
   explicit Input(std::string_view text) {
-    if (text.size() > kMaxKdlBytes) throw KdlError(KdlPlace(), "the document is too large");
+    if (text.size() > kMaxKdlBytes) throw KdlError(KdlPosition(), "the document is too large");
     points_.reserve(text.size());
-    KdlPlace place;
+    KdlPosition place;
     for (std::size_t i = 0; i < text.size();) {
       const char32_t c = Decode(text, i, place);
       if (c == 0xfeff && points_.empty() && i == 3) continue;  // a byte order mark
@@ -94,11 +94,11 @@
     if (Next() == '\r' && Peek() == '\n') Next();
     return true;
   }
-  KdlPlace place() const { return at_ < points_.size() ? points_[at_].second : end_; }
+  KdlPosition place() const { return at_ < points_.size() ? points_[at_].second : end_; }
   [[noreturn]] void Fail(const std::string& what) const { throw KdlError(place(), what); }
 
  private:
-  static char32_t Decode(std::string_view text, std::size_t& i, KdlPlace place) {
+  static char32_t Decode(std::string_view text, std::size_t& i, KdlPosition place) {
     const auto byte = [&](std::size_t n) { return static_cast<unsigned char>(text[n]); };
     const unsigned char first = byte(i);
     const int more = first < 0x80       ? 0
@@ -119,9 +119,9 @@
     return c;
   }
 
-  std::vector<std::pair<char32_t, KdlPlace>> points_;
+  std::vector<std::pair<char32_t, KdlPosition>> points_;
   std::size_t at_ = 0;
-  KdlPlace end_;
+  KdlPosition end_;
 };
 
 class Reader {
@@ -178,7 +178,7 @@
 
   // An argument, or a property.
   void Entry(KdlNode& node, bool dropped) {
-    const KdlPlace place = in_.place();
+    const KdlPosition place = in_.place();
     KdlValue value = Value();
     if (value.kind == KdlValue::Kind::kText && value.type.empty() && PropertyFollows()) {
       std::string name = std::move(value.text);
@@ -225,7 +225,7 @@
     const double inf = std::numeric_limits<double>::infinity();
     if (word == "true" || word == "false") {
       value.kind = KdlValue::Kind::kBool;
-      value.truth = word == "true";
+      value.boolean = word == "true";
     } else if (word == "inf" || word == "-inf" || word == "nan") {
       value.kind = KdlValue::Kind::kNumber;
       value.text = "#" + word;
@@ -276,7 +276,7 @@
   }
 
   std::string Text(const char* what) {
-    const KdlPlace place = in_.place();
+    const KdlPosition place = in_.place();
     std::size_t hashes = 0;
     while (in_.Peek(hashes) == '#') ++hashes;
     if (in_.Peek(hashes) == '"') {
@@ -297,7 +297,7 @@
   }
 
   std::string Quoted(std::size_t hashes) {
-    const KdlPlace place = in_.place();
+    const KdlPosition place = in_.place();
     if (in_.Peek(1) == '"' && in_.Peek(2) == '"') {
       in_.Skip(U"\"\"\"");
       if (!in_.SkipNewline()) in_.Fail("a multi-line string begins on the line after its quotes");
@@ -325,7 +325,7 @@
   }
 
   // The white space before the closing quotes stands before each line and is taken away.
-  std::string Lines(std::size_t hashes, KdlPlace place) {
+  std::string Lines(std::size_t hashes, KdlPosition place) {
     std::vector<std::string> lines(1);
     std::vector<bool> blank(1, true);  // by line: only white space that was written as it is
     while (!Closes(3, hashes)) {
@@ -357,7 +357,7 @@
   }
 
   void Escape(std::string& out) {
-    const KdlPlace place = in_.place();
+    const KdlPosition place = in_.place();
     in_.Next();
     const char32_t c = in_.Peek();
     if (IsSpace(c) || IsNewline(c)) {
@@ -432,7 +432,7 @@
   }
 
   void Comment() {
-    const KdlPlace place = in_.place();
+    const KdlPosition place = in_.place();
     for (int depth = 1; depth > 0;) {
       if (in_.Skip(U"/*"))
         ++depth;
@@ -449,10 +449,10 @@
 
 }  // namespace
 
-KdlError::KdlError(KdlPlace place, const std::string& what)
+KdlError::KdlError(KdlPosition place, const std::string& what)
     : std::runtime_error("line " + std::to_string(place.line) + ", column " + std::to_string(place.column) +
                          ": " + what),
-      place_(place) {}
+      position_(place) {}
 
 std::vector<KdlNode> ReadKdl(std::string_view text) { return Reader(text).Document(); }
 
--- a/src/codec/kdl.h
+++ b/src/codec/kdl.h
@@ -1,8 +1,11 @@
-// KDL 2.0, the document language of the operator's file: a bounded, I/O-free reader to a tree of nodes.
+// KDL 2.0, the document language of the operator's file: a bounded parser to a tree of nodes.
 //
 // Reads the whole language: type annotations, bare, quoted, raw and multi-line strings, numbers in four
 // bases, keywords, slashdash and nested comments, line continuations. Text must be UTF-8. Every value keeps
-// where it stood, so that what is wrong with it can be shown.
+// its position, so that errors in its meaning can be reported with it.
+//
+// Contract. No I/O and no state. Errors: KdlError. Called by src/operator_config/ and the fault tests.
+// Source: the KDL 2.0.0 specification.
 #ifndef LEMONCROFT_CODEC_KDL_H_
 #define LEMONCROFT_CODEC_KDL_H_
 
@@ -15,17 +18,18 @@
 
 namespace lemoncroft::codec {
 
-struct KdlPlace {
+struct KdlPosition {
   int line = 1, column = 1;  // from 1; columns count characters
 };
 
+// The first error of a document. what() has the position too.
 class KdlError : public std::runtime_error {
  public:
-  KdlError(KdlPlace place, const std::string& what);
-  KdlPlace place() const { return place_; }
+  KdlError(KdlPosition position, const std::string& what);
+  KdlPosition position() const { return position_; }
 
  private:
-  KdlPlace place_;
+  KdlPosition position_;
 };
 
 struct KdlValue {
@@ -34,8 +38,8 @@
   std::string type;  // of the annotation; empty: none
   std::string text;  // of a text; a number as it was written
   double number = 0;
-  bool truth = false;
-  KdlPlace place;
+  bool boolean = false;
+  KdlPosition place;
 };
 
 struct KdlNode {
@@ -43,14 +47,14 @@
   std::vector<KdlValue> arguments;
   std::vector<std::pair<std::string, KdlValue>> properties;  // of a name given twice the last one
   std::vector<KdlNode> children;
-  KdlPlace place;
+  KdlPosition place;
 };
 
 inline constexpr std::size_t kMaxKdlBytes = 1 << 20;
 inline constexpr int kMaxKdlDepth = 32;
 inline constexpr std::size_t kMaxKdlNodes = 100'000;
 
-// Throws KdlError for anything that is not one whole document, or is too large or nested too deeply.
+// Parses one complete document. Throws KdlError for anything else and beyond the limits above.
 std::vector<KdlNode> ReadKdl(std::string_view text);
 
 }  // namespace lemoncroft::codec
--- a/src/codec/msgpack_fields.h
+++ b/src/codec/msgpack_fields.h
@@ -1,8 +1,9 @@
-// One list of fields for both ways: a `Fields(visitor, value)` of a plain struct names its members once, and
-// these visitors count, pack and read them.
+// Encodes and decodes plain structs by one list of their fields: a function `Fields(visitor, value)` names
+// the members of a struct once, and the visitors here count, pack and read them.
 //
-// Contract. As msgpack_reader.h. Enums need a `LastOf(E)` found by its argument; texts travel as bytes. A
-// visitor for further kinds of members derives from these and brings the base's calls in with `using`.
+// Contract. As msgpack_reader.h. An enum needs a function `LastOf(E)`, found by argument-dependent lookup,
+// that returns its last value. Texts are packed as type bin. A visitor for further types of members derives
+// from these and brings in the base's overloads with `using`.
 #ifndef LEMONCROFT_CODEC_MSGPACK_FIELDS_H_
 #define LEMONCROFT_CODEC_MSGPACK_FIELDS_H_
 
@@ -18,7 +19,8 @@
 
 using MsgpackPacker = msgpack::packer<msgpack::sbuffer>;
 
-struct FieldCounting {
+// Counts the fields: the size of the struct's array.
+struct FieldCounter {
   std::uint32_t count = 0;
   template <typename T>
   void operator()(const T&) {
@@ -26,7 +28,8 @@
   }
 };
 
-struct FieldPacking {
+// Packs each field as one element.
+struct FieldPacker {
   MsgpackPacker& to;
   template <std::integral T>
   void operator()(T value) {
@@ -42,7 +45,8 @@
   }
 };
 
-struct FieldReading {
+// Reads each field from one element. Throws msgpack::type_error on a mismatch.
+struct FieldReader {
   MsgpackReader& in;
   template <std::integral T>
   void operator()(T& value) {
@@ -53,12 +57,13 @@
   void operator()(E& value) { value = in.Enum(LastOf(value)); }
   void operator()(std::string& text) { text = in.Bytes(); }
   void operator()(std::vector<std::string>& names) {
-    MsgpackReader all(in.Next());
-    while (all.left() > 0) names.push_back(all.Bytes());
+    MsgpackReader elements(in.Next());
+    while (elements.left() > 0) names.push_back(elements.Bytes());
   }
 };
 
-// A variant behind the number of its alternative, which is never given to another.
+// Reads the alternative of a variant that has number `index` on the wire. Numbers of alternatives are part of
+// the format: they are never reused. Throws msgpack::type_error for an unknown one.
 template <typename Reading, typename Variant, std::size_t I = 0>
 Variant ReadAlternative(std::size_t index, MsgpackReader& in) {
   if constexpr (I == std::variant_size_v<Variant>) {
@@ -72,7 +77,7 @@
   }
 }
 
-// For `Fields` of one struct, const where it is packed.
+// Constrains a `Fields` function to one struct, which is const when it is packed.
 template <typename T, typename E>
 concept Is = std::is_same_v<std::remove_const_t<T>, E>;
 
--- a/src/codec/msgpack_reader.h
+++ b/src/codec/msgpack_reader.h
@@ -1,8 +1,10 @@
-// Reads MessagePack from peers and files: an array's elements in turn, under bounds on lengths and depth.
+// Reads MessagePack from peers and files: the elements of an array in turn, with limits on sizes and depth.
 //
-// Contract. No I/O. Whatever is missing, of another kind or past a bound is a msgpack::type_error or
-// unpack_error, which Guarded turns into nothing. Elements behind those that are read are passed over, so
-// that a later version may append some. Owner: none. Source: the MessagePack specification.
+// Contract. No I/O. Elements that are missing, of another type or beyond a limit are reported by
+// msgpack::type_error or msgpack::unpack_error inside the callback of UnpackArray, which returns nullopt
+// then. Elements behind those that are read are ignored, so that later versions may append some. A reader
+// refers to the unpacked object and must not outlive it. Called by the codecs of raft, replicated_config and
+// peer_transport. Source: the MessagePack specification.
 #ifndef LEMONCROFT_CODEC_MSGPACK_READER_H_
 #define LEMONCROFT_CODEC_MSGPACK_READER_H_
 
@@ -16,6 +18,7 @@
 
 namespace lemoncroft::codec {
 
+// Reads the elements of one array, first to last. All reads throw msgpack::type_error on a mismatch.
 class MsgpackReader {
  public:
   explicit MsgpackReader(const msgpack::object& from) {
@@ -23,6 +26,7 @@
     next_ = from.via.array.ptr;
     end_ = next_ + from.via.array.size;
   }
+  // Elements that have not been read.
   std::size_t left() const { return static_cast<std::size_t>(end_ - next_); }
   const msgpack::object& Next() {
     if (next_ == end_) throw msgpack::type_error();
@@ -32,12 +36,13 @@
   T Take() {
     return Next().as<T>();
   }
-  // Bytes of any kind.
+  // An element of type bin; its bytes may have any value.
   std::string Bytes() {
-    const msgpack::object& o = Next();
-    if (o.type != msgpack::type::BIN) throw msgpack::type_error();
-    return {o.via.bin.ptr, o.via.bin.size};
+    const msgpack::object& element = Next();
+    if (element.type != msgpack::type::BIN) throw msgpack::type_error();
+    return {element.via.bin.ptr, element.via.bin.size};
   }
+  // A value of an enum whose values are 0 to `last`.
   template <typename T>
   T Enum(T last) {
     const auto value = Take<std::uint8_t>();
@@ -50,16 +55,18 @@
   const msgpack::object* end_;
 };
 
-struct MsgpackBounds {
+// Largest sizes that are unpacked. Texts are the elements of type str; bin has a limit of its own.
+struct MsgpackLimits {
   std::size_t list = 16384, text = 256, bytes = 0, depth = 8;
 };
 
-// What `read` makes of the bytes' one array; nothing where they are not of that form.
+// Unpacks `bytes`, which hold one array, and returns what `read` makes of it; nullopt if they are malformed,
+// exceed `limits` or don't fit what `read` expects.
 template <typename Read>
-auto Guarded(std::string_view bytes, const MsgpackBounds& bounds, const Read& read)
+auto UnpackArray(std::string_view bytes, const MsgpackLimits& limits, const Read& read)
     -> std::optional<decltype(read(std::declval<MsgpackReader&>()))> {
   try {
-    const msgpack::unpack_limit limit(bounds.list, 0, bounds.text, bounds.bytes, 0, bounds.depth);
+    const msgpack::unpack_limit limit(limits.list, 0, limits.text, limits.bytes, 0, limits.depth);
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
     MsgpackReader in(handle.get());
@@ -71,6 +78,7 @@
   return std::nullopt;
 }
 
+// Packs `bytes` as type bin.
 template <typename Packer>
 void PackBytes(Packer& to, std::string_view bytes) {
   to.pack_bin(static_cast<std::uint32_t>(bytes.size()));
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -115,9 +115,9 @@
       fields.emplace_back("later", later);
     }
     const std::uint8_t code = answer.verdict == broker::Verdict::kServed    ? codec::kServedCode
-                              : answer.verdict == broker::Verdict::kRefused ? codec::kRefusedCode
+                              : answer.verdict == broker::Verdict::kRefused ? codec::kRejectedCode
                                                                             : codec::kFailedCode;
-    server_.Append(*connection, codec::kAnswerFrame, stream_, code, fields, answer.rows);
+    server_.Append(*connection, codec::kResponseFrame, stream_, code, fields, answer.rows);
     if (connection->streams.empty() && connection->unreadable) connection->answered.Cancel();
   }
 
@@ -128,7 +128,7 @@
       return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(span).count());
     };
     const std::string wait = ms(foretold.wait), most = ms(foretold.most);
-    server_.Append(*connection, codec::kEstimateFrame, stream_, codec::kServedCode,
+    server_.Append(*connection, codec::kWaitNoticeFrame, stream_, codec::kServedCode,
                    {{"wait", wait}, {"most", most}});
   }
 
@@ -150,15 +150,15 @@
 
 void FrameServer::CountEnd(std::string_view class_id, metrics::End how) {
   if (!site_->ClassOf(class_id)) return;
-  counters_.Taken(std::string(class_id));
-  counters_.Ended(std::string(class_id), how);
+  counters_.CountReceived(std::string(class_id));
+  counters_.CountEnded(std::string(class_id), how);
 }
 
 FrameServer::~FrameServer() = default;
 
 Task<> FrameServer::AcceptAll() {
   for (int accepted = 1;; ++accepted) {
-    if (stop_accepting_.cancelled() && queue_ == Queue::kLeave) break;
+    if (stop_accepting_.cancelled() && queue_ == Queue::kLeaveQueued) break;
     std::unique_ptr<runtime::Socket> socket;
     const Io io = co_await listener_->Accept(socket, &stop_accepting_);
     if (io == Io::kCancelled) break;
@@ -213,24 +213,24 @@
     if (c->closed || c->stop_reading.cancelled() || !c->rests()) continue;
     const bool first = c->asked ? c->in.empty() && (!idle || c->active < idle->active)
                                 : now - c->opened > kNewFor && !silent;
-    if (first && c->socket->Quiet()) (c->asked ? idle : silent) = c;
+    if (first && c->socket->IsIdle()) (c->asked ? idle : silent) = c;
   }
   if (lingers) return lingers->cut.Cancel();
   if (going < std::max<std::size_t>(1, Reserve()) && (!silent || !Shut(*silent)) && idle) Shut(*idle);
 }
 
-// In the same breath as the look for unread bytes: what comes later has crossed the shutdown on its way, and
-// its client sends it again.
+// In the same breath as the look for max_unread_bytes bytes: what comes later has crossed the shutdown on its
+// way, and its client sends it again.
 bool FrameServer::Shut(Connection& c) {
-  if (c.closed || !c.rests() || !c.socket->Quiet()) return false;
-  c.socket->EndWriting();
+  if (c.closed || !c.rests() || !c.socket->IsIdle()) return false;
+  c.socket->ShutdownWrite();
   c.shut = c.closed = true;
   c.shut_at = Now();
   c.stop_reading.Cancel();
   return true;
 }
 
-void FrameServer::CloseResting() {
+void FrameServer::CloseIdleConnections() {
   for (const auto& weak : connections_) {
     const ConnectionPtr c = weak.lock();
     if (c && c->in.empty()) Shut(*c);  // half a frame is waited for: its client may believe it taken
@@ -276,7 +276,7 @@
     const Io io = co_await c.socket->Read(dropped, kReadAtOnce, runtime::kNever, &c.answered);
     c.gone = io == Io::kClosed;
     if (io != Io::kOk) co_return;
-    if (bytes < runtime::kLingerBytes) {
+    if (bytes < runtime::kMaxLingerBytes) {
       co_await loop_.NextTurn();
     } else {
       co_await loop_.Sleep(kErrorPause, &c.answered);  // a flood for nothing
@@ -313,7 +313,7 @@
   if (c.in.empty() && c.in.capacity() > 4 * kReadAtOnce) c.in = std::string();
   unparsed_ += c.in.size() - c.counted;
   c.counted = c.in.size();
-  return unparsed_ <= limits_.unparsed_of_all;
+  return unparsed_ <= limits_.max_total_unparsed_bytes;
 }
 
 // Writes what has been appended, all that came within a round of the loop at once.
@@ -349,16 +349,17 @@
 
 void FrameServer::Reject(Connection& c, std::uint32_t stream, std::string_view why) {
   ++c.errors;
-  Append(c, codec::kAnswerFrame, stream, codec::kFailedCode, {}, why);
+  Append(c, codec::kResponseFrame, stream, codec::kFailedCode, {}, why);
 }
 
 void FrameServer::Append(Connection& c, std::uint8_t type, std::uint32_t stream, std::uint8_t code,
                          const codec::FieldViews& fields, std::string_view body) {
   if (c.broken || c.shut) return;
-  codec::WriteAnswer(c.out, type, stream, code, fields, body);
+  codec::WriteResponse(c.out, type, stream, code, fields, body);
   c.appended.Open();
-  // A client that leaves its answers unread is cut off, before all of them together are too much.
-  if (c.out.size() > limits_.unread || c.out.size() + unread_ > limits_.unread_by_all) CutOff(c);
+  // A client that leaves its answers max_unread_bytes is cut off, before all of them together are too much.
+  if (c.out.size() > limits_.max_unread_bytes || c.out.size() + unread_ > limits_.max_total_unread_bytes)
+    CutOff(c);
 }
 
 void FrameServer::CancelRequest(Connection& c) {
@@ -389,10 +390,10 @@
         c.streams.erase(it);
       }
       break;
-    case codec::kReadyAskFrame:
+    case codec::kReadinessRequestFrame:
       c.asked = true;
-      Append(c, codec::kReadyFrame, frame.stream,
-             ready_ && !ending_ ? codec::kServedCode : codec::kRefusedCode);
+      Append(c, codec::kReadinessResponseFrame, frame.stream,
+             ready_ && !ending_ ? codec::kServedCode : codec::kRejectedCode);
       break;
     default:
       Reject(c, 0, "unknown frame type");
@@ -417,7 +418,7 @@
   if (c.streams.size() >= kMaxStreams) {
     ++c.errors;
     CountEnd(request.passed.lane, metrics::End::kShed);
-    return Append(c, codec::kAnswerFrame, frame.stream, codec::kRefusedCode, {}, "too many open requests");
+    return Append(c, codec::kResponseFrame, frame.stream, codec::kRejectedCode, {}, "too many open requests");
   }
   c.streams.emplace(frame.stream, 0);
   const RequestId id =
@@ -467,7 +468,7 @@
   return {};
 }
 
-void FrameServer::AnnounceEnd() {
+void FrameServer::AnnounceDrain() {
   ending_ = true;
   for (const auto& weak : connections_) {
     const ConnectionPtr connection = weak.lock();
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -21,9 +21,10 @@
  public:
   struct Limits {
     std::size_t connections = 400;
-    std::size_t unread = std::size_t{4} << 20;  // bytes of answers that a client leaves unread
-    std::size_t unread_by_all = std::size_t{32} << 20;
-    std::size_t unparsed_of_all = std::size_t{48} << 20;  // bytes of frames that have not come whole
+    std::size_t max_unread_bytes = std::size_t{4}
+                                   << 20;  // bytes of answers that a client leaves max_unread_bytes
+    std::size_t max_total_unread_bytes = std::size_t{32} << 20;
+    std::size_t max_total_unparsed_bytes = std::size_t{48} << 20;  // bytes of frames that have not come whole
   };
 
   FrameServer(runtime::Loop& loop, std::unique_ptr<runtime::Listener> listener,
@@ -34,19 +35,19 @@
   void Start() { loop_.Spawn(AcceptAll()); }
   void set_ready(bool ready) { ready_ = ready; }
   // Whether clients that ask for it, by the field `foretell`, are told how long they will wait.
-  void set_foretells(bool foretells) { foretells_ = foretells; }
+  void set_wait_notices_enabled(bool foretells) { foretells_ = foretells; }
   // Asks the clients of all present connections for no new request on them; is ready no more, whatever a
   // change of the list says later.
-  void AnnounceEnd();
+  void AnnounceDrain();
   // Lets in those who wait in the listening socket's queue, or leaves them to another process that holds it.
-  enum class Queue { kLetIn, kLeave };
+  enum class Queue { kAcceptQueued, kLeaveQueued };
   void StopAccepting(Queue queue);
   void set_connections(std::size_t most) { limits_.connections = most; }
   std::size_t connections();  // open now
   bool flushed() const;       // every answer has been handed to the kernel
   // Shuts all connections on which nothing is open and nothing has come that was not read. To be called again
   // until there are none.
-  void CloseResting();
+  void CloseIdleConnections();
 
  private:
   struct Connection;
@@ -93,7 +94,7 @@
   std::size_t unparsed_ = 0;
   std::size_t turned_away_ = 0;
   runtime::Time told_turned_away_{};
-  Queue queue_ = Queue::kLetIn;
+  Queue queue_ = Queue::kAcceptQueued;
   bool ready_ = false;
   bool foretells_ = false;
   bool ending_ = false;
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -36,7 +36,7 @@
     return !in_.empty() &&
            !std::string_view(in_).starts_with(std::string_view("HTTP/1.").substr(0, in_.size()));
   }
-  bool Reusable() const { return !pending_ && keep_ && in_.empty() && socket_->Quiet(); }
+  bool Reusable() const { return !pending_ && keep_ && in_.empty() && socket_->IsIdle(); }
 
  private:
   std::unique_ptr<runtime::Socket> socket_;
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -1,49 +1,64 @@
 #include "metrics/counters.h"
 
+#include <string_view>
+
+#include "metrics/metric_names.h"
+
 namespace lemoncroft::metrics {
+namespace {
+
+void AppendMetric(std::string& text, std::string_view name, std::uint64_t value) {
+  text.append(names::kPrefix).append(name).append("=").append(std::to_string(value)).append("\n");
+}
+
+void AppendClass(std::string& text, std::string_view class_name, const ClassCounts& counts) {
+  const std::string prefix = std::string(names::kResponsesPrefix).append(class_name);
+  AppendMetric(text, std::string(prefix).append(names::kServedSuffix), counts.ok);
+  AppendMetric(text, std::string(prefix).append(names::kRejectedSuffix), counts.shed);
+  AppendMetric(text, std::string(prefix).append(names::kFailedSuffix), counts.errors);
+}
+
+}  // namespace
 
-void Counters::Ended(const std::string& class_id, End how) {
-  OfClass& of = Of(class_id);
+void Counters::CountEnded(const std::string& class_id, End how) {
+  ClassCounts& counts = CountsOf(class_id);
   switch (how) {
     case End::kOk:
-      ++of.ok;
+      ++counts.ok;
       break;
     case End::kShed:
-      ++of.shed;
+      ++counts.shed;
       break;
     case End::kError:
-      ++of.errors;
+      ++counts.errors;
       break;
     case End::kWithdrawn:
-      ++of.withdrawn;
+      ++counts.withdrawn;
       break;
   }
 }
 
-OfClass& Counters::Of(const std::string& class_id) {
+void Counters::CountReload(ReloadResult result) {
+  ++(result == ReloadResult::kApplied ? reloads_applied_ : reloads_rejected_);
+}
+
+ClassCounts& Counters::CountsOf(const std::string& class_id) {
   const auto it = classes_.find(class_id);
   if (it != classes_.end()) return it->second;
-  return classes_.size() < kMaxClasses ? classes_[class_id] : further_;
+  return classes_.size() < kMaxClasses ? classes_[class_id] : unlisted_classes_;
 }
 
 std::string Counters::Text(const Gauges& gauges) const {
   std::string text;
-  const auto line = [&text](const std::string& name, std::uint64_t value) {
-    text += "app." + name + "=" + std::to_string(value) + "\n";
-  };
-  for (const auto& [name, of] : classes_) {
-    line("responses." + name + ".ok", of.ok);
-    line("responses." + name + ".shed", of.shed);
-    line("responses." + name + ".errors", of.errors);
-  }
-  line("tries", tries_);
-  line("active", gauges.active);
-  line("pool_size", gauges.pool_size);
-  line("pool_ejected", gauges.pool_ejected);
-  line("config_applied", applied_);
-  line("config_rejected", rejected_);
-  for (const auto& [name, value] : gauges.more) line(name, value);
-  return text + "--\n";
+  for (const auto& [name, counts] : classes_) AppendClass(text, name, counts);
+  AppendMetric(text, names::kAttempts, attempts_);
+  AppendMetric(text, names::kActiveRequests, gauges.active);
+  AppendMetric(text, names::kListedEngines, gauges.pool_size);
+  AppendMetric(text, names::kEjectedEngines, gauges.pool_ejected);
+  AppendMetric(text, names::kReloadsApplied, reloads_applied_);
+  AppendMetric(text, names::kReloadsRejected, reloads_rejected_);
+  for (const auto& [name, value] : gauges.additional) AppendMetric(text, name, value);
+  return text.append(names::kEndLine).append("\n");
 }
 
 }  // namespace lemoncroft::metrics
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -1,9 +1,13 @@
-// The figures of this process since its start, told to operators. Each count is made once, by whoever ends
-// the thing that is counted; what is told is read at the time of the call.
+// The counters of this process since its start, and their text for operators.
 //
-// For each class: taken = ok + shed + errors + withdrawn + open. No I/O, no clock.
-#ifndef LEMONCROFT_TELEMETRY_COUNTERS_H_
-#define LEMONCROFT_TELEMETRY_COUNTERS_H_
+// Contract. No I/O, no clock. Each event is counted once, by the module that ends what is counted: requests
+// by the broker, or by the clients' side if the broker never sees them; attempts by the back end; reloads by
+// the wiring in src/cli/. Gauges are read at the time of the call. For each class: received = ok + shed +
+// errors + withdrawn + open.
+//
+// Owner: the wiring in src/cli/. Thread: the event loop's.
+#ifndef LEMONCROFT_METRICS_COUNTERS_H_
+#define LEMONCROFT_METRICS_COUNTERS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -14,47 +18,57 @@
 
 namespace lemoncroft::metrics {
 
-// How a request ended; withdrawn: nobody was there any more to hear the answer.
-enum class End { kOk, kShed, kError, kWithdrawn };
+// How a request ended.
+enum class End {
+  kOk,
+  kShed,       // rejected
+  kError,      // failed
+  kWithdrawn,  // cancelled, or its client was gone: nobody got a response
+};
+
+enum class ReloadResult { kApplied, kRejected };
 
-struct OfClass {
-  std::uint64_t taken = 0, ok = 0, shed = 0, errors = 0, withdrawn = 0;
+struct ClassCounts {
+  std::uint64_t received = 0, ok = 0, shed = 0, errors = 0, withdrawn = 0;
   std::uint64_t ended() const { return ok + shed + errors + withdrawn; }
 };
 
-// What is not counted but read.
+// Values that are read rather than counted.
 struct Gauges {
-  std::size_t active = 0;        // requests taken and not ended
+  std::size_t active = 0;        // requests received and not ended
   std::size_t pool_size = 0;     // engines listed
-  std::size_t pool_ejected = 0;  // of these, those that are avoided, by hand or by choice
-  std::vector<std::pair<std::string, std::uint64_t>> more;  // of parts that are switched on
+  std::size_t pool_ejected = 0;  // of these, those that are ejected, manually or as outliers
+  std::vector<std::pair<std::string, std::uint64_t>> additional;  // names and values of optional parts
 };
 
 class Counters {
  public:
-  static constexpr std::size_t kMaxClasses = 4096;  // names kept; requests of further ones aren't told
+  // Names that are kept; requests of further classes are counted together and not listed.
+  static constexpr std::size_t kMaxClasses = 4096;
 
-  // So that its figures are told before its first request; those of a class that has vanished stay.
-  void Know(const std::string& class_id) { Of(class_id); }
-  void Taken(const std::string& class_id) { ++Of(class_id).taken; }
-  void Ended(const std::string& class_id, End how);
-  void Tried() { ++tries_; }  // an attempt's statement was written whole to an engine
-  void Reloaded(bool applied) { ++(applied ? applied_ : rejected_); }
+  // Lists a class before its first request. Classes stay listed when they are removed from the settings.
+  void AddClass(const std::string& class_id) { CountsOf(class_id); }
+  void CountReceived(const std::string& class_id) { ++CountsOf(class_id).received; }
+  void CountEnded(const std::string& class_id, End how);
+  // An attempt's statement has been written completely to an engine.
+  void CountAttempt() { ++attempts_; }
+  void CountReload(ReloadResult result);
 
-  const std::map<std::string, OfClass>& classes() const { return classes_; }
-  std::uint64_t tries() const { return tries_; }
+  const std::map<std::string, ClassCounts>& classes() const { return classes_; }
+  std::uint64_t attempts() const { return attempts_; }
 
-  // A line NAME=VALUE for each figure, then the line `--`.
+  // A line NAME=VALUE for each metric (metric_names.h), then the line `--`.
   std::string Text(const Gauges& gauges) const;
 
  private:
-  OfClass& Of(const std::string& class_id);
+  ClassCounts& CountsOf(const std::string& class_id);
 
-  std::map<std::string, OfClass> classes_;
-  OfClass further_;
-  std::uint64_t tries_ = 0, applied_ = 0, rejected_ = 0;
+  std::map<std::string, ClassCounts> classes_;
+  ClassCounts unlisted_classes_;
+  std::uint64_t attempts_ = 0;
+  std::uint64_t reloads_applied_ = 0, reloads_rejected_ = 0;
 };
 
 }  // namespace lemoncroft::metrics
 
-#endif  // LEMONCROFT_TELEMETRY_COUNTERS_H_
+#endif  // LEMONCROFT_METRICS_COUNTERS_H_
--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -77,7 +77,7 @@
 
 void ReadFlag(const KdlNode& node, bool& out, Faults& faults) {
   if (const KdlValue* value = Only(node, KdlValue::Kind::kBool, "#true or #false", faults))
-    out = value->truth;
+    out = value->boolean;
 }
 
 void ReadText(const KdlNode& node, std::string& out, Faults& faults) {
--- a/src/operator_config/fields.h
+++ b/src/operator_config/fields.h
@@ -14,7 +14,7 @@
 
 class Faults {
  public:
-  void Add(codec::KdlPlace place, std::string text) { problems_.push_back({place, std::move(text)}); }
+  void Add(codec::KdlPosition place, std::string text) { problems_.push_back({place, std::move(text)}); }
   const std::vector<Problem>& all() const { return problems_; }
 
  private:
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -163,7 +163,7 @@
     if (file.rules && !file.fleet) faults.Add({}, "rules: needs a `fleet`, on whose way they are agreed");
   } catch (const codec::KdlError& e) {
     const std::string what = e.what();
-    faults.Add(e.place(), what.substr(what.find(": ") + 2));
+    faults.Add(e.position(), what.substr(what.find(": ") + 2));
   }
   if (!faults.all().empty()) throw OperatorError(path, faults.all());
   return file;
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -20,7 +20,7 @@
 namespace lemoncroft::operator_config {
 
 struct Problem {
-  codec::KdlPlace place;
+  codec::KdlPosition place;
   std::string text;
 };
 
--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -20,7 +20,7 @@
 static_assert(gossip::kMaxSyncBytes + (std::size_t{16} << 10) < kMaxStreamMessageBytes,
               "room for the sender and the bucket sums");
 
-constexpr codec::MsgpackBounds kBounds{16384, 256, kMaxStreamMessageBytes, 8};
+constexpr codec::MsgpackLimits kBounds{16384, 256, kMaxStreamMessageBytes, 8};
 
 // Message kinds on the wire: never renumber.
 enum class Kind : std::uint8_t { kDatagram = 0, kSyncRequest = 1, kSyncEntries = 2, kAppMessage = 3 };
@@ -211,7 +211,7 @@
   if (sum != XXH3_64bits(body.data(), body.size())) return tl::make_unexpected(FrameError::kCorrupt);
   if (static_cast<std::uint8_t>(frame[2]) != kMajorVersion)
     return tl::make_unexpected(FrameError::kVersionMismatch);
-  auto decoded = codec::Guarded(body, kBounds, [&](Reader& in) -> tl::expected<Message, FrameError> {
+  auto decoded = codec::UnpackArray(body, kBounds, [&](Reader& in) -> tl::expected<Message, FrameError> {
     if (in.Take<std::string>() != fleet) return tl::make_unexpected(FrameError::kWrongFleet);
     switch (in.Enum(Kind::kAppMessage)) {
       case Kind::kDatagram: {
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -167,7 +167,7 @@
     const runtime::DatagramSocket::Received received = co_await datagrams_->Receive();
     if (received.io != Io::kOk) co_return;
     ++metrics_.received;
-    const auto message = DecodeCounted(received.bytes, received.whole ? gossip::kMaxDatagramBytes : 0);
+    const auto message = DecodeCounted(received.bytes, received.complete ? gossip::kMaxDatagramBytes : 0);
     if (message) HandleDatagram(*message);
     if (n % kDatagramsPerTurn == 0) co_await loop_.NextTurn();
   }
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr codec::MsgpackBounds kBounds{4096, 128, kMaxSnapshotBytes, 8};
+constexpr codec::MsgpackLimits kBounds{4096, 128, kMaxSnapshotBytes, 8};
 
 // The encoded fields of each type, in order. New ones are only ever appended.
 
@@ -55,8 +55,8 @@
   v(e.term);
 }
 
-struct Packing : codec::FieldPacking {
-  using FieldPacking::operator();
+struct Packing : codec::FieldPacker {
+  using FieldPacker::operator();
   void operator()(const std::vector<Entry>& entries) {
     to.pack_array(static_cast<std::uint32_t>(entries.size()));
     for (const Entry& entry : entries) PackValue(entry);
@@ -64,15 +64,15 @@
   void operator()(const Snapshot& snapshot) { PackValue(snapshot); }
   template <typename T>
   void PackValue(const T& value) {
-    codec::FieldCounting counting;
+    codec::FieldCounter counting;
     Fields(counting, value);
     to.pack_array(counting.count);
     Fields(*this, value);
   }
 };
 
-struct Reading : codec::FieldReading {
-  using FieldReading::operator();
+struct Reading : codec::FieldReader {
+  using FieldReader::operator();
   void operator()(std::vector<Entry>& entries) {
     MsgpackReader all(in.Next());
     while (all.left() > 0) ReadValue(all.Next(), entries.emplace_back());
@@ -96,7 +96,7 @@
 
 template <typename T>
 std::optional<T> DecodeValue(std::string_view bytes) {
-  return codec::Guarded(bytes, kBounds, [](MsgpackReader& in) {
+  return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
     T value;
     Reading reading{{in}};
     Fields(reading, value);
@@ -116,7 +116,7 @@
 }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) {
-  return codec::Guarded(bytes, kBounds, [](MsgpackReader& in) {
+  return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
     const auto index = in.Take<std::uint8_t>();
     MsgpackReader body(in.Next());
     return codec::ReadAlternative<Reading, Message>(index, body);
--- a/src/replicated_config/config_state_machine.cpp
+++ b/src/replicated_config/config_state_machine.cpp
@@ -9,7 +9,7 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 using Reader = codec::MsgpackReader;
-constexpr codec::MsgpackBounds kBounds{4096, 128, kMaxStoredDocumentBytes + kMaxDocumentBytes, 8};
+constexpr codec::MsgpackLimits kBounds{4096, 128, kMaxStoredDocumentBytes + kMaxDocumentBytes, 8};
 
 enum class EntryKind : std::uint8_t { kChange = 0, kActivate = 1 };
 
@@ -45,7 +45,7 @@
 }
 
 std::optional<ChangeOutcome> ConfigStateMachine::Apply(const std::string& entry) {
-  const auto outcome = codec::Guarded(entry, kBounds, [&](Reader& in) -> std::optional<ChangeOutcome> {
+  const auto outcome = codec::UnpackArray(entry, kBounds, [&](Reader& in) -> std::optional<ChangeOutcome> {
     if (in.Enum(EntryKind::kActivate) == EntryKind::kActivate) {
       const auto version = in.Take<std::uint64_t>();
       if (version <= latest_version_) active_version_ = std::max(active_version_, version);
@@ -137,7 +137,7 @@
 bool ConfigStateMachine::Restore(std::string_view snapshot) {
   ConfigStateMachine fresh(safety_checks_);
   if (!snapshot.empty()) {
-    const auto good = codec::Guarded(snapshot, kBounds, [&](Reader& in) {
+    const auto good = codec::UnpackArray(snapshot, kBounds, [&](Reader& in) {
       fresh.latest_version_ = in.Take<std::uint64_t>();
       fresh.active_version_ = in.Take<std::uint64_t>();
       Reader versions(in.Next());
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -46,8 +46,8 @@
       operator_config::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, errors_);
     } catch (const codec::KdlError& e) {
       const std::string what = e.what();  // "line N, column N: message"
-      return tl::unexpected(
-          InvalidDocument{true, {{e.place().line, e.place().column, what.substr(what.find(": ") + 2)}}});
+      return tl::unexpected(InvalidDocument{
+          true, {{e.position().line, e.position().column, what.substr(what.find(": ") + 2)}}});
     }
     for (const std::size_t count : {document_.classes.size(), document_.tenants.size(),
                                     document_.teams.size(), document_.ejected_engines.size()})
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr codec::MsgpackBounds kBounds{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
+constexpr codec::MsgpackLimits kBounds{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
 
 template <typename V, Is<RaftMessage> E>
 void Fields(V& v, E& e) {
@@ -83,8 +83,8 @@
   v(e.store);
 }
 
-struct Packing : codec::FieldPacking {
-  using FieldPacking::operator();
+struct Packing : codec::FieldPacker {
+  using FieldPacker::operator();
   void operator()(Span value) { to.pack(static_cast<std::int64_t>(value.count())); }
   void operator()(const raft::Message& message) { codec::PackBytes(to, raft::Encode(message)); }
   void operator()(const std::map<raft::NodeId, std::uint64_t>& stores) {
@@ -93,8 +93,8 @@
   }
 };
 
-struct Reading : codec::FieldReading {
-  using FieldReading::operator();
+struct Reading : codec::FieldReader {
+  using FieldReader::operator();
   void operator()(Span& value) { value = Span(in.Take<std::int64_t>()); }
   void operator()(raft::Message& message) {
     auto read = raft::DecodeMessage(in.Bytes());
@@ -117,7 +117,7 @@
   MsgpackPacker to(body);
   std::visit(
       [&](const auto& b) {
-        codec::FieldCounting counting;
+        codec::FieldCounter counting;
         Fields(counting, b);
         to.pack_array(counting.count + 2);
         codec::PackBytes(to, message.sender);
@@ -130,7 +130,7 @@
 }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) {
-  return codec::Guarded(bytes, kBounds, [](MsgpackReader& in) {
+  return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
     Message message;
     message.sender = in.Bytes();
     const auto index = in.Take<std::uint8_t>();
--- a/src/runtime/datagram.cpp
+++ b/src/runtime/datagram.cpp
@@ -9,9 +9,9 @@
 namespace lemoncroft::runtime {
 namespace {
 
-constexpr auto kPause = std::chrono::milliseconds(10);  // after an error
+constexpr auto kErrorRetryInterval = std::chrono::milliseconds(10);
 
-Descriptor Bound(const Address& address) {
+Descriptor BindSocket(const Address& address) {
   Descriptor fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) throw std::system_error(errno, std::generic_category(), "socket");
   if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0)
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-// The buffer is read only where a datagram has filled it.
+// The buffer is read only as far as a datagram has filled it.
 // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
-DatagramSocket::DatagramSocket(Loop& loop, const Address& address) : loop_(loop), fd_(Bound(address)) {
+DatagramSocket::DatagramSocket(Loop& loop, const Address& address) : loop_(loop), fd_(BindSocket(address)) {
   loop_.Watch(fd_.get(), &watched_);
 }
 
@@ -37,10 +37,10 @@
       const std::size_t size = static_cast<std::size_t>(n);
       co_return Received{Io::kOk, {buffer_, std::min(size, sizeof buffer_)}, size <= sizeof buffer_, from};
     }
-    // What isn't "nothing there" may come again at once (no memory): it must not keep the loop from others.
-    const bool empty = errno == EAGAIN || errno == EWOULDBLOCK;
-    const Time again = empty ? kNever : Now() + kPause;
-    const Wake wake = co_await Waiter(loop_, &watched_.readable, again, cancel);
+    // Other errors (no memory) may persist: retrying them at once would keep the loop from other tasks.
+    const bool is_empty = errno == EAGAIN || errno == EWOULDBLOCK;
+    const Time retry_at = is_empty ? kNever : Now() + kErrorRetryInterval;
+    const Wake wake = co_await Waiter(loop_, &watched_.readable, retry_at, cancel);
     if (wake == Wake::kCancelled) co_return Received{Io::kCancelled, {}, true, {}};
   }
 }
--- a/src/runtime/datagram.h
+++ b/src/runtime/datagram.h
@@ -1,7 +1,8 @@
-// A non-blocking UDP socket on the loop: what can't be sent at once is not sent.
+// A non-blocking UDP socket on the loop: datagrams that can't be sent at once are dropped.
 //
-// Owner: whoever made it. Units: bytes. Errors: std::system_error where it can't be bound; a datagram that
-// the system does not take is told as such and dropped.
+// Contract. One coroutine receives at a time. The loop outlives the socket. Errors: std::system_error from
+// the constructor if the address can't be bound; Send returns false for a datagram that was dropped; errors
+// while receiving are retried. Thread: the event loop's.
 #ifndef LEMONCROFT_RUNTIME_DATAGRAM_H_
 #define LEMONCROFT_RUNTIME_DATAGRAM_H_
 
@@ -17,23 +18,25 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  // One datagram; valid until the next call. Longer ones than `kMost` are cut, which `whole` tells.
+  // One datagram; its bytes are valid until the next call. Longer ones than `kMaxBytes` are cut; `complete`
+  // is false then.
   struct Received {
     Io io = Io::kOk;
     std::string_view bytes;
-    bool whole = true;
+    bool complete = true;
     Address from;
   };
-  static constexpr std::size_t kMost = 2048;
+  static constexpr std::size_t kMaxBytes = 2048;
+  // Waits for a datagram. Received::io is kOk or kCancelled.
   Task<Received> Receive(Cancellation* cancel = nullptr);
-  // False where the system does not take it: no room to send, no way there.
+  // False if the system didn't take the datagram: its buffer is full, or there is no route.
   bool Send(std::string_view bytes, const Address& to);
 
  private:
   Loop& loop_;
   Watched watched_;
   Descriptor fd_;
-  char buffer_[kMost];
+  char buffer_[kMaxBytes];
 };
 
 }  // namespace lemoncroft::runtime
--- a/src/runtime/descriptor.h
+++ b/src/runtime/descriptor.h
@@ -1,4 +1,6 @@
-// Owner of a file descriptor.
+// A file descriptor that is closed with its owner.
+//
+// Contract. Move-only. Errors of close() are ignored.
 #ifndef LEMONCROFT_RUNTIME_DESCRIPTOR_H_
 #define LEMONCROFT_RUNTIME_DESCRIPTOR_H_
 
@@ -20,7 +22,7 @@
   ~Descriptor() {
     if (fd_ >= 0) ::close(fd_);
   }
-  int get() const { return fd_; }
+  int get() const { return fd_; }  // -1 if it holds none
   explicit operator bool() const { return fd_ >= 0; }
 
  private:
--- a/src/runtime/lingering_close.cpp
+++ b/src/runtime/lingering_close.cpp
@@ -1,20 +1,21 @@
 #include "runtime/lingering_close.h"
 
+#include <algorithm>
 #include <string>
 
 namespace lemoncroft::runtime {
 
-Task<> LingeringClose(Loop& loop, Socket& socket, Span within, Cancellation* cut) {
-  constexpr std::size_t kReadAtOnce = 16 * 1024;
-  socket.EndWriting();
-  const Time until = Now() + within;
-  std::string dropped;
-  for (std::size_t left = kLingerBytes; left > 0 && Now() < until;) {
-    if (cut != nullptr && cut->cancelled()) break;
-    dropped.clear();
-    if (co_await socket.Read(dropped, kReadAtOnce, until, cut) != Io::kOk) break;
-    left -= std::min(left, dropped.size());
-    co_await loop.NextTurn();  // a peer that sends without a pause gets a turn like all others
+Task<> LingeringClose(Loop& loop, Socket& socket, Span timeout, Cancellation* cancel) {
+  constexpr std::size_t kReadBytes = 16 * 1024;
+  socket.ShutdownWrite();
+  const Time deadline = Now() + timeout;
+  std::string discarded;
+  for (std::size_t left = kMaxLingerBytes; left > 0 && Now() < deadline;) {
+    if (cancel != nullptr && cancel->cancelled()) break;
+    discarded.clear();
+    if (co_await socket.Read(discarded, kReadBytes, deadline, cancel) != Io::kOk) break;
+    left -= std::min(left, discarded.size());
+    co_await loop.NextTurn();  // other tasks get their turn even if the peer never pauses
   }
 }
 
--- a/src/runtime/lingering_close.h
+++ b/src/runtime/lingering_close.h
@@ -1,12 +1,12 @@
-// Ends a connection so that what was written last arrives: a lingering close.
+// A lingering close: ends a connection so that the last bytes written arrive.
 //
-// A close over bytes that nobody has read is a reset, which may overtake an answer on its way. So the writing
-// side is shut down first, and what the peer still sends is read and dropped until the peer's own end.
+// Closing a socket with unread input resets the connection, and the reset may overtake a response. So the
+// write side is shut down first, and input is read and discarded until the peer closes its side.
 //
-// Contract. Nothing is to be written any more, and nothing that comes from now on is taken: a request that
-// crosses the shutdown is the peer's to send again elsewhere. Ends at the peer's end, after `within`, after
-// kLingerBytes, or when cut short, whichever comes first; then the owner of the socket closes it by
-// destroying it.
+// Contract. The caller writes nothing more and has handled all input that it wants: a request that crosses
+// the shutdown is sent again by its client, elsewhere. The task ends when the peer closes, after `timeout`,
+// after kMaxLingerBytes or when `cancel` is cancelled, whichever is first. Then the owner of the socket
+// closes it by destroying it. Errors: none; a connection that fails has ended.
 #ifndef LEMONCROFT_RUNTIME_LINGERING_CLOSE_H_
 #define LEMONCROFT_RUNTIME_LINGERING_CLOSE_H_
 
@@ -14,9 +14,9 @@
 
 namespace lemoncroft::runtime {
 
-inline constexpr std::size_t kLingerBytes = std::size_t{4} << 20;  // of a flood that goes on
+inline constexpr std::size_t kMaxLingerBytes = std::size_t{4} << 20;  // of discarded input
 
-Task<> LingeringClose(Loop& loop, Socket& socket, Span within, Cancellation* cut);
+Task<> LingeringClose(Loop& loop, Socket& socket, Span timeout, Cancellation* cancel);
 
 }  // namespace lemoncroft::runtime
 
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -9,6 +9,19 @@
 #include <system_error>
 
 namespace lemoncroft::runtime {
+namespace {
+
+constexpr std::size_t kEventsPerPoll = 256;
+constexpr std::int64_t kMaxPollMs = 60'000;
+
+void OpenGates(const epoll_event& event) {
+  auto* watched = static_cast<Watched*>(event.data.ptr);
+  const bool has_failed = (event.events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP)) != 0;
+  if (has_failed || (event.events & EPOLLIN) != 0) watched->readable.Open();
+  if (has_failed || (event.events & EPOLLOUT) != 0) watched->writable.Open();
+}
+
+}  // namespace
 
 Gate::~Gate() {
   if (waiter_ != nullptr) waiter_->gate_ = nullptr;
@@ -74,14 +87,14 @@
 }
 
 void Loop::Spawn(Task<> task) {
-  // The list node comes first, so that the coroutine can name it when it has ended.
+  // The list node is created first: the coroutine refers to it when it ends.
   auto self = roots_.emplace(roots_.end(), Task<>(nullptr));
   *self = Root(*this, std::move(task), self);
   Post(self->handle());
 }
 
 void Loop::RunReady() {
-  // Only what is ready now: what these make ready comes after the next look at the sockets.
+  // Only what is ready now: what these coroutines make ready runs after the sockets have been polled again.
   for (std::size_t n = ready_.size(); n > 0 && !stopped_; --n) {
     std::coroutine_handle<> handle = ready_.front();
     ready_.pop_front();
@@ -96,27 +109,23 @@
   while (!roots_.empty()) roots_.pop_front();
 }
 
+int Loop::PollTimeoutMs() const {
+  constexpr int kNoTimeout = -1;
+  if (!ready_.empty()) return 0;
+  if (heap_.empty()) return kNoTimeout;
+  const Span left = heap_.front()->deadline_ - Now();
+  const auto rounded_up = std::chrono::ceil<std::chrono::milliseconds>(left).count();
+  return static_cast<int>(std::clamp<std::int64_t>(rounded_up, 0, kMaxPollMs));
+}
+
 void Loop::Poll() {
-  int wait_ms = -1;
-  if (!ready_.empty()) {
-    wait_ms = 0;
-  } else if (!heap_.empty()) {
-    const Span left = heap_.front()->deadline_ - Now();
-    const auto up = std::chrono::ceil<std::chrono::milliseconds>(left).count();
-    wait_ms = static_cast<int>(std::clamp<std::int64_t>(up, 0, 60'000));
-  }
+  const int wait_ms = PollTimeoutMs();
   // Read only as far as epoll_wait() fills it.
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
-  std::array<epoll_event, 256> events;
+  std::array<epoll_event, kEventsPerPoll> events;
   const int n = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), wait_ms);
   if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-  for (int i = 0; i < n; ++i) {
-    const epoll_event& event = events[static_cast<std::size_t>(i)];
-    auto* watched = static_cast<Watched*>(event.data.ptr);
-    const bool broken = (event.events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP)) != 0;
-    if (broken || (event.events & EPOLLIN) != 0) watched->readable.Open();
-    if (broken || (event.events & EPOLLOUT) != 0) watched->writable.Open();
-  }
+  for (int i = 0; i < n; ++i) OpenGates(events[static_cast<std::size_t>(i)]);
   const Time now = Now();
   while (!heap_.empty() && heap_.front()->deadline_ <= now) heap_.front()->Finish(Wake::kTimeout);
 }
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -1,8 +1,13 @@
-// The scheduler: one thread, one epoll set, one heap of deadlines, one queue of coroutines that are ready.
+// The event loop: one thread, one epoll set, one heap of deadlines, one queue of coroutines that are ready.
 //
-// A coroutine waits through a Waiter: for a Gate to open (a socket's readiness, an inbox), for its deadline,
-// or for its Cancellation, whichever comes first. A woken coroutine is queued, never resumed inside the call
+// A coroutine waits through a Waiter: for a Gate to open (a socket's readiness, an inbox), for its deadline
+// or for its Cancellation, whichever is first. A woken coroutine is queued, never resumed inside the call
 // that woke it, so that no caller is re-entered.
+//
+// Contract. Everything here is used by one thread alone, the one that calls Loop::Run(). Each turn of the
+// loop polls the sockets, wakes what is due and resumes the coroutines that were ready at its start. Errors:
+// std::system_error if the system refuses an epoll descriptor or a watch. Owner: the program's wiring; the
+// loop outlives the objects that refer to it, and its tasks end before Run() returns.
 #ifndef LEMONCROFT_RUNTIME_LOOP_H_
 #define LEMONCROFT_RUNTIME_LOOP_H_
 
@@ -22,28 +27,31 @@
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
 inline constexpr Time kNever = Time::max();
 
+// The monotonic clock, which the loop's deadlines go by.
 inline Time Now() { return std::chrono::steady_clock::now(); }
 
+// Why a wait ended.
 enum class Wake { kReady, kTimeout, kCancelled };
 
 class Loop;
 class Waiter;
 
-// Something that one coroutine at a time waits for.
+// An event that one coroutine at a time waits for, such as a socket's readiness. Its owner may destroy it
+// while somebody waits: the wait then ends by deadline or cancellation alone.
 class Gate {
  public:
   Gate() = default;
   Gate(const Gate&) = delete;
   Gate& operator=(const Gate&) = delete;
   ~Gate();
-  void Open();  // wakes the waiter, if any; an opening is not remembered
+  void Open();  // wakes the waiter, if any; has no effect on later waits
 
  private:
   friend class Waiter;
   Waiter* waiter_ = nullptr;
 };
 
-// Asks one chain of coroutines to stop: what it waits for now, and all it would wait for later, ends at once.
+// Asks one chain of coroutines to stop: its present wait and all later ones end at once with kCancelled.
 class Cancellation {
  public:
   Cancellation() = default;
@@ -59,6 +67,8 @@
   Waiter* waiter_ = nullptr;
 };
 
+// One wait of one coroutine: `co_await Waiter(loop, &gate, deadline, &cancel)` returns why it ended. The gate
+// and the cancellation are optional.
 class Waiter {
  public:
   Waiter(Loop& loop, Gate* gate, Time deadline, Cancellation* cancel = nullptr)
@@ -81,8 +91,8 @@
   friend class Cancellation;
   static constexpr std::size_t kNotInHeap = static_cast<std::size_t>(-1);
 
-  void Finish(Wake result);
-  void Unlink();
+  void Finish(Wake result);  // ends the wait and queues the coroutine
+  void Unlink();             // from gate, cancellation and heap
 
   Loop& loop_;
   Gate* gate_;
@@ -94,14 +104,14 @@
   Wake result_ = Wake::kReady;
 };
 
-// An owner of a descriptor in the epoll set; both gates open on errors and hang-ups too.
+// The readiness of a descriptor in the epoll set. Both gates open on errors and hang-ups too.
 struct Watched {
   Gate readable, writable;
 };
 
 class Loop {
  public:
-  // Lets all that is ready, and the sockets, have their turn first.
+  // Resumes the awaiter in the next turn of the loop, behind what is ready now.
   struct Turn {
     Loop& loop;
     bool await_ready() const { return false; }
@@ -114,9 +124,10 @@
   Loop& operator=(const Loop&) = delete;
   ~Loop() { DropTasks(); }
 
-  // Runs `task` on its own. An exception that leaves it is logged and ends only that task.
+  // Runs `task` without an awaiter. An exception that leaves it is logged and ends only that task.
   void Spawn(Task<> task);
-  void Run();  // until Stop; then destroys all spawned tasks
+  // Runs until Stop(), then destroys all spawned tasks.
+  void Run();
   void Stop() { stopped_ = true; }
   Waiter SleepUntil(Time when, Cancellation* cancel = nullptr) {
     return Waiter(*this, nullptr, when, cancel);
@@ -125,21 +136,26 @@
 
   Turn NextTurn() { return Turn{*this}; }
 
-  void Watch(int fd, Watched* watched);  // edge-triggered, both directions; throws std::system_error
-  // Before the owner of `watched` goes, where another descriptor keeps the socket open.
+  // Opens the gates of `watched` when `fd` becomes readable or writable (edge-triggered), until `fd` is
+  // closed. Throws std::system_error.
+  void Watch(int fd, Watched* watched);
+  // To be called before `watched` is destroyed if other descriptors keep the same file open: closing `fd`
+  // would not end the watch then.
   void Unwatch(int fd);
 
  private:
   friend class Waiter;
   using Roots = std::list<Task<>>;
 
+  // Runs a spawned task and marks its root as ended.
   static Task<> Root(Loop& loop, Task<> task, Roots::iterator self);
   void Post(std::coroutine_handle<> handle) { ready_.push_back(handle); }
   void RunReady();
   void DropTasks();
+  int PollTimeoutMs() const;  // until the earliest deadline; 0 if a coroutine is ready
   void Poll();
 
-  // A binary heap of waiters by deadline, which know their places in it.
+  // A binary heap of waiters by deadline. Each waiter has its index, so that it can be removed.
   void HeapPush(Waiter* waiter);
   void HeapErase(Waiter* waiter);
   void HeapPlace(Waiter* waiter, std::size_t at);
@@ -150,8 +166,8 @@
   bool stopped_ = false;
   std::deque<std::coroutine_handle<>> ready_;
   std::vector<Waiter*> heap_;
-  Roots roots_;
-  std::vector<Roots::iterator> ended_;
+  Roots roots_;                         // spawned tasks
+  std::vector<Roots::iterator> ended_;  // of these, those to be destroyed
 };
 
 }  // namespace lemoncroft::runtime
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -16,9 +16,14 @@
 namespace {
 
 constexpr std::size_t kMaxReadBytes = std::size_t{16} * 1024;
+constexpr int kListenBacklog = 1024;
 
 bool WouldBlock(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
+bool IsShortage(int error) {
+  return error == EMFILE || error == ENFILE || error == ENOMEM || error == ENOBUFS;
+}
+
 Io FromWake(Wake wake) { return wake == Wake::kTimeout ? Io::kTimeout : Io::kCancelled; }
 
 void SetOption(int fd, int level, int name) {
@@ -26,8 +31,8 @@
   ::setsockopt(fd, level, name, &on, sizeof on);
 }
 
-// Null where epoll has no room for it: a shortage, which must not end the task that met it.
-std::unique_ptr<Socket> OnLoop(Loop& loop, Descriptor fd) {
+// Null if the loop can't watch the descriptor: a shortage must not end the task that met it.
+std::unique_ptr<Socket> MakeSocket(Loop& loop, Descriptor fd) {
   try {
     return std::make_unique<Socket>(loop, std::move(fd));
   } catch (const std::system_error&) {
@@ -35,12 +40,12 @@
   }
 }
 
-Descriptor Listening(const Address& address) {
+Descriptor Listen(const Address& address) {
   Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) throw std::system_error(errno, std::generic_category(), "socket");
   SetOption(fd.get(), SOL_SOCKET, SO_REUSEADDR);
   const auto* raw = reinterpret_cast<const sockaddr*>(&address.raw);
-  if (::bind(fd.get(), raw, sizeof address.raw) != 0 || ::listen(fd.get(), 1024) != 0) {
+  if (::bind(fd.get(), raw, sizeof address.raw) != 0 || ::listen(fd.get(), kListenBacklog) != 0) {
     throw std::system_error(errno, std::generic_category(), "cannot listen on " + address.Text());
   }
   return fd;
@@ -89,11 +94,11 @@
   loop_.Watch(fd_.get(), &watched_);
 }
 
-Task<Io> Socket::Read(std::string& into, std::size_t most, Time deadline, Cancellation* cancel) {
-  // One for all sockets: a buffer grows by what has come, so that hundreds which wait hold no memory for it.
+Task<Io> Socket::Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel) {
+  // Shared by all sockets, so that those that wait hold no memory for their reads.
   static thread_local std::array<char, kMaxReadBytes> scratch;
   for (;;) {
-    const ssize_t n = ::recv(fd_.get(), scratch.data(), std::min(most, scratch.size()), 0);
+    const ssize_t n = ::recv(fd_.get(), scratch.data(), std::min(max_bytes, scratch.size()), 0);
     if (n > 0) into.append(scratch.data(), static_cast<std::size_t>(n));
     if (n > 0) co_return Io::kOk;
     if (n == 0) co_return Io::kClosed;
@@ -120,9 +125,9 @@
   co_return Io::kOk;
 }
 
-void Socket::EndWriting() { ::shutdown(fd_.get(), SHUT_WR); }
+void Socket::ShutdownWrite() { ::shutdown(fd_.get(), SHUT_WR); }
 
-bool Socket::Quiet() const {
+bool Socket::IsIdle() const {
   char byte = 0;
   return ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && WouldBlock(errno);
 }
@@ -147,7 +152,7 @@
   // Watched only once the handshake is under way: before it, epoll reports a socket as hung up.
   const int failed = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw);
   if (failed != 0 && errno != EINPROGRESS) co_return errno == ECONNREFUSED ? Io::kRefused : Io::kClosed;
-  std::unique_ptr<Socket> socket = OnLoop(loop, std::move(fd));
+  std::unique_ptr<Socket> socket = MakeSocket(loop, std::move(fd));
   if (!socket) co_return Io::kNoDescriptors;
   if (failed != 0) {
     const Wake wake = co_await Waiter(loop, &socket->watched_.writable, deadline, cancel);
@@ -161,11 +166,11 @@
   co_return Io::kOk;
 }
 
-Listener::Listener(Loop& loop, const Address& address) : loop_(loop), socket_(loop, Listening(address)) {}
+Listener::Listener(Loop& loop, const Address& address) : loop_(loop), socket_(loop, Listen(address)) {}
 
 Listener::Listener(Loop& loop, Descriptor listening) : loop_(loop), socket_(loop, std::move(listening)) {}
 
-// Others may hold the socket on: closing this descriptor alone would leave it in the epoll set.
+// If another process holds the socket too, closing this descriptor would leave it in the epoll set.
 Listener::~Listener() { loop_.Unwatch(socket_.fd()); }
 
 Task<Io> Listener::Accept(std::unique_ptr<Socket>& out, Cancellation* cancel) {
@@ -173,17 +178,15 @@
     Descriptor fd(::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) {
       SetOption(fd.get(), IPPROTO_TCP, TCP_NODELAY);
-      out = OnLoop(loop_, std::move(fd));
+      out = MakeSocket(loop_, std::move(fd));
       co_return out ? Io::kOk : Io::kNoDescriptors;
     }
-    if (errno == EMFILE || errno == ENFILE || errno == ENOMEM || errno == ENOBUFS) {
-      co_return Io::kNoDescriptors;
-    }
+    if (IsShortage(errno)) co_return Io::kNoDescriptors;
     if (WouldBlock(errno)) {
       const Wake wake = co_await Waiter(loop_, &socket_.watched_.readable, kNever, cancel);
       if (wake == Wake::kCancelled) co_return Io::kCancelled;
     }
-    // Anything else is the failure of one connection that was about to come up: on to the next.
+    // Other errors concern one connection that was about to be accepted: the next one is tried.
   }
 }
 
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -1,4 +1,8 @@
 // Non-blocking TCP sockets on the loop: every wait has a deadline and can be cancelled.
+//
+// Contract. One coroutine reads and one writes a socket at a time. The loop outlives the sockets, and a
+// socket outlives the tasks that it returned. Errors of connections are returned as Io; std::system_error is
+// thrown only by constructors. Thread: the event loop's.
 #ifndef LEMONCROFT_RUNTIME_SOCKET_H_
 #define LEMONCROFT_RUNTIME_SOCKET_H_
 
@@ -16,26 +20,37 @@
 // An IPv4 address with a port, as in 127.0.0.1:80.
 struct Address {
   sockaddr_in raw{};
-  static std::optional<Address> Parse(std::string_view text);
+  static std::optional<Address> Parse(std::string_view text);  // nullopt if it isn't one
   std::string Text() const;
 };
 
-enum class Io { kOk, kClosed, kTimeout, kCancelled, kRefused, kNoDescriptors };
+// How an operation on a socket ended.
+enum class Io {
+  kOk,
+  kClosed,     // by the peer, or the connection failed
+  kTimeout,    // its deadline has passed
+  kCancelled,  // by its Cancellation
+  kRefused,    // nobody listens there
+  kNoDescriptors,
+};
 
+// One connection. It is closed with its owner; to be sure that the last bytes arrive, see lingering_close.h.
 class Socket {
  public:
+  // Throws std::system_error if the loop can't watch the descriptor.
   Socket(Loop& loop, Descriptor fd);
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
 
-  // Appends what has come, at most `most` bytes and 16 KB, to `into`.
-  Task<Io> Read(std::string& into, std::size_t most, Time deadline, Cancellation* cancel = nullptr);
-  // Writes all of `bytes`; `written` counts what the kernel took, also on failure.
+  // Waits for input and appends it to `into`: at most `max_bytes` and 16 KB.
+  Task<Io> Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel = nullptr);
+  // Writes all of `bytes`, which must outlive the task; `written` counts what the kernel took, also on
+  // failure.
   Task<Io> Write(std::string_view bytes, std::size_t& written, Time deadline, Cancellation* cancel = nullptr);
-  // Nothing more will be written: the peer reads an end behind what has been.
-  void EndWriting();
-  // True while the peer has neither closed nor sent anything: a pooled connection that is fit for use.
-  bool Quiet() const;
+  // Closes the write side: the peer reads the end of the stream behind the last byte written.
+  void ShutdownWrite();
+  // True while there is no unread input and the peer has not closed: an idle connection that can be used.
+  bool IsIdle() const;
   int fd() const { return fd_.get(); }
   Address peer() const;
 
@@ -49,22 +64,24 @@
   Descriptor fd_;
 };
 
-// kRefused, kTimeout, kCancelled, kClosed (unreachable) and kNoDescriptors leave `out` empty. `from`: the
-// host that it comes from, at any port of it.
+// Opens a connection to `to`. `out` is set on kOk alone; kClosed: unreachable. `from`: the local host to
+// connect from, at any of its ports.
 Task<Io> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel, std::unique_ptr<Socket>& out,
                  std::optional<Address> from = std::nullopt);
 
-// The listening socket that this process was started with as that descriptor, made fit for a Listener. Throws
-// std::runtime_error, which says what is wrong, where there is none. Before anything else is opened: what the
-// number names must not be a descriptor of our own.
+// Takes over the listening socket that this process inherited as descriptor `number`, and makes it
+// non-blocking. Throws std::runtime_error if it is no listening TCP socket. To be called before any other
+// descriptor is opened, which might get that number.
 Descriptor InheritedListener(int number);
 
+// A listening socket. Destroying it stops listening unless another process holds the socket too.
 class Listener {
  public:
   Listener(Loop& loop, const Address& address);  // throws std::system_error
-  Listener(Loop& loop, Descriptor listening);    // non-blocking; other processes may hold it too
+  Listener(Loop& loop, Descriptor listening);    // a non-blocking socket, as from InheritedListener()
   ~Listener();
-  // kOk; kCancelled; or kNoDescriptors where the process or the system has no more.
+  // Waits for a connection. Returns kOk, kCancelled, or kNoDescriptors if the process or the system has none
+  // left.
   Task<Io> Accept(std::unique_ptr<Socket>& out, Cancellation* cancel = nullptr);
   Address address() const;  // as bound
 
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -1,5 +1,9 @@
-// A lazily started coroutine that its awaiter owns: Task<T> runs when awaited and hands back a T or an
-// exception. Destroying a Task destroys its frame, and with it everything the coroutine holds.
+// A lazily started coroutine that its awaiter owns: Task<T> runs when awaited and returns a T or throws.
+//
+// Contract. A Task is awaited once at most. When it ends its awaiter is resumed directly, without a turn of
+// the loop. Destroying a Task destroys its frame, and with it everything that the coroutine holds: this is
+// how tasks are stopped at the end of the loop. Objects that a coroutine refers to must outlive its frame.
+// Thread: the event loop's.
 #ifndef LEMONCROFT_RUNTIME_TASK_H_
 #define LEMONCROFT_RUNTIME_TASK_H_
 
@@ -15,10 +19,12 @@
 
 namespace detail {
 
+// What all promises share: the awaiter to resume at the end, and the exception to rethrow in it.
 struct PromiseBase {
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
 
+  // Suspends the ended coroutine and resumes its awaiter.
   struct Final {
     bool await_ready() noexcept { return false; }
     template <typename P>
@@ -66,6 +72,7 @@
   }
   ~Task() { Destroy(); }
 
+  // For the loop, which starts tasks without an awaiter.
   Handle handle() const { return handle_; }
 
   bool await_ready() const noexcept { return false; }
--- a/src/testing/fault_test/load.cpp
+++ b/src/testing/fault_test/load.cpp
@@ -165,15 +165,15 @@
     codec::Frame frame;
     while (reader.Next(in, frame) == codec::FrameReader::Result::kFrame) {
       if (frame.type == codec::kDrainFrame && connection == connection_) draining_ = true;
-      if (frame.type != codec::kAnswerFrame) continue;
+      if (frame.type != codec::kResponseFrame) continue;
       if (open_.erase({connection, frame.stream}) == 0) {
         ++tally_.twice;
         continue;
       }
       const auto code = static_cast<std::uint8_t>(frame.payload.empty() ? 255 : frame.payload[0]);
-      ++(code == codec::kServedCode    ? tally_.served
-         : code == codec::kRefusedCode ? tally_.refused
-                                       : tally_.failed);
+      ++(code == codec::kServedCode     ? tally_.served
+         : code == codec::kRejectedCode ? tally_.refused
+                                        : tally_.failed);
     }
     reader.Compact(in);
     if (co_await socket->Read(in, 16384, runtime::kNever) != Io::kOk) break;
--- a/src/testing/fault_test/relay.cpp
+++ b/src/testing/fault_test/relay.cpp
@@ -130,7 +130,7 @@
     std::size_t written = 0;
     if (co_await out->Write(bytes, written, Now() + kStreamPatience) != Io::kOk) break;
   }
-  out->EndWriting();
+  out->ShutdownWrite();
 }
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/rig.cpp
+++ b/src/testing/fault_test/rig.cpp
@@ -561,7 +561,7 @@
   const auto to = *runtime::Address::Parse(Relay::Bound(machine) + ":" + std::to_string(port_ + 2));
   std::string asks;
   for (int i = 0; i < kAsksABatch; ++i)
-    codec::WriteFrame(asks, codec::kReadyAskFrame, 1, std::string_view("\0", 1));
+    codec::WriteFrame(asks, codec::kReadinessRequestFrame, 1, std::string_view("\0", 1));
   for (;; co_await loop_.Sleep(100ms)) {
     std::unique_ptr<runtime::Socket> socket;
     if (co_await Connect(loop_, to, Now() + 500ms, nullptr, socket) != runtime::Io::kOk) continue;
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -128,7 +128,7 @@
   ASSERT_TRUE(ended_);
   EXPECT_EQ(result_.outcome, Outcome::kNotSent);
   EXPECT_LT(Now(), attempt.not_after + 500ms) << "told as soon as it is out of the question";
-  EXPECT_EQ(counters_.tries(), 0u);
+  EXPECT_EQ(counters_.attempts(), 0u);
 }
 
 TEST_F(Backend, ARepeatPastItsTimeLeavesOnNoConnectionAtAll) {
@@ -155,7 +155,7 @@
   Play(SomeAttempt());
   EXPECT_EQ(result_.outcome, Outcome::kNotSent);
   EXPECT_LT(Now() - from, 100ms + 30ms) << "the bound on attempts after a client has left";
-  EXPECT_EQ(counters_.tries(), 0u);
+  EXPECT_EQ(counters_.attempts(), 0u);
 }
 
 // An engine on the same loop. `answer` is handed each call as it came and the connection it came on.
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -98,7 +98,7 @@
   loop_.Run();
   EXPECT_EQ(Logged("says send"), 1) << "the crossing has to come about";
   EXPECT_EQ(Logged("told ended"), 1) << log_.str();
-  EXPECT_EQ(counters_.tries(), 0u);
+  EXPECT_EQ(counters_.attempts(), 0u);
   EXPECT_EQ(answers_, 0);
   EXPECT_TRUE(broker_.idle());
 }
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -147,7 +147,7 @@
       codec::Frame frame;
       while (co_await socket->Read(in, 4096, until) == Io::kOk) {
         while (reader.Next(in, frame) == codec::FrameReader::Result::kFrame)
-          if (frame.type == codec::kAnswerFrame && frame.stream != 0) ++heard_[frame.payload[0]];
+          if (frame.type == codec::kResponseFrame && frame.stream != 0) ++heard_[frame.payload[0]];
         reader.Compact(in);
       }
     }
@@ -190,18 +190,18 @@
     std::uint64_t ok = 0, shed = 0, errors = 0, withdrawn = 0;
     EXPECT_EQ(play.counters().classes().size(), 2u) << "a class that there isn't has no figures";
     for (const auto& [name, of] : play.counters().classes()) {
-      EXPECT_EQ(of.taken, of.ended()) << name << ", seed " << seed;
-      EXPECT_GT(of.taken, 50u);
+      EXPECT_EQ(of.received, of.ended()) << name << ", seed " << seed;
+      EXPECT_GT(of.received, 50u);
       ok += of.ok, shed += of.shed, errors += of.errors, withdrawn += of.withdrawn;
     }
     // What clients heard was counted; what they left unheard may have been, too.
     EXPECT_GE(ok, static_cast<std::uint64_t>(play.heard(codec::kServedCode)));
-    EXPECT_GE(shed, static_cast<std::uint64_t>(play.heard(codec::kRefusedCode)));
+    EXPECT_GE(shed, static_cast<std::uint64_t>(play.heard(codec::kRejectedCode)));
     EXPECT_GT(play.heard(codec::kServedCode), 0);
-    EXPECT_GT(play.heard(codec::kRefusedCode), 0);
+    EXPECT_GT(play.heard(codec::kRejectedCode), 0);
     EXPECT_GT(errors, 0u);
     EXPECT_GT(withdrawn, 0u);
-    EXPECT_GE(play.counters().tries(), ok);
+    EXPECT_GE(play.counters().attempts(), ok);
   }
 }
 
--- a/tests/golden_stream_test.cpp
+++ b/tests/golden_stream_test.cpp
@@ -27,7 +27,7 @@
 std::string ReplyTo(const std::string& call, const admin::Reply& reply) {
   runtime::Loop loop;
   const runtime::Address address = FreeAddress(loop);
-  admin::Listener listener(loop, address, [&](const admin::Call&) { return reply; });
+  admin::Listener listener(loop, address, [&](const admin::Command&) { return reply; });
   std::string in;
   const auto ask = [&]() -> Task<> {
     std::unique_ptr<runtime::Socket> socket;
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -30,7 +30,7 @@
 std::string AnswerOf(std::uint8_t type, std::uint8_t code, const codec::FieldViews& fields,
                      std::string_view body) {
   std::string out;
-  codec::WriteAnswer(out, type, 0x01020304, code, fields, body);
+  codec::WriteResponse(out, type, 0x01020304, code, fields, body);
   return out;
 }
 
@@ -57,17 +57,17 @@
       {{"request_minimal", FrameOf(codec::kRequestFrame, 0), ReencodedFrame},
        {"request_full", FrameOf(codec::kRequestFrame, 0xfffefdfc, longer), ReencodedFrame},
        {"cancel", FrameOf(codec::kCancelFrame, 2), ReencodedFrame},
-       {"ready_ask", FrameOf(codec::kReadyAskFrame, 3, std::string_view("\0", 1)), ReencodedFrame},
+       {"ready_ask", FrameOf(codec::kReadinessRequestFrame, 3, std::string_view("\0", 1)), ReencodedFrame},
        {"drain", FrameOf(codec::kDrainFrame, 0), ReencodedFrame},
-       {"ready", AnswerOf(codec::kReadyFrame, 0, {}, {}), ReencodedAnswer},
-       {"answer_minimal", AnswerOf(codec::kAnswerFrame, codec::kServedCode, {}, {}), ReencodedAnswer},
+       {"ready", AnswerOf(codec::kReadinessResponseFrame, 0, {}, {}), ReencodedAnswer},
+       {"answer_minimal", AnswerOf(codec::kResponseFrame, codec::kServedCode, {}, {}), ReencodedAnswer},
        {"answer_served",
-        AnswerOf(codec::kAnswerFrame, codec::kServedCode, {{"n", longer}, {"", "v"}}, "a\tb\n"),
+        AnswerOf(codec::kResponseFrame, codec::kServedCode, {{"n", longer}, {"", "v"}}, "a\tb\n"),
         ReencodedAnswer},
-       {"answer_refused", AnswerOf(codec::kAnswerFrame, codec::kRefusedCode, {{"later", "1000"}}, {}),
+       {"answer_refused", AnswerOf(codec::kResponseFrame, codec::kRejectedCode, {{"later", "1000"}}, {}),
         ReencodedAnswer},
-       {"answer_failed", AnswerOf(codec::kAnswerFrame, codec::kFailedCode, {}, "why"), ReencodedAnswer},
-       {"estimate", AnswerOf(codec::kEstimateFrame, 0, {{"wait", "250"}}, {}), ReencodedAnswer}});
+       {"answer_failed", AnswerOf(codec::kResponseFrame, codec::kFailedCode, {}, "why"), ReencodedAnswer},
+       {"estimate", AnswerOf(codec::kWaitNoticeFrame, 0, {{"wait", "250"}}, {}), ReencodedAnswer}});
 }
 
 // ---- Requests to engines ----
@@ -92,9 +92,9 @@
 // ---- Calls of operators ----
 
 std::string Understood(std::string_view line) {
-  const auto read = admin::ReadCall(line);
+  const auto read = admin::ParseCommand(line);
   if (const auto* wrong = std::get_if<std::string>(&read)) return *wrong;
-  const auto& call = std::get<admin::Call>(read);
+  const auto& call = std::get<admin::Command>(read);
   return std::to_string(static_cast<int>(call.verb)) + " " + call.engine;
 }
 
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -16,7 +16,7 @@
     const std::string type = v.type.empty() ? "" : "(" + v.type + ")";
     if (v.kind == codec::KdlValue::Kind::kText) return type + "'" + v.text + "'";
     if (v.kind == codec::KdlValue::Kind::kNumber) return type + std::to_string(v.number);
-    return type + (v.kind == codec::KdlValue::Kind::kNull ? "null" : v.truth ? "true" : "false");
+    return type + (v.kind == codec::KdlValue::Kind::kNull ? "null" : v.boolean ? "true" : "false");
   };
   for (const auto& v : node.arguments) out += " " + value(v);
   for (const auto& [name, v] : node.properties) out += " " + name + "=" + value(v);
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -196,7 +196,7 @@
     const auto stream = static_cast<std::uint32_t>(std::stoul(words[3]));
     if (words[2] != "request") {
       const bool ready = words[2] == "ready";
-      codec::WriteFrame(out, ready ? codec::kReadyAskFrame : codec::kCancelFrame, stream,
+      codec::WriteFrame(out, ready ? codec::kReadinessRequestFrame : codec::kCancelFrame, stream,
                         ready ? std::string_view("\0", 1) : std::string_view());
       return void(SendAll(fd_.get(), out));
     }
@@ -247,10 +247,10 @@
       if (name == "within") client_timeout = std::chrono::milliseconds(std::stoi(value));
     }
     if (!Next(frame, client_timeout)) Wrong(ended_ ? "the connection was closed" : "nothing came");
-    const std::string kind = frame.type == codec::kAnswerFrame     ? "answer"
-                             : frame.type == codec::kReadyFrame    ? "ready"
-                             : frame.type == codec::kEstimateFrame ? "estimate"
-                                                                   : "drain";
+    const std::string kind = frame.type == codec::kResponseFrame            ? "answer"
+                             : frame.type == codec::kReadinessResponseFrame ? "ready"
+                             : frame.type == codec::kWaitNoticeFrame        ? "estimate"
+                                                                            : "drain";
     Same("frame", kind, words[2]);
     if (kind == "drain") return;
     const bool answer = kind == "answer";
@@ -284,7 +284,7 @@
   void Flood(std::chrono::milliseconds span) {
     std::string asks, answers;
     for (int i = 0; i < 1000; ++i)
-      codec::WriteFrame(asks, codec::kReadyAskFrame, 1, std::string_view("\0", 1));
+      codec::WriteFrame(asks, codec::kReadinessRequestFrame, 1, std::string_view("\0", 1));
     std::size_t at = 0;
     for (auto until = Clock::now() + span;;) {
       const bool more = Clock::now() < until || at > 0;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -20,10 +20,10 @@
       ASSERT_EQ(first, admin::LineReader::State::kNeedMore) << cut;
     }
     ASSERT_EQ(reader.Feed(std::string_view(text).substr(cut)), admin::LineReader::State::kLine) << cut;
-    const auto call = admin::ReadCall(reader.line());
-    ASSERT_TRUE(std::holds_alternative<admin::Call>(call));
-    EXPECT_EQ(std::get<admin::Call>(call).verb, admin::Verb::kExclude);
-    EXPECT_EQ(std::get<admin::Call>(call).engine, "s-00c41f7a");
+    const auto call = admin::ParseCommand(reader.line());
+    ASSERT_TRUE(std::holds_alternative<admin::Command>(call));
+    EXPECT_EQ(std::get<admin::Command>(call).verb, admin::Verb::kExclude);
+    EXPECT_EQ(std::get<admin::Command>(call).engine, "s-00c41f7a");
   }
 }
 
@@ -96,7 +96,7 @@
 
 TEST(Counters, AreBounded) {
   metrics::Counters counters;
-  for (int i = 0; i < 10'000; ++i) counters.Taken("class-" + std::to_string(i));
+  for (int i = 0; i < 10'000; ++i) counters.CountReceived("class-" + std::to_string(i));
   EXPECT_EQ(counters.classes().size(), metrics::Counters::kMaxClasses);
 }
 
