--- /dev/null
+++ b/src/frontend/client_connection.cpp
@@ -0,0 +1,69 @@
+#include "frontend/client_connection.h"
+
+#include <utility>
+
+#include "runtime/lingering_close.h"
+
+namespace lemoncroft::frontend {
+
+using runtime::Now;
+using runtime::Task;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr auto kLingerTimeout = 500ms;  // for the client to close its side
+constexpr auto kMinLinger = 50ms;       // longer than a round trip
+
+}  // namespace
+
+ClientConnection::ClientConnection(ConnectionContext& context, std::unique_ptr<runtime::Socket> socket)
+    : context_(context), socket_(std::move(socket)) {}
+
+Task<> ClientConnection::Serve() {
+  context_.loop.Spawn(WriteOutput(shared_from_this()));
+  co_await ReadFrames();
+  // Requests that were accepted still get their responses, unless the client is gone.
+  if (!peer_closed_ && !aborted_ && !open_streams_.empty()) co_await DiscardInput();
+  CancelOpenRequests();
+  input_ = std::string();
+  AccountInput();
+  output_closed_ = true;
+  output_appended_.Open();
+  while (!aborted_ && !IsFlushed()) {  // WriteOutput aborts if the client stops reading
+    co_await runtime::Waiter(context_.loop, &output_flushed_, runtime::kNever);
+  }
+  if (!peer_closed_ && !aborted_) {
+    if (!std::exchange(write_side_closed_, true)) write_side_closed_at_ = Now();
+    co_await runtime::LingeringClose(context_.loop, *socket_, kLingerTimeout, &stop_lingering_);
+  }
+}
+
+// The check for unread input and the shutdown are in one turn of the loop: a request that arrives later has
+// crossed the shutdown, and its client sends it again.
+bool ClientConnection::CloseIfIdle() {
+  if (output_closed_ || !open_streams_.empty() || !IsFlushed() || HasUnreadInput()) return false;
+  socket_->ShutdownWrite();
+  write_side_closed_ = true;
+  output_closed_ = true;
+  write_side_closed_at_ = Now();
+  stop_reading_.Cancel();
+  return true;
+}
+
+bool ClientConnection::MayStopLingering(runtime::Time now) const {
+  return write_side_closed_ && !stop_lingering_.cancelled() && now - write_side_closed_at_ > kMinLinger;
+}
+
+bool ClientConnection::IsIdle() const {
+  return !output_closed_ && !stop_reading_.cancelled() && open_streams_.empty() && IsFlushed();
+}
+
+void ClientConnection::AnnounceDrain() {
+  if (output_closed_ || aborted_ || drain_announced_) return;
+  drain_announced_ = true;
+  codec::WriteFrame(output_, codec::kDrainFrame, 0);
+  output_appended_.Open();
+}
+
+}  // namespace lemoncroft::frontend
--- /dev/null
+++ b/src/frontend/client_connection_input.cpp
@@ -0,0 +1,170 @@
+#include <algorithm>
+#include <utility>
+
+#include "frontend/client_connection.h"
+#include "frontend/client_fields.h"
+#include "frontend/request_parser.h"
+#include "frontend/stream_response_sink.h"
+#include "runtime/lingering_close.h"
+
+namespace lemoncroft::frontend {
+
+using codec::FrameReader;
+using runtime::Io;
+using runtime::Now;
+using runtime::Task;
+using namespace client_protocol;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr std::size_t kReadBytes = 16 * 1024;
+constexpr std::size_t kMaxIdleInputCapacity = 4 * kReadBytes;  // larger empty buffers are released
+constexpr std::size_t kMaxOpenStreams = 32;
+// For a client's first request, and for the rest of a frame that has begun.
+constexpr auto kFrameTimeout = 2000ms;
+// Clients that go on sending invalid frames are read slowly, so that others are not.
+constexpr int kInvalidFramesBeforePause = 8;
+constexpr auto kInvalidFramePause = 25ms;
+
+}  // namespace
+
+Task<> ClientConnection::ReadFrames() {
+  // A client that always has more to read never waits in Read, where the cancellation would be seen.
+  while (!stop_reading_.cancelled()) {
+    const Io io = co_await socket_->Read(input_, kReadBytes, ReadDeadline(), &stop_reading_);
+    if (io == Io::kTimeout) co_return SendError(0, kErrorRequestTimeout);
+    if (io == Io::kCancelled) co_return;
+    peer_closed_ = io != Io::kOk;
+    if (peer_closed_) co_return;
+    const int invalid_frames_before = invalid_frames_;
+    const std::size_t bytes_before = input_.size();
+    if (HandleFrames() == InputState::kUnreadable) co_return;
+    UpdatePartialFrameAge(bytes_before);
+    // The client that exceeds the limit on partial frames of all clients is closed, not the process ended.
+    if (!AccountInput()) co_return SendError(0, kErrorTooMuchUnparsed);
+    if (invalid_frames_ > std::max(invalid_frames_before, kInvalidFramesBeforePause)) {
+      co_await context_.loop.Sleep(kInvalidFramePause, &stop_reading_);
+    } else {
+      co_await context_.loop.NextTurn();  // other clients get their turn even if this one never pauses
+    }
+  }
+}
+
+runtime::Time ClientConnection::ReadDeadline() const {
+  const runtime::Time first_request = has_sent_request_ ? runtime::kNever : opened_at_ + kFrameTimeout;
+  const runtime::Time rest_of_frame =
+      partial_frame_since_ == runtime::kNever ? runtime::kNever : partial_frame_since_ + kFrameTimeout;
+  return std::min(first_request, rest_of_frame);
+}
+
+void ClientConnection::UpdatePartialFrameAge(std::size_t bytes_before) {
+  if (input_.empty()) {
+    partial_frame_since_ = runtime::kNever;
+    return;
+  }
+  const bool is_new_frame = partial_frame_since_ == runtime::kNever || input_.size() < bytes_before;
+  if (is_new_frame) partial_frame_since_ = Now();
+}
+
+bool ClientConnection::AccountInput() {
+  if (input_.empty() && input_.capacity() > kMaxIdleInputCapacity) input_ = std::string();
+  context_.total_unparsed_bytes += input_.size() - accounted_input_bytes_;
+  accounted_input_bytes_ = input_.size();
+  return context_.total_unparsed_bytes <= context_.limits.max_total_unparsed_bytes;
+}
+
+Task<> ClientConnection::DiscardInput() {
+  input_unreadable_ = true;
+  std::string discarded;
+  for (std::size_t bytes = 0; !stop_discarding_.cancelled(); bytes += discarded.size()) {
+    discarded.clear();
+    const Io io = co_await socket_->Read(discarded, kReadBytes, runtime::kNever, &stop_discarding_);
+    peer_closed_ = io == Io::kClosed;
+    if (io != Io::kOk) co_return;
+    if (bytes < runtime::kMaxLingerBytes) {
+      co_await context_.loop.NextTurn();
+    } else {
+      co_await context_.loop.Sleep(kInvalidFramePause, &stop_discarding_);
+    }
+  }
+}
+
+ClientConnection::InputState ClientConnection::HandleFrames() {
+  codec::Frame frame;
+  FrameReader::Result result = FrameReader::Result::kNeedMore;
+  while ((result = frame_reader_.Next(input_, frame)) == FrameReader::Result::kFrame) HandleFrame(frame);
+  frame_reader_.Compact(input_);
+  if (result != FrameReader::Result::kBadLength) return InputState::kReadable;
+  SendError(0, kErrorInvalidFrameLength);
+  return InputState::kUnreadable;
+}
+
+void ClientConnection::HandleFrame(const codec::Frame& frame) {
+  switch (frame.type) {
+    case codec::kRequestFrame:
+      HandleRequest(frame);
+      break;
+    case codec::kCancelFrame:
+      HandleCancel(frame.stream);
+      break;
+    case codec::kReadinessRequestFrame: {
+      has_sent_request_ = true;
+      const bool is_ready = context_.is_ready && !context_.is_draining;
+      Append(codec::kReadinessResponseFrame, frame.stream,
+             is_ready ? codec::kServedCode : codec::kRejectedCode);
+      break;
+    }
+    default:
+      SendError(0, kErrorUnknownFrameType);
+  }
+}
+
+void ClientConnection::HandleRequest(const codec::Frame& frame) {
+  // On a stream that is in use the client would take the error for the other request's response.
+  if (frame.stream == 0 || open_streams_.contains(frame.stream)) return SendError(0, kErrorInvalidStream);
+  const auto fields = codec::ReadFields(frame.payload);
+  if (!fields) return SendError(frame.stream, kErrorMalformedFields);
+  auto request = ParseRequest(*fields, *context_.settings);
+  if (!request) {
+    CountEnded(fields->Get(kFieldClassName), metrics::End::kError);
+    return SendError(frame.stream, ErrorText(request.error()));
+  }
+  request->watched = request->watched && context_.sends_wait_notices;
+  has_sent_request_ = true;
+  last_active_at_ = Now();
+  if (open_streams_.size() >= kMaxOpenStreams) {
+    ++invalid_frames_;
+    CountEnded(request->passed.lane, metrics::End::kShed);
+    return Append(codec::kResponseFrame, frame.stream, codec::kRejectedCode, {}, kErrorTooManyStreams);
+  }
+  SubmitRequest(frame.stream, std::move(*request));
+}
+
+void ClientConnection::SubmitRequest(std::uint32_t stream, broker::ClientRequest request) {
+  open_streams_.emplace(stream, 0);
+  const RequestId id = context_.broker.Take(std::move(request),
+                                            std::make_unique<StreamResponseSink>(weak_from_this(), stream));
+  // The broker may have answered within the call.
+  if (const auto it = open_streams_.find(stream); it != open_streams_.end()) it->second = id;
+}
+
+void ClientConnection::HandleCancel(std::uint32_t stream) {
+  const auto it = open_streams_.find(stream);
+  if (it == open_streams_.end()) return;
+  context_.broker.CancelRequest(it->second);
+  open_streams_.erase(it);
+}
+
+void ClientConnection::CancelOpenRequests() {
+  for (const auto& [stream, id] : open_streams_) context_.broker.CancelRequest(id);
+  open_streams_.clear();
+}
+
+void ClientConnection::CountEnded(std::string_view class_name, metrics::End how) {
+  if (!context_.settings->ClassOf(class_name)) return;
+  context_.counters.CountReceived(std::string(class_name));
+  context_.counters.CountEnded(std::string(class_name), how);
+}
+
+}  // namespace lemoncroft::frontend
--- /dev/null
+++ b/src/frontend/client_connection_output.cpp
@@ -0,0 +1,108 @@
+#include <chrono>
+#include <string>
+
+#include "frontend/client_connection.h"
+#include "frontend/client_fields.h"
+
+namespace lemoncroft::frontend {
+
+using runtime::Io;
+using runtime::Now;
+using runtime::Span;
+using runtime::Task;
+using namespace client_protocol;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr auto kWriteTimeout = 5s;
+
+// Whole milliseconds, rounded up.
+std::string MillisecondsText(Span span) {
+  return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(span).count());
+}
+
+codec::ResponseCode CodeOf(broker::Verdict verdict) {
+  switch (verdict) {
+    case broker::Verdict::kServed:
+      return codec::kServedCode;
+    case broker::Verdict::kRefused:
+      return codec::kRejectedCode;
+    case broker::Verdict::kFailed:
+      break;
+  }
+  return codec::kFailedCode;
+}
+
+}  // namespace
+
+void ClientConnection::SendResponse(std::uint32_t stream, const broker::Answer& answer) {
+  if (output_closed_) return;
+  open_streams_.erase(stream);
+  last_active_at_ = Now();
+  std::string retry_after;
+  codec::FieldViews fields;
+  if (answer.retry_after > Span::zero()) {
+    retry_after = MillisecondsText(answer.retry_after);
+    fields.emplace_back(kFieldRetryAfterMs, retry_after);
+  }
+  Append(codec::kResponseFrame, stream, CodeOf(answer.verdict), fields, answer.rows);
+  if (open_streams_.empty() && input_unreadable_) stop_discarding_.Cancel();
+}
+
+void ClientConnection::SendWaitNotice(std::uint32_t stream, const broker::WaitNotice& notice) {
+  if (output_closed_) return;
+  const std::string expected = MillisecondsText(notice.wait);
+  const std::string max = MillisecondsText(notice.most);
+  Append(codec::kWaitNoticeFrame, stream, codec::kServedCode,
+         {{kFieldExpectedWaitMs, expected}, {kFieldMaxWaitMs, max}});
+}
+
+void ClientConnection::SendError(std::uint32_t stream, std::string_view text) {
+  ++invalid_frames_;
+  Append(codec::kResponseFrame, stream, codec::kFailedCode, {}, text);
+}
+
+void ClientConnection::Append(codec::FrameType type, std::uint32_t stream, codec::ResponseCode code,
+                              const codec::FieldViews& fields, std::string_view body) {
+  if (aborted_ || write_side_closed_) return;
+  codec::WriteResponse(output_, type, stream, code, fields, body);
+  output_appended_.Open();
+  // Clients that leave responses unread are dropped before their buffers take the process's memory.
+  const ClientLimits& limits = context_.limits;
+  const bool too_much_unread = output_.size() > limits.max_unread_bytes;
+  const bool too_much_in_total = output_.size() + context_.total_unread_bytes > limits.max_total_unread_bytes;
+  if (too_much_unread || too_much_in_total) Abort();
+}
+
+// Everything that was appended within one turn of the loop goes out in one write.
+Task<> ClientConnection::WriteOutput(std::shared_ptr<ClientConnection> self) {
+  ClientConnection& c = *self;
+  while (!c.aborted_ && (!c.output_.empty() || !c.output_closed_)) {
+    if (c.output_.empty()) {
+      co_await runtime::Waiter(c.context_.loop, &c.output_appended_, runtime::kNever);
+      continue;
+    }
+    std::string bytes;
+    bytes.swap(c.output_);
+    c.write_in_progress_ = true;
+    c.context_.total_unread_bytes += bytes.size();
+    std::size_t written = 0;
+    const Io io = co_await c.socket_->Write(bytes, written, Now() + kWriteTimeout);
+    c.context_.total_unread_bytes -= bytes.size();
+    c.write_in_progress_ = false;
+    if (io != Io::kOk) c.Abort();
+    c.output_flushed_.Open();
+  }
+}
+
+void ClientConnection::Abort() {
+  aborted_ = true;
+  output_.clear();
+  stop_reading_.Cancel();
+  stop_discarding_.Cancel();
+  output_appended_.Open();
+  output_flushed_.Open();
+}
+
+}  // namespace lemoncroft::frontend
--- /dev/null
+++ b/src/frontend/stream_response_sink.h
@@ -0,0 +1,37 @@
+// Hands the broker's response to one request to the stream that it arrived on.
+//
+// Owner: the broker, for as long as the request is open. The connection may end before the sink does; what
+// arrives then is dropped.
+#ifndef LEMONCROFT_FRONTEND_STREAM_RESPONSE_SINK_H_
+#define LEMONCROFT_FRONTEND_STREAM_RESPONSE_SINK_H_
+
+#include <cstdint>
+#include <memory>
+#include <utility>
+
+#include "broker/request.h"
+#include "frontend/client_connection.h"
+
+namespace lemoncroft::frontend {
+
+class StreamResponseSink : public broker::ResponseSink {
+ public:
+  StreamResponseSink(std::weak_ptr<ClientConnection> connection, std::uint32_t stream)
+      : connection_(std::move(connection)), stream_(stream) {}
+
+  void Finish(const broker::Answer& answer) override {
+    if (const auto connection = connection_.lock()) connection->SendResponse(stream_, answer);
+  }
+
+  void NotifyWait(const broker::WaitNotice& notice) override {
+    if (const auto connection = connection_.lock()) connection->SendWaitNotice(stream_, notice);
+  }
+
+ private:
+  std::weak_ptr<ClientConnection> connection_;
+  std::uint32_t stream_;
+};
+
+}  // namespace lemoncroft::frontend
+
+#endif  // LEMONCROFT_FRONTEND_STREAM_RESPONSE_SINK_H_
