--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -1,200 +1,150 @@
 #include "codec/kdl.h"
 
 #include <algorithm>
+#include <cctype>
 #include <charconv>
 #include <limits>
-#include <optional>
 
-namespace lemoncroft::codec {
+#include "codec/kdl_input.h"
 
+namespace lemoncroft::codec {
 namespace {
 
-constexpr char32_t kEnd = 0xffffffff;
+// Quotes around a multi-line string.
+constexpr std::u32string_view kMultiLineQuotes = U"\"\"\"";
+constexpr int kMaxEscapeDigits = 6;
 
-bool IsNewline(char32_t c) {
-  return c == '\r' || c == '\n' || c == 0x85 || c == 0x0b || c == 0x0c || c == 0x2028 || c == 0x2029;
-}
+// The lines of a multi-line string as they are read.
+struct MultiLineText {
+  std::vector<std::string> lines{std::string()};
+  std::vector<bool> is_blank{true};  // by line: only white space, and none of it from an escape
 
-bool IsSpace(char32_t c) {
-  return c == ' ' || c == '\t' || c == 0xa0 || c == 0x1680 || (c >= 0x2000 && c <= 0x200a) || c == 0x202f ||
-         c == 0x205f || c == 0x3000;
-}
+  void StartLine() {
+    lines.emplace_back();
+    is_blank.push_back(true);
+  }
+};
 
-// Code points that may stand nowhere in a document: controls, directions of writing, a second byte order
-// mark.
-bool IsBarred(char32_t c) {
-  return c <= 0x08 || (c >= 0x0e && c <= 0x1f) || c == 0x7f || (c >= 0xd800 && c <= 0xdfff) ||
-         (c >= 0x200e && c <= 0x200f) || (c >= 0x202a && c <= 0x202e) || (c >= 0x2066 && c <= 0x2069) ||
-         c == 0xfeff;
+// Removes digit separators, which may stand behind any letter or digit.
+std::string WithoutUnderscores(const std::string& text) {
+  std::string plain;
+  for (std::size_t i = 0; i < text.size(); ++i) {
+    const bool is_separator =
+        text[i] == '_' && i > 0 && std::isalnum(static_cast<unsigned char>(text[i - 1]));
+    if (!is_separator) plain += text[i];
+  }
+  return plain;
 }
 
-bool IsBare(char32_t c) {
-  if (c == kEnd || IsNewline(c) || IsSpace(c)) return false;
-  return c > 0x7f || std::string_view("\\/(){}[];\"#=").find(static_cast<char>(c)) == std::string_view::npos;
+int NumberBase(std::string_view digits) {
+  const std::string_view prefix = digits.substr(0, 2);
+  if (prefix == "0x") return 16;
+  if (prefix == "0o") return 8;
+  if (prefix == "0b") return 2;
+  return 10;
 }
 
-bool IsDigit(char32_t c) { return c >= '0' && c <= '9'; }
-
-void Append(std::string& out, char32_t c) {
-  if (c < 0x80) {
-    out += static_cast<char>(c);
-  } else if (c < 0x800) {
-    out += static_cast<char>(0xc0 | (c >> 6));
-    out += static_cast<char>(0x80 | (c & 0x3f));
-  } else if (c < 0x10000) {
-    out += static_cast<char>(0xe0 | (c >> 12));
-    out += static_cast<char>(0x80 | ((c >> 6) & 0x3f));
-    out += static_cast<char>(0x80 | (c & 0x3f));
-  } else {
-    out += static_cast<char>(0xf0 | (c >> 18));
-    out += static_cast<char>(0x80 | ((c >> 12) & 0x3f));
-    out += static_cast<char>(0x80 | ((c >> 6) & 0x3f));
-    out += static_cast<char>(0x80 | (c & 0x3f));
-  }
+bool ParseDecimal(std::string_view digits, double& out) {
+  const char* end = digits.data() + digits.size();
+  const auto read = std::from_chars(digits.data(), end, out);
+  const std::size_t dot = digits.find('.');
+  const bool has_digit_behind_dot =
+      dot == std::string_view::npos || (dot + 1 < digits.size() && IsKdlDigit(digits[dot + 1]));
+  return read.ec == std::errc() && read.ptr == end && has_digit_behind_dot;
 }
 
-// The document as code points, each with its place.
-class Input {
- public:
-  explicit Input(std::string_view text) {
-    if (text.size() > kMaxKdlBytes) throw KdlError(KdlPosition(), "the document is too large");
-    points_.reserve(text.size());
-    KdlPosition place;
-    for (std::size_t i = 0; i < text.size();) {
-      const char32_t c = Decode(text, i, place);
-      if (c == 0xfeff && points_.empty() && i == 3) continue;  // a byte order mark
-      if (IsBarred(c)) throw KdlError(place, "a character that may not stand in a document");
-      points_.push_back({c, place});
-      const bool pair = c == '\r' && i < text.size() && text[i] == '\n';
-      if (IsNewline(c) && !pair)
-        ++place.line, place.column = 1;
-      else
-        ++place.column;
-    }
-    end_ = place;
-  }
-
-  char32_t Peek(std::size_t ahead = 0) const {
-    return at_ + ahead < points_.size() ? points_[at_ + ahead].first : kEnd;
-  }
-  char32_t Next() {
-    const char32_t c = Peek();
-    at_ += c != kEnd;
-    return c;
-  }
-  bool Skip(std::u32string_view text) {
-    for (std::size_t i = 0; i < text.size(); ++i) {
-      if (Peek(i) != text[i]) return false;
-    }
-    at_ += text.size();
-    return true;
-  }
-  bool SkipNewline() {
-    if (!IsNewline(Peek())) return false;
-    if (Next() == '\r' && Peek() == '\n') Next();
-    return true;
-  }
-  KdlPosition place() const { return at_ < points_.size() ? points_[at_].second : end_; }
-  [[noreturn]] void Fail(const std::string& what) const { throw KdlError(place(), what); }
-
- private:
-  static char32_t Decode(std::string_view text, std::size_t& i, KdlPosition place) {
-    const auto byte = [&](std::size_t n) { return static_cast<unsigned char>(text[n]); };
-    const unsigned char first = byte(i);
-    const int more = first < 0x80       ? 0
-                     : first >> 5 == 6  ? 1
-                     : first >> 4 == 14 ? 2
-                     : first >> 3 == 30 ? 3
-                                        : -1;
-    if (more < 0 || i + static_cast<std::size_t>(more) >= text.size()) throw KdlError(place, "not UTF-8");
-    char32_t c = more == 0 ? first : first & (0x3f >> more);
-    for (int n = 1; n <= more; ++n) {
-      const unsigned char next = byte(i + static_cast<std::size_t>(n));
-      if (next >> 6 != 2) throw KdlError(place, "not UTF-8");
-      c = (c << 6) | (next & 0x3f);
-    }
-    constexpr char32_t kLeast[] = {0, 0x80, 0x800, 0x10000};
-    if (c < kLeast[more] || c > 0x10ffff) throw KdlError(place, "not UTF-8");
-    i += static_cast<std::size_t>(more) + 1;
-    return c;
-  }
-
-  std::vector<std::pair<char32_t, KdlPosition>> points_;
-  std::size_t at_ = 0;
-  KdlPosition end_;
-};
+bool ParseInteger(std::string_view digits, int base, double& out) {
+  const char* end = digits.data() + digits.size();
+  unsigned long long number = 0;
+  const auto read = std::from_chars(digits.data(), end, number, base);
+  out = static_cast<double>(number);
+  return !digits.empty() && read.ec == std::errc() && read.ptr == end;
+}
 
-class Reader {
+// Recursive descent. Each function reads one construct of the grammar from the front of the input.
+class Parser {
  public:
-  explicit Reader(std::string_view text) : in_(text) {}
+  explicit Parser(std::string_view text) : in_(text) {}
 
-  std::vector<KdlNode> Document() {
-    std::vector<KdlNode> nodes = Nodes(0);
-    if (in_.Peek() != kEnd) in_.Fail("a '}' that closes nothing");
+  std::vector<KdlNode> ParseDocument() {
+    std::vector<KdlNode> nodes = ParseNodes(0);
+    if (in_.Peek() != kKdlEnd) in_.Fail("a '}' that closes nothing");
     return nodes;
   }
 
  private:
-  std::vector<KdlNode> Nodes(int depth) {
+  // ---- Nodes ----
+
+  std::vector<KdlNode> ParseNodes(int depth) {
     if (depth > kMaxKdlDepth) in_.Fail("nested too deeply");
     std::vector<KdlNode> nodes;
     for (;;) {
       while (SkipBlank() || in_.SkipNewline() || in_.Skip(U";")) {
       }
-      if (in_.Peek() == kEnd || in_.Peek() == '}') return nodes;
-      const bool dropped = Slashdash();
-      KdlNode node = Node(depth);
-      if (!dropped) nodes.push_back(std::move(node));
+      if (in_.Peek() == kKdlEnd || in_.Peek() == '}') return nodes;
+      const bool is_dropped = SkipSlashdash();
+      KdlNode node = ParseNode(depth);
+      if (!is_dropped) nodes.push_back(std::move(node));
     }
   }
 
-  KdlNode Node(int depth) {
-    if (++count_ > kMaxKdlNodes) in_.Fail("too many nodes");
+  KdlNode ParseNode(int depth) {
+    if (++node_count_ > kMaxKdlNodes) in_.Fail("too many nodes");
     KdlNode node;
-    node.place = in_.place();
-    node.type = Annotation();
-    node.name = Text("a node's name");
-    bool block = false;
+    node.place = in_.position();
+    node.type = ParseAnnotation();
+    node.name = ParseText("a node's name");
+    bool has_children = false;
     for (;;) {
-      const bool space = SkipBlank();
-      const char32_t c = in_.Peek();
-      if (c == kEnd || c == '}' || in_.Skip(U";") || in_.SkipNewline()) return node;
-      const bool dropped = Slashdash();
+      const bool has_space = SkipBlank();
+      if (SkipNodeEnd()) return node;
+      const bool is_dropped = SkipSlashdash();
       if (in_.Peek() == '{') {
-        in_.Next();
-        std::vector<KdlNode> children = Nodes(depth + 1);
-        if (!in_.Skip(U"}")) in_.Fail("a '{' that is not closed");
-        if (dropped) continue;
-        if (block) in_.Fail("a second block of children");
-        block = true;
+        std::vector<KdlNode> children = ParseChildren(depth);
+        if (is_dropped) continue;
+        if (has_children) in_.Fail("a second block of children");
+        has_children = true;
         node.children = std::move(children);
         continue;
       }
-      if (block) in_.Fail("a value behind the children");
-      if (!space) in_.Fail("no space before this");
-      Entry(node, dropped);
+      if (has_children) in_.Fail("a value behind the children");
+      if (!has_space) in_.Fail("no space before this");
+      ParseEntry(node, is_dropped);
     }
   }
 
-  // An argument, or a property.
-  void Entry(KdlNode& node, bool dropped) {
-    const KdlPosition place = in_.place();
-    KdlValue value = Value();
-    if (value.kind == KdlValue::Kind::kText && value.type.empty() && PropertyFollows()) {
+  bool SkipNodeEnd() {
+    const char32_t c = in_.Peek();
+    return c == kKdlEnd || c == '}' || in_.Skip(U";") || in_.SkipNewline();
+  }
+
+  std::vector<KdlNode> ParseChildren(int depth) {
+    in_.Next();
+    std::vector<KdlNode> children = ParseNodes(depth + 1);
+    if (!in_.Skip(U"}")) in_.Fail("a '{' that is not closed");
+    return children;
+  }
+
+  // An argument or a property; one that is dropped is read and not added.
+  void ParseEntry(KdlNode& node, bool is_dropped) {
+    const KdlPosition place = in_.position();
+    KdlValue value = ParseValue();
+    if (value.kind == KdlValue::Kind::kText && value.type.empty() && SkipPropertySign()) {
       std::string name = std::move(value.text);
-      value = Value();
-      if (dropped) return;
+      value = ParseValue();
+      if (is_dropped) return;
       std::erase_if(node.properties, [&name](const auto& p) { return p.first == name; });
       node.properties.emplace_back(std::move(name), std::move(value));
       return;
     }
     value.place = place;
-    if (!dropped) node.arguments.push_back(std::move(value));
+    if (!is_dropped) node.arguments.push_back(std::move(value));
   }
 
-  bool PropertyFollows() {
+  // Moves behind the '=' of a property, if there is one.
+  bool SkipPropertySign() {
     std::size_t ahead = 0;
-    while (IsSpace(in_.Peek(ahead))) ++ahead;
+    while (IsKdlSpace(in_.Peek(ahead))) ++ahead;
     if (in_.Peek(ahead) != '=') return false;
     SkipBlank();
     in_.Next();
@@ -202,31 +152,44 @@
     return true;
   }
 
-  KdlValue Value() {
+  std::string ParseAnnotation() {
+    if (in_.Peek() != '(') return {};
+    in_.Next();
+    SkipBlank();
+    std::string type = ParseText("a type");
+    SkipBlank();
+    if (!in_.Skip(U")")) in_.Fail("a '(' that is not closed");
+    SkipBlank();
+    return type;
+  }
+
+  // ---- Values ----
+
+  KdlValue ParseValue() {
     KdlValue value;
-    value.place = in_.place();
-    value.type = Annotation();
+    value.place = in_.position();
+    value.type = ParseAnnotation();
     const char32_t c = in_.Peek();
-    const char32_t digit = c == '+' || c == '-' ? in_.Peek(1) : c;
+    const char32_t first_digit = c == '+' || c == '-' ? in_.Peek(1) : c;
     if (c == '#' && in_.Peek(1) != '"' && in_.Peek(1) != '#') {
-      Keyword(value);
-    } else if (IsDigit(digit)) {
-      Number(value);
+      ParseKeyword(value);
+    } else if (IsKdlDigit(first_digit)) {
+      ParseNumber(value);
     } else {
       value.kind = KdlValue::Kind::kText;
-      value.text = Text("a value");
+      value.text = ParseText("a value");
     }
     return value;
   }
 
-  void Keyword(KdlValue& value) {
+  void ParseKeyword(KdlValue& value) {
     in_.Next();
-    const std::string word = Word();
-    const double inf = std::numeric_limits<double>::infinity();
+    const std::string word = ParseWord();
     if (word == "true" || word == "false") {
       value.kind = KdlValue::Kind::kBool;
       value.boolean = word == "true";
     } else if (word == "inf" || word == "-inf" || word == "nan") {
+      const double inf = std::numeric_limits<double>::infinity();
       value.kind = KdlValue::Kind::kNumber;
       value.text = "#" + word;
       value.number = word == "nan" ? std::numeric_limits<double>::quiet_NaN() : word == "inf" ? inf : -inf;
@@ -235,88 +198,80 @@
     }
   }
 
-  void Number(KdlValue& value) {
+  void ParseNumber(KdlValue& value) {
     value.kind = KdlValue::Kind::kNumber;
-    value.text = Word();
-    std::string plain;
-    for (std::size_t i = 0; i < value.text.size(); ++i) {
-      if (value.text[i] == '_' && i > 0 && std::isalnum(static_cast<unsigned char>(value.text[i - 1])))
-        continue;
-      plain += value.text[i];
-    }
+    value.text = ParseWord();
+    const std::string plain = WithoutUnderscores(value.text);
     std::string_view digits = plain;
-    const bool minus = digits.front() == '-';
-    if (minus || digits.front() == '+') digits.remove_prefix(1);
-    const std::string_view prefix = digits.substr(0, 2);
-    const int base = prefix == "0x" ? 16 : prefix == "0o" ? 8 : prefix == "0b" ? 2 : 10;
-    const char* end = digits.data() + digits.size();
-    bool whole = false;
-    if (base != 10) {
-      digits.remove_prefix(2);
-      unsigned long long number = 0;
-      const auto read = std::from_chars(digits.data(), end, number, base);
-      whole = !digits.empty() && read.ec == std::errc() && read.ptr == end;
-      value.number = static_cast<double>(number);
-    } else {
-      const auto read = std::from_chars(digits.data(), end, value.number);
-      const std::size_t dot = digits.find('.');
-      const bool dotted =
-          dot == std::string_view::npos || (dot + 1 < digits.size() && IsDigit(digits[dot + 1]));
-      whole = read.ec == std::errc() && read.ptr == end && dotted;
-    }
-    if (!whole) throw KdlError(value.place, "'" + value.text + "' is no number");
-    if (minus) value.number = -value.number;
+    const bool is_negative = digits.front() == '-';
+    if (is_negative || digits.front() == '+') digits.remove_prefix(1);
+    const int base = NumberBase(digits);
+    const bool is_valid =
+        base == 10 ? ParseDecimal(digits, value.number) : ParseInteger(digits.substr(2), base, value.number);
+    if (!is_valid) throw KdlError(value.place, "'" + value.text + "' is no number");
+    if (is_negative) value.number = -value.number;
   }
 
-  // Bare characters as they stand; may be empty.
-  std::string Word() {
+  // ---- Texts ----
+
+  // Identifier characters as they stand; may be empty.
+  std::string ParseWord() {
     std::string word;
-    while (IsBare(in_.Peek())) Append(word, in_.Next());
+    while (IsKdlIdentifierCharacter(in_.Peek())) AppendUtf8(word, in_.Next());
     return word;
   }
 
-  std::string Text(const char* what) {
-    const KdlPosition place = in_.place();
+  // A string of any form. `expected` names it in the error if there is none.
+  std::string ParseText(const char* expected) {
+    const KdlPosition place = in_.position();
     std::size_t hashes = 0;
     while (in_.Peek(hashes) == '#') ++hashes;
     if (in_.Peek(hashes) == '"') {
       for (std::size_t i = 0; i < hashes; ++i) in_.Next();
-      return Quoted(hashes);
+      return ParseQuoted(hashes);
     }
-    std::string word = hashes > 0 ? std::string() : Word();
-    if (word.empty()) in_.Fail(std::string("expected ") + what);
+    std::string word = hashes > 0 ? std::string() : ParseWord();
+    if (word.empty()) in_.Fail(std::string("expected ") + expected);
+    CheckBareWord(word, place);
+    return word;
+  }
+
+  // Bare words may look neither like numbers nor like keywords.
+  static void CheckBareWord(const std::string& word, KdlPosition place) {
     std::string_view start = word;
     if (start.front() == '+' || start.front() == '-') start.remove_prefix(1);
     if (start.size() > 1 && start.front() == '.') start.remove_prefix(1);
-    if (!start.empty() && IsDigit(static_cast<unsigned char>(start.front())))
+    if (!start.empty() && IsKdlDigit(static_cast<unsigned char>(start.front())))
       throw KdlError(place, "'" + word + "' looks like a number: put it in quotes");
     for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"}) {
       if (word == keyword) throw KdlError(place, word + " is written #" + word + ", or in quotes");
     }
-    return word;
   }
 
-  std::string Quoted(std::size_t hashes) {
-    const KdlPosition place = in_.place();
+  // A quoted string, or a raw one behind `hashes` number signs.
+  std::string ParseQuoted(std::size_t hashes) {
+    const KdlPosition place = in_.position();
     if (in_.Peek(1) == '"' && in_.Peek(2) == '"') {
-      in_.Skip(U"\"\"\"");
+      in_.Skip(kMultiLineQuotes);
       if (!in_.SkipNewline()) in_.Fail("a multi-line string begins on the line after its quotes");
-      return Lines(hashes, place);
+      return ParseMultiLine(hashes, place);
     }
     in_.Next();
     std::string out;
     for (;;) {
-      if (Closes(1, hashes)) return out;
+      if (SkipClosing(1, hashes)) return out;
       const char32_t c = in_.Peek();
-      if (c == kEnd || IsNewline(c)) throw KdlError(place, "a string that does not end on its line");
-      if (c == '\\' && hashes == 0)
-        Escape(out);
-      else
-        Append(out, in_.Next());
+      if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(place, "a string that does not end on its line");
+      if (c == '\\' && hashes == 0) {
+        ParseEscape(out);
+      } else {
+        AppendUtf8(out, in_.Next());
+      }
     }
   }
 
-  bool Closes(std::size_t quotes, std::size_t hashes) {
+  // Moves behind closing quotes and number signs if they stand here.
+  bool SkipClosing(std::size_t quotes, std::size_t hashes) {
     for (std::size_t i = 0; i < quotes + hashes; ++i) {
       if (in_.Peek(i) != (i < quotes ? U'"' : U'#')) return false;
     }
@@ -324,136 +279,146 @@
     return true;
   }
 
-  // The white space before the closing quotes stands before each line and is taken away.
-  std::string Lines(std::size_t hashes, KdlPosition place) {
-    std::vector<std::string> lines(1);
-    std::vector<bool> blank(1, true);  // by line: only white space that was written as it is
-    while (!Closes(3, hashes)) {
+  std::string ParseMultiLine(std::size_t hashes, KdlPosition place) {
+    MultiLineText text;
+    while (!SkipClosing(kMultiLineQuotes.size(), hashes)) {
       const char32_t c = in_.Peek();
-      if (c == kEnd) throw KdlError(place, "a multi-line string that does not end");
+      if (c == kKdlEnd) throw KdlError(place, "a multi-line string that does not end");
       if (in_.SkipNewline()) {
-        lines.emplace_back();
-        blank.push_back(true);
+        text.StartLine();
       } else if (c == '\\' && hashes == 0) {
-        const std::size_t before = lines.back().size();
-        Escape(lines.back());
-        if (lines.back().size() > before) blank.back() = false;
+        const std::size_t size_before = text.lines.back().size();
+        ParseEscape(text.lines.back());
+        if (text.lines.back().size() > size_before) text.is_blank.back() = false;
       } else {
-        if (!IsSpace(c)) blank.back() = false;
-        Append(lines.back(), in_.Next());
+        if (!IsKdlSpace(c)) text.is_blank.back() = false;
+        AppendUtf8(text.lines.back(), in_.Next());
       }
     }
-    if (!blank.back()) throw KdlError(place, "the closing quotes stand on a line of their own");
-    const std::string prefix = lines.back();
+    return JoinWithoutIndentation(text, place);
+  }
+
+  // The white space before the closing quotes is the indentation of every line that is not blank.
+  static std::string JoinWithoutIndentation(const MultiLineText& text, KdlPosition place) {
+    if (!text.is_blank.back()) throw KdlError(place, "the closing quotes stand on a line of their own");
+    const std::string& indentation = text.lines.back();
     std::string out;
-    for (std::size_t i = 0; i + 1 < lines.size(); ++i) {
+    for (std::size_t i = 0; i + 1 < text.lines.size(); ++i) {
       if (i > 0) out += '\n';
-      if (blank[i]) continue;
-      if (lines[i].rfind(prefix, 0) != 0)
+      if (text.is_blank[i]) continue;
+      const std::string& line = text.lines[i];
+      if (!line.starts_with(indentation))
         throw KdlError(place, "a line is indented less than the closing quotes");
-      out += lines[i].substr(prefix.size());
+      out += line.substr(indentation.size());
     }
     return out;
   }
 
-  void Escape(std::string& out) {
-    const KdlPosition place = in_.place();
+  void ParseEscape(std::string& out) {
+    const KdlPosition place = in_.position();
     in_.Next();
     const char32_t c = in_.Peek();
-    if (IsSpace(c) || IsNewline(c)) {
-      while (IsSpace(in_.Peek()) || IsNewline(in_.Peek())) in_.Next();
+    if (IsKdlSpace(c) || IsKdlNewline(c)) {
+      while (IsKdlSpace(in_.Peek()) || IsKdlNewline(in_.Peek())) in_.Next();
       return;
     }
     in_.Next();
-    constexpr std::string_view kFrom = "nrt\\\"bfs", kTo = "\n\r\t\\\"\b\f ";
-    const std::size_t known = c < 0x80 ? kFrom.find(static_cast<char>(c)) : std::string_view::npos;
+    constexpr std::string_view kLetters = "nrt\\\"bfs";
+    constexpr std::string_view kMeanings = "\n\r\t\\\"\b\f ";
+    const std::size_t known = c < 0x80 ? kLetters.find(static_cast<char>(c)) : std::string_view::npos;
     if (known != std::string_view::npos) {
-      out += kTo[known];
+      out += kMeanings[known];
       return;
     }
     if (c != 'u' || !in_.Skip(U"{")) throw KdlError(place, "an escape that there is not");
+    AppendUtf8(out, ParseCodePoint(place));
+  }
+
+  // The hexadecimal digits of an escape \u{...}, and its closing brace.
+  char32_t ParseCodePoint(KdlPosition place) {
     char32_t point = 0;
     int digits = 0;
-    for (; digits < 7 && in_.Peek() != '}' && in_.Peek() < 0x80; ++digits) {
+    bool is_valid = true;
+    for (; is_valid && digits <= kMaxEscapeDigits && in_.Peek() != '}' && in_.Peek() < 0x80; ++digits) {
       const auto digit = static_cast<char>(in_.Next());
       int value = 0;
-      if (std::from_chars(&digit, &digit + 1, value, 16).ec != std::errc()) digits = 7;
+      is_valid = std::from_chars(&digit, &digit + 1, value, 16).ec == std::errc();
       point = point * 16 + static_cast<char32_t>(value);
     }
-    const bool scalar = point <= 0x10ffff && (point < 0xd800 || point > 0xdfff);
-    if (digits < 1 || digits > 6 || !scalar || !in_.Skip(U"}")) throw KdlError(place, "not a code point");
-    Append(out, point);
+    const bool is_scalar = point <= 0x10ffff && (point < 0xd800 || point > 0xdfff);
+    if (!is_valid || digits < 1 || digits > kMaxEscapeDigits || !is_scalar || !in_.Skip(U"}"))
+      throw KdlError(place, "not a code point");
+    return point;
   }
 
-  std::string Annotation() {
-    if (in_.Peek() != '(') return {};
-    in_.Next();
-    SkipBlank();
-    std::string type = Text("a type");
-    SkipBlank();
-    if (!in_.Skip(U")")) in_.Fail("a '(' that is not closed");
-    SkipBlank();
-    return type;
-  }
+  // ---- White space and comments ----
 
-  bool Slashdash() {
+  // Moves behind a slashdash, which drops the construct after it, if one stands here.
+  bool SkipSlashdash() {
     if (!in_.Skip(U"/-")) return false;
     while (SkipBlank() || in_.SkipNewline()) {
     }
     return true;
   }
 
-  // White space, comments and continued lines; says whether there was any.
+  // Moves behind white space, comments and continued lines; true if there were any.
   bool SkipBlank() {
     bool any = false;
     for (;; any = true) {
-      if (IsSpace(in_.Peek())) {
+      if (IsKdlSpace(in_.Peek())) {
         in_.Next();
       } else if (in_.Skip(U"//")) {
-        while (in_.Peek() != kEnd && !IsNewline(in_.Peek())) in_.Next();
+        in_.SkipRestOfLine();
       } else if (in_.Skip(U"/*")) {
-        Comment();
+        SkipCommentRest();
       } else if (in_.Peek() == '\\') {
-        in_.Next();
-        while (IsSpace(in_.Peek()) || in_.Skip(U"/*")) {
-          if (IsSpace(in_.Peek()))
-            in_.Next();
-          else
-            Comment();
-        }
-        if (in_.Skip(U"//")) {
-          while (in_.Peek() != kEnd && !IsNewline(in_.Peek())) in_.Next();
-        }
-        if (!in_.SkipNewline() && in_.Peek() != kEnd) in_.Fail("a '\\' that does not end its line");
+        SkipLineContinuation();
       } else {
         return any;
       }
     }
   }
 
-  void Comment() {
-    const KdlPosition place = in_.place();
+  void SkipLineContinuation() {
+    in_.Next();
+    while (IsKdlSpace(in_.Peek()) || in_.Skip(U"/*")) {
+      // White space right behind "/*" is taken for the continuation's own, so that such a comment is an
+      // error.
+      if (IsKdlSpace(in_.Peek())) {
+        in_.Next();
+      } else {
+        SkipCommentRest();
+      }
+    }
+    if (in_.Skip(U"//")) in_.SkipRestOfLine();
+    if (!in_.SkipNewline() && in_.Peek() != kKdlEnd) in_.Fail("a '\\' that does not end its line");
+  }
+
+  // Moves behind a comment whose opening has been read; comments nest.
+  void SkipCommentRest() {
+    const KdlPosition place = in_.position();
     for (int depth = 1; depth > 0;) {
-      if (in_.Skip(U"/*"))
+      if (in_.Skip(U"/*")) {
         ++depth;
-      else if (in_.Skip(U"*/"))
+      } else if (in_.Skip(U"*/")) {
         --depth;
-      else if (in_.Next() == kEnd)
+      } else if (in_.Next() == kKdlEnd) {
         throw KdlError(place, "a comment that does not end");
+      }
     }
   }
 
-  Input in_;
-  std::size_t count_ = 0;
+  KdlInput in_;
+  std::size_t node_count_ = 0;
 };
 
 }  // namespace
 
-KdlError::KdlError(KdlPosition place, const std::string& what)
-    : std::runtime_error("line " + std::to_string(place.line) + ", column " + std::to_string(place.column) +
-                         ": " + what),
-      position_(place) {}
+KdlError::KdlError(KdlPosition position, const std::string& what)
+    : std::runtime_error("line " + std::to_string(position.line) + ", column " +
+                         std::to_string(position.column) + ": " + what),
+      position_(position) {}
 
-std::vector<KdlNode> ReadKdl(std::string_view text) { return Reader(text).Document(); }
+std::vector<KdlNode> ReadKdl(std::string_view text) { return Parser(text).ParseDocument(); }
 
 }  // namespace lemoncroft::codec
