--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -1,9 +1,8 @@
 #include "admin/listener.h"
 
-#include <spdlog/spdlog.h>
-
-#include <variant>
+#include <string_view>
 
+#include "admin/admin_protocol.h"
 #include "runtime/lingering_close.h"
 
 namespace lemoncroft::admin {
@@ -15,18 +14,22 @@
 
 namespace {
 
-constexpr auto kCallWithin = 2000ms;   // a call that has not come whole by then gets a no
-constexpr auto kTakenWithin = 1000ms;  // an answer that is not taken by then is cut off
+constexpr auto kCommandTimeout = 2000ms;  // for a complete command
+constexpr auto kReplyTimeout = 1000ms;    // for the operator to read the reply
 constexpr auto kNoDescriptorsPause = 20ms;
-constexpr auto kRoomPause = 5ms;
-constexpr std::size_t kReadAtOnce = 512;
+constexpr auto kCapacityRetryInterval = 5ms;
+constexpr std::size_t kReadBytes = 512;
 
-std::string Text(const Reply& reply) {
-  std::string text = reply.accepted ? "ACK" : "NAK";
+std::string Encode(const Reply& reply) {
+  std::string text(reply.accepted ? protocol::kReplyAccepted : protocol::kReplyRejected);
   if (!reply.message.empty()) text.append(" ").append(reply.message);
   return text.append("\n").append(reply.body);
 }
 
+tl::unexpected<std::string> Failed(std::string_view message) {
+  return tl::unexpected<std::string>(std::string(message));
+}
+
 }  // namespace
 
 Task<> Listener::Run() {
@@ -36,55 +39,59 @@
       co_await loop_.Sleep(kNoDescriptorsPause);
       continue;
     }
-    while (callers_.size() >= kMaxConnections) {
-      MakeRoom();
-      co_await loop_.Sleep(kRoomPause);
+    while (connections_.size() >= kMaxConnections) {
+      EvictOldest();
+      co_await loop_.Sleep(kCapacityRetryInterval);
     }
-    auto caller = std::make_shared<Caller>();
-    caller->socket = std::move(socket);
-    callers_.push_back(caller);
-    loop_.Spawn(Serve(std::move(caller)));
+    auto connection = std::make_shared<Connection>();
+    connection->socket = std::move(socket);
+    connections_.push_back(connection);
+    loop_.Spawn(Serve(std::move(connection)));
     co_await loop_.NextTurn();
   }
 }
 
-// The oldest that is still there has had the most time for its call.
-void Listener::MakeRoom() {
-  for (const CallerPtr& caller : callers_) {
-    if (caller->cut.cancelled()) continue;
-    caller->cut.Cancel();
+// The oldest connection has had the most time for its command.
+void Listener::EvictOldest() {
+  for (const ConnectionPtr& connection : connections_) {
+    if (connection->evicted.cancelled()) continue;
+    connection->evicted.Cancel();
     return;
   }
 }
 
-Task<> Listener::Serve(CallerPtr caller) {
-  const Reply reply = co_await Hear(*caller);
+Task<> Listener::Serve(ConnectionPtr connection) {
+  const Reply reply = co_await ReplyTo(*connection);
   std::size_t written = 0;
-  const Io io = co_await caller->socket->Write(Text(reply), written, Now() + kTakenWithin);
-  if (io == Io::kOk) co_await runtime::LingeringClose(loop_, *caller->socket, kTakenWithin, &caller->cut);
-  callers_.remove(caller);
+  const Io io = co_await connection->socket->Write(Encode(reply), written, Now() + kReplyTimeout);
+  if (io == Io::kOk)
+    co_await runtime::LingeringClose(loop_, *connection->socket, kReplyTimeout, &connection->evicted);
+  connections_.remove(connection);
 }
 
-Task<Reply> Listener::Hear(Caller& caller) {
+Task<tl::expected<Command, std::string>> Listener::ReadCommand(Connection& connection) {
   LineReader reader;
-  std::string in;
-  const auto until = Now() + kCallWithin;
+  std::string received;
+  const auto deadline = Now() + kCommandTimeout;
   for (;;) {
-    in.clear();
-    const Io io = co_await caller.socket->Read(in, kReadAtOnce, until, &caller.cut);
-    if (io == Io::kTimeout) co_return Reply{false, "no whole call in time", {}};
-    if (io != Io::kOk) co_return Reply{false, "no whole call", {}};
-    const LineReader::State state = reader.Feed(in);
-    if (state == LineReader::State::kTooLong) co_return Reply{false, "the call is too long", {}};
+    received.clear();
+    const Io io = co_await connection.socket->Read(received, kReadBytes, deadline, &connection.evicted);
+    if (io == Io::kTimeout) co_return Failed(protocol::kErrorTimeout);
+    if (io != Io::kOk) co_return Failed(protocol::kErrorConnectionEnded);
+    const LineReader::State state = reader.Feed(received);
+    if (state == LineReader::State::kTooLong) co_return Failed(protocol::kErrorTooLong);
     if (state == LineReader::State::kLine) break;
     co_await loop_.NextTurn();
   }
-  auto call = ParseCommand(reader.line());
-  if (const auto* wrong = std::get_if<std::string>(&call)) co_return Reply{false, *wrong, {}};
-  const Command& known = std::get<Command>(call);
-  Reply reply = answer_(known);
+  co_return ParseCommand(reader.line()).map_error(Describe);
+}
+
+Task<Reply> Listener::ReplyTo(Connection& connection) {
+  const tl::expected<Command, std::string> command = co_await ReadCommand(connection);
+  if (!command) co_return Reply{false, command.error(), {}};
+  Reply reply = handler_(*command);
   if (!follow_up) co_return reply;
-  co_return co_await follow_up(known, std::move(reply));
+  co_return co_await follow_up(*command, std::move(reply));
 }
 
 }  // namespace lemoncroft::admin
--- a/src/admin/listener.h
+++ b/src/admin/listener.h
@@ -1,58 +1,68 @@
-// Where operators call: a connection carries one line and gets one answer, in time however busy the proxy is.
+// The operators' listener: a connection carries one command and gets one reply, however busy the proxy is.
 //
-// Owns its listening socket and its callers. What a call does is the Operations' business.
-#ifndef LEMONCROFT_MANAGEMENT_LISTENER_H_
-#define LEMONCROFT_MANAGEMENT_LISTENER_H_
+// Contract. Everything happens on the event loop's thread. What a command does is the handler's business
+// (cli/operations.h). Bounds: kMaxConnections at a time, kMaxLineBytes for a command, 2 s for it to arrive
+// and 1 s for the reply to be read. Errors: a connection that fails ends alone; the constructor throws
+// std::system_error.
+//
+// Owns its listening socket and its connections. It must outlive the loop's tasks, which refer to it.
+#ifndef LEMONCROFT_ADMIN_LISTENER_H_
+#define LEMONCROFT_ADMIN_LISTENER_H_
 
-#include <chrono>
 #include <cstddef>
 #include <functional>
 #include <list>
 #include <memory>
 #include <string>
+#include <tl/expected.hpp>
+#include <utility>
 
-#include "admin/call.h"
+#include "admin/command.h"
 #include "runtime/socket.h"
 
 namespace lemoncroft::admin {
 
 struct Reply {
   bool accepted = false;
-  std::string message;  // behind ACK or NAK, one line; may be empty
-  std::string body;     // whole lines that follow
+  std::string message;  // in the first line; may be empty
+  std::string body;     // complete lines that follow
 };
 
 class Listener {
  public:
+  using Handler = std::function<Reply(const Command&)>;
+  using FollowUp = std::function<runtime::Task<Reply>(Command, Reply)>;
+
   static constexpr std::size_t kMaxConnections = 16;  // descriptors that it may take beside its own
 
-  // Throws std::system_error where it cannot listen.
-  Listener(runtime::Loop& loop, const runtime::Address& address, std::function<Reply(const Command&)> answer)
-      : loop_(loop), listener_(loop, address), answer_(std::move(answer)) {}
+  // Throws std::system_error if it cannot listen.
+  Listener(runtime::Loop& loop, const runtime::Address& address, Handler handler)
+      : loop_(loop), listener_(loop, address), handler_(std::move(handler)) {}
 
-  // What is done behind an answer before it is given, within `kAfterMost`; none: nothing.
-  static constexpr auto kMaxFollowUps = std::chrono::milliseconds(900);
-  std::function<runtime::Task<Reply>(Command, Reply)> follow_up;
+  // Runs behind the handler and may change its reply before it is sent. Optional.
+  FollowUp follow_up;
 
   runtime::Task<> Run();
 
  private:
-  struct Caller {
+  struct Connection {
     std::unique_ptr<runtime::Socket> socket;
-    runtime::Cancellation cut;
+    runtime::Cancellation evicted;
   };
-  using CallerPtr = std::shared_ptr<Caller>;
+  using ConnectionPtr = std::shared_ptr<Connection>;
 
-  void MakeRoom();
-  runtime::Task<> Serve(CallerPtr caller);
-  runtime::Task<Reply> Hear(Caller& caller);
+  void EvictOldest();
+  runtime::Task<> Serve(ConnectionPtr connection);
+  // Reads a command; the error is the message of the reply.
+  runtime::Task<tl::expected<Command, std::string>> ReadCommand(Connection& connection);
+  runtime::Task<Reply> ReplyTo(Connection& connection);
 
   runtime::Loop& loop_;
   runtime::Listener listener_;
-  std::function<Reply(const Command&)> answer_;
-  std::list<CallerPtr> callers_;  // by age
+  Handler handler_;
+  std::list<ConnectionPtr> connections_;  // by age
 };
 
 }  // namespace lemoncroft::admin
 
-#endif  // LEMONCROFT_MANAGEMENT_LISTENER_H_
+#endif  // LEMONCROFT_ADMIN_LISTENER_H_
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -6,7 +6,7 @@
 // (management, byhand, handover). Requests to engines as whole bytes are in backend_test.
 #include <gtest/gtest.h>
 
-#include "admin/call.h"
+#include "admin/command.h"
 #include "codec/frame.h"
 #include "codec/http.h"
 #include "golden.h"
@@ -92,10 +92,9 @@
 // ---- Calls of operators ----
 
 std::string Understood(std::string_view line) {
-  const auto read = admin::ParseCommand(line);
-  if (const auto* wrong = std::get_if<std::string>(&read)) return *wrong;
-  const auto& call = std::get<admin::Command>(read);
-  return std::to_string(static_cast<int>(call.verb)) + " " + call.engine;
+  const auto command = admin::ParseCommand(line);
+  if (!command) return admin::Describe(command.error());
+  return std::to_string(static_cast<int>(command->verb)) + " " + command->engine;
 }
 
 TEST(OperatorCall_EachLine, IsUnderstoodAsBefore) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "admin/call.h"
+#include "admin/command.h"
 #include "cli/config.h"
 #include "metrics/counters.h"
 
@@ -20,10 +20,10 @@
       ASSERT_EQ(first, admin::LineReader::State::kNeedMore) << cut;
     }
     ASSERT_EQ(reader.Feed(std::string_view(text).substr(cut)), admin::LineReader::State::kLine) << cut;
-    const auto call = admin::ParseCommand(reader.line());
-    ASSERT_TRUE(std::holds_alternative<admin::Command>(call));
-    EXPECT_EQ(std::get<admin::Command>(call).verb, admin::Verb::kExclude);
-    EXPECT_EQ(std::get<admin::Command>(call).engine, "s-00c41f7a");
+    const auto command = admin::ParseCommand(reader.line());
+    ASSERT_TRUE(command.has_value());
+    EXPECT_EQ(command->verb, admin::Verb::kExclude);
+    EXPECT_EQ(command->engine, "s-00c41f7a");
   }
 }
 
