--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,9 +1,10 @@
-// lemoncroft_simulator_adapter: hosts gateway instances that share nothing and speaks the bench's wire on
-// standard input and output.
+// lemoncroft_simulator_adapter: hosts instances of the decision module, which share nothing, and speaks the
+// simulator's wire on standard input and output. Exits with 1 and a message at the first error.
 #include <cstdio>
 #include <exception>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "lemoncroft/gateway.h"
@@ -11,48 +12,70 @@
 
 namespace {
 
-// Reads exactly n bytes; false at a clean end of input before the first of them.
-bool ReadExactly(std::string& into, std::size_t n, const char* what) {
-  into.resize(n);
-  std::size_t got = std::fread(into.data(), 1, n, stdin);
-  if (got == n) return true;
-  if (got == 0 && what == nullptr) return false;
-  throw lemoncroft::simulator_adapter::WireError("input ended inside a batch " +
-                                                 std::string(what ? what : "header") + " after " +
-                                                 std::to_string(got) + " of " + std::to_string(n) + " bytes");
+using namespace lemoncroft::simulator_adapter;
+
+[[noreturn]] void ThrowTruncated(const char* part, std::size_t got, std::size_t size) {
+  throw WireError("input ended inside a batch " + std::string(part) + " after " + std::to_string(got) +
+                  " of " + std::to_string(size) + " bytes");
+}
+
+// False at the end of input.
+bool ReadHeader(std::string& header) {
+  header.resize(kBatchHeaderBytes);
+  const std::size_t got = std::fread(header.data(), 1, kBatchHeaderBytes, stdin);
+  if (got == 0) return false;
+  if (got < kBatchHeaderBytes) ThrowTruncated("header", got, kBatchHeaderBytes);
+  return true;
+}
+
+void ReadBody(std::string& body, std::size_t size) {
+  body.resize(size);
+  if (size == 0) return;
+  const std::size_t got = std::fread(body.data(), 1, size, stdin);
+  if (got < size) ThrowTruncated("body", got, size);
+}
+
+void WriteReply(const std::string& bytes) {
+  const bool written = std::fwrite(bytes.data(), 1, bytes.size(), stdout) == bytes.size();
+  if (!written || std::fflush(stdout) != 0) throw WireError("cannot write the reply");
 }
 
+// The running instances, by the simulator's number.
+class InstanceHost {
+ public:
+  // Stops, starts and steps one instance as the batch says, and adds its actions to the reply.
+  void Handle(InstanceBatch& batch, lemoncroft::Nanos now, ReplyWriter& reply) {
+    if (batch.stopped) instances_.erase(batch.instance);
+    if (batch.started) {
+      lemoncroft::Gateway gateway(std::move(batch.settings), batch.seed);
+      instances_.insert_or_assign(batch.instance, std::move(gateway));
+    }
+    const auto it = instances_.find(batch.instance);
+    if (it == instances_.end()) {
+      if (batch.events.empty()) return;
+      throw WireError("event for instance " + std::to_string(batch.instance) + ", which is not running");
+    }
+    actions_.clear();
+    it->second.Step(now, batch.events, actions_);
+    reply.Add(batch.instance, actions_);
+  }
+
+ private:
+  std::map<std::uint16_t, lemoncroft::Gateway> instances_;
+  std::vector<lemoncroft::Action> actions_;  // of one step; kept for its memory
+};
+
 void Serve() {
-  using namespace lemoncroft::simulator_adapter;
-  std::map<std::uint16_t, lemoncroft::Gateway> instances;
+  InstanceHost host;
   Decoder decoder;
   ReplyWriter reply;
   std::string header, body;
-  std::vector<lemoncroft::Action> actions;
-  while (ReadExactly(header, kBatchHeaderBytes, nullptr)) {
+  while (ReadHeader(header)) {
     const BatchHeader head = DecodeHeader(header);
-    if (head.length > 0) ReadExactly(body, head.length, "body");
-    body.resize(head.length);
+    ReadBody(body, head.length);
     reply.Clear();
-    for (InstanceBatch& batch : decoder.Decode(head, body)) {
-      if (batch.stopped) instances.erase(batch.instance);
-      if (batch.started) {
-        instances.insert_or_assign(batch.instance,
-                                   lemoncroft::Gateway(std::move(batch.settings), batch.seed));
-      }
-      auto it = instances.find(batch.instance);
-      if (it == instances.end()) {
-        if (batch.events.empty()) continue;
-        throw WireError("event for instance " + std::to_string(batch.instance) + ", which is not running");
-      }
-      actions.clear();
-      it->second.Step(head.now, batch.events, actions);
-      reply.Add(batch.instance, actions);
-    }
-    const std::string& bytes = reply.Finish();
-    if (std::fwrite(bytes.data(), 1, bytes.size(), stdout) != bytes.size() || std::fflush(stdout) != 0) {
-      throw WireError("cannot write the reply");
-    }
+    for (InstanceBatch& batch : decoder.Decode(head, body)) host.Handle(batch, head.now, reply);
+    WriteReply(reply.Finish());
   }
 }
 
--- /dev/null
+++ b/src/simulator_adapter/record_codes.h
@@ -0,0 +1,64 @@
+// The codes of the simulator's wire and the terms that the program uses for them.
+//
+// Names in comments are those of the simulator's own page, which its error messages use too.
+#ifndef LEMONCROFT_SIMULATOR_ADAPTER_RECORD_CODES_H_
+#define LEMONCROFT_SIMULATOR_ADAPTER_RECORD_CODES_H_
+
+#include <cstdint>
+
+namespace lemoncroft::simulator_adapter {
+
+// Records of a batch, from the simulator.
+enum class EventCode : std::uint8_t {
+  kStart = 1,
+  kEngineList = 2,
+  kRequest = 3,
+  kStreamStarted = 4,
+  kAttemptEnded = 5,
+  kClientGone = 6,
+  kTimerFired = 7,
+  kProbed = 8,
+  kPeerMessage = 9,
+  kStop = 10,
+  kProgressNotice = 11,
+  kPage = 12,
+  kInstance = 13,  // TargetInstance: the records after it are for this instance
+};
+
+// Records of a reply, to the simulator.
+enum class ActionCode : std::uint8_t {
+  kSend = 1,
+  kReject = 2,
+  kFail = 3,
+  kCancel = 4,
+  kWakeAt = 5,
+  kProbe = 6,
+  kLogLine = 9,
+  kWatchList = 11,
+  kResourceGrant = 13,
+  kInstance = 14,  // the records after it are from this instance
+};
+
+// Readiness of an engine in a page.
+enum class ReadinessCode : std::uint8_t { kReady = 1, kGone = 2, kDraining = 3 };
+
+// Outcomes and kinds of progress notices are numbered from 1 in the order of the interface's enums.
+inline constexpr std::uint16_t kFirstOutcome = 1;
+inline constexpr std::uint16_t kLastOutcome = 8;
+inline constexpr std::uint8_t kFirstNotice = 1;
+inline constexpr std::uint8_t kLastNotice = 3;
+
+// Kinds of engine lists are numbered from 0 in the order of the interface's enum.
+inline constexpr std::uint8_t kLastListKind = 3;
+
+// Bits of a request's attributes.
+inline constexpr std::uint16_t kAttributeHasWorkEstimate = 1;
+inline constexpr std::uint16_t kAttributeIsRepeat = 2;
+
+// Statistics of a served attempt: milliseconds of work times this, plus memory in units of 4 MB.
+inline constexpr std::uint32_t kStatisticsWorkUnit = 4096;
+inline constexpr double kStatisticsMemoryUnitMb = 4.0;
+
+}  // namespace lemoncroft::simulator_adapter
+
+#endif  // LEMONCROFT_SIMULATOR_ADAPTER_RECORD_CODES_H_
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -4,18 +4,26 @@
 #include <bit>
 #include <cmath>
 #include <limits>
+#include <map>
+#include <optional>
 #include <utility>
 
+#include "record_codes.h"
 #include "settings/settings.h"
 
 namespace lemoncroft::simulator_adapter {
 namespace {
 
-[[noreturn]] void Bad(const std::string& what, std::size_t at) {
+constexpr std::size_t kPageEntryBytes = 23;
+constexpr std::size_t kMaxTextBytes = 65535;
+constexpr float kMaxTableGroup = 4e9F;
+constexpr Nanos kNanosPerMs = 1'000'000;
+
+[[noreturn]] void ThrowWireError(const std::string& what, std::size_t at) {
   throw WireError(what + " at byte " + std::to_string(at));
 }
 
-// Reads big-endian fields off a frame; every read is bounds-checked.
+// Reads big-endian fields off a frame; every read is bounds-checked. `what` names the field in errors.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -32,17 +40,17 @@
   }
   float Float(const char* what) {
     float value = std::bit_cast<float>(Int<std::uint32_t>(what));
-    if (!std::isfinite(value)) Bad(std::string("not a number: ") + what, at_ - 4);
+    if (!std::isfinite(value)) ThrowWireError(std::string("not a number: ") + what, at_ - 4);
     return value;
   }
   Nanos Time(const char* what) {
+    constexpr auto kMaxTime = static_cast<std::uint64_t>(std::numeric_limits<Nanos>::max() / 4);
     auto value = Int<std::uint64_t>(what);
-    constexpr auto kMost = static_cast<std::uint64_t>(std::numeric_limits<Nanos>::max() / 4);
-    if (value > kMost) Bad(std::string("impossible time: ") + what, at_ - 8);
+    if (value > kMaxTime) ThrowWireError(std::string("impossible time: ") + what, at_ - 8);
     return static_cast<Nanos>(value);
   }
   std::string_view Bytes(std::size_t n, const char* what) {
-    if (n > bytes_.size() - at_) Bad(std::string("truncated frame: ") + what, at_);
+    if (n > bytes_.size() - at_) ThrowWireError(std::string("truncated frame: ") + what, at_);
     std::string_view out = bytes_.substr(at_, n);
     at_ += n;
     return out;
@@ -53,86 +61,251 @@
   std::size_t at_ = 0;
 };
 
-constexpr std::size_t kEntryBytes = 23;
+// ---- Fields ----
+
+Outcome ReadOutcome(Reader& in) {
+  const std::size_t at = in.at();
+  auto code = in.Int<std::uint16_t>("status");
+  if (code < kFirstOutcome || code > kLastOutcome)
+    ThrowWireError("unknown outcome " + std::to_string(code), at);
+  return static_cast<Outcome>(code - kFirstOutcome);
+}
 
-Outcome ToOutcome(std::uint16_t code, std::size_t at) {
-  if (code < 1 || code > 8) Bad("unknown outcome " + std::to_string(code), at);
-  return static_cast<Outcome>(code - 1);
+Readiness ReadReadiness(Reader& in) {
+  auto code = in.Int<std::uint8_t>("readiness");
+  switch (static_cast<ReadinessCode>(code)) {
+    case ReadinessCode::kReady:
+      return Readiness::kReady;
+    case ReadinessCode::kGone:
+      return Readiness::kGone;
+    case ReadinessCode::kDraining:
+      return Readiness::kDraining;
+  }
+  ThrowWireError("unknown readiness " + std::to_string(code), in.at() - 1);
 }
 
-LoadReport ReadReport(Reader& in) {
+// Values past those that the interface has room for are dropped.
+LoadReport ReadLoadReport(Reader& in) {
+  constexpr std::uint8_t kMaxValues = 4;
   LoadReport report;
-  auto n = in.Int<std::uint8_t>("load report's count");
-  for (int i = 0; i < n; ++i) {
+  auto count = in.Int<std::uint8_t>("load report's count");
+  for (int i = 0; i < count; ++i) {
     float value = in.Float("load report's value");
-    if (i < 4) report.values[static_cast<std::size_t>(i)] = value;
+    if (i < kMaxValues) report.values[static_cast<std::size_t>(i)] = value;
   }
-  report.count = std::min<std::uint8_t>(n, 4);
+  report.count = std::min(count, kMaxValues);
   return report;
 }
 
-std::vector<EngineEntry> ReadEntries(Reader& in) {
-  auto n = in.Int<std::uint32_t>("page's count");
-  Reader entries(in.Bytes(std::size_t{n} * kEntryBytes, "page's entries"));
-  std::vector<EngineEntry> out(n);
-  for (EngineEntry& e : out) {
-    e.weight = entries.Float("weight");
-    switch (auto r = entries.Int<std::uint8_t>("readiness")) {
-      case 1:
-        e.readiness = Readiness::kReady;
-        break;
-      case 2:
-        e.readiness = Readiness::kGone;
-        break;
-      case 3:
-        e.readiness = Readiness::kDraining;
-        break;
-      default:
-        Bad("unknown readiness " + std::to_string(r), entries.at() - 1);
-    }
-    e.kind = entries.Int<std::uint16_t>("model");
-    e.cell = entries.Int<std::uint16_t>("cohort");
-    e.started_at = entries.Time("startedAtNs");
-    e.engine = entries.Int<std::uint32_t>("engine");
-    e.zone = entries.Int<std::uint16_t>("dc");
+std::vector<EngineEntry> ReadPageEntries(Reader& in) {
+  auto count = in.Int<std::uint32_t>("page's count");
+  Reader entries(in.Bytes(std::size_t{count} * kPageEntryBytes, "page's entries"));
+  std::vector<EngineEntry> out(count);
+  for (EngineEntry& entry : out) {
+    entry.weight = entries.Float("weight");
+    entry.readiness = ReadReadiness(entries);
+    entry.kind = entries.Int<std::uint16_t>("model");
+    entry.cell = entries.Int<std::uint16_t>("cohort");
+    entry.started_at = entries.Time("startedAtNs");
+    entry.engine = entries.Int<std::uint32_t>("engine");
+    entry.zone = entries.Int<std::uint16_t>("dc");
   }
   return out;
 }
 
+// ---- Events ----
+
+EngineList ReadEngineList(Reader& in, const Pages& pages, std::size_t record_at) {
+  auto kind = in.Int<std::uint8_t>("how");
+  auto page = in.Int<std::uint16_t>("page number");
+  in.Int<std::uint32_t>("serial");
+  if (kind > kLastListKind) ThrowWireError("unknown list kind " + std::to_string(kind), record_at);
+  EngineList list{static_cast<ListKind>(kind), nullptr};
+  if (list.kind == ListKind::kFailed) return list;
+  if (page >= pages.size() || !pages[page])
+    ThrowWireError("list names page " + std::to_string(page) + ", which is not known", record_at);
+  list.entries = pages[page];
+  return list;
+}
+
 Request ReadRequest(Reader& in) {
-  Request r;
-  r.id = in.Int<std::uint64_t>("req");
-  r.class_id = in.Int<std::uint16_t>("qos");
-  r.tenant = in.Int<std::uint16_t>("project");
-  r.key = in.Int<std::uint64_t>("key");
-  r.client_timeout = in.Time("patienceLeftNs");
-  r.est_work = in.Time("estCostNs");
-  r.est_memory_mb = in.Float("ramMb");
+  Request request;
+  request.id = in.Int<std::uint64_t>("req");
+  request.class_id = in.Int<std::uint16_t>("qos");
+  request.tenant = in.Int<std::uint16_t>("project");
+  request.key = in.Int<std::uint64_t>("key");
+  request.client_timeout = in.Time("patienceLeftNs");
+  request.est_work = in.Time("estCostNs");
+  request.est_memory_mb = in.Float("ramMb");
   float tables = in.Float("tableGroup");
-  r.tables = tables > 0 && tables < 4e9f ? static_cast<std::uint32_t>(tables) : 0;
-  auto attrs = in.Int<std::uint16_t>("attrs");
-  if ((attrs & 1) == 0) r.est_work = 0;
-  r.repeat = (attrs & 2) != 0;
-  return r;
+  request.tables = tables > 0 && tables < kMaxTableGroup ? static_cast<std::uint32_t>(tables) : 0;
+  auto attributes = in.Int<std::uint16_t>("attrs");
+  if ((attributes & kAttributeHasWorkEstimate) == 0) request.est_work = 0;
+  request.repeat = (attributes & kAttributeIsRepeat) != 0;
+  return request;
 }
 
-AttemptEnded ReadEnded(Reader& in) {
-  AttemptEnded e;
-  e.id = in.Int<std::uint64_t>("req");
-  e.attempt = in.Int<std::uint16_t>("roundNo");
-  e.engine = in.Int<std::uint32_t>("engine");
-  e.outcome = ToOutcome(in.Int<std::uint16_t>("status"), in.at());
-  e.waited = in.Time("waitTimeNs");
-  e.finished = in.Int<std::uint8_t>("finished") != 0;
-  auto stats = in.Int<std::uint32_t>("stats");
-  if (e.outcome == Outcome::kOk) {
-    e.work = static_cast<Nanos>(stats / 4096) * 1'000'000;
-    e.memory_mb = (stats % 4096) * 4.0;
+StreamStarted ReadStreamStarted(Reader& in) {
+  StreamStarted started;
+  started.id = in.Int<std::uint64_t>("req");
+  in.Int<std::uint32_t>("engine");
+  started.attempt = in.Int<std::uint16_t>("roundNo");
+  in.Time("waitTimeNs");
+  return started;
+}
+
+AttemptEnded ReadAttemptEnded(Reader& in) {
+  AttemptEnded ended;
+  ended.id = in.Int<std::uint64_t>("req");
+  ended.attempt = in.Int<std::uint16_t>("roundNo");
+  ended.engine = in.Int<std::uint32_t>("engine");
+  ended.outcome = ReadOutcome(in);
+  ended.waited = in.Time("waitTimeNs");
+  ended.finished = in.Int<std::uint8_t>("finished") != 0;
+  auto statistics = in.Int<std::uint32_t>("stats");
+  if (ended.outcome == Outcome::kOk) {
+    ended.work = static_cast<Nanos>(statistics / kStatisticsWorkUnit) * kNanosPerMs;
+    ended.memory_mb = (statistics % kStatisticsWorkUnit) * kStatisticsMemoryUnitMb;
   }
-  e.load = ReadReport(in);
-  return e;
+  ended.load = ReadLoadReport(in);
+  return ended;
 }
 
+Probed ReadProbed(Reader& in) {
+  Probed probed;
+  probed.waited = in.Time("waitTimeNs");
+  probed.engine = in.Int<std::uint32_t>("engine");
+  probed.outcome = ReadOutcome(in);
+  probed.load = ReadLoadReport(in);
+  return probed;
+}
+
+PeerMessage ReadPeerMessage(Reader& in) {
+  PeerMessage message;
+  message.sender = in.Int<std::uint16_t>("sender");
+  auto length = in.Int<std::uint16_t>("message length");
+  message.body = std::string(in.Bytes(length, "message"));
+  return message;
+}
+
+ProgressNotice ReadProgressNotice(Reader& in, std::size_t record_at) {
+  ProgressNotice notice;
+  notice.id = in.Int<std::uint64_t>("req");
+  notice.attempt = in.Int<std::uint16_t>("roundNo");
+  in.Int<std::uint32_t>("engine");
+  auto kind = in.Int<std::uint8_t>("what");
+  if (kind < kFirstNotice || kind > kLastNotice)
+    ThrowWireError("unknown note " + std::to_string(kind), record_at);
+  notice.kind = static_cast<NoticeKind>(kind - kFirstNotice);
+  notice.amount = in.Float("amount");
+  return notice;
+}
+
+// ---- Batches ----
+
+// Decodes the records of one batch.
+class BatchDecoder {
+ public:
+  BatchDecoder(std::string_view body, Pages& pages) : in_(body), pages_(pages) {}
+
+  std::vector<InstanceBatch> Decode(std::size_t records) {
+    for (std::size_t record = 0; record < records; ++record) DecodeRecord();
+    if (!in_.AtEnd()) ThrowWireError("bytes left over after the last record", in_.at());
+    return std::move(batches_);
+  }
+
+ private:
+  void DecodeRecord() {
+    const std::size_t at = in_.at();
+    const auto code = in_.Int<std::uint8_t>("record code");
+    switch (static_cast<EventCode>(code)) {
+      case EventCode::kInstance:
+        return SelectInstance();
+      case EventCode::kStart:
+        return StartInstance(at);
+      case EventCode::kStop:
+        return StopInstance(at);
+      case EventCode::kPage:
+        return ReadPage(at);
+      case EventCode::kEngineList:
+        return AddEvent(ReadEngineList(in_, pages_, at), at);
+      case EventCode::kRequest:
+        Current(at).events.emplace_back(ReadRequest(in_));
+        return;
+      case EventCode::kStreamStarted:
+        return AddEvent(ReadStreamStarted(in_), at);
+      case EventCode::kAttemptEnded:
+        Current(at).events.emplace_back(ReadAttemptEnded(in_));
+        return;
+      case EventCode::kClientGone:
+        Current(at).events.emplace_back(ClientGone{in_.Int<std::uint64_t>("req")});
+        return;
+      case EventCode::kTimerFired:
+        Current(at).events.emplace_back(TimerFired{in_.Int<std::uint64_t>("keyBack")});
+        return;
+      case EventCode::kProbed:
+        return AddEvent(ReadProbed(in_), at);
+      case EventCode::kPeerMessage:
+        return AddEvent(ReadPeerMessage(in_), at);
+      case EventCode::kProgressNotice:
+        return AddEvent(ReadProgressNotice(in_, at), at);
+    }
+    ThrowWireError("unknown record code " + std::to_string(code), at);
+  }
+
+  InstanceBatch& Current(std::size_t record_at) {
+    if (!current_) ThrowWireError("event before any TargetInstance", record_at);
+    return batches_[*current_];
+  }
+
+  void AddEvent(Event event, std::size_t record_at) { Current(record_at).events.push_back(std::move(event)); }
+
+  void SelectInstance() {
+    const auto instance = in_.Int<std::uint16_t>("who");
+    const auto [it, is_new] = newest_.try_emplace(instance, batches_.size());
+    if (is_new) batches_.emplace_back().instance = instance;
+    current_ = it->second;
+  }
+
+  // An instance that has already something in this batch stops first, and goes on in a batch of its own.
+  void StartInstance(std::size_t record_at) {
+    const InstanceBatch& before = Current(record_at);
+    if (before.started || !before.events.empty()) {
+      const std::uint16_t instance = before.instance;
+      current_ = newest_[instance] = batches_.size();
+      InstanceBatch& restarted = batches_.emplace_back();
+      restarted.instance = instance;
+      restarted.stopped = true;
+    }
+    InstanceBatch& batch = Current(record_at);
+    batch.started = true;
+    batch.seed = in_.Int<std::uint64_t>("salt");
+    const auto length = in_.Int<std::uint32_t>("setup length");
+    batch.settings = ParseSettings(in_.Bytes(length, "setup"));
+  }
+
+  // What an instance got earlier in this batch has no effect any more.
+  void StopInstance(std::size_t record_at) {
+    InstanceBatch& batch = Current(record_at);
+    batch.stopped = true;
+    batch.started = false;
+    batch.events.clear();
+  }
+
+  void ReadPage(std::size_t record_at) {
+    const auto page = in_.Int<std::uint16_t>("page number");
+    if (page >= pages_.size())
+      ThrowWireError("page number " + std::to_string(page) + " out of range", record_at);
+    pages_[page] = std::make_shared<const std::vector<EngineEntry>>(ReadPageEntries(in_));
+  }
+
+  Reader in_;
+  Pages& pages_;
+  std::vector<InstanceBatch> batches_;
+  std::optional<std::size_t> current_;           // index of the selected instance's newest batch
+  std::map<std::uint16_t, std::size_t> newest_;  // by instance, the index of its newest batch
+};
+
 }  // namespace
 
 Settings ParseSettings(std::string_view text) {
@@ -149,133 +322,13 @@
   out.length = in.Int<std::uint32_t>("batch length");
   out.records = in.Int<std::uint32_t>("record count");
   out.now = in.Time("clock");
-  if (out.length > kMaxFrameBytes) Bad("impossible batch length " + std::to_string(out.length), 0);
-  if (out.records > out.length) Bad("impossible record count " + std::to_string(out.records), 4);
+  if (out.length > kMaxFrameBytes) ThrowWireError("impossible batch length " + std::to_string(out.length), 0);
+  if (out.records > out.length) ThrowWireError("impossible record count " + std::to_string(out.records), 4);
   return out;
 }
 
-// One branch for each kind of record of a batch; not split yet.
-// NOLINTNEXTLINE(readability-function-size)
 std::vector<InstanceBatch> Decoder::Decode(const BatchHeader& header, std::string_view body) {
-  Reader in(body);
-  std::vector<InstanceBatch> out;
-  // The newest entry of each instance in `out`.
-  InstanceBatch* now = nullptr;
-  std::map<std::uint16_t, std::size_t> newest;
-  auto current = [&](std::size_t at) -> InstanceBatch& {
-    if (now == nullptr) Bad("event before any TargetInstance", at);
-    return *now;
-  };
-  for (std::size_t record = 0; record < header.records; ++record) {
-    const std::size_t at = in.at();
-    switch (auto code = in.Int<std::uint8_t>("record code")) {
-      case 13: {
-        auto who = in.Int<std::uint16_t>("who");
-        auto [it, fresh] = newest.try_emplace(who, out.size());
-        if (fresh) out.emplace_back().instance = who;
-        now = &out[it->second];
-        break;
-      }
-      case 1: {
-        InstanceBatch* b = &current(at);
-        if (b->started || !b->events.empty()) {
-          newest[b->instance] = out.size();
-          std::uint16_t who = b->instance;
-          b = &out.emplace_back();
-          b->instance = who;
-          b->stopped = true;
-          now = b;
-        }
-        b->started = true;
-        b->seed = in.Int<std::uint64_t>("salt");
-        auto n = in.Int<std::uint32_t>("setup length");
-        b->settings = ParseSettings(in.Bytes(n, "setup"));
-        break;
-      }
-      case 10: {
-        InstanceBatch& b = current(at);
-        b.stopped = true;  // what came before the end in this batch no longer matters to anyone
-        b.started = false;
-        b.events.clear();
-        break;
-      }
-      case 12: {
-        auto page = in.Int<std::uint16_t>("page number");
-        if (page >= pages_.size()) Bad("page number " + std::to_string(page) + " out of range", at);
-        pages_[page] = std::make_shared<const std::vector<EngineEntry>>(ReadEntries(in));
-        break;
-      }
-      case 2: {
-        auto how = in.Int<std::uint8_t>("how");
-        auto page = in.Int<std::uint16_t>("page number");
-        in.Int<std::uint32_t>("serial");
-        if (how > 3) Bad("unknown list kind " + std::to_string(how), at);
-        EngineList list{static_cast<ListKind>(how), nullptr};
-        if (how != 3) {
-          if (page >= pages_.size() || !pages_[page]) {
-            Bad("list names page " + std::to_string(page) + ", which is not known", at);
-          }
-          list.entries = pages_[page];
-        }
-        current(at).events.emplace_back(std::move(list));
-        break;
-      }
-      case 3:
-        current(at).events.emplace_back(ReadRequest(in));
-        break;
-      case 4: {
-        StreamStarted e;
-        e.id = in.Int<std::uint64_t>("req");
-        in.Int<std::uint32_t>("engine");
-        e.attempt = in.Int<std::uint16_t>("roundNo");
-        in.Time("waitTimeNs");
-        current(at).events.emplace_back(e);
-        break;
-      }
-      case 5:
-        current(at).events.emplace_back(ReadEnded(in));
-        break;
-      case 6:
-        current(at).events.emplace_back(ClientGone{in.Int<std::uint64_t>("req")});
-        break;
-      case 7:
-        current(at).events.emplace_back(TimerFired{in.Int<std::uint64_t>("keyBack")});
-        break;
-      case 8: {
-        Probed e;
-        e.waited = in.Time("waitTimeNs");
-        e.engine = in.Int<std::uint32_t>("engine");
-        e.outcome = ToOutcome(in.Int<std::uint16_t>("status"), in.at());
-        e.load = ReadReport(in);
-        current(at).events.emplace_back(e);
-        break;
-      }
-      case 9: {
-        PeerMessage e;
-        e.sender = in.Int<std::uint16_t>("sender");
-        auto n = in.Int<std::uint16_t>("message length");
-        e.body = std::string(in.Bytes(n, "message"));
-        current(at).events.emplace_back(std::move(e));
-        break;
-      }
-      case 11: {
-        ProgressNotice e;
-        e.id = in.Int<std::uint64_t>("req");
-        e.attempt = in.Int<std::uint16_t>("roundNo");
-        in.Int<std::uint32_t>("engine");
-        auto what = in.Int<std::uint8_t>("what");
-        if (what < 1 || what > 3) Bad("unknown note " + std::to_string(what), at);
-        e.kind = static_cast<NoticeKind>(what - 1);
-        e.amount = in.Float("amount");
-        current(at).events.emplace_back(e);
-        break;
-      }
-      default:
-        Bad("unknown record code " + std::to_string(code), at);
-    }
-  }
-  if (!in.AtEnd()) Bad("bytes left over after the last record", in.at());
-  return out;
+  return BatchDecoder(body, pages_).Decode(header.records);
 }
 
 namespace {
@@ -289,56 +342,56 @@
 }
 
 void PutText(std::string& out, std::string_view text) {
-  text = text.substr(0, 65535);
+  text = text.substr(0, kMaxTextBytes);
   Put(out, static_cast<std::uint16_t>(text.size()));
   out.append(text);
 }
 
-// Writes one action's record; which actions there are is the interface's business.
+// Appends one action's record.
 struct ActionWriter {
   std::string& out;
-  void Code(std::uint8_t code) const { Put(out, code); }
+  void PutCode(ActionCode code) const { Put(out, static_cast<std::uint8_t>(code)); }
   void operator()(const ResourceGrant& a) const {
-    Code(13);
+    PutCode(ActionCode::kResourceGrant);
     Put(out, a.id);
     Put(out, static_cast<std::uint8_t>(a.priority));
     Put(out, std::bit_cast<std::uint32_t>(static_cast<float>(a.grant_mb)));
   }
   void operator()(const Send& a) const {
-    Code(1);
+    PutCode(ActionCode::kSend);
     Put(out, a.id);
     Put(out, a.engine);
     Put(out, a.timeout);
   }
   void operator()(const Cancel& a) const {
-    Code(4);
+    PutCode(ActionCode::kCancel);
     Put(out, a.id);
     Put(out, static_cast<std::uint16_t>(a.attempt));
   }
   void operator()(const RejectRequest& a) const {
-    Code(2);
+    PutCode(ActionCode::kReject);
     Put(out, a.id);
     Put(out, a.retry_after);
   }
   void operator()(const Fail& a) const {
-    Code(3);
+    PutCode(ActionCode::kFail);
     Put(out, a.id);
   }
   void operator()(const WakeAt& a) const {
-    Code(5);
+    PutCode(ActionCode::kWakeAt);
     Put(out, a.at);
     Put(out, a.token);
   }
   void operator()(const Probe& a) const {
-    Code(6);
+    PutCode(ActionCode::kProbe);
     Put(out, a.engine);
   }
   void operator()(const WatchList& a) const {
-    Code(11);
+    PutCode(ActionCode::kWatchList);
     Put(out, static_cast<std::uint8_t>(a.on));
   }
   void operator()(const LogLine& a) const {
-    Code(9);
+    PutCode(ActionCode::kLogLine);
     PutText(out, a.text);
   }
 };
@@ -346,13 +399,13 @@
 }  // namespace
 
 void ReplyWriter::Clear() {
-  bytes_.assign(8, '\0');
+  bytes_.assign(kReplyHeaderBytes, '\0');
   records_ = 0;
 }
 
 void ReplyWriter::Add(std::uint16_t instance, const std::vector<Action>& actions) {
   if (actions.empty()) return;
-  Put(bytes_, std::uint8_t{14});
+  Put(bytes_, static_cast<std::uint8_t>(ActionCode::kInstance));
   Put(bytes_, instance);
   records_ += static_cast<std::uint32_t>(actions.size()) + 1;
   for (const Action& action : actions) std::visit(ActionWriter{bytes_}, action);
@@ -361,8 +414,8 @@
 const std::string& ReplyWriter::Finish() {
   std::string header;
   Put(header, records_);
-  Put(header, static_cast<std::uint32_t>(bytes_.size() - 8));
-  bytes_.replace(0, 8, header);
+  Put(header, static_cast<std::uint32_t>(bytes_.size() - kReplyHeaderBytes));
+  bytes_.replace(0, kReplyHeaderBytes, header);
   return bytes_;
 }
 
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,10 +1,12 @@
-// Codec of the bench's wire: frames of big-endian records to and from the gateway's interface.
-#ifndef LEMONCROFT_BENCHLINK_WIRE_H_
-#define LEMONCROFT_BENCHLINK_WIRE_H_
+// Codec of the simulator's wire: batches of big-endian records to and from the decision module's interface.
+//
+// Contract. No I/O. The simulator sends batches of events for many instances of the module and gets one reply
+// of actions for each. Errors: WireError, with what is wrong and at which byte. Called by main.cpp.
+#ifndef LEMONCROFT_SIMULATOR_ADAPTER_WIRE_H_
+#define LEMONCROFT_SIMULATOR_ADAPTER_WIRE_H_
 
 #include <array>
 #include <cstdint>
-#include <map>
 #include <memory>
 #include <stdexcept>
 #include <string>
@@ -17,6 +19,7 @@
 
 inline constexpr std::size_t kBatchHeaderBytes = 16;
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
+inline constexpr std::size_t kMaxPages = 16;
 
 // What is wrong with a frame or a settings text, and where.
 class WireError : public std::runtime_error {
@@ -29,44 +32,52 @@
   std::size_t records = 0;  // records in them
   Nanos now = 0;
 };
+// Decodes the first kBatchHeaderBytes of a batch. Throws WireError.
 BatchHeader DecodeHeader(std::string_view header);
 
-// What a batch holds for one instance: perhaps a start, an end, then events. An instance that ends and starts
-// again within a batch has two of these.
+// What a batch holds for one instance, in this order: a stop, a start, events; each is optional. An instance
+// that stops and starts again within a batch has two of these.
 struct InstanceBatch {
   std::uint16_t instance = 0;
   bool stopped = false;  // the instance was killed before the events below
   bool started = false;
-  std::uint64_t seed = 0;
-  Settings settings;  // where started
+  std::uint64_t seed = 0;  // if started
+  Settings settings;       // if started
   std::vector<Event> events;
 };
 
+// An engine list that several instances get, sent once.
+using Page = std::shared_ptr<const std::vector<EngineEntry>>;
+using Pages = std::array<Page, kMaxPages>;
+
 class Decoder {
  public:
   // Decodes the records after the header, in order. Throws WireError.
   std::vector<InstanceBatch> Decode(const BatchHeader& header, std::string_view body);
 
  private:
-  // Numbered lists are the process's own, not an instance's.
-  std::array<std::shared_ptr<const std::vector<EngineEntry>>, 16> pages_;
+  Pages pages_;  // of the process: they outlive batches and instances
 };
 
 // Reads the path=value lines of a start. Throws WireError for a value that cannot be read.
 Settings ParseSettings(std::string_view text);
 
+// Encodes the actions of a batch's instances as one reply.
 class ReplyWriter {
  public:
+  // Begins a new reply.
   void Clear();
   void Add(std::uint16_t instance, const std::vector<Action>& actions);
-  // The whole reply, header included.
+  // Returns the complete reply, header included; valid until the next call.
   const std::string& Finish();
 
  private:
-  std::string bytes_ = std::string(8, '\0');
+  static constexpr std::size_t kReplyHeaderBytes = 8;
+
+  std::string bytes_ = std::string(kReplyHeaderBytes, '\0');
   std::uint32_t records_ = 0;
 };
 
 }  // namespace lemoncroft::simulator_adapter
 
-#endif  // LEMONCROFT_BENCHLINK_WIRE_H_
+#endif  // LEMONCROFT_SIMULATOR_ADAPTER_WIRE_H_
