--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -1,5 +1,6 @@
-// The property of the figures: whatever becomes of requests, each that was taken ends in one count. Clients
-// and engines that do as chance has it play against the front end, the broker and the back end on one loop.
+// The invariant of the counters: each request that was received ends in exactly one count, whatever becomes
+// of it. Clients and engines that behave at random run against the clients' side, the broker and the back end
+// on one event loop.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -46,9 +47,9 @@
   return site;
 }
 
-class Play {
+class RandomTraffic {
  public:
-  explicit Play(unsigned seed) : random_(seed) {
+  explicit RandomTraffic(unsigned seed) : random_(seed) {
     for (auto& engine : engines_) loop_.Spawn(Engine(*engine));
     directory_.Apply(codec::Json::Parse(List()),
                      [this](EngineList list) { broker_.UpdateEndpoints(std::move(list)); });
@@ -59,7 +60,7 @@
   }
 
   const metrics::Counters& counters() const { return counters_; }
-  int heard(int code) const { return heard_[code]; }
+  int responses(int code) const { return responses_[code]; }
   std::size_t open() const { return broker_.open(); }
 
  private:
@@ -79,7 +80,7 @@
       loop_.Spawn(Answer(std::move(socket)));
   }
 
-  // One call after another, each with one of the ends that a call may have.
+  // Answers one HTTP request after another, each in one of the ways in which a request may end.
   Task<> Answer(SocketPtr socket) {
     std::string in;
     std::size_t written = 0;
@@ -92,18 +93,18 @@
         continue;
       }
       in.erase(0, end + 4 + body);
-      static const std::string kAnswers[] = {
+      static const std::string kResponses[] = {
           "HTTP/1.1 200 X\r\nChunks: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n",
           "HTTP/1.1 200 X\r\nChunks: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n",
           "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
           "HTTP/1.1 503 X\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n",
           "HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n",
           "HTTP/1.1 200 X\r\nChu"};
-      const int how = Pick(8);
-      if (how == 7) co_return;  // closed
-      if (how == 6) continue;   // silent
-      if (how == 4) co_await loop_.Sleep(5ms);
-      co_await socket->Write(kAnswers[how], written, Now() + 1s);
+      const int kind = Pick(8);
+      if (kind == 7) co_return;  // closed
+      if (kind == 6) continue;   // silent
+      if (kind == 4) co_await loop_.Sleep(5ms);
+      co_await socket->Write(kResponses[kind], written, Now() + 1s);
     }
   }
 
@@ -147,7 +148,7 @@
       codec::Frame frame;
       while (co_await socket->Read(in, 4096, until) == Io::kOk) {
         while (reader.Next(in, frame) == codec::FrameReader::Result::kFrame)
-          if (frame.type == codec::kResponseFrame && frame.stream != 0) ++heard_[frame.payload[0]];
+          if (frame.type == codec::kResponseFrame && frame.stream != 0) ++responses_[frame.payload[0]];
         reader.Compact(in);
       }
     }
@@ -180,28 +181,28 @@
   std::unique_ptr<runtime::Listener> engines_[2] = {std::make_unique<runtime::Listener>(loop_, Any()),
                                                     std::make_unique<runtime::Listener>(loop_, Any())};
   int clients_ = 0, ids_ = 0;
-  int heard_[16] = {};
+  int responses_[16] = {};
 };
 
-TEST(Counters, EveryRequestTakenEndsInOneCount) {
+TEST(Counters, RandomTraffic_EveryRequestReceivedEndsInOneCount) {
   for (unsigned seed = 1; seed <= 4; ++seed) {
-    const Play play(seed);
-    EXPECT_EQ(play.open(), 0u);
+    const RandomTraffic traffic(seed);
+    EXPECT_EQ(traffic.open(), 0u);
     std::uint64_t ok = 0, shed = 0, errors = 0, withdrawn = 0;
-    EXPECT_EQ(play.counters().classes().size(), 2u) << "a class that there isn't has no figures";
-    for (const auto& [name, of] : play.counters().classes()) {
+    EXPECT_EQ(traffic.counters().classes().size(), 2u) << "an unknown class has no counters";
+    for (const auto& [name, of] : traffic.counters().classes()) {
       EXPECT_EQ(of.received, of.ended()) << name << ", seed " << seed;
       EXPECT_GT(of.received, 50u);
       ok += of.ok, shed += of.shed, errors += of.errors, withdrawn += of.withdrawn;
     }
-    // What clients heard was counted; what they left unheard may have been, too.
-    EXPECT_GE(ok, static_cast<std::uint64_t>(play.heard(codec::kServedCode)));
-    EXPECT_GE(shed, static_cast<std::uint64_t>(play.heard(codec::kRejectedCode)));
-    EXPECT_GT(play.heard(codec::kServedCode), 0);
-    EXPECT_GT(play.heard(codec::kRejectedCode), 0);
+    // Responses that clients read were counted; those that they left unread may have been, too.
+    EXPECT_GE(ok, static_cast<std::uint64_t>(traffic.responses(codec::kServedCode)));
+    EXPECT_GE(shed, static_cast<std::uint64_t>(traffic.responses(codec::kRejectedCode)));
+    EXPECT_GT(traffic.responses(codec::kServedCode), 0);
+    EXPECT_GT(traffic.responses(codec::kRejectedCode), 0);
     EXPECT_GT(errors, 0u);
     EXPECT_GT(withdrawn, 0u);
-    EXPECT_GE(play.counters().attempts(), ok);
+    EXPECT_GE(traffic.counters().attempts(), ok);
   }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the codec on hand-written bytes and on broken ones.
+// The simulator's wire: hand-written frames and broken ones.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -29,14 +29,14 @@
   return decoder.Decode({body.size(), records, 1}, body);
 }
 
-TEST(Header, EmptyBatch) {
+TEST(DecodeHeader, EmptyBatch_IsRead) {
   BatchHeader h = DecodeHeader(Hex("00000000 00000000 00000001f568bf90"));
   EXPECT_EQ(h.length, 0u);
   EXPECT_EQ(h.records, 0u);
   EXPECT_EQ(h.now, 0x1f568bf90);
 }
 
-TEST(Header, ImpossibleOnesAreNamed) {
+TEST(DecodeHeader, ImpossibleValues_Throw) {
   EXPECT_THROW(DecodeHeader(Hex("00000000 0000")), WireError);
   EXPECT_THROW(DecodeHeader(Hex("ffffffff 00000001 0000000000000000")), WireError);
   EXPECT_THROW(DecodeHeader(Hex("00000004 00000005 0000000000000000")), WireError);
@@ -47,7 +47,7 @@
     "0d 0003 03 0003fcd55d3a91c4 0000 0000 91f03b7c55d20a64 000000000e4e1c00 0000000000b71b00 43c00000"
     "41300000 0001 07 000000000000004d 0d 0005 06 000814800e6f2b19";
 
-TEST(Decode, EventsOfTwoInstances) {
+TEST(Decoder, EventsOfTwoInstances_AreReadByInstance) {
   auto batches = DecodeBody(Hex(kTwoInstances), 5);
   ASSERT_EQ(batches.size(), 2u);
   EXPECT_EQ(batches[0].instance, 3);
@@ -64,7 +64,7 @@
   EXPECT_EQ(std::get<ClientGone>(batches[1].events[0]).id, 0x000814800e6f2b19u);
 }
 
-TEST(Decode, ListAndOutcome) {
+TEST(Decoder, PageListAndOutcome_AreRead) {
   auto batches = DecodeBody(
       Hex("0d 0003 0c 0000 00000002 3f800000 01 0000 0000 0000000000000000 03124a07 0000"
           "3fc00000 03 0000 0000 000000016b969d00 2c9011f2 0000 02 02 0000 00000029"
@@ -85,7 +85,7 @@
   EXPECT_FLOAT_EQ(end.load.values[0], 7);
 }
 
-TEST(Decode, BrokenFramesAreNamed) {
+TEST(Decoder, BrokenFrames_Throw) {
   const std::string good = Hex(kTwoInstances);
   for (std::size_t n = 0; n < good.size(); ++n)
     EXPECT_THROW(DecodeBody(good.substr(0, n), 5), WireError) << n;
@@ -97,23 +97,23 @@
   EXPECT_THROW(DecodeBody(Hex("0c 0000 ffffffff"), 1), WireError) << "impossible count";
 }
 
-TEST(Decode, MutatedFramesNeverCrash) {
+TEST(Decoder, MutatedFrames_ThrowOrDecode) {
   std::mt19937 random(1);
   const std::string good = Hex(kTwoInstances);
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 3000; ++i) {
     std::string bad = good;
     for (int k = 0; k < 3; ++k) bad[random() % bad.size()] = static_cast<char>(random());
     try {
       DecodeBody(bad, 5);
     } catch (const WireError&) {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GT(refused, 100);
+  EXPECT_GT(rejected, 100);
 }
 
-TEST(Settings, AreReadAndWrongOnesNamed) {
+TEST(ParseSettings, ValidValuesAreRead_InvalidOnesThrow) {
   Settings s = ParseSettings(
       "siblings=3\ndcs=a,b\nflavors=std\nrequestClasses.count=1\nrequestClasses.0.promiseNs=500000000\n"
       "requestClasses.0.effect=token\nrequestClasses.0.staysIn=b\nspecifics.threadsByClass=4\n"
@@ -131,7 +131,7 @@
   EXPECT_THROW(ParseSettings("limits.cancel=perhaps"), WireError);
 }
 
-TEST(Reply, MatchesTheProtocolsExample) {
+TEST(ReplyWriter, ExampleOfTheProtocol_HasItsBytes) {
   ReplyWriter reply;
   reply.Add(3, {Send{0x0003fcd55d3a91c4, 0x03124a07, 0x04c4b400}, WakeAt{0x213362490, 0x4d}});
   reply.Add(5, {LogLine{"two servers unknown"}});
