--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -105,7 +105,7 @@
 
 void ReadFlag(const KdlNode& node, bool& out, Faults& faults) {
   if (const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kBool, "#true or #false", faults))
-    out = value->truth;
+    out = value->boolean;
 }
 
 void ReadText(const KdlNode& node, std::string& out, Faults& faults) {
--- a/src/operator_config/fields.h
+++ b/src/operator_config/fields.h
@@ -22,7 +22,7 @@
 class Faults {
  public:
   // A fault of no single key, such as a contradiction.
-  void Add(codec::KdlPlace place, std::string message) {
+  void Add(codec::KdlPosition place, std::string message) {
     faults_.push_back({place, "", "", std::move(message)});
   }
   // A fault of a node, or of one of its arguments. The message is complete: it names what it is about.
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -22,7 +22,7 @@
 
 // One thing that is wrong with a file.
 struct Fault {
-  codec::KdlPlace place;
+  codec::KdlPosition place;
   std::string key;    // of the node; empty: no single one
   std::string value;  // as it was written; empty: no single one
   std::string text;   // the complete message
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -77,7 +77,7 @@
 // Starts what the operator's file says of the admission queue, except the queue itself.
 void StartQueueReports(runtime::Loop& loop, const operator_config::AdmissionQueueSettings& settings,
                        ReloadableState& state) {
-  state.server.set_foretells(settings.report_estimates);
+  state.server.set_wait_notices_enabled(settings.report_estimates);
   state.queue_state_file = settings.state_file;
   state.own_queue_settings = settings.queue;
   loop.Spawn(WriteQueueState(loop, state));
@@ -130,9 +130,10 @@
                                                     ReplicatedConfigService* service) {
   if (!config.management) return nullptr;
   auto listener = std::make_unique<admin::Listener>(
-      loop, *config.management, [&operations](const admin::Call& call) { return operations.Answer(call); });
+      loop, *config.management,
+      [&operations](const admin::Command& call) { return operations.Answer(call); });
   if (service != nullptr)
-    listener->after = [service](admin::Call call, admin::Reply reply) {
+    listener->after = [service](admin::Command call, admin::Reply reply) {
       return service->ReplicateManualEjection(std::move(call), std::move(reply));
     };
   loop.Spawn(listener->Run());
@@ -170,7 +171,7 @@
   discovery::EndpointDirectory directory(active_settings);
   const std::size_t memory_mb = ProcessMemoryMb(config, ownership);
   metrics::Counters counters;
-  for (const std::string& class_id : active_settings->classes) counters.Know(class_id);
+  for (const std::string& class_id : active_settings->classes) counters.AddClass(class_id);
   backend::Engines engines(loop, directory, PoolLimits(config),
                            decision::ToSpan(active_settings->module.connect_timeout), counters);
   engines.set_report_fields(active_settings->report_fields);
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -27,7 +27,7 @@
   state.engines.set_report_fields(active->report_fields);
   state.engines.pool().set_idle(EngineIdleTimeout(*active));
   for (const std::string& class_id : active->classes)
-    if (!class_id.empty()) state.counters.Know(class_id);
+    if (!class_id.empty()) state.counters.AddClass(class_id);
 }
 
 // This proxy's own settings with the overrides of the replicated configuration's active version.
@@ -91,7 +91,7 @@
   ApplyQueueSettings(state, state.replicated_config_service == nullptr
                                 ? nullptr
                                 : &state.replicated_config_service->document());
-  state.server.set_foretells(waiting.report_estimates);
+  state.server.set_wait_notices_enabled(waiting.report_estimates);
   state.queue_state_file = std::move(waiting.state_file);
 }
 
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -39,8 +39,8 @@
   frontend::FrameServer::Limits limits;
   limits.connections = ProxyLimitsOf(config).clients;
   if (memory_mb > 0) {
-    limits.unread_by_all = (memory_mb << 20) / 8;
-    limits.unparsed_of_all = (memory_mb << 20) / 4;
+    limits.max_total_unread_bytes = (memory_mb << 20) / 8;
+    limits.max_total_unparsed_bytes = (memory_mb << 20) / 4;
   }
   return limits;
 }
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -41,13 +41,13 @@
 
 Task<> CloseConnections(runtime::Loop& loop, frontend::FrameServer& server, const broker::Broker& broker) {
   while (broker.open() > 0 || !server.flushed()) {
-    server.CloseResting();
+    server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
   // A process that ended now would reset the connections on which something has arrived meanwhile.
   const Time close_by = Now() + kClientCloseTimeout;
   while (server.connections() > 0 && (Now() < close_by || !server.flushed())) {
-    server.CloseResting();
+    server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
 }
@@ -61,11 +61,11 @@
   const bool has_successor = listener == ListenerOwnership::kShared;
   const Time since = Now();
   spdlog::info("ending: {} requests open", broker.open());
-  if (has_successor) server.StopAccepting(Queue::kLeave);
-  server.AnnounceEnd();
+  if (has_successor) server.StopAccepting(Queue::kLeaveQueued);
+  server.AnnounceDrain();
   co_await loop.SleepUntil(since + kKeepAcceptingDuration);
-  if (!has_successor) server.StopAccepting(Queue::kLetIn);
-  server.AnnounceEnd();  // to clients that have connected since
+  if (!has_successor) server.StopAccepting(Queue::kAcceptQueued);
+  server.AnnounceDrain();  // to clients that have connected since
   co_await loop.SleepUntil(since + kKeepServingDuration);
   broker.Close();
   if (has_successor) co_await CompleteRequestsBy(loop, broker, FinalAnswerTime(since, *active_settings));
--- a/tests/scenario_client.cpp
+++ b/tests/scenario_client.cpp
@@ -25,11 +25,11 @@
 
 std::string KindOf(const codec::Frame& frame) {
   switch (frame.type) {
-    case codec::kAnswerFrame:
+    case codec::kResponseFrame:
       return "answer";
-    case codec::kReadyFrame:
+    case codec::kReadinessResponseFrame:
       return "ready";
-    case codec::kEstimateFrame:
+    case codec::kWaitNoticeFrame:
       return "estimate";
     default:
       return "drain";
@@ -73,7 +73,7 @@
   const auto stream = static_cast<std::uint32_t>(std::stoul(words[3]));
   if (kind == "request") return SendRequest(words, stream);
   if (kind == "ready")
-    codec::WriteFrame(out, codec::kReadyAskFrame, stream, kReadyPayload);
+    codec::WriteFrame(out, codec::kReadinessRequestFrame, stream, kReadyPayload);
   else
     codec::WriteFrame(out, codec::kCancelFrame, stream, {});
   SendAll(fd_.get(), out);
@@ -170,7 +170,7 @@
 void Client::Flood(std::chrono::milliseconds duration) {
   std::string requests, responses;
   for (int i = 0; i < 1000; ++i)
-    codec::WriteFrame(requests, codec::kReadyAskFrame, 1, std::string_view("\0", 1));
+    codec::WriteFrame(requests, codec::kReadinessRequestFrame, 1, std::string_view("\0", 1));
   std::size_t at = 0;
   for (auto until = Clock::now() + duration;;) {
     const bool more = Clock::now() < until || at > 0;
