--- a/src/testing/fault_test/process.cpp
+++ b/src/testing/fault_test/child_process.cpp
@@ -1,4 +1,4 @@
-#include "testing/fault_test/process.h"
+#include "testing/fault_test/child_process.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -13,8 +13,8 @@
 namespace lemoncroft::fault_test {
 namespace {
 
-constexpr int kListening = 3;
-constexpr std::size_t kLineMost = 4096;
+constexpr int kInheritedListener = 3;
+constexpr std::size_t kMaxLineBytes = 4096;
 
 // Lets the parent wait until the child has closed its copies of the parent's descriptors.
 struct StartupPipe {
@@ -26,7 +26,8 @@
   if (::pipe2(ends, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe2");
   StartupPipe pipe{runtime::Descriptor(ends[0]), runtime::Descriptor(ends[1])};
   // Above the descriptors that the child is given.
-  pipe.write_end = runtime::Descriptor(::fcntl(pipe.write_end.get(), F_DUPFD_CLOEXEC, kListening + 1));
+  pipe.write_end =
+      runtime::Descriptor(::fcntl(pipe.write_end.get(), F_DUPFD_CLOEXEC, kInheritedListener + 1));
   if (!pipe.write_end) throw std::system_error(errno, std::generic_category(), "fcntl");
   return pipe;
 }
@@ -41,19 +42,19 @@
 }
 
 // Between fork and exec: only what is safe there.
-[[noreturn]] void Become(pid_t parent, int output, int listening, int startup, char* const* words,
-                         char* const* environment) {
+[[noreturn]] void RunChild(pid_t parent, int output, int inherited_listener, int startup,
+                           char* const* arguments, char* const* environment) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != parent) ::_exit(126);  // the rig ended before that
+  if (::getppid() != parent) ::_exit(126);  // the parent ended before that
   ::dup2(output, STDOUT_FILENO);
   ::dup2(output, STDERR_FILENO);
-  if (listening >= 0) {
-    if (listening == kListening)
-      ::fcntl(listening, F_SETFD, 0);
+  if (inherited_listener >= 0) {
+    if (inherited_listener == kInheritedListener)
+      ::fcntl(inherited_listener, F_SETFD, 0);
     else
-      ::dup2(listening, kListening);
+      ::dup2(inherited_listener, kInheritedListener);
   }
-  const int first_unused = listening >= 0 ? kListening + 1 : kListening;
+  const int first_unused = inherited_listener >= 0 ? kInheritedListener + 1 : kInheritedListener;
   if (startup > first_unused) ::close_range(first_unused, startup - 1, 0);
   ::close_range(startup + 1, ~0U, 0);
   const char closed = 1;
@@ -61,24 +62,24 @@
   sigset_t none;
   sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
-  ::execve(words[0], words, environment);
+  ::execve(arguments[0], arguments, environment);
   ::_exit(127);
 }
 
 }  // namespace
 
 ChildProcess::ChildProcess(runtime::Loop& loop, const Command& command,
-                           std::function<void(const std::string&)> line) {
+                           std::function<void(const std::string&)> on_line) {
   int ends[2];
   // Its output comes through a socket, which the loop can read.
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
     throw std::system_error(errno, std::generic_category(), "socketpair");
   runtime::Descriptor ours(ends[0]), theirs(ends[1]);
   ::fcntl(ours.get(), F_SETFL, O_NONBLOCK);
-  std::vector<std::string> words = command.words, environment;
+  std::vector<std::string> arguments = command.arguments, environment;
   for (const auto& [name, value] : command.environment) environment.push_back(name + "=" + value);
   std::vector<char*> argv, envp;
-  for (std::string& word : words) argv.push_back(word.data());
+  for (std::string& argument : arguments) argv.push_back(argument.data());
   for (std::string& entry : environment) envp.push_back(entry.data());
   argv.push_back(nullptr);
   envp.push_back(nullptr);
@@ -87,9 +88,10 @@
   pid_ = ::fork();
   if (pid_ < 0) throw std::system_error(errno, std::generic_category(), "fork");
   if (pid_ == 0)
-    Become(parent, theirs.get(), command.listening, startup.write_end.get(), argv.data(), envp.data());
+    RunChild(parent, theirs.get(), command.inherited_listener, startup.write_end.get(), argv.data(),
+             envp.data());
   AwaitDescriptorsClosed(startup);
-  loop.Spawn(ReadLines(std::make_shared<runtime::Socket>(loop, std::move(ours)), std::move(line)));
+  loop.Spawn(ReadLines(std::make_shared<runtime::Socket>(loop, std::move(ours)), std::move(on_line)));
 }
 
 ChildProcess::~ChildProcess() {
@@ -111,14 +113,14 @@
 }
 
 runtime::Task<> ChildProcess::ReadLines(std::shared_ptr<runtime::Socket> output,
-                                        std::function<void(const std::string&)> line) {
+                                        std::function<void(const std::string&)> on_line) {
   std::string text;
-  while (co_await output->Read(text, kLineMost, runtime::kNever) == runtime::Io::kOk) {
+  while (co_await output->Read(text, kMaxLineBytes, runtime::kNever) == runtime::Io::kOk) {
     std::size_t from = 0;
     for (std::size_t end = 0; (end = text.find('\n', from)) != std::string::npos; from = end + 1)
-      line(text.substr(from, end - from));
+      on_line(text.substr(from, end - from));
     text.erase(0, from);
-    if (text.size() > kLineMost) text.clear();
+    if (text.size() > kMaxLineBytes) text.clear();
   }
 }
 
--- a/src/testing/fault_test/process.h
+++ b/src/testing/fault_test/child_process.h
@@ -1,9 +1,9 @@
 // One process under trial: started with descriptors and an environment of its own, ended by its id and no
-// other way, and never left behind: the kernel ends it where the rig ends first.
+// other way, and never left behind: the kernel ends it where the trial runner ends first.
 //
-// Owner: the rig. Errors: std::system_error where it can't be started.
-#ifndef LEMONCROFT_TRIAL_PROCESS_H_
-#define LEMONCROFT_TRIAL_PROCESS_H_
+// Owner: the trial runner. Errors: std::system_error where it can't be started.
+#ifndef LEMONCROFT_TESTING_FAULT_TEST_CHILD_PROCESS_H_
+#define LEMONCROFT_TESTING_FAULT_TEST_CHILD_PROCESS_H_
 
 #include <sys/types.h>
 
@@ -19,16 +19,16 @@
 namespace lemoncroft::fault_test {
 
 struct Command {
-  std::vector<std::string> words;  // the program, its arguments
+  std::vector<std::string> arguments;  // the program, its arguments
   std::vector<std::pair<std::string, std::string>> environment;
-  int listening = -1;  // becomes descriptor 3; -1: none
+  int inherited_listener = -1;  // becomes descriptor 3; -1: none
 };
 
 class ChildProcess {
  public:
-  // `line` is called with each line of its output, from a task on the loop. Returns once the child holds no
-  // descriptor of the caller's but those that it was given.
-  ChildProcess(runtime::Loop& loop, const Command& command, std::function<void(const std::string&)> line);
+  // `on_line` is called with each line of its output, from a task on the loop. Returns once the child holds
+  // no descriptor of the caller's but those that it was given.
+  ChildProcess(runtime::Loop& loop, const Command& command, std::function<void(const std::string&)> on_line);
   ~ChildProcess();  // kills it where it still runs
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
@@ -37,11 +37,11 @@
   void Signal(int signal) const;
   bool Running();  // collects its exit code where it has ended
   // As waitpid tells; none while it runs.
-  std::optional<int> ended() const { return status_; }
+  std::optional<int> exit_status() const { return status_; }
 
  private:
   static runtime::Task<> ReadLines(std::shared_ptr<runtime::Socket> output,
-                                   std::function<void(const std::string&)> line);
+                                   std::function<void(const std::string&)> on_line);
 
   pid_t pid_ = -1;
   std::optional<int> status_;
@@ -49,4 +49,4 @@
 
 }  // namespace lemoncroft::fault_test
 
-#endif  // LEMONCROFT_TRIAL_PROCESS_H_
+#endif  // LEMONCROFT_TESTING_FAULT_TEST_CHILD_PROCESS_H_
--- a/src/testing/fault_test/history.h
+++ b/src/testing/fault_test/history.h
@@ -1,10 +1,10 @@
 // What happened in a trial, in one clock, and whether it keeps the rules of the view.
 //
-// Contract. No I/O, no clock: the rig notes acts and what processes said, Check looks at all of it
-// afterwards. Times are of CLOCK_MONOTONIC, which all processes of a machine share. The slack that real
+// Contract. No I/O, no clock: the trial runner records actions and what processes said, Check looks at all of
+// it afterwards. Times are of CLOCK_MONOTONIC, which all processes of a machine share. The slack that real
 // processes are given is stated in Slack; tight figures are proven in virtual time.
-#ifndef LEMONCROFT_TRIAL_HISTORY_H_
-#define LEMONCROFT_TRIAL_HISTORY_H_
+#ifndef LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
+#define LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
 
 #include <chrono>
 #include <cstdint>
@@ -21,61 +21,63 @@
 using runtime::Span;
 using runtime::Time;
 
-// One life of a process, as the rig made it.
-struct ActiveRequest {
+// One process that the trial started.
+struct ProcessRecord {
   std::string label;  // "n3", "n3+" beside it, ...
   std::string name;
   std::string id;  // as it tells, once it does
   Time started{};
-  std::optional<Time> told_to_end, ended;  // by SIGTERM; whatever ended it
+  std::optional<Time> termination_requested, ended;  // by SIGTERM; whatever ended it
   bool killed = false;
-  std::vector<std::pair<Time, Time>> stalls;  // while the rig held it
+  std::vector<std::pair<Time, Time>> stalls;  // while the trial runner held it
 };
 
-// What a process told of another.
-struct Told {
+// What a process reported of another.
+struct ObservedEvent {
   Time at{};
-  std::size_t by = 0;  // the life that told it
-  std::string event, id, name, phase;
+  std::size_t observer = 0;  // the process that reported it
+  std::string kind, id, name, phase;
 };
 
 // A span in which links or machines were not well.
-struct Trouble {
+struct FaultInterval {
   Time from{};
   std::optional<Time> until;
 };
 
 struct Slack {
-  Span real = std::chrono::milliseconds(250);  // for a log line, a turn of the loop, a process that starts
-  double settle = 20;                          // periods from the last fault
-  double detect = 25;                          // from a crash until all that can know do
-  double trouble = 25;                         // for which a trouble that is over may still have effects
+  Span scheduling =
+      std::chrono::milliseconds(250);   // for a log line, a turn of the loop, a process that starts
+  double settle_periods = 20;           // periods from the last fault
+  double detection_periods = 25;        // from a crash until all that can know do
+  double fault_aftermath_periods = 25;  // for which a trouble that is over may still have effects
 };
 
-struct Outcome {
-  std::vector<std::string> broken;  // rules, each with what broke it
-  std::vector<std::string> voided;  // why the machine makes it worth nothing
+struct TrialOutcome {
+  std::vector<std::string> violations;    // rules, each with what broke it
+  std::vector<std::string> void_reasons;  // why the machine makes it worth nothing
   std::vector<double> detect_ms, join_ms;
   double settle_ms = 0;
 };
 
 class History {
  public:
-  std::vector<ActiveRequest> lives;
-  std::vector<Told> told;
-  std::vector<Trouble> troubles;
+  std::vector<ProcessRecord> processes;
+  std::vector<ObservedEvent> events;
+  std::vector<FaultInterval> fault_intervals;
   Time last_fault{};
   Time end{};
 
   // Takes in a process's log line, where it is of the view.
-  void Hear(std::size_t life, std::string_view line, Time now);
-  Outcome Check(Span period, const Slack& slack) const;
-  std::string Text(Time start) const;  // for a reader, by time
+  void RecordLogLine(std::size_t process, std::string_view line, Time now);
+  TrialOutcome Check(Span period, const Slack& slack) const;
+  std::string ToText(Time start) const;  // for a reader, by time
 
  private:
-  bool Quiet(const ActiveRequest& life, Time from, Time to) const;  // not held, and no link in trouble
+  bool Undisturbed(const ProcessRecord& process, Time from,
+                   Time to) const;  // not held, and no link in trouble
 };
 
 }  // namespace lemoncroft::fault_test
 
-#endif  // LEMONCROFT_TRIAL_HISTORY_H_
+#endif  // LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
--- a/src/testing/fault_test/load.cpp
+++ b/src/testing/fault_test/load.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr std::size_t kHeadMost = 16384;
-constexpr auto kConnect = 500ms, kWrite = 1000ms, kAgain = 50ms;
-constexpr auto kFeedWait = 2000ms, kFeedBeat = 10ms;
+constexpr std::size_t kMaxHeadBytes = 16384;
+constexpr auto kConnectTimeout = 500ms, kWriteTimeout = 1000ms, kReconnectInterval = 50ms;
+constexpr auto kFeedPollTimeout = 2000ms, kFeedPollInterval = 10ms;
 constexpr const char* kRow = "a\tb\tc\n";
 
 std::string Header(const std::string& head, const std::string& name) {
@@ -30,10 +30,10 @@
 
 }  // namespace
 
-StandInEngine::StandInEngine(runtime::Loop& loop, const runtime::Address& at, runtime::Span work)
+EmulatedEngine::EmulatedEngine(runtime::Loop& loop, const runtime::Address& at, runtime::Span work)
     : loop_(loop), listener_(loop, at), work_(work) {}
 
-Task<> StandInEngine::Accept() {
+Task<> EmulatedEngine::Accept() {
   for (;;) {
     std::unique_ptr<runtime::Socket> socket;
     const Io io = co_await listener_.Accept(socket);
@@ -43,11 +43,11 @@
   }
 }
 
-Task<> StandInEngine::Serve(std::unique_ptr<runtime::Socket> socket) {
+Task<> EmulatedEngine::Serve(std::unique_ptr<runtime::Socket> socket) {
   for (std::string in;;) {
     std::size_t end = 0;
     while ((end = in.find("\r\n\r\n")) == std::string::npos) {
-      if (in.size() > kHeadMost || co_await socket->Read(in, 4096, runtime::kNever) != Io::kOk) co_return;
+      if (in.size() > kMaxHeadBytes || co_await socket->Read(in, 4096, runtime::kNever) != Io::kOk) co_return;
     }
     const std::string head = in.substr(0, end + 2);
     const std::size_t body = std::strtoul(Header(head, "Content-Length").c_str(), nullptr, 10);
@@ -56,8 +56,8 @@
     in.erase(0, end + 4 + body);
     std::string answer = "HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n";
     if (head.starts_with("POST")) {
-      ++ran_;
-      if (++ids_[Header(head, "X-Txn")] > 1) ++twice_;
+      ++executed_;
+      if (++ids_[Header(head, "X-Txn")] > 1) ++executed_twice_;
       co_await loop_.Sleep(work_);
       answer = "HTTP/1.1 200 OK\r\nChunks: 1\r\nElapsed-Work: 5\r\nHigh-Water: 1\r\nContent-Length: " +
                std::to_string(std::string(kRow).size()) + "\r\n\r\n" + kRow;
@@ -65,25 +65,25 @@
       answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     }
     std::size_t written = 0;
-    if (co_await socket->Write(answer, written, Now() + kWrite) != Io::kOk) co_return;
+    if (co_await socket->Write(answer, written, Now() + kWriteTimeout) != Io::kOk) co_return;
   }
 }
 
-void StandInFeed::Tell(const std::string& members) {
+void EmulatedControlFeed::Publish(const std::string& members) {
   const std::string number = std::to_string(events_.size() + 1);
   events_.push_back("{\"n\":" + number + ",\"members\":{\"revision\":" + number + ",\"complete\":" +
                     (events_.empty() ? "true" : "false") + ",\"members\":[" + members + "]}}");
 }
 
-std::string StandInFeed::After(std::size_t number) const {
+std::string EmulatedControlFeed::EventsAfter(std::size_t number) const {
   std::string out = "{\"n\":" + std::to_string(events_.size()) + ",\"events\":[";
   for (std::size_t i = number; i < events_.size(); ++i) out += (i > number ? "," : "") + events_[i];
   return out + "]}";
 }
 
-std::string StandInFeed::Known() const { return After(0); }
+std::string EmulatedControlFeed::KnownEvents() const { return EventsAfter(0); }
 
-Task<> StandInFeed::Accept() {
+Task<> EmulatedControlFeed::Accept() {
   for (;;) {
     std::unique_ptr<runtime::Socket> socket;
     const Io io = co_await listener_.Accept(socket);
@@ -93,26 +93,26 @@
   }
 }
 
-Task<> StandInFeed::Serve(std::unique_ptr<runtime::Socket> socket) {
+Task<> EmulatedControlFeed::Serve(std::unique_ptr<runtime::Socket> socket) {
   for (std::string in;;) {
     std::size_t end = 0;
     while ((end = in.find("\r\n\r\n")) == std::string::npos)
-      if (in.size() > kHeadMost || co_await socket->Read(in, 4096, runtime::kNever) != Io::kOk) co_return;
+      if (in.size() > kMaxHeadBytes || co_await socket->Read(in, 4096, runtime::kNever) != Io::kOk) co_return;
     const std::size_t since = in.find('=');
     const std::size_t number = std::strtoul(in.c_str() + std::min(end, since) + 1, nullptr, 10);
     in.erase(0, end + 4);
-    const runtime::Time last = Now() + kFeedWait;
-    while (events_.size() <= number && Now() < last) co_await loop_.Sleep(kFeedBeat);
-    const std::string body = After(std::min(number, events_.size()));
+    const runtime::Time last = Now() + kFeedPollTimeout;
+    while (events_.size() <= number && Now() < last) co_await loop_.Sleep(kFeedPollInterval);
+    const std::string body = EventsAfter(std::min(number, events_.size()));
     std::size_t written = 0;
     if (co_await socket->Write(
             "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, written,
-            Now() + kWrite) != Io::kOk)
+            Now() + kWriteTimeout) != Io::kOk)
       co_return;
   }
 }
 
-std::string StandInClient::Request(std::uint32_t stream) {
+std::string LoadClient::Request(std::uint32_t stream) {
   char id[17];
   std::snprintf(id, sizeof id, "%08x%08llx", number_, static_cast<unsigned long long>(++requests_));
   const std::pair<const char*, std::string> fields[] = {{"verb", "lookup"}, {"txn", id},    {"limit", "2000"},
@@ -130,35 +130,35 @@
   return frame;
 }
 
-Task<> StandInClient::Ask() {
+Task<> LoadClient::SendRequests() {
   const auto beat = std::chrono::duration_cast<runtime::Span>(std::chrono::duration<double>(1 / per_second_));
   std::shared_ptr<runtime::Socket> socket;
   for (runtime::Time next = Now(); !stopped_; next = std::max(next + beat, Now())) {
     co_await loop_.SleepUntil(next);
     if (!connected_ || draining_) {
       std::unique_ptr<runtime::Socket> made;
-      const Io io = co_await Connect(loop_, to_, Now() + kConnect, nullptr, made);
+      const Io io = co_await Connect(loop_, to_, Now() + kConnectTimeout, nullptr, made);
       if (io != Io::kOk) {
-        ++tally_.unconnected;
-        co_await loop_.Sleep(kAgain);
+        ++counts_.connect_failures;
+        co_await loop_.Sleep(kReconnectInterval);
         continue;
       }
       // What is open on the connection before is answered there.
       socket = std::move(made);
       connected_ = true;
       draining_ = false;
-      loop_.Spawn(Hear(socket, ++connection_));
+      loop_.Spawn(ReceiveResponses(socket, ++connection_));
     }
-    if (open_.size() >= kOpenMost) continue;
+    if (open_requests_.size() >= kMaxOpenRequests) continue;
     const std::uint32_t stream = next_stream_++;
-    open_.emplace(connection_, stream);
-    ++tally_.sent;
+    open_requests_.emplace(connection_, stream);
+    ++counts_.sent;
     std::size_t written = 0;
-    co_await socket->Write(Request(stream), written, Now() + kWrite);
+    co_await socket->Write(Request(stream), written, Now() + kWriteTimeout);
   }
 }
 
-Task<> StandInClient::Hear(std::shared_ptr<runtime::Socket> socket, std::uint64_t connection) {
+Task<> LoadClient::ReceiveResponses(std::shared_ptr<runtime::Socket> socket, std::uint64_t connection) {
   codec::FrameReader reader;
   std::string in;
   for (;;) {
@@ -166,20 +166,21 @@
     while (reader.Next(in, frame) == codec::FrameReader::Result::kFrame) {
       if (frame.type == codec::kDrainFrame && connection == connection_) draining_ = true;
       if (frame.type != codec::kAnswerFrame) continue;
-      if (open_.erase({connection, frame.stream}) == 0) {
-        ++tally_.twice;
+      if (open_requests_.erase({connection, frame.stream}) == 0) {
+        ++counts_.duplicate_responses;
         continue;
       }
       const auto code = static_cast<std::uint8_t>(frame.payload.empty() ? 255 : frame.payload[0]);
-      ++(code == codec::kServedCode    ? tally_.served
-         : code == codec::kRefusedCode ? tally_.refused
-                                       : tally_.failed);
+      ++(code == codec::kServedCode    ? counts_.served
+         : code == codec::kRefusedCode ? counts_.rejected
+                                       : counts_.failed);
     }
     reader.Compact(in);
     if (co_await socket->Read(in, 16384, runtime::kNever) != Io::kOk) break;
   }
   if (connection == connection_) connected_ = false;
-  tally_.broken += std::erase_if(open_, [&](const auto& one) { return one.first == connection; });
+  counts_.lost_with_connection +=
+      std::erase_if(open_requests_, [&](const auto& one) { return one.first == connection; });
 }
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/main.cpp
+++ b/src/testing/fault_test/main.cpp
@@ -10,14 +10,14 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "testing/fault_test/rig.h"
+#include "testing/fault_test/trial_runner.h"
 
 namespace {
 
 using namespace lemoncroft::fault_test;
 using nlohmann::ordered_json;
 
-constexpr int kTriesMost = 3;  // of a trial that the machine held up
+constexpr int kMaxAttempts = 3;  // of a trial that the machine held up
 
 struct Options {
   std::vector<std::string> files;
@@ -47,13 +47,13 @@
   for (int tries = 1;; ++tries) {
     std::string folder = options.folder + "/lemoncroft-trial-XXXXXX";
     if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder for a trial");
-    Rig rig(trial, options.program, folder);
-    const Outcome outcome = rig.Play();
-    const bool last = tries == kTriesMost;
-    const bool voided = !outcome.voided.empty();
-    const bool good = outcome.broken.empty() && !voided;
+    TrialRunner runner(trial, options.program, folder);
+    const TrialOutcome outcome = runner.Play();
+    const bool last = tries == kMaxAttempts;
+    const bool voided = !outcome.void_reasons.empty();
+    const bool good = outcome.violations.empty() && !voided;
     if (options.verbose || (!good && (last || !voided)))
-      std::fputs(rig.history().Text(rig.started()).c_str(), stdout);
+      std::fputs(runner.history().ToText(runner.started()).c_str(), stdout);
     std::error_code ignored;
     if (good && options.keep.empty())
       std::filesystem::remove_all(folder, ignored);
@@ -61,33 +61,35 @@
       std::printf("  logs: %s\n", folder.c_str());
     if (voided && !last) {
       ++sum.voided;
-      std::printf("void    %s: %s\n", trial.name.c_str(), outcome.voided.front().c_str());
+      std::printf("void    %s: %s\n", trial.name.c_str(), outcome.void_reasons.front().c_str());
       continue;
     }
     std::printf("%s  %s: settled in %.0f ms, crashes known in %.0f ms at most\n", good ? "passed" : "FAILED",
                 trial.name.c_str(), outcome.settle_ms, Greatest(outcome.detect_ms));
-    for (const std::string& rule : outcome.broken) std::printf("        %s\n", rule.c_str());
-    if (voided) std::printf("        void %d times: %s\n", kTriesMost, outcome.voided.front().c_str());
+    for (const std::string& rule : outcome.violations) std::printf("        %s\n", rule.c_str());
+    if (voided)
+      std::printf("        void %d times: %s\n", kMaxAttempts, outcome.void_reasons.front().c_str());
     if (!good) ++sum.failed;
     sum.settle_ms = std::max(sum.settle_ms, outcome.settle_ms);
     sum.detect_ms.insert(sum.detect_ms.end(), outcome.detect_ms.begin(), outcome.detect_ms.end());
     sum.join_ms.insert(sum.join_ms.end(), outcome.join_ms.begin(), outcome.join_ms.end());
-    sum.cpu_percent.insert(sum.cpu_percent.end(), rig.cpu_percent().begin(), rig.cpu_percent().end());
-    sum.contradiction_ms = std::max(sum.contradiction_ms, rig.acted().contradiction_ms);
-    sum.stale_acts += rig.acted().stale;
-    sum.acts += rig.acted().acts;
-    sum.operations += rig.acts().operations.size();
-    sum.histories += rig.acts().operations.empty() ? 0 : 1;
-    for (const std::string& rule : rig.acted().broken) sum.unlinear += rule.find("linearizable") != rule.npos;
-    sum.change_ms.insert(sum.change_ms.end(), rig.change_ms().begin(), rig.change_ms().end());
-    sum.gap_ms.insert(sum.gap_ms.end(), rig.gap_ms().begin(), rig.gap_ms().end());
-    sum.cut_shares.insert(sum.cut_shares.end(), rig.cut_shares().begin(), rig.cut_shares().end());
-    sum.files_contradiction_ms = std::max(sum.files_contradiction_ms, rig.files_contradiction_ms());
+    sum.cpu_percent.insert(sum.cpu_percent.end(), runner.cpu_percent().begin(), runner.cpu_percent().end());
+    sum.contradiction_ms = std::max(sum.contradiction_ms, runner.lease_result().max_contradiction_ms);
+    sum.stale_acts += runner.lease_result().stale_actions;
+    sum.acts += runner.lease_result().actions;
+    sum.operations += runner.leases().operations.size();
+    sum.histories += runner.leases().operations.empty() ? 0 : 1;
+    for (const std::string& rule : runner.lease_result().violations)
+      sum.unlinear += rule.find("linearizable") != rule.npos;
+    sum.change_ms.insert(sum.change_ms.end(), runner.change_ms().begin(), runner.change_ms().end());
+    sum.gap_ms.insert(sum.gap_ms.end(), runner.gap_ms().begin(), runner.gap_ms().end());
+    sum.cut_shares.insert(sum.cut_shares.end(), runner.cut_shares().begin(), runner.cut_shares().end());
+    sum.files_contradiction_ms = std::max(sum.files_contradiction_ms, runner.files_contradiction_ms());
     if (!trial.voters.empty())
       std::printf("        %llu acts, contradictions of %.0f ms at most; %zu calls of operators\n",
-                  static_cast<unsigned long long>(rig.acted().acts), rig.acted().contradiction_ms,
-                  rig.acts().operations.size());
-    sum.turn_us.insert(sum.turn_us.end(), rig.turn_us().begin(), rig.turn_us().end());
+                  static_cast<unsigned long long>(runner.lease_result().actions),
+                  runner.lease_result().max_contradiction_ms, runner.leases().operations.size());
+    sum.turn_us.insert(sum.turn_us.end(), runner.turn_us().begin(), runner.turn_us().end());
     std::fflush(stdout);
     return good;
   }
--- a/src/testing/fault_test/relay.h
+++ b/src/testing/fault_test/relay.h
@@ -2,10 +2,10 @@
 // relay listens. It knows the sender by its address and passes on from the sender's 127.0.2.N, through a
 // stand-in link for each direction, so that the program under test is unchanged.
 //
-// Owner: the rig, on its loop. Streams are cut as datagrams are: what a cut link holds comes late or never.
-// Units: the links'. Errors: std::system_error where an address can't be had.
-#ifndef LEMONCROFT_TRIAL_RELAY_H_
-#define LEMONCROFT_TRIAL_RELAY_H_
+// Owner: the trial runner, on its loop. Streams are cut as datagrams are: what a cut link holds comes late or
+// never. Units: the links'. Errors: std::system_error where an address can't be had.
+#ifndef LEMONCROFT_TESTING_FAULT_TEST_RELAY_H_
+#define LEMONCROFT_TESTING_FAULT_TEST_RELAY_H_
 
 #include <memory>
 #include <vector>
@@ -21,43 +21,44 @@
   Relay(runtime::Loop& loop, simulation::Links& links, std::size_t machines, std::uint16_t port);
   void Start();
 
-  static std::string Bound(std::size_t machine);  // the host that a proxy binds
-  static std::string Told(std::size_t machine);   // the host that it advertises
+  static std::string BindHost(std::size_t machine);        // the host that a proxy binds
+  static std::string AdvertisedHost(std::size_t machine);  // the host that it advertises
   std::uint64_t passed() const { return passed_; }
 
  private:
-  struct Ear {
+  struct MachineAddress {
     std::size_t machine = 0;
-    int second = 0;
+    int index = 0;
     std::unique_ptr<runtime::DatagramSocket> datagrams;
     std::unique_ptr<runtime::Listener> streams;
   };
-  struct From {  // who sent it: 0 where nobody that is known
+  struct SenderAddress {  // who sent it: 0 where nobody that is known
     std::size_t machine = 0;
-    int second = 0;
+    int index = 0;
   };
 
-  Ear& At(std::size_t machine, int second) {
-    return *ears_[2 * (machine - 1) + static_cast<std::size_t>(second)];
+  MachineAddress& At(std::size_t machine, int index) {
+    return *addresses_[2 * (machine - 1) + static_cast<std::size_t>(index)];
   }
-  From Sender(const runtime::Address& address) const;
+  SenderAddress Sender(const runtime::Address& address) const;
   simulation::Instant Since() const { return runtime::Now() - start_; }
-  runtime::Task<> Hear(Ear& ear);
-  runtime::Task<> PassLater(runtime::Time at, From from, const Ear& to, std::string bytes);
-  runtime::Task<> Accept(Ear& ear);
-  runtime::Task<> Carry(std::unique_ptr<runtime::Socket> socket, const Ear& to);
-  runtime::Task<> Pump(std::shared_ptr<runtime::Socket> in, std::shared_ptr<runtime::Socket> out,
-                       std::size_t from, std::size_t to);
+  runtime::Task<> ForwardDatagrams(MachineAddress& address);
+  runtime::Task<> DeliverDatagram(runtime::Time at, SenderAddress from, const MachineAddress& to,
+                                  std::string bytes);
+  runtime::Task<> Accept(MachineAddress& address);
+  runtime::Task<> ForwardStream(std::unique_ptr<runtime::Socket> socket, const MachineAddress& to);
+  runtime::Task<> CopyStream(std::shared_ptr<runtime::Socket> in, std::shared_ptr<runtime::Socket> out,
+                             std::size_t from, std::size_t to);
 
   runtime::Loop& loop_;
   simulation::Links& links_;
   std::size_t machines_;
   std::uint16_t port_;
   runtime::Time start_ = runtime::Now();
-  std::vector<std::unique_ptr<Ear>> ears_;
+  std::vector<std::unique_ptr<MachineAddress>> addresses_;
   std::uint64_t passed_ = 0;
 };
 
 }  // namespace lemoncroft::fault_test
 
-#endif  // LEMONCROFT_TRIAL_RELAY_H_
+#endif  // LEMONCROFT_TESTING_FAULT_TEST_RELAY_H_
--- a/src/testing/fault_test/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -18,52 +18,64 @@
 
 struct Named {
   const char* name;
-  Verb verb;
+  ActionType type;
   int names;  // how many; -1: any
   bool span;  // the last argument is a time
 };
-constexpr Named kVerbs[] = {{"kill", Verb::kKill, -1, false},       {"term", Verb::kTerm, -1, false},
-                            {"start", Verb::kStart, -1, false},     {"fresh", Verb::kFresh, -1, false},
-                            {"upgrade", Verb::kUpgrade, -1, false}, {"duplicate", Verb::kDuplicate, 1, false},
-                            {"stall", Verb::kStall, 1, true},       {"cut", Verb::kCut, 2, false},
-                            {"mend", Verb::kMend, 2, false},        {"flap", Verb::kFlap, 2, true},
-                            {"part", Verb::kPart, -1, false},       {"heal", Verb::kHeal, 0, false},
-                            {"weather", Verb::kWeather, 0, false},  {"lie", Verb::kLie, 1, false},
-                            {"logged", Verb::kLogged, 2, false},    {"propose", Verb::kPropose, 2, false},
-                            {"exclude", Verb::kExclude, 2, false},  {"include", Verb::kInclude, 2, false},
-                            {"voter", Verb::kVoter, 3, false},      {"wipe", Verb::kWipe, -1, false},
-                            {"flip", Verb::kFlip, -1, false},       {"keep", Verb::kKeep, -1, false},
-                            {"bring", Verb::kBring, -1, false}};
+constexpr Named kVerbs[] = {{"kill", ActionType::kKill, -1, false},
+                            {"term", ActionType::kTerminate, -1, false},
+                            {"start", ActionType::kStart, -1, false},
+                            {"fresh", ActionType::kStartWithoutState, -1, false},
+                            {"upgrade", ActionType::kHotRestart, -1, false},
+                            {"duplicate", ActionType::kDuplicate, 1, false},
+                            {"stall", ActionType::kStall, 1, true},
+                            {"cut", ActionType::kCutLink, 2, false},
+                            {"mend", ActionType::kRestoreLink, 2, false},
+                            {"flap", ActionType::kFlapLinks, 2, true},
+                            {"part", ActionType::kPartition, -1, false},
+                            {"heal", ActionType::kHealLinks, 0, false},
+                            {"weather", ActionType::kSetLinkConditions, 0, false},
+                            {"lie", ActionType::kForgeMembers, 1, false},
+                            {"logged", ActionType::kExpectLogged, 2, false},
+                            {"propose", ActionType::kPropose, 2, false},
+                            {"exclude", ActionType::kEject, 2, false},
+                            {"include", ActionType::kUneject, 2, false},
+                            {"voter", ActionType::kChangeVoter, 3, false},
+                            {"wipe", ActionType::kEraseStore, -1, false},
+                            {"flip", ActionType::kCorruptStore, -1, false},
+                            {"keep", ActionType::kBackUpStore, -1, false},
+                            {"bring", ActionType::kRestoreStore, -1, false}};
 constexpr const char* kFigures[] = {"loss", "duplicate", "garble", "delay_ms", "spread_ms", "rate"};
-constexpr double kMachinesMost = 200;
+constexpr double kMaxMachines = 200;
 
 const Named* Find(const std::string& name) {
   const auto it = std::find_if(std::begin(kVerbs), std::end(kVerbs),
-                               [&](const Named& verb) { return name == verb.name; });
+                               [&](const Named& type) { return name == type.name; });
   return it == std::end(kVerbs) ? nullptr : it;
 }
 
 Action ReadAction(const KdlNode& node, Span at, operator_config::Faults& faults) {
   Action action;
   action.at = at;
-  const Named* verb = Find(node.name);
-  if (verb == nullptr) {
+  const Named* type = Find(node.name);
+  if (type == nullptr) {
     faults.Add(node.place, "'" + node.name + "' is no action");
     return action;
   }
-  action.verb = verb->verb;
+  action.type = type->type;
   std::vector<KdlValue> arguments = node.arguments;
-  if (verb->span) {
+  if (type->span) {
     if (arguments.empty() || !operator_config::ParseSpan(arguments.back().text, action.span))
       faults.Add(node.place, node.name + ": its last argument is a time, such as \"500ms\"");
     if (!arguments.empty()) arguments.pop_back();
   }
   for (const KdlValue& value : arguments) action.names.push_back(value.text);
-  if (verb->names >= 0 && action.names.size() != static_cast<std::size_t>(verb->names))
-    faults.Add(node.place, node.name + ": takes " + std::to_string(verb->names) + " names");
+  if (type->names >= 0 && action.names.size() != static_cast<std::size_t>(type->names))
+    faults.Add(node.place, node.name + ": takes " + std::to_string(type->names) + " names");
   for (const auto& [name, value] : node.properties) {
     const bool known = std::find(std::begin(kFigures), std::end(kFigures), name) != std::end(kFigures);
-    if (!known || verb->verb != Verb::kWeather) faults.Add(value.place, "'" + name + "' is not known here");
+    if (!known || type->type != ActionType::kSetLinkConditions)
+      faults.Add(value.place, "'" + name + "' is not known here");
     action.figures[name] = value.number;
   }
   return action;
@@ -77,9 +89,9 @@
   std::size_t seed = 1;
   const operator_config::Known known = {
       {"proxies",
-       [&](const KdlNode& n) { operator_config::ReadCount(n, kMachinesMost, trial.proxies, faults); }},
+       [&](const KdlNode& n) { operator_config::ReadCount(n, kMaxMachines, trial.proxies, faults); }},
       {"machines",
-       [&](const KdlNode& n) { operator_config::ReadCount(n, kMachinesMost, trial.machines, faults); }},
+       [&](const KdlNode& n) { operator_config::ReadCount(n, kMaxMachines, trial.machines, faults); }},
       {"period", [&](const KdlNode& n) { operator_config::ReadSpan(n, 50ms, 10s, trial.period, faults); }},
       {"remember", [&](const KdlNode& n) { operator_config::ReadSpan(n, 1s, 1h, trial.remember, faults); }},
       {"settle", [&](const KdlNode& n) { operator_config::ReadNumber(n, 1, 1000, trial.settle, faults); }},
@@ -141,9 +153,10 @@
       One(at);
       at += 300ms + Span(1ms) * Below(1500);
     }
-    Put(at, Verb::kHeal);
-    Put(at, Verb::kWeather);
-    if (!trial_.voters.empty() && !gone_.empty()) Put(at, Verb::kStart, gone_);  // the voters are needed
+    Put(at, ActionType::kHealLinks);
+    Put(at, ActionType::kSetLinkConditions);
+    if (!trial_.voters.empty() && !gone_.empty())
+      Put(at, ActionType::kStart, gone_);  // the voters are needed
     std::stable_sort(trial_.actions.begin(), trial_.actions.end(),
                      [](const Action& a, const Action& b) { return a.at < b.at; });
     return trial_;
@@ -151,10 +164,10 @@
 
  private:
   int Below(int bound) { return static_cast<int>(random_() % static_cast<std::uint64_t>(bound)); }
-  Action& Put(Span at, Verb verb, std::vector<std::string> names = {}) {
+  Action& Put(Span at, ActionType type, std::vector<std::string> names = {}) {
     Action action;
     action.at = at;
-    action.verb = verb;
+    action.type = type;
     action.names = std::move(names);
     trial_.actions.push_back(std::move(action));
     return trial_.actions.back();
@@ -169,24 +182,24 @@
           const std::string name = Any();
           std::erase(living_, name);
           gone_.push_back(name);
-          Put(at, Below(3) == 0 ? Verb::kTerm : Verb::kKill, {name});
+          Put(at, Below(3) == 0 ? ActionType::kTerminate : ActionType::kKill, {name});
         }
         break;
       case 2:
         if (!gone_.empty()) {
-          Put(at, Verb::kStart, {gone_.back()});
+          Put(at, ActionType::kStart, {gone_.back()});
           living_.push_back(gone_.back());
           gone_.pop_back();
         }
         break;
       case 3:
-        Put(at, Verb::kStall, {Any()}).span = 200ms + Span(1ms) * Below(3000);
+        Put(at, ActionType::kStall, {Any()}).span = 200ms + Span(1ms) * Below(3000);
         break;
       case 4:
-        Put(at, Verb::kCut, {Any(), Any()});
+        Put(at, ActionType::kCutLink, {Any(), Any()});
         break;
       case 5:
-        Put(at, Verb::kFlap, {Any(), Any()}).span = 100ms + Span(1ms) * Below(300);
+        Put(at, ActionType::kFlapLinks, {Any(), Any()}).span = 100ms + Span(1ms) * Below(300);
         break;
       case 6: {
         std::vector<std::string> groups(2 + static_cast<std::size_t>(Below(2)));
@@ -195,14 +208,14 @@
           group += (group.empty() ? "n" : " n") + std::to_string(i);
         }
         std::erase_if(groups, [](const std::string& g) { return g.empty(); });
-        Put(at, Verb::kPart, std::move(groups));
+        Put(at, ActionType::kPartition, std::move(groups));
         break;
       }
       case 7:
-        Put(at, Verb::kHeal);
+        Put(at, ActionType::kHealLinks);
         break;
       default: {
-        Action& weather = Put(at, Verb::kWeather);
+        Action& weather = Put(at, ActionType::kSetLinkConditions);
         weather.figures = {{"loss", 0.01 * Below(8)},
                            {"duplicate", 0.01 * Below(10)},
                            {"garble", 0.01 * Below(5)},
@@ -253,11 +266,11 @@
   for (const std::string& seed : trial.seeds) out += " \"" + seed + "\"";
   out += "\n";
   for (const Action& action : trial.actions) {
-    const Named* verb = std::find_if(std::begin(kVerbs), std::end(kVerbs),
-                                     [&](const Named& v) { return v.verb == action.verb; });
-    out += "  at \"" + Ms(action.at) + "\" { " + verb->name;
+    const Named* type = std::find_if(std::begin(kVerbs), std::end(kVerbs),
+                                     [&](const Named& v) { return v.type == action.type; });
+    out += "  at \"" + Ms(action.at) + "\" { " + type->name;
     for (const std::string& name : action.names) out += " \"" + name + "\"";
-    if (verb->span) out += " \"" + Ms(action.span) + "\"";
+    if (type->span) out += " \"" + Ms(action.span) + "\"";
     for (const auto& [name, value] : action.figures) {
       char figure[64];
       std::snprintf(figure, sizeof figure, " %s=%g", name.c_str(), value);
--- a/src/testing/fault_test/script.h
+++ b/src/testing/fault_test/script.h
@@ -9,8 +9,8 @@
 //
 // Contract. Plain values; a text that is wrong is told whole, with lines. Units: spans. docs/trials.md lists
 // the verbs.
-#ifndef LEMONCROFT_TRIAL_SCRIPT_H_
-#define LEMONCROFT_TRIAL_SCRIPT_H_
+#ifndef LEMONCROFT_TESTING_FAULT_TEST_SCRIPT_H_
+#define LEMONCROFT_TESTING_FAULT_TEST_SCRIPT_H_
 
 #include <chrono>
 #include <cstdint>
@@ -30,38 +30,39 @@
   using std::runtime_error::runtime_error;
 };
 
-enum class Verb {
-  kKill,       // SIGKILL
-  kTerm,       // SIGTERM: it leaves
-  kStart,      // again, on its own machine, with nothing remembered
-  kFresh,      // the same with an empty $TMPDIR
-  kUpgrade,    // beside the one that runs, which gets SIGTERM once the new one serves
-  kDuplicate,  // NAME on a machine of its own, under a name that is taken
-  kStall,      // SIGSTOP, and SIGCONT after a time
-  kCut,        // FROM TO: in this direction
-  kMend,
-  kFlap,  // FROM TO, both directions, cut and mended each so often, until healed
-  kPart,  // groups; a name in two of them is a bridge
-  kHeal,
-  kWeather,  // of all links
-  kLie,      // datagrams with invented members, from one machine's address to all
-  kLogged,   // NAME TEXT: at the end some process of that name has the text in its log
-  kPropose,  // NAME DOCUMENT: at that proxy, from the newest version
-  kExclude,  // NAME ENGINE: an operator's call at that proxy
-  kInclude,
-  kVoter,  // NAME WAY WHO: at that proxy, let a voter in or out
-  kWipe,   // the stores of those machines are lost; their processes have ended
-  kFlip,   // a bit in each of these is another one
-  kKeep,   // a copy of these stores is put aside ...
-  kBring,  // ... and takes the store's place again
+enum class ActionType {
+  kKill,               // SIGKILL
+  kTerminate,          // SIGTERM: it leaves
+  kStart,              // again, on its own machine, with nothing remembered
+  kStartWithoutState,  // the same with an empty $TMPDIR
+  kHotRestart,         // beside the one that runs, which gets SIGTERM once the new one serves
+  kDuplicate,          // NAME on a machine of its own, under a name that is taken
+  kStall,              // SIGSTOP, and SIGCONT after a time
+  kCutLink,            // FROM TO: in this direction
+  kRestoreLink,
+  kFlapLinks,  // FROM TO, both directions, cut and mended each so often, until healed
+  kPartition,  // groups; a name in two of them is a bridge
+  kHealLinks,
+  kSetLinkConditions,  // of all links
+  kForgeMembers,       // datagrams with invented members, from one machine's address to all
+  kExpectLogged,       // NAME TEXT: at the end some process of that name has the text in its log
+  kPropose,            // NAME DOCUMENT: at that proxy, from the newest version
+  kEject,              // NAME ENGINE: an operator's call at that proxy
+  kUneject,
+  kChangeVoter,   // NAME WAY WHO: at that proxy, let a voter in or out
+  kEraseStore,    // the stores of those machines are lost; their processes have ended
+  kCorruptStore,  // a bit in each of these is another one
+  kBackUpStore,   // a copy of these stores is put aside ...
+  kRestoreStore,  // ... and takes the store's place again
 };
 
 struct Action {
   Span at{};
-  Verb verb = Verb::kKill;
-  std::vector<std::string> names;         // of processes; for kPart a group each, blanks between its names
-  Span span{};                            // of kStall and kFlap
-  std::map<std::string, double> figures;  // of kWeather: loss, duplicate, garble, delay_ms, spread_ms, rate
+  ActionType type = ActionType::kKill;
+  std::vector<std::string> names;  // of processes; for kPartition a group each, blanks between its names
+  Span span{};                     // of kStall and kFlapLinks
+  std::map<std::string, double>
+      figures;  // of kSetLinkConditions: loss, duplicate, garble, delay_ms, spread_ms, rate
 };
 
 struct Trial {
@@ -92,4 +93,4 @@
 
 }  // namespace lemoncroft::fault_test
 
-#endif  // LEMONCROFT_TRIAL_SCRIPT_H_
+#endif  // LEMONCROFT_TESTING_FAULT_TEST_SCRIPT_H_
--- a/src/testing/fault_test/rig.cpp
+++ b/src/testing/fault_test/trial_runner.cpp
@@ -1,4 +1,4 @@
-#include "testing/fault_test/rig.h"
+#include "testing/fault_test/trial_runner.h"
 
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -29,12 +29,13 @@
 namespace {
 
 constexpr const char* kFleet = "trial";
-constexpr int kFirstPort = 7100, kPortsEach = 4, kRigsMost = 64;  // two of peers, clients, operators
-constexpr auto kWatchBeat = 5ms;
-constexpr auto kStartPatience = 3000ms;
-constexpr int kLies = 850, kLiesEach = 12;  // datagrams, and names in each: over 10,000
-constexpr int kAsksABatch = 200;            // each 10 ms: 20,000 a second
-constexpr auto kAskBeat = 10ms;
+constexpr int kFirstPort = 7100, kPortsPerRunner = 4, kMaxRunners = 64;  // two of peers, clients, operators
+constexpr auto kWatchInterval = 5ms;
+constexpr auto kStartTimeout = 3000ms;
+constexpr int kForgedDatagrams = 850,
+              kForgedMembersPerDatagram = 12;   // datagrams, and names in each: over 10,000
+constexpr int kReadinessQueriesPerBatch = 200;  // each 10 ms: 20,000 a second
+constexpr auto kReadinessBatchInterval = 10ms;
 
 // What a proxy must be told.
 constexpr const char* kConfig = R"({"name":"NAME","listen":"LISTEN","seed":"SEED",
@@ -65,13 +66,13 @@
 "phase":"Ready","size":1,"up_since_ms":0})";
 constexpr int kEngines = 3;
 constexpr auto kEngineWork = 5ms;
-constexpr auto kLastAnswers = 2500ms;  // requests wait for 2 s
-constexpr auto kRulesRest = 6000ms;    // an election, leases, a version
-constexpr Span kStated = 1200ms;       // T of docs/agreement.md
-constexpr auto kCallWithin = 4000ms;
-constexpr auto kRigSlack = 250ms;
-constexpr int kPatienceMs = 1500;
-constexpr std::uint64_t kCallsMost = 400;
+constexpr auto kDrainTimeout = 2500ms;      // requests wait for 2 s
+constexpr auto kRecoveryTimeout = 6000ms;   // an election, leases, a version
+constexpr Span kMaxContradiction = 1200ms;  // T of docs/agreement.md
+constexpr auto kCallTimeout = 4000ms;
+constexpr auto kRunnerSlack = 250ms;
+constexpr int kCallTimeoutMs = 1500;
+constexpr std::uint64_t kMaxCalls = 400;
 
 std::string Engine(int number, int port) {
   return "127.0.3." + std::to_string(number) + ":" + std::to_string(port);
@@ -91,47 +92,49 @@
 
 }  // namespace
 
-Rig::Rig(const Trial& trial, std::string program, std::string folder)
+TrialRunner::TrialRunner(const Trial& trial, std::string program, std::string folder)
     : trial_(trial), program_(std::move(program)), folder_(std::move(folder)), links_(trial.seed) {
   if (trial_.machines < trial_.proxies) trial_.machines = trial_.proxies + 2;
   TakePorts();
   relay_ = std::make_unique<Relay>(loop_, links_, trial_.machines, port_);
-  feed_ = std::make_unique<StandInFeed>(loop_, *runtime::Address::Parse(Feed(port_)));
+  feed_ = std::make_unique<EmulatedControlFeed>(loop_, *runtime::Address::Parse(Feed(port_)));
   std::string members;
   for (int i = 1; i <= kEngines; ++i) {
     engines_.push_back(
-        std::make_unique<StandInEngine>(loop_, *runtime::Address::Parse(Engine(i, port_)), kEngineWork));
+        std::make_unique<EmulatedEngine>(loop_, *runtime::Address::Parse(Engine(i, port_)), kEngineWork));
     members += (i > 1 ? "," : "") +
                Replaced(Replaced(kMember, "ID", "e" + std::to_string(i)), "AT", Engine(i, port_));
   }
-  feed_->Tell(members);
+  feed_->Publish(members);
 }
 
-Rig::~Rig() = default;
+TrialRunner::~TrialRunner() = default;
 
 // Rigs beside each other have ports of their own, each held by a socket that ends with its rig.
-void Rig::TakePorts() {
-  for (int i = 0; i < kRigsMost && !lock_; ++i) {
-    port_ = static_cast<std::uint16_t>(kFirstPort + kPortsEach * i);
+void TrialRunner::TakePorts() {
+  for (int i = 0; i < kMaxRunners && !lock_; ++i) {
+    port_ = static_cast<std::uint16_t>(kFirstPort + kPortsPerRunner * i);
     lock_ = Listening("127.0.2.254:" + std::to_string(port_));
   }
   if (!lock_) throw std::runtime_error("no ports are free for a trial");
   for (std::size_t machine = 1; machine <= trial_.machines; ++machine) {
-    listening_.push_back(Listening(Relay::Bound(machine) + ":" + std::to_string(port_ + 2)));
+    listening_.push_back(Listening(Relay::BindHost(machine) + ":" + std::to_string(port_ + 2)));
     if (!listening_.back()) throw std::runtime_error("cannot listen for the clients of a trial");
   }
 }
 
-std::string Rig::Folder(std::size_t machine) const { return folder_ + "/m" + std::to_string(machine); }
+std::string TrialRunner::Folder(std::size_t machine) const {
+  return folder_ + "/m" + std::to_string(machine);
+}
 
-void Rig::WriteFiles(const std::string& name, std::size_t machine) {
+void TrialRunner::WriteFiles(const std::string& name, std::size_t machine) {
   const std::string folder = Folder(machine), port = std::to_string(port_);
   std::filesystem::create_directories(folder + "/tmp");
   std::string text = Replaced(kConfig, "NAME", name);
-  text = Replaced(text, "LISTEN", Relay::Bound(machine) + ":" + std::to_string(port_ + 2));
-  text = Replaced(text, "MANAGEMENT", Relay::Bound(machine) + ":" + std::to_string(port_ + 3));
+  text = Replaced(text, "LISTEN", Relay::BindHost(machine) + ":" + std::to_string(port_ + 2));
+  text = Replaced(text, "MANAGEMENT", Relay::BindHost(machine) + ":" + std::to_string(port_ + 3));
   text = Replaced(text, "FEED", Feed(port_));
-  text = Replaced(text, "KNOWN", feed_->Known());
+  text = Replaced(text, "KNOWN", feed_->KnownEvents());
   text = Replaced(text, "SIBLINGS", std::to_string(trial_.proxies));
   std::ostringstream seed;
   seed << std::hex << trial_.seed * 1000 + machine;
@@ -141,169 +144,170 @@
     return "\"" + host + ":" + port + "\" \"" + host + ":" + std::to_string(port_ + 1) + "\"";
   };
   // Where a process takes another's place, its address is now the one and now the other.
-  for (const std::string& s : trial_.seeds) seeds += " " + both(Relay::Told(MachineOf(s)));
+  for (const std::string& s : trial_.seeds) seeds += " " + both(Relay::AdvertisedHost(MachineOf(s)));
   std::ofstream(folder + "/operator.kdl")
-      << "fleet \"" << kFleet << "\" {\n  listen " << both(Relay::Bound(machine)) << "\n  advertise "
-      << both(Relay::Told(machine)) << "\n  seeds" << seeds << "\n  zone \"z" << machine % 3
+      << "fleet \"" << kFleet << "\" {\n  listen " << both(Relay::BindHost(machine)) << "\n  advertise "
+      << both(Relay::AdvertisedHost(machine)) << "\n  seeds" << seeds << "\n  zone \"z" << machine % 3
       << "\"\n  state-file \"" << folder << "/fleet.json\"\n  period \"" << Ms(trial_.period)
       << "\"\n  remember \"" << Ms(trial_.remember) << "\"\n}\n"
       << RulesBlock(folder);
 }
 
-std::string Rig::RulesBlock(const std::string& folder) const {
+std::string TrialRunner::RulesBlock(const std::string& folder) const {
   if (trial_.voters.empty()) return {};
   std::string out = "rules {\n  voters";
   for (const std::string& voter : trial_.voters) out += " \"" + voter + "\"";
   return out + "\n  store \"" + folder + "/rules.db\"\n}\n";
 }
 
-std::size_t Rig::MachineOf(const std::string& name) const {
+std::size_t TrialRunner::MachineOf(const std::string& name) const {
   const std::size_t machine = name.size() > 1 ? std::strtoul(name.c_str() + 1, nullptr, 10) : 0;
   if (machine == 0 || machine > trial_.machines) throw ScriptError("no machine for '" + name + "'");
   return machine;
 }
 
-Rig::Actor& Rig::Launch(const std::string& name, std::size_t machine, int second) {
+TrialRunner::ProxyProcess& TrialRunner::Launch(const std::string& name, std::size_t machine, int second) {
   WriteFiles(name, machine);
   const std::string folder = Folder(machine);
-  auto actor = std::make_unique<Actor>();
-  Actor* self = actor.get();
+  auto proxy = std::make_unique<ProxyProcess>();
+  ProxyProcess* self = proxy.get();
   self->name = name;
   self->label = name + (machine != MachineOf(name) ? "@" + std::to_string(machine) : "");
   int before = 0;
-  for (const auto& other : actors_) before += other->name == name && other->machine == machine;
+  for (const auto& other : proxies_) before += other->name == name && other->machine == machine;
   if (before > 0) self->label += "." + std::to_string(before + 1);
   self->machine = machine;
   self->second = second;
-  self->life = history_.lives.size();
-  ActiveRequest life;
-  life.label = self->label;
-  life.name = name;
-  life.started = Now();
-  history_.lives.push_back(life);
+  self->record = history_.processes.size();
+  ProcessRecord record;
+  record.label = self->label;
+  record.name = name;
+  record.started = Now();
+  history_.processes.push_back(record);
   Command command;
-  command.words = {
+  command.arguments = {
       program_, "serve", "--config", folder + "/config.json", "--operator", folder + "/operator.kdl"};
-  if (!trial_.voters.empty()) command.words.insert(command.words.end(), {"--log-level", "debug"});
+  if (!trial_.voters.empty()) command.arguments.insert(command.arguments.end(), {"--log-level", "debug"});
   command.environment = {{"PROXY_FD", "3"}, {"TMPDIR", folder + "/tmp"}};
-  self->management = Relay::Bound(machine) + ":" + std::to_string(port_ + 3 + 1000 * (before % 8));
+  self->management = Relay::BindHost(machine) + ":" + std::to_string(port_ + 3 + 1000 * (before % 8));
   command.environment.emplace_back("PROXY_MANAGEMENT", self->management);
   if (trial_.jumps)
     command.environment.emplace_back(
         "LD_PRELOAD",
         (std::filesystem::path(program_).parent_path() / "liblemoncroft_wall_clock.so").string());
-  command.listening = listening_[machine - 1].get();
+  command.inherited_listener = listening_[machine - 1].get();
   auto log = std::make_shared<std::ofstream>(folder + "/" + self->label + ".log");
   self->process = std::make_unique<ChildProcess>(loop_, command, [this, self, log](const std::string& line) {
     *log << line << std::endl;
-    Heard(*self, line);
+    HandleLogLine(*self, line);
   });
-  actors_.push_back(std::move(actor));
+  proxies_.push_back(std::move(proxy));
   return *self;
 }
 
-void Rig::Heard(Actor& actor, const std::string& line) {
-  if (line.find("serving in place of") != std::string::npos) actor.serves = true;
-  history_.Hear(actor.life, line, Now());
-  acts_.Hear(actor.life, line);
+void TrialRunner::HandleLogLine(ProxyProcess& proxy, const std::string& line) {
+  if (line.find("serving in place of") != std::string::npos) proxy.serves = true;
+  history_.RecordLogLine(proxy.record, line, Now());
+  leases_.RecordLogLine(proxy.record, line);
   if (line.find("configuration read again") != std::string::npos)
-    adopted_.push_back({Now(), actor.machine, pushed_[actor.machine]});
+    adopted_.push_back({Now(), proxy.machine, pushed_[proxy.machine]});
 }
 
-Rig::Actor* Rig::Find(const std::string& name) {
-  const auto it = std::find_if(actors_.rbegin(), actors_.rend(), [&](const auto& actor) {
-    return actor->name == name && !history_.lives[actor->life].ended && actor->process->Running();
+TrialRunner::ProxyProcess* TrialRunner::Find(const std::string& name) {
+  const auto it = std::find_if(proxies_.rbegin(), proxies_.rend(), [&](const auto& proxy) {
+    return proxy->name == name && !history_.processes[proxy->record].ended && proxy->process->Running();
   });
-  return it == actors_.rend() ? nullptr : it->get();
+  return it == proxies_.rend() ? nullptr : it->get();
 }
 
-Outcome Rig::Play() {
+TrialOutcome TrialRunner::Play() {
   relay_->Start();
   feed_->Start();
   for (const auto& engine : engines_) engine->Start();
   start_ = Now();
   for (std::size_t machine = 1; machine <= trial_.proxies; ++machine)
     Launch("n" + std::to_string(machine), machine, 0);
-  loop_.Spawn(Direct());
+  loop_.Spawn(RunScript());
   loop_.Spawn(Watch());
   loop_.Run();
   const Slack slack{250ms, trial_.settle, 25, 25};
-  Outcome outcome = history_.Check(trial_.period, slack);
+  TrialOutcome outcome = history_.Check(trial_.period, slack);
   for (const Action& action : trial_.actions)
-    if (action.verb == Verb::kLogged && !Logged(action.names[0], action.names[1]))
-      broken_.push_back("no process of " + action.names[0] + " logged '" + action.names[1] + "'");
-  CheckActs();
-  outcome.broken.insert(outcome.broken.end(), broken_.begin(), broken_.end());
-  outcome.voided.insert(outcome.voided.end(), voided_.begin(), voided_.end());
+    if (action.type == ActionType::kExpectLogged && !Logged(action.names[0], action.names[1]))
+      violations_.push_back("no process of " + action.names[0] + " logged '" + action.names[1] + "'");
+  CheckLeases();
+  outcome.violations.insert(outcome.violations.end(), violations_.begin(), violations_.end());
+  outcome.void_reasons.insert(outcome.void_reasons.end(), void_reasons_.begin(), void_reasons_.end());
   return outcome;
 }
 
-bool Rig::Logged(const std::string& name, const std::string& text) const {
-  return std::any_of(actors_.begin(), actors_.end(), [&](const auto& actor) {
+bool TrialRunner::Logged(const std::string& name, const std::string& text) const {
+  return std::any_of(proxies_.begin(), proxies_.end(), [&](const auto& proxy) {
     std::ostringstream log;
-    log << std::ifstream(Folder(actor->machine) + "/" + actor->label + ".log").rdbuf();
-    return actor->name == name && log.str().find(text) != std::string::npos;
+    log << std::ifstream(Folder(proxy->machine) + "/" + proxy->label + ".log").rdbuf();
+    return proxy->name == name && log.str().find(text) != std::string::npos;
   });
 }
 
-void Rig::StartLoad() {
+void TrialRunner::StartLoad() {
   for (std::size_t machine = 1; machine <= trial_.proxies; ++machine) {
-    const auto to = *runtime::Address::Parse(Relay::Bound(machine) + ":" + std::to_string(port_ + 2));
+    const auto to = *runtime::Address::Parse(Relay::BindHost(machine) + ":" + std::to_string(port_ + 2));
     clients_.push_back(
-        std::make_unique<StandInClient>(loop_, to, static_cast<std::uint32_t>(machine), trial_.load));
+        std::make_unique<LoadClient>(loop_, to, static_cast<std::uint32_t>(machine), trial_.load));
     clients_.back()->Start();
   }
 }
 
-Tally Rig::tally() const {
-  Tally all;
+RequestCounts TrialRunner::counts() const {
+  RequestCounts all;
   for (const auto& client : clients_) {
-    const Tally& one = client->tally();
+    const RequestCounts& one = client->counts();
     all.sent += one.sent;
     all.served += one.served;
-    all.refused += one.refused;
+    all.rejected += one.rejected;
     all.failed += one.failed;
-    all.twice += one.twice;
-    all.broken += one.broken;
-    all.unconnected += one.unconnected;
+    all.duplicate_responses += one.duplicate_responses;
+    all.lost_with_connection += one.lost_with_connection;
+    all.connect_failures += one.connect_failures;
   }
   return all;
 }
 
 // One final answer for each request, unless its proxy was killed under it.
-void Rig::CheckLoad() {
+void TrialRunner::CheckLoad() {
   for (std::size_t machine = 1; machine <= clients_.size(); ++machine) {
-    const StandInClient& client = *clients_[machine - 1];
+    const LoadClient& client = *clients_[machine - 1];
     const std::string at = "at n" + std::to_string(machine) + ": ";
-    const bool killed = std::any_of(actors_.begin(), actors_.end(), [&](const auto& actor) {
-      return actor->machine == machine && history_.lives[actor->life].killed;
+    const bool killed = std::any_of(proxies_.begin(), proxies_.end(), [&](const auto& proxy) {
+      return proxy->machine == machine && history_.processes[proxy->record].killed;
     });
-    if (client.tally().twice > 0) broken_.push_back(at + "requests were answered twice");
+    if (client.counts().duplicate_responses > 0) violations_.push_back(at + "requests were answered twice");
     // A connection that no process was there to take waits in the rig's own socket.
-    const bool there = std::any_of(actors_.begin(), actors_.end(), [&](const auto& actor) {
-      return actor->machine == machine && !history_.lives[actor->life].ended;
+    const bool there = std::any_of(proxies_.begin(), proxies_.end(), [&](const auto& proxy) {
+      return proxy->machine == machine && !history_.processes[proxy->record].ended;
     });
-    if (client.open() > 0 && there)
-      broken_.push_back(at + std::to_string(client.open()) + " requests have no answer");
-    if (client.tally().broken > 0 && !killed)
-      broken_.push_back(at + std::to_string(client.tally().broken) +
-                        " requests were open when their connection ended");
-    if (client.tally().served == 0 && !killed) broken_.push_back(at + "nothing was served");
+    if (client.open_requests() > 0 && there)
+      violations_.push_back(at + std::to_string(client.open_requests()) + " requests have no answer");
+    if (client.counts().lost_with_connection > 0 && !killed)
+      violations_.push_back(at + std::to_string(client.counts().lost_with_connection) +
+                            " requests were open when their connection ended");
+    if (client.counts().served == 0 && !killed) violations_.push_back(at + "nothing was served");
   }
 }
 
 // What the processes that still run have used and told, for measurements.
-void Rig::TakeFigures() {
-  for (const auto& actor : actors_) {
-    if (history_.lives[actor->life].ended) continue;
-    std::ifstream stat("/proc/" + std::to_string(actor->process->pid()) + "/stat");
+void TrialRunner::MeasureProcesses() {
+  for (const auto& proxy : proxies_) {
+    if (history_.processes[proxy->record].ended) continue;
+    std::ifstream stat("/proc/" + std::to_string(proxy->process->pid()) + "/stat");
     std::string word;
     double ticks = 0;
     for (int field = 1; stat >> word && field <= 15; ++field)
       if (field >= 14) ticks += std::strtod(word.c_str(), nullptr);
-    const double lived = std::chrono::duration<double>(Now() - history_.lives[actor->life].started).count();
+    const double lived =
+        std::chrono::duration<double>(Now() - history_.processes[proxy->record].started).count();
     cpu_percent_.push_back(100 * ticks / static_cast<double>(::sysconf(_SC_CLK_TCK)) / lived);
-    std::ifstream state(Folder(actor->machine) + "/fleet.json");
+    std::ifstream state(Folder(proxy->machine) + "/fleet.json");
     std::ostringstream text;
     text << state.rdbuf();
     const std::string key = "\"turn_us_p99\":";
@@ -313,15 +317,15 @@
   }
 }
 
-Task<> Rig::Direct() {
-  const Time ready = Now() + kStartPatience;
+Task<> TrialRunner::RunScript() {
+  const Time ready = Now() + kStartTimeout;
   while (Now() < ready &&
-         !std::all_of(actors_.begin(), actors_.end(), [](const auto& a) { return a->serves; }))
+         !std::all_of(proxies_.begin(), proxies_.end(), [](const auto& a) { return a->serves; }))
     co_await loop_.Sleep(10ms);
   start_ = Now();
   history_.last_fault = start_;
   if (trial_.busy)
-    for (std::size_t machine = 1; machine <= trial_.proxies; ++machine) loop_.Spawn(Ask(machine));
+    for (std::size_t machine = 1; machine <= trial_.proxies; ++machine) loop_.Spawn(QueryReadiness(machine));
   if (trial_.load > 0) StartLoad();
   if (trial_.files)
     loop_.Spawn(PushFiles());
@@ -332,38 +336,38 @@
     try {
       Do(action);
     } catch (const std::exception& e) {
-      broken_.emplace_back(e.what());
+      violations_.emplace_back(e.what());
     }
-    if (action.verb == Verb::kLogged) continue;
+    if (action.type == ActionType::kExpectLogged) continue;
     // A stall that an earlier act began may end later than this one.
-    const Span lasts = action.verb == Verb::kStall ? action.span : Span(0);
+    const Span lasts = action.type == ActionType::kStall ? action.span : Span(0);
     history_.last_fault = std::max(history_.last_fault, Now() + lasts);
   }
-  NoteTrouble();
+  RecordLinkFaults();
   const Span rest = trial_.period * static_cast<int>(std::max(trial_.settle, 25.0) + 10) + 300ms;
   co_await loop_.SleepUntil(history_.last_fault +
-                            (trial_.voters.empty() ? rest : std::max<Span>(rest, kRulesRest)));
-  if (!trial_.voters.empty()) co_await CheckRules();
+                            (trial_.voters.empty() ? rest : std::max<Span>(rest, kRecoveryTimeout)));
+  if (!trial_.voters.empty()) co_await CheckReplicatedConfig();
   over_ = true;
   if (trial_.load > 0) {
     for (const auto& client : clients_) client->Stop();
-    co_await loop_.Sleep(kLastAnswers);
+    co_await loop_.Sleep(kDrainTimeout);
     CheckLoad();
   }
   history_.end = Now();
-  TakeFigures();
+  MeasureProcesses();
   loop_.Stop();
 }
 
 // Whether the links are such that who is called failed may be rightly so.
-void Rig::NoteTrouble() {
-  const bool trouble = parted_ || stormy_ || cuts_ > 0 || flapping_ > 0;
-  const bool noted = !history_.troubles.empty() && !history_.troubles.back().until;
-  if (trouble && !noted) history_.troubles.push_back({Now(), std::nullopt});
-  if (!trouble && noted) history_.troubles.back().until = Now();
+void TrialRunner::RecordLinkFaults() {
+  const bool trouble = partitioned_ || lossy_ || cuts_ > 0 || flapping_ > 0;
+  const bool noted = !history_.fault_intervals.empty() && !history_.fault_intervals.back().until;
+  if (trouble && !noted) history_.fault_intervals.push_back({Now(), std::nullopt});
+  if (!trouble && noted) history_.fault_intervals.back().until = Now();
 }
 
-void Rig::Weather(const Action& action) {
+void TrialRunner::SetLinkConditions(const Action& action) {
   const auto figure = [&](const char* name) {
     const auto it = action.figures.find(name);
     return it == action.figures.end() ? 0.0 : it->second;
@@ -377,159 +381,160 @@
   faults.spread = ms("spread_ms");
   faults.bandwidth = figure("rate");
   links_.usual() = faults;
-  stormy_ = faults.loss + faults.garble > 0.021 || faults.delay + faults.spread > trial_.period / 4 ||
-            faults.bandwidth > 0;
+  lossy_ = faults.loss + faults.garble > 0.021 || faults.delay + faults.spread > trial_.period / 4 ||
+           faults.bandwidth > 0;
 }
 
-// One branch for each verb of a script; not split yet.
+// One branch for each type of a script; not split yet.
 // NOLINTNEXTLINE(readability-function-size)
-void Rig::Do(const Action& action) {
+void TrialRunner::Do(const Action& action) {
   const auto node = [&](const std::string& name) { return static_cast<simulation::Node>(MachineOf(name)); };
   const auto each = [&](auto act) {
     for (const std::string& name : action.names)
-      if (Actor* actor = Find(name)) act(*actor);
+      if (ProxyProcess* proxy = Find(name)) act(*proxy);
   };
-  if (action.verb == Verb::kPart || action.verb == Verb::kHeal) NoteCut(action);
-  switch (action.verb) {
-    case Verb::kKill:
-      each([&](Actor& actor) {
-        ActiveRequest& life = history_.lives[actor.life];
-        actor.process->Signal(SIGKILL);
-        life.killed = true;
-        life.ended = Now();
+  if (action.type == ActionType::kPartition || action.type == ActionType::kHealLinks)
+    MeasureAvailability(action);
+  switch (action.type) {
+    case ActionType::kKill:
+      each([&](ProxyProcess& proxy) {
+        ProcessRecord& record = history_.processes[proxy.record];
+        proxy.process->Signal(SIGKILL);
+        record.killed = true;
+        record.ended = Now();
       });
       break;
-    case Verb::kTerm:
-      each([&](Actor& actor) {
-        history_.lives[actor.life].told_to_end = Now();
-        actor.process->Signal(SIGTERM);
+    case ActionType::kTerminate:
+      each([&](ProxyProcess& proxy) {
+        history_.processes[proxy.record].termination_requested = Now();
+        proxy.process->Signal(SIGTERM);
       });
       break;
-    case Verb::kStart:
+    case ActionType::kStart:
       for (const std::string& name : action.names) Launch(name, MachineOf(name), 0);
       break;
-    case Verb::kFresh:
+    case ActionType::kStartWithoutState:
       for (const std::string& name : action.names) {
         std::error_code ignored;
         std::filesystem::remove_all(Folder(MachineOf(name)) + "/tmp", ignored);
         Launch(name, MachineOf(name), 0);
       }
       break;
-    case Verb::kUpgrade:
-      each([&](Actor& actor) {
-        Actor* old = &actor;
-        loop_.Spawn(Replace(old, &Launch(old->name, old->machine, 1 - old->second)));
+    case ActionType::kHotRestart:
+      each([&](ProxyProcess& proxy) {
+        ProxyProcess* old = &proxy;
+        loop_.Spawn(EndPredecessor(old, &Launch(old->name, old->machine, 1 - old->second)));
       });
       break;
-    case Verb::kDuplicate:
+    case ActionType::kDuplicate:
       Launch(action.names[0], trial_.proxies + 1, 0);
       break;
-    case Verb::kStall:
-      each([&](Actor& actor) {
-        actor.process->Signal(SIGSTOP);
-        history_.lives[actor.life].stalls.emplace_back(Now(), Now() + action.span + 1s);
-        loop_.Spawn(Resume(&actor, action.span));
+    case ActionType::kStall:
+      each([&](ProxyProcess& proxy) {
+        proxy.process->Signal(SIGSTOP);
+        history_.processes[proxy.record].stalls.emplace_back(Now(), Now() + action.span + 1s);
+        loop_.Spawn(Resume(&proxy, action.span));
       });
       break;
-    case Verb::kCut:
-    case Verb::kMend:
-      links_.Cut(node(action.names[0]), node(action.names[1]), action.verb == Verb::kCut);
-      if (action.verb == Verb::kCut)
+    case ActionType::kCutLink:
+    case ActionType::kRestoreLink:
+      links_.Cut(node(action.names[0]), node(action.names[1]), action.type == ActionType::kCutLink);
+      if (action.type == ActionType::kCutLink)
         ++cuts_;
       else if (cuts_ > 0)
         --cuts_;
       break;
-    case Verb::kFlap:
+    case ActionType::kFlapLinks:
       loop_.Spawn(Flap(MachineOf(action.names[0]), MachineOf(action.names[1]), action.span));
       break;
-    case Verb::kPart:
+    case ActionType::kPartition:
       links_.Heal();
       for (std::size_t group = 0; group < action.names.size(); ++group) {
         std::istringstream names(action.names[group]);
         for (std::string name; names >> name;) links_.Side(node(name), static_cast<int>(group));
       }
-      parted_ = true;
+      partitioned_ = true;
       break;
-    case Verb::kHeal:
+    case ActionType::kHealLinks:
       links_.Heal();
       ++heals_;
-      parted_ = false;
+      partitioned_ = false;
       cuts_ = 0;
       flapping_ = 0;
       break;
-    case Verb::kWeather:
-      Weather(action);
+    case ActionType::kSetLinkConditions:
+      SetLinkConditions(action);
       break;
-    case Verb::kLogged:
+    case ActionType::kExpectLogged:
       break;  // looked for at the end
-    case Verb::kPropose:
+    case ActionType::kPropose:
       loop_.Spawn(ProposeAt(action.names[0], action.names[1], newest_));
       break;
-    case Verb::kExclude:
-    case Verb::kInclude:
-      loop_.Spawn(ByHandAt(action.names[0], action.names[1], action.verb == Verb::kExclude));
+    case ActionType::kEject:
+    case ActionType::kUneject:
+      loop_.Spawn(EjectAt(action.names[0], action.names[1], action.type == ActionType::kEject));
       break;
-    case Verb::kVoter:
-      loop_.Spawn(VoterAt(action.names[0], action.names[1], action.names[2]));
+    case ActionType::kChangeVoter:
+      loop_.Spawn(ChangeVoterAt(action.names[0], action.names[1], action.names[2]));
       break;
-    case Verb::kWipe:
-    case Verb::kFlip:
-    case Verb::kKeep:
-    case Verb::kBring:
-      for (const std::string& name : action.names) ChangeStore(name, action.verb);
+    case ActionType::kEraseStore:
+    case ActionType::kCorruptStore:
+    case ActionType::kBackUpStore:
+    case ActionType::kRestoreStore:
+      for (const std::string& name : action.names) ChangeStore(name, action.type);
       break;
-    case Verb::kLie:
-      loop_.Spawn(Lie(MachineOf(action.names[0])));
+    case ActionType::kForgeMembers:
+      loop_.Spawn(ForgeMembers(MachineOf(action.names[0])));
       break;
   }
-  NoteTrouble();
+  RecordLinkFaults();
 }
 
 // From an address of its own, in the form of a peer: a fleet of names that nobody has.
-Task<> Rig::Lie(std::size_t machine) {
+Task<> TrialRunner::ForgeMembers(std::size_t machine) {
   runtime::DatagramSocket socket(
-      loop_, *runtime::Address::Parse(Relay::Told(machine) + ":" + std::to_string(port_ + 2)));
+      loop_, *runtime::Address::Parse(Relay::AdvertisedHost(machine) + ":" + std::to_string(port_ + 2)));
   gossip::Datagram d;
   d.sender.id = 0x11e5;
   d.sender.name = "liar";
   d.sender.address = {0x7f000200u + static_cast<std::uint32_t>(machine),
                       static_cast<std::uint16_t>(port_ + 2)};
   d.body = gossip::Gossip{};
-  for (int i = 0; i < kLies; ++i) {
+  for (int i = 0; i < kForgedDatagrams; ++i) {
     d.updates.clear();
-    for (int k = 0; k < kLiesEach; ++k) {
+    for (int k = 0; k < kForgedMembersPerDatagram; ++k) {
       gossip::MemberUpdate update;
       update.record = d.sender;
-      update.record.id = 0x10000 + static_cast<std::uint64_t>(kLiesEach * i + k);
+      update.record.id = 0x10000 + static_cast<std::uint64_t>(kForgedMembersPerDatagram * i + k);
       update.record.name = "lie-" + std::to_string(update.record.id);
-      update.record.address.port = static_cast<std::uint16_t>(20000 + kLiesEach * i + k);
+      update.record.address.port = static_cast<std::uint16_t>(20000 + kForgedMembersPerDatagram * i + k);
       d.updates.push_back(std::move(update));
     }
     const std::string frame = peer_transport::Encode(kFleet, d);
-    for (const auto& actor : actors_)
-      if (!history_.lives[actor->life].ended)
-        socket.Send(frame, *runtime::Address::Parse(Relay::Bound(actor->machine) + ":" +
-                                                    std::to_string(port_ + actor->second)));
+    for (const auto& proxy : proxies_)
+      if (!history_.processes[proxy->record].ended)
+        socket.Send(frame, *runtime::Address::Parse(Relay::BindHost(proxy->machine) + ":" +
+                                                    std::to_string(port_ + proxy->second)));
     if (i % 8 == 0) co_await loop_.Sleep(2ms);
   }
 }
 
-Task<> Rig::Resume(Actor* actor, Span after) {
+Task<> TrialRunner::Resume(ProxyProcess* proxy, Span after) {
   co_await loop_.Sleep(after);
-  actor->process->Signal(SIGCONT);
-  ActiveRequest& life = history_.lives[actor->life];
-  if (!life.stalls.empty()) life.stalls.back().second = Now();
+  proxy->process->Signal(SIGCONT);
+  ProcessRecord& record = history_.processes[proxy->record];
+  if (!record.stalls.empty()) record.stalls.back().second = Now();
 }
 
-Task<> Rig::Replace(Actor* old, Actor* fresh) {
-  const Time last = Now() + kStartPatience;
+Task<> TrialRunner::EndPredecessor(ProxyProcess* old, ProxyProcess* fresh) {
+  const Time last = Now() + kStartTimeout;
   while (!fresh->serves && Now() < last && fresh->process->Running()) co_await loop_.Sleep(10ms);
   if (!fresh->serves) co_return;
-  history_.lives[old->life].told_to_end = Now();
+  history_.processes[old->record].termination_requested = Now();
   old->process->Signal(SIGTERM);
 }
 
-Task<> Rig::Flap(std::size_t a, std::size_t b, Span each) {
+Task<> TrialRunner::Flap(std::size_t a, std::size_t b, Span each) {
   ++flapping_;
   const std::uint64_t heals = heals_;
   const auto x = static_cast<simulation::Node>(a), y = static_cast<simulation::Node>(b);
@@ -541,26 +546,26 @@
 }
 
 // Who has ended; and how late the rig itself runs.
-Task<> Rig::Watch() {
-  for (Time due = Now() + kWatchBeat;; due = Now() + kWatchBeat) {
+Task<> TrialRunner::Watch() {
+  for (Time due = Now() + kWatchInterval;; due = Now() + kWatchInterval) {
     co_await loop_.SleepUntil(due);
-    if (Now() - due > trial_.period / 2) voided_.push_back("the rig ran " + Ms(Now() - due) + " late");
-    for (const auto& actor : actors_) {
-      ActiveRequest& life = history_.lives[actor->life];
-      if (life.ended || actor->process->Running()) continue;
-      life.ended = Now();
-      const int status = *actor->process->ended();
-      if (!life.told_to_end || !WIFEXITED(status) || WEXITSTATUS(status) != 0)
-        broken_.push_back(life.label +
-                          " ended by itself or not well, as waitpid tells: " + std::to_string(status));
+    if (Now() - due > trial_.period / 2) void_reasons_.push_back("the rig ran " + Ms(Now() - due) + " late");
+    for (const auto& proxy : proxies_) {
+      ProcessRecord& record = history_.processes[proxy->record];
+      if (record.ended || proxy->process->Running()) continue;
+      record.ended = Now();
+      const int status = *proxy->process->exit_status();
+      if (!record.termination_requested || !WIFEXITED(status) || WEXITSTATUS(status) != 0)
+        violations_.push_back(record.label +
+                              " ended by itself or not well, as waitpid tells: " + std::to_string(status));
     }
   }
 }
 
-Task<> Rig::Ask(std::size_t machine) {
-  const auto to = *runtime::Address::Parse(Relay::Bound(machine) + ":" + std::to_string(port_ + 2));
+Task<> TrialRunner::QueryReadiness(std::size_t machine) {
+  const auto to = *runtime::Address::Parse(Relay::BindHost(machine) + ":" + std::to_string(port_ + 2));
   std::string asks;
-  for (int i = 0; i < kAsksABatch; ++i)
+  for (int i = 0; i < kReadinessQueriesPerBatch; ++i)
     codec::WriteFrame(asks, codec::kReadyAskFrame, 1, std::string_view("\0", 1));
   for (;; co_await loop_.Sleep(100ms)) {
     std::unique_ptr<runtime::Socket> socket;
@@ -568,7 +573,7 @@
     std::string answers;
     for (std::size_t written = 0;;) {
       if (co_await socket->Write(asks, written, Now() + 500ms) != runtime::Io::kOk) break;
-      const Time next = Now() + kAskBeat;
+      const Time next = Now() + kReadinessBatchInterval;
       while (co_await socket->Read(answers, 16384, next) == runtime::Io::kOk) answers.clear();
       if (Now() < next) break;  // the connection has ended
     }
@@ -577,78 +582,80 @@
 
 // ---- Operators ----
 
-Task<std::string> Rig::Call(const std::string& name, std::string call) {
-  const Actor* actor = Find(name);
-  if (actor == nullptr) co_return std::string();
+Task<std::string> TrialRunner::Call(const std::string& name, std::string call) {
+  const ProxyProcess* proxy = Find(name);
+  if (proxy == nullptr) co_return std::string();
   const auto to =
-      *runtime::Address::Parse(Relay::Bound(actor->machine) + ":" + std::to_string(port_ + actor->second));
-  auto answer = co_await peer_transport::CallPeer(loop_, kFleet, to, std::move(call), Now() + kCallWithin);
+      *runtime::Address::Parse(Relay::BindHost(proxy->machine) + ":" + std::to_string(port_ + proxy->second));
+  auto answer = co_await peer_transport::CallPeer(loop_, kFleet, to, std::move(call), Now() + kCallTimeout);
   co_return answer.value_or(std::string());
 }
 
 // A call, from its begin to its answer, for the check of the history.
-Task<> Rig::ProposeAt(std::string name, std::string text, std::uint64_t from) {
+Task<> TrialRunner::ProposeAt(std::string name, std::string text, std::uint64_t from) {
   Operation op;
   op.id = "op-" + std::to_string(++calls_);
-  op.from = from;
-  op.begun = Now();
-  const std::size_t place = acts_.operations.size();
-  acts_.operations.push_back(op);
+  op.base_version = from;
+  op.invoked = Now();
+  const std::size_t place = leases_.operations.size();
+  leases_.operations.push_back(op);
   const nlohmann::json call = {{"call", "propose"}, {"id", op.id},         {"from", from},
-                               {"text", text},      {"by", "an operator"}, {"patience_ms", kPatienceMs}};
+                               {"text", text},      {"by", "an operator"}, {"patience_ms", kCallTimeoutMs}};
   const std::string bytes = co_await Call(name, call.dump());
   const nlohmann::json answer = nlohmann::json::parse(bytes, nullptr, false);
   if (!answer.is_object() || !answer.contains("verdict")) co_return;  // nobody knows
-  Operation& done = acts_.operations[place];
-  done.ended = Now();
-  done.told = answer.value("version", std::uint64_t{0});
+  Operation& done = leases_.operations[place];
+  done.returned = Now();
+  done.version = answer.value("version", std::uint64_t{0});
   const std::string verdict = answer.value("verdict", std::string());
-  done.end = verdict == "taken"      ? Operation::End::kTaken
-             : verdict == "conflict" ? Operation::End::kConflict
-             : verdict == "refused"  ? Operation::End::kRefused
-                                     : Operation::End::kUnknown;
-  if (done.end == Operation::End::kTaken || done.end == Operation::End::kConflict)
-    newest_ = std::max(newest_, done.told);
+  done.result = verdict == "taken"      ? Operation::Result::kCommitted
+                : verdict == "conflict" ? Operation::Result::kConflict
+                : verdict == "refused"  ? Operation::Result::kRejected
+                                        : Operation::Result::kUnknown;
+  if (done.result == Operation::Result::kCommitted || done.result == Operation::Result::kConflict)
+    newest_ = std::max(newest_, done.version);
 }
 
-Task<> Rig::ReadAt(std::string name) {
+Task<> TrialRunner::ReadAt(std::string name) {
   Operation op;
   op.kind = Operation::Kind::kRead;
   op.id = "read-" + std::to_string(++calls_);
-  op.begun = Now();
-  const std::size_t place = acts_.operations.size();
-  acts_.operations.push_back(op);
-  const nlohmann::json call = {{"call", "read"}, {"id", op.id}, {"patience_ms", kPatienceMs}};
+  op.invoked = Now();
+  const std::size_t place = leases_.operations.size();
+  leases_.operations.push_back(op);
+  const nlohmann::json call = {{"call", "read"}, {"id", op.id}, {"patience_ms", kCallTimeoutMs}};
   const std::string bytes = co_await Call(name, call.dump());
   const nlohmann::json answer = nlohmann::json::parse(bytes, nullptr, false);
   if (!answer.is_object() || !answer.contains("newest")) co_return;
-  Operation& done = acts_.operations[place];
-  done.ended = Now();
-  done.told = answer.value("newest", std::uint64_t{0});
-  done.end = Operation::End::kTaken;
-  newest_ = std::max(newest_, done.told);
+  Operation& done = leases_.operations[place];
+  done.returned = Now();
+  done.version = answer.value("newest", std::uint64_t{0});
+  done.result = Operation::Result::kCommitted;
+  newest_ = std::max(newest_, done.version);
 }
 
-Task<> Rig::ByHandAt(std::string name, std::string engine, bool out) {
-  const Actor* actor = Find(name);
-  if (actor == nullptr) co_return;
+Task<> TrialRunner::EjectAt(std::string name, std::string engine, bool out) {
+  const ProxyProcess* proxy = Find(name);
+  if (proxy == nullptr) co_return;
   const std::string call = (out ? "exclude " : "include ") + engine + "\n";
   std::unique_ptr<runtime::Socket> socket;
-  const Time begun = Now(), last = begun + kCallWithin;
+  const Time begun = Now(), last = begun + kCallTimeout;
   std::string answer;
   std::size_t written = 0;
   runtime::Io io =
-      co_await Connect(loop_, *runtime::Address::Parse(actor->management), last, nullptr, socket);
+      co_await Connect(loop_, *runtime::Address::Parse(proxy->management), last, nullptr, socket);
   if (io == runtime::Io::kOk) io = co_await socket->Write(call, written, last);
   while (io == runtime::Io::kOk) io = co_await socket->Read(answer, 512, last);
-  if (!answer.starts_with("ACK")) broken_.push_back(name + " answered '" + answer + "' to " + call);
-  if (Now() - begun > 1s + kRigSlack) broken_.push_back(name + " took over a second to answer " + call);
+  if (!answer.starts_with("ACK")) violations_.push_back(name + " answered '" + answer + "' to " + call);
+  if (Now() - begun > 1s + kRunnerSlack)
+    violations_.push_back(name + " took over a second to answer " + call);
   constexpr std::string_view kAgreed = "ACK for the fleet, version ";
   if (answer.starts_with(kAgreed))
-    acts_.by_hand.push_back({engine, out, std::strtoull(answer.c_str() + kAgreed.size(), nullptr, 10)});
+    leases_.manual_ejections.push_back(
+        {engine, out, std::strtoull(answer.c_str() + kAgreed.size(), nullptr, 10)});
 }
 
-Task<> Rig::VoterAt(std::string name, std::string way, std::string who) {
+Task<> TrialRunner::ChangeVoterAt(std::string name, std::string way, std::string who) {
   const nlohmann::json call = {{"call", "voters"}, {"way", way}, {"who", who}, {"patience_ms", 8000}};
   // For longer than other calls: a link may be cut meanwhile.
   std::string answer;
@@ -657,17 +664,17 @@
     co_await loop_.Sleep(200ms);
   }
   if (answer.find("\"taken\"") == std::string::npos)
-    broken_.push_back("voter " + way + " " + who + " at " + name + ": " + answer);
+    violations_.push_back("voter " + way + " " + who + " at " + name + ": " + answer);
 }
 
-Task<> Rig::Operate() {
+Task<> TrialRunner::Operate() {
   std::mt19937_64 random(trial_.seed * 77 + 1);
   const auto beat = std::chrono::duration_cast<Span>(std::chrono::duration<double>(1 / trial_.changes));
-  while (!over_ && calls_ < kCallsMost) {
+  while (!over_ && calls_ < kMaxCalls) {
     co_await loop_.Sleep(beat);
     std::vector<std::string> living;
-    for (const auto& actor : actors_)
-      if (!history_.lives[actor->life].ended) living.push_back(actor->name);
+    for (const auto& proxy : proxies_)
+      if (!history_.processes[proxy->record].ended) living.push_back(proxy->name);
     if (living.empty() || over_) continue;
     const std::string name = living[random() % living.size()];
     const std::uint64_t what = random() % 10;
@@ -681,20 +688,20 @@
   }
 }
 
-void Rig::ChangeStore(const std::string& name, Verb verb) {
+void TrialRunner::ChangeStore(const std::string& name, ActionType type) {
   const std::string store = Folder(MachineOf(name)) + "/rules.db";
   for (const char* end : {"", "-wal", "-shm"}) {
     const std::string file = store + end, aside = store + ".kept" + end;
     std::error_code ignored;
-    if (verb == Verb::kWipe) std::filesystem::remove(file, ignored);
-    if (verb == Verb::kKeep)
+    if (type == ActionType::kEraseStore) std::filesystem::remove(file, ignored);
+    if (type == ActionType::kBackUpStore)
       std::filesystem::copy_file(file, aside, std::filesystem::copy_options::overwrite_existing, ignored);
-    if (verb == Verb::kBring) {
+    if (type == ActionType::kRestoreStore) {
       std::filesystem::remove(file, ignored);
       if (std::filesystem::exists(aside)) std::filesystem::copy_file(aside, file, ignored);
     }
   }
-  if (verb != Verb::kFlip) return;
+  if (type != ActionType::kCorruptStore) return;
   // Of the newest records, wherever they are: behind the last checkpoint, or in it.
   for (const char* end : {"", "-wal"}) {
     std::fstream file(store + end, std::ios::in | std::ios::out | std::ios::binary | std::ios::ate);
@@ -709,57 +716,57 @@
 }
 
 // All is healed: each live proxy acts on the newest version; or none does, where the voters are lost.
-Task<> Rig::CheckRules() {
+Task<> TrialRunner::CheckReplicatedConfig() {
   over_ = true;
-  const Time last = Now() + kRulesRest;
+  const Time last = Now() + kRecoveryTimeout;
   for (;;) {
     std::vector<std::string> wrong;
     std::vector<std::pair<std::string, std::uint64_t>> versions;
-    std::uint64_t newest = acts_.newest();
-    for (const auto& actor : actors_) {
-      if (history_.lives[actor->life].ended) continue;
-      const std::string bytes = co_await Call(actor->name, R"({"call":"status"})");
+    std::uint64_t newest = leases_.newest();
+    for (const auto& proxy : proxies_) {
+      if (history_.processes[proxy->record].ended) continue;
+      const std::string bytes = co_await Call(proxy->name, R"({"call":"status"})");
       const nlohmann::json status = nlohmann::json::parse(bytes, nullptr, false);
       if (!status.is_object() || !status.contains("cut_off")) {
-        wrong.push_back(actor->label + " does not tell of its rules");
+        wrong.push_back(proxy->label + " does not tell of its rules");
         continue;
       }
       const bool cut_off = status.value("cut_off", true);
       if (cut_off != trial_.lost)
-        wrong.push_back(actor->label +
+        wrong.push_back(proxy->label +
                         (cut_off ? " is cut off at the end" : " acts though the voters are lost"));
-      versions.emplace_back(actor->label, status.value("version", std::uint64_t{0}));
+      versions.emplace_back(proxy->label, status.value("version", std::uint64_t{0}));
     }
     for (const auto& [label, version] : versions)
       if (!trial_.lost && version != newest)
         wrong.push_back(label + " acts on version " + std::to_string(version) + " at the end, not on " +
                         std::to_string(newest));
     if (wrong.empty() || Now() >= last) {
-      broken_.insert(broken_.end(), wrong.begin(), wrong.end());
+      violations_.insert(violations_.end(), wrong.begin(), wrong.end());
       co_return;
     }
     co_await loop_.Sleep(100ms);
   }
 }
 
-void Rig::NoteCut(const Action& action) {
+void TrialRunner::MeasureAvailability(const Action& action) {
   const auto sum = [this] {
-    Tally all;
+    RequestCounts all;
     for (const std::size_t machine : cut_side_) {
       if (machine > clients_.size()) continue;
-      all.sent += clients_[machine - 1]->tally().sent;
-      all.served += clients_[machine - 1]->tally().served;
+      all.sent += clients_[machine - 1]->counts().sent;
+      all.served += clients_[machine - 1]->counts().served;
     }
     return all;
   };
   if (!cut_side_.empty()) {
-    const Tally now = sum();
+    const RequestCounts now = sum();
     const std::uint64_t sent = now.sent - cut_before_.sent;
     if (sent > 0)
       cut_shares_.push_back(static_cast<double>(now.served - cut_before_.served) / static_cast<double>(sent));
   }
   cut_side_.clear();
-  if (action.verb != Verb::kPart) return;
+  if (action.type != ActionType::kPartition) return;
   std::size_t most = 0;
   for (const std::string& group : action.names) {
     std::istringstream names(group);
@@ -776,7 +783,7 @@
 
 // Today's way: an operator at the first machine changes each proxy's own file and tells the process, one
 // after the other; who is out of reach is tried again.
-Task<> Rig::PushFiles() {
+Task<> TrialRunner::PushFiles() {
   for (std::uint64_t version = 1; !over_; ++version) {
     std::set<std::size_t> left;
     for (std::size_t machine = 1; machine <= trial_.proxies; ++machine) left.insert(machine);
@@ -785,12 +792,12 @@
       for (const std::size_t machine : std::set<std::size_t>(left)) {
         co_await loop_.Sleep(20ms);
         const std::string name = "n" + std::to_string(machine);
-        Actor* actor = Find(name);
+        ProxyProcess* proxy = Find(name);
         const bool reached = machine == 1 || links_.Open(1, static_cast<simulation::Node>(machine));
-        if (actor == nullptr || !reached) continue;
+        if (proxy == nullptr || !reached) continue;
         WriteFiles(name, machine);
         pushed_[machine] = version;
-        actor->process->Signal(SIGHUP);
+        proxy->process->Signal(SIGHUP);
         left.erase(machine);
       }
       co_await loop_.Sleep(100ms);
@@ -798,7 +805,7 @@
   }
 }
 
-void Rig::CheckFiles() {
+void TrialRunner::CheckFiles() {
   std::map<std::uint64_t, Time> first;
   for (const Adopted& one : adopted_) first.try_emplace(one.version, one.at);
   for (const auto& [version, since] : first) {
@@ -813,28 +820,29 @@
   }
 }
 
-void Rig::CheckActs() {
+void TrialRunner::CheckLeases() {
   if (trial_.files) CheckFiles();
   if (trial_.voters.empty()) return;
-  acted_ = acts_.Check(kStated);
-  broken_.insert(broken_.end(), acted_.broken.begin(), acted_.broken.end());
-  std::vector<std::size_t> lives;
-  for (std::size_t i = 0; i < history_.lives.size(); ++i) {
-    const ActiveRequest& life = history_.lives[i];
-    if (!life.ended) lives.push_back(i);
-    if (!life.killed || !life.ended) continue;
+  lease_result_ = leases_.Check(kMaxContradiction);
+  violations_.insert(violations_.end(), lease_result_.violations.begin(), lease_result_.violations.end());
+  std::vector<std::size_t> processes;
+  for (std::size_t i = 0; i < history_.processes.size(); ++i) {
+    const ProcessRecord& record = history_.processes[i];
+    if (!record.ended) processes.push_back(i);
+    if (!record.killed || !record.ended) continue;
     Time next = runtime::kNever;
-    for (const auto& [version, at] : acts_.committed_at())
-      if (at > *life.ended) next = std::min(next, at);
+    for (const auto& [version, at] : leases_.committed_at())
+      if (at > *record.ended) next = std::min(next, at);
     if (next != runtime::kNever)
-      gap_ms_.push_back(std::chrono::duration<double, std::milli>(next - *life.ended).count());
+      gap_ms_.push_back(std::chrono::duration<double, std::milli>(next - *record.ended).count());
   }
-  for (const Operation& op : acts_.operations) {
-    if (!trial_.each_once || op.kind != Operation::Kind::kChange || op.end != Operation::End::kTaken)
+  for (const Operation& op : leases_.operations) {
+    if (!trial_.each_once || op.kind != Operation::Kind::kChange ||
+        op.result != Operation::Result::kCommitted)
       continue;
-    const Time at = acts_.InForceAtAll(op.told, lives);
+    const Time at = leases_.ActivatedByAll(op.version, processes);
     if (at != runtime::kNever)
-      change_ms_.push_back(std::chrono::duration<double, std::milli>(at - op.begun).count());
+      change_ms_.push_back(std::chrono::duration<double, std::milli>(at - op.invoked).count());
   }
 }
 
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -1,4 +1,6 @@
 // Tests of fault_test::ChildProcess: what a child inherits.
+#include "testing/fault_test/child_process.h"
+
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -7,8 +9,6 @@
 #include <string>
 #include <system_error>
 
-#include "testing/fault_test/process.h"
-
 namespace lemoncroft {
 namespace {
 
@@ -31,7 +31,7 @@
     ASSERT_TRUE(socket);
     const fs::path target = fs::read_symlink("/proc/self/fd/" + std::to_string(socket.get()));
     fault_test::Command command;
-    command.words = {"/bin/sleep", "10"};
+    command.arguments = {"/bin/sleep", "10"};
     const fault_test::ChildProcess child(loop, command, [](const std::string&) {});
     EXPECT_FALSE(HasOpen(child.pid(), target)) << "start " << i;
   }
--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "testing/fault_test/acts.h"
+#include "testing/fault_test/lease_history.h"
 
 namespace lemoncroft {
 namespace {
@@ -127,39 +127,46 @@
 
 // ---- The checker of trials ----
 
-using fault_test::Linear;
+using fault_test::LinearizabilityResult;
 using fault_test::Operation;
 
-Operation Op(Operation::Kind kind, int begun, int ended, std::uint64_t from, Operation::End end,
-             std::uint64_t told) {
+Operation Op(Operation::Kind kind, int invoked, int returned, std::uint64_t base_version,
+             Operation::Result result, std::uint64_t version) {
   Operation op;
   op.kind = kind;
-  op.begun = runtime::Time(std::chrono::milliseconds(begun));
-  op.ended = ended < 0 ? runtime::kNever : runtime::Time(std::chrono::milliseconds(ended));
-  op.from = from;
-  op.end = end;
-  op.told = told;
+  op.invoked = runtime::Time(std::chrono::milliseconds(invoked));
+  op.returned = returned < 0 ? runtime::kNever : runtime::Time(std::chrono::milliseconds(returned));
+  op.base_version = base_version;
+  op.result = result;
+  op.version = version;
   return op;
 }
 
 TEST(Linearizable, TellsHistoriesApart) {
   using K = Operation::Kind;
-  using E = Operation::End;
-  const Operation first = Op(K::kChange, 0, 10, 0, E::kTaken, 1);
-  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kRead, 20, 30, 0, E::kTaken, 1)}), Linear::kYes);
-  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kRead, 20, 30, 0, E::kTaken, 0)}), Linear::kNo)
+  using E = Operation::Result;
+  const Operation first = Op(K::kChange, 0, 10, 0, E::kCommitted, 1);
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kRead, 20, 30, 0, E::kCommitted, 1)}),
+            LinearizabilityResult::kLinearizable);
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kRead, 20, 30, 0, E::kCommitted, 0)}),
+            LinearizabilityResult::kNotLinearizable)
       << "a stale read";
-  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kRead, 5, 30, 0, E::kTaken, 0)}), Linear::kYes)
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kRead, 5, 30, 0, E::kCommitted, 0)}),
+            LinearizabilityResult::kLinearizable)
       << "it overlaps";
-  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kChange, 5, 15, 0, E::kTaken, 1)}), Linear::kNo)
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kChange, 5, 15, 0, E::kCommitted, 1)}),
+            LinearizabilityResult::kNotLinearizable)
       << "a lost edit";
-  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kChange, 20, 30, 0, E::kConflict, 1)}), Linear::kYes);
-  EXPECT_EQ(fault_test::Linearizable({first, Op(K::kChange, 20, 30, 1, E::kConflict, 1)}), Linear::kNo);
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kChange, 20, 30, 0, E::kConflict, 1)}),
+            LinearizabilityResult::kLinearizable);
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kChange, 20, 30, 1, E::kConflict, 1)}),
+            LinearizabilityResult::kNotLinearizable);
   const Operation unknown = Op(K::kChange, 20, -1, 1, E::kUnknown, 0);
-  EXPECT_EQ(fault_test::Linearizable({first, unknown, Op(K::kRead, 30, 40, 0, E::kTaken, 2)}), Linear::kYes);
-  EXPECT_EQ(fault_test::Linearizable({first, unknown, Op(K::kRead, 30, 40, 0, E::kTaken, 2),
-                                      Op(K::kRead, 50, 60, 0, E::kTaken, 1)}),
-            Linear::kNo)
+  EXPECT_EQ(fault_test::CheckLinearizability({first, unknown, Op(K::kRead, 30, 40, 0, E::kCommitted, 2)}),
+            LinearizabilityResult::kLinearizable);
+  EXPECT_EQ(fault_test::CheckLinearizability({first, unknown, Op(K::kRead, 30, 40, 0, E::kCommitted, 2),
+                                              Op(K::kRead, 50, 60, 0, E::kCommitted, 1)}),
+            LinearizabilityResult::kNotLinearizable)
       << "once seen it stays";
 }
 
@@ -168,18 +175,18 @@
     return " debug rules act=" + std::string(act) + " version=" + std::to_string(version) +
            " class=lookup engine=" + engine + " mono_us=" + std::to_string(1000 * ms);
   };
-  fault_test::Acts acts;
-  acts.Hear(0, line("send", 1, "e1", 100));
-  acts.Hear(1, line("send", 2, "e1", 200));
-  acts.Hear(0, line("send", 1, "e1", 900));
-  EXPECT_EQ(acts.Check(1200ms).stale, 0u);
-  EXPECT_DOUBLE_EQ(acts.Check(1200ms).contradiction_ms, 700);
-  acts.Hear(0, line("kept", 1, "e1", 5000));
-  EXPECT_EQ(acts.Check(1200ms).stale, 0u);
-  acts.Hear(0, line("again", 1, "e2", 1500));
-  EXPECT_EQ(acts.Check(1200ms).stale, 1u);
-  acts.by_hand.push_back({"e1", true, 2});
-  EXPECT_EQ(acts.Check(2s).broken.size(), 1u) << "an act of version 2 went to e1";
+  fault_test::LeaseHistory leases;
+  leases.RecordLogLine(0, line("send", 1, "e1", 100));
+  leases.RecordLogLine(1, line("send", 2, "e1", 200));
+  leases.RecordLogLine(0, line("send", 1, "e1", 900));
+  EXPECT_EQ(leases.Check(1200ms).stale_actions, 0u);
+  EXPECT_DOUBLE_EQ(leases.Check(1200ms).max_contradiction_ms, 700);
+  leases.RecordLogLine(0, line("kept", 1, "e1", 5000));
+  EXPECT_EQ(leases.Check(1200ms).stale_actions, 0u);
+  leases.RecordLogLine(0, line("again", 1, "e2", 1500));
+  EXPECT_EQ(leases.Check(1200ms).stale_actions, 1u);
+  leases.manual_ejections.push_back({"e1", true, 2});
+  EXPECT_EQ(leases.Check(2s).violations.size(), 1u) << "an act of version 2 went to e1";
 }
 
 }  // namespace
