--- a/src/testing/fault_test/history.cpp
+++ b/src/testing/fault_test/history.cpp
@@ -5,6 +5,7 @@
 #include <cstdio>
 #include <set>
 
+#include "testing/fault_test/forged_member_names.h"
 #include "testing/fault_test/lease_history.h"
 
 namespace lemoncroft::fault_test {
@@ -22,9 +23,6 @@
   return event == "joined" || event == "returned" || event == "refuted" || event == "changed";
 }
 
-// Names that the trial itself forged, to be found out.
-bool Invented(const std::string& name) { return name.starts_with("lie-") || name == "liar"; }
-
 bool Removes(const std::string& event) { return event == "failed" || event == "left"; }
 
 }  // namespace
@@ -76,7 +74,7 @@
   std::map<std::pair<std::size_t, std::size_t>, bool>
       believed_alive;  // a process, by another: when it ended, was it alive there
   for (const ObservedEvent& event : all) {
-    if (Invented(event.name)) continue;
+    if (IsForgedMember(event.name)) continue;
     const ProcessRecord& observer = processes[event.observer];
     const auto about = by_id.find(event.id);
     const ProcessRecord* of = about == by_id.end() ? nullptr : &processes[about->second];
--- /dev/null
+++ b/src/testing/fault_test/link_faults.cpp
@@ -0,0 +1,82 @@
+#include "testing/fault_test/link_faults.h"
+
+namespace lemoncroft::fault_test {
+
+using runtime::Span;
+using runtime::Task;
+
+namespace {
+
+// Above these, messages are missed or late often enough that a failure detector
+// may err.
+constexpr double kMaxHarmlessLoss = 0.021;
+constexpr int kHarmlessDelayDivisor = 4;  // a delay of up to a quarter of the gossip period
+
+simulation::Node NodeOf(std::size_t machine) { return static_cast<simulation::Node>(machine); }
+
+}  // namespace
+
+void LinkFaultInjector::Cut(std::size_t from, std::size_t to) {
+  links_.Cut(NodeOf(from), NodeOf(to), true);
+  ++cuts_;
+}
+
+void LinkFaultInjector::Restore(std::size_t from, std::size_t to) {
+  links_.Cut(NodeOf(from), NodeOf(to), false);
+  if (cuts_ > 0) --cuts_;
+}
+
+void LinkFaultInjector::StartFlapping(std::size_t a, std::size_t b, Span interval) {
+  loop_.Spawn(Flap(a, b, interval));
+}
+
+Task<> LinkFaultInjector::Flap(std::size_t a, std::size_t b, Span interval) {
+  ++flapping_;
+  const std::uint64_t heals = heals_;
+  for (bool cut = true; heals == heals_; cut = !cut) {
+    links_.Cut(NodeOf(a), NodeOf(b), cut);
+    links_.Cut(NodeOf(b), NodeOf(a), cut);
+    co_await loop_.Sleep(interval);
+  }
+}
+
+void LinkFaultInjector::Partition(const std::vector<std::vector<std::size_t>> &groups) {
+  links_.Heal();
+  for (std::size_t group = 0; group < groups.size(); ++group)
+    for (const std::size_t machine : groups[group]) links_.Side(NodeOf(machine), static_cast<int>(group));
+  partitioned_ = true;
+}
+
+void LinkFaultInjector::Heal() {
+  links_.Heal();
+  ++heals_;
+  partitioned_ = false;
+  cuts_ = 0;
+  flapping_ = 0;
+}
+
+void LinkFaultInjector::SetConditions(const std::map<std::string, double> &figures) {
+  const auto figure = [&](const char *name) {
+    const auto it = figures.find(name);
+    return it == figures.end() ? 0.0 : it->second;
+  };
+  const auto ms = [&](const char *name) { return Span(static_cast<Span::rep>(1e6 * figure(name))); };
+  simulation::LinkFaults faults;
+  faults.loss = figure("loss");
+  faults.duplicate = figure("duplicate");
+  faults.garble = figure("garble");
+  faults.delay = ms("delay_ms");
+  faults.spread = ms("spread_ms");
+  faults.bandwidth = figure("rate");
+  links_.usual() = faults;
+  degraded_ = faults.loss + faults.garble > kMaxHarmlessLoss ||
+              faults.delay + faults.spread > gossip_period_ / kHarmlessDelayDivisor || faults.bandwidth > 0;
+}
+
+bool LinkFaultInjector::IsOpen(std::size_t from, std::size_t to) const {
+  return links_.Open(NodeOf(from), NodeOf(to));
+}
+
+bool LinkFaultInjector::AnyFault() const { return partitioned_ || degraded_ || cuts_ > 0 || flapping_ > 0; }
+
+}  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/main.cpp
+++ b/src/testing/fault_test/main.cpp
@@ -48,7 +48,7 @@
     std::string folder = options.folder + "/lemoncroft-trial-XXXXXX";
     if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder for a trial");
     TrialRunner runner(trial, options.program, folder);
-    const TrialOutcome outcome = runner.Play();
+    const TrialOutcome outcome = runner.Run();
     const bool last = tries == kMaxAttempts;
     const bool voided = !outcome.void_reasons.empty();
     const bool good = outcome.violations.empty() && !voided;
@@ -73,7 +73,8 @@
     sum.settle_ms = std::max(sum.settle_ms, outcome.settle_ms);
     sum.detect_ms.insert(sum.detect_ms.end(), outcome.detect_ms.begin(), outcome.detect_ms.end());
     sum.join_ms.insert(sum.join_ms.end(), outcome.join_ms.begin(), outcome.join_ms.end());
-    sum.cpu_percent.insert(sum.cpu_percent.end(), runner.cpu_percent().begin(), runner.cpu_percent().end());
+    sum.cpu_percent.insert(sum.cpu_percent.end(), runner.measurements().cpu_percent.begin(),
+                           runner.measurements().cpu_percent.end());
     sum.contradiction_ms = std::max(sum.contradiction_ms, runner.lease_result().max_contradiction_ms);
     sum.stale_acts += runner.lease_result().stale_actions;
     sum.acts += runner.lease_result().actions;
@@ -81,15 +82,20 @@
     sum.histories += runner.leases().operations.empty() ? 0 : 1;
     for (const std::string& rule : runner.lease_result().violations)
       sum.unlinear += rule.find("linearizable") != rule.npos;
-    sum.change_ms.insert(sum.change_ms.end(), runner.change_ms().begin(), runner.change_ms().end());
-    sum.gap_ms.insert(sum.gap_ms.end(), runner.gap_ms().begin(), runner.gap_ms().end());
-    sum.cut_shares.insert(sum.cut_shares.end(), runner.cut_shares().begin(), runner.cut_shares().end());
-    sum.files_contradiction_ms = std::max(sum.files_contradiction_ms, runner.files_contradiction_ms());
+    sum.change_ms.insert(sum.change_ms.end(), runner.measurements().change_ms.begin(),
+                         runner.measurements().change_ms.end());
+    sum.gap_ms.insert(sum.gap_ms.end(), runner.measurements().gap_ms.begin(),
+                      runner.measurements().gap_ms.end());
+    sum.cut_shares.insert(sum.cut_shares.end(), runner.measurements().cut_shares.begin(),
+                          runner.measurements().cut_shares.end());
+    sum.files_contradiction_ms =
+        std::max(sum.files_contradiction_ms, runner.measurements().files_contradiction_ms);
     if (!trial.voters.empty())
       std::printf("        %llu acts, contradictions of %.0f ms at most; %zu calls of operators\n",
                   static_cast<unsigned long long>(runner.lease_result().actions),
                   runner.lease_result().max_contradiction_ms, runner.leases().operations.size());
-    sum.turn_us.insert(sum.turn_us.end(), runner.turn_us().begin(), runner.turn_us().end());
+    sum.turn_us.insert(sum.turn_us.end(), runner.measurements().turn_us.begin(),
+                       runner.measurements().turn_us.end());
     std::fflush(stdout);
     return good;
   }
--- /dev/null
+++ b/src/testing/fault_test/operator_client.cpp
@@ -0,0 +1,137 @@
+#include "testing/fault_test/operator_client.h"
+
+#include <algorithm>
+#include <cstdlib>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <string_view>
+
+#include "peer_transport/link.h"
+
+namespace lemoncroft::fault_test {
+
+using namespace std::chrono_literals;
+using runtime::Now;
+using runtime::Task;
+
+namespace {
+
+constexpr auto kCallTimeout = 4000ms;
+// How long the called proxy may try, as told in the call.
+constexpr int kProxyTimeoutMs = 1500;
+// Longer than others: a link may be cut meanwhile.
+constexpr int kVoterChangeTimeoutMs = 8000;
+constexpr int kMaxVoterChangeAttempts = 5;
+constexpr auto kVoterChangeRetryInterval = 200ms;
+// An ejection is answered within a second, also without a majority; then what a
+// busy machine may add.
+constexpr auto kMaxEjectionLatency = 1s;
+constexpr auto kSchedulingSlack = 250ms;
+constexpr std::size_t kAdminReadBytes = 512;
+
+// Words of the call protocol.
+constexpr const char *kVerdictCommitted = "taken";
+constexpr const char *kVerdictConflict = "conflict";
+constexpr const char *kVerdictRejected = "refused";
+constexpr const char *kVoterChangeCommitted = "\"taken\"";
+// Answers of the admin interface.
+constexpr std::string_view kAcknowledged = "ACK";
+constexpr std::string_view kAcknowledgedVersion = "ACK for the fleet, version ";
+
+Operation::Result ResultOf(const std::string &verdict) {
+  if (verdict == kVerdictCommitted) return Operation::Result::kCommitted;
+  if (verdict == kVerdictConflict) return Operation::Result::kConflict;
+  if (verdict == kVerdictRejected) return Operation::Result::kRejected;
+  return Operation::Result::kUnknown;
+}
+
+}  // namespace
+
+Task<std::string> OperatorClient::Call(std::string proxy, std::string call) {
+  const ProxyProcess *process = processes_.FindRunning(proxy);
+  if (process == nullptr) co_return std::string();
+  const runtime::Address to = environment_.GossipAddress(process->machine, process->address_index);
+  auto response =
+      co_await peer_transport::CallPeer(loop_, kFleetName, to, std::move(call), Now() + kCallTimeout);
+  co_return response.value_or(std::string());
+}
+
+std::size_t OperatorClient::Invoke(Operation operation, const char *id_prefix) {
+  operation.id = id_prefix + std::to_string(++calls_);
+  operation.invoked = Now();
+  leases_.operations.push_back(std::move(operation));
+  return leases_.operations.size() - 1;
+}
+
+Task<> OperatorClient::Propose(std::string proxy, std::string document, std::uint64_t base_version) {
+  Operation operation;
+  operation.base_version = base_version;
+  const std::size_t place = Invoke(std::move(operation), "op-");
+  const nlohmann::json call = {{"call", "propose"},    {"id", leases_.operations[place].id},
+                               {"from", base_version}, {"text", document},
+                               {"by", "an operator"},  {"patience_ms", kProxyTimeoutMs}};
+  const std::string bytes = co_await Call(proxy, call.dump());
+  const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
+  if (!response.is_object() || !response.contains("verdict")) co_return;
+  Operation &done = leases_.operations[place];
+  done.returned = Now();
+  done.version = response.value("version", std::uint64_t{0});
+  done.result = ResultOf(response.value("verdict", std::string()));
+  if (done.result == Operation::Result::kCommitted || done.result == Operation::Result::kConflict)
+    newest_version_ = std::max(newest_version_, done.version);
+}
+
+Task<> OperatorClient::Read(std::string proxy) {
+  Operation operation;
+  operation.kind = Operation::Kind::kRead;
+  const std::size_t place = Invoke(std::move(operation), "read-");
+  const nlohmann::json call = {
+      {"call", "read"}, {"id", leases_.operations[place].id}, {"patience_ms", kProxyTimeoutMs}};
+  const std::string bytes = co_await Call(proxy, call.dump());
+  const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
+  if (!response.is_object() || !response.contains("newest")) co_return;
+  Operation &done = leases_.operations[place];
+  done.returned = Now();
+  done.version = response.value("newest", std::uint64_t{0});
+  done.result = Operation::Result::kCommitted;
+  newest_version_ = std::max(newest_version_, done.version);
+}
+
+Task<> OperatorClient::ChangeEjection(std::string proxy, std::string engine, EjectionChange change) {
+  const ProxyProcess *process = processes_.FindRunning(proxy);
+  if (process == nullptr) co_return;
+  const bool eject = change == EjectionChange::kEject;
+  const std::string call = (eject ? "exclude " : "include ") + engine + "\n";
+  std::unique_ptr<runtime::Socket> socket;
+  const Time begun = Now(), deadline = begun + kCallTimeout;
+  std::string answer;
+  std::size_t written = 0;
+  runtime::Io io =
+      co_await Connect(loop_, *runtime::Address::Parse(process->admin_address), deadline, nullptr, socket);
+  if (io == runtime::Io::kOk) io = co_await socket->Write(call, written, deadline);
+  while (io == runtime::Io::kOk) io = co_await socket->Read(answer, kAdminReadBytes, deadline);
+  if (!answer.starts_with(kAcknowledged))
+    findings_.violations.push_back(proxy + " answered '" + answer + "' to " + call);
+  if (Now() - begun > kMaxEjectionLatency + kSchedulingSlack)
+    findings_.violations.push_back(proxy + " took over a second to answer " + call);
+  if (!answer.starts_with(kAcknowledgedVersion)) co_return;
+  const std::uint64_t version = std::strtoull(answer.c_str() + kAcknowledgedVersion.size(), nullptr, 10);
+  leases_.manual_ejections.push_back({engine, eject, version});
+}
+
+Task<> OperatorClient::ChangeVoter(std::string proxy, std::string direction, std::string voter) {
+  const nlohmann::json call = {
+      {"call", "voters"}, {"way", direction}, {"who", voter}, {"patience_ms", kVoterChangeTimeoutMs}};
+  const auto committed = [](const std::string &answer) {
+    return answer.find(kVoterChangeCommitted) != std::string::npos;
+  };
+  std::string answer;
+  for (int attempt = 0; attempt < kMaxVoterChangeAttempts && !committed(answer); ++attempt) {
+    answer = co_await Call(proxy, call.dump());
+    co_await loop_.Sleep(kVoterChangeRetryInterval);
+  }
+  if (!committed(answer))
+    findings_.violations.push_back("voter " + direction + " " + voter + " at " + proxy + ": " + answer);
+}
+
+}  // namespace lemoncroft::fault_test
