--- a/src/testing/fault_test/client_load.h
+++ b/src/testing/fault_test/client_load.h
@@ -12,7 +12,7 @@
 
 #include "runtime/loop.h"
 #include "testing/fault_test/findings.h"
-#include "testing/fault_test/load.h"
+#include "testing/fault_test/load_client.h"
 #include "testing/fault_test/proxy_processes.h"
 #include "testing/fault_test/trial_environment.h"
 
--- a/src/testing/fault_test/relay.cpp
+++ b/src/testing/fault_test/relay.cpp
@@ -2,6 +2,10 @@
 
 #include <arpa/inet.h>
 
+#include <utility>
+
+#include "testing/fault_test/tcp_server.h"
+
 namespace lemoncroft::fault_test {
 
 using namespace std::chrono_literals;
@@ -49,7 +53,10 @@
 void Relay::Start() {
   for (const auto& address : addresses_) {
     loop_.Spawn(ForwardDatagrams(*address));
-    loop_.Spawn(Accept(*address));
+    loop_.Spawn(AcceptConnections(loop_, *address->streams,
+                                  [this, to = address.get()](std::unique_ptr<runtime::Socket> socket) {
+                                    return ForwardStream(std::move(socket), *to);
+                                  }));
   }
 }
 
@@ -84,16 +91,6 @@
                        MakeAddress(kBindNetwork + static_cast<std::uint32_t>(to.machine), port_ + to.index));
 }
 
-Task<> Relay::Accept(MachineAddress& address) {
-  for (;;) {
-    std::unique_ptr<runtime::Socket> socket;
-    const Io io = co_await address.streams->Accept(socket);
-    if (io == Io::kCancelled) co_return;
-    if (io == Io::kOk) loop_.Spawn(ForwardStream(std::move(socket), address));
-    co_await loop_.NextTurn();
-  }
-}
-
 Task<> Relay::ForwardStream(std::unique_ptr<runtime::Socket> socket, const MachineAddress& to) {
   const std::size_t from = Sender(socket->peer()).machine;
   if (from == 0) co_return;
--- a/src/testing/fault_test/relay.h
+++ b/src/testing/fault_test/relay.h
@@ -45,7 +45,6 @@
   runtime::Task<> ForwardDatagrams(MachineAddress& address);
   runtime::Task<> DeliverDatagram(runtime::Time at, SenderAddress from, const MachineAddress& to,
                                   std::string bytes);
-  runtime::Task<> Accept(MachineAddress& address);
   runtime::Task<> ForwardStream(std::unique_ptr<runtime::Socket> socket, const MachineAddress& to);
   runtime::Task<> CopyStream(std::shared_ptr<runtime::Socket> in, std::shared_ptr<runtime::Socket> out,
                              std::size_t from, std::size_t to);
--- a/src/testing/fault_test/trial_environment.h
+++ b/src/testing/fault_test/trial_environment.h
@@ -15,7 +15,8 @@
 #include <vector>
 
 #include "runtime/socket.h"
-#include "testing/fault_test/load.h"
+#include "testing/fault_test/emulated_control_feed.h"
+#include "testing/fault_test/emulated_engine.h"
 #include "testing/fault_test/script.h"
 
 namespace lemoncroft::fault_test {
