--- a/src/testing/fault_test/client_load.cpp
+++ b/src/testing/fault_test/client_load.cpp
@@ -40,7 +40,7 @@
 }
 
 void ClientLoad::Stop() {
-  for (const auto &client : clients_) client->Stop();
+  for (const auto& client : clients_) client->Stop();
 }
 
 Task<> ClientLoad::FloodReadinessQueries(std::size_t machine) {
@@ -59,7 +59,7 @@
   }
 }
 
-RequestCounts ClientLoad::CountsOf(const std::vector<std::size_t> &machines) const {
+RequestCounts ClientLoad::CountsOf(const std::vector<std::size_t>& machines) const {
   RequestCounts sum;
   for (const std::size_t machine : machines) {
     if (machine > clients_.size()) continue;
@@ -69,20 +69,19 @@
   return sum;
 }
 
-void ClientLoad::CheckResponses(const ProxyProcesses &processes, Findings &findings) const {
+void ClientLoad::CheckResponses(const ProxyProcesses& processes, Findings& findings) const {
   for (std::size_t machine = 1; machine <= clients_.size(); ++machine) {
-    const LoadClient &client = *clients_[machine - 1];
-    const RequestCounts &counts = client.counts();
+    const LoadClient& client = *clients_[machine - 1];
+    const RequestCounts& counts = client.counts();
     const std::string at = "at n" + std::to_string(machine) + ": ";
     bool killed = false, running = false;
-    for (const auto &process : processes.all()) {
+    for (const auto& process : processes.all()) {
       if (process->machine != machine) continue;
       killed = killed || processes.RecordOf(*process).killed;
       running = running || !processes.HasEnded(*process);
     }
     if (counts.duplicate_responses > 0) findings.violations.push_back(at + "requests were answered twice");
-    // Without a process, connections wait in the listening socket that the
-    // fault tester holds.
+    // Without a process, connections wait in the listening socket that the fault tester holds.
     if (client.open_requests() > 0 && running)
       findings.violations.push_back(at + std::to_string(client.open_requests()) + " requests have no answer");
     if (counts.lost_with_connection > 0 && !killed)
--- a/src/testing/fault_test/emulated_control_feed.cpp
+++ b/src/testing/fault_test/emulated_control_feed.cpp
@@ -17,9 +17,9 @@
 
 constexpr auto kPollTimeout = 2000ms, kEventCheckInterval = 10ms;
 
-// The revision that a poll knows: the number behind the first '=' of its head
-// (GET /v1/events?SUB=7); 0 if there is none.
-std::size_t KnownRevision(const std::string &head) {
+// The revision that a poll knows: the number behind the first '=' of its head (GET /v1/events?SUB=7); 0 if
+// there is none.
+std::size_t KnownRevision(const std::string& head) {
   const std::size_t at = head.find('=');
   return at == std::string::npos ? 0 : std::strtoul(head.c_str() + at + 1, nullptr, 10);
 }
@@ -32,7 +32,7 @@
   }));
 }
 
-void EmulatedControlFeed::Publish(const std::string &endpoints) {
+void EmulatedControlFeed::Publish(const std::string& endpoints) {
   const std::string revision = std::to_string(events_.size() + 1);
   const std::string complete = events_.empty() ? "true" : "false";
   events_.push_back("{\"n\":" + revision + ",\"members\":{\"revision\":" + revision +
--- a/src/testing/fault_test/emulated_control_feed.h
+++ b/src/testing/fault_test/emulated_control_feed.h
@@ -1,8 +1,7 @@
-// Emulates the control feed: an endpoint list whose changes are published as
-// events. A poll waits for the next event.
+// Emulates the control feed: an endpoint list whose changes are published as events. A poll waits for the
+// next event.
 //
-// Owned by the TrialEnvironment, on its loop. Errors: std::system_error if the
-// address cannot be bound.
+// Owned by the TrialEnvironment, on its loop. Errors: std::system_error if the address cannot be bound.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_EMULATED_CONTROL_FEED_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_EMULATED_CONTROL_FEED_H_
 
@@ -16,12 +15,12 @@
 
 class EmulatedControlFeed {
  public:
-  EmulatedControlFeed(runtime::Loop &loop, const runtime::Address &address)
+  EmulatedControlFeed(runtime::Loop& loop, const runtime::Address& address)
       : loop_(loop), listener_(loop, address) {}
   void Start();
-  // Publishes an event: `endpoints` is a JSON array without its brackets. The
-  // first event is a complete list.
-  void Publish(const std::string &endpoints);
+  // Publishes an event: `endpoints` is a JSON array without its brackets. The first event is a complete
+  // list.
+  void Publish(const std::string& endpoints);
   // All events so far, as a document that a configuration can hold.
   std::string KnownEvents() const { return EventsAfter(0); }
 
@@ -29,7 +28,7 @@
   runtime::Task<> Serve(std::unique_ptr<runtime::Socket> socket);
   std::string EventsAfter(std::size_t revision) const;
 
-  runtime::Loop &loop_;
+  runtime::Loop& loop_;
   runtime::Listener listener_;
   std::vector<std::string> events_;  // of the revisions from 1
 };
--- a/src/testing/fault_test/emulated_engine.cpp
+++ b/src/testing/fault_test/emulated_engine.cpp
@@ -15,13 +15,13 @@
 constexpr std::size_t kReadBytes = 4096;
 
 // Words of the engine protocol.
-constexpr const char *kHeaderContentLength = "Content-Length";
-constexpr const char *kSubmitMethod = "POST";
-constexpr const char *kHealthCheckStart = "GET /healthz";
-constexpr const char *kRow = "a\tb\tc\n";
-constexpr const char *kPageHead = "HTTP/1.1 200 OK\r\nChunks: 1\r\nElapsed-Work: 5\r\nHigh-Water: 1\r\n";
-constexpr const char *kHealthyResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-constexpr const char *kNoContentResponse = "HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n";
+constexpr const char* kHeaderContentLength = "Content-Length";
+constexpr const char* kSubmitMethod = "POST";
+constexpr const char* kHealthCheckStart = "GET /healthz";
+constexpr const char* kRow = "a\tb\tc\n";
+constexpr const char* kPageHead = "HTTP/1.1 200 OK\r\nChunks: 1\r\nElapsed-Work: 5\r\nHigh-Water: 1\r\n";
+constexpr const char* kHealthyResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+constexpr const char* kNoContentResponse = "HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n";
 
 std::string PageResponse() {
   const std::string length = std::to_string(std::string(kRow).size());
@@ -51,7 +51,7 @@
   }
 }
 
-Task<bool> EmulatedEngine::ReadBody(runtime::Socket &socket, std::string &buffer, const std::string &head) {
+Task<bool> EmulatedEngine::ReadBody(runtime::Socket& socket, std::string& buffer, const std::string& head) {
   const std::size_t body = std::strtoul(HeaderValue(head, kHeaderContentLength).c_str(), nullptr, 10);
   const std::size_t request = head.size() + kHeadSeparatorBytes + body;
   while (buffer.size() < request)
--- a/src/testing/fault_test/emulated_engine.h
+++ b/src/testing/fault_test/emulated_engine.h
@@ -1,8 +1,6 @@
-// Emulates a database engine: an HTTP server that answers each statement with
-// one row after a fixed time.
+// Emulates a database engine: an HTTP server that answers each statement with one row after a fixed time.
 //
-// Owned by the TrialEnvironment, on its loop. Errors: std::system_error if the
-// address cannot be bound.
+// Owned by the TrialEnvironment, on its loop. Errors: std::system_error if the address cannot be bound.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_EMULATED_ENGINE_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_EMULATED_ENGINE_H_
 
@@ -15,15 +13,15 @@
 
 class EmulatedEngine {
  public:
-  EmulatedEngine(runtime::Loop &loop, const runtime::Address &address, runtime::Span work)
+  EmulatedEngine(runtime::Loop& loop, const runtime::Address& address, runtime::Span work)
       : loop_(loop), listener_(loop, address), work_(work) {}
   void Start();
 
  private:
   runtime::Task<> Serve(std::unique_ptr<runtime::Socket> socket);
-  runtime::Task<bool> ReadBody(runtime::Socket &socket, std::string &buffer, const std::string &head);
+  runtime::Task<bool> ReadBody(runtime::Socket& socket, std::string& buffer, const std::string& head);
 
-  runtime::Loop &loop_;
+  runtime::Loop& loop_;
   runtime::Listener listener_;
   runtime::Span work_;
 };
--- a/src/testing/fault_test/final_checks.cpp
+++ b/src/testing/fault_test/final_checks.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr auto kPollInterval = 100ms;
-constexpr const char *kStatusCall = R"({"call":"status"})";
+constexpr const char* kStatusCall = R"({"call":"status"})";
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   std::vector<std::string> deviations;
   std::vector<ProxyVersion> versions;
   const std::uint64_t newest = leases_.newest();
-  for (const auto &process : processes_.all()) {
+  for (const auto& process : processes_.all()) {
     if (processes_.HasEnded(*process)) continue;
     const std::string bytes = co_await operators_.Call(process->name, kStatusCall);
     const nlohmann::json status = nlohmann::json::parse(bytes, nullptr, false);
@@ -40,13 +40,13 @@
       continue;
     }
     const bool cut_off = status.value("cut_off", true);
-    if (cut_off != trial_.lost)
+    if (cut_off != trial_.voters_lost)
       deviations.push_back(process->label +
                            (cut_off ? " is cut off at the end" : " acts though the voters are lost"));
     versions.push_back({process->label, status.value("version", std::uint64_t{0})});
   }
-  for (const auto &[label, version] : versions)
-    if (!trial_.lost && version != newest)
+  for (const auto& [label, version] : versions)
+    if (!trial_.voters_lost && version != newest)
       deviations.push_back(label + " acts on version " + std::to_string(version) + " at the end, not on " +
                            std::to_string(newest));
   co_return deviations;
--- a/src/testing/fault_test/final_checks.h
+++ b/src/testing/fault_test/final_checks.h
@@ -1,5 +1,4 @@
-// Checks of the replicated configuration at the end of a trial, when all faults
-// are healed.
+// Checks of the replicated configuration at the end of a trial, when all faults are healed.
 //
 // Owned by the TrialRunner. Violations go to Findings.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_FINAL_CHECKS_H_
@@ -17,15 +16,14 @@
 
 namespace lemoncroft::fault_test {
 
-// How long the fleet may take from the last fault: an election, leases, a
-// version.
+// How long the fleet may take from the last fault: an election, leases, a version.
 inline constexpr Span kRecoveryTimeout = std::chrono::milliseconds(6000);
 
 class ReplicatedConfigCheck {
  public:
   // The references must outlive this and its tasks.
-  ReplicatedConfigCheck(runtime::Loop &loop, const Trial &trial, const ProxyProcesses &processes,
-                        OperatorClient &operators, const LeaseHistory &leases, Findings &findings)
+  ReplicatedConfigCheck(runtime::Loop& loop, const Trial& trial, const ProxyProcesses& processes,
+                        OperatorClient& operators, const LeaseHistory& leases, Findings& findings)
       : loop_(loop),
         trial_(trial),
         processes_(processes),
@@ -33,9 +31,8 @@
         leases_(leases),
         findings_(findings) {}
 
-  // Waits until every running proxy uses the newest version, or none acts if
-  // the voters are lost. What is still wrong after kRecoveryTimeout is a
-  // violation.
+  // Waits until every running proxy uses the newest version, or none acts if the voters are lost. What is
+  // still wrong after kRecoveryTimeout is a violation.
   runtime::Task<> Run();
 
  private:
@@ -46,12 +43,12 @@
   // Asks all running proxies for their state and returns what is wrong.
   runtime::Task<std::vector<std::string>> FindDeviations();
 
-  runtime::Loop &loop_;
-  const Trial &trial_;
-  const ProxyProcesses &processes_;
-  OperatorClient &operators_;
-  const LeaseHistory &leases_;
-  Findings &findings_;
+  runtime::Loop& loop_;
+  const Trial& trial_;
+  const ProxyProcesses& processes_;
+  OperatorClient& operators_;
+  const LeaseHistory& leases_;
+  Findings& findings_;
 };
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/findings.h
+++ b/src/testing/fault_test/findings.h
@@ -1,5 +1,4 @@
-// What a trial's checks found while it ran, collected by all parts of the fault
-// tester.
+// What a trial's checks found while it ran, collected by all parts of the fault tester.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_FINDINGS_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_FINDINGS_H_
 
--- a/src/testing/fault_test/forged_member_names.h
+++ b/src/testing/fault_test/forged_member_names.h
@@ -1,5 +1,4 @@
-// The names of forged members, by which the check of a History tells them from
-// members that were started.
+// The names of forged members, by which the check of a History tells them from members that were started.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_FORGED_MEMBER_NAMES_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_FORGED_MEMBER_NAMES_H_
 
--- a/src/testing/fault_test/history.h
+++ b/src/testing/fault_test/history.h
@@ -1,8 +1,8 @@
 // What happened in a trial, in one clock, and whether it keeps the rules of the view.
 //
-// Contract. No I/O, no clock: the trial runner records actions and what processes said, Check looks at all of
-// it afterwards. Times are of CLOCK_MONOTONIC, which all processes of a machine share. The slack that real
-// processes are given is stated in Slack; tight figures are proven in virtual time.
+// Contract. No I/O, no clock: the trial runner records actions and what processes said, Check looks at all
+// of it afterwards. Times are of CLOCK_MONOTONIC, which all processes of a machine share. The slack that
+// real processes are given is stated in Slack; tight figures are proven in virtual time.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
 
--- a/src/testing/fault_test/lease_history.h
+++ b/src/testing/fault_test/lease_history.h
@@ -1,10 +1,10 @@
 // What processes did under which version of the rules, and whether that keeps the promise of
 // docs/agreement.md.
 //
-// Contract. No I/O, no clock: the trial runner hands over the processes' log lines and the operators' calls;
-// Check looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all processes share; each act is
-// stamped by the process in the turn in which it acted. Safety has no slack: however late the machine ran, a
-// rule that broke is broken. Owner: the trial runner.
+// Contract. No I/O, no clock: the trial runner hands over the processes' log lines and the operators'
+// calls; Check looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all processes share; each
+// act is stamped by the process in the turn in which it acted. Safety has no slack: however late the
+// machine ran, a rule that broke is broken. Owner: the trial runner.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 
--- a/src/testing/fault_test/linearizability.h
+++ b/src/testing/fault_test/linearizability.h
@@ -1,10 +1,10 @@
 // Whether a history of calls on the fleet's rules could have come of one copy that takes each call at some
 // instant between its begin and its answer.
 //
-// Contract. No I/O, no clock, deterministic. The object: a version number, 0 at first; a change made from it
-// raises it by one, a read tells it. A call whose answer nobody knows may have been taken at any time after
-// its begin, or never. The search is bounded; past the bound it says so. Source: Wing, Gong (1993); Lowe,
-// "Testing for linearizability" (2017), for the memoization.
+// Contract. No I/O, no clock, deterministic. The object: a version number, 0 at first; a change made from
+// it raises it by one, a read tells it. A call whose answer nobody knows may have been taken at any time
+// after its begin, or never. The search is bounded; past the bound it says so. Source: Wing, Gong (1993);
+// Lowe, "Testing for linearizability" (2017), for the memoization.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LINEARIZABILITY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LINEARIZABILITY_H_
 
--- a/src/testing/fault_test/link_faults.cpp
+++ b/src/testing/fault_test/link_faults.cpp
@@ -2,18 +2,18 @@
 
 namespace lemoncroft::fault_test {
 
-using runtime::Span;
 using runtime::Task;
 
 namespace {
 
-// Above these, messages are missed or late often enough that a failure detector
-// may err.
+// Above these, messages are missed or late often enough that a failure detector may err.
 constexpr double kMaxHarmlessLoss = 0.021;
 constexpr int kHarmlessDelayDivisor = 4;  // a delay of up to a quarter of the gossip period
 
 simulation::Node NodeOf(std::size_t machine) { return static_cast<simulation::Node>(machine); }
 
+Span Milliseconds(double value) { return Span(static_cast<Span::rep>(1e6 * value)); }
+
 }  // namespace
 
 void LinkFaultInjector::Cut(std::size_t from, std::size_t to) {
@@ -40,7 +40,7 @@
   }
 }
 
-void LinkFaultInjector::Partition(const std::vector<std::vector<std::size_t>> &groups) {
+void LinkFaultInjector::Partition(const std::vector<std::vector<std::size_t>>& groups) {
   links_.Heal();
   for (std::size_t group = 0; group < groups.size(); ++group)
     for (const std::size_t machine : groups[group]) links_.Side(NodeOf(machine), static_cast<int>(group));
@@ -55,19 +55,14 @@
   flapping_ = 0;
 }
 
-void LinkFaultInjector::SetConditions(const std::map<std::string, double> &figures) {
-  const auto figure = [&](const char *name) {
-    const auto it = figures.find(name);
-    return it == figures.end() ? 0.0 : it->second;
-  };
-  const auto ms = [&](const char *name) { return Span(static_cast<Span::rep>(1e6 * figure(name))); };
+void LinkFaultInjector::SetConditions(const LinkConditions& conditions) {
   simulation::LinkFaults faults;
-  faults.loss = figure("loss");
-  faults.duplicate = figure("duplicate");
-  faults.garble = figure("garble");
-  faults.delay = ms("delay_ms");
-  faults.spread = ms("spread_ms");
-  faults.bandwidth = figure("rate");
+  faults.loss = conditions.loss.value_or(0);
+  faults.duplicate = conditions.duplicate.value_or(0);
+  faults.garble = conditions.garble.value_or(0);
+  faults.delay = Milliseconds(conditions.delay_ms.value_or(0));
+  faults.spread = Milliseconds(conditions.spread_ms.value_or(0));
+  faults.bandwidth = conditions.rate.value_or(0);
   links_.usual() = faults;
   degraded_ = faults.loss + faults.garble > kMaxHarmlessLoss ||
               faults.delay + faults.spread > gossip_period_ / kHarmlessDelayDivisor || faults.bandwidth > 0;
--- a/src/testing/fault_test/link_faults.h
+++ b/src/testing/fault_test/link_faults.h
@@ -1,17 +1,15 @@
-// Injects faults into the links between the proxies of a trial, and tells
-// whether any link is faulty now.
+// Injects faults into the links between the proxies of a trial, and tells whether any link is faulty now.
 //
-// Owned by the TrialRunner, on its loop; the Relay reads the same
-// simulation::Links. Machines are numbered from 1, as in the Relay.
+// Owned by the TrialRunner, on its loop; the Relay reads the same simulation::Links. Machines are numbered
+// from 1, as in the Relay.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LINK_FAULTS_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LINK_FAULTS_H_
 
 #include <cstdint>
-#include <map>
-#include <string>
 #include <vector>
 
 #include "runtime/loop.h"
+#include "testing/fault_test/script.h"
 #include "testing/simulation/links.h"
 
 namespace lemoncroft::fault_test {
@@ -19,32 +17,30 @@
 class LinkFaultInjector {
  public:
   // `gossip_period` decides which delays count as faults.
-  LinkFaultInjector(runtime::Loop &loop, simulation::Links &links, runtime::Span gossip_period)
+  LinkFaultInjector(runtime::Loop& loop, simulation::Links& links, runtime::Span gossip_period)
       : loop_(loop), links_(links), gossip_period_(gossip_period) {}
 
   // Both in one direction.
   void Cut(std::size_t from, std::size_t to);
   void Restore(std::size_t from, std::size_t to);
-  // Cuts and restores both directions in turn, each for `interval`, until
-  // Heal().
+  // Cuts and restores both directions in turn, each for `interval`, until Heal().
   void StartFlapping(std::size_t a, std::size_t b, runtime::Span interval);
   // A machine in several groups connects them. Replaces any earlier partition.
-  void Partition(const std::vector<std::vector<std::size_t>> &groups);
+  void Partition(const std::vector<std::vector<std::size_t>>& groups);
   // Ends cuts, flapping and partitions.
   void Heal();
   // Of all links.
-  void SetConditions(const std::map<std::string, double> &figures);
+  void SetConditions(const LinkConditions& conditions);
 
   bool IsOpen(std::size_t from, std::size_t to) const;
-  // Whether links are so bad that a running process may rightly be declared
-  // failed.
+  // Whether links are so bad that a running process may rightly be declared failed.
   bool AnyFault() const;
 
  private:
   runtime::Task<> Flap(std::size_t a, std::size_t b, runtime::Span interval);
 
-  runtime::Loop &loop_;
-  simulation::Links &links_;
+  runtime::Loop& loop_;
+  simulation::Links& links_;
   runtime::Span gossip_period_;
   bool partitioned_ = false, degraded_ = false;
   int flapping_ = 0;
--- a/src/testing/fault_test/load_client.cpp
+++ b/src/testing/fault_test/load_client.cpp
@@ -20,23 +20,22 @@
 constexpr auto kConnectTimeout = 500ms, kWriteTimeout = 1000ms, kReconnectInterval = 50ms;
 constexpr std::size_t kReadBytes = 16384;
 
-// Fields of a request in the client protocol, and the values that all requests
-// of a trial have.
-constexpr const char *kFieldClass = "verb";
-constexpr const char *kFieldRequestId = "txn";
-constexpr const char *kFieldTimeoutMs = "limit";
-constexpr const char *kFieldTenant = "team";
-constexpr const char *kFieldEstimatedCpu = "cpu";
-constexpr const char *kFieldEstimatedMemoryMb = "heap_mb";
-constexpr const char *kClass = "lookup";
-constexpr const char *kTimeoutMs = "2000";
-constexpr const char *kTenant = "acme";
-constexpr const char *kEstimatedCpu = "5.0";
-constexpr const char *kEstimatedMemoryMb = "1";
-constexpr const char *kStatement = "select 1";
+// Fields of a request in the client protocol, and the values that all requests of a trial have.
+constexpr const char* kFieldClass = "verb";
+constexpr const char* kFieldRequestId = "txn";
+constexpr const char* kFieldTimeoutMs = "limit";
+constexpr const char* kFieldTenant = "team";
+constexpr const char* kFieldEstimatedCpu = "cpu";
+constexpr const char* kFieldEstimatedMemoryMb = "heap_mb";
+constexpr const char* kClass = "lookup";
+constexpr const char* kTimeoutMs = "2000";
+constexpr const char* kTenant = "acme";
+constexpr const char* kEstimatedCpu = "5.0";
+constexpr const char* kEstimatedMemoryMb = "1";
+constexpr const char* kStatement = "select 1";
 constexpr std::uint8_t kNoCode = 255;  // of a response without a payload
 
-void AppendField(std::string &payload, std::string_view name, std::string_view value) {
+void AppendField(std::string& payload, std::string_view name, std::string_view value) {
   payload += static_cast<char>(name.size());
   payload += name;
   payload += static_cast<char>(value.size());
@@ -49,14 +48,14 @@
 std::string LoadClient::RequestFrame(std::uint32_t stream) {
   char id[17];
   std::snprintf(id, sizeof id, "%08x%08llx", number_, static_cast<unsigned long long>(++requests_));
-  const std::pair<const char *, const char *> fields[] = {{kFieldClass, kClass},
-                                                          {kFieldRequestId, id},
-                                                          {kFieldTimeoutMs, kTimeoutMs},
-                                                          {kFieldTenant, kTenant},
-                                                          {kFieldEstimatedCpu, kEstimatedCpu},
-                                                          {kFieldEstimatedMemoryMb, kEstimatedMemoryMb}};
+  const std::pair<const char*, const char*> fields[] = {{kFieldClass, kClass},
+                                                        {kFieldRequestId, id},
+                                                        {kFieldTimeoutMs, kTimeoutMs},
+                                                        {kFieldTenant, kTenant},
+                                                        {kFieldEstimatedCpu, kEstimatedCpu},
+                                                        {kFieldEstimatedMemoryMb, kEstimatedMemoryMb}};
   std::string payload(1, static_cast<char>(std::size(fields)));
-  for (const auto &[name, value] : fields) AppendField(payload, name, value);
+  for (const auto& [name, value] : fields) AppendField(payload, name, value);
   std::string frame;
   codec::WriteFrame(frame, codec::kRequestFrame, stream, payload + kStatement);
   return frame;
@@ -76,8 +75,7 @@
         co_await loop_.Sleep(kReconnectInterval);
         continue;
       }
-      // Responses to what was sent before still arrive on the former
-      // connection.
+      // Responses to what was sent before still arrive on the former connection.
       socket = std::move(connected);
       connected_ = true;
       draining_ = false;
@@ -106,10 +104,10 @@
   }
   if (connection == connection_) connected_ = false;
   counts_.lost_with_connection +=
-      std::erase_if(open_requests_, [&](const RequestKey &request) { return request.first == connection; });
+      std::erase_if(open_requests_, [&](const RequestKey& request) { return request.first == connection; });
 }
 
-void LoadClient::CountResponse(const RequestKey &request, std::string_view payload) {
+void LoadClient::CountResponse(const RequestKey& request, std::string_view payload) {
   if (open_requests_.erase(request) == 0) {
     ++counts_.duplicate_responses;
     return;
--- a/src/testing/fault_test/load_client.h
+++ b/src/testing/fault_test/load_client.h
@@ -1,9 +1,7 @@
-// A client of one proxy: sends requests at a constant rate over one connection
-// and counts the responses.
+// A client of one proxy: sends requests at a constant rate over one connection and counts the responses.
 //
-// Owned by ClientLoad, on its loop. Bounded: with kMaxOpenRequests without a
-// response it skips its turns. When its proxy drains or its connection ends it
-// connects anew.
+// Owned by ClientLoad, on its loop. Bounded: with kMaxOpenRequests without a response it skips its turns.
+// When its proxy drains or its connection ends it connects anew.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LOAD_CLIENT_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LOAD_CLIENT_H_
 
@@ -32,12 +30,12 @@
   static constexpr std::size_t kMaxOpenRequests = 32;
 
   // `number` tells the request ids of clients apart.
-  LoadClient(runtime::Loop &loop, const runtime::Address &proxy, std::uint32_t number, double per_second)
+  LoadClient(runtime::Loop& loop, const runtime::Address& proxy, std::uint32_t number, double per_second)
       : loop_(loop), proxy_(proxy), number_(number), per_second_(per_second) {}
   void Start() { loop_.Spawn(SendRequests()); }
   // Sends no more; responses are still received.
   void Stop() { stopped_ = true; }
-  const RequestCounts &counts() const { return counts_; }
+  const RequestCounts& counts() const { return counts_; }
   std::size_t open_requests() const { return open_requests_.size(); }
 
  private:
@@ -46,10 +44,10 @@
 
   runtime::Task<> SendRequests();
   runtime::Task<> ReceiveResponses(std::shared_ptr<runtime::Socket> socket, std::uint64_t connection);
-  void CountResponse(const RequestKey &request, std::string_view payload);
+  void CountResponse(const RequestKey& request, std::string_view payload);
   std::string RequestFrame(std::uint32_t stream);
 
-  runtime::Loop &loop_;
+  runtime::Loop& loop_;
   runtime::Address proxy_;
   std::uint32_t number_;
   double per_second_;
--- a/src/testing/fault_test/main.cpp
+++ b/src/testing/fault_test/main.cpp
@@ -1,5 +1,5 @@
-// lemoncroft_fault_test: plays trials on real processes and says which rules they broke; the last line is one
-// JSON object.
+// lemoncroft_fault_test: plays trials on real processes and says which rules they broke; the last line is
+// one JSON object.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -10,6 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
+#include "testing/fault_test/random_trial.h"
 #include "testing/fault_test/trial_runner.h"
 
 namespace {
@@ -116,14 +117,14 @@
     for (Trial& trial : Load(path)) trials.push_back(std::move(trial));
   if (options.random > 0)
     for (std::size_t i = 0; i < options.count; ++i)
-      trials.push_back(options.rules ? DrawRulesTrial(options.random + i, options.proxies)
+      trials.push_back(options.rules ? DrawReplicatedConfigTrial(options.random + i, options.proxies)
                                      : DrawTrial(options.random + i, options.proxies));
   if (options.calm > 0) {
     // The default period, one crash late on: for what the view costs.
     Trial calm;
     calm.name = "a calm fleet";
     calm.proxies = options.calm;
-    calm.period = std::chrono::milliseconds(250);
+    calm.gossip_period = std::chrono::milliseconds(250);
     Action kill;
     kill.at = std::chrono::seconds(10);
     kill.names = {"n" + std::to_string(options.calm)};
--- a/src/testing/fault_test/measurements.h
+++ b/src/testing/fault_test/measurements.h
@@ -1,5 +1,5 @@
-// What a trial measures, beyond the checks: the cost of processes, latency of
-// configuration changes, and how much a partitioned side still serves.
+// What a trial measures, beyond the checks: the cost of processes, latency of configuration changes, and
+// how much a partitioned side still serves.
 //
 // Filled in by the TrialRunner, read by the command line.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_MEASUREMENTS_H_
@@ -18,24 +18,23 @@
 namespace lemoncroft::fault_test {
 
 struct Measurements {
-  // Of each process that runs at the end: part of a core since its start; 99th
-  // percentile of a turn of the membership view.
+  // Of each process that runs at the end: part of a core since its start; 99th percentile of a turn of the
+  // membership view.
   std::vector<double> cpu_percent, turn_us;
   std::vector<double> change_ms;  // of each change: from its proposal to its activation by all
   std::vector<double> gap_ms;     // of each killed process: from its end to the
                                   // next committed change
-  // Of each partition: served part of the requests to the side with the most
-  // voters.
+  // Of each partition: served part of the requests to the side with the most voters.
   std::vector<double> cut_shares;
   double files_contradiction_ms = 0;  // see ConfigFileRollout::MaxContradictionMs
 };
 
 // Appends cpu_percent and turn_us of the processes that run now.
-void MeasureProcesses(const ProxyProcesses &processes, const TrialEnvironment &environment,
-                      Measurements &measurements);
+void MeasureProcesses(const ProxyProcesses& processes, const TrialEnvironment& environment,
+                      Measurements& measurements);
 // Appends gap_ms and, where the trial asks for it, change_ms.
-void MeasureChanges(const Trial &trial, const History &history, const LeaseHistory &leases,
-                    Measurements &measurements);
+void MeasureChanges(const Trial& trial, const History& history, const LeaseHistory& leases,
+                    Measurements& measurements);
 
 // Measures cut_shares.
 class PartitionAvailability {
@@ -43,21 +42,21 @@
   using ProxyNames = std::vector<std::string>;
 
   // The references must outlive this.
-  PartitionAvailability(const Trial &trial, const TrialEnvironment &environment, const ClientLoad &load,
-                        Measurements &measurements)
+  PartitionAvailability(const Trial& trial, const TrialEnvironment& environment, const ClientLoad& load,
+                        Measurements& measurements)
       : trial_(trial), environment_(environment), load_(load), measurements_(measurements) {}
 
   // Ends the partition before, if any.
-  void Begin(const std::vector<ProxyNames> &groups);
+  void Begin(const std::vector<ProxyNames>& groups);
   void End();
 
  private:
-  std::size_t VotersAmong(const ProxyNames &names) const;
+  std::size_t VotersAmong(const ProxyNames& names) const;
 
-  const Trial &trial_;
-  const TrialEnvironment &environment_;
-  const ClientLoad &load_;
-  Measurements &measurements_;
+  const Trial& trial_;
+  const TrialEnvironment& environment_;
+  const ClientLoad& load_;
+  Measurements& measurements_;
   std::vector<std::size_t> majority_side_;  // machines; empty: there is no partition
   RequestCounts counts_before_;
 };
--- a/src/testing/fault_test/member_forgery.cpp
+++ b/src/testing/fault_test/member_forgery.cpp
@@ -21,7 +21,7 @@
 constexpr int kFirstMemberPort = 20000;
 constexpr std::uint32_t kAdvertisedNetwork = 0x7f000200;  // 127.0.2.0, as Relay::AdvertisedHost
 
-gossip::MemberUpdate ForgedUpdate(const gossip::MemberRecord &sender, int number) {
+gossip::MemberUpdate ForgedUpdate(const gossip::MemberRecord& sender, int number) {
   gossip::MemberUpdate update;
   update.record = sender;
   update.record.id = kFirstMemberId + static_cast<std::uint64_t>(number);
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Task<> ForgeMembers(runtime::Loop &loop, const TrialEnvironment &environment, const ProxyProcesses &processes,
+Task<> ForgeMembers(runtime::Loop& loop, const TrialEnvironment& environment, const ProxyProcesses& processes,
                     std::size_t machine) {
   runtime::DatagramSocket socket(loop, *runtime::Address::Parse(environment.ForgedSenderAddress(machine)));
   gossip::Datagram datagram;
@@ -46,7 +46,7 @@
     for (int k = 0; k < kMembersPerDatagram; ++k)
       datagram.updates.push_back(ForgedUpdate(datagram.sender, kMembersPerDatagram * i + k));
     const std::string frame = peer_transport::Encode(kFleetName, datagram);
-    for (const auto &process : processes.all()) {
+    for (const auto& process : processes.all()) {
       if (processes.HasEnded(*process)) continue;
       socket.Send(frame, environment.GossipAddress(process->machine, process->address_index));
     }
--- a/src/testing/fault_test/member_forgery.h
+++ b/src/testing/fault_test/member_forgery.h
@@ -1,5 +1,4 @@
-// Sends forged gossip to the proxies of a trial: over ten thousand members that
-// do not exist.
+// Sends forged gossip to the proxies of a trial: over ten thousand members that do not exist.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_MEMBER_FORGERY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_MEMBER_FORGERY_H_
 
@@ -9,10 +8,9 @@
 
 namespace lemoncroft::fault_test {
 
-// Sends from the advertised host of `machine`. The references must outlive the
-// task.
-runtime::Task<> ForgeMembers(runtime::Loop &loop, const TrialEnvironment &environment,
-                             const ProxyProcesses &processes, std::size_t machine);
+// Sends from the advertised host of `machine`. The references must outlive the task.
+runtime::Task<> ForgeMembers(runtime::Loop& loop, const TrialEnvironment& environment,
+                             const ProxyProcesses& processes, std::size_t machine);
 
 }  // namespace lemoncroft::fault_test
 
--- a/src/testing/fault_test/operator_client.cpp
+++ b/src/testing/fault_test/operator_client.cpp
@@ -23,22 +23,21 @@
 constexpr int kVoterChangeTimeoutMs = 8000;
 constexpr int kMaxVoterChangeAttempts = 5;
 constexpr auto kVoterChangeRetryInterval = 200ms;
-// An ejection is answered within a second, also without a majority; then what a
-// busy machine may add.
+// An ejection is answered within a second, also without a majority; then what a busy machine may add.
 constexpr auto kMaxEjectionLatency = 1s;
 constexpr auto kSchedulingSlack = 250ms;
 constexpr std::size_t kAdminReadBytes = 512;
 
 // Words of the call protocol.
-constexpr const char *kVerdictCommitted = "taken";
-constexpr const char *kVerdictConflict = "conflict";
-constexpr const char *kVerdictRejected = "refused";
-constexpr const char *kVoterChangeCommitted = "\"taken\"";
+constexpr const char* kVerdictCommitted = "taken";
+constexpr const char* kVerdictConflict = "conflict";
+constexpr const char* kVerdictRejected = "refused";
+constexpr const char* kVoterChangeCommitted = "\"taken\"";
 // Answers of the admin interface.
 constexpr std::string_view kAcknowledged = "ACK";
 constexpr std::string_view kAcknowledgedVersion = "ACK for the fleet, version ";
 
-Operation::Result ResultOf(const std::string &verdict) {
+Operation::Result ResultOf(const std::string& verdict) {
   if (verdict == kVerdictCommitted) return Operation::Result::kCommitted;
   if (verdict == kVerdictConflict) return Operation::Result::kConflict;
   if (verdict == kVerdictRejected) return Operation::Result::kRejected;
@@ -48,7 +47,7 @@
 }  // namespace
 
 Task<std::string> OperatorClient::Call(std::string proxy, std::string call) {
-  const ProxyProcess *process = processes_.FindRunning(proxy);
+  const ProxyProcess* process = processes_.FindRunning(proxy);
   if (process == nullptr) co_return std::string();
   const runtime::Address to = environment_.GossipAddress(process->machine, process->address_index);
   auto response =
@@ -56,7 +55,7 @@
   co_return response.value_or(std::string());
 }
 
-std::size_t OperatorClient::Invoke(Operation operation, const char *id_prefix) {
+std::size_t OperatorClient::Invoke(Operation operation, const char* id_prefix) {
   operation.id = id_prefix + std::to_string(++calls_);
   operation.invoked = Now();
   leases_.operations.push_back(std::move(operation));
@@ -73,7 +72,7 @@
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("verdict")) co_return;
-  Operation &done = leases_.operations[place];
+  Operation& done = leases_.operations[place];
   done.returned = Now();
   done.version = response.value("version", std::uint64_t{0});
   done.result = ResultOf(response.value("verdict", std::string()));
@@ -90,7 +89,7 @@
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("newest")) co_return;
-  Operation &done = leases_.operations[place];
+  Operation& done = leases_.operations[place];
   done.returned = Now();
   done.version = response.value("newest", std::uint64_t{0});
   done.result = Operation::Result::kCommitted;
@@ -98,7 +97,7 @@
 }
 
 Task<> OperatorClient::ChangeEjection(std::string proxy, std::string engine, EjectionChange change) {
-  const ProxyProcess *process = processes_.FindRunning(proxy);
+  const ProxyProcess* process = processes_.FindRunning(proxy);
   if (process == nullptr) co_return;
   const bool eject = change == EjectionChange::kEject;
   const std::string call = (eject ? "exclude " : "include ") + engine + "\n";
@@ -122,7 +121,7 @@
 Task<> OperatorClient::ChangeVoter(std::string proxy, std::string direction, std::string voter) {
   const nlohmann::json call = {
       {"call", "voters"}, {"way", direction}, {"who", voter}, {"patience_ms", kVoterChangeTimeoutMs}};
-  const auto committed = [](const std::string &answer) {
+  const auto committed = [](const std::string& answer) {
     return answer.find(kVoterChangeCommitted) != std::string::npos;
   };
   std::string answer;
--- a/src/testing/fault_test/operator_workload.cpp
+++ b/src/testing/fault_test/operator_workload.cpp
@@ -16,14 +16,13 @@
 
 constexpr std::uint64_t kMaxCalls = 400;
 constexpr std::uint64_t kSeedFactor = 77;  // keeps these draws apart from those of the links
-// Of ten calls three are reads, and one proposes from a version that is not the
-// newest.
+// Of ten calls three are reads, and one proposes from a version that is not the newest.
 constexpr std::uint64_t kCallKinds = 10, kReadKinds = 3, kStaleProposalKind = 3;
 
 constexpr auto kRolloutInterval = 2s;
 constexpr auto kPushInterval = 20ms, kPushRetryInterval = 100ms;
 constexpr std::size_t kOperatorMachine = 1;
-constexpr const char *kFilesReadText = "configuration read again";
+constexpr const char* kFilesReadText = "configuration read again";
 
 std::string NameOf(std::size_t machine) { return "n" + std::to_string(machine); }
 
@@ -31,26 +30,27 @@
 
 std::vector<std::string> ProposalWorkload::LiveProxies() const {
   std::vector<std::string> names;
-  for (const auto &process : processes_.all())
+  for (const auto& process : processes_.all())
     if (!processes_.HasEnded(*process)) names.push_back(process->name);
   return names;
 }
 
 Task<> ProposalWorkload::Run() {
   std::mt19937_64 random(trial_.seed * kSeedFactor + 1);
-  const auto interval = std::chrono::duration_cast<Span>(std::chrono::duration<double>(1 / trial_.changes));
+  const auto interval =
+      std::chrono::duration_cast<Span>(std::chrono::duration<double>(1 / trial_.changes_per_second));
   while (!stopped_ && operators_.calls() < kMaxCalls) {
     co_await loop_.Sleep(interval);
     const std::vector<std::string> proxies = LiveProxies();
     if (proxies.empty() || stopped_) continue;
     const std::string proxy = proxies[random() % proxies.size()];
     const std::uint64_t kind = random() % kCallKinds;
-    if (!trial_.each_once && kind < kReadKinds) {
+    if (!trial_.measure_each_change && kind < kReadKinds) {
       loop_.Spawn(operators_.Read(proxy));
       continue;
     }
     std::uint64_t base_version = operators_.newest_version();
-    if (kind == kStaleProposalKind && base_version > 0 && !trial_.each_once) --base_version;
+    if (kind == kStaleProposalKind && base_version > 0 && !trial_.measure_each_change) --base_version;
     const std::string document = "tenant \"acme\" { quota " + std::to_string(++documents_) + " }\n";
     loop_.Spawn(operators_.Propose(proxy, document, base_version));
   }
@@ -73,7 +73,7 @@
 
 bool ConfigFileRollout::Push(std::size_t machine, std::uint64_t version) {
   const std::string name = NameOf(machine);
-  ProxyProcess *process = processes_.FindRunning(name);
+  ProxyProcess* process = processes_.FindRunning(name);
   const bool reachable = machine == kOperatorMachine || links_.IsOpen(kOperatorMachine, machine);
   if (process == nullptr || !reachable) return false;
   environment_.WriteConfiguration(name, machine);
@@ -82,7 +82,7 @@
   return true;
 }
 
-void ConfigFileRollout::HandleLogLine(const ProxyProcess &process, const std::string &line) {
+void ConfigFileRollout::HandleLogLine(const ProxyProcess& process, const std::string& line) {
   if (line.find(kFilesReadText) != std::string::npos)
     adoptions_.push_back({Now(), process.machine, pushed_versions_[process.machine]});
 }
@@ -90,12 +90,12 @@
 double ConfigFileRollout::MaxContradictionMs(Time end) const {
   double longest_ms = 0;
   std::map<std::uint64_t, Time> first_adoption;
-  for (const Adoption &adoption : adoptions_) first_adoption.try_emplace(adoption.version, adoption.at);
-  for (const auto &[version, since] : first_adoption) {
+  for (const Adoption& adoption : adoptions_) first_adoption.try_emplace(adoption.version, adoption.at);
+  for (const auto& [version, since] : first_adoption) {
     for (std::size_t machine = 1; machine <= trial_.proxies; ++machine) {
       if (processes_.FindRunning(NameOf(machine)) == nullptr) continue;
       Time until = end;
-      for (const Adoption &adoption : adoptions_)
+      for (const Adoption& adoption : adoptions_)
         if (adoption.machine == machine && adoption.version >= version) until = std::min(until, adoption.at);
       longest_ms = std::max(longest_ms, std::chrono::duration<double, std::milli>(until - since).count());
     }
--- a/src/testing/fault_test/operator_workload.h
+++ b/src/testing/fault_test/operator_workload.h
@@ -1,9 +1,7 @@
-// What operators do all through a trial: propose and read configurations at
-// random proxies, or, without a replicated configuration, distribute a file to
-// every proxy in turn.
+// What operators do all through a trial: propose and read configurations at random proxies, or, without a
+// replicated configuration, distribute a file to every proxy in turn.
 //
-// Owned by the TrialRunner, on its loop. Both run until Stop(). The draws
-// depend on the trial's seed alone.
+// Owned by the TrialRunner, on its loop. Both run until Stop(). The draws depend on the trial's seed alone.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_OPERATOR_WORKLOAD_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_OPERATOR_WORKLOAD_H_
 
@@ -25,8 +23,8 @@
 class ProposalWorkload {
  public:
   // The references must outlive this and its tasks.
-  ProposalWorkload(runtime::Loop &loop, const Trial &trial, const ProxyProcesses &processes,
-                   OperatorClient &operators)
+  ProposalWorkload(runtime::Loop& loop, const Trial& trial, const ProxyProcesses& processes,
+                   OperatorClient& operators)
       : loop_(loop), trial_(trial), processes_(processes), operators_(operators) {}
   runtime::Task<> Run();
   void Stop() { stopped_ = true; }
@@ -34,30 +32,28 @@
  private:
   std::vector<std::string> LiveProxies() const;
 
-  runtime::Loop &loop_;
-  const Trial &trial_;
-  const ProxyProcesses &processes_;
-  OperatorClient &operators_;
+  runtime::Loop& loop_;
+  const Trial& trial_;
+  const ProxyProcesses& processes_;
+  OperatorClient& operators_;
   std::uint64_t documents_ = 0;
   bool stopped_ = false;
 };
 
-// Rewrites the configuration files of all proxies over and over and signals
-// each process to read its own. One that cannot be reached from the first
-// machine is retried. The alternative that a replicated configuration is
-// compared with.
+// Rewrites the configuration files of all proxies over and over and signals each process to read its own.
+// One that cannot be reached from the first machine is retried. The alternative that a replicated
+// configuration is compared with.
 class ConfigFileRollout {
  public:
   // The references must outlive this and its tasks.
-  ConfigFileRollout(runtime::Loop &loop, const Trial &trial, TrialEnvironment &environment,
-                    ProxyProcesses &processes, const LinkFaultInjector &links)
+  ConfigFileRollout(runtime::Loop& loop, const Trial& trial, TrialEnvironment& environment,
+                    ProxyProcesses& processes, const LinkFaultInjector& links)
       : loop_(loop), trial_(trial), environment_(environment), processes_(processes), links_(links) {}
   runtime::Task<> Run();
   void Stop() { stopped_ = true; }
   // Called with each log line of a process: notes when it has read its files.
-  void HandleLogLine(const ProxyProcess &process, const std::string &line);
-  // The longest time in which one proxy used a version and another that runs at
-  // `end` an earlier one.
+  void HandleLogLine(const ProxyProcess& process, const std::string& line);
+  // The longest time in which one proxy used a version and another that runs at `end` an earlier one.
   double MaxContradictionMs(Time end) const;
 
  private:
@@ -69,11 +65,11 @@
   // Whether the files were written and the process was signalled.
   bool Push(std::size_t machine, std::uint64_t version);
 
-  runtime::Loop &loop_;
-  const Trial &trial_;
-  TrialEnvironment &environment_;
-  ProxyProcesses &processes_;
-  const LinkFaultInjector &links_;
+  runtime::Loop& loop_;
+  const Trial& trial_;
+  TrialEnvironment& environment_;
+  ProxyProcesses& processes_;
+  const LinkFaultInjector& links_;
   std::vector<Adoption> adoptions_;
   std::map<std::size_t, std::uint64_t> pushed_versions_;  // by machine
   bool stopped_ = false;
--- a/src/testing/fault_test/proxy_processes.cpp
+++ b/src/testing/fault_test/proxy_processes.cpp
@@ -19,9 +19,9 @@
 constexpr auto kWatchInterval = 5ms;
 constexpr auto kServingPollInterval = 10ms;
 // Texts of the proxy's log.
-constexpr const char *kServingText = "serving in place of";
+constexpr const char* kServingText = "serving in place of";
 // Preloaded into a proxy whose wall clock is to jump.
-constexpr const char *kWallClockLibrary = "liblemoncroft_wall_clock.so";
+constexpr const char* kWallClockLibrary = "liblemoncroft_wall_clock.so";
 
 std::string Milliseconds(Span span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + "ms";
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-ProxyProcesses::ProxyProcesses(runtime::Loop &loop, const Trial &trial, TrialEnvironment &environment,
-                               std::string program, History &history, Findings &findings, LineHandler on_line)
+ProxyProcesses::ProxyProcesses(runtime::Loop& loop, const Trial& trial, TrialEnvironment& environment,
+                               std::string program, History& history, Findings& findings, LineHandler on_line)
     : loop_(loop),
       trial_(trial),
       environment_(environment),
@@ -39,12 +39,12 @@
       findings_(findings),
       on_line_(std::move(on_line)) {}
 
-ProxyProcess &ProxyProcesses::Launch(const std::string &name, std::size_t machine, int address_index) {
+ProxyProcess& ProxyProcesses::Launch(const std::string& name, std::size_t machine, int address_index) {
   environment_.WriteConfiguration(name, machine);
   auto process = std::make_unique<ProxyProcess>();
-  ProxyProcess *self = process.get();
+  ProxyProcess* self = process.get();
   const auto earlier_starts =
-      static_cast<int>(std::count_if(processes_.begin(), processes_.end(), [&](const auto &other) {
+      static_cast<int>(std::count_if(processes_.begin(), processes_.end(), [&](const auto& other) {
         return other->name == name && other->machine == machine;
       }));
   self->name = name;
@@ -62,7 +62,7 @@
   history_.processes.push_back(record);
   auto log = std::make_shared<std::ofstream>(LogPathOf(*self));
   self->child =
-      std::make_unique<ChildProcess>(loop_, CommandFor(*self), [this, self, log](const std::string &line) {
+      std::make_unique<ChildProcess>(loop_, CommandFor(*self), [this, self, log](const std::string& line) {
         *log << line << std::endl;
         HandleLogLine(*self, line);
       });
@@ -70,7 +70,7 @@
   return *self;
 }
 
-Command ProxyProcesses::CommandFor(const ProxyProcess &process) const {
+Command ProxyProcesses::CommandFor(const ProxyProcess& process) const {
   const std::string folder = environment_.FolderOf(process.machine);
   Command command;
   command.arguments = {
@@ -80,7 +80,7 @@
   command.environment = {{"PROXY_FD", "3"},
                          {"TMPDIR", environment_.TemporaryFolderOf(process.machine)},
                          {"PROXY_MANAGEMENT", process.admin_address}};
-  if (trial_.jumps) {
+  if (trial_.wall_clocks_jump) {
     const auto library = std::filesystem::path(program_).parent_path() / kWallClockLibrary;
     command.environment.emplace_back("LD_PRELOAD", library.string());
   }
@@ -88,18 +88,18 @@
   return command;
 }
 
-std::string ProxyProcesses::LogPathOf(const ProxyProcess &process) const {
+std::string ProxyProcesses::LogPathOf(const ProxyProcess& process) const {
   return environment_.FolderOf(process.machine) + "/" + process.label + ".log";
 }
 
-void ProxyProcesses::HandleLogLine(ProxyProcess &process, const std::string &line) {
+void ProxyProcesses::HandleLogLine(ProxyProcess& process, const std::string& line) {
   if (line.find(kServingText) != std::string::npos) process.serves = true;
   history_.RecordLogLine(process.record, line, Now());
   on_line_(process, line);
 }
 
-ProxyProcess *ProxyProcesses::FindRunning(const std::string &name) {
-  const auto it = std::find_if(processes_.rbegin(), processes_.rend(), [&](const auto &process) {
+ProxyProcess* ProxyProcesses::FindRunning(const std::string& name) {
+  const auto it = std::find_if(processes_.rbegin(), processes_.rend(), [&](const auto& process) {
     return process->name == name && !HasEnded(*process) && process->child->Running();
   });
   return it == processes_.rend() ? nullptr : it->get();
@@ -107,11 +107,11 @@
 
 bool ProxyProcesses::AllServe() const {
   return std::all_of(processes_.begin(), processes_.end(),
-                     [](const auto &process) { return process->serves; });
+                     [](const auto& process) { return process->serves; });
 }
 
-bool ProxyProcesses::HasLogged(const std::string &name, const std::string &text) const {
-  return std::any_of(processes_.begin(), processes_.end(), [&](const auto &process) {
+bool ProxyProcesses::HasLogged(const std::string& name, const std::string& text) const {
+  return std::any_of(processes_.begin(), processes_.end(), [&](const auto& process) {
     if (process->name != name) return false;
     std::ostringstream log;
     log << std::ifstream(LogPathOf(*process)).rdbuf();
@@ -119,39 +119,38 @@
   });
 }
 
-void ProxyProcesses::Kill(ProxyProcess &process) {
+void ProxyProcesses::Kill(ProxyProcess& process) {
   process.child->Signal(SIGKILL);
-  ProcessRecord &record = MutableRecordOf(process);
+  ProcessRecord& record = MutableRecordOf(process);
   record.killed = true;
   record.ended = Now();
 }
 
-void ProxyProcesses::Terminate(ProxyProcess &process) {
+void ProxyProcesses::Terminate(ProxyProcess& process) {
   MutableRecordOf(process).termination_requested = Now();
   process.child->Signal(SIGTERM);
 }
 
-void ProxyProcesses::Stall(ProxyProcess &process, Span duration) {
+void ProxyProcesses::Stall(ProxyProcess& process, Span duration) {
   process.child->Signal(SIGSTOP);
-  // The end is corrected when the process is resumed; until then it counts as
-  // stalled.
+  // The end is corrected when the process is resumed; until then it counts as stalled.
   MutableRecordOf(process).stalls.emplace_back(Now(), Now() + duration + 1s);
   loop_.Spawn(ResumeAfter(&process, duration));
 }
 
-Task<> ProxyProcesses::ResumeAfter(ProxyProcess *process, Span duration) {
+Task<> ProxyProcesses::ResumeAfter(ProxyProcess* process, Span duration) {
   co_await loop_.Sleep(duration);
   process->child->Signal(SIGCONT);
-  ProcessRecord &record = MutableRecordOf(*process);
+  ProcessRecord& record = MutableRecordOf(*process);
   if (!record.stalls.empty()) record.stalls.back().second = Now();
 }
 
-void ProxyProcesses::HotRestart(ProxyProcess &process) {
-  ProxyProcess &successor = Launch(process.name, process.machine, 1 - process.address_index);
+void ProxyProcesses::HotRestart(ProxyProcess& process) {
+  ProxyProcess& successor = Launch(process.name, process.machine, 1 - process.address_index);
   loop_.Spawn(TerminateOnceServing(&process, &successor));
 }
 
-Task<> ProxyProcesses::TerminateOnceServing(ProxyProcess *predecessor, ProxyProcess *successor) {
+Task<> ProxyProcesses::TerminateOnceServing(ProxyProcess* predecessor, ProxyProcess* successor) {
   const Time deadline = Now() + kStartTimeout;
   while (!successor->serves && Now() < deadline && successor->child->Running())
     co_await loop_.Sleep(kServingPollInterval);
@@ -161,14 +160,14 @@
 Task<> ProxyProcesses::Watch() {
   for (Time due = Now() + kWatchInterval;; due = Now() + kWatchInterval) {
     co_await loop_.SleepUntil(due);
-    if (Now() - due > trial_.period / 2)
+    if (Now() - due > trial_.gossip_period / 2)
       findings_.void_reasons.push_back("the rig ran " + Milliseconds(Now() - due) + " late");
-    for (const auto &process : processes_) CheckEnded(*process);
+    for (const auto& process : processes_) CheckEnded(*process);
   }
 }
 
-void ProxyProcesses::CheckEnded(ProxyProcess &process) {
-  ProcessRecord &record = MutableRecordOf(process);
+void ProxyProcesses::CheckEnded(ProxyProcess& process) {
+  ProcessRecord& record = MutableRecordOf(process);
   if (record.ended || process.child->Running()) return;
   record.ended = Now();
   const int status = *process.child->exit_status();
--- a/src/testing/fault_test/relay.h
+++ b/src/testing/fault_test/relay.h
@@ -2,8 +2,8 @@
 // relay listens. It knows the sender by its address and passes on from the sender's 127.0.2.N, through a
 // stand-in link for each direction, so that the program under test is unchanged.
 //
-// Owner: the trial runner, on its loop. Streams are cut as datagrams are: what a cut link holds comes late or
-// never. Units: the links'. Errors: std::system_error where an address can't be had.
+// Owner: the trial runner, on its loop. Streams are cut as datagrams are: what a cut link holds comes late
+// or never. Units: the links'. Errors: std::system_error where an address can't be had.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_RELAY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_RELAY_H_
 
--- a/src/testing/fault_test/script.h
+++ b/src/testing/fault_test/script.h
@@ -1,4 +1,4 @@
-// What a trial does: a fleet, and faults at times. Written in KDL, or drawn from a seed and written out.
+// The script of a trial: a fleet of proxies, and actions at given times. Read from KDL, and written as KDL.
 //
 //     trial "a crash is seen by all" {
 //       proxies 5
@@ -7,14 +7,14 @@
 //       at "5s" { start "n3" }
 //     }
 //
-// Contract. Plain values; a text that is wrong is told whole, with lines. Units: spans. docs/trials.md lists
-// the verbs.
+// Plain values. docs/trials.md describes the language; script.cpp maps its words to the terms used here.
+// Errors: ScriptError lists everything that is wrong with a text, with its lines.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_SCRIPT_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_SCRIPT_H_
 
 #include <chrono>
 #include <cstdint>
-#include <map>
+#include <optional>
 #include <stdexcept>
 #include <string>
 #include <string_view>
@@ -24,72 +24,86 @@
 
 using Span = std::chrono::nanoseconds;
 
-// What is wrong with a trial's text, a line each.
+// What is wrong with a script, a line each.
 class ScriptError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// What is done. The names in Action::names are those of proxies unless told otherwise.
 enum class ActionType {
   kKill,               // SIGKILL
-  kTerminate,          // SIGTERM: it leaves
-  kStart,              // again, on its own machine, with nothing remembered
-  kStartWithoutState,  // the same with an empty $TMPDIR
-  kHotRestart,         // beside the one that runs, which gets SIGTERM once the new one serves
-  kDuplicate,          // NAME on a machine of its own, under a name that is taken
+  kTerminate,          // SIGTERM: graceful shutdown
+  kStart,              // on the proxy's own machine; only its $TMPDIR and store persist
+  kStartWithoutState,  // likewise, with an empty $TMPDIR
+  kHotRestart,         // start a successor; SIGTERM to the running process once that
+                       // serves
+  kDuplicate,          // start a second process of that name on a machine of its own
   kStall,              // SIGSTOP, and SIGCONT after a time
   kCutLink,            // FROM TO: in this direction
-  kRestoreLink,
-  kFlapLinks,  // FROM TO, both directions, cut and mended each so often, until healed
-  kPartition,  // groups; a name in two of them is a bridge
-  kHealLinks,
+  kRestoreLink,        // FROM TO
+  kFlapLinks,          // A B: both directions are cut and restored in turn until
+                       // kHealLinks
+  kPartition,          // groups of proxies, names with blanks between them; in several
+                       // groups: a bridge
+  kHealLinks,          // ends all of these
   kSetLinkConditions,  // of all links
-  kForgeMembers,       // datagrams with invented members, from one machine's address to all
-  kExpectLogged,       // NAME TEXT: at the end some process of that name has the text in its log
-  kPropose,            // NAME DOCUMENT: at that proxy, from the newest version
-  kEject,              // NAME ENGINE: an operator's call at that proxy
-  kUneject,
-  kChangeVoter,   // NAME WAY WHO: at that proxy, let a voter in or out
-  kEraseStore,    // the stores of those machines are lost; their processes have ended
-  kCorruptStore,  // a bit in each of these is another one
-  kBackUpStore,   // a copy of these stores is put aside ...
-  kRestoreStore,  // ... and takes the store's place again
+  kForgeMembers,       // NAME: gossip of members that do not exist, sent from that
+                       // machine's address to all
+  kExpectLogged,       // NAME TEXT: at the end the log of a process of that name
+                       // contains the text
+  kPropose,            // NAME DOCUMENT: at that proxy, based on the newest version
+  kEject,              // NAME ENGINE: an operator's manual ejection at that proxy
+  kUneject,            // NAME ENGINE
+  kChangeVoter,        // NAME DIRECTION VOTER: at that proxy; the direction is "in" or
+                       // "out"
+  kEraseStore,         // the store of a process that has ended
+  kCorruptStore,       // flips bits in it
+  kBackUpStore,
+  kRestoreStore,  // from the last backup
+};
+
+// Absent values are zero.
+struct LinkConditions {
+  std::optional<double> loss, duplicate, garble;  // probabilities
+  std::optional<double> delay_ms,
+      spread_ms;               // constant part; maximum of the random part
+  std::optional<double> rate;  // bytes per second; 0: unlimited
 };
 
 struct Action {
-  Span at{};
+  Span at{};  // since the start of the script
   ActionType type = ActionType::kKill;
-  std::vector<std::string> names;  // of processes; for kPartition a group each, blanks between its names
-  Span span{};                     // of kStall and kFlapLinks
-  std::map<std::string, double>
-      figures;  // of kSetLinkConditions: loss, duplicate, garble, delay_ms, spread_ms, rate
+  std::vector<std::string> names;
+  Span duration{};                 // of kStall; of each phase of kFlapLinks
+  LinkConditions link_conditions;  // of kSetLinkConditions
 };
 
 struct Trial {
   std::string name;
   std::size_t proxies = 5;
-  std::size_t machines = 0;  // room for duplicates; 0: two more than proxies
-  Span period = std::chrono::milliseconds(100);
-  Span remember = std::chrono::seconds(60);
-  std::vector<std::string> seeds = {"n1", "n2"};
-  double settle = 20;               // periods from the last fault until all views agree
-  std::uint64_t seed = 1;           // of the links
-  bool busy = false;                // clients ask without a pause
-  std::vector<std::string> voters;  // of the rules; none: no rules
-  double changes = 0;               // a second, by operators at proxies drawn from the seed
-  bool lost = false;                // at the end a majority of the voters is gone for good
-  bool jumps = false;               // wall clocks jump by an hour, over and over
-  bool files = false;               // no rules: operators change each proxy's own file, in turn
-  bool each_once = false;           // how long each change takes to be in force at all is measured
-  double load = 0;                  // requests a second from a client of each proxy, with engines to run them
-  std::vector<Action> actions;      // by time
+  std::size_t machines = 0;  // with those of duplicates; 0: two more than proxies
+  Span gossip_period = std::chrono::milliseconds(100);
+  Span dead_member_retention = std::chrono::seconds(60);
+  std::vector<std::string> seed_proxies = {"n1", "n2"};
+  double settle_periods = 20;            // from the last fault until all views agree
+  std::uint64_t seed = 1;                // of random draws
+  bool flood_readiness_queries = false;  // 20,000 a second to each proxy
+  double requests_per_second = 0;        // from one client of each proxy
+  std::vector<std::string> voters;       // none: there is no replicated configuration
+  double changes_per_second = 0;         // by operators, at random proxies
+  bool voters_lost = false;              // a majority of the voters is lost for good
+  bool wall_clocks_jump = false;         // by an hour, over and over
+  bool roll_out_files = false;           // operators distribute files in place of proposals
+  bool measure_each_change = false;      // from proposal to activation; operators make no other calls
+  std::vector<Action> actions;           // by time
 };
 
+// Throws ScriptError. `path` is named in errors.
 std::vector<Trial> ReadTrials(const std::string& path, std::string_view text);
+// A text from which ReadTrials makes the same fleet and actions. Options that random trials do not use are
+// left out.
 std::string WriteTrial(const Trial& trial);
-Trial DrawTrial(std::uint64_t seed, std::size_t proxies);
-// The same with rules, changes by operators, and voters that come and go.
-Trial DrawRulesTrial(std::uint64_t seed, std::size_t proxies);
 
 }  // namespace lemoncroft::fault_test
 
--- a/src/testing/fault_test/tcp_server.cpp
+++ b/src/testing/fault_test/tcp_server.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Task<> AcceptConnections(runtime::Loop &loop, runtime::Listener &listener, ConnectionHandler serve) {
+Task<> AcceptConnections(runtime::Loop& loop, runtime::Listener& listener, ConnectionHandler serve) {
   for (;;) {
     std::unique_ptr<runtime::Socket> socket;
     const Io io = co_await listener.Accept(socket);
@@ -25,7 +25,7 @@
   }
 }
 
-Task<std::optional<std::string>> ReadRequestHead(runtime::Socket &socket, std::string &buffer) {
+Task<std::optional<std::string>> ReadRequestHead(runtime::Socket& socket, std::string& buffer) {
   std::size_t end = 0;
   while ((end = buffer.find(kHeadEnd)) == std::string::npos) {
     if (buffer.size() > kMaxHeadBytes) co_return std::nullopt;
@@ -34,7 +34,7 @@
   co_return buffer.substr(0, end + kLineEnd.size());
 }
 
-std::string HeaderValue(const std::string &head, const std::string &name) {
+std::string HeaderValue(const std::string& head, const std::string& name) {
   const std::string prefix = std::string(kLineEnd) + name + ": ";
   const std::size_t at = head.find(prefix);
   if (at == std::string::npos) return {};
@@ -42,7 +42,7 @@
   return head.substr(from, head.find(kLineEnd, from) - from);
 }
 
-Task<bool> WriteResponse(runtime::Socket &socket, std::string response) {
+Task<bool> WriteResponse(runtime::Socket& socket, std::string response) {
   std::size_t written = 0;
   co_return co_await socket.Write(response, written, Now() + kWriteTimeout) == Io::kOk;
 }
--- a/src/testing/fault_test/trial_environment.cpp
+++ b/src/testing/fault_test/trial_environment.cpp
@@ -19,15 +19,14 @@
 // Ports of a trial: two for gossip, then the clients' and the operators'.
 constexpr int kFirstPort = 7100, kPortsPerTrial = 4, kMaxConcurrentTrials = 64;
 constexpr int kClientPortOffset = 2, kAdminPortOffset = 3;
-// Restarted processes use further admin ports, since the former process may not
-// have ended.
+// Restarted processes use further admin ports, since the former process may not have ended.
 constexpr int kAdminPortStep = 1000, kAdminPorts = 8;
 constexpr int kListenBacklog = 128;
 constexpr int kEngines = 3;
 constexpr auto kEngineWork = 5ms;
 constexpr int kZones = 3;
 
-constexpr const char *kConfigTemplate =
+constexpr const char* kConfigTemplate =
     R"({"name":"NAME","listen":"LISTEN","seed":"SEED",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"management":"MANAGEMENT","feed":"FEED","known":KNOWN,
 "settings":{"siblings":SIBLINGS,"me":0,"zone":0,"dcs":["dc"],"flavors":["std"],"tickNs":5000000,
@@ -43,11 +42,11 @@
 "guarantees":{"answerSlackNs":20000000,"drainGraceNs":250000000,"coldFrom":0.31,
 "warmWithinNs":14000000000,"overloadFactor":4.0,"fallNs":1000000000}}})";
 
-constexpr const char *kEndpointTemplate =
+constexpr const char* kEndpointTemplate =
     R"({"id":"ID","host_port":"AT","locality":"dc","flavor":"std","cell":0,
 "phase":"Ready","size":1,"up_since_ms":0})";
 
-std::string ReplaceFirst(std::string text, const std::string &placeholder, const std::string &value) {
+std::string ReplaceFirst(std::string text, const std::string& placeholder, const std::string& value) {
   const std::size_t at = text.find(placeholder);
   return at == std::string::npos ? text : text.replace(at, placeholder.size(), value);
 }
@@ -56,19 +55,19 @@
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + "ms";
 }
 
-std::string HostAndPort(const std::string &host, int port) { return host + ":" + std::to_string(port); }
+std::string HostAndPort(const std::string& host, int port) { return host + ":" + std::to_string(port); }
 
 std::string EngineAddress(int number, int port) {
   return HostAndPort("127.0.3." + std::to_string(number), port);
 }
 std::string FeedAddress(int port) { return HostAndPort("127.0.3.254", port); }
 
-runtime::Descriptor Listen(const std::string &address) {
+runtime::Descriptor Listen(const std::string& address) {
   runtime::Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const auto at = runtime::Address::Parse(address);
   const int on = 1;
   ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (!at || ::bind(fd.get(), reinterpret_cast<const sockaddr *>(&at->raw), sizeof at->raw) != 0 ||
+  if (!at || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&at->raw), sizeof at->raw) != 0 ||
       ::listen(fd.get(), kListenBacklog) != 0)
     return {};
   return fd;
@@ -76,7 +75,7 @@
 
 }  // namespace
 
-TrialEnvironment::TrialEnvironment(runtime::Loop &loop, const Trial &trial, std::string folder)
+TrialEnvironment::TrialEnvironment(runtime::Loop& loop, const Trial& trial, std::string folder)
     : trial_(trial), folder_(std::move(folder)) {
   AcquirePorts();
   CreateServers(loop);
@@ -94,7 +93,7 @@
   }
 }
 
-void TrialEnvironment::CreateServers(runtime::Loop &loop) {
+void TrialEnvironment::CreateServers(runtime::Loop& loop) {
   feed_ = std::make_unique<EmulatedControlFeed>(loop, *runtime::Address::Parse(FeedAddress(port_)));
   std::string endpoints;
   for (int i = 1; i <= kEngines; ++i) {
@@ -109,10 +108,10 @@
 
 void TrialEnvironment::StartServers() {
   feed_->Start();
-  for (const auto &engine : engines_) engine->Start();
+  for (const auto& engine : engines_) engine->Start();
 }
 
-std::size_t TrialEnvironment::MachineOf(const std::string &name) const {
+std::size_t TrialEnvironment::MachineOf(const std::string& name) const {
   const std::size_t machine = name.size() > 1 ? std::strtoul(name.c_str() + 1, nullptr, 10) : 0;
   if (machine == 0 || machine > trial_.machines) throw ScriptError("no machine for '" + name + "'");
   return machine;
@@ -143,14 +142,14 @@
   return HostAndPort(Relay::AdvertisedHost(machine), forged_sender_port());
 }
 
-void TrialEnvironment::WriteConfiguration(const std::string &name, std::size_t machine) {
+void TrialEnvironment::WriteConfiguration(const std::string& name, std::size_t machine) {
   const std::string folder = FolderOf(machine);
   std::filesystem::create_directories(TemporaryFolderOf(machine));
   std::ofstream(folder + "/config.json") << ConfigText(name, machine);
   std::ofstream(folder + "/operator.kdl") << OperatorText(machine);
 }
 
-std::string TrialEnvironment::ConfigText(const std::string &name, std::size_t machine) const {
+std::string TrialEnvironment::ConfigText(const std::string& name, std::size_t machine) const {
   std::string text = ReplaceFirst(kConfigTemplate, "NAME", name);
   text = ReplaceFirst(text, "LISTEN", ClientAddress(machine));
   text = ReplaceFirst(text, "MANAGEMENT", AdminAddress(machine, 0));
@@ -163,13 +162,12 @@
 }
 
 std::string TrialEnvironment::OperatorText(std::size_t machine) const {
-  // A hot restart moves a proxy from one of its two addresses to the other, so
-  // both are always named.
-  const auto both_addresses = [this](const std::string &host) {
+  // A hot restart moves a proxy from one of its two addresses to the other, so both are always named.
+  const auto both_addresses = [this](const std::string& host) {
     return "\"" + HostAndPort(host, port_) + "\" \"" + HostAndPort(host, port_ + 1) + "\"";
   };
   std::string seeds;
-  for (const std::string &seed : trial_.seeds)
+  for (const std::string& seed : trial_.seed_proxies)
     seeds += " " + both_addresses(Relay::AdvertisedHost(MachineOf(seed)));
   std::ostringstream out;
   out << "fleet \"" << kFleetName << "\" {\n";
@@ -178,8 +176,8 @@
   out << "  seeds" << seeds << "\n";
   out << "  zone \"z" << machine % kZones << "\"\n";
   out << "  state-file \"" << FolderOf(machine) << "/fleet.json\"\n";
-  out << "  period \"" << Milliseconds(trial_.period) << "\"\n";
-  out << "  remember \"" << Milliseconds(trial_.remember) << "\"\n";
+  out << "  period \"" << Milliseconds(trial_.gossip_period) << "\"\n";
+  out << "  remember \"" << Milliseconds(trial_.dead_member_retention) << "\"\n";
   out << "}\n" << RulesBlock(machine);
   return out.str();
 }
@@ -187,7 +185,7 @@
 std::string TrialEnvironment::RulesBlock(std::size_t machine) const {
   if (trial_.voters.empty()) return {};
   std::string out = "rules {\n  voters";
-  for (const std::string &voter : trial_.voters) out += " \"" + voter + "\"";
+  for (const std::string& voter : trial_.voters) out += " \"" + voter + "\"";
   return out + "\n  store \"" + StorePathOf(machine) + "\"\n}\n";
 }
 
--- a/src/testing/fault_test/trial_environment.h
+++ b/src/testing/fault_test/trial_environment.h
@@ -1,11 +1,9 @@
-// What the processes of one trial run in: its ports and addresses, a folder for
-// each machine, the files that a proxy is configured by, the engines and the
-// control feed.
+// What the processes of one trial run in: its ports and addresses, a folder for each machine, the files
+// that a proxy is configured by, the engines and the control feed.
 //
-// Owned by the TrialRunner, on its loop, and outlives the processes. Trials
-// that run at the same time take different ports: each holds a listening socket
-// as a lock, which ends with the trial's process. Errors: std::runtime_error if
-// no ports are free, std::system_error if an address cannot be bound.
+// Owned by the TrialRunner, on its loop, and outlives the processes. Trials that run at the same time take
+// different ports: each holds a listening socket as a lock, which ends with the trial's process. Errors:
+// std::runtime_error if no ports are free, std::system_error if an address cannot be bound.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_ENVIRONMENT_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_ENVIRONMENT_H_
 
@@ -22,37 +20,32 @@
 namespace lemoncroft::fault_test {
 
 // The name of the fleet that the proxies of a trial form.
-inline constexpr const char *kFleetName = "trial";
+inline constexpr const char* kFleetName = "trial";
 
 class TrialEnvironment {
  public:
   // `trial` must outlive this. `folder` exists and belongs to this trial alone.
-  TrialEnvironment(runtime::Loop &loop, const Trial &trial, std::string folder);
+  TrialEnvironment(runtime::Loop& loop, const Trial& trial, std::string folder);
   // Starts the control feed and the engines.
   void StartServers();
 
-  // The machine whose number a proxy's name ends with ("n3": 3). Throws
-  // ScriptError if there is none.
-  std::size_t MachineOf(const std::string &name) const;
-  // Holds the configuration files, logs, store and $TMPDIR of the machine's
-  // processes.
+  // The machine whose number a proxy's name ends with ("n3": 3). Throws ScriptError if there is none.
+  std::size_t MachineOf(const std::string& name) const;
+  // Holds the configuration files, logs, store and $TMPDIR of the machine's processes.
   std::string FolderOf(std::size_t machine) const;
   std::string TemporaryFolderOf(std::size_t machine) const { return FolderOf(machine) + "/tmp"; }
   std::string StorePathOf(std::size_t machine) const { return FolderOf(machine) + "/rules.db"; }
   // Writes the machine's config.json and operator.kdl for a proxy of that name.
-  void WriteConfiguration(const std::string &name, std::size_t machine);
+  void WriteConfiguration(const std::string& name, std::size_t machine);
 
   // The first of the two gossip ports.
   std::uint16_t gossip_port() const { return port_; }
-  // Where a proxy listens to its peers; `address_index` 0 or 1: one process of
-  // a machine uses each.
+  // Where a proxy listens to its peers; `address_index` 0 or 1: one process of a machine uses each.
   runtime::Address GossipAddress(std::size_t machine, int address_index) const;
   std::string ClientAddress(std::size_t machine) const;
-  // Of the machine's process before which `earlier_starts` others ran under the
-  // same name.
+  // Of the machine's process before which `earlier_starts` others ran under the same name.
   std::string AdminAddress(std::size_t machine, int earlier_starts) const;
-  // Where a sender that is no proxy can send gossip from, on that machine's
-  // advertised host.
+  // Where a sender that is no proxy can send gossip from, on that machine's advertised host.
   std::string ForgedSenderAddress(std::size_t machine) const;
   std::uint16_t forged_sender_port() const { return ClientPort(); }
   // The clients' listening socket, which all processes of a machine inherit.
@@ -60,13 +53,13 @@
 
  private:
   void AcquirePorts();
-  void CreateServers(runtime::Loop &loop);
+  void CreateServers(runtime::Loop& loop);
   std::uint16_t ClientPort() const;
-  std::string ConfigText(const std::string &name, std::size_t machine) const;
+  std::string ConfigText(const std::string& name, std::size_t machine) const;
   std::string OperatorText(std::size_t machine) const;
   std::string RulesBlock(std::size_t machine) const;
 
-  const Trial &trial_;
+  const Trial& trial_;
   std::string folder_;
   std::uint16_t port_ = 0;
   runtime::Descriptor port_lock_;
--- a/src/testing/fault_test/trial_runner.cpp
+++ b/src/testing/fault_test/trial_runner.cpp
@@ -31,11 +31,11 @@
 }
 
 // Groups are lists of names with blanks between them.
-std::vector<std::vector<std::string>> SplitGroups(const std::vector<std::string> &groups) {
+std::vector<std::vector<std::string>> SplitGroups(const std::vector<std::string>& groups) {
   std::vector<std::vector<std::string>> out;
-  for (const std::string &group : groups) {
+  for (const std::string& group : groups) {
     std::istringstream words(group);
-    std::vector<std::string> &names = out.emplace_back();
+    std::vector<std::string>& names = out.emplace_back();
     for (std::string name; words >> name;) names.push_back(name);
   }
   return out;
@@ -43,17 +43,17 @@
 
 }  // namespace
 
-TrialRunner::TrialRunner(const Trial &trial, std::string program, std::string folder)
+TrialRunner::TrialRunner(const Trial& trial, std::string program, std::string folder)
     : trial_(WithMachines(trial)),
       links_(trial.seed),
       environment_(loop_, trial_, std::move(folder)),
       relay_(loop_, links_, trial_.machines, environment_.gossip_port()),
       processes_(loop_, trial_, environment_, std::move(program), history_, findings_,
-                 [this](const ProxyProcess &process, const std::string &line) {
+                 [this](const ProxyProcess& process, const std::string& line) {
                    leases_.RecordLogLine(process.record, line);
                    file_rollout_.HandleLogLine(process, line);
                  }),
-      link_faults_(loop_, links_, trial_.period),
+      link_faults_(loop_, links_, trial_.gossip_period),
       load_(loop_, environment_),
       operators_(loop_, environment_, processes_, leases_, findings_),
       proposals_(loop_, trial_, processes_, operators_),
@@ -75,15 +75,16 @@
 
 TrialOutcome TrialRunner::CheckHistory() {
   Slack slack;
-  slack.settle_periods = trial_.settle;
-  TrialOutcome outcome = history_.Check(trial_.period, slack);
-  for (const Action &action : trial_.actions) {
+  slack.settle_periods = trial_.settle_periods;
+  TrialOutcome outcome = history_.Check(trial_.gossip_period, slack);
+  for (const Action& action : trial_.actions) {
     if (action.type != ActionType::kExpectLogged) continue;
     if (!processes_.HasLogged(action.names[0], action.names[1]))
       findings_.violations.push_back("no process of " + action.names[0] + " logged '" + action.names[1] +
                                      "'");
   }
-  if (trial_.files) measurements_.files_contradiction_ms = file_rollout_.MaxContradictionMs(history_.end);
+  if (trial_.roll_out_files)
+    measurements_.files_contradiction_ms = file_rollout_.MaxContradictionMs(history_.end);
   if (HasReplicatedConfig()) {
     lease_result_ = leases_.Check(kMaxContradiction);
     findings_.violations.insert(findings_.violations.end(), lease_result_.violations.begin(),
@@ -108,7 +109,7 @@
   proposals_.Stop();
   file_rollout_.Stop();
   if (HasReplicatedConfig()) co_await config_check_.Run();
-  if (trial_.load > 0) co_await StopLoad();
+  if (trial_.requests_per_second > 0) co_await StopLoad();
   history_.end = Now();
   MeasureProcesses(processes_, environment_, measurements_);
   loop_.Stop();
@@ -120,34 +121,34 @@
 }
 
 void TrialRunner::StartWorkloads() {
-  if (trial_.busy)
+  if (trial_.flood_readiness_queries)
     for (std::size_t machine = 1; machine <= trial_.proxies; ++machine)
       loop_.Spawn(load_.FloodReadinessQueries(machine));
-  if (trial_.load > 0) load_.Start(trial_.proxies, trial_.load);
-  if (trial_.files)
+  if (trial_.requests_per_second > 0) load_.Start(trial_.proxies, trial_.requests_per_second);
+  if (trial_.roll_out_files)
     loop_.Spawn(file_rollout_.Run());
-  else if (trial_.changes > 0)
+  else if (trial_.changes_per_second > 0)
     loop_.Spawn(proposals_.Run());
 }
 
 Task<> TrialRunner::CarryOutActions() {
-  for (const Action &action : trial_.actions) {
+  for (const Action& action : trial_.actions) {
     co_await loop_.SleepUntil(started_ + action.at);
     try {
       CarryOut(action);
-    } catch (const std::exception &error) {
+    } catch (const std::exception& error) {
       findings_.violations.emplace_back(error.what());
     }
     if (action.type == ActionType::kExpectLogged) continue;
     // A stall lasts beyond its action, and may outlast later ones.
-    const Span duration = action.type == ActionType::kStall ? action.span : Span(0);
+    const Span duration = action.type == ActionType::kStall ? action.duration : Span(0);
     history_.last_fault = std::max(history_.last_fault, Now() + duration);
   }
 }
 
 Task<> TrialRunner::AwaitRecovery() {
-  const double periods = std::max(trial_.settle, kMinDetectionPeriods) + kExtraRestPeriods;
-  Span rest = trial_.period * static_cast<int>(periods) + kExtraRestTime;
+  const double periods = std::max(trial_.settle_periods, kMinDetectionPeriods) + kExtraRestPeriods;
+  Span rest = trial_.gossip_period * static_cast<int>(periods) + kExtraRestTime;
   if (HasReplicatedConfig()) rest = std::max(rest, kRecoveryTimeout);
   co_await loop_.SleepUntil(history_.last_fault + rest);
 }
@@ -165,7 +166,7 @@
   if (!faulty && recorded) history_.fault_intervals.back().until = Now();
 }
 
-void TrialRunner::CarryOut(const Action &action) {
+void TrialRunner::CarryOut(const Action& action) {
   switch (action.type) {
     case ActionType::kKill:
     case ActionType::kTerminate:
@@ -203,12 +204,12 @@
   RecordLinkFaults();
 }
 
-void TrialRunner::CarryOutOnProcesses(const Action &action) {
+void TrialRunner::CarryOutOnProcesses(const Action& action) {
   if (action.type == ActionType::kDuplicate) {
     processes_.Launch(action.names[0], trial_.proxies + 1);
     return;
   }
-  for (const std::string &name : action.names) {
+  for (const std::string& name : action.names) {
     if (action.type == ActionType::kStart || action.type == ActionType::kStartWithoutState) {
       const std::size_t machine = environment_.MachineOf(name);
       std::error_code ignored;
@@ -217,16 +218,16 @@
       processes_.Launch(name, machine);
       continue;
     }
-    ProxyProcess *process = processes_.FindRunning(name);
+    ProxyProcess* process = processes_.FindRunning(name);
     if (process == nullptr) continue;
     if (action.type == ActionType::kKill) processes_.Kill(*process);
     if (action.type == ActionType::kTerminate) processes_.Terminate(*process);
     if (action.type == ActionType::kHotRestart) processes_.HotRestart(*process);
-    if (action.type == ActionType::kStall) processes_.Stall(*process, action.span);
+    if (action.type == ActionType::kStall) processes_.Stall(*process, action.duration);
   }
 }
 
-void TrialRunner::CarryOutOnLinks(const Action &action) {
+void TrialRunner::CarryOutOnLinks(const Action& action) {
   const auto machine = [&](std::size_t i) { return environment_.MachineOf(action.names[i]); };
   switch (action.type) {
     case ActionType::kCutLink:
@@ -234,14 +235,14 @@
     case ActionType::kRestoreLink:
       return link_faults_.Restore(machine(0), machine(1));
     case ActionType::kFlapLinks:
-      return link_faults_.StartFlapping(machine(0), machine(1), action.span);
+      return link_faults_.StartFlapping(machine(0), machine(1), action.duration);
     case ActionType::kPartition:
       return Partition(action);
     case ActionType::kHealLinks:
       partition_availability_.End();
       return link_faults_.Heal();
     case ActionType::kSetLinkConditions:
-      return link_faults_.SetConditions(action.figures);
+      return link_faults_.SetConditions(action.link_conditions);
     case ActionType::kForgeMembers:
       return loop_.Spawn(ForgeMembers(loop_, environment_, processes_, machine(0)));
     default:
@@ -249,19 +250,19 @@
   }
 }
 
-void TrialRunner::Partition(const Action &action) {
+void TrialRunner::Partition(const Action& action) {
   const std::vector<std::vector<std::string>> groups = SplitGroups(action.names);
   partition_availability_.Begin(groups);
   std::vector<std::vector<std::size_t>> machines;
-  for (const std::vector<std::string> &group : groups) {
-    std::vector<std::size_t> &members = machines.emplace_back();
-    for (const std::string &name : group) members.push_back(environment_.MachineOf(name));
+  for (const std::vector<std::string>& group : groups) {
+    std::vector<std::size_t>& members = machines.emplace_back();
+    for (const std::string& name : group) members.push_back(environment_.MachineOf(name));
   }
   link_faults_.Partition(machines);
 }
 
-void TrialRunner::CarryOutByOperator(const Action &action) {
-  const std::string &proxy = action.names[0];
+void TrialRunner::CarryOutByOperator(const Action& action) {
+  const std::string& proxy = action.names[0];
   switch (action.type) {
     case ActionType::kPropose:
       return loop_.Spawn(operators_.Propose(proxy, action.names[1], operators_.newest_version()));
@@ -276,8 +277,8 @@
   }
 }
 
-void TrialRunner::CarryOutOnStores(const Action &action) {
-  for (const std::string &name : action.names) {
+void TrialRunner::CarryOutOnStores(const Action& action) {
+  for (const std::string& name : action.names) {
     const std::string store = environment_.StorePathOf(environment_.MachineOf(name));
     if (action.type == ActionType::kEraseStore) EraseStore(store);
     if (action.type == ActionType::kCorruptStore) CorruptStore(store);
--- a/src/testing/fault_test/trial_runner.h
+++ b/src/testing/fault_test/trial_runner.h
@@ -1,11 +1,10 @@
-// Runs one trial: starts real proxies on loopback behind the relay, carries out
-// the script, and checks what happened.
+// Runs one trial: starts real proxies on loopback behind the relay, carries out the script, and checks what
+// happened.
 //
-// Owned by the command line; one instance runs one trial. Ends only processes
-// that it started, by their ids, and leaves none behind. Records how late its
-// own loop runs: a trial that the machine delayed is void. Errors:
-// std::runtime_error and std::system_error if ports, addresses or processes are
-// not to be had.
+// Owned by the command line; one instance runs one trial. Ends only processes that it started, by their
+// ids, and leaves none behind. Records how late its own loop runs: a trial that the machine delayed is
+// void. Errors: std::runtime_error and std::system_error if ports, addresses or processes are not to be
+// had.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
 
@@ -32,19 +31,18 @@
 
 class TrialRunner {
  public:
-  // `folder` exists and belongs to this trial alone; the processes' logs and
-  // files stay there.
-  TrialRunner(const Trial &trial, std::string program, std::string folder);
+  // `folder` exists and belongs to this trial alone; the processes' logs and files stay there.
+  TrialRunner(const Trial& trial, std::string program, std::string folder);
 
   // Runs the trial to its end. Called once.
   TrialOutcome Run();
 
   // Of the trial that has run.
   Time started() const { return started_; }
-  const History &history() const { return history_; }
-  const LeaseHistory &leases() const { return leases_; }
-  const LeaseCheckResult &lease_result() const { return lease_result_; }
-  const Measurements &measurements() const { return measurements_; }
+  const History& history() const { return history_; }
+  const LeaseHistory& leases() const { return leases_; }
+  const LeaseCheckResult& lease_result() const { return lease_result_; }
+  const Measurements& measurements() const { return measurements_; }
 
  private:
   // The script, from the first start to the last check.
@@ -56,17 +54,16 @@
   runtime::Task<> StopLoad();
   TrialOutcome CheckHistory();
 
-  void CarryOut(const Action &action);
-  void CarryOutOnProcesses(const Action &action);
-  void CarryOutOnLinks(const Action &action);
-  void CarryOutOnStores(const Action &action);
-  void CarryOutByOperator(const Action &action);
-  void Partition(const Action &action);
+  void CarryOut(const Action& action);
+  void CarryOutOnProcesses(const Action& action);
+  void CarryOutOnLinks(const Action& action);
+  void CarryOutOnStores(const Action& action);
+  void CarryOutByOperator(const Action& action);
+  void Partition(const Action& action);
   void RecordLinkFaults();
   bool HasReplicatedConfig() const { return !trial_.voters.empty(); }
 
-  // Tasks of the loop refer to the members below it. Run() destroys them before
-  // it returns.
+  // Tasks of the loop refer to the members below it. Run() destroys them before it returns.
   const Trial trial_;
   runtime::Loop loop_;
   simulation::Links links_;
