--- a/src/testing/fault_test/history.h
+++ b/src/testing/fault_test/history.h
@@ -1,17 +1,18 @@
-// What happened in a trial, in one clock, and whether it keeps the rules of the view.
+// What happened to the processes of a trial and what they reported of each other, in one clock; and the
+// check of both against the rules of the membership view (docs/gossip.md).
 //
-// Contract. No I/O, no clock: the trial runner records actions and what processes said, Check looks at all
-// of it afterwards. Times are of CLOCK_MONOTONIC, which all processes of a machine share. The slack that
-// real processes are given is stated in Slack; tight figures are proven in virtual time.
+// No I/O and no clock of its own: the TrialRunner and its parts record what they do and the log lines of
+// the processes; Check() looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all processes
+// of a machine share. Slack states what real processes on a shared machine are allowed;
+// tests/gossip_test.cpp proves the tight bounds in virtual time.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
 
 #include <chrono>
-#include <cstdint>
-#include <map>
 #include <optional>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "runtime/loop.h"
@@ -23,41 +24,46 @@
 
 // One process that the trial started.
 struct ProcessRecord {
-  std::string label;  // "n3", "n3+" beside it, ...
+  std::string label;  // unique in the trial
   std::string name;
-  std::string id;  // as it tells, once it does
+  std::string id;  // its instance id, once it has logged it
   Time started{};
-  std::optional<Time> termination_requested, ended;  // by SIGTERM; whatever ended it
-  bool killed = false;
-  std::vector<std::pair<Time, Time>> stalls;  // while the trial runner held it
+  std::optional<Time> termination_requested;  // by SIGTERM
+  std::optional<Time> ended;                  // for whatever reason
+  bool killed = false;                        // by SIGKILL
+  std::vector<std::pair<Time, Time>> stalls;  // from SIGSTOP to SIGCONT
 };
 
-// What a process reported of another.
+// A change of a process's view, as it logged it.
 struct ObservedEvent {
   Time at{};
-  std::size_t observer = 0;  // the process that reported it
-  std::string kind, id, name, phase;
+  std::size_t observer = 0;  // index of the process in History::processes
+  std::string kind;          // "joined", "failed", ...
+  std::string id, name;      // of the member that changed
 };
 
-// A span in which links or machines were not well.
+// A time in which links were so bad that a running process may rightly be declared failed.
 struct FaultInterval {
   Time from{};
-  std::optional<Time> until;
+  std::optional<Time> until;  // absent while it lasts
 };
 
+// By how much real processes may exceed what the protocol takes.
 struct Slack {
-  Span scheduling =
-      std::chrono::milliseconds(250);   // for a log line, a turn of the loop, a process that starts
-  double settle_periods = 20;           // periods from the last fault
-  double detection_periods = 25;        // from a crash until all that can know do
-  double fault_aftermath_periods = 25;  // for which a trouble that is over may still have effects
+  // For a log line, a turn of the loop, the start of a process.
+  Span scheduling = std::chrono::milliseconds(250);
+  // In gossip periods:
+  double settle_periods = 20;           // from the last fault until all views agree
+  double detection_periods = 25;        // from a crash until all that can know of it do
+  double fault_aftermath_periods = 25;  // for which a fault that has ended may still have effects
 };
 
 struct TrialOutcome {
-  std::vector<std::string> violations;    // rules, each with what broke it
-  std::vector<std::string> void_reasons;  // why the machine makes it worth nothing
-  std::vector<double> detect_ms, join_ms;
-  double settle_ms = 0;
+  std::vector<std::string> violations;    // each a broken rule and what broke it
+  std::vector<std::string> void_reasons;  // why the machine was too slow for the trial to count
+  std::vector<double> detect_ms;          // from each crash until each process that noticed it
+  std::vector<double> join_ms;            // from each start until each process that noticed it
+  double settle_ms = 0;                   // from the last fault until all views agreed
 };
 
 class History {
@@ -68,14 +74,12 @@
   Time last_fault{};
   Time end{};
 
-  // Takes in a process's log line, where it is of the view.
+  // Records a process's log line if it is one of the membership view. `now` is used if the line has no
+  // time.
   void RecordLogLine(std::size_t process, std::string_view line, Time now);
-  TrialOutcome Check(Span period, const Slack& slack) const;
-  std::string ToText(Time start) const;  // for a reader, by time
-
- private:
-  bool Undisturbed(const ProcessRecord& process, Time from,
-                   Time to) const;  // not held, and no link in trouble
+  TrialOutcome Check(Span gossip_period, const Slack& slack) const;
+  // A line for each event in the order of time, with seconds since `start`.
+  std::string ToText(Time start) const;
 };
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/lease_history.h
+++ b/src/testing/fault_test/lease_history.h
@@ -1,10 +1,10 @@
-// What processes did under which version of the rules, and whether that keeps the promise of
-// docs/agreement.md.
+// What processes did under which version of the replicated configuration, and whether that keeps the
+// guarantees of docs/agreement.md.
 //
-// Contract. No I/O, no clock: the trial runner hands over the processes' log lines and the operators'
-// calls; Check looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all processes share; each
-// act is stamped by the process in the turn in which it acted. Safety has no slack: however late the
-// machine ran, a rule that broke is broken. Owner: the trial runner.
+// No I/O and no clock: owned by the TrialRunner, which passes in the processes' log lines and the
+// operators' calls; Check() looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all
+// processes share; a process stamps each action in the turn of its loop in which it acts. There is no
+// slack: a guarantee that fails on a slow machine fails.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 
@@ -18,15 +18,16 @@
 
 namespace lemoncroft::fault_test {
 
+// A statement that a process sent to an engine.
 struct LeasedAction {
   runtime::Time at{};
-  std::size_t process = 0;  // its place in History::processes
+  std::size_t process = 0;  // index in History::processes
   std::uint64_t version = 0;
-  bool isolated = false;  // by one that was cut off, as its version lets it
+  bool isolated = false;  // the process had no lease and its version permits that
   std::string engine;
 };
 
-// An engine that an operator had taken out or back, once the fleet agreed.
+// A manual ejection, or the end of one, that the fleet agreed on.
 struct ManualEjection {
   std::string engine;
   bool ejected = false;
@@ -34,25 +35,26 @@
 };
 
 struct LeaseCheckResult {
+  // The longest time by which one process acted on a version after another had acted on a later one.
   double max_contradiction_ms = 0;
-  std::uint64_t stale_actions = 0;  // later than the bound after one on a newer version was first acted on
+  std::uint64_t stale_actions = 0;  // for which that time exceeded the bound
   std::uint64_t actions = 0;
   std::vector<std::string> violations;
 };
 
 class LeaseHistory {
  public:
+  // Recorded by the OperatorClient.
   std::vector<Operation> operations;
   std::vector<ManualEjection> manual_ejections;
 
-  // Takes in a process's log line, where it is of the rules.
+  // Records a process's log line if it is about the replicated configuration.
   void RecordLogLine(std::size_t process, std::string_view line);
   LeaseCheckResult Check(runtime::Span max_contradiction) const;
-  // When the last of these processes put the version, or a later one, in force; kNever where one never did.
+  // When the last of these processes activated the version or a later one; kNever if one never did.
   runtime::Time ActivatedByAll(std::uint64_t version, const std::vector<std::size_t>& processes) const;
-  const std::map<std::string, runtime::Time>& committed() const { return committed_; }
   std::uint64_t newest() const { return newest_; }
-  // When a leader told first that a version is committed.
+  // When a leader first logged that a version is committed.
   const std::map<std::uint64_t, runtime::Time>& committed_at() const { return committed_at_; }
 
  private:
@@ -61,18 +63,24 @@
     std::size_t process = 0;
     std::uint64_t version = 0;
   };
+
+  void RecordCommit(std::string_view line);
+  void CheckContradictions(runtime::Span max_contradiction, LeaseCheckResult& out) const;
+  void CheckEjections(LeaseCheckResult& out) const;
+  void CheckOperations(LeaseCheckResult& out) const;
+  // The version that ended an ejection.
+  std::uint64_t EndOf(const ManualEjection& ejection) const;
+  // The operators' calls, and the changes that proxies proposed themselves.
+  std::vector<Operation> AllOperations() const;
+
   std::vector<LeasedAction> actions_;
   std::vector<Activation> activations_;
-  std::map<std::string, runtime::Time> committed_;  // by a change's id, when first told
-  std::map<std::uint64_t, runtime::Time> committed_at_;
-  std::map<std::uint64_t, std::string> ids_;
-  std::vector<std::string> conflicting_versions_;  // versions that two changes were told to be
+  std::map<std::uint64_t, runtime::Time> committed_at_;  // by version
+  std::map<std::uint64_t, std::string> change_ids_;      // by version
+  std::vector<std::string> conflicting_versions_;        // violations: one version, two changes
   std::uint64_t newest_ = 0;
 };
 
-// The value behind "NAME=" in a log line; empty where there is none.
-std::string LogField(std::string_view line, std::string_view name);
-
 }  // namespace lemoncroft::fault_test
 
 #endif  // LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
--- a/src/testing/fault_test/linearizability.cpp
+++ b/src/testing/fault_test/linearizability.cpp
@@ -1,6 +1,7 @@
 #include "testing/fault_test/linearizability.h"
 
 #include <algorithm>
+#include <optional>
 #include <set>
 #include <tuple>
 #include <utility>
@@ -8,95 +9,117 @@
 namespace lemoncroft::fault_test {
 namespace {
 
-using Operations = std::vector<Operation>;
-
-// The version after `op` is taken at `version`; nothing where it can't be then.
-bool Apply(const Operation& op, std::uint64_t version, std::uint64_t& after) {
-  after = version;
-  switch (op.result) {
+// The version after the operation takes effect at `version`; nothing if its response excludes that.
+std::optional<std::uint64_t> Apply(const Operation& operation, std::uint64_t version) {
+  const auto unchanged_if = [version](bool possible) {
+    return possible ? std::optional(version) : std::nullopt;
+  };
+  const bool based_on_current = operation.base_version == version;
+  switch (operation.result) {
     case Operation::Result::kCommitted:
-      if (op.kind == Operation::Kind::kRead) return op.version == version;
-      after = version + 1;
-      return op.base_version == version && op.version == after;
+      if (operation.kind == Operation::Kind::kRead) return unchanged_if(operation.version == version);
+      if (!based_on_current || operation.version != version + 1) return std::nullopt;
+      return version + 1;
     case Operation::Result::kConflict:
-      return op.version == version && op.base_version != version;
+      return unchanged_if(operation.version == version && !based_on_current);
     case Operation::Result::kRejected:
-      return true;
+      return version;
     case Operation::Result::kUnknown:
-      if (op.kind == Operation::Kind::kChange && op.base_version == version) after = version + 1;
-      return true;  // without an effect where it is no longer the newest, or is a read
+      // A read, or a change that meets another version, has no effect.
+      return operation.kind == Operation::Kind::kChange && based_on_current ? version + 1 : version;
   }
-  return false;
+  return std::nullopt;
 }
 
-// What is taken so far: all before `first_pending`, and those in `applied`.
+// Which operations have taken effect: all before `first_pending`, and those in `later`.
 struct SearchState {
   std::size_t first_pending = 0;
-  std::set<std::size_t> applied;
+  std::set<std::size_t> later;
   std::uint64_t version = 0;
+
+  bool IsPending(std::size_t operation) const {
+    return operation >= first_pending && !later.contains(operation);
+  }
+  void MarkApplied(std::size_t operation) {
+    later.insert(operation);
+    while (later.erase(first_pending) > 0) ++first_pending;
+  }
   bool operator<(const SearchState& other) const {
-    return std::tie(first_pending, version, applied) <
-           std::tie(other.first_pending, other.version, other.applied);
+    return std::tie(first_pending, version, later) <
+           std::tie(other.first_pending, other.version, other.later);
   }
 };
 
+// Depth-first search over the orders in which the operations, sorted by invocation, may take effect.
 class Search {
  public:
-  Search(const Operations& ops, std::uint64_t max_states) : ops_(ops), max_states_(max_states) {}
+  Search(const std::vector<Operation>& operations, std::uint64_t max_states)
+      : operations_(operations), max_states_(max_states) {}
 
   LinearizabilityResult Run() {
     std::vector<SearchState> open = {SearchState()};
     seen_.insert(open.back());
     while (!open.empty()) {
-      SearchState state = std::move(open.back());
+      const SearchState state = std::move(open.back());
       open.pop_back();
       if (IsComplete(state)) return LinearizabilityResult::kLinearizable;
-      // The next is one that begins before any that is left ends.
-      runtime::Time horizon = runtime::kNever;
-      for (std::size_t i = state.first_pending; i < ops_.size(); ++i)
-        if (!state.applied.contains(i)) horizon = std::min(horizon, ops_[i].returned);
-      for (std::size_t i = state.first_pending; i < ops_.size() && ops_[i].invoked <= horizon; ++i) {
-        if (state.applied.contains(i)) continue;
-        std::uint64_t after = 0;
-        if (!Apply(ops_[i], state.version, after)) continue;
-        SearchState next = state;
-        next.version = after;
-        next.applied.insert(i);
-        while (next.applied.erase(next.first_pending) > 0) ++next.first_pending;
-        if (!seen_.insert(next).second) continue;
-        if (seen_.size() > max_states_) return LinearizabilityResult::kStateLimitExceeded;
-        open.push_back(std::move(next));
-      }
+      if (!Expand(state, open)) return LinearizabilityResult::kStateLimitExceeded;
     }
     return LinearizabilityResult::kNotLinearizable;
   }
 
  private:
-  // What nobody knows the answer of need not be taken.
-  bool IsComplete(const SearchState& state) const {
-    for (std::size_t i = state.first_pending; i < ops_.size(); ++i)
-      if (!state.applied.contains(i) && ops_[i].returned != runtime::kNever) return false;
+  // Adds the new states that one more operation leads to. Returns false above the limit of states.
+  bool Expand(const SearchState& state, std::vector<SearchState>& open) {
+    // An operation can be next only if it was invoked before any pending one returned.
+    const runtime::Time horizon = FirstPendingReturn(state);
+    for (std::size_t i = state.first_pending; i < operations_.size(); ++i) {
+      if (operations_[i].invoked > horizon) break;
+      if (!state.IsPending(i)) continue;
+      const std::optional<std::uint64_t> version = Apply(operations_[i], state.version);
+      if (!version) continue;
+      SearchState next = state;
+      next.version = *version;
+      next.MarkApplied(i);
+      if (!seen_.insert(next).second) continue;
+      if (seen_.size() > max_states_) return false;
+      open.push_back(std::move(next));
+    }
     return true;
   }
 
-  const Operations& ops_;
+  runtime::Time FirstPendingReturn(const SearchState& state) const {
+    runtime::Time first = runtime::kNever;
+    for (std::size_t i = state.first_pending; i < operations_.size(); ++i)
+      if (state.IsPending(i)) first = std::min(first, operations_[i].returned);
+    return first;
+  }
+
+  // Operations without a response need not take effect.
+  bool IsComplete(const SearchState& state) const { return FirstPendingReturn(state) == runtime::kNever; }
+
+  const std::vector<Operation>& operations_;
   std::uint64_t max_states_;
   std::set<SearchState> seen_;
 };
 
+// Whether an operation constrains the order of the others.
+bool SaysSomething(const Operation& operation) {
+  if (operation.result == Operation::Result::kRejected) return false;
+  return operation.kind == Operation::Kind::kChange || operation.result != Operation::Result::kUnknown;
+}
+
 }  // namespace
 
 LinearizabilityResult CheckLinearizability(const std::vector<Operation>& history, std::uint64_t max_states) {
-  Operations ops;
-  for (Operation op : history) {
-    if (op.result == Operation::Result::kUnknown) op.returned = runtime::kNever;
-    const bool tells = op.result != Operation::Result::kRejected &&
-                       !(op.kind == Operation::Kind::kRead && op.result == Operation::Result::kUnknown);
-    if (tells) ops.push_back(std::move(op));
+  std::vector<Operation> operations;
+  for (Operation operation : history) {
+    if (operation.result == Operation::Result::kUnknown) operation.returned = runtime::kNever;
+    if (SaysSomething(operation)) operations.push_back(std::move(operation));
   }
-  std::stable_sort(ops.begin(), ops.end(),
+  std::stable_sort(operations.begin(), operations.end(),
                    [](const Operation& a, const Operation& b) { return a.invoked < b.invoked; });
-  return Search(ops, max_states).Run();
+  return Search(operations, max_states).Run();
 }
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/linearizability.h
+++ b/src/testing/fault_test/linearizability.h
@@ -1,10 +1,10 @@
-// Whether a history of calls on the fleet's rules could have come of one copy that takes each call at some
-// instant between its begin and its answer.
+// Checks whether a history of calls on the replicated configuration is linearizable: whether it could come
+// from one copy on which each call takes effect at some instant between its invocation and its response.
 //
-// Contract. No I/O, no clock, deterministic. The object: a version number, 0 at first; a change made from
-// it raises it by one, a read tells it. A call whose answer nobody knows may have been taken at any time
-// after its begin, or never. The search is bounded; past the bound it says so. Source: Wing, Gong (1993);
-// Lowe, "Testing for linearizability" (2017), for the memoization.
+// No I/O, no clock, deterministic. The object is a version number, 0 at first: a change based on the
+// current version raises it by one, a read returns it. A call without a response may have taken effect at
+// any time after its invocation, or never. The search is bounded in states. Algorithm: Wing, Gong (1993),
+// with the memoization of Lowe, "Testing for linearizability" (2017).
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LINEARIZABILITY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LINEARIZABILITY_H_
 
@@ -16,13 +16,15 @@
 
 namespace lemoncroft::fault_test {
 
+// A call and its response.
 struct Operation {
   enum class Kind { kChange, kRead };
   enum class Result {
-    kCommitted,  // a change: it is version `version`; a read: `version` is the newest
-    kConflict,   // it was not the newest that the change was made from: `version` was
-    kRejected,   // by a check: it tells nothing of versions
-    kUnknown,
+    kCommitted,  // a change became `version`; a read returned `version`
+    kConflict,   // the change was not based on the newest version, which was
+                 // `version`
+    kRejected,   // by a check of the document: says nothing about versions
+    kUnknown,    // no response
   };
   Kind kind = Kind::kChange;
   std::string id;
@@ -33,6 +35,7 @@
 };
 
 enum class LinearizabilityResult { kLinearizable, kNotLinearizable, kStateLimitExceeded };
+
 LinearizabilityResult CheckLinearizability(const std::vector<Operation>& history,
                                            std::uint64_t max_states = 2'000'000);
 
