--- a/src/testing/fault_test/child_process.cpp
+++ b/src/testing/fault_test/child_process.cpp
@@ -15,6 +15,8 @@
 
 constexpr int kInheritedListener = 3;
 constexpr std::size_t kMaxLineBytes = 4096;
+// Exit codes of a child that could not start the program.
+constexpr int kStartupFailedCode = 125, kParentEndedCode = 126, kExecFailedCode = 127;
 
 // Lets the parent wait until the child has closed its copies of the parent's descriptors.
 struct StartupPipe {
@@ -41,11 +43,11 @@
   }
 }
 
-// Between fork and exec: only what is safe there.
+// Runs between fork and exec, where only async-signal-safe calls are allowed.
 [[noreturn]] void RunChild(pid_t parent, int output, int inherited_listener, int startup,
                            char* const* arguments, char* const* environment) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != parent) ::_exit(126);  // the parent ended before that
+  if (::getppid() != parent) ::_exit(kParentEndedCode);  // before the line above took effect
   ::dup2(output, STDOUT_FILENO);
   ::dup2(output, STDERR_FILENO);
   if (inherited_listener >= 0) {
@@ -58,18 +60,17 @@
   if (startup > first_unused) ::close_range(first_unused, startup - 1, 0);
   ::close_range(startup + 1, ~0U, 0);
   const char closed = 1;
-  if (::write(startup, &closed, 1) != 1) ::_exit(125);
+  if (::write(startup, &closed, 1) != 1) ::_exit(kStartupFailedCode);
   sigset_t none;
   sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
   ::execve(arguments[0], arguments, environment);
-  ::_exit(127);
+  ::_exit(kExecFailedCode);
 }
 
 }  // namespace
 
-ChildProcess::ChildProcess(runtime::Loop& loop, const Command& command,
-                           std::function<void(const std::string&)> on_line) {
+ChildProcess::ChildProcess(runtime::Loop& loop, const Command& command, LineHandler on_line) {
   int ends[2];
   // Its output comes through a socket, which the loop can read.
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
@@ -112,8 +113,7 @@
   return !status_;
 }
 
-runtime::Task<> ChildProcess::ReadLines(std::shared_ptr<runtime::Socket> output,
-                                        std::function<void(const std::string&)> on_line) {
+runtime::Task<> ChildProcess::ReadLines(std::shared_ptr<runtime::Socket> output, LineHandler on_line) {
   std::string text;
   while (co_await output->Read(text, kMaxLineBytes, runtime::kNever) == runtime::Io::kOk) {
     std::size_t from = 0;
--- a/src/testing/fault_test/child_process.h
+++ b/src/testing/fault_test/child_process.h
@@ -1,7 +1,7 @@
-// One process under trial: started with descriptors and an environment of its own, ended by its id and no
-// other way, and never left behind: the kernel ends it where the trial runner ends first.
+// A child process: started with chosen descriptors and environment, signalled by its id alone, and never
+// left behind: the destructor kills it, and the kernel does if this process ends first.
 //
-// Owner: the trial runner. Errors: std::system_error where it can't be started.
+// Owned by ProxyProcesses, on its loop. Errors: std::system_error if the process cannot be started.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_CHILD_PROCESS_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_CHILD_PROCESS_H_
 
@@ -18,30 +18,34 @@
 
 namespace lemoncroft::fault_test {
 
+// What to run.
 struct Command {
-  std::vector<std::string> arguments;  // the program, its arguments
+  std::vector<std::string> arguments;  // the first one is the program
   std::vector<std::pair<std::string, std::string>> environment;
-  int inherited_listener = -1;  // becomes descriptor 3; -1: none
+  int inherited_listener = -1;  // becomes the child's descriptor 3; -1: none
 };
 
 class ChildProcess {
  public:
-  // `on_line` is called with each line of its output, from a task on the loop. Returns once the child holds
-  // no descriptor of the caller's but those that it was given.
-  ChildProcess(runtime::Loop& loop, const Command& command, std::function<void(const std::string&)> on_line);
-  ~ChildProcess();  // kills it where it still runs
+  using LineHandler = std::function<void(const std::string&)>;
+
+  // Calls `on_line` from a task on the loop for each line of the child's output. Returns once the child
+  // holds no descriptor of this process but those that it was given.
+  ChildProcess(runtime::Loop& loop, const Command& command, LineHandler on_line);
+  // Kills the process if it still runs.
+  ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   pid_t pid() const { return pid_; }
   void Signal(int signal) const;
-  bool Running();  // collects its exit code where it has ended
-  // As waitpid tells; none while it runs.
+  // Whether it still runs; collects its status if not.
+  bool Running();
+  // The status that waitpid returned; none while it runs.
   std::optional<int> exit_status() const { return status_; }
 
  private:
-  static runtime::Task<> ReadLines(std::shared_ptr<runtime::Socket> output,
-                                   std::function<void(const std::string&)> on_line);
+  static runtime::Task<> ReadLines(std::shared_ptr<runtime::Socket> output, LineHandler on_line);
 
   pid_t pid_ = -1;
   std::optional<int> status_;
--- a/src/testing/fault_test/history.cpp
+++ b/src/testing/fault_test/history.cpp
@@ -61,8 +61,8 @@
   TimedLines lines;
   for (const ProcessRecord& process : processes) AppendProcess(process, lines);
   for (const FaultInterval& interval : fault_intervals) {
-    lines.emplace_back(interval.from, "trouble begins");
-    if (interval.until) lines.emplace_back(*interval.until, "trouble ends");
+    lines.emplace_back(interval.from, "link faults begin");
+    if (interval.until) lines.emplace_back(*interval.until, "link faults end");
   }
   for (const ObservedEvent& event : events)
     lines.emplace_back(event.at, "  " + processes[event.observer].label + ": " + event.kind + " " +
--- a/src/testing/fault_test/member_forgery.cpp
+++ b/src/testing/fault_test/member_forgery.cpp
@@ -3,6 +3,7 @@
 #include <string>
 
 #include "peer_transport/frame.h"
+#include "peer_transport/link.h"
 #include "runtime/datagram.h"
 #include "testing/fault_test/forged_member_names.h"
 
@@ -19,7 +20,6 @@
 constexpr auto kBatchInterval = 2ms;
 constexpr std::uint64_t kSenderId = 0x11e5, kFirstMemberId = 0x10000;
 constexpr int kFirstMemberPort = 20000;
-constexpr std::uint32_t kAdvertisedNetwork = 0x7f000200;  // 127.0.2.0, as Relay::AdvertisedHost
 
 gossip::MemberUpdate ForgedUpdate(const gossip::MemberRecord& sender, int number) {
   gossip::MemberUpdate update;
@@ -34,12 +34,12 @@
 
 Task<> ForgeMembers(runtime::Loop& loop, const TrialEnvironment& environment, const ProxyProcesses& processes,
                     std::size_t machine) {
-  runtime::DatagramSocket socket(loop, *runtime::Address::Parse(environment.ForgedSenderAddress(machine)));
+  const runtime::Address own = *runtime::Address::Parse(environment.ForgedSenderAddress(machine));
+  runtime::DatagramSocket socket(loop, own);
   gossip::Datagram datagram;
   datagram.sender.id = kSenderId;
   datagram.sender.name = kForgedSenderName;
-  datagram.sender.address = {kAdvertisedNetwork + static_cast<std::uint32_t>(machine),
-                             environment.forged_sender_port()};
+  datagram.sender.address = peer_transport::ToEndpoint(own);
   datagram.body = gossip::Gossip{};
   for (int i = 0; i < kDatagrams; ++i) {
     datagram.updates.clear();
--- a/src/testing/fault_test/proxy_processes.cpp
+++ b/src/testing/fault_test/proxy_processes.cpp
@@ -161,7 +161,7 @@
   for (Time due = Now() + kWatchInterval;; due = Now() + kWatchInterval) {
     co_await loop_.SleepUntil(due);
     if (Now() - due > trial_.gossip_period / 2)
-      findings_.void_reasons.push_back("the rig ran " + Milliseconds(Now() - due) + " late");
+      findings_.void_reasons.push_back("the fault tester ran " + Milliseconds(Now() - due) + " late");
     for (const auto& process : processes_) CheckEnded(*process);
   }
 }
--- a/src/testing/fault_test/trial_environment.cpp
+++ b/src/testing/fault_test/trial_environment.cpp
@@ -139,7 +139,7 @@
 }
 
 std::string TrialEnvironment::ForgedSenderAddress(std::size_t machine) const {
-  return HostAndPort(Relay::AdvertisedHost(machine), forged_sender_port());
+  return HostAndPort(Relay::AdvertisedHost(machine), ClientPort());
 }
 
 void TrialEnvironment::WriteConfiguration(const std::string& name, std::size_t machine) {
--- a/src/testing/fault_test/trial_environment.h
+++ b/src/testing/fault_test/trial_environment.h
@@ -47,7 +47,6 @@
   std::string AdminAddress(std::size_t machine, int earlier_starts) const;
   // Where a sender that is no proxy can send gossip from, on that machine's advertised host.
   std::string ForgedSenderAddress(std::size_t machine) const;
-  std::uint16_t forged_sender_port() const { return ClientPort(); }
   // The clients' listening socket, which all processes of a machine inherit.
   int ClientListener(std::size_t machine) const { return client_listeners_[machine - 1].get(); }
 
--- /dev/null
+++ b/src/testing/fault_test/trial_series.h
@@ -0,0 +1,31 @@
+// Runs a series of trials, from files and drawn ones, and prints their results and a summary.
+#ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_SERIES_H_
+#define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_SERIES_H_
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+namespace lemoncroft::fault_test {
+
+// The options of the command line.
+struct SeriesOptions {
+  std::vector<std::string> files;       // scripts
+  std::uint64_t first_random_seed = 0;  // 0: no random trials
+  std::size_t random_trials = 1, random_proxies = 6;
+  bool replicated_config = false;  // random trials have a replicated configuration
+  std::size_t calm_proxies = 0;    // 0: no calm trial
+  std::string program;             // the proxy
+  std::string write_path;          // scripts are appended to this file; empty: they are not
+  std::string folder = "/tmp";     // holds a folder for each trial
+  std::string keep;                // not empty: keep the folders of passed trials
+  bool verbose = false;            // print each history
+};
+
+// Prints to standard output. Returns the exit code: 0, or 1 if a trial failed. Throws ScriptError for a
+// script that cannot be read, std::runtime_error if trials cannot be run.
+int RunSeries(const SeriesOptions& options);
+
+}  // namespace lemoncroft::fault_test
+
+#endif  // LEMONCROFT_TESTING_FAULT_TEST_TRIAL_SERIES_H_
--- a/src/testing/fault_test/wall_clock.cpp
+++ b/src/testing/fault_test/wall_clock.cpp
@@ -1,5 +1,5 @@
-// A library that the rig loads into a proxy under trial: its wall clock jumps by an hour, forward and back
-// again, every few seconds. Its monotonic clock is left alone. In no shipped program.
+// A library that is preloaded into a proxy of a trial: its wall clock jumps by an hour, forward and back
+// again, every few seconds. Its monotonic clock is not changed. In no shipped program.
 #include <dlfcn.h>
 #include <sys/time.h>
 
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr time_t kJump = 3600, kEvery = 3;
+constexpr time_t kJumpSeconds = 3600, kIntervalSeconds = 3;
 
 using ClockGetTime = int (*)(clockid_t, timespec*);
 
@@ -16,17 +16,20 @@
   return kReal(clock, out);
 }
 
-time_t Shift() {
+// By how much the wall clock is off now: an interval not at all, then forward; one not at all, then back.
+time_t CurrentJump() {
   timespec now{};
   Real(CLOCK_MONOTONIC, &now);
-  return now.tv_sec / kEvery % 2 == 0 ? 0 : now.tv_sec / kEvery % 4 == 1 ? kJump : -kJump;
+  const time_t interval = now.tv_sec / kIntervalSeconds;
+  if (interval % 2 == 0) return 0;
+  return interval % 4 == 1 ? kJumpSeconds : -kJumpSeconds;
 }
 
 }  // namespace
 
 extern "C" int clock_gettime(clockid_t clock, timespec* out) {
   const int result = Real(clock, out);
-  if (result == 0 && clock == CLOCK_REALTIME) out->tv_sec += Shift();
+  if (result == 0 && clock == CLOCK_REALTIME) out->tv_sec += CurrentJump();
   return result;
 }
 
