--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -133,7 +133,7 @@
       loop, *config.management,
       [&operations](const admin::Command& call) { return operations.Answer(call); });
   if (service != nullptr)
-    listener->after = [service](admin::Command call, admin::Reply reply) {
+    listener->follow_up = [service](admin::Command call, admin::Reply reply) {
       return service->ReplicateManualEjection(std::move(call), std::move(reply));
     };
   loop.Spawn(listener->Run());
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -133,9 +133,9 @@
 void Reload(const StartupOptions& options, ReloadableState& state) {
   try {
     ReloadOrThrow(options, state);
-    state.counters.Reloaded(true);
+    state.counters.CountReload(metrics::ReloadResult::kApplied);
   } catch (const std::exception& e) {
-    state.counters.Reloaded(false);
+    state.counters.CountReload(metrics::ReloadResult::kRejected);
     spdlog::error("configuration not taken, the old one stays: {}", e.what());
   }
 }
--- /dev/null
+++ b/src/testing/fault_test/trial_runner.h
@@ -0,0 +1,90 @@
+// Runs one trial: starts real proxies on loopback behind the relay, carries out the script, and checks what
+// happened.
+//
+// Owned by the command line; one instance runs one trial. Ends only processes that it started, by their
+// ids, and leaves none behind. Records how late its own loop runs: a trial that the machine delayed is
+// void. Errors: std::runtime_error and std::system_error if ports, addresses or processes are not to be
+// had.
+#ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
+#define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
+
+#include <string>
+#include <vector>
+
+#include "runtime/loop.h"
+#include "testing/fault_test/client_load.h"
+#include "testing/fault_test/final_checks.h"
+#include "testing/fault_test/findings.h"
+#include "testing/fault_test/history.h"
+#include "testing/fault_test/lease_history.h"
+#include "testing/fault_test/link_faults.h"
+#include "testing/fault_test/measurements.h"
+#include "testing/fault_test/operator_client.h"
+#include "testing/fault_test/operator_workload.h"
+#include "testing/fault_test/proxy_processes.h"
+#include "testing/fault_test/relay.h"
+#include "testing/fault_test/script.h"
+#include "testing/fault_test/trial_environment.h"
+#include "testing/simulation/links.h"
+
+namespace lemoncroft::fault_test {
+
+class TrialRunner {
+ public:
+  // `folder` exists and belongs to this trial alone; the processes' logs and files stay there.
+  TrialRunner(const Trial& trial, std::string program, std::string folder);
+
+  // Runs the trial to its end. Called once.
+  TrialOutcome Run();
+
+  // Of the trial that has run.
+  Time started() const { return started_; }
+  const History& history() const { return history_; }
+  const LeaseHistory& leases() const { return leases_; }
+  const LeaseCheckResult& lease_result() const { return lease_result_; }
+  const Measurements& measurements() const { return measurements_; }
+
+ private:
+  // The script, from the first start to the last check.
+  runtime::Task<> RunScript();
+  runtime::Task<> AwaitAllServing();
+  void StartWorkloads();
+  runtime::Task<> CarryOutActions();
+  runtime::Task<> AwaitRecovery();
+  runtime::Task<> StopLoad();
+  TrialOutcome CheckHistory();
+
+  void CarryOut(const Action& action);
+  void CarryOutOnProcesses(const Action& action);
+  void CarryOutOnLinks(const Action& action);
+  void CarryOutOnStores(const Action& action);
+  void CarryOutByOperator(const Action& action);
+  void Partition(const Action& action);
+  void RecordLinkFaults();
+  bool HasReplicatedConfig() const { return !trial_.voters.empty(); }
+
+  // Tasks of the loop refer to the members below it. Run() destroys them before it returns.
+  const Trial trial_;
+  runtime::Loop loop_;
+  simulation::Links links_;
+  TrialEnvironment environment_;
+  Relay relay_;
+  Findings findings_;
+  History history_;
+  LeaseHistory leases_;
+  ProxyProcesses processes_;
+  LinkFaultInjector link_faults_;
+  ClientLoad load_;
+  OperatorClient operators_;
+  ProposalWorkload proposals_;
+  ConfigFileRollout file_rollout_;
+  ReplicatedConfigCheck config_check_;
+  Measurements measurements_;
+  PartitionAvailability partition_availability_;
+  LeaseCheckResult lease_result_;
+  Time started_{};
+};
+
+}  // namespace lemoncroft::fault_test
+
+#endif  // LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
