--- a/src/backend/pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "backend/pool.h"
+#include "backend/connection_pool.h"
 
 namespace lemoncroft::backend {
 
@@ -9,7 +9,7 @@
 constexpr auto kRest = 25ms;
 }
 
-Lease& Lease::operator=(Lease&& other) noexcept {
+PooledConnection& PooledConnection::operator=(PooledConnection&& other) noexcept {
   if (this != &other) {
     Return();
     pool_ = std::exchange(other.pool_, nullptr);
@@ -21,14 +21,14 @@
   return *this;
 }
 
-void Lease::Return() {
+void PooledConnection::Return() {
   if (pool_ != nullptr) pool_->Return(*this);
   pool_ = nullptr;
   connection_.reset();
 }
 
-void Pool::Fill(Lease& lease, const discovery::Endpoint& endpoint,
-                std::unique_ptr<http::Connection> connection, bool reused) {
+void ConnectionPool::Fill(PooledConnection& lease, const discovery::Endpoint& endpoint,
+                          std::unique_ptr<http::Connection> connection, bool reused) {
   lease.Return();
   lease.pool_ = this;
   lease.engine_ = endpoint.effective.engine;
@@ -37,7 +37,7 @@
   lease.connection_ = std::move(connection);
 }
 
-void Pool::Return(Lease& lease) {
+void ConnectionPool::Return(PooledConnection& lease) {
   const discovery::Endpoint* endpoint = directory_.Find(lease.engine_);
   if (endpoint != nullptr && endpoint->incarnation == lease.incarnation_ && lease.connection_->Reusable()) {
     idle_[lease.engine_].push_back({std::move(lease.connection_), runtime::Now()});
@@ -47,7 +47,7 @@
 }
 
 // What a peer sends beyond its answer may come a moment after it, and must not pass for the next one.
-std::unique_ptr<http::Connection> Pool::TakeIdle(EngineId engine) {
+std::unique_ptr<http::Connection> ConnectionPool::TakeIdle(EngineId engine) {
   const auto it = idle_.find(engine);
   if (it == idle_.end()) return nullptr;
   auto& idle = it->second;
@@ -62,8 +62,8 @@
   return nullptr;
 }
 
-runtime::Task<Io> Pool::Acquire(EngineId engine, runtime::Time deadline, runtime::Cancellation* cancel,
-                                Lease& out, Want want) {
+runtime::Task<Io> ConnectionPool::Acquire(EngineId engine, runtime::Time deadline,
+                                          runtime::Cancellation* cancel, PooledConnection& out, Want want) {
   const discovery::Endpoint* endpoint = directory_.Find(engine);
   if (endpoint == nullptr) co_return Io::kClosed;
   if (want == Want::kAny) {
@@ -72,7 +72,7 @@
       co_return Io::kOk;
     }
   }
-  if (open_ >= limits_.connections && !EvictOne()) co_return Io::kNoDescriptors;
+  if (open_ >= limits_.max_connections && !EvictOne()) co_return Io::kNoDescriptors;
   const std::uint64_t incarnation = endpoint->incarnation;
   std::unique_ptr<runtime::Socket> socket;
   ++open_;  // counted before it is up, so that many at a time can't pass the limit
@@ -89,21 +89,21 @@
   co_return Io::kOk;
 }
 
-void Pool::Drop(EngineId engine) {
+void ConnectionPool::CloseIdle(EngineId engine) {
   const auto it = idle_.find(engine);
   if (it == idle_.end()) return;
   open_ -= it->second.size();
   idle_.erase(it);
 }
 
-void Pool::set_connections(std::size_t most) {
-  limits_.connections = most;
+void ConnectionPool::set_max_connections(std::size_t most) {
+  limits_.max_connections = most;
   while (open_ > most && EvictOne()) {
   }
 }
 
 // Makes room: the engine with the most idle connections loses the one that has been idle longest.
-bool Pool::EvictOne() {
+bool ConnectionPool::EvictOne() {
   std::deque<Idle>* most = nullptr;
   for (auto& [id, idle] : idle_) {
     if (!idle.empty() && (most == nullptr || idle.size() > most->size())) most = &idle;
@@ -114,10 +114,10 @@
   return true;
 }
 
-runtime::Task<> Pool::CloseIdle() {
+runtime::Task<> ConnectionPool::CloseExpired() {
   for (;;) {
     co_await loop_.Sleep(500ms);
-    const runtime::Time before = runtime::Now() - limits_.idle;
+    const runtime::Time before = runtime::Now() - limits_.idle_timeout;
     for (auto& [id, idle] : idle_) {
       while (!idle.empty() && idle.front().since < before) {
         idle.pop_front();
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -78,7 +78,7 @@
 struct Engines::Query {
   const Attempt& attempt;
   runtime::Cancellation& cancel;
-  Lease lease;
+  PooledConnection lease;
   codec::HttpResponse response;
   Result result;
   bool lost = false;      // an answer about it has been lost: what the engine knows of it is in doubt
@@ -95,7 +95,7 @@
   query.over = outcome == Outcome::kOk;
   if (outcome == Outcome::kOk) outcome = co_await FetchPages(query);
   query.result.outcome = outcome;
-  const std::string& id = attempt.passed->id;
+  const std::string& id = attempt.forwarded->request_id;
   // An attempt that may still run is given up, and has ended once the engine knows: the next attempt may go
   // to the same engine under the same id, and must not be the one that is deleted. At the deadline there is
   // none; after a reset there is no engine to tell.
@@ -116,7 +116,7 @@
 // The statement goes out once and never again, whatever becomes of it. kOk: the engine has answered.
 Task<Outcome> Engines::Start(Query& query) {
   const Attempt& attempt = query.attempt;
-  const broker::ForwardedFields& passed = *attempt.passed;
+  const request::ForwardedFields& forwarded = *attempt.forwarded;
   if (Now() >= attempt.deadline) co_return Outcome::kNotSent;
   for (int broken = 0;;) {
     const runtime::Time limit = std::min({attempt.deadline, attempt.not_after, Now() + connect_timeout_});
@@ -130,21 +130,22 @@
     const runtime::Span left = attempt.deadline - Now();
     if (left <= runtime::Span::zero()) co_return Outcome::kNotSent;
     // This process may have been stopped since the request was taken, for longer than its lease.
-    if (lease_fence_ != nullptr && !lease_fence_->RecordSend(passed.lane, attempt.engine, attempt.again)) {
+    if (lease_fence_ != nullptr &&
+        !lease_fence_->RecordSend(forwarded.class_name, attempt.engine, attempt.again)) {
       co_await loop_.Sleep(kWithoutLease, &query.cancel);  // the module may try another at once
       co_return Outcome::kNotSent;
     }
     codec::HttpRequest post;
     post.method = "POST";
     post.path = "/v2/q";
-    post.headers = {{"X-Txn", passed.id}, {"X-Lane", passed.lane}};
+    post.headers = {{"X-Txn", forwarded.request_id}, {"X-Lane", forwarded.class_name}};
     const auto left_ms = std::chrono::ceil<std::chrono::milliseconds>(left).count();
     post.headers.emplace_back("X-Limit-Ms", std::to_string(left_ms));
-    if (!passed.dedupe.empty()) post.headers.emplace_back("X-Dedupe", passed.dedupe);
+    if (!forwarded.idempotency_key.empty()) post.headers.emplace_back("X-Dedupe", forwarded.idempotency_key);
     const auto grant = static_cast<std::int64_t>(std::ceil(attempt.grant_mb));
     if (grant > 0) post.headers.emplace_back("Pool-Mb", std::to_string(grant));
     post.headers.emplace_back("Pool-Rank", std::to_string(attempt.priority));
-    post.body = passed.statement;
+    post.body = forwarded.statement;
     const runtime::Time until = query.Limit(kNewsWithin);
     query.asked = Now();
     Io io = co_await query.lease->Send(post, std::min(until, attempt.not_after), &query.cancel);
@@ -161,7 +162,7 @@
       if (io == Io::kCancelled) co_return Outcome::kCancelled;
       // It may run although its answer is spoilt, late or lost with its connection: the engine can be asked.
       query.lost = true;
-      query.lease = Lease();
+      query.lease = PooledConnection();
       co_return co_await Ask(query, 0);
     }
     // Not a byte has gone: a connection that broke just now. Another one will do.
@@ -183,15 +184,15 @@
 Task<Outcome> Engines::Ask(Query& query, int page) {
   codec::HttpRequest ask;
   ask.method = "GET";
-  ask.path = PathOf(query.attempt.passed->id) + "/" + std::to_string(page);
+  ask.path = PathOf(query.attempt.forwarded->request_id) + "/" + std::to_string(page);
   bool heard = false;
   Outcome end = Outcome::kLost;
   for (int tries = 0; tries < kAsks; ++tries) {
     // One that the engine closes, or that holds more than was asked for, is left.
-    if (query.lease && !query.lease->Reusable()) query.lease = Lease();
+    if (query.lease && !query.lease->Reusable()) query.lease = PooledConnection();
     if (!query.lease) {
       const runtime::Time limit = std::min(query.attempt.deadline, Now() + connect_timeout_);
-      const auto want = query.lost ? Pool::Want::kFresh : Pool::Want::kAny;
+      const auto want = query.lost ? ConnectionPool::Want::kFresh : ConnectionPool::Want::kAny;
       const Io up = co_await pool_.Acquire(query.attempt.engine, limit, &query.cancel, query.lease, want);
       if (up == Io::kCancelled) co_return Outcome::kCancelled;
       if (Now() >= query.attempt.deadline) co_return Outcome::kTimeout;
@@ -212,7 +213,7 @@
     heard = heard || io != Io::kTimeout;
     end = heard ? Outcome::kLost : Outcome::kTimeout;
     query.lost = true;
-    query.lease = Lease();
+    query.lease = PooledConnection();
   }
   co_return end;
 }
@@ -260,7 +261,7 @@
 }
 
 // Sees what a question that was under way still brings, so that its connection can serve again.
-Task<> Engines::Settle(Lease busy) {
+Task<> Engines::Settle(PooledConnection busy) {
   codec::HttpResponse ignored;
   co_await busy->Receive(Now() + kLinger, nullptr, ignored);
 }
@@ -271,7 +272,7 @@
     explicit Counted(int& of) : orders(of) { ++orders; }
     ~Counted() { --orders; }
   } const counted(orders_);
-  Lease lease;
+  PooledConnection lease;
   const Io up = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, lease);
   if (up != Io::kOk) co_return up;
   codec::HttpRequest request;
@@ -289,24 +290,24 @@
 // An engine that answers has taken the order. Of any other only its own limit on unasked queries is known:
 // one that breaks a connection and refuses the next may be short of connections and run on.
 Task<> Engines::Withdraw(Query& query) {
-  query.lease = Lease();
+  query.lease = PooledConnection();
   const runtime::Time over = query.asked + kUnaskedFor + kUnaskedMargin;
   runtime::Span pause = kMinCancelBackoff;
   while (Now() < over) {
-    const Io io = co_await Call(query.attempt.engine, "DELETE", query.attempt.passed->id, {});
+    const Io io = co_await Call(query.attempt.engine, "DELETE", query.attempt.forwarded->request_id, {});
     if (io == Io::kOk) co_return;
     co_await loop_.SleepUntil(std::min(over, Now() + pause));
     pause = std::min<runtime::Span>(2 * pause, kMaxCancelBackoff);
   }
 }
 
-void Engines::Reprioritise(EngineId engine, std::string id, int priority) {
+void Engines::UpdatePriority(EngineId engine, std::string id, int priority) {
   loop_.Spawn(Order(engine, "PUT", std::move(id), std::to_string(priority)));
 }
 
 Task<ProbeResult> Engines::Probe(EngineId engine) {
   ProbeResult result;
-  Lease lease;
+  PooledConnection lease;
   const Io up = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, lease);
   if (up != Io::kOk) co_return result;
   codec::HttpRequest request;
--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -6,16 +6,16 @@
 #include <utility>
 #include <vector>
 
-#include "backend/pool.h"
-#include "broker/lease_fence.h"
-#include "broker/request.h"
+#include "backend/connection_pool.h"
 #include "lemoncroft/gateway.h"
 #include "metrics/counters.h"
+#include "request/client_request.h"
+#include "request/lease_fence.h"
 
 namespace lemoncroft::backend {
 
 struct Attempt {
-  const broker::ForwardedFields* passed = nullptr;  // outlives the attempt
+  const request::ForwardedFields* forwarded = nullptr;  // outlives the attempt
   EngineId engine = 0;
   runtime::Time deadline{};
   runtime::Time not_after = runtime::kNever;  // for its statement to leave: past this a repeat does harm
@@ -43,7 +43,7 @@
 
 class Engines {
  public:
-  Engines(runtime::Loop& loop, const discovery::EndpointDirectory& directory, Pool::Limits limits,
+  Engines(runtime::Loop& loop, const discovery::EndpointDirectory& directory, ConnectionPool::Limits limits,
           runtime::Span connect_timeout, metrics::Counters& counters)
       : loop_(loop),
         directory_(directory),
@@ -55,14 +55,14 @@
   // an exclusive one that its engine doesn't acknowledge to be over ends later by kUnaskedFor and a margin.
   runtime::Task<Result> Run(const Attempt& attempt, runtime::Cancellation& cancel);
   // Gives what runs a new priority; best effort.
-  void Reprioritise(EngineId engine, std::string id, int priority);
+  void UpdatePriority(EngineId engine, std::string id, int priority);
   // Asks for the load report where the site's engines have one, else for the engine's health alone.
   runtime::Task<ProbeResult> Probe(EngineId engine);
 
   bool giving_up() const { return orders_ > 0; }  // an engine is still to be told of something
-  Pool& pool() { return pool_; }
+  ConnectionPool& pool() { return pool_; }
   // Checked in the turn in which each statement is sent; null: every statement is permitted.
-  void set_lease_fence(broker::LeaseFence* lease_fence) { lease_fence_ = lease_fence; }
+  void set_lease_fence(request::LeaseFence* lease_fence) { lease_fence_ = lease_fence; }
   void set_connect_timeout(runtime::Span span) { connect_timeout_ = span; }
   // Names of the values in load reports, in the order of Settings::report_fields; empty: there are no
   // reports.
@@ -76,7 +76,7 @@
   runtime::Task<Outcome> Follow(Query& query);
   runtime::Task<Outcome> FetchPages(Query& query);
   void TakeReport(Query& query) const;  // of the answer that has just come
-  runtime::Task<> Settle(Lease busy);
+  runtime::Task<> Settle(PooledConnection busy);
   // Sends an order about a query; kOk: the engine has answered it.
   runtime::Task<runtime::Io> Call(EngineId engine, std::string method, std::string id, std::string body);
   runtime::Task<> Order(EngineId engine, std::string method, std::string id, std::string body);
@@ -86,9 +86,9 @@
   runtime::Loop& loop_;
   const discovery::EndpointDirectory& directory_;
   metrics::Counters& counters_;
-  Pool pool_;
+  ConnectionPool pool_;
   runtime::Span connect_timeout_;
-  broker::LeaseFence* lease_fence_ = nullptr;
+  request::LeaseFence* lease_fence_ = nullptr;
   std::vector<std::string> report_fields_;
   int orders_ = 0;  // under way
 };
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -57,7 +57,7 @@
 }
 
 void Broker::ApplySettings(std::vector<int> inherits_estimates_from, std::size_t requests) {
-  limits_.requests = requests;
+  limits_.max_requests = requests;
   const auto site = site_.snapshot();
   if (queue_) queue_->set_kinds(site->module.kinds);
   host_.ApplySettings(
@@ -69,60 +69,61 @@
   host_.Post(FleetSize{serving, place});
 }
 
-settings::ReferencedNumbers Broker::used() const {
+settings::ReferencedNumbers Broker::NumbersInUse() const {
   settings::ReferencedNumbers used;
   for (const auto& [id, life] : lives_) {
-    used.classes.insert(life->request.class_id);
-    used.tenants.insert(life->request.tenant);
+    used.classes.insert(life->client_request.class_id);
+    used.tenants.insert(life->client_request.tenant);
   }
   return used;
 }
 
-void Broker::Finish(const std::string& lane, ResponseSink& sink, const Answer& answer) {
+void Broker::Finish(const std::string& lane, request::ResponseSink& sink, const request::Response& answer) {
   using metrics::End;
-  counters_.Ended(lane, answer.verdict == Verdict::kServed    ? End::kOk
-                        : answer.verdict == Verdict::kRefused ? End::kShed
-                                                              : End::kError);
-  sink.Finish(answer);
+  counters_.Ended(lane, answer.status == request::ResponseStatus::kServed     ? End::kOk
+                        : answer.status == request::ResponseStatus::kRejected ? End::kShed
+                                                                              : End::kError);
+  sink.Complete(answer);
 }
 
-RequestId Broker::Take(ClientRequest request, std::unique_ptr<ResponseSink> sink) {
-  const std::string& lane = request.passed.lane;
+RequestId Broker::Submit(request::ClientRequest request, std::unique_ptr<request::ResponseSink> sink) {
+  const std::string& lane = request.forwarded.class_name;
   counters_.Taken(lane);
-  const std::size_t bytes = request.passed.bytes();
+  const std::size_t bytes = request.forwarded.bytes();
   // Refused before the module hears of it: nothing ran, and the process lives.
   const bool allowed = lease_fence_ == nullptr || lease_fence_->AdmitsClass(lane);
-  if (closed_ || !allowed || lives_.size() >= limits_.requests || bytes_ + bytes > limits_.bytes) {
-    Finish(lane, *sink, {Verdict::kRefused, ComeBackMost(), {}});
+  if (closed_ || !allowed || lives_.size() >= limits_.max_requests || bytes_ + bytes > limits_.max_bytes) {
+    Finish(lane, *sink, {request::ResponseStatus::kRejected, ComeBackMost(), {}});
     return 0;
   }
   // An engine knows a query by the client's id alone: under one id two would be taken for each other there. A
   // second one is no request; one behind an end that the engine is still being told may come again.
-  if (const auto it = ids_.find(request.passed.id); it != ids_.end()) {
+  if (const auto it = ids_.find(request.forwarded.request_id); it != ids_.end()) {
     const bool open = lives_.at(it->second)->sink != nullptr;
-    Finish(lane, *sink, {open ? Verdict::kFailed : Verdict::kRefused, {}, {}});
+    Finish(lane, *sink,
+           {open ? request::ResponseStatus::kFailed : request::ResponseStatus::kRejected, {}, {}});
     return 0;
   }
   const RequestId id = next_id_++;
   if (queue_) {
-    const auto taken = queue_->Submit({id, request.tenant, request.class_id, request.est_work,
-                                       request.deadline - kLastWord, request.watched});
+    const auto taken = queue_->Submit({id, request.tenant, request.class_id, request.estimated_work,
+                                       request.deadline - kLastWord, request.wants_wait_notices});
     if (taken.rejected) {
       Finish(lane, *sink,
-             {Verdict::kRefused,
+             {request::ResponseStatus::kRejected,
               site_->module.may_send_retry_after ? taken.rejected->retry_after : Span::zero(),
               {}});
       return 0;
     }
-    if (request.watched) sink->NotifyWait({taken.estimate.wait, taken.estimate.upper_bound});
+    if (request.wants_wait_notices) sink->NotifyWait({taken.estimate.wait, taken.estimate.upper_bound});
   }
   auto life = std::make_shared<ActiveRequest>();
   life->id = id;
   life->taken = Now();
-  life->request = std::move(request);
+  life->client_request = std::move(request);
   life->sink = std::move(sink);
   lives_.emplace(life->id, life);
-  ids_.emplace(life->request.passed.id, life->id);
+  ids_.emplace(life->client_request.forwarded.request_id, life->id);
   ++open_;
   bytes_ += bytes;
   loop_.Spawn(RunRequest(std::move(life)));
@@ -137,81 +138,83 @@
 // NOLINTNEXTLINE(readability-function-size)
 Task<> Broker::RunRequest(ActiveRequestPtr life) {
   if (!queue_) host_.Post(Described(*life));
-  const Time last_word = life->request.deadline - kLastWord, guard = life->request.deadline + kGuard;
+  const Time last_word = life->client_request.deadline - kLastWord,
+             guard = life->client_request.deadline + kGuard;
   bool deadline_told = false;
-  const std::string& lane = life->request.passed.lane;
+  const std::string& lane = life->client_request.forwarded.class_name;
   for (bool answered = false; !answered;) {
     News news = co_await Next(*life, deadline_told ? guard : last_word);
-    answered =
-        std::visit(Overloaded{
-                       [&](const ResourceGrant& terms) {
-                         ApplyTerms(*life, terms);
-                         return false;
-                       },
-                       [&](const Send& send) {
-                         if (!Forbidden(*life, send)) {
-                           StartAttempt(life, send);
-                           return false;
-                         }
-                         ReportNotSent(*life, send, false);
-                         Finish(lane, *life->sink, {Verdict::kRefused, ComeBackMost(), {}});
-                         host_.Post(ClientGone{life->id});
-                         return true;
-                       },
-                       [&](const Cancel& cancel) {
-                         const auto number = static_cast<std::size_t>(cancel.attempt);
-                         if (number < life->attempts.size()) life->attempts[number]->cancel.Cancel();
-                         return false;
-                       },
-                       [&](const RejectRequest& refuse) {
-                         Finish(lane, *life->sink, {Verdict::kRefused, Advice(*life, refuse), {}});
-                         return true;
-                       },
-                       [&](const admission_queue::Dispatch&) {
-                         host_.Post(Described(*life));
-                         return false;
-                       },
-                       [&](const TurnedAway& turned) {  // never ran, and the module never heard of it
-                         const Span later = site_->module.may_send_retry_after ? turned.later : Span::zero();
-                         Finish(lane, *life->sink, {Verdict::kRefused, later, {}});
-                         return true;
-                       },
-                       [&](const WaitNotice& foretold) {
-                         life->sink->NotifyWait(foretold);
-                         return false;
-                       },
-                       [&](const Fail&) {
-                         Finish(lane, *life->sink, {Verdict::kFailed, {}, {}});
-                         return true;
-                       },
-                       [&](Ended& ended) {
-                         const bool served = ended.result.outcome == Outcome::kOk;
-                         if (served)
-                           Finish(lane, *life->sink, {Verdict::kServed, {}, std::move(ended.result.rows)});
-                         ReportAttemptEnded(*life, ended, served);
-                         return served;
-                       },
-                       [&](const Abandoned&) {
-                         counters_.Ended(lane, metrics::End::kWithdrawn);
-                         host_.Post(ClientGone{life->id});
-                         return true;
-                       },
-                       [&](const Overdue&) {
-                         if (!std::exchange(deadline_told, true)) {
-                           host_.Post(DeadlineReached{life->id});
-                           return false;
-                         }
-                         spdlog::warn("request {}: answered by the guard", life->request.passed.id);
-                         Finish(lane, *life->sink, {Verdict::kFailed, {}, {}});
-                         host_.Post(ClientGone{life->id});
-                         return true;
-                       },
-                   },
-                   news);
+    answered = std::visit(
+        Overloaded{
+            [&](const ResourceGrant& terms) {
+              ApplyTerms(*life, terms);
+              return false;
+            },
+            [&](const Send& send) {
+              if (!Forbidden(*life, send)) {
+                StartAttempt(life, send);
+                return false;
+              }
+              ReportNotSent(*life, send, false);
+              Finish(lane, *life->sink, {request::ResponseStatus::kRejected, ComeBackMost(), {}});
+              host_.Post(ClientGone{life->id});
+              return true;
+            },
+            [&](const Cancel& cancel) {
+              const auto number = static_cast<std::size_t>(cancel.attempt);
+              if (number < life->attempts.size()) life->attempts[number]->cancel.Cancel();
+              return false;
+            },
+            [&](const RejectRequest& refuse) {
+              Finish(lane, *life->sink, {request::ResponseStatus::kRejected, Advice(*life, refuse), {}});
+              return true;
+            },
+            [&](const admission_queue::Dispatch&) {
+              host_.Post(Described(*life));
+              return false;
+            },
+            [&](const TurnedAway& turned) {  // never ran, and the module never heard of it
+              const Span later = site_->module.may_send_retry_after ? turned.later : Span::zero();
+              Finish(lane, *life->sink, {request::ResponseStatus::kRejected, later, {}});
+              return true;
+            },
+            [&](const request::WaitNotice& foretold) {
+              life->sink->NotifyWait(foretold);
+              return false;
+            },
+            [&](const Fail&) {
+              Finish(lane, *life->sink, {request::ResponseStatus::kFailed, {}, {}});
+              return true;
+            },
+            [&](Ended& ended) {
+              const bool served = ended.result.outcome == Outcome::kOk;
+              if (served)
+                Finish(lane, *life->sink,
+                       {request::ResponseStatus::kServed, {}, std::move(ended.result.rows)});
+              ReportAttemptEnded(*life, ended, served);
+              return served;
+            },
+            [&](const Abandoned&) {
+              counters_.Ended(lane, metrics::End::kWithdrawn);
+              host_.Post(ClientGone{life->id});
+              return true;
+            },
+            [&](const Overdue&) {
+              if (!std::exchange(deadline_told, true)) {
+                host_.Post(DeadlineReached{life->id});
+                return false;
+              }
+              spdlog::warn("request {}: answered by the guard", life->client_request.forwarded.request_id);
+              Finish(lane, *life->sink, {request::ResponseStatus::kFailed, {}, {}});
+              host_.Post(ClientGone{life->id});
+              return true;
+            },
+        },
+        news);
   }
   if (queue_) queue_->OnRequestCompleted(life->id);
   --open_;
-  bytes_ -= life->request.passed.bytes();
+  bytes_ -= life->client_request.forwarded.bytes();
   life->sink.reset();
   for (const auto& running : life->attempts) running->cancel.Cancel();
   const auto out = [&] {
@@ -223,7 +226,7 @@
     if (const auto* ended = std::get_if<Ended>(&news)) ReportAttemptEnded(*life, *ended, true);
     if (const auto* send = std::get_if<Send>(&news)) ReportNotSent(*life, *send, true);
   }
-  ids_.erase(life->request.passed.id);
+  ids_.erase(life->client_request.forwarded.request_id);
   lives_.erase(life->id);
 }
 
@@ -239,7 +242,7 @@
 
 void Broker::StartAttempt(const ActiveRequestPtr& life, const Send& send) {
   const Time now = Now();
-  const Time last = life->request.deadline - kLastWord;
+  const Time last = life->client_request.deadline - kLastWord;
   auto running = std::make_unique<Running>();
   running->engine = send.engine;
   running->started = now;
@@ -247,13 +250,13 @@
   life->attempts.push_back(std::move(running));
   if (queue_) queue_->OnAttemptStarted(life->id, number, life->terms.priority);
   backend::Attempt attempt;
-  attempt.passed = &life->request.passed;
+  attempt.forwarded = &life->client_request.forwarded;
   attempt.engine = send.engine;
   attempt.deadline = send.timeout > 0 ? std::min(last, now + ToSpan(send.timeout)) : last;
   attempt.not_after = host_.ToTime(send.not_after);
   attempt.grant_mb = life->terms.grant_mb;
   attempt.priority = life->terms.priority;
-  attempt.exclusive = !site_->module.may_hedge || life->request.order_key != 0;
+  attempt.exclusive = !site_->module.may_hedge || life->client_request.ordering_key != 0;
   attempt.again = std::any_of(life->attempts.begin(), std::prev(life->attempts.end()),
                               [](const auto& a) { return a->ran || a->out; });
   loop_.Spawn(RunAttempt(life, number, attempt));
@@ -264,7 +267,7 @@
   if (lease_fence_ == nullptr) return false;
   const bool again =
       std::any_of(life.attempts.begin(), life.attempts.end(), [](const auto& a) { return a->out || a->ran; });
-  return !again && !lease_fence_->PermitsSend(life.request.passed.lane, send.engine);
+  return !again && !lease_fence_->PermitsSend(life.client_request.forwarded.class_name, send.engine);
 }
 
 // An attempt that the module counts and that was never made.
@@ -291,7 +294,8 @@
   try {
     ended.result = co_await engines_.Run(attempt, life->attempts[static_cast<std::size_t>(number)]->cancel);
   } catch (const std::exception& e) {
-    spdlog::error("request {}: attempt {} broke off: {}", life->request.passed.id, number, e.what());
+    spdlog::error("request {}: attempt {} broke off: {}", life->client_request.forwarded.request_id, number,
+                  e.what());
   }
   const Outcome how = ended.result.outcome;
   Running& running = *life->attempts[static_cast<std::size_t>(number)];
@@ -306,7 +310,8 @@
   life.terms = terms;
   if (!changed) return;
   for (const auto& running : life.attempts) {
-    if (running->out) engines_.Reprioritise(running->engine, life.request.passed.id, terms.priority);
+    if (running->out)
+      engines_.UpdatePriority(running->engine, life.client_request.forwarded.request_id, terms.priority);
   }
 }
 
@@ -322,12 +327,12 @@
   event.work = ToNanos(ended.result.work);
   event.memory_mb = ended.result.memory_mb;
   event.load = ended.result.load;
-  const ClientRequest& request = life.request;
+  const request::ClientRequest& request = life.client_request;
   spdlog::debug("request {} {} group {}: attempt {} at {} ended {} after {} ms, held {} ms, work {} of {} ms",
-                request.passed.id, request.passed.lane, request.tables, ended.attempt, running.engine,
-                static_cast<int>(event.outcome), event.waited / 1'000'000,
+                request.forwarded.request_id, request.forwarded.class_name, request.table_group,
+                ended.attempt, running.engine, static_cast<int>(event.outcome), event.waited / 1'000'000,
                 ToNanos(running.started - life.taken) / 1'000'000, event.work / 1'000'000,
-                ToNanos(request.est_work) / 1'000'000);
+                ToNanos(request.estimated_work) / 1'000'000);
   host_.Post(event);
   if (!queue_) return;
   const bool ran = event.outcome != Outcome::kFull && event.outcome != Outcome::kConnectFailed &&
@@ -338,20 +343,20 @@
 // What the line foresees, where there is one, is more honest than the longest wait that the settings allow.
 Span Broker::Advice(const ActiveRequest& life, const RejectRequest& refuse) {
   if (!queue_ || refuse.retry_after <= 0) return ToSpan(refuse.retry_after);
-  return queue_->RetryAfter(life.request.tenant, life.request.class_id);
+  return queue_->RetryAfter(life.client_request.tenant, life.client_request.class_id);
 }
 
 Event Broker::Described(const ActiveRequest& life) const {
-  const ClientRequest& from = life.request;
+  const request::ClientRequest& from = life.client_request;
   Request request;
   request.id = life.id;
   request.class_id = from.class_id;
   request.tenant = from.tenant;
-  request.key = from.order_key;
+  request.key = from.ordering_key;
   request.client_timeout = std::max<Nanos>(0, ToNanos(from.deadline - Now()));
-  request.est_work = ToNanos(from.est_work);
-  request.est_memory_mb = from.est_memory_mb;
-  request.tables = from.tables;
+  request.est_work = ToNanos(from.estimated_work);
+  request.est_memory_mb = from.estimated_memory_mb;
+  request.tables = from.table_group;
   return request;
 }
 
@@ -372,7 +377,7 @@
           [&](const admission_queue::Dispatch& hand) { Deliver(hand.id, hand); },
           [&](const admission_queue::Reject& refuse) { Deliver(refuse.id, TurnedAway{refuse.retry_after}); },
           [&](const admission_queue::EstimateUpdate& tell) {
-            Deliver(tell.id, WaitNotice{tell.estimate.wait, tell.estimate.upper_bound});
+            Deliver(tell.id, request::WaitNotice{tell.estimate.wait, tell.estimate.upper_bound});
           },
           [](const admission_queue::LogEvent&) {},  // the host's own
       },
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -1,7 +1,7 @@
 // The life of every request between its taking and its one final answer, in terms of no protocol.
 //
-// A front end hands in a ClientRequest and an AnswerSink; the decision module says where attempts go and when
-// a request is given up; the back end runs the attempts.
+// A front end hands in a ClientRequest and a ResponseSink; the decision module says where attempts go
+// and when a request is given up; the back end runs the attempts.
 #ifndef LEMONCROFT_BROKER_BROKER_H_
 #define LEMONCROFT_BROKER_BROKER_H_
 
@@ -15,11 +15,11 @@
 
 #include "backend/engines.h"
 #include "broker/admission_queue_host.h"
-#include "broker/lease_fence.h"
 #include "broker/module_host.h"
-#include "broker/request.h"
 #include "lemoncroft/gateway.h"
 #include "metrics/counters.h"
+#include "request/client_request.h"
+#include "request/lease_fence.h"
 #include "runtime/loop.h"
 #include "settings/migration.h"
 #include "settings/settings.h"
@@ -29,8 +29,8 @@
 class Broker {
  public:
   struct Limits {
-    std::size_t requests = 4096;                // open at a time
-    std::size_t bytes = std::size_t{48} << 20;  // that they hold
+    std::size_t max_requests = 4096;                // open at a time
+    std::size_t max_bytes = std::size_t{48} << 20;  // that they hold
   };
 
   Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed,
@@ -41,13 +41,13 @@
   void EnableAdmissionQueue(admission_queue::Settings settings);
   AdmissionQueueHost* admission_queue() { return queue_.get(); }  // null without one
   // Fences requests with the configuration lease; set before Start. Null: every action is permitted.
-  void set_lease_fence(LeaseFence* lease_fence) {
+  void set_lease_fence(request::LeaseFence* lease_fence) {
     lease_fence_ = lease_fence;
     engines_.set_lease_fence(lease_fence);
   }
   void Start();
   // Takes a request; its answer may come within the call. Returns the number to abandon it by.
-  RequestId Take(ClientRequest request, std::unique_ptr<ResponseSink> sink);
+  RequestId Submit(request::ClientRequest request, std::unique_ptr<request::ResponseSink> sink);
   // Nobody waits for the answer any more: none will be given.
   void CancelRequest(RequestId id);
   void UpdateEndpoints(EngineList list);
@@ -56,14 +56,14 @@
   void SetProcessShare(int parts) { host_.Post(ProcessShare{parts}); }
   // How many proxies serve, and this one's place among them, as the view of the fleet has it.
   void SetFleetSize(int serving, int place);
-  settings::ReferencedNumbers used() const;  // by requests under way
+  settings::ReferencedNumbers NumbersInUse() const;  // by requests under way
   // From now on new requests are refused: the process is about to end.
-  void Close() { closed_ = true; }
-  bool idle() const { return lives_.empty() && !engines_.giving_up(); }  // nothing is out any more
-  std::vector<EngineId> Avoided() const { return host_.Avoided(); }      // by the module's choice
+  void RejectNewRequests() { closed_ = true; }
+  bool idle() const { return lives_.empty() && !engines_.giving_up(); }     // nothing is out any more
+  std::vector<EngineId> AvoidedEngines() const { return host_.Avoided(); }  // by the module's choice
   // Has the module answer what is open: nothing of it can be waited for any longer.
   void CompleteAllRequests() { host_.Post(Closing{}); }
-  std::size_t open() const { return open_; }  // requests without a final answer
+  std::size_t open_requests() const { return open_; }  // requests without a final answer
 
  private:
   struct Ended {
@@ -76,7 +76,7 @@
     runtime::Span later{};
   };
   using News = std::variant<ResourceGrant, Send, Cancel, RejectRequest, Fail, Ended, Abandoned, Overdue,
-                            admission_queue::Dispatch, TurnedAway, WaitNotice>;
+                            admission_queue::Dispatch, TurnedAway, request::WaitNotice>;
 
   struct Running {
     EngineId engine = 0;
@@ -89,8 +89,8 @@
   struct ActiveRequest {
     RequestId id = 0;
     runtime::Time taken{};
-    ClientRequest request;
-    std::unique_ptr<ResponseSink> sink;
+    request::ClientRequest client_request;
+    std::unique_ptr<request::ResponseSink> sink;
     ResourceGrant terms;
     std::vector<std::unique_ptr<Running>> attempts;  // by number
     std::deque<News> inbox;
@@ -99,7 +99,7 @@
   using ActiveRequestPtr = std::shared_ptr<ActiveRequest>;
 
   // The one place where a request gets its answer.
-  void Finish(const std::string& lane, ResponseSink& sink, const Answer& answer);
+  void Finish(const std::string& lane, request::ResponseSink& sink, const request::Response& answer);
   runtime::Task<> RunRequest(ActiveRequestPtr life);
   runtime::Task<News> Next(ActiveRequest& life, runtime::Time guard);
   void StartAttempt(const ActiveRequestPtr& life, const Send& send);
@@ -130,7 +130,7 @@
   std::size_t open_ = 0;
   std::size_t bytes_ = 0;
   bool closed_ = false;
-  LeaseFence* lease_fence_ = nullptr;
+  request::LeaseFence* lease_fence_ = nullptr;
 };
 
 }  // namespace lemoncroft::broker
--- a/src/cli/operations.cpp
+++ b/src/cli/operations.cpp
@@ -25,7 +25,8 @@
       return {
           true,
           {},
-          counters_.Text({broker_.open(), directory_.size(), directory_.CountEjected(broker_.Avoided()),
+          counters_.Text({broker_.open_requests(), directory_.size(),
+                          directory_.CountEjected(broker_.AvoidedEngines()),
                           additional_metrics_ ? additional_metrics_() : decltype(additional_metrics_())()})};
     case Verb::kExclude:
     case Verb::kInclude:
--- a/src/cli/proxy.cpp
+++ b/src/cli/proxy.cpp
@@ -65,10 +65,10 @@
   return {sockets, sockets * 2 / 5, kOwnDescriptors + operators};  // clients hold a third; some reconnect
 }
 
-backend::Pool::Limits PoolLimits(const Config& config) {
-  backend::Pool::Limits limits;
-  limits.connections = hot_restart::DivideLimits(ProxyLimitsOf(config), {}, {}).engines;
-  limits.idle = IdleFor(config.site);
+backend::ConnectionPool::Limits PoolLimits(const Config& config) {
+  backend::ConnectionPool::Limits limits;
+  limits.max_connections = hot_restart::DivideLimits(ProxyLimitsOf(config), {}, {}).engines;
+  limits.idle_timeout = IdleFor(config.site);
   return limits;
 }
 
@@ -89,8 +89,8 @@
 
 broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb, std::size_t most) {
   broker::Broker::Limits limits;
-  limits.requests = MostRequests(config.site, most);
-  if (memory_mb > 0) limits.bytes = (memory_mb << 20) / 8;
+  limits.max_requests = MostRequests(config.site, most);
+  if (memory_mb > 0) limits.max_bytes = (memory_mb << 20) / 8;
   return limits;
 }
 
@@ -155,7 +155,7 @@
   running.directory.RenumberKindsAndZones(running.tell);
   running.engines.set_connect_timeout(decision::ToSpan(running.site->module.connect_timeout));
   running.engines.set_report_fields(running.site->report_fields);
-  running.engines.pool().set_idle(IdleFor(*running.site));
+  running.engines.pool().set_idle_timeout(IdleFor(*running.site));
   for (const std::string& class_id : running.site->classes)
     if (!class_id.empty()) running.counters.Know(class_id);
 }
@@ -196,7 +196,7 @@
       throw ConfigError(paths.config + ": " + e.what());
     }
     settings::Migration migration =
-        MigrateSettings(*running.site, UnderRules(running, config.site), running.broker.used());
+        MigrateSettings(*running.site, UnderRules(running, config.site), running.broker.NumbersInUse());
     operator_config::OperatorFile file = ReadOperator(paths, migration.site);
     if (file.waiting.has_value() != (running.broker.admission_queue() != nullptr))
       throw ConfigError(paths.operator_file + ": waiting is switched on and off by a restart only");
@@ -241,7 +241,7 @@
   while (settings::HasRetired(*running.site)) {
     co_await loop.Sleep(kTidyBeat);
     settings::Migration now =
-        MigrateSettings(*running.site, settings::RemoveRetired(*running.site), running.broker.used());
+        MigrateSettings(*running.site, settings::RemoveRetired(*running.site), running.broker.NumbersInUse());
     if (now.site.module.classes != running.site->module.classes) PutInForce(running, std::move(now));
   }
   running.tidying = false;
@@ -264,24 +264,26 @@
            const settings::ActiveSettings& site, bool shared, Fleet* fleet) {
   using Queue = frontend::FrameServer::Queue;
   const Time since = Now();
-  spdlog::info("ending: {} requests open", broker.open());
+  spdlog::info("ending: {} requests open", broker.open_requests());
   if (shared) server.StopAccepting(Queue::kLeave);
   server.AnnounceEnd();
   co_await loop.SleepUntil(since + kAcceptFor);
   if (!shared) server.StopAccepting(Queue::kLetIn);
   server.AnnounceEnd();  // to those who came meanwhile
   co_await loop.SleepUntil(since + kServeFor);
-  broker.Close();
+  broker.RejectNewRequests();
   if (shared) {
     Nanos longest = 0;
     for (const ClassSettings& c : site->module.classes) longest = std::max(longest, c.deadline);
     const Time last =
         since + kServeFor + std::min<runtime::Span>(decision::ToSpan(longest), kOutlives) - kLastAnswers;
-    while (broker.open() > 0 && Now() < last) co_await loop.Sleep(kDrainBeat);
-    if (broker.open() > 0) spdlog::info("ending: {} requests can't be waited for", broker.open());
+    while (broker.open_requests() > 0 && Now() < last) co_await loop.Sleep(kDrainBeat);
+    if (broker.open_requests() > 0)
+      spdlog::info("ending: {} requests can't be waited for", broker.open_requests());
     broker.CompleteAllRequests();
   }
-  for (; broker.open() > 0 || !server.flushed(); co_await loop.Sleep(kDrainBeat)) server.CloseResting();
+  for (; broker.open_requests() > 0 || !server.flushed(); co_await loop.Sleep(kDrainBeat))
+    server.CloseResting();
   // A process that ended now would reset the connections on which something has come meanwhile.
   const Time shut_by = Now() + kShutFor;
   for (; server.connections() > 0 && (Now() < shut_by || !server.flushed()); co_await loop.Sleep(kDrainBeat))
@@ -301,14 +303,15 @@
   std::size_t before = 0;
   int parts = 0;  // not told yet
   for (;; co_await loop.Sleep(kRegistryInterval)) {
-    const hot_restart::ConnectionUsage own{static_cast<std::uint32_t>(running.server.connections()),
-                                           static_cast<std::uint32_t>(running.engines.pool().open()),
-                                           operations.phase() == Operations::Phase::kServing};
+    const hot_restart::ConnectionUsage own{
+        static_cast<std::uint32_t>(running.server.connections()),
+        static_cast<std::uint32_t>(running.engines.pool().open_connections()),
+        operations.phase() == Operations::Phase::kServing};
     registry.Publish(own);
     const hot_restart::PeerProcesses others = registry.ReadPeers();
     const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
     running.server.set_connections(share.clients);
-    running.engines.pool().set_connections(share.engines);
+    running.engines.pool().set_max_connections(share.engines);
     if (const int now = ProcessCount(own, others); std::exchange(parts, now) != now)
       running.broker.SetProcessShare(now);
     if (std::exchange(before, others.processes) == others.processes) continue;
@@ -369,14 +372,15 @@
                            decision::ToSpan(site->module.connect_timeout), counters);
   engines.set_report_fields(site->report_fields);
   operator_config::OperatorFile file = ReadOperator(paths, *site);
-  const std::size_t most = file.waiting ? file.waiting->queue.max_waiting : broker::Broker::Limits().requests;
+  const std::size_t most =
+      file.waiting ? file.waiting->queue.max_waiting : broker::Broker::Limits().max_requests;
   broker::Broker broker(loop, site, config.seed, engines, counters, RequestLimits(config, memory_mb, most));
   if (file.waiting) broker.EnableAdmissionQueue(file.waiting->queue);
   auto listener = shared ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
                          : std::make_unique<runtime::Listener>(loop, config.listen);
   frontend::FrameServer server(loop, std::move(listener), site, broker, counters,
                                ClientLimits(config, memory_mb));
-  directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
+  directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().CloseIdle(engine); };
 
   const auto tell = [&](EngineList list) {
     broker.UpdateEndpoints(std::move(list));
@@ -436,7 +440,7 @@
     const auto put_in_force = [&](const replicated_config::Document& document) {
       PutInForce(running, MigrateSettings(*running.site,
                                           replicated_config::ApplyDocument(document, running.config.site),
-                                          running.broker.used()));
+                                          running.broker.NumbersInUse()));
       PutLineInForce(running, &document);
       loop.Spawn(Tidy(loop, running));
     };
@@ -454,7 +458,7 @@
     rules->Start();
   }
   loop.Spawn(endpoint_watch.Run());
-  loop.Spawn(engines.pool().CloseIdle());
+  loop.Spawn(engines.pool().CloseExpired());
   broker.Start();
   if (shared) {
     loop.Spawn(StartInPlace(loop, directory, endpoint_watch, server, operations));
--- a/src/cli/replicated_config_service.h
+++ b/src/cli/replicated_config_service.h
@@ -25,18 +25,18 @@
 #include <vector>
 
 #include "admin/listener.h"
-#include "broker/lease_fence.h"
 #include "cli/fleet.h"
 #include "discovery/endpoint_directory.h"
 #include "operator_config/operator_file.h"
 #include "replicated_config/config_replica.h"
 #include "replicated_config/document.h"
 #include "replicated_config/notification_pacer.h"
+#include "request/lease_fence.h"
 #include "storage/worker.h"
 
 namespace lemoncroft::cli {
 
-class ReplicatedConfigService : public broker::LeaseFence {
+class ReplicatedConfigService : public request::LeaseFence {
  public:
   struct LocalConfig {
     std::function<const settings::Site&()> site;                       // from this proxy's own configuration
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -98,12 +98,12 @@
 };
 
 // Where the answer to one stream's request goes; the connection may end before it.
-class FrameServer::Sink : public broker::ResponseSink {
+class FrameServer::Sink : public request::ResponseSink {
  public:
   Sink(FrameServer& server, const ConnectionPtr& connection, std::uint32_t stream)
       : server_(server), connection_(connection), stream_(stream) {}
 
-  void Finish(const broker::Answer& answer) override {
+  void Complete(const request::Response& answer) override {
     const ConnectionPtr connection = connection_.lock();
     if (!connection || connection->closed) return;
     connection->streams.erase(stream_);
@@ -114,20 +114,20 @@
       later = std::to_string(std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after).count());
       fields.emplace_back("later", later);
     }
-    const std::uint8_t code = answer.verdict == broker::Verdict::kServed    ? codec::kServedCode
-                              : answer.verdict == broker::Verdict::kRefused ? codec::kRefusedCode
-                                                                            : codec::kFailedCode;
+    const std::uint8_t code = answer.status == request::ResponseStatus::kServed     ? codec::kServedCode
+                              : answer.status == request::ResponseStatus::kRejected ? codec::kRefusedCode
+                                                                                    : codec::kFailedCode;
     server_.Append(*connection, codec::kAnswerFrame, stream_, code, fields, answer.rows);
     if (connection->streams.empty() && connection->unreadable) connection->answered.Cancel();
   }
 
-  void NotifyWait(const broker::WaitNotice& foretold) override {
+  void NotifyWait(const request::WaitNotice& foretold) override {
     const ConnectionPtr connection = connection_.lock();
     if (!connection || connection->closed) return;
     const auto ms = [](Span span) {
       return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(span).count());
     };
-    const std::string wait = ms(foretold.wait), most = ms(foretold.most);
+    const std::string wait = ms(foretold.wait), most = ms(foretold.upper_bound);
     server_.Append(*connection, codec::kEstimateFrame, stream_, codec::kServedCode,
                    {{"wait", wait}, {"most", most}});
   }
@@ -405,7 +405,7 @@
   if (frame.stream == 0 || c.streams.contains(frame.stream)) {
     return Reject(c, 0, "stream number in use or 0");
   }
-  broker::ClientRequest request;
+  request::ClientRequest request;
   const auto fields = codec::ReadFields(frame.payload);
   const std::string wrong = fields ? Describe(*fields, request) : "malformed fields";
   if (!wrong.empty()) {
@@ -416,17 +416,17 @@
   c.active = Now();
   if (c.streams.size() >= kMaxStreams) {
     ++c.errors;
-    CountEnd(request.passed.lane, metrics::End::kShed);
+    CountEnd(request.forwarded.class_name, metrics::End::kShed);
     return Append(c, codec::kAnswerFrame, frame.stream, codec::kRefusedCode, {}, "too many open requests");
   }
   c.streams.emplace(frame.stream, 0);
   const RequestId id =
-      broker_.Take(std::move(request), std::make_unique<Sink>(*this, connection, frame.stream));
+      broker_.Submit(std::move(request), std::make_unique<Sink>(*this, connection, frame.stream));
   // It may have been answered within the call.
   if (const auto it = c.streams.find(frame.stream); it != c.streams.end()) it->second = id;
 }
 
-std::string FrameServer::Describe(const codec::Fields& fields, broker::ClientRequest& out) const {
+std::string FrameServer::Describe(const codec::Fields& fields, request::ClientRequest& out) const {
   const std::string_view verb = fields.Get("verb");
   const auto class_id = site_->ClassOf(verb);
   if (!class_id) return "unknown class";
@@ -454,16 +454,16 @@
   if (!limit || !cpu || !heap) return "figure unreadable or out of range";
   out.class_id = *class_id;
   out.tenant = *tenant;
-  out.order_key = item.empty() ? 0 : codec::OrderKeyNumber(item);
+  out.ordering_key = item.empty() ? 0 : codec::OrderKeyNumber(item);
   out.deadline = Now() + FromMs(*limit);
-  out.est_work = FromMs(*cpu);
-  out.est_memory_mb = *heap;
-  out.tables = codec::TableGroup(fields.body);
-  out.watched = foretells_ && !fields.Get("foretell").empty();
-  out.passed.id = fields.Get("txn");
-  out.passed.lane = verb;
-  out.passed.dedupe = key;
-  out.passed.statement = fields.body;
+  out.estimated_work = FromMs(*cpu);
+  out.estimated_memory_mb = *heap;
+  out.table_group = codec::TableGroup(fields.body);
+  out.wants_wait_notices = foretells_ && !fields.Get("foretell").empty();
+  out.forwarded.request_id = fields.Get("txn");
+  out.forwarded.class_name = verb;
+  out.forwarded.idempotency_key = key;
+  out.forwarded.statement = fields.body;
   return {};
 }
 
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -69,7 +69,7 @@
   void TakeFrame(const ConnectionPtr& connection, const codec::Frame& frame);
   void TakeRequest(const ConnectionPtr& connection, const codec::Frame& frame);
   // What is wrong with the request, or empty.
-  std::string Describe(const codec::Fields& fields, broker::ClientRequest& out) const;
+  std::string Describe(const codec::Fields& fields, request::ClientRequest& out) const;
   // An error to a request, or on stream 0 to none.
   void Reject(Connection& connection, std::uint32_t stream, std::string_view why);
   void Append(Connection& connection, std::uint8_t type, std::uint32_t stream, std::uint8_t code,
--- a/src/broker/lease_fence.h
+++ b/src/request/lease_fence.h
@@ -3,14 +3,14 @@
 //
 // Contract: an answer is valid for the current turn of the event loop only. Without a fence every action is
 // permitted. Owner: the proxy's wiring. Thread safety: none.
-#ifndef LEMONCROFT_BROKER_LEASE_FENCE_H_
-#define LEMONCROFT_BROKER_LEASE_FENCE_H_
+#ifndef LEMONCROFT_REQUEST_LEASE_FENCE_H_
+#define LEMONCROFT_REQUEST_LEASE_FENCE_H_
 
 #include <string>
 
 #include "lemoncroft/gateway.h"
 
-namespace lemoncroft::broker {
+namespace lemoncroft::request {
 
 class LeaseFence {
  public:
@@ -24,6 +24,6 @@
   virtual bool RecordSend(const std::string& class_name, EngineId engine, bool again) = 0;
 };
 
-}  // namespace lemoncroft::broker
+}  // namespace lemoncroft::request
 
-#endif  // LEMONCROFT_BROKER_LEASE_FENCE_H_
+#endif  // LEMONCROFT_REQUEST_LEASE_FENCE_H_
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -83,13 +83,13 @@
             R"({"n":1,"events":[{"n":1,"members":{"complete":true,"members":[{"id":"s","host_port":")" +
             door.host_port() + R"(","phase":"Ready","up_since_ms":0}]}}]})"),
         [this](const EngineList& list) { engine_ = list.entries->at(0).engine; });
-    passed_.id = "00000000000000aa";
-    passed_.lane = "load";
-    passed_.statement = "select 1";
+    forwarded_.request_id = "00000000000000aa";
+    forwarded_.class_name = "load";
+    forwarded_.statement = "select 1";
   }
   backend::Attempt SomeAttempt(runtime::Span within = 3s) const {
     backend::Attempt attempt;
-    attempt.passed = &passed_;
+    attempt.forwarded = &forwarded_;
     attempt.engine = engine_;
     attempt.deadline = Now() + within;
     return attempt;
@@ -109,8 +109,8 @@
   settings::ActiveSettings site_{settings::Site()};
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
-  backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 2500ms, counters_};
-  broker::ForwardedFields passed_;
+  backend::Engines engines_{loop_, directory_, backend::ConnectionPool::Limits{16, 5s}, 2500ms, counters_};
+  request::ForwardedFields forwarded_;
   EngineId engine_ = 0;
   runtime::Cancellation cancel_;
   backend::Result result_;
@@ -218,7 +218,7 @@
             R"({"n":1,"events":[{"n":1,"members":{"complete":true,"members":[{"id":"s","host_port":")" +
             host_port + R"(","phase":"Ready","up_since_ms":0}]}}]})"),
         [this](const EngineList& list) { engine_ = list.entries->at(0).engine; });
-    passed_ = {"00000000000000aa", "load", "", "select 1"};
+    forwarded_ = {"00000000000000aa", "load", "", "select 1"};
   }
 };
 
@@ -303,12 +303,12 @@
   ListEngine(engine.host_port());
   const auto both = [&]() -> runtime::Task<> {
     for (int tries = 0; tries < 50; ++tries) {
-      passed_.id = "00000000000000aa";
+      forwarded_.request_id = "00000000000000aa";
       const auto first = SomeAttempt();
       co_await engines_.Run(first, cancel_);
       const runtime::Time ended = Now();
       co_await loop_.Sleep(6ms);
-      passed_.id = "00000000000000bb";
+      forwarded_.request_id = "00000000000000bb";
       const auto next = SomeAttempt();
       const bool crossed = Now() - ended < 12ms;  // else the machine held it up, and it is tried again
       result_ = co_await engines_.Run(next, cancel_);
@@ -375,7 +375,7 @@
 
 TEST_F(Calls, OfARequestWithAllItsFieldsAreTheseBytes) {
   const auto act = [&]() -> runtime::Task<> {
-    passed_.dedupe = "5c0f";
+    forwarded_.idempotency_key = "5c0f";
     auto attempt = SomeAttempt();
     attempt.grant_mb = 300.2;
     attempt.priority = 7;
@@ -412,7 +412,7 @@
     co_await engines_.Probe(engine_);
     engines_.set_report_fields({"inflight"});
     co_await engines_.Probe(engine_);
-    engines_.Reprioritise(engine_, "00000000000000aa", 12);
+    engines_.UpdatePriority(engine_, "00000000000000aa", 12);
   };
   EXPECT_EQ(Received(3, act),
             (std::vector<std::string>{"GET /healthz HTTP/1.1\r\nHost: HOST\r\n\r\n",
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -30,10 +30,10 @@
 }
 
 // Where an answer goes that the test looks at.
-class Kept : public broker::ResponseSink {
+class Kept : public request::ResponseSink {
  public:
   explicit Kept(int& answers) : answers_(answers) {}
-  void Finish(const broker::Answer&) override { ++answers_; }
+  void Complete(const request::Response&) override { ++answers_; }
 
  private:
   int& answers_;
@@ -59,9 +59,9 @@
         [this](const EngineList& list) { broker_.UpdateEndpoints(list); });
     broker_.Start();
   }
-  broker::ClientRequest Request() const {
-    broker::ClientRequest request;
-    request.passed = {"00000000000000aa", "lookup", "", "select 1"};
+  request::ClientRequest Request() const {
+    request::ClientRequest request;
+    request.forwarded = {"00000000000000aa", "lookup", "", "select 1"};
     request.deadline = runtime::Now() + 2s;
     return request;
   }
@@ -79,7 +79,7 @@
   settings::ActiveSettings site_{SomeSite()};
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
-  backend::Engines engines_{loop_, directory_, backend::Pool::Limits{16, 5s}, 250ms, counters_};
+  backend::Engines engines_{loop_, directory_, backend::ConnectionPool::Limits{16, 5s}, 250ms, counters_};
   broker::Broker broker_{loop_, site_, 7, engines_, counters_, {}};
   int answers_ = 0;
 };
@@ -88,7 +88,7 @@
 // attempt isn't made, and the module has to hear that, or it holds it for running for ever.
 TEST_F(BrokerTest, AnAttemptThatCrossesItsClientsLeavingEndsUnsent) {
   const auto drive = [&]() -> runtime::Task<> {
-    const RequestId id = broker_.Take(Request(), std::make_unique<Kept>(answers_));
+    const RequestId id = broker_.Submit(Request(), std::make_unique<Kept>(answers_));
     co_await loop_.NextTurn();  // the module has been told of the request, and has not decided yet
     broker_.CancelRequest(id);
     co_await loop_.Sleep(100ms);
@@ -107,7 +107,7 @@
 TEST_F(BrokerTest, EveryAttemptEndsOnce) {
   const auto drive = [&]() -> runtime::Task<> {
     for (int turns = 0; turns < 12; ++turns) {
-      const RequestId id = broker_.Take(Request(), std::make_unique<Kept>(answers_));
+      const RequestId id = broker_.Submit(Request(), std::make_unique<Kept>(answers_));
       for (int i = 0; i < turns; ++i) co_await loop_.NextTurn();
       broker_.CancelRequest(id);
       broker_.CancelRequest(id);
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -60,7 +60,7 @@
 
   const metrics::Counters& counters() const { return counters_; }
   int heard(int code) const { return heard_[code]; }
-  std::size_t open() const { return broker_.open(); }
+  std::size_t open() const { return broker_.open_requests(); }
 
  private:
   int Pick(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
@@ -160,7 +160,7 @@
       loop_.Spawn(Client());
       co_await loop_.Sleep(5ms);
     }
-    while (clients_ > 0 || broker_.open() > 0) co_await loop_.Sleep(10ms);
+    while (clients_ > 0 || broker_.open_requests() > 0) co_await loop_.Sleep(10ms);
     loop_.Stop();
   }
 
