--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -59,7 +59,8 @@
   // Asks for the load report where the site's engines have one, else for the engine's health alone.
   runtime::Task<ProbeResult> Probe(EngineId engine);
 
-  bool giving_up() const { return orders_ > 0; }  // an engine is still to be told of something
+  // True while an engine is still to be told of a cancellation or priority.
+  bool has_pending_commands() const { return orders_ > 0; }
   ConnectionPool& pool() { return pool_; }
   // Checked in the turn in which each statement is sent; null: every statement is permitted.
   void set_lease_fence(request::LeaseFence* lease_fence) { lease_fence_ = lease_fence; }
--- a/src/broker/admission_queue_host.cpp
+++ b/src/broker/admission_queue_host.cpp
@@ -37,7 +37,7 @@
 
 void AdmissionQueueHost::UpdateEndpoints(const EngineList& list) {
   if (!list.entries) return;
-  const double before = ReadyCores();
+  const double cores_before = ReadyCores();
   if (list.kind != ListKind::kChange) ready_cores_.clear();
   for (const EngineEntry& entry : *list.entries) {
     const double cores = entry.kind < kinds_.size() ? kinds_[entry.kind].cores : 0;
@@ -46,7 +46,7 @@
     else
       ready_cores_.erase(entry.engine);
   }
-  if (ReadyCores() != before) queue_.SetFleetCores(ReadyCores(), Now());
+  if (ReadyCores() != cores_before) queue_.SetFleetCores(ReadyCores(), Now());
   work_pending_.Open();
 }
 
@@ -93,7 +93,7 @@
 
 double AdmissionQueueHost::ReadyCores() const {
   double cores = 0;
-  for (const auto& [engine, its] : ready_cores_) cores += its;
+  for (const auto& [engine, engine_cores] : ready_cores_) cores += engine_cores;
   return cores;
 }
 
--- /dev/null
+++ b/src/broker/attempts.cpp
@@ -0,0 +1,121 @@
+// The attempts of a request: started, run, reported to the decision module and the admission queue.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "broker/broker.h"
+
+namespace lemoncroft::broker {
+
+using decision::ToNanos;
+using decision::ToSpan;
+using runtime::Now;
+using runtime::Task;
+using runtime::Time;
+
+namespace {
+
+// Whether an engine may have executed the statement of an attempt that ended like this.
+bool MayHaveRun(Outcome outcome) {
+  return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
+}
+
+std::int64_t Milliseconds(Nanos nanos) { return nanos / 1'000'000; }
+
+void LogAttemptEnded(const ActiveRequest& request, const AttemptRecord& attempt, const AttemptEnded& event) {
+  const request::ClientRequest& client_request = request.client_request;
+  spdlog::debug("request {} {} group {}: attempt {} at {} ended {} after {} ms, held {} ms, work {} of {} ms",
+                request.client_request_id(), request.class_name(), client_request.table_group, event.attempt,
+                event.engine, static_cast<int>(event.outcome), Milliseconds(event.waited),
+                Milliseconds(ToNanos(attempt.started - request.submitted)), Milliseconds(event.work),
+                Milliseconds(ToNanos(client_request.estimated_work)));
+}
+
+}  // namespace
+
+void Broker::StartAttempt(const ActiveRequestPtr& request, const Send& send) {
+  const bool may_have_run = request->MayHaveRun();
+  const int number = AddAttempt(*request, send.engine);
+  const Time started = request->attempt(number).started;
+  const Time latest_end = request->DecisionDeadline();
+  backend::Attempt attempt;
+  attempt.forwarded = &request->client_request.forwarded;
+  attempt.engine = send.engine;
+  attempt.deadline = send.timeout > 0 ? std::min(latest_end, started + ToSpan(send.timeout)) : latest_end;
+  attempt.not_after = host_.ToTime(send.not_after);
+  attempt.grant_mb = request->grant.grant_mb;
+  attempt.priority = request->grant.priority;
+  attempt.exclusive = !site_->module.may_hedge || request->client_request.ordering_key != 0;
+  attempt.again = may_have_run;
+  loop_.Spawn(RunAttempt(request, number, attempt));
+}
+
+Task<> Broker::RunAttempt(ActiveRequestPtr request, int number, backend::Attempt attempt) {
+  AttemptRecord& record = request->attempt(number);
+  // The module must get an outcome whatever goes wrong. After an exception that is the default outcome of a
+  // Result, which doesn't claim that the attempt never ran.
+  AttemptFinished finished{number, {}};
+  try {
+    finished.result = co_await engines_.Run(attempt, record.cancel);
+  } catch (const std::exception& e) {
+    spdlog::error("request {}: attempt {} broke off: {}", request->client_request_id(), number, e.what());
+  }
+  record.may_have_run = MayHaveRun(finished.result.outcome);
+  record.running = false;
+  request->Post(std::move(finished));
+}
+
+int Broker::AddAttempt(ActiveRequest& request, EngineId engine) {
+  const int number = static_cast<int>(request.attempts.size());
+  auto record = std::make_unique<AttemptRecord>();
+  record->engine = engine;
+  record->started = Now();
+  request.attempts.push_back(std::move(record));
+  if (queue_) queue_->OnAttemptStarted(request.id, number, request.grant.priority);
+  return number;
+}
+
+bool Broker::MustRejectForLease(const ActiveRequest& request, const Send& send) const {
+  if (lease_fence_ == nullptr || request.MayHaveRun()) return false;
+  return !lease_fence_->PermitsSend(request.class_name(), send.engine);
+}
+
+void Broker::ReportNotSent(ActiveRequest& request, const Send& send, Progress progress) {
+  const int number = AddAttempt(request, send.engine);
+  request.attempt(number).running = false;
+  AttemptFinished finished{number, {}};
+  finished.result.outcome = Outcome::kNotSent;
+  ReportAttemptEnded(request, finished, progress);
+}
+
+void Broker::ReportAttemptEnded(const ActiveRequest& request, const AttemptFinished& finished,
+                                Progress progress) {
+  const AttemptRecord& record = request.attempt(finished.attempt);
+  const backend::Result& result = finished.result;
+  AttemptEnded event;
+  event.id = request.id;
+  event.attempt = finished.attempt;
+  event.engine = record.engine;
+  event.outcome = result.outcome;
+  event.waited = ToNanos(Now() - record.started);
+  event.finished = progress == Progress::kCompleted;
+  event.work = ToNanos(result.work);
+  event.memory_mb = result.memory_mb;
+  event.load = result.load;
+  LogAttemptEnded(request, record, event);
+  host_.Post(event);
+  if (queue_) queue_->OnAttemptEnded(request.id, finished.attempt, result.work, MayHaveRun(result.outcome));
+}
+
+void Broker::ApplyGrant(ActiveRequest& request, const ResourceGrant& grant) {
+  const bool priority_changed = grant.priority != request.grant.priority;
+  request.grant = grant;
+  if (!priority_changed) return;
+  for (const auto& attempt : request.attempts) {
+    if (attempt->running)
+      engines_.UpdatePriority(attempt->engine, request.client_request_id(), grant.priority);
+  }
+}
+
+}  // namespace lemoncroft::broker
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -1,19 +1,29 @@
-// The life of every request between its taking and its one final answer, in terms of no protocol.
+// Runs every request from its submission to its one final response, in terms of no wire protocol.
 //
-// A front end hands in a ClientRequest and a ResponseSink; the decision module says where attempts go
-// and when a request is given up; the back end runs the attempts.
+// A front end submits a ClientRequest with a ResponseSink. The decision module says where attempts are sent
+// and when a request is rejected or failed; the back end runs the attempts; an admission queue, if enabled,
+// says when the decision module gets the request. Each request has a coroutine of its own (RunRequest), which
+// reacts to one event at a time.
+//
+// Contract: a submitted request gets exactly one response, unless it is cancelled; each attempt that the
+// decision module asks for is reported to it exactly once. Owner: the proxy's wiring; all arguments of the
+// constructor outlive the broker. Thread safety: none; used on the event loop's thread.
+//
+// The implementation is in broker.cpp (settings, endpoint list, dispatch of decisions), submission.cpp,
+// request_lifecycle.cpp and attempts.cpp.
 #ifndef LEMONCROFT_BROKER_BROKER_H_
 #define LEMONCROFT_BROKER_BROKER_H_
 
+#include <cstddef>
 #include <cstdint>
-#include <deque>
 #include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
-#include <variant>
 #include <vector>
 
 #include "backend/engines.h"
+#include "broker/active_request.h"
 #include "broker/admission_queue_host.h"
 #include "broker/module_host.h"
 #include "lemoncroft/gateway.h"
@@ -28,94 +38,116 @@
 
 class Broker {
  public:
+  // Limits of the requests that are active at a time; further ones are rejected.
   struct Limits {
-    std::size_t max_requests = 4096;                // open at a time
-    std::size_t max_bytes = std::size_t{48} << 20;  // that they hold
+    std::size_t max_requests = 4096;
+    std::size_t max_bytes = std::size_t{48} << 20;  // of their forwarded fields
   };
 
   Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed,
          backend::Engines& engines, metrics::Counters& counters, Limits limits);
 
-  // Holds requests in an admission queue ahead of the module. To be called before Start. Without it, requests
-  // go to the module on arrival.
+  // Holds requests in an admission queue ahead of the decision module. Call before Start. Without it,
+  // requests go to the module on arrival.
   void EnableAdmissionQueue(admission_queue::Settings settings);
-  AdmissionQueueHost* admission_queue() { return queue_.get(); }  // null without one
+  AdmissionQueueHost* admission_queue() { return queue_.get(); }  // null if not enabled
   // Fences requests with the configuration lease; set before Start. Null: every action is permitted.
   void set_lease_fence(request::LeaseFence* lease_fence) {
     lease_fence_ = lease_fence;
     engines_.set_lease_fence(lease_fence);
   }
+  // Starts the decision module and the admission queue on the loop.
   void Start();
-  // Takes a request; its answer may come within the call. Returns the number to abandon it by.
-  RequestId Submit(request::ClientRequest request, std::unique_ptr<request::ResponseSink> sink);
-  // Nobody waits for the answer any more: none will be given.
+
+  // Submits a request. `sink` may get the response within the call. Returns the number to cancel the request
+  // by; 0 if it has been rejected or failed already.
+  RequestId Submit(request::ClientRequest client_request, std::unique_ptr<request::ResponseSink> sink);
+  // Cancels a request whose client no longer waits: its sink gets nothing more. Ignores unknown numbers.
   void CancelRequest(RequestId id);
+
+  // Applies a new endpoint list or a change of it.
   void UpdateEndpoints(EngineList list);
-  // New settings are in force; `like` as in Retuned.
-  void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t requests);
-  void SetProcessShare(int parts) { host_.Post(ProcessShare{parts}); }
-  // How many proxies serve, and this one's place among them, as the view of the fleet has it.
-  void SetFleetSize(int serving, int place);
-  settings::ReferencedNumbers NumbersInUse() const;  // by requests under way
-  // From now on new requests are refused: the process is about to end.
-  void RejectNewRequests() { closed_ = true; }
-  bool idle() const { return lives_.empty() && !engines_.giving_up(); }     // nothing is out any more
-  std::vector<EngineId> AvoidedEngines() const { return host_.Avoided(); }  // by the module's choice
-  // Has the module answer what is open: nothing of it can be waited for any longer.
+  // Applies the active settings after a change. `inherits_estimates_from` as in SettingsChanged;
+  // `max_requests` replaces the one of Limits.
+  void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests);
+  // The number of processes that share this proxy's budgets, during a hot restart.
+  void SetProcessShare(int process_count) { host_.Post(ProcessShare{process_count}); }
+  // The number of proxies that serve, and this one's rank among them.
+  void SetFleetSize(int proxy_count, int rank);
+
+  // Rejects all requests submitted from now on: the process is about to end.
+  void RejectNewRequests() { rejects_new_requests_ = true; }
+  // Makes the decision module complete all open requests at once.
   void CompleteAllRequests() { host_.Post(Closing{}); }
-  std::size_t open_requests() const { return open_; }  // requests without a final answer
+
+  // Classes and tenants of active requests, which a change of settings has to keep.
+  settings::ReferencedNumbers NumbersInUse() const;
+  // Requests without a final response.
+  std::size_t open_requests() const { return open_requests_; }
+  // True if no attempt runs and no engine is still to be told of a cancellation.
+  bool idle() const { return active_requests_.empty() && !engines_.has_pending_commands(); }
+  // Engines that the decision module avoids by its own choice.
+  std::vector<EngineId> AvoidedEngines() const { return host_.AvoidedEngines(); }
 
  private:
-  struct Ended {
-    int attempt = 0;
-    backend::Result result;
-  };
-  struct Abandoned {};
-  struct Overdue {};
-  struct TurnedAway {  // by the admission queue
-    runtime::Span later{};
-  };
-  using News = std::variant<ResourceGrant, Send, Cancel, RejectRequest, Fail, Ended, Abandoned, Overdue,
-                            admission_queue::Dispatch, TurnedAway, request::WaitNotice>;
-
-  struct Running {
-    EngineId engine = 0;
-    runtime::Time started{};
-    bool out = true;
-    bool ran = false;  // it may have, as far as is known at its end
-    runtime::Cancellation cancel;
-  };
+  // kCompleted: the request has had its final response, or its client has cancelled it.
+  enum class Progress { kOpen, kCompleted };
 
-  struct ActiveRequest {
-    RequestId id = 0;
-    runtime::Time taken{};
-    request::ClientRequest client_request;
-    std::unique_ptr<request::ResponseSink> sink;
-    ResourceGrant terms;
-    std::vector<std::unique_ptr<Running>> attempts;  // by number
-    std::deque<News> inbox;
-    runtime::Gate arrived;
-  };
-  using ActiveRequestPtr = std::shared_ptr<ActiveRequest>;
-
-  // The one place where a request gets its answer.
-  void Finish(const std::string& lane, request::ResponseSink& sink, const request::Response& answer);
-  runtime::Task<> RunRequest(ActiveRequestPtr life);
-  runtime::Task<News> Next(ActiveRequest& life, runtime::Time guard);
-  void StartAttempt(const ActiveRequestPtr& life, const Send& send);
-  bool Forbidden(const ActiveRequest& life, const Send& send) const;
-  void ReportNotSent(ActiveRequest& life, const Send& send, bool finished);
-  runtime::Span ComeBackMost() const;
-  runtime::Task<> RunAttempt(ActiveRequestPtr life, int number, backend::Attempt attempt);
-  void ApplyTerms(ActiveRequest& life, const ResourceGrant& terms);
-  runtime::Span Advice(const ActiveRequest& life, const RejectRequest& refuse);
-  void ReportAttemptEnded(const ActiveRequest& life, const Ended& ended, bool finished);
-  runtime::Task<> RunProbe(EngineId engine);
+  // Submission (submission.cpp).
+
+  // The response to a request that can't be admitted; nothing if it can.
+  std::optional<request::Response> CheckAdmission(const request::ClientRequest& client_request) const;
+  // Submits a request to the admission queue; returns the response if the queue rejects it.
+  std::optional<request::Response> SubmitToQueue(RequestId id, const request::ClientRequest& client_request,
+                                                 request::ResponseSink& sink);
+  runtime::Span MaxRetryAfter() const;
+
+  // The coroutine of a request (request_lifecycle.cpp).
+
+  runtime::Task<> RunRequest(ActiveRequestPtr request);
+  // Reacts to events until the request is complete.
+  runtime::Task<> RunUntilCompleted(const ActiveRequestPtr& request);
+  // Cancels what still runs after completion and reports its end to the decision module, which waits for it.
+  runtime::Task<> AwaitCancelledAttempts(ActiveRequest& request);
+  runtime::Task<RequestEvent> NextEvent(ActiveRequest& request, runtime::Time deadline);
+
+  Progress OnEvent(const ActiveRequestPtr& request, const ResourceGrant& grant);
+  Progress OnEvent(const ActiveRequestPtr& request, const Send& send);
+  Progress OnEvent(const ActiveRequestPtr& request, const Cancel& cancel);
+  Progress OnEvent(const ActiveRequestPtr& request, const RejectRequest& reject);
+  Progress OnEvent(const ActiveRequestPtr& request, const Fail& fail);
+  Progress OnEvent(const ActiveRequestPtr& request, AttemptFinished& finished);
+  Progress OnEvent(const ActiveRequestPtr& request, const CancelledByClient& cancelled);
+  Progress OnEvent(const ActiveRequestPtr& request, const DeadlinePassed& passed);
+  Progress OnEvent(const ActiveRequestPtr& request, const admission_queue::Dispatch& dispatch);
+  Progress OnEvent(const ActiveRequestPtr& request, const RejectedByQueue& rejected);
+  Progress OnEvent(const ActiveRequestPtr& request, const request::WaitNotice& notice);
 
-  void CarryOut(const Action& action);
-  void CarryOut(const admission_queue::Decision& decision);
-  void Deliver(RequestId id, News news);
-  Event Described(const ActiveRequest& life) const;
+  // The only function that delivers a response and counts it.
+  void Respond(const std::string& class_name, request::ResponseSink& sink, const request::Response& response);
+  void Respond(ActiveRequest& request, const request::Response& response);
+  runtime::Span RetryAfter(const ActiveRequest& request, const RejectRequest& reject);
+
+  // Attempts (attempts.cpp).
+
+  void StartAttempt(const ActiveRequestPtr& request, const Send& send);
+  runtime::Task<> RunAttempt(ActiveRequestPtr request, int number, backend::Attempt attempt);
+  // Adds a record to the request and tells the admission queue. Returns the attempt's number.
+  int AddAttempt(ActiveRequest& request, EngineId engine);
+  // Whether the lease forbids to send and the request can still be rejected, since nothing of it has run.
+  bool MustRejectForLease(const ActiveRequest& request, const Send& send) const;
+  // Reports an attempt that the decision module asked for and that isn't made.
+  void ReportNotSent(ActiveRequest& request, const Send& send, Progress progress);
+  void ReportAttemptEnded(const ActiveRequest& request, const AttemptFinished& finished, Progress progress);
+  // Grants resources to further attempts, and changes the priority of running ones.
+  void ApplyGrant(ActiveRequest& request, const ResourceGrant& grant);
+
+  // Decisions (broker.cpp).
+
+  void Apply(const Action& action);
+  void Apply(const admission_queue::Decision& decision);
+  void Deliver(RequestId id, RequestEvent event);
+  runtime::Task<> RunProbe(EngineId engine);
 
   runtime::Loop& loop_;
   const settings::ActiveSettings& site_;
@@ -123,13 +155,13 @@
   metrics::Counters& counters_;
   Limits limits_;
   ModuleHost host_;
-  std::unique_ptr<AdmissionQueueHost> queue_;
-  std::unordered_map<RequestId, ActiveRequestPtr> lives_;
-  std::unordered_map<std::string, RequestId> ids_;  // the clients' own, of these
+  std::unique_ptr<AdmissionQueueHost> queue_;  // null if not enabled
+  std::unordered_map<RequestId, ActiveRequestPtr> active_requests_;
+  std::unordered_map<std::string, RequestId> ids_by_client_id_;  // of the active requests
   RequestId next_id_ = 1;
-  std::size_t open_ = 0;
-  std::size_t bytes_ = 0;
-  bool closed_ = false;
+  std::size_t open_requests_ = 0;
+  std::size_t open_bytes_ = 0;  // forwarded fields of the open requests
+  bool rejects_new_requests_ = false;
   request::LeaseFence* lease_fence_ = nullptr;
 };
 
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -2,56 +2,65 @@
 
 #include <spdlog/spdlog.h>
 
+#include "broker/overloaded.h"
+
 namespace lemoncroft::broker {
 
 namespace {
 
-// What the module is told and what it says, a line each at log level trace: tests compare the sequence.
+// Events and actions are logged one a line at level trace. Tests compare these lines.
 void Trace(const Event& event) {
-  if (const auto* list = std::get_if<EngineList>(&event)) {
-    spdlog::trace("told list {}", list->entries ? list->entries->size() : 0);
-  } else if (const auto* request = std::get_if<Request>(&event)) {
-    spdlog::trace("told request {} class {} tenant {} work {}", request->id, request->class_id,
-                  request->tenant, request->est_work);
-  } else if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
-    spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended->id, ended->attempt,
-                  static_cast<int>(ended->outcome), ended->finished, ended->work);
-  } else if (const auto* gone = std::get_if<ClientGone>(&event)) {
-    spdlog::trace("told gone {}", gone->id);
-  }
+  std::visit(Overloaded{
+                 [](const EngineList& list) {
+                   spdlog::trace("told list {}", list.entries ? list.entries->size() : 0);
+                 },
+                 [](const Request& request) {
+                   spdlog::trace("told request {} class {} tenant {} work {}", request.id, request.class_id,
+                                 request.tenant, request.est_work);
+                 },
+                 [](const AttemptEnded& ended) {
+                   spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended.id, ended.attempt,
+                                 static_cast<int>(ended.outcome), ended.finished, ended.work);
+                 },
+                 [](const ClientGone& gone) { spdlog::trace("told gone {}", gone.id); },
+                 [](const auto&) {},
+             },
+             event);
 }
 
 void Trace(const Action& action) {
-  if (const auto* terms = std::get_if<ResourceGrant>(&action)) {
-    spdlog::trace("says terms {} priority {}", terms->id, terms->priority);
-  } else if (const auto* send = std::get_if<Send>(&action)) {
-    spdlog::trace("says send {}", send->id);
-  } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-    spdlog::trace("says cancel {}.{}", cancel->id, cancel->attempt);
-  } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
-    spdlog::trace("says refuse {} later {}", refuse->id, refuse->retry_after);
-  } else if (const auto* fail = std::get_if<Fail>(&action)) {
-    spdlog::trace("says fail {}", fail->id);
-  }
+  std::visit(Overloaded{
+                 [](const ResourceGrant& grant) {
+                   spdlog::trace("says terms {} priority {}", grant.id, grant.priority);
+                 },
+                 [](const Send& send) { spdlog::trace("says send {}", send.id); },
+                 [](const Cancel& cancel) { spdlog::trace("says cancel {}.{}", cancel.id, cancel.attempt); },
+                 [](const RejectRequest& reject) {
+                   spdlog::trace("says refuse {} later {}", reject.id, reject.retry_after);
+                 },
+                 [](const Fail& fail) { spdlog::trace("says fail {}", fail.id); },
+                 [](const auto&) {},
+             },
+             action);
 }
 
 }  // namespace
 
 void ModuleHost::Post(Event event) {
   events_.push_back(std::move(event));
-  work_.Open();
+  events_pending_.Open();
 }
 
-void ModuleHost::ApplySettings(SettingsChanged retuned) {
-  tick_ = decision::ToSpan(retuned.settings->tick);
-  Post(std::move(retuned));
+void ModuleHost::ApplySettings(SettingsChanged change) {
+  tick_ = decision::ToSpan(change.settings->tick);
+  Post(std::move(change));
 }
 
 runtime::Task<> ModuleHost::Run() {
   for (;;) {
     while (events_.empty() && (timers_.empty() || timers_.top().first > runtime::Now())) {
-      const runtime::Time due = timers_.empty() ? runtime::kNever : timers_.top().first;
-      co_await runtime::Waiter(loop_, &work_, due);
+      const runtime::Time next_timer = timers_.empty() ? runtime::kNever : timers_.top().first;
+      co_await runtime::Waiter(loop_, &events_pending_, next_timer);
     }
     const runtime::Time stepped = runtime::Now();
     Step();
@@ -59,13 +68,18 @@
   }
 }
 
-void ModuleHost::Step() {
-  const runtime::Time now = runtime::Now();
-  for (; !timers_.empty() && timers_.top().first <= now; timers_.pop()) {
+void ModuleHost::CollectFiredTimers(runtime::Time now) {
+  while (!timers_.empty() && timers_.top().first <= now) {
     events_.emplace_back(TimerFired{timers_.top().second});
+    timers_.pop();
   }
+}
+
+void ModuleHost::Step() {
+  const runtime::Time now = runtime::Now();
+  CollectFiredTimers(now);
   std::vector<Event> events;
-  events.swap(events_);
+  events.swap(events_);  // actions may post events for the next step
   actions_.clear();
   gateway_.Step(clock_.At(now), events, actions_);
   if (spdlog::should_log(spdlog::level::trace)) {
@@ -76,7 +90,7 @@
     if (const auto* wake = std::get_if<WakeAt>(&action)) {
       timers_.emplace(clock_.ToTime(wake->at), wake->token);
     } else {
-      carry_out_(action);
+      apply_action_(action);
     }
   }
 }
--- a/src/broker/module_host.h
+++ b/src/broker/module_host.h
@@ -1,4 +1,9 @@
-// Steps the decision module: on events and timers, no oftener than the site's tick.
+// Runs the decision module on the event loop: passes events to it and applies its actions.
+//
+// Events are collected and passed together in one step, at most one step per tick of the settings. Timers
+// that the module asks for are kept here and come back to it as events.
+//
+// Owns the module. Owner: Broker. Thread safety: none; used on the event loop's thread.
 #ifndef LEMONCROFT_BROKER_MODULE_HOST_H_
 #define LEMONCROFT_BROKER_MODULE_HOST_H_
 
@@ -16,34 +21,40 @@
 
 class ModuleHost {
  public:
-  // `carry_out` is handed every action but timers, in order, at the time of its step.
+  // `apply_action` gets every action except WakeAt, in order, within the step that produced it.
   ModuleHost(runtime::Loop& loop, const Settings& settings, std::uint64_t seed,
-             std::function<void(const Action&)> carry_out)
+             std::function<void(const Action&)> apply_action)
       : loop_(loop),
         tick_(decision::ToSpan(settings.tick)),
         gateway_(settings, seed),
-        carry_out_(std::move(carry_out)) {}
+        apply_action_(std::move(apply_action)) {}
 
+  // Steps the module for as long as the loop runs.
+  runtime::Task<> Run();
+  // Queues an event for the next step.
   void Post(Event event);
-  void ApplySettings(SettingsChanged retuned);
+  // Queues a change of settings; its tick applies at once.
+  void ApplySettings(SettingsChanged change);
+
+  // The steady clock's time for a time of the module.
   runtime::Time ToTime(Nanos at) const { return clock_.ToTime(at); }
-  std::vector<EngineId> Avoided() const { return gateway_.Avoided(clock_.At(runtime::Now())); }
-  runtime::Task<> Run();
+  std::vector<EngineId> AvoidedEngines() const { return gateway_.Avoided(clock_.At(runtime::Now())); }
 
  private:
-  using Timer = std::pair<runtime::Time, std::uint64_t>;
+  using Timer = std::pair<runtime::Time, std::uint64_t>;  // when it fires, and the module's token
 
   void Step();
+  void CollectFiredTimers(runtime::Time now);
 
   runtime::Loop& loop_;
-  runtime::Span tick_;
+  runtime::Span tick_;  // least time between two steps
   decision::ModuleClock clock_;
   Gateway gateway_;
-  std::function<void(const Action&)> carry_out_;
-  std::vector<Event> events_;
-  std::vector<Action> actions_;
+  std::function<void(const Action&)> apply_action_;
+  std::vector<Event> events_;    // for the next step
+  std::vector<Action> actions_;  // of the last step; kept for its capacity
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  runtime::Gate work_;
+  runtime::Gate events_pending_;
 };
 
 }  // namespace lemoncroft::broker
--- /dev/null
+++ b/src/broker/request_lifecycle.cpp
@@ -0,0 +1,185 @@
+// The coroutine of a request: reacts to one event at a time until the request is complete, then waits for the
+// attempts that still run.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "broker/broker.h"
+
+namespace lemoncroft::broker {
+
+using decision::ToNanos;
+using decision::ToSpan;
+using request::ResponseStatus;
+using runtime::Now;
+using runtime::Span;
+using runtime::Task;
+using runtime::Time;
+
+namespace {
+
+// The request as the decision module gets it.
+Request DescribeForModule(const ActiveRequest& request) {
+  const request::ClientRequest& client_request = request.client_request;
+  Request described;
+  described.id = request.id;
+  described.class_id = client_request.class_id;
+  described.tenant = client_request.tenant;
+  described.key = client_request.ordering_key;
+  described.client_timeout = std::max<Nanos>(0, ToNanos(client_request.deadline - Now()));
+  described.est_work = ToNanos(client_request.estimated_work);
+  described.est_memory_mb = client_request.estimated_memory_mb;
+  described.tables = client_request.table_group;
+  return described;
+}
+
+metrics::End CountedAs(ResponseStatus status) {
+  switch (status) {
+    case ResponseStatus::kServed:
+      return metrics::End::kOk;
+    case ResponseStatus::kRejected:
+      return metrics::End::kShed;
+    case ResponseStatus::kFailed:
+      break;
+  }
+  return metrics::End::kError;
+}
+
+}  // namespace
+
+void Broker::CancelRequest(RequestId id) { Deliver(id, CancelledByClient{}); }
+
+Task<> Broker::RunRequest(ActiveRequestPtr request) {
+  if (!queue_) host_.Post(DescribeForModule(*request));
+  co_await RunUntilCompleted(request);
+  if (queue_) queue_->OnRequestCompleted(request->id);
+  --open_requests_;
+  open_bytes_ -= request->client_request.forwarded.bytes();
+  request->sink.reset();
+  co_await AwaitCancelledAttempts(*request);
+  ids_by_client_id_.erase(request->client_request_id());
+  active_requests_.erase(request->id);
+}
+
+Task<> Broker::RunUntilCompleted(const ActiveRequestPtr& request) {
+  for (Progress progress = Progress::kOpen; progress == Progress::kOpen;) {
+    const Time deadline =
+        request->deadline_reported ? request->ResponseDeadline() : request->DecisionDeadline();
+    RequestEvent event = co_await NextEvent(*request, deadline);
+    progress = std::visit([&](auto& received) { return OnEvent(request, received); }, event);
+  }
+}
+
+Task<> Broker::AwaitCancelledAttempts(ActiveRequest& request) {
+  for (const auto& attempt : request.attempts) attempt->cancel.Cancel();
+  // The module may have decided on an attempt before it heard of the completion; its Send is still to come.
+  while (request.HasRunningAttempts() || !request.inbox.empty()) {
+    const RequestEvent event = co_await NextEvent(request, runtime::kNever);
+    if (const auto* finished = std::get_if<AttemptFinished>(&event))
+      ReportAttemptEnded(request, *finished, Progress::kCompleted);
+    if (const auto* send = std::get_if<Send>(&event)) ReportNotSent(request, *send, Progress::kCompleted);
+  }
+}
+
+Task<RequestEvent> Broker::NextEvent(ActiveRequest& request, Time deadline) {
+  while (request.inbox.empty()) {
+    const runtime::Wake wake = co_await runtime::Waiter(loop_, &request.inbox_filled, deadline);
+    if (wake == runtime::Wake::kTimeout) co_return DeadlinePassed{};
+  }
+  RequestEvent event = std::move(request.inbox.front());
+  request.inbox.pop_front();
+  co_return event;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const ResourceGrant& grant) {
+  ApplyGrant(*request, grant);
+  return Progress::kOpen;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const Send& send) {
+  if (!MustRejectForLease(*request, send)) {
+    StartAttempt(request, send);
+    return Progress::kOpen;
+  }
+  ReportNotSent(*request, send, Progress::kOpen);
+  Respond(*request, {ResponseStatus::kRejected, MaxRetryAfter(), {}});
+  host_.Post(ClientGone{request->id});
+  return Progress::kCompleted;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const Cancel& cancel) {
+  const auto number = static_cast<std::size_t>(cancel.attempt);
+  if (number < request->attempts.size()) request->attempts[number]->cancel.Cancel();
+  return Progress::kOpen;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const RejectRequest& reject) {
+  Respond(*request, {ResponseStatus::kRejected, RetryAfter(*request, reject), {}});
+  return Progress::kCompleted;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const Fail&) {
+  Respond(*request, {ResponseStatus::kFailed, {}, {}});
+  return Progress::kCompleted;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, AttemptFinished& finished) {
+  const bool served = finished.result.outcome == Outcome::kOk;
+  if (served) Respond(*request, {ResponseStatus::kServed, {}, std::move(finished.result.rows)});
+  const Progress progress = served ? Progress::kCompleted : Progress::kOpen;
+  ReportAttemptEnded(*request, finished, progress);
+  return progress;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const CancelledByClient&) {
+  counters_.Ended(request->class_name(), metrics::End::kWithdrawn);
+  host_.Post(ClientGone{request->id});
+  return Progress::kCompleted;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const DeadlinePassed&) {
+  if (!std::exchange(request->deadline_reported, true)) {
+    host_.Post(DeadlineReached{request->id});
+    return Progress::kOpen;
+  }
+  spdlog::warn("request {}: failed after its deadline, without a decision", request->client_request_id());
+  Respond(*request, {ResponseStatus::kFailed, {}, {}});
+  host_.Post(ClientGone{request->id});
+  return Progress::kCompleted;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const admission_queue::Dispatch&) {
+  host_.Post(DescribeForModule(*request));
+  return Progress::kOpen;
+}
+
+// The request never ran, and the decision module never heard of it.
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const RejectedByQueue& rejected) {
+  const Span retry_after = site_->module.may_send_retry_after ? rejected.retry_after : Span::zero();
+  Respond(*request, {ResponseStatus::kRejected, retry_after, {}});
+  return Progress::kCompleted;
+}
+
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const request::WaitNotice& notice) {
+  request->sink->NotifyWait(notice);
+  return Progress::kOpen;
+}
+
+void Broker::Respond(const std::string& class_name, request::ResponseSink& sink,
+                     const request::Response& response) {
+  counters_.Ended(class_name, CountedAs(response.status));
+  sink.Complete(response);
+}
+
+void Broker::Respond(ActiveRequest& request, const request::Response& response) {
+  Respond(request.class_name(), *request.sink, response);
+}
+
+// The queue's estimate, if there is a queue, is closer than the longest wait that the settings allow.
+Span Broker::RetryAfter(const ActiveRequest& request, const RejectRequest& reject) {
+  if (!queue_ || reject.retry_after <= 0) return ToSpan(reject.retry_after);
+  return queue_->RetryAfter(request.client_request.tenant, request.client_request.class_id);
+}
+
+}  // namespace lemoncroft::broker
