--- a/src/backend/connection_pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -1,13 +1,20 @@
 #include "backend/connection_pool.h"
 
+#include <utility>
+
 namespace lemoncroft::backend {
 
 using runtime::Io;
 using namespace std::chrono_literals;
 
 namespace {
-constexpr auto kRest = 25ms;
-}
+
+// An idle connection has to be silent for this long before it is reused. Bytes that an engine sends after a
+// complete response may come a moment later, and must not be taken for the next response.
+constexpr auto kQuietPeriod = 25ms;
+constexpr auto kExpiryCheckInterval = 500ms;
+
+}  // namespace
 
 PooledConnection& PooledConnection::operator=(PooledConnection&& other) noexcept {
   if (this != &other) {
@@ -22,106 +29,107 @@
 }
 
 void PooledConnection::Return() {
-  if (pool_ != nullptr) pool_->Return(*this);
+  if (pool_ != nullptr) pool_->TakeBack(*this);
   pool_ = nullptr;
   connection_.reset();
 }
 
-void ConnectionPool::Fill(PooledConnection& lease, const discovery::Endpoint& endpoint,
-                          std::unique_ptr<http::Connection> connection, bool reused) {
-  lease.Return();
-  lease.pool_ = this;
-  lease.engine_ = endpoint.effective.engine;
-  lease.incarnation_ = endpoint.incarnation;
-  lease.reused_ = reused;
-  lease.connection_ = std::move(connection);
+void ConnectionPool::Lend(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection,
+                          Origin origin, PooledConnection& out) {
+  out.Return();
+  out.pool_ = this;
+  out.engine_ = endpoint.effective.engine;
+  out.incarnation_ = endpoint.incarnation;
+  out.reused_ = origin == Origin::kReused;
+  out.connection_ = std::move(connection);
 }
 
-void ConnectionPool::Return(PooledConnection& lease) {
-  const discovery::Endpoint* endpoint = directory_.Find(lease.engine_);
-  if (endpoint != nullptr && endpoint->incarnation == lease.incarnation_ && lease.connection_->Reusable()) {
-    idle_[lease.engine_].push_back({std::move(lease.connection_), runtime::Now()});
+void ConnectionPool::TakeBack(PooledConnection& connection) {
+  const discovery::Endpoint* endpoint = directory_.Find(connection.engine_);
+  const bool same_incarnation = endpoint != nullptr && endpoint->incarnation == connection.incarnation_;
+  if (same_incarnation && connection->Reusable()) {
+    idle_[connection.engine_].push_back({std::move(connection.connection_), runtime::Now()});
   } else {
-    --open_;
+    --open_connections_;
   }
 }
 
-// What a peer sends beyond its answer may come a moment after it, and must not pass for the next one.
 std::unique_ptr<http::Connection> ConnectionPool::TakeIdle(EngineId engine) {
   const auto it = idle_.find(engine);
   if (it == idle_.end()) return nullptr;
-  auto& idle = it->second;
-  const runtime::Time rested = runtime::Now() - kRest;
+  std::deque<IdleConnection>& idle = it->second;
+  const runtime::Time quiet_since = runtime::Now() - kQuietPeriod;
   for (std::size_t i = idle.size(); i-- > 0;) {
-    if (idle[i].since > rested) continue;
+    if (idle[i].since > quiet_since) continue;
     std::unique_ptr<http::Connection> connection = std::move(idle[i].connection);
     idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
     if (connection->Reusable()) return connection;
-    --open_;
+    --open_connections_;
   }
   return nullptr;
 }
 
 runtime::Task<Io> ConnectionPool::Acquire(EngineId engine, runtime::Time deadline,
-                                          runtime::Cancellation* cancel, PooledConnection& out, Want want) {
+                                          runtime::Cancellation* cancel, PooledConnection& out, Reuse reuse) {
   const discovery::Endpoint* endpoint = directory_.Find(engine);
   if (endpoint == nullptr) co_return Io::kClosed;
-  if (want == Want::kAny) {
+  if (reuse == Reuse::kIfIdle) {
     if (auto connection = TakeIdle(engine)) {
-      Fill(out, *endpoint, std::move(connection), true);
+      Lend(*endpoint, std::move(connection), Origin::kReused, out);
       co_return Io::kOk;
     }
   }
-  if (open_ >= limits_.max_connections && !EvictOne()) co_return Io::kNoDescriptors;
+  if (open_connections_ >= limits_.max_connections && !EvictOne()) co_return Io::kNoDescriptors;
   const std::uint64_t incarnation = endpoint->incarnation;
   std::unique_ptr<runtime::Socket> socket;
-  ++open_;  // counted before it is up, so that many at a time can't pass the limit
+  ++open_connections_;  // before the connect, so that concurrent ones can't exceed the limit
   Io io = co_await Connect(loop_, endpoint->address, deadline, cancel, socket);
-  // The list may have changed meanwhile: the address may be another engine's now.
+  // The endpoint list may have changed during the connect: the address may be another engine's now.
   endpoint = directory_.Find(engine);
   if (io == Io::kOk && (endpoint == nullptr || endpoint->incarnation != incarnation)) io = Io::kClosed;
   if (io != Io::kOk) {
-    --open_;
+    --open_connections_;
     co_return io;
   }
-  Fill(out, *endpoint,
-       std::make_unique<http::Connection>(std::move(socket), endpoint->host_port, limits_.answer), false);
+  auto connection =
+      std::make_unique<http::Connection>(std::move(socket), endpoint->host_port, limits_.response);
+  Lend(*endpoint, std::move(connection), Origin::kNew, out);
   co_return Io::kOk;
 }
 
 void ConnectionPool::CloseIdle(EngineId engine) {
   const auto it = idle_.find(engine);
   if (it == idle_.end()) return;
-  open_ -= it->second.size();
+  open_connections_ -= it->second.size();
   idle_.erase(it);
 }
 
-void ConnectionPool::set_max_connections(std::size_t most) {
-  limits_.max_connections = most;
-  while (open_ > most && EvictOne()) {
+void ConnectionPool::set_max_connections(std::size_t max_connections) {
+  limits_.max_connections = max_connections;
+  while (open_connections_ > max_connections && EvictOne()) {
   }
 }
 
-// Makes room: the engine with the most idle connections loses the one that has been idle longest.
+// Closes the connection that has been idle longest of the engine with the most idle connections.
 bool ConnectionPool::EvictOne() {
-  std::deque<Idle>* most = nullptr;
+  std::deque<IdleConnection>* most = nullptr;
   for (auto& [id, idle] : idle_) {
     if (!idle.empty() && (most == nullptr || idle.size() > most->size())) most = &idle;
   }
   if (most == nullptr) return false;
   most->pop_front();
-  --open_;
+  --open_connections_;
   return true;
 }
 
 runtime::Task<> ConnectionPool::CloseExpired() {
   for (;;) {
-    co_await loop_.Sleep(500ms);
-    const runtime::Time before = runtime::Now() - limits_.idle_timeout;
+    co_await loop_.Sleep(kExpiryCheckInterval);
+    const runtime::Time expired_before = runtime::Now() - limits_.idle_timeout;
     for (auto& [id, idle] : idle_) {
-      while (!idle.empty() && idle.front().since < before) {
+      while (!idle.empty() && idle.front().since < expired_before) {
         idle.pop_front();
-        --open_;
+        --open_connections_;
       }
     }
   }
--- a/src/backend/connection_pool.h
+++ b/src/backend/connection_pool.h
@@ -1,7 +1,14 @@
-// Connections to the engines, kept per engine id: a new engine may have the address of one that has gone.
+// HTTP connections to the engines, reused between calls.
+//
+// The pool is keyed by engine id and incarnation, not by address: a new engine may have the address of one
+// that has left. Connections of an incarnation that has ended are closed when they are returned.
+//
+// Owner: Engines. Callers: Engines; the proxy's wiring changes the limits. Every PooledConnection is
+// destroyed before the pool. Thread safety: none; used on the event loop's thread.
 #ifndef LEMONCROFT_BACKEND_CONNECTION_POOL_H_
 #define LEMONCROFT_BACKEND_CONNECTION_POOL_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -16,7 +23,7 @@
 
 class ConnectionPool;
 
-// A connection taken from the pool; goes back there by itself if it is fit for another call.
+// A connection acquired from the pool, or none. Returns it to the pool when destroyed.
 class PooledConnection {
  public:
   PooledConnection() = default;
@@ -27,7 +34,9 @@
   http::Connection& operator*() const { return *connection_; }
   http::Connection* operator->() const { return connection_.get(); }
   explicit operator bool() const { return connection_ != nullptr; }
+  // True if it carried calls before it was acquired.
   bool reused() const { return reused_; }
+  // Returns it to the pool, which keeps it if another call can use it.
   void Return();
 
  private:
@@ -42,44 +51,55 @@
 class ConnectionPool {
  public:
   struct Limits {
-    std::size_t max_connections = 512;  // to all engines together, idle ones too
-    runtime::Span idle_timeout{};       // an idle connection is closed after this: before the engine does
-    codec::HttpParser::Limits answer{16 * 1024, 16 * 1024};  // a page has 6,000 bytes at most
+    std::size_t max_connections = 512;  // to all engines together, idle ones included
+    runtime::Span idle_timeout{};       // shorter than the engines' own, so that the pool closes first
+    codec::HttpParser::Limits response{16 * 1024, 16 * 1024};
   };
 
+  // Whether Acquire may return a connection that carried calls before.
+  enum class Reuse { kIfIdle, kNever };
+
   ConnectionPool(runtime::Loop& loop, const discovery::EndpointDirectory& directory, Limits limits)
       : loop_(loop), directory_(directory), limits_(limits) {}
 
-  enum class Want { kAny, kFresh };
-  // An idle connection, unless a fresh one is wanted, or a new one. kNoDescriptors where this process has
-  // none to spare.
+  // Acquires a connection to an engine into `out`; `out` is unchanged on failure. kNoDescriptors: the limit
+  // is reached and no idle connection can be closed, or the process has no descriptors. kClosed: the engine
+  // isn't listed, or changed during the connect. Others as in runtime::Connect.
   runtime::Task<runtime::Io> Acquire(EngineId engine, runtime::Time deadline, runtime::Cancellation* cancel,
-                                     PooledConnection& out, Want want = Want::kAny);
-  // Gives up idle ones where there are more.
-  void set_max_connections(std::size_t most);
-  std::size_t open_connections() const { return open_; }
-  void set_idle_timeout(runtime::Span idle) { limits_.idle_timeout = idle; }
-  void CloseIdle(EngineId engine);  // its idle connections
+                                     PooledConnection& out, Reuse reuse = Reuse::kIfIdle);
+  // Closes the idle connections to an engine.
+  void CloseIdle(EngineId engine);
+  // Closes connections that have been idle for too long, for as long as the loop runs.
   runtime::Task<> CloseExpired();
 
+  // Changes the limit; closes idle connections that exceed it.
+  void set_max_connections(std::size_t max_connections);
+  void set_idle_timeout(runtime::Span idle_timeout) { limits_.idle_timeout = idle_timeout; }
+  // Connections that are open or being opened, idle ones included.
+  std::size_t open_connections() const { return open_connections_; }
+
  private:
   friend class PooledConnection;
-  struct Idle {
+  enum class Origin { kNew, kReused };
+  struct IdleConnection {
     std::unique_ptr<http::Connection> connection;
     runtime::Time since;
   };
 
-  void Fill(PooledConnection& lease, const discovery::Endpoint& endpoint,
-            std::unique_ptr<http::Connection> connection, bool reused);
-  void Return(PooledConnection& lease);
+  void Lend(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection, Origin origin,
+            PooledConnection& out);
+  void TakeBack(PooledConnection& connection);
+  // Closes one idle connection; false if there is none.
   bool EvictOne();
-  std::unique_ptr<http::Connection> TakeIdle(EngineId engine);  // null: none is fit
+  // The engine's most recently used idle connection that is fit for use; null if there is none.
+  std::unique_ptr<http::Connection> TakeIdle(EngineId engine);
 
   runtime::Loop& loop_;
   const discovery::EndpointDirectory& directory_;
   Limits limits_;
-  std::map<EngineId, std::deque<Idle>> idle_;  // the latest used last; nothing of engines that have gone
-  std::size_t open_ = 0;
+  // Per engine, the most recently used last. Has no entries of engines that have left.
+  std::map<EngineId, std::deque<IdleConnection>> idle_;
+  std::size_t open_connections_ = 0;
 };
 
 }  // namespace lemoncroft::backend
--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -1,4 +1,13 @@
-// Queries on the engines: started, asked for, fetched, given up.
+// Runs attempts on the engines: submits a statement, polls until the query is done, fetches the pages of its
+// result, and cancels it when nobody waits for it any more. Also probes engines.
+//
+// A statement is submitted once. A query belongs to no connection, so that every later response can be asked
+// for again: one that is lost, late or damaged is polled for on a new connection, a limited number of times.
+// docs/requests.md describes how responses map to outcomes.
+//
+// Owns the connection pool. Owner: the proxy's wiring; all arguments of the constructor outlive this object.
+// Callers: Broker; reloads change the settings. Thread safety: none; used on the event loop's thread. Errors
+// are outcomes of the attempt; nothing is thrown for what an engine does.
 #ifndef LEMONCROFT_BACKEND_ENGINES_H_
 #define LEMONCROFT_BACKEND_ENGINES_H_
 
@@ -6,41 +15,15 @@
 #include <utility>
 #include <vector>
 
+#include "backend/attempt.h"
 #include "backend/connection_pool.h"
+#include "backend/engine_protocol.h"
 #include "lemoncroft/gateway.h"
 #include "metrics/counters.h"
-#include "request/client_request.h"
 #include "request/lease_fence.h"
 
 namespace lemoncroft::backend {
 
-struct Attempt {
-  const request::ForwardedFields* forwarded = nullptr;  // outlives the attempt
-  EngineId engine = 0;
-  runtime::Time deadline{};
-  runtime::Time not_after = runtime::kNever;  // for its statement to leave: past this a repeat does harm
-  double grant_mb = 0;
-  int priority = 1;
-  bool again = false;  // an attempt before it may have run
-  // It has ended only once it surely runs no more: another attempt, or the next request of its key, must not
-  // run beside it.
-  bool exclusive = false;
-};
-
-struct Result {
-  Outcome outcome = Outcome::kReset;
-  runtime::Span work{};  // what the query needed; zero: not told
-  double memory_mb = 0;
-  LoadReport load;  // that came with its end, if one did
-  std::string rows;
-};
-
-// What one health check found.
-struct ProbeResult {
-  Outcome outcome = Outcome::kConnectFailed;
-  LoadReport load;
-};
-
 class Engines {
  public:
   Engines(runtime::Loop& loop, const discovery::EndpointDirectory& directory, ConnectionPool::Limits limits,
@@ -51,20 +34,22 @@
         pool_(loop, directory, limits),
         connect_timeout_(connect_timeout) {}
 
-  // One attempt from connection to last page. Ends by the attempt's deadline, or soon after a cancellation;
-  // an exclusive one that its engine doesn't acknowledge to be over ends later by kUnaskedFor and a margin.
+  // Runs one attempt, from the connection to the last page. Ends by the attempt's deadline, or soon after a
+  // cancellation. An exclusive attempt that may run on ends once its engine has confirmed the cancellation,
+  // or has surely abandoned the query. `attempt` and `cancel` outlive the task.
   runtime::Task<Result> Run(const Attempt& attempt, runtime::Cancellation& cancel);
-  // Gives what runs a new priority; best effort.
-  void UpdatePriority(EngineId engine, std::string id, int priority);
-  // Asks for the load report where the site's engines have one, else for the engine's health alone.
+  // Changes the priority of a running query. Best effort: failures are ignored.
+  void UpdatePriority(EngineId engine, const std::string& request_id, int priority);
+  // Asks for the load report if the settings have report fields, else for the engine's health alone.
   runtime::Task<ProbeResult> Probe(EngineId engine);
 
   // True while an engine is still to be told of a cancellation or priority.
-  bool has_pending_commands() const { return orders_ > 0; }
+  bool has_pending_commands() const { return pending_commands_ > 0; }
   ConnectionPool& pool() { return pool_; }
+
   // Checked in the turn in which each statement is sent; null: every statement is permitted.
   void set_lease_fence(request::LeaseFence* lease_fence) { lease_fence_ = lease_fence; }
-  void set_connect_timeout(runtime::Span span) { connect_timeout_ = span; }
+  void set_connect_timeout(runtime::Span timeout) { connect_timeout_ = timeout; }
   // Names of the values in load reports, in the order of Settings::report_fields; empty: there are no
   // reports.
   void set_report_fields(std::vector<std::string> names) { report_fields_ = std::move(names); }
@@ -72,17 +57,33 @@
  private:
   struct Query;
 
-  runtime::Task<Outcome> Ask(Query& query, int page);
-  runtime::Task<Outcome> Start(Query& query);
-  runtime::Task<Outcome> Follow(Query& query);
+  // The phases of an attempt. Each returns kOk if the next one may start.
+
+  // Submits the statement. kOk: the engine has answered; the response says how the query stands.
+  runtime::Task<Outcome> Submit(Query& query);
+  // Sends the statement on the query's connection and receives the response.
+  runtime::Task<runtime::Io> SendStatement(Query& query, runtime::Span remaining_time);
+  // Polls until the query is done. kOk: the response has the first page.
+  runtime::Task<Outcome> AwaitCompletion(Query& query);
   runtime::Task<Outcome> FetchPages(Query& query);
-  void TakeReport(Query& query) const;  // of the answer that has just come
-  runtime::Task<> Settle(PooledConnection busy);
-  // Sends an order about a query; kOk: the engine has answered it.
-  runtime::Task<runtime::Io> Call(EngineId engine, std::string method, std::string id, std::string body);
-  runtime::Task<> Order(EngineId engine, std::string method, std::string id, std::string body);
-  // Gives the query up and returns once it surely runs no more.
-  runtime::Task<> Withdraw(Query& query);
+
+  // Polls for a page, or for the status (page 0), until there is a valid response. kOk: there is.
+  runtime::Task<Outcome> Poll(Query& query, int page);
+  // Gives the query another connection.
+  runtime::Task<runtime::Io> Reconnect(Query& query);
+  // Makes sure that nothing is left running of an attempt that ended with `outcome`.
+  runtime::Task<> CancelIfRunning(Query& query, Outcome outcome);
+  // Cancels a query and returns once it surely no longer runs.
+  runtime::Task<> CancelAndConfirm(Query& query);
+  bool LeasePermits(const Attempt& attempt) const;
+  void StoreLoadReport(Query& query) const;
+  // Receives a response that no longer matters, so that its connection can be reused.
+  runtime::Task<> DiscardResponse(PooledConnection connection);
+
+  // Sends a command; kOk: the engine has received it.
+  runtime::Task<runtime::Io> SendCommand(EngineId engine, QueryCommand command);
+  // The same, ignoring failures.
+  runtime::Task<> TrySendCommand(EngineId engine, QueryCommand command);
 
   runtime::Loop& loop_;
   const discovery::EndpointDirectory& directory_;
@@ -91,7 +92,7 @@
   runtime::Span connect_timeout_;
   request::LeaseFence* lease_fence_ = nullptr;
   std::vector<std::string> report_fields_;
-  int orders_ = 0;  // under way
+  int pending_commands_ = 0;
 };
 
 }  // namespace lemoncroft::backend
--- a/src/backend/load_report.cpp
+++ b/src/backend/load_report.cpp
@@ -18,6 +18,7 @@
   return text.substr(from, text.find_last_not_of(" \t") - from + 1);
 }
 
+// A finite value of at least 0 that a float can hold.
 std::optional<float> ParseValue(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -27,7 +28,7 @@
   return static_cast<float>(value);
 }
 
-// Takes the text up to the next semicolon off the front of `rest`.
+// Removes the text up to the next semicolon, and the semicolon, from the front of `rest`.
 std::string_view TakeItem(std::string_view& rest) {
   const std::size_t end = std::min(rest.find(';'), rest.size());
   const std::string_view item = rest.substr(0, end);
@@ -37,24 +38,24 @@
 
 }  // namespace
 
-LoadReport ParseLoadReport(std::string_view gauges, const std::vector<std::string>& names) {
+LoadReport ParseLoadReport(std::string_view text, const std::vector<std::string>& names) {
   LoadReport report;
   report.values.fill(kMissing);
   const std::size_t fields = std::min(names.size(), kMaxReportFields);
-  bool any = false;
-  while (!gauges.empty()) {
-    const std::string_view item = TakeItem(gauges);
+  bool has_value = false;
+  while (!text.empty()) {
+    const std::string_view item = TakeItem(text);
     const std::size_t colon = item.find(':');
     if (colon == std::string_view::npos) continue;
     const std::string_view name = Trim(item.substr(0, colon));
     const auto known = std::find(names.begin(), names.begin() + static_cast<std::ptrdiff_t>(fields), name);
-    const auto place = static_cast<std::size_t>(known - names.begin());
+    const auto index = static_cast<std::size_t>(known - names.begin());
     const std::optional<float> value = ParseValue(Trim(item.substr(colon + 1)));
-    if (place >= fields || !value) continue;
-    report.values[place] = *value;
-    any = true;
+    if (index >= fields || !value) continue;
+    report.values[index] = *value;
+    has_value = true;
   }
-  report.count = any ? static_cast<std::uint8_t>(fields) : 0;
+  report.count = has_value ? static_cast<std::uint8_t>(fields) : 0;
   return report;
 }
 
--- a/src/backend/load_report.h
+++ b/src/backend/load_report.h
@@ -1,4 +1,6 @@
-// Load reports as engines write them into the header X-Gauges: `inflight:7;util:0.61`.
+// Parses the load reports that engines write into a header: `inflight:7;util:0.61`.
+//
+// Pure function without I/O or state.
 #ifndef LEMONCROFT_BACKEND_LOAD_REPORT_H_
 #define LEMONCROFT_BACKEND_LOAD_REPORT_H_
 
@@ -10,10 +12,10 @@
 
 namespace lemoncroft::backend {
 
-// Reads the values that `names` lists, in that order. Names that are not listed are skipped; a value that is
-// missing, negative or no number is NaN. Without one usable value there is no report: its count is 0.
-// Only the first kReportFieldsMost of `names` count.
-LoadReport ParseLoadReport(std::string_view gauges, const std::vector<std::string>& names);
+// Parses the values that `names` lists, in that order. Names that are not listed are skipped; a value that is
+// missing, negative or not a number is NaN. A text without a usable value gives an empty report (count 0).
+// Names after the first kMaxReportFields are ignored.
+LoadReport ParseLoadReport(std::string_view text, const std::vector<std::string>& names);
 
 }  // namespace lemoncroft::backend
 
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -1,22 +1,26 @@
 #include "http/connection.h"
 
 #include <algorithm>
+#include <string_view>
 
 namespace lemoncroft::http {
 
 using runtime::Io;
+using namespace std::chrono_literals;
 
 namespace {
-using namespace std::chrono_literals;
-constexpr std::size_t kReadAtOnce = 16 * 1024;
-constexpr auto kRestWithin =
-    150ms;  // of an answer that has begun: past this its length was wrong, or it hangs
+
+constexpr std::size_t kMaxReadBytes = 16 * 1024;
+// Time between two reads of a response that has begun. One that stalls has a wrong length, or hangs.
+constexpr auto kStallTimeout = 150ms;
+constexpr std::string_view kResponseStart = "HTTP/1.";
+
 }  // namespace
 
 runtime::Task<Io> Connection::Call(const codec::HttpRequest& request, runtime::Time deadline,
                                    runtime::Cancellation* cancel, codec::HttpResponse& out) {
-  const Io io = co_await Send(request, deadline, cancel);
-  if (io != Io::kOk) co_return io;
+  const Io sent = co_await Send(request, deadline, cancel);
+  if (sent != Io::kOk) co_return sent;
   co_return co_await Receive(deadline, cancel, out);
 }
 
@@ -31,7 +35,7 @@
   std::size_t written = 0;
   const Io io = co_await socket_->Write(*bytes, written, deadline, cancel);
   sent_any_ = written > 0;
-  if (io != Io::kOk) keep_ = false;  // half a request has gone: nothing else may follow it
+  if (io != Io::kOk) keep_alive_ = false;  // nothing can follow a part of a request
   co_return io;
 }
 
@@ -40,28 +44,33 @@
   co_return co_await Receive(deadline, deadline, cancel, out);
 }
 
-runtime::Task<Io> Connection::Receive(runtime::Time begin_by, runtime::Time whole_by,
+runtime::Task<Io> Connection::Receive(runtime::Time begin_by, runtime::Time complete_by,
                                       runtime::Cancellation* cancel, codec::HttpResponse& out) {
   for (;;) {
-    codec::HttpParser::State state = parser_.Feed(in_);
+    codec::HttpParser::State state = parser_.Feed(received_);
     if (state == codec::HttpParser::State::kNeedMore) {
-      const bool begun = !in_.empty() || parser_.begun();  // and not after an interim answer alone
-      const runtime::Time until = begun ? std::min(whole_by, runtime::Now() + kRestWithin) : begin_by;
-      const Io io = co_await socket_->Read(in_, kReadAtOnce, until, cancel);
+      const bool has_begun = !received_.empty() || parser_.begun();
+      const runtime::Time read_by =
+          has_begun ? std::min(complete_by, runtime::Now() + kStallTimeout) : begin_by;
+      const Io io = co_await socket_->Read(received_, kMaxReadBytes, read_by, cancel);
       if (io == Io::kOk) continue;
       if (io != Io::kClosed) co_return io;
       state = parser_.Finish();
     }
     pending_ = false;
-    // An unreadable answer is as good as none: the connection is of no more use.
     if (state != codec::HttpParser::State::kDone) {
-      keep_ = false;
+      keep_alive_ = false;
       co_return Io::kClosed;
     }
     out = std::move(parser_.response());
-    keep_ = keep_ && out.keep_alive;
+    keep_alive_ = keep_alive_ && out.keep_alive;
     co_return Io::kOk;
   }
 }
 
+bool Connection::HasExcessBytes() const {
+  if (received_.empty()) return false;
+  return !std::string_view(received_).starts_with(kResponseStart.substr(0, received_.size()));
+}
+
 }  // namespace lemoncroft::http
