--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -7,21 +7,32 @@
 namespace lemoncroft::codec {
 namespace {
 
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kContentLength = "Content-Length";
+constexpr std::size_t kMaxChunkLineBytes = 1024;
+constexpr int kDecimalBase = 10, kHexBase = 16;
+constexpr int kNoContent = 204, kNotModified = 304;  // statuses without a body
+
 char Lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualsIgnoringCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](char x, char y) { return Lower(x) == Lower(y); });
 }
 
-std::string_view Trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t' || s.back() == '\r')) s.remove_suffix(1);
-  return s;
+// Without blanks, tabs and a final carriage return.
+std::string_view Trim(std::string_view text) {
+  const auto is_leading = [](char c) { return c == ' ' || c == '\t'; };
+  const auto is_trailing = [](char c) { return c == ' ' || c == '\t' || c == '\r'; };
+  while (!text.empty() && is_leading(text.front())) text.remove_prefix(1);
+  while (!text.empty() && is_trailing(text.back())) text.remove_suffix(1);
+  return text;
 }
 
+// Parses a text that is an integer and nothing else.
 template <typename T>
-bool ReadWhole(std::string_view text, T& value, int base) {
+bool ParseInteger(std::string_view text, T& value, int base) {
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
   return error == std::errc() && end == text.data() + text.size();
 }
@@ -37,7 +48,7 @@
     out.append(name).append(": ").append(value).append("\r\n");
   }
   if (!request.body.empty() || request.method == "POST" || request.method == "PUT") {
-    out.append("Content-Length: ").append(std::to_string(request.body.size())).append("\r\n");
+    out.append(kContentLength).append(": ").append(std::to_string(request.body.size())).append("\r\n");
   }
   out.append("\r\n");
   return out;
@@ -45,7 +56,7 @@
 
 const std::string* HttpResponse::Find(std::string_view name) const {
   for (const auto& [field, value] : headers) {
-    if (SameName(field, name)) return &value;
+    if (EqualsIgnoringCase(field, name)) return &value;
   }
   return nullptr;
 }
@@ -62,122 +73,150 @@
 
 HttpParser::State HttpParser::Feed(std::string& buffer) {
   std::string_view rest = buffer;
-  while (part_ != Part::kDone && part_ != Part::kBad && Step(rest)) {
+  while (phase_ != Phase::kDone && phase_ != Phase::kBad && Step(rest) == StepResult::kProgress) {
   }
   buffer.erase(0, buffer.size() - rest.size());
-  if (part_ == Part::kBad) return State::kBad;
-  return part_ == Part::kDone ? State::kDone : State::kNeedMore;
+  if (phase_ == Phase::kBad) return State::kBad;
+  return phase_ == Phase::kDone ? State::kDone : State::kNeedMore;
 }
 
 HttpParser::State HttpParser::Finish() {
-  if (part_ == Part::kUntilClose) part_ = Part::kDone;
-  return part_ == Part::kDone ? State::kDone : State::kBad;
+  if (phase_ == Phase::kBodyUntilClose) phase_ = Phase::kDone;
+  return phase_ == Phase::kDone ? State::kDone : State::kBad;
 }
 
-// A line without its end; false where it has not come whole. Too long a one is bad.
-bool HttpParser::TakeLine(std::string_view& rest, std::string_view& line, std::size_t most) {
+std::optional<std::string_view> HttpParser::TakeLine(std::string_view& rest, std::size_t max_bytes) {
   const std::size_t end = rest.find('\n');
-  if (std::min(end, rest.size()) > most) part_ = Part::kBad;
-  if (end == std::string_view::npos || part_ == Part::kBad) return false;
-  line = Trim(rest.substr(0, end));
+  if (std::min(end, rest.size()) > max_bytes) phase_ = Phase::kBad;
+  if (end == std::string_view::npos || phase_ == Phase::kBad) return std::nullopt;
+  const std::string_view line = Trim(rest.substr(0, end));
   rest.remove_prefix(end + 1);
-  return true;
+  return line;
 }
 
-bool HttpParser::Step(std::string_view& rest) {
-  std::string_view line;
-  switch (part_) {
-    case Part::kHead: {
-      const std::size_t end = rest.find("\r\n\r\n");
-      if (std::min(end, rest.size()) > limits_.head) part_ = Part::kBad;
-      if (end == std::string_view::npos || part_ == Part::kBad) return false;
-      Head(rest.substr(0, end));
-      rest.remove_prefix(end + 4);
-      return true;
-    }
-    case Part::kChunkSize: {
-      if (!TakeLine(rest, line, 1024)) return false;
-      line = Trim(line.substr(0, line.find(';')));
-      if (!ReadWhole(line, left_, 16) || left_ > limits_.body - response_.body.size()) part_ = Part::kBad;
-      if (part_ != Part::kBad) part_ = left_ == 0 ? Part::kTrailer : Part::kChunk;
-      return true;
-    }
-    case Part::kChunkEnd:  // the line end behind a chunk's bytes
-      if (!TakeLine(rest, line, 1024)) return false;
-      part_ = line.empty() ? Part::kChunkSize : Part::kBad;
-      return true;
-    case Part::kTrailer:
-      if (!TakeLine(rest, line, limits_.head)) return false;
-      if (line.empty()) part_ = Part::kDone;
-      return true;
-    case Part::kSized:
-    case Part::kChunk:
-    case Part::kUntilClose: {
-      if (rest.empty()) return false;
-      const bool open = part_ == Part::kUntilClose;
-      const std::size_t n = open ? rest.size() : std::min(left_, rest.size());
-      if (n > limits_.body - response_.body.size()) part_ = Part::kBad;
-      if (part_ == Part::kBad) return false;
-      response_.body.append(rest.substr(0, n));
-      rest.remove_prefix(n);
-      if (open || (left_ -= n) > 0) return true;
-      part_ = part_ == Part::kSized ? Part::kDone : Part::kChunkEnd;
-      return true;
-    }
-    case Part::kDone:
-    case Part::kBad:
+HttpParser::StepResult HttpParser::Step(std::string_view& rest) {
+  switch (phase_) {
+    case Phase::kHead:
+      return StepHead(rest);
+    case Phase::kChunkSize:
+      return StepChunkSize(rest);
+    case Phase::kChunkEnd:
+      return StepChunkEnd(rest);
+    case Phase::kTrailer:
+      return StepTrailer(rest);
+    case Phase::kSizedBody:
+    case Phase::kChunk:
+    case Phase::kBodyUntilClose:
+      return StepBody(rest);
+    case Phase::kDone:
+    case Phase::kBad:
       break;
   }
-  return false;
+  return StepResult::kNeedMore;
+}
+
+HttpParser::StepResult HttpParser::StepHead(std::string_view& rest) {
+  const std::size_t end = rest.find(kHeadEnd);
+  if (std::min(end, rest.size()) > limits_.head) phase_ = Phase::kBad;
+  if (end == std::string_view::npos || phase_ == Phase::kBad) return StepResult::kNeedMore;
+  ParseHead(rest.substr(0, end));
+  rest.remove_prefix(end + kHeadEnd.size());
+  return StepResult::kProgress;
+}
+
+HttpParser::StepResult HttpParser::StepChunkSize(std::string_view& rest) {
+  const std::optional<std::string_view> line = TakeLine(rest, kMaxChunkLineBytes);
+  if (!line) return StepResult::kNeedMore;
+  const std::string_view size = Trim(line->substr(0, line->find(';')));  // without extensions
+  if (!ParseInteger(size, remaining_, kHexBase) || ExceedsBodyLimit(remaining_))
+    phase_ = Phase::kBad;
+  else
+    phase_ = remaining_ == 0 ? Phase::kTrailer : Phase::kChunk;
+  return StepResult::kProgress;
+}
+
+HttpParser::StepResult HttpParser::StepChunkEnd(std::string_view& rest) {
+  const std::optional<std::string_view> line = TakeLine(rest, kMaxChunkLineBytes);
+  if (!line) return StepResult::kNeedMore;
+  phase_ = line->empty() ? Phase::kChunkSize : Phase::kBad;
+  return StepResult::kProgress;
+}
+
+HttpParser::StepResult HttpParser::StepTrailer(std::string_view& rest) {
+  const std::optional<std::string_view> line = TakeLine(rest, limits_.head);
+  if (!line) return StepResult::kNeedMore;
+  if (line->empty()) phase_ = Phase::kDone;
+  return StepResult::kProgress;
 }
 
-void HttpParser::Head(std::string_view head) {
-  const std::size_t first = std::min(head.find("\r\n"), head.size());
-  const std::string_view line = head.substr(0, first);
-  // HTTP/1.x, a blank, three digits.
-  const bool formed = line.size() >= 12 && line.substr(0, 7) == "HTTP/1." && line[8] == ' ';
-  if (!formed || !ReadWhole(line.substr(9, 3), response_.status, 10)) {
-    part_ = Part::kBad;
+HttpParser::StepResult HttpParser::StepBody(std::string_view& rest) {
+  if (rest.empty()) return StepResult::kNeedMore;
+  const bool until_close = phase_ == Phase::kBodyUntilClose;
+  const std::size_t bytes = until_close ? rest.size() : std::min(remaining_, rest.size());
+  if (ExceedsBodyLimit(bytes)) {
+    phase_ = Phase::kBad;
+    return StepResult::kNeedMore;
+  }
+  response_.body.append(rest.substr(0, bytes));
+  rest.remove_prefix(bytes);
+  if (until_close) return StepResult::kProgress;
+  remaining_ -= bytes;
+  if (remaining_ == 0) phase_ = phase_ == Phase::kSizedBody ? Phase::kDone : Phase::kChunkEnd;
+  return StepResult::kProgress;
+}
+
+void HttpParser::ParseHead(std::string_view head) {
+  const std::size_t line_end = std::min(head.find(kLineEnd), head.size());
+  if (!ParseStatusLine(head.substr(0, line_end))) {
+    phase_ = Phase::kBad;
     return;
   }
-  response_.keep_alive = line[7] != '0';
-  head.remove_prefix(std::min(head.size(), first + 2));
+  head.remove_prefix(std::min(head.size(), line_end + kLineEnd.size()));
   while (!head.empty()) {
-    const std::size_t end = std::min(head.find("\r\n"), head.size());
-    Field(head.substr(0, end));
-    head.remove_prefix(std::min(head.size(), end + 2));
+    const std::size_t end = std::min(head.find(kLineEnd), head.size());
+    ParseHeader(head.substr(0, end));
+    head.remove_prefix(std::min(head.size(), end + kLineEnd.size()));
   }
-  if (part_ == Part::kHead) BodyFollows();
+  if (phase_ == Phase::kHead) ChooseBodyPhase();
 }
 
-void HttpParser::Field(std::string_view line) {
+// "HTTP/1.x", a blank, three digits; a reason may follow.
+bool HttpParser::ParseStatusLine(std::string_view line) {
+  const bool well_formed = line.size() >= 12 && line.substr(0, 7) == "HTTP/1." && line[8] == ' ';
+  if (!well_formed || !ParseInteger(line.substr(9, 3), response_.status, kDecimalBase)) return false;
+  response_.keep_alive = line[7] != '0';
+  return true;
+}
+
+void HttpParser::ParseHeader(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == 0 || colon == std::string_view::npos) {
-    part_ = Part::kBad;
+    phase_ = Phase::kBad;
     return;
   }
   response_.headers.emplace_back(Trim(line.substr(0, colon)), Trim(line.substr(colon + 1)));
   const auto& [name, value] = response_.headers.back();
-  // Two lengths: where the answer ends can't be told.
-  if (SameName(name, "Content-Length") && *response_.Find(name) != value) part_ = Part::kBad;
-  if (SameName(name, "Connection") && SameName(value, "close")) response_.keep_alive = false;
+  // With two different lengths the end of the response is unknown.
+  if (EqualsIgnoringCase(name, kContentLength) && *response_.Find(name) != value) phase_ = Phase::kBad;
+  if (EqualsIgnoringCase(name, "Connection") && EqualsIgnoringCase(value, "close"))
+    response_.keep_alive = false;
 }
 
-void HttpParser::BodyFollows() {
-  const std::string* sized = response_.Find("Content-Length");
-  const std::string* coded = response_.Find("Transfer-Encoding");
-  if (response_.status / 100 == 1) {  // an interim answer: the real one follows
+void HttpParser::ChooseBodyPhase() {
+  const std::string* length = response_.Find(kContentLength);
+  const std::string* encoding = response_.Find("Transfer-Encoding");
+  if (response_.status / 100 == 1) {  // interim: another response follows
     response_ = HttpResponse();
-  } else if (response_.status == 204 || response_.status == 304) {
-    part_ = Part::kDone;
-  } else if (coded != nullptr) {
-    part_ = SameName(*coded, "chunked") ? Part::kChunkSize : Part::kBad;
-  } else if (sized != nullptr) {
-    const bool good = ReadWhole(std::string_view(*sized), left_, 10) && left_ <= limits_.body;
-    part_ = !good ? Part::kBad : left_ == 0 ? Part::kDone : Part::kSized;
+  } else if (response_.status == kNoContent || response_.status == kNotModified) {
+    phase_ = Phase::kDone;
+  } else if (encoding != nullptr) {
+    phase_ = EqualsIgnoringCase(*encoding, "chunked") ? Phase::kChunkSize : Phase::kBad;
+  } else if (length != nullptr) {
+    const bool usable = ParseInteger(*length, remaining_, kDecimalBase) && remaining_ <= limits_.body;
+    phase_ = !usable ? Phase::kBad : remaining_ == 0 ? Phase::kDone : Phase::kSizedBody;
   } else {
     response_.keep_alive = false;
-    part_ = Part::kUntilClose;
+    phase_ = Phase::kBodyUntilClose;
   }
 }
 
--- a/src/codec/json.cpp
+++ b/src/codec/json.cpp
@@ -7,171 +7,187 @@
 namespace lemoncroft::codec {
 namespace {
 
-constexpr int kDeepest = 64;
-
+constexpr int kMaxDepth = 64;  // of nested objects and arrays
+constexpr int kHexBase = 16;
+constexpr double kMaxInteger = 9e15;  // a double holds all integers up to this exactly
+constexpr std::string_view kWhitespace = " \t\r\n";
+constexpr std::string_view kNumberCharacters = "+-.eE0123456789";
+// Escapes of one character, and what they stand for.
+constexpr std::string_view kShortEscapes = "\"\\/bfnrt", kEscapedCharacters = "\"\\/\b\f\n\r\t";
+
+// UTF-16 surrogates.
+constexpr unsigned kFirstHighSurrogate = 0xd800, kFirstLowSurrogate = 0xdc00, kSurrogatesEnd = 0xe000;
+constexpr unsigned kFirstSupplementaryCode = 0x10000;
+
+bool Contains(std::string_view characters, char c) { return characters.find(c) != std::string_view::npos; }
+
+// A recursive-descent parser. Every Parse function begins at the first byte of its production and ends behind
+// the last one; errors are thrown as JsonError.
 class Parser {
  public:
   explicit Parser(std::string_view text) : text_(text) {}
 
-  Json Whole() {
-    Json value = Value(0);
-    Blank();
-    if (at_ != text_.size()) Bad("bytes after the value");
+  Json ParseDocument() {
+    Json value = ParseValue(0);
+    SkipWhitespace();
+    if (position_ != text_.size()) Fail("bytes after the value");
     return value;
   }
 
  private:
-  [[noreturn]] void Bad(const char* what) const {
-    throw JsonError(std::string("JSON: ") + what + " at byte " + std::to_string(at_));
+  [[noreturn]] void Fail(const char* what) const {
+    throw JsonError(std::string("JSON: ") + what + " at byte " + std::to_string(position_));
   }
 
-  char Peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
+  // The next character; a zero byte at the end.
+  char Peek() const { return position_ < text_.size() ? text_[position_] : '\0'; }
 
-  void Blank() {
-    while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos)
-      ++at_;
+  void SkipWhitespace() {
+    while (position_ < text_.size() && Contains(kWhitespace, text_[position_])) ++position_;
   }
 
-  bool Take(char c) {
-    Blank();
+  // Skips whitespace, and the character if it follows.
+  bool Consume(char c) {
+    SkipWhitespace();
     if (Peek() != c) return false;
-    ++at_;
+    ++position_;
     return true;
   }
 
-  Json Value(int depth) {
-    if (depth > kDeepest) Bad("nested too deeply");
+  Json ParseValue(int depth) {
+    if (depth > kMaxDepth) Fail("nested too deeply");
     Json out;
-    Blank();
+    SkipWhitespace();
     const char c = Peek();
     if (c == '{') {
-      Object(out, depth);
+      ParseObject(out, depth);
     } else if (c == '[') {
-      Array(out, depth);
+      ParseArray(out, depth);
     } else if (c == '"') {
       out.kind = Json::Kind::kText;
-      out.text = Text();
+      out.text = ParseString();
     } else if (c == '-' || (c >= '0' && c <= '9')) {
-      Number(out);
+      ParseNumber(out);
     } else {
-      Word(out);
+      ParseLiteral(out);
     }
     return out;
   }
 
-  void Object(Json& out, int depth) {
+  void ParseObject(Json& out, int depth) {
     out.kind = Json::Kind::kObject;
-    ++at_;
-    if (Take('}')) return;
+    ++position_;
+    if (Consume('}')) return;
     do {
-      Blank();
-      if (Peek() != '"') Bad("a member's name expected");
-      out.names.push_back(Text());
-      if (!Take(':')) Bad("':' expected");
-      out.items.push_back(Value(depth + 1));
-    } while (Take(','));
-    if (!Take('}')) Bad("'}' expected");
+      SkipWhitespace();
+      if (Peek() != '"') Fail("a member's name expected");
+      out.names.push_back(ParseString());
+      if (!Consume(':')) Fail("':' expected");
+      out.items.push_back(ParseValue(depth + 1));
+    } while (Consume(','));
+    if (!Consume('}')) Fail("'}' expected");
   }
 
-  void Array(Json& out, int depth) {
+  void ParseArray(Json& out, int depth) {
     out.kind = Json::Kind::kArray;
-    ++at_;
-    if (Take(']')) return;
+    ++position_;
+    if (Consume(']')) return;
     do {
-      out.items.push_back(Value(depth + 1));
-    } while (Take(','));
-    if (!Take(']')) Bad("']' expected");
+      out.items.push_back(ParseValue(depth + 1));
+    } while (Consume(','));
+    if (!Consume(']')) Fail("']' expected");
   }
 
-  void Number(Json& out) {
-    const std::size_t from = at_;
-    while (at_ < text_.size() &&
-           std::string_view("+-.eE0123456789").find(text_[at_]) != std::string_view::npos) {
-      ++at_;
-    }
+  void ParseNumber(Json& out) {
+    const std::size_t start = position_;
+    while (position_ < text_.size() && Contains(kNumberCharacters, text_[position_])) ++position_;
     out.kind = Json::Kind::kNumber;
-    out.text = text_.substr(from, at_ - from);
+    out.text = text_.substr(start, position_ - start);
     double value = 0;
     auto [end, error] = std::from_chars(out.text.data(), out.text.data() + out.text.size(), value);
-    if (error != std::errc() || end != out.text.data() + out.text.size()) Bad("not a number");
+    if (error != std::errc() || end != out.text.data() + out.text.size()) Fail("not a number");
   }
 
-  void Word(Json& out) {
+  void ParseLiteral(Json& out) {
     for (const std::string_view word : {"true", "false", "null"}) {
-      if (text_.substr(at_, word.size()) != word) continue;
-      at_ += word.size();
+      if (text_.substr(position_, word.size()) != word) continue;
+      position_ += word.size();
       out.kind = word == "null" ? Json::Kind::kNull : Json::Kind::kBool;
       if (word != "null") out.text = word;
       return;
     }
-    Bad("a value expected");
+    Fail("a value expected");
   }
 
-  unsigned Hex4() {
+  unsigned ParseHex4() {
     unsigned value = 0;
-    const std::string_view digits = text_.substr(at_, 4);
-    auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value, 16);
-    if (digits.size() != 4 || error != std::errc() || end != digits.data() + 4) Bad("not four hex digits");
-    at_ += 4;
+    const std::string_view digits = text_.substr(position_, 4);
+    auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value, kHexBase);
+    if (digits.size() != 4 || error != std::errc() || end != digits.data() + 4) Fail("not four hex digits");
+    position_ += 4;
     return value;
   }
 
-  static void PutUtf8(std::string& out, unsigned code) {
+  // The code point of an escape, behind its u: four hex digits, or two escapes that are a surrogate pair.
+  unsigned ParseEscapedCode() {
+    const unsigned code = ParseHex4();
+    const bool is_high = code >= kFirstHighSurrogate && code < kFirstLowSurrogate;
+    if (is_high && text_.substr(position_, 2) == "\\u") {
+      position_ += 2;
+      const unsigned low = ParseHex4();
+      if (low < kFirstLowSurrogate || low >= kSurrogatesEnd) Fail("half a surrogate pair");
+      return kFirstSupplementaryCode + ((code - kFirstHighSurrogate) << 10) + (low - kFirstLowSurrogate);
+    }
+    if (code >= kFirstHighSurrogate && code < kSurrogatesEnd) Fail("half a surrogate pair");
+    return code;
+  }
+
+  static void AppendUtf8(std::string& out, unsigned code) {
     if (code < 0x80) {
       out.push_back(static_cast<char>(code));
       return;
     }
-    const int more = code < 0x800 ? 1 : code < 0x10000 ? 2 : 3;
-    constexpr unsigned kLead[] = {0, 0xc0, 0xe0, 0xf0};
-    out.push_back(static_cast<char>(kLead[more] | (code >> (6 * more))));
-    for (int i = more - 1; i >= 0; --i) out.push_back(static_cast<char>(0x80 | ((code >> (6 * i)) & 0x3f)));
+    const int continuation_bytes = code < 0x800 ? 1 : code < 0x10000 ? 2 : 3;
+    constexpr unsigned kLeadByte[] = {0, 0xc0, 0xe0, 0xf0};
+    out.push_back(static_cast<char>(kLeadByte[continuation_bytes] | (code >> (6 * continuation_bytes))));
+    for (int i = continuation_bytes - 1; i >= 0; --i)
+      out.push_back(static_cast<char>(0x80 | ((code >> (6 * i)) & 0x3f)));
   }
 
-  void Escape(std::string& out) {
+  void ParseEscape(std::string& out) {
     const char c = Peek();
-    ++at_;
-    constexpr std::string_view kFrom = "\"\\/bfnrt", kTo = "\"\\/\b\f\n\r\t";
-    if (const std::size_t i = kFrom.find(c); c != '\0' && i != std::string_view::npos) {
-      out.push_back(kTo[i]);
+    ++position_;
+    if (const std::size_t i = kShortEscapes.find(c); c != '\0' && i != std::string_view::npos) {
+      out.push_back(kEscapedCharacters[i]);
       return;
     }
-    if (c != 'u') Bad("unknown escape");
-    unsigned code = Hex4();
-    const bool high = code >= 0xd800 && code < 0xdc00;
-    if (high && text_.substr(at_, 2) == "\\u") {
-      at_ += 2;
-      const unsigned low = Hex4();
-      if (low < 0xdc00 || low > 0xdfff) Bad("half a surrogate pair");
-      code = 0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00);
-    } else if (code >= 0xd800 && code < 0xe000) {
-      Bad("half a surrogate pair");
-    }
-    PutUtf8(out, code);
+    if (c != 'u') Fail("unknown escape");
+    AppendUtf8(out, ParseEscapedCode());
   }
 
-  std::string Text() {
+  std::string ParseString() {
     std::string out;
-    for (++at_; Peek() != '"';) {
-      if (at_ >= text_.size()) Bad("text without an end");
-      if (static_cast<unsigned char>(Peek()) < 0x20) Bad("control character in a text");
+    for (++position_; Peek() != '"';) {
+      if (position_ >= text_.size()) Fail("text without an end");
+      if (static_cast<unsigned char>(Peek()) < 0x20) Fail("control character in a text");
       if (Peek() == '\\') {
-        ++at_;
-        Escape(out);
+        ++position_;
+        ParseEscape(out);
       } else {
-        out.push_back(text_[at_++]);
+        out.push_back(text_[position_++]);
       }
     }
-    ++at_;
+    ++position_;
     return out;
   }
 
   std::string_view text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 }  // namespace
 
-Json Json::Parse(std::string_view text) { return Parser(text).Whole(); }
+Json Json::Parse(std::string_view text) { return Parser(text).ParseDocument(); }
 
 const Json& Json::operator[](std::string_view name) const {
   static const Json kAbsent;
@@ -196,7 +212,7 @@
 
 std::int64_t Json::Integer(std::int64_t absent) const {
   const double value = Number(static_cast<double>(absent));
-  return value > -9e15 && value < 9e15 ? static_cast<std::int64_t>(value) : absent;
+  return value > -kMaxInteger && value < kMaxInteger ? static_cast<std::int64_t>(value) : absent;
 }
 
 }  // namespace lemoncroft::codec
--- a/src/codec/order_key.cpp
+++ b/src/codec/order_key.cpp
@@ -11,22 +11,22 @@
 
 constexpr std::size_t kHexDigits = 16;
 constexpr int kHexBase = 16;
-constexpr std::uint64_t kInsteadOfZero = 1;  // 0 stands for no key
+constexpr std::uint64_t kReplacementOfZero = 1;  // 0 means that there is no key
 
 }  // namespace
 
 bool IsOrderKey(std::string_view text) {
-  const auto printable = [](char c) { return c > ' ' && c < 0x7f; };
+  const auto is_printable = [](char c) { return c > ' ' && c < 0x7f; };
   return !text.empty() && text.size() <= kMaxOrderKeyBytes &&
-         std::all_of(text.begin(), text.end(), printable);
+         std::all_of(text.begin(), text.end(), is_printable);
 }
 
 std::uint64_t OrderKeyNumber(std::string_view text) {
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, kHexBase);
-  const bool hex = text.size() == kHexDigits && error == std::errc() && end == text.data() + text.size();
-  if (!hex) number = XXH3_64bits(text.data(), text.size());
-  return number == 0 ? kInsteadOfZero : number;
+  const bool is_hex = text.size() == kHexDigits && error == std::errc() && end == text.data() + text.size();
+  if (!is_hex) number = XXH3_64bits(text.data(), text.size());
+  return number == 0 ? kReplacementOfZero : number;
 }
 
 }  // namespace lemoncroft::codec
--- a/src/codec/statement.cpp
+++ b/src/codec/statement.cpp
@@ -1,91 +1,101 @@
 #include "codec/statement.h"
 
+#include <algorithm>
 #include <charconv>
 #include <optional>
 
 namespace lemoncroft::codec {
 namespace {
 
-bool IsWord(char c) {
+constexpr std::string_view kSchemaWithoutGroup = "staging";
+
+// Letters, digits, _ and $; all bytes of characters outside ASCII.
+bool IsNameCharacter(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_' || c == '$' ||
          static_cast<unsigned char>(c) >= 0x80;
 }
 
-// Walks a statement's tokens; strings and comments are passed over.
+// A name in a statement.
+struct Name {
+  std::string_view text;      // without quotes
+  bool is_qualifier = false;  // a dot follows, as after a schema
+};
+
+// Scans the names of a statement, without strings and comments.
 class Scanner {
  public:
   explicit Scanner(std::string_view text) : text_(text) {}
 
-  // The next name, bare or quoted; empty at the end. `qualifies` tells whether a dot follows it.
-  std::string_view NextName(bool& qualifies) {
-    while (at_ < text_.size()) {
-      const char c = text_[at_];
+  // The next name, bare or quoted; one with an empty text at the end.
+  Name NextName() {
+    while (position_ < text_.size()) {
+      const char c = text_[position_];
       if (c == '\'') {
         SkipString();
-      } else if (Ahead("--") || c == '#') {
+      } else if (StartsWith("--") || c == '#') {
         SkipTo("\n");
-      } else if (Ahead("/*")) {
+      } else if (StartsWith("/*")) {
         SkipTo("*/");
       } else if (c == '"' || c == '`') {
-        return Finish(Quoted(c), qualifies);
-      } else if (IsWord(c)) {
-        return Finish(Word(), qualifies);
+        return MakeName(ScanQuoted(c));
+      } else if (IsNameCharacter(c)) {
+        return MakeName(ScanWord());
       } else {
-        ++at_;
+        ++position_;
       }
     }
     return {};
   }
 
  private:
-  bool Ahead(std::string_view what) const { return text_.substr(at_, what.size()) == what; }
+  bool StartsWith(std::string_view token) const { return text_.substr(position_, token.size()) == token; }
 
   void SkipTo(std::string_view end) {
-    const std::size_t found = text_.find(end, at_ + 1);
-    at_ = found == std::string_view::npos ? text_.size() : found + end.size();
+    const std::size_t found = text_.find(end, position_ + 1);
+    position_ = found == std::string_view::npos ? text_.size() : found + end.size();
   }
 
-  // A doubled quote goes on; so does one behind a backslash.
+  // A doubled quote, or one after a backslash, is part of the string.
   void SkipString() {
-    for (++at_; at_ < text_.size(); ++at_) {
-      if (text_[at_] == '\\') {
-        ++at_;
-      } else if (text_[at_] == '\'') {
-        if (at_ + 1 >= text_.size() || text_[at_ + 1] != '\'') break;
-        ++at_;
+    for (++position_; position_ < text_.size(); ++position_) {
+      if (text_[position_] == '\\') {
+        ++position_;
+      } else if (text_[position_] == '\'') {
+        if (position_ + 1 >= text_.size() || text_[position_ + 1] != '\'') break;
+        ++position_;
       }
     }
-    at_ = at_ < text_.size() ? at_ + 1 : text_.size();
+    position_ = position_ < text_.size() ? position_ + 1 : text_.size();
   }
 
-  std::string_view Quoted(char quote) {
-    const std::size_t from = ++at_;
+  std::string_view ScanQuoted(char quote) {
+    const std::size_t from = ++position_;
     const std::size_t end = text_.find(quote, from);
-    at_ = end == std::string_view::npos ? text_.size() : end + 1;
+    position_ = end == std::string_view::npos ? text_.size() : end + 1;
     return text_.substr(from, end == std::string_view::npos ? end : end - from);
   }
 
-  std::string_view Word() {
-    const std::size_t from = at_;
-    while (at_ < text_.size() && IsWord(text_[at_])) ++at_;
-    return text_.substr(from, at_ - from);
+  std::string_view ScanWord() {
+    const std::size_t from = position_;
+    while (position_ < text_.size() && IsNameCharacter(text_[position_])) ++position_;
+    return text_.substr(from, position_ - from);
   }
 
-  std::string_view Finish(std::string_view name, bool& qualifies) {
-    std::size_t next = at_;
-    while (next < text_.size() && (text_[next] == ' ' || text_[next] == '\n' || text_[next] == '\t')) ++next;
-    qualifies = next < text_.size() && text_[next] == '.';
-    return name;
+  // The name that ends at the current position.
+  Name MakeName(std::string_view name) const {
+    const std::size_t next = std::min(text_.find_first_not_of(" \n\t", position_), text_.size());
+    return {name, next < text_.size() && text_[next] == '.'};
   }
 
   std::string_view text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
+// The number of a schema, if it has one.
 std::optional<std::uint32_t> GroupOf(std::string_view schema) {
   const std::size_t underscore = schema.rfind('_');
   if (underscore == std::string_view::npos || underscore == 0) return std::nullopt;
-  if (schema.substr(0, underscore) == "staging") return std::nullopt;
+  if (schema.substr(0, underscore) == kSchemaWithoutGroup) return std::nullopt;
   const std::string_view digits = schema.substr(underscore + 1);
   std::uint32_t number = 0;
   auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
@@ -97,11 +107,9 @@
 
 std::uint32_t TableGroup(std::string_view statement) {
   Scanner scanner(statement);
-  bool qualifies = false;
-  for (std::string_view name = scanner.NextName(qualifies); !name.empty();
-       name = scanner.NextName(qualifies)) {
-    if (!qualifies) continue;
-    if (const auto group = GroupOf(name)) return *group;
+  for (Name name = scanner.NextName(); !name.text.empty(); name = scanner.NextName()) {
+    if (!name.is_qualifier) continue;
+    if (const auto group = GroupOf(name.text)) return *group;
   }
   return 0;
 }
--- a/src/codec/statement.h
+++ b/src/codec/statement.h
@@ -1,4 +1,6 @@
-// The one thing that is read out of a statement: its group of tables.
+// Finds the table group of an SQL statement, the only property that is read from a statement.
+//
+// Pure function.
 #ifndef LEMONCROFT_CODEC_STATEMENT_H_
 #define LEMONCROFT_CODEC_STATEMENT_H_
 
@@ -7,8 +9,8 @@
 
 namespace lemoncroft::codec {
 
-// The number behind the underscore of the schema that the statement names first (17 in sales_17.orders);
-// 0 where there is none. Strings, comments and the schema `staging` don't count.
+// The number after the underscore of the first schema in the statement that has one (17 in sales_17.orders);
+// 0 if there is none. Strings, comments and the schema `staging` are ignored.
 std::uint32_t TableGroup(std::string_view statement);
 
 }  // namespace lemoncroft::codec
