--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -1,5 +1,5 @@
-// The life of a request where two things cross: what the module was told and what it says must agree in the
-// end, whichever came first.
+// Tests of broker::Broker where a cancellation races a decision: every attempt that the decision module asks
+// for must be reported to it once, whichever came first.
 #include "broker/broker.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-settings::Site SomeSite() {
+settings::Site MakeSite() {
   settings::Site site;
   site.classes = {"lookup"};
   ClassSettings lookup;
@@ -29,43 +29,44 @@
   return site;
 }
 
-// Where an answer goes that the test looks at.
-class Kept : public request::ResponseSink {
+// Counts responses.
+class CountingSink : public request::ResponseSink {
  public:
-  explicit Kept(int& answers) : answers_(answers) {}
-  void Complete(const request::Response&) override { ++answers_; }
+  explicit CountingSink(int& responses) : responses_(responses) {}
+  void Complete(const request::Response&) override { ++responses_; }
 
  private:
-  int& answers_;
+  int& responses_;
 };
 
 class BrokerTest : public testing::Test {
  public:
   ~BrokerTest() override {
-    spdlog::set_default_logger(before_);
-    spdlog::set_level(level_);
+    spdlog::set_default_logger(previous_logger_);
+    spdlog::set_level(previous_level_);
   }
 
  protected:
-  BrokerTest() : before_(spdlog::default_logger()), level_(spdlog::get_level()) {
+  BrokerTest() : previous_logger_(spdlog::default_logger()), previous_level_(spdlog::get_level()) {
     auto logger =
-        std::make_shared<spdlog::logger>("kept", std::make_shared<spdlog::sinks::ostream_sink_st>(log_));
+        std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::ostream_sink_st>(log_));
     spdlog::set_default_logger(logger);
     spdlog::set_level(spdlog::level::trace);
-    // Port 9 of this machine: nobody listens, so a connection is refused at once.
+    // Nobody listens on port 9, so that connections are refused at once.
     directory_.Apply(
         codec::Json::Parse(R"({"n":1,"events":[{"n":1,"members":{"complete":true,"members":[{"id":"s",)"
                            R"("host_port":"127.0.0.1:9","phase":"Ready","up_since_ms":0}]}}]})"),
         [this](const EngineList& list) { broker_.UpdateEndpoints(list); });
     broker_.Start();
   }
-  request::ClientRequest Request() const {
+  request::ClientRequest MakeRequest() const {
     request::ClientRequest request;
     request.forwarded = {"00000000000000aa", "lookup", "", "select 1"};
     request.deadline = runtime::Now() + 2s;
     return request;
   }
-  int Logged(const std::string& text) const {
+  // How often a text occurs in the log.
+  int CountLogged(const std::string& text) const {
     const std::string all = log_.str();
     int n = 0;
     for (std::size_t at = 0; (at = all.find(text, at)) != std::string::npos; ++at) ++n;
@@ -73,41 +74,40 @@
   }
 
   std::ostringstream log_;
-  std::shared_ptr<spdlog::logger> before_;
-  spdlog::level::level_enum level_;
+  std::shared_ptr<spdlog::logger> previous_logger_;
+  spdlog::level::level_enum previous_level_;
   runtime::Loop loop_;
-  settings::ActiveSettings site_{SomeSite()};
+  settings::ActiveSettings site_{MakeSite()};
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
   backend::Engines engines_{loop_, directory_, backend::ConnectionPool::Limits{16, 5s}, 250ms, counters_};
   broker::Broker broker_{loop_, site_, 7, engines_, counters_, {}};
-  int answers_ = 0;
+  int responses_ = 0;
 };
 
-// The module decides on an attempt in the very turn in which the client's leaving is on its way to it. The
-// attempt isn't made, and the module has to hear that, or it holds it for running for ever.
-TEST_F(BrokerTest, AnAttemptThatCrossesItsClientsLeavingEndsUnsent) {
+// The module decides on an attempt in the turn in which the cancellation is on its way to it. The attempt
+// isn't made; unless the module is told so, it counts the attempt as running for ever.
+TEST_F(BrokerTest, Attempt_DecidedWhileClientCancels_IsReportedAsNotSent) {
   const auto drive = [&]() -> runtime::Task<> {
-    const RequestId id = broker_.Submit(Request(), std::make_unique<Kept>(answers_));
-    co_await loop_.NextTurn();  // the module has been told of the request, and has not decided yet
+    const RequestId id = broker_.Submit(MakeRequest(), std::make_unique<CountingSink>(responses_));
+    co_await loop_.NextTurn();  // the module has the request, and has not decided yet
     broker_.CancelRequest(id);
     co_await loop_.Sleep(100ms);
     loop_.Stop();
   };
   loop_.Spawn(drive());
   loop_.Run();
-  EXPECT_EQ(Logged("says send"), 1) << "the crossing has to come about";
-  EXPECT_EQ(Logged("told ended"), 1) << log_.str();
+  EXPECT_EQ(CountLogged("says send"), 1) << "the crossing has to come about";
+  EXPECT_EQ(CountLogged("told ended"), 1) << log_.str();
   EXPECT_EQ(counters_.tries(), 0u);
-  EXPECT_EQ(answers_, 0);
+  EXPECT_EQ(responses_, 0);
   EXPECT_TRUE(broker_.idle());
 }
 
-// What each attempt brings is told once, however often its request is given up.
-TEST_F(BrokerTest, EveryAttemptEndsOnce) {
+TEST_F(BrokerTest, Attempt_RequestCancelledTwiceAtAnyTurn_IsReportedOnce) {
   const auto drive = [&]() -> runtime::Task<> {
     for (int turns = 0; turns < 12; ++turns) {
-      const RequestId id = broker_.Submit(Request(), std::make_unique<Kept>(answers_));
+      const RequestId id = broker_.Submit(MakeRequest(), std::make_unique<CountingSink>(responses_));
       for (int i = 0; i < turns; ++i) co_await loop_.NextTurn();
       broker_.CancelRequest(id);
       broker_.CancelRequest(id);
@@ -117,7 +117,7 @@
   };
   loop_.Spawn(drive());
   loop_.Run();
-  EXPECT_EQ(Logged("says send"), Logged("told ended")) << log_.str();
+  EXPECT_EQ(CountLogged("says send"), CountLogged("told ended")) << log_.str();
   EXPECT_TRUE(broker_.idle());
 }
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,5 +1,5 @@
-// Operators' calls, settings that replace others while requests are in flight, and checks of configuration
-// files.
+// Tests of the admin listener's calls, of the checks of configuration files at a reload, and of the bound on
+// counters.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace lemoncroft {
 namespace {
 
-TEST(Call, IsReadInPiecesOfAnySize) {
+TEST(AdminCall, Line_InPiecesOfAnySize_IsRead) {
   const std::string text = "exclude s-00c41f7a\r\nrest";
   for (std::size_t cut = 0; cut < 20; ++cut) {
     admin::LineReader reader;
@@ -27,16 +27,16 @@
   }
 }
 
-TEST(Call, IsBounded) {
+TEST(AdminCall, Line_TooLong_IsBounded) {
   admin::LineReader reader;
   EXPECT_EQ(reader.Feed(std::string(admin::kMaxLineBytes, 'x')), admin::LineReader::State::kNeedMore);
   EXPECT_EQ(reader.Feed("xx"), admin::LineReader::State::kTooLong);
   EXPECT_LE(reader.line().size(), admin::kMaxLineBytes + 1);
 }
 
-// ---- Files that are broken ----
+// ---- Configuration files ----
 
-constexpr const char* kFile =
+constexpr const char* kConfigFile =
     R"({"name":"n1","listen":"127.0.0.1:1","seed":"8c","limits":{"memory_mb":192,"sockets":1024},"feed":"",)"
     R"("known":{"n":1,"events":[]},"settings":{"tickNs":5000000,"requestClasses":[)"
     R"({"name":"a","promiseNs":6,"deadlineNs":30,"credit":1.0,"lateWorth":0.1,"effect":"pure"},)"
@@ -44,11 +44,12 @@
     R"("tenants":[{"name":"acme","quotaPerS":1000}],"specifics":{"threadsByClass":[1,2]},)"
     R"("limits":{"maxAttempts":5,"connectTimeoutNs":250}}})";
 
-bool Taken(const std::string& text) {
+// Whether a reload accepts a configuration file.
+bool IsAccepted(const std::string& text) {
   try {
     const cli::Config config = cli::ReadConfig(text);
     cli::CheckFigures(config);
-    cli::CheckShape(config, cli::ReadConfig(kFile));
+    cli::CheckShape(config, cli::ReadConfig(kConfigFile));
     return true;
   } catch (const cli::ConfigError& e) {
     EXPECT_STRNE(e.what(), "");
@@ -56,29 +57,30 @@
   }
 }
 
-TEST(Reload, TakesWhatIsWholeAndNothingCutOff) {
-  const std::string file = kFile;
-  EXPECT_TRUE(Taken(file));
-  for (std::size_t size = 0; size < file.size(); ++size) EXPECT_FALSE(Taken(file.substr(0, size))) << size;
+TEST(ConfigReload, File_TruncatedAtAnyByte_IsRejected) {
+  const std::string file = kConfigFile;
+  EXPECT_TRUE(IsAccepted(file));
+  for (std::size_t size = 0; size < file.size(); ++size)
+    EXPECT_FALSE(IsAccepted(file.substr(0, size))) << size;
 }
 
-TEST(Reload, TurnsDownAFileShortOfAnyKey) {
-  const std::string file = kFile;
+TEST(ConfigReload, File_WithoutAnyOneKey_IsRejected) {
+  const std::string file = kConfigFile;
   int keys = 0;
   for (std::size_t at = 0; (at = file.find("\":", at)) != std::string::npos; at += 2) {
     std::string renamed = file;
     renamed[at - 1] = '#';
-    EXPECT_FALSE(Taken(renamed)) << renamed.substr(at - 10, 20);
+    EXPECT_FALSE(IsAccepted(renamed)) << renamed.substr(at - 10, 20);
     ++keys;
   }
   EXPECT_GT(keys, 25);
 }
 
-TEST(Reload, TurnsDownFiguresThatAreNone) {
+TEST(ConfigReload, Value_InvalidOrOutOfRange_IsRejected) {
   const auto with = [](const std::string& what, const std::string& by) {
-    std::string file = kFile;
+    std::string file = kConfigFile;
     file.replace(file.find(what), what.size(), by);
-    return Taken(file);
+    return IsAccepted(file);
   };
   for (const char* value :
        {"0", "-5", "1e30", "\"30\"", "null", "[30]", "{}", "true", "nan", "90000000000000"})
@@ -94,7 +96,7 @@
   EXPECT_TRUE(with("\"maxAttempts\":5", "\"maxAttempts\":2"));
 }
 
-TEST(Counters, AreBounded) {
+TEST(Counters, Classes_MoreThanTheLimit_AreBounded) {
   metrics::Counters counters;
   for (int i = 0; i < 10'000; ++i) counters.Taken("class-" + std::to_string(i));
   EXPECT_EQ(counters.classes().size(), metrics::Counters::kMaxClasses);
