--- /dev/null
+++ b/src/backend/connection_pool.cpp
@@ -0,0 +1,138 @@
+#include "backend/connection_pool.h"
+
+#include <utility>
+
+namespace lemoncroft::backend {
+
+using runtime::Io;
+using namespace std::chrono_literals;
+
+namespace {
+
+// An idle connection has to be silent for this long before it is reused. Bytes that an engine sends after a
+// complete response may come a moment later, and must not be taken for the next response.
+constexpr auto kQuietPeriod = 25ms;
+constexpr auto kExpiryCheckInterval = 500ms;
+
+}  // namespace
+
+PooledConnection& PooledConnection::operator=(PooledConnection&& other) noexcept {
+  if (this != &other) {
+    Return();
+    pool_ = std::exchange(other.pool_, nullptr);
+    engine_ = other.engine_;
+    incarnation_ = other.incarnation_;
+    reused_ = other.reused_;
+    connection_ = std::move(other.connection_);
+  }
+  return *this;
+}
+
+void PooledConnection::Return() {
+  if (pool_ != nullptr) pool_->TakeBack(*this);
+  pool_ = nullptr;
+  connection_.reset();
+}
+
+void ConnectionPool::Lend(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection,
+                          Origin origin, PooledConnection& out) {
+  out.Return();
+  out.pool_ = this;
+  out.engine_ = endpoint.effective.engine;
+  out.incarnation_ = endpoint.incarnation;
+  out.reused_ = origin == Origin::kReused;
+  out.connection_ = std::move(connection);
+}
+
+void ConnectionPool::TakeBack(PooledConnection& connection) {
+  const discovery::Endpoint* endpoint = directory_.Find(connection.engine_);
+  const bool same_incarnation = endpoint != nullptr && endpoint->incarnation == connection.incarnation_;
+  if (same_incarnation && connection->Reusable()) {
+    idle_[connection.engine_].push_back({std::move(connection.connection_), runtime::Now()});
+  } else {
+    --open_connections_;
+  }
+}
+
+std::unique_ptr<http::Connection> ConnectionPool::TakeIdle(EngineId engine) {
+  const auto it = idle_.find(engine);
+  if (it == idle_.end()) return nullptr;
+  std::deque<IdleConnection>& idle = it->second;
+  const runtime::Time quiet_since = runtime::Now() - kQuietPeriod;
+  for (std::size_t i = idle.size(); i-- > 0;) {
+    if (idle[i].since > quiet_since) continue;
+    std::unique_ptr<http::Connection> connection = std::move(idle[i].connection);
+    idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
+    if (connection->Reusable()) return connection;
+    --open_connections_;
+  }
+  return nullptr;
+}
+
+runtime::Task<Io> ConnectionPool::Acquire(EngineId engine, runtime::Time deadline,
+                                          runtime::Cancellation* cancel, PooledConnection& out, Reuse reuse) {
+  const discovery::Endpoint* endpoint = directory_.Find(engine);
+  if (endpoint == nullptr) co_return Io::kClosed;
+  if (reuse == Reuse::kIfIdle) {
+    if (auto connection = TakeIdle(engine)) {
+      Lend(*endpoint, std::move(connection), Origin::kReused, out);
+      co_return Io::kOk;
+    }
+  }
+  if (open_connections_ >= limits_.max_connections && !EvictOne()) co_return Io::kNoDescriptors;
+  const std::uint64_t incarnation = endpoint->incarnation;
+  std::unique_ptr<runtime::Socket> socket;
+  ++open_connections_;  // before the connect, so that concurrent ones can't exceed the limit
+  Io io = co_await Connect(loop_, endpoint->address, deadline, cancel, socket);
+  // The endpoint list may have changed during the connect: the address may be another engine's now.
+  endpoint = directory_.Find(engine);
+  if (io == Io::kOk && (endpoint == nullptr || endpoint->incarnation != incarnation)) io = Io::kClosed;
+  if (io != Io::kOk) {
+    --open_connections_;
+    co_return io;
+  }
+  auto connection =
+      std::make_unique<http::Connection>(std::move(socket), endpoint->host_port, limits_.response);
+  Lend(*endpoint, std::move(connection), Origin::kNew, out);
+  co_return Io::kOk;
+}
+
+void ConnectionPool::CloseIdle(EngineId engine) {
+  const auto it = idle_.find(engine);
+  if (it == idle_.end()) return;
+  open_connections_ -= it->second.size();
+  idle_.erase(it);
+}
+
+void ConnectionPool::set_max_connections(std::size_t max_connections) {
+  limits_.max_connections = max_connections;
+  while (open_connections_ > max_connections && EvictOne()) {
+  }
+}
+
+// Closes the connection that has been idle longest of the engine with the most idle connections.
+bool ConnectionPool::EvictOne() {
+  std::deque<IdleConnection>* most = nullptr;
+  for (auto& [id, idle] : idle_) {
+    if (!idle.empty() && (most == nullptr || idle.size() > most->size())) most = &idle;
+  }
+  if (most == nullptr) return false;
+  most->pop_front();
+  --open_connections_;
+  return true;
+}
+
+runtime::Task<> ConnectionPool::CloseExpired() {
+  for (;;) {
+    co_await loop_.Sleep(kExpiryCheckInterval);
+    const runtime::Time expired_before = runtime::Now() - limits_.idle_timeout;
+    for (auto& [id, idle] : idle_) {
+      while (!idle.empty() && idle.front().since < expired_before) {
+        idle.pop_front();
+        --open_connections_;
+      }
+    }
+  }
+}
+
+}  // namespace lemoncroft::backend
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -60,8 +60,8 @@
   runtime::Task<> Serve();
 
   // Sends the response to the request on `stream`; nothing if the output has been closed.
-  void SendResponse(std::uint32_t stream, const broker::Answer& answer);
-  void SendWaitNotice(std::uint32_t stream, const broker::WaitNotice& notice);
+  void SendResponse(std::uint32_t stream, const request::Response& answer);
+  void SendWaitNotice(std::uint32_t stream, const request::WaitNotice& notice);
   // Asks the client, once, for no new request on this connection.
   void AnnounceDrain();
 
@@ -94,7 +94,7 @@
   InputState HandleFrames();
   void HandleFrame(const codec::Frame& frame);
   void HandleRequest(const codec::Frame& frame);
-  void SubmitRequest(std::uint32_t stream, broker::ClientRequest request);
+  void SubmitRequest(std::uint32_t stream, request::ClientRequest request);
   void HandleCancel(std::uint32_t stream);
   void CancelOpenRequests();
   void UpdatePartialFrameAge(std::size_t bytes_before);
--- a/src/frontend/client_connection_input.cpp
+++ b/src/frontend/client_connection_input.cpp
@@ -130,21 +130,21 @@
     CountEnded(fields->Get(kFieldClassName), metrics::End::kError);
     return SendError(frame.stream, ErrorText(request.error()));
   }
-  request->watched = request->watched && context_.sends_wait_notices;
+  request->wants_wait_notices = request->wants_wait_notices && context_.sends_wait_notices;
   has_sent_request_ = true;
   last_active_at_ = Now();
   if (open_streams_.size() >= kMaxOpenStreams) {
     ++invalid_frames_;
-    CountEnded(request->passed.lane, metrics::End::kShed);
+    CountEnded(request->forwarded.class_name, metrics::End::kShed);
     return Append(codec::kResponseFrame, frame.stream, codec::kRejectedCode, {}, kErrorTooManyStreams);
   }
   SubmitRequest(frame.stream, std::move(*request));
 }
 
-void ClientConnection::SubmitRequest(std::uint32_t stream, broker::ClientRequest request) {
+void ClientConnection::SubmitRequest(std::uint32_t stream, request::ClientRequest request) {
   open_streams_.emplace(stream, 0);
-  const RequestId id = context_.broker.Take(std::move(request),
-                                            std::make_unique<StreamResponseSink>(weak_from_this(), stream));
+  const RequestId id = context_.broker.Submit(std::move(request),
+                                              std::make_unique<StreamResponseSink>(weak_from_this(), stream));
   // The broker may have answered within the call.
   if (const auto it = open_streams_.find(stream); it != open_streams_.end()) it->second = id;
 }
--- a/src/frontend/client_connection_output.cpp
+++ b/src/frontend/client_connection_output.cpp
@@ -22,13 +22,13 @@
   return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(span).count());
 }
 
-codec::ResponseCode CodeOf(broker::Verdict verdict) {
+codec::ResponseCode CodeOf(request::ResponseStatus verdict) {
   switch (verdict) {
-    case broker::Verdict::kServed:
+    case request::ResponseStatus::kServed:
       return codec::kServedCode;
-    case broker::Verdict::kRefused:
+    case request::ResponseStatus::kRejected:
       return codec::kRejectedCode;
-    case broker::Verdict::kFailed:
+    case request::ResponseStatus::kFailed:
       break;
   }
   return codec::kFailedCode;
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-void ClientConnection::SendResponse(std::uint32_t stream, const broker::Answer& answer) {
+void ClientConnection::SendResponse(std::uint32_t stream, const request::Response& answer) {
   if (output_closed_) return;
   open_streams_.erase(stream);
   last_active_at_ = Now();
@@ -46,14 +46,14 @@
     retry_after = MillisecondsText(answer.retry_after);
     fields.emplace_back(kFieldRetryAfterMs, retry_after);
   }
-  Append(codec::kResponseFrame, stream, CodeOf(answer.verdict), fields, answer.rows);
+  Append(codec::kResponseFrame, stream, CodeOf(answer.status), fields, answer.rows);
   if (open_streams_.empty() && input_unreadable_) stop_discarding_.Cancel();
 }
 
-void ClientConnection::SendWaitNotice(std::uint32_t stream, const broker::WaitNotice& notice) {
+void ClientConnection::SendWaitNotice(std::uint32_t stream, const request::WaitNotice& notice) {
   if (output_closed_) return;
   const std::string expected = MillisecondsText(notice.wait);
-  const std::string max = MillisecondsText(notice.most);
+  const std::string max = MillisecondsText(notice.upper_bound);
   Append(codec::kWaitNoticeFrame, stream, codec::kServedCode,
          {{kFieldExpectedWaitMs, expected}, {kFieldMaxWaitMs, max}});
 }
--- a/src/frontend/request_parser.cpp
+++ b/src/frontend/request_parser.cpp
@@ -78,11 +78,11 @@
   return std::chrono::duration_cast<runtime::Span>(std::chrono::duration<double, std::milli>(ms));
 }
 
-broker::ForwardedFields ForwardedFieldsOf(const codec::Fields& fields) {
-  broker::ForwardedFields forwarded;
-  forwarded.id = fields.Get(kFieldRequestId);
-  forwarded.lane = fields.Get(kFieldClassName);
-  forwarded.dedupe = fields.Get(kFieldIdempotencyKey);
+request::ForwardedFields ForwardedFieldsOf(const codec::Fields& fields) {
+  request::ForwardedFields forwarded;
+  forwarded.request_id = fields.Get(kFieldRequestId);
+  forwarded.class_name = fields.Get(kFieldClassName);
+  forwarded.idempotency_key = fields.Get(kFieldIdempotencyKey);
   forwarded.statement = fields.body;
   return forwarded;
 }
@@ -109,8 +109,8 @@
   return kErrorMalformedFields;
 }
 
-tl::expected<broker::ClientRequest, RequestError> ParseRequest(const codec::Fields& fields,
-                                                               const settings::Site& settings) {
+tl::expected<request::ClientRequest, RequestError> ParseRequest(const codec::Fields& fields,
+                                                                const settings::Site& settings) {
   const auto class_id = settings.ClassOf(fields.Get(kFieldClassName));
   if (!class_id) return tl::unexpected(RequestError::kUnknownClass);
   const auto tenant = settings.TenantOf(fields.Get(kFieldTenant));
@@ -127,16 +127,16 @@
   const auto estimates = ParseEstimates(fields, request_class, settings);
   if (!estimates) return tl::unexpected(RequestError::kInvalidNumber);
 
-  broker::ClientRequest request;
+  request::ClientRequest request;
   request.class_id = *class_id;
   request.tenant = *tenant;
-  request.order_key = ordering_key.empty() ? 0 : codec::OrderKeyNumber(ordering_key);
+  request.ordering_key = ordering_key.empty() ? 0 : codec::OrderKeyNumber(ordering_key);
   request.deadline = runtime::Now() + FromMs(estimates->timeout_ms);
-  request.est_work = FromMs(estimates->cpu_ms);
-  request.est_memory_mb = estimates->memory_mb;
-  request.tables = codec::TableGroup(fields.body);
-  request.watched = !fields.Get(kFieldWantsWaitNotices).empty();
-  request.passed = ForwardedFieldsOf(fields);
+  request.estimated_work = FromMs(estimates->cpu_ms);
+  request.estimated_memory_mb = estimates->memory_mb;
+  request.table_group = codec::TableGroup(fields.body);
+  request.wants_wait_notices = !fields.Get(kFieldWantsWaitNotices).empty();
+  request.forwarded = ForwardedFieldsOf(fields);
   return request;
 }
 
--- a/src/frontend/request_parser.h
+++ b/src/frontend/request_parser.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "broker/request.h"
 #include "codec/frame.h"
+#include "request/client_request.h"
 #include "settings/settings.h"
 
 namespace lemoncroft::frontend {
@@ -30,8 +30,8 @@
 
 // Returns the request in the terms of `settings`, or its first error. Numbers that are absent take their
 // defaults: no estimate, and the class's deadline as the timeout.
-tl::expected<broker::ClientRequest, RequestError> ParseRequest(const codec::Fields& fields,
-                                                               const settings::Site& settings);
+tl::expected<request::ClientRequest, RequestError> ParseRequest(const codec::Fields& fields,
+                                                                const settings::Site& settings);
 
 }  // namespace lemoncroft::frontend
 
--- a/src/frontend/stream_response_sink.h
+++ b/src/frontend/stream_response_sink.h
@@ -9,21 +9,21 @@
 #include <memory>
 #include <utility>
 
-#include "broker/request.h"
 #include "frontend/client_connection.h"
+#include "request/client_request.h"
 
 namespace lemoncroft::frontend {
 
-class StreamResponseSink : public broker::ResponseSink {
+class StreamResponseSink : public request::ResponseSink {
  public:
   StreamResponseSink(std::weak_ptr<ClientConnection> connection, std::uint32_t stream)
       : connection_(std::move(connection)), stream_(stream) {}
 
-  void Finish(const broker::Answer& answer) override {
+  void Complete(const request::Response& answer) override {
     if (const auto connection = connection_.lock()) connection->SendResponse(stream_, answer);
   }
 
-  void NotifyWait(const broker::WaitNotice& notice) override {
+  void NotifyWait(const request::WaitNotice& notice) override {
     if (const auto connection = connection_.lock()) connection->SendWaitNotice(stream_, notice);
   }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -180,7 +180,7 @@
 
 int ShowState(Options& options, const Subcommands& commands) {
   using namespace lemoncroft;
-  const bool of_fleet = *commands.peers;
+  const bool of_fleet = commands.peers->parsed();
   if (options.state.empty()) options.state = StateFile(options, of_fleet ? "peers" : "waiting");
   const cli::OutputFormat format = options.json ? cli::OutputFormat::kJson : cli::OutputFormat::kText;
   return of_fleet ? cli::ShowFleetState(options.state, format) : cli::ShowQueueState(options.state, format);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -46,7 +46,8 @@
 }
 
 std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& file) {
-  return file.admission_queue ? file.admission_queue->queue.max_waiting : broker::Broker::Limits().requests;
+  return file.admission_queue ? file.admission_queue->queue.max_waiting
+                              : broker::Broker::Limits().max_requests;
 }
 
 // Tells the fleet of this process's phase, and has telemetry list the fleet's metrics.
@@ -144,7 +145,9 @@
 // handled are read in the next turn.
 runtime::Task<> HandleSignals(runtime::Loop& loop, SignalReader& signals, const StartupOptions& options,
                               ReloadableState& state, Operations& operations, Fleet* fleet) {
-  while (co_await signals.Next() == SIGHUP) {
+  // No `while (co_await ...)`: built so by GCC 12.2, this coroutine never reads a signal. The compiler seems
+  // to keep the condition's value where the coroutine's frame has its resume pointer.
+  for (int signal = co_await signals.Next(); signal == SIGHUP; signal = co_await signals.Next()) {
     Reload(options, state);
     loop.Spawn(FreeRetiredNumbers(loop, state));
   }
@@ -182,7 +185,7 @@
   if (file.admission_queue) broker.EnableAdmissionQueue(file.admission_queue->queue);
   frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited)), active_settings,
                                broker, counters, ClientLimits(config, memory_mb));
-  directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().Drop(engine); };
+  directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().CloseIdle(engine); };
   const auto on_endpoint_update = [&](EngineList list) {
     broker.UpdateEndpoints(std::move(list));
     server.set_ready(directory.has_complete_list());
@@ -214,7 +217,7 @@
   if (file.replicated_config)
     service = StartReplicatedConfig(loop, *fleet, *file.replicated_config, state, operations);
   loop.Spawn(endpoint_watch.Run());
-  loop.Spawn(engines.pool().CloseIdle());
+  loop.Spawn(engines.pool().CloseExpired());
   broker.Start();
   StartServing(loop, ownership, registry.get(), operations, state);
   const auto admin_listener = StartAdminListener(loop, config, operations, service.get());
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -25,7 +25,7 @@
   state.directory.RenumberKindsAndZones(state.on_endpoint_update);
   state.engines.set_connect_timeout(decision::ToSpan(active->module.connect_timeout));
   state.engines.set_report_fields(active->report_fields);
-  state.engines.pool().set_idle(EngineIdleTimeout(*active));
+  state.engines.pool().set_idle_timeout(EngineIdleTimeout(*active));
   for (const std::string& class_id : active->classes)
     if (!class_id.empty()) state.counters.AddClass(class_id);
 }
@@ -98,8 +98,8 @@
 // Throws for files that can't be used, and changes nothing then.
 void ReloadOrThrow(const StartupOptions& options, ReloadableState& state) {
   Config config = LoadReloadableConfig(options.config_path, state.config);
-  settings::Migration migration =
-      MigrateSettings(*state.active_settings, WithReplicatedConfig(state, config.site), state.broker.used());
+  settings::Migration migration = MigrateSettings(
+      *state.active_settings, WithReplicatedConfig(state, config.site), state.broker.NumbersInUse());
   operator_config::OperatorFile file = ReadOperatorSettings(options, migration.site);
   CheckSamePartsEnabled(options.operator_path, file, state);
   if (file.replicated_config && *file.replicated_config != state.replicated_config_service->settings())
@@ -144,7 +144,7 @@
                       const replicated_config::Document& document) {
   ApplySettings(state, MigrateSettings(*state.active_settings,
                                        replicated_config::ApplyDocument(document, state.config.site),
-                                       state.broker.used()));
+                                       state.broker.NumbersInUse()));
   ApplyQueueSettings(state, &document);
   loop.Spawn(FreeRetiredNumbers(loop, state));
 }
@@ -154,7 +154,7 @@
   while (settings::HasRetired(*state.active_settings)) {
     co_await loop.Sleep(kRetiredNumbersInterval);
     settings::Migration migration = MigrateSettings(
-        *state.active_settings, settings::RemoveRetired(*state.active_settings), state.broker.used());
+        *state.active_settings, settings::RemoveRetired(*state.active_settings), state.broker.NumbersInUse());
     if (migration.site.module.classes != state.active_settings->module.classes)
       ApplySettings(state, std::move(migration));
   }
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -28,10 +28,10 @@
   return limits;
 }
 
-backend::Pool::Limits PoolLimits(const Config& config) {
-  backend::Pool::Limits limits;
-  limits.connections = hot_restart::DivideLimits(ProxyLimitsOf(config), {}, {}).engines;
-  limits.idle = EngineIdleTimeout(config.site);
+backend::ConnectionPool::Limits PoolLimits(const Config& config) {
+  backend::ConnectionPool::Limits limits;
+  limits.max_connections = hot_restart::DivideLimits(ProxyLimitsOf(config), {}, {}).engines;
+  limits.idle_timeout = EngineIdleTimeout(config.site);
   return limits;
 }
 
@@ -48,8 +48,8 @@
 broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb,
                                      std::size_t default_max_open) {
   broker::Broker::Limits limits;
-  limits.requests = MaxOpenRequests(config.site, default_max_open);
-  if (memory_mb > 0) limits.bytes = (memory_mb << 20) / 8;
+  limits.max_requests = MaxOpenRequests(config.site, default_max_open);
+  if (memory_mb > 0) limits.max_bytes = (memory_mb << 20) / 8;
   return limits;
 }
 
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -8,7 +8,7 @@
 
 #include <cstddef>
 
-#include "backend/pool.h"
+#include "backend/connection_pool.h"
 #include "broker/broker.h"
 #include "frontend/frame_server.h"
 #include "hot_restart/process_limits.h"
@@ -25,7 +25,7 @@
 hot_restart::ProxyLimits ProxyLimitsOf(const Config& config);
 
 // Limits of one process. `memory_mb` is its part of the proxy's memory; 0: not known.
-backend::Pool::Limits PoolLimits(const Config& config);
+backend::ConnectionPool::Limits PoolLimits(const Config& config);
 frontend::FrameServer::Limits ClientLimits(const Config& config, std::size_t memory_mb);
 broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb,
                                      std::size_t default_max_open);
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -34,13 +34,14 @@
 
 // Waits for open requests until `last`, then has the rest answered.
 Task<> CompleteRequestsBy(runtime::Loop& loop, broker::Broker& broker, Time last) {
-  while (broker.open() > 0 && Now() < last) co_await loop.Sleep(kDrainPollInterval);
-  if (broker.open() > 0) spdlog::info("ending: {} requests can't be waited for", broker.open());
+  while (broker.open_requests() > 0 && Now() < last) co_await loop.Sleep(kDrainPollInterval);
+  if (broker.open_requests() > 0)
+    spdlog::info("ending: {} requests can't be waited for", broker.open_requests());
   broker.CompleteAllRequests();
 }
 
 Task<> CloseConnections(runtime::Loop& loop, frontend::FrameServer& server, const broker::Broker& broker) {
-  while (broker.open() > 0 || !server.flushed()) {
+  while (broker.open_requests() > 0 || !server.flushed()) {
     server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
@@ -60,14 +61,14 @@
   using Queue = frontend::FrameServer::Queue;
   const bool has_successor = listener == ListenerOwnership::kShared;
   const Time since = Now();
-  spdlog::info("ending: {} requests open", broker.open());
+  spdlog::info("ending: {} requests open", broker.open_requests());
   if (has_successor) server.StopAccepting(Queue::kLeaveQueued);
   server.AnnounceDrain();
   co_await loop.SleepUntil(since + kKeepAcceptingDuration);
   if (!has_successor) server.StopAccepting(Queue::kAcceptQueued);
   server.AnnounceDrain();  // to clients that have connected since
   co_await loop.SleepUntil(since + kKeepServingDuration);
-  broker.Close();
+  broker.RejectNewRequests();
   if (has_successor) co_await CompleteRequestsBy(loop, broker, FinalAnswerTime(since, *active_settings));
   co_await CloseConnections(loop, server, broker);
   // The engines of cancelled attempts are still being told; without that the attempts would run on.
