--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -80,23 +80,37 @@
   double sent = 0;  // calls of mean work in all
 };
 
-// One simulated run of a fleet, whose steps share its state; not split yet.
-// NOLINTNEXTLINE(readability-function-size)
-Outcomes Play(const Plan& plan) {
-  std::mt19937_64 random(plan.seed);
-  const auto chance = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
-  const Settings base = SettingsOf(plan);
-  const double mean_work = MeanWork(plan);
-  const Nanos start = 1000 * kSecond;
-  const EngineId cold = 1;
-  std::vector<EngineEntry> list;
-  for (int i = 1; i <= plan.engines; ++i) {
-    EngineEntry e;
-    e.engine = static_cast<EngineId>(i);
-    e.started_at = 0;
-    list.push_back(e);
+// One simulated run of a fleet of gateways. Engines respond after half of a request's work.
+class FleetSimulation {
+ public:
+  explicit FleetSimulation(const Plan& plan)
+      : plan_(plan),
+        random_(plan.seed),
+        base_(SettingsOf(plan)),
+        mean_work_(MeanWork(plan)),
+        gateways_(static_cast<std::size_t>(plan.gateways)) {
+    for (int i = 1; i <= plan.engines; ++i) {
+      EngineEntry engine;
+      engine.engine = static_cast<EngineId>(i);
+      engines_.push_back(engine);
+    }
+    for (int i = 0; i < plan.gateways; ++i) StartGateway(i);
+  }
+
+  Outcomes Run() {
+    for (Nanos now = kStart; now < restart_of_engines_ + plan_.length; now += kTick) {
+      if (now == restart_of_engines_) RestartEngines(now);
+      if (plan_.restart_at >= 0 && now == restart_of_engines_ + plan_.restart_at) {
+        for (int i = 0; i < plan_.gateways * 7 / 10; ++i) StartGateway(i);
+      }
+      for (Member& member : gateways_) StepGateway(member, now);
+    }
+    return result_;
   }
-  const auto told = [&] { return std::make_shared<const std::vector<EngineEntry>>(list); };
+
+ private:
+  static constexpr Nanos kStart = 1000 * kSecond;
+  static constexpr EngineId kObserved = 1;  // the engine whose load is checked
 
   struct Running {
     Nanos ends;
@@ -109,95 +123,111 @@
     std::map<RequestId, double> work;
     std::map<RequestId, std::uint16_t> class_id;
     std::map<RequestId, int> attempts;
-    std::priority_queue<Running, std::vector<Running>, std::greater<>> out;
+    std::priority_queue<Running, std::vector<Running>, std::greater<>> in_flight;
     std::vector<Event> events;
   };
-  const double rate = plan.load * 12 * plan.engines / mean_work;
-  const int few = std::max(1, plan.gateways / 10);
-  std::vector<Member> fleet(static_cast<std::size_t>(plan.gateways));
-  const auto begin = [&](int i) {
-    Member& m = fleet[static_cast<std::size_t>(i)];
-    Settings own = base;
+
+  double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
+
+  EngineList List() const {
+    return EngineList{ListKind::kFull, std::make_shared<const std::vector<EngineEntry>>(engines_)};
+  }
+
+  // Starts gateway number `i`, or starts it anew without its state.
+  void StartGateway(int i) {
+    const double rate = plan_.load * 12 * plan_.engines / mean_work_;
+    const int few = std::max(1, plan_.gateways / 10);
+    Member& member = gateways_[static_cast<std::size_t>(i)];
+    Settings own = base_;
     own.self = i;
-    m = Member();
-    m.gateway = std::make_unique<Gateway>(own, random());
-    m.rate = plan.skewed ? (i < few ? 0.5 * rate / few : 0.5 * rate / (plan.gateways - few))
-                         : rate / plan.gateways;
-    m.events.push_back(EngineList{ListKind::kFull, told()});
-  };
-  for (int i = 0; i < plan.gateways; ++i) begin(i);
+    member = Member();
+    member.gateway = std::make_unique<Gateway>(own, random_());
+    if (!plan_.skewed)
+      member.rate = rate / plan_.gateways;
+    else
+      member.rate = i < few ? 0.5 * rate / few : 0.5 * rate / (plan_.gateways - few);
+    member.events.push_back(List());
+  }
 
-  Outcomes result;
-  std::deque<std::pair<Nanos, double>> window;
-  double in_window = 0;
-  RequestId next = 1;
-  const Nanos cold_start = start + plan.warm_up;
-  std::vector<Action> actions;
-  for (Nanos now = start; now < cold_start + plan.length; now += kTick) {
-    if (now == cold_start) {
-      for (EngineEntry& e : list)
-        if (e.engine == cold || plan.all_cold) e.started_at = now;
-      for (Member& m : fleet) m.events.push_back(EngineList{ListKind::kFull, told()});
-    }
-    if (plan.restart_at >= 0 && now == cold_start + plan.restart_at) {
-      for (int i = 0; i < plan.gateways * 7 / 10; ++i) begin(i);
+  void RestartEngines(Nanos now) {
+    for (EngineEntry& engine : engines_)
+      if (engine.engine == kObserved || plan_.all_cold) engine.started_at = now;
+    for (Member& member : gateways_) member.events.push_back(List());
+  }
+
+  void StepGateway(Member& member, Nanos now) {
+    while (!member.in_flight.empty() && member.in_flight.top().ends <= now) {
+      member.events.push_back(member.in_flight.top().end);
+      member.in_flight.pop();
     }
-    for (Member& m : fleet) {
-      while (!m.out.empty() && m.out.top().ends <= now) {
-        m.events.push_back(m.out.top().end);
-        m.out.pop();
-      }
-      for (int n = std::poisson_distribution<int>(m.rate * 0.005)(random); n > 0; --n) {
-        const double pick = chance();
-        const std::uint16_t class_id = pick < kClasses[0].share ? 0 : pick < 1 - kClasses[2].share ? 1 : 2;
-        Request r;
-        r.id = next++;
-        r.class_id = class_id;
-        r.client_timeout = 10 * kSecond;
-        const double work = plan.small * kClasses[class_id].work * -std::log(1 - chance());
-        r.est_work = static_cast<Nanos>(std::max(1e-5, work) * 1e9);
-        r.tables = static_cast<std::uint32_t>(random() % 20);
-        m.work[r.id] = std::max(1e-5, work);
-        m.class_id[r.id] = class_id;
-        m.events.push_back(r);
-      }
-      m.events.push_back(TimerFired{0});
-      actions.clear();
-      m.gateway->Step(now, m.events, actions);
-      m.events.clear();
-      for (const Action& action : actions) {
-        if (const auto* send = std::get_if<Send>(&action)) {
-          const double work = m.work.at(send->id);
-          AttemptEnded end;
-          end.id = send->id;
-          end.attempt = m.attempts[send->id]++;
-          end.engine = send->engine;
-          end.finished = true;
-          end.work = static_cast<Nanos>(work * 1e9);
-          end.waited = static_cast<Nanos>(work * 1e9 / 2);
-          m.out.push({now + end.waited, end});
-          if (send->engine != cold || now < cold_start) continue;
-          const double calls =
-              plan.small * kClasses[m.class_id.at(send->id)].work / mean_work;  // as the rule weighs it
-          window.emplace_back(now, calls);
-          in_window += calls;
-          result.sent += calls;
-          while (window.front().first <= now - base.overload_window) {
-            in_window -= window.front().second;
-            window.pop_front();
-          }
-          const double age =
-              static_cast<double>(now - cold_start) / static_cast<double>(base.slow_start_duration);
-          const double share =
-              base.slow_start_initial_share + (1 - base.slow_start_initial_share) * std::min(1.0, age);
-          const double n = base.overload_factor * share * 12 / mean_work;
-          result.worst = std::max(result.worst, in_window / (n + 2 * std::sqrt(n) + 2));
-        }
-      }
+    for (int n = std::poisson_distribution<int>(member.rate * 0.005)(random_); n > 0; --n) AddRequest(member);
+    member.events.push_back(TimerFired{0});
+    actions_.clear();
+    member.gateway->Step(now, member.events, actions_);
+    member.events.clear();
+    for (const Action& action : actions_)
+      if (const auto* send = std::get_if<Send>(&action)) StartAttempt(member, *send, now);
+  }
+
+  void AddRequest(Member& member) {
+    const double pick = Chance();
+    const std::uint16_t class_id = pick < kClasses[0].share ? 0 : pick < 1 - kClasses[2].share ? 1 : 2;
+    Request request;
+    request.id = next_id_++;
+    request.class_id = class_id;
+    request.client_timeout = 10 * kSecond;
+    const double work = plan_.small * kClasses[class_id].work * -std::log(1 - Chance());
+    request.est_work = static_cast<Nanos>(std::max(1e-5, work) * 1e9);
+    request.tables = static_cast<std::uint32_t>(random_() % 20);
+    member.work[request.id] = std::max(1e-5, work);
+    member.class_id[request.id] = class_id;
+    member.events.push_back(request);
+  }
+
+  void StartAttempt(Member& member, const Send& send, Nanos now) {
+    const double work = member.work.at(send.id);
+    AttemptEnded end;
+    end.id = send.id;
+    end.attempt = member.attempts[send.id]++;
+    end.engine = send.engine;
+    end.finished = true;
+    end.work = static_cast<Nanos>(work * 1e9);
+    end.waited = static_cast<Nanos>(work * 1e9 / 2);
+    member.in_flight.push({now + end.waited, end});
+    if (send.engine == kObserved && now >= restart_of_engines_)
+      Observe(plan_.small * kClasses[member.class_id.at(send.id)].work / mean_work_, now);
+  }
+
+  // Counts what the observed engine gets, in calls of mean work, against what it may get.
+  void Observe(double calls, Nanos now) {
+    window_.emplace_back(now, calls);
+    in_window_ += calls;
+    result_.sent += calls;
+    while (window_.front().first <= now - base_.overload_window) {
+      in_window_ -= window_.front().second;
+      window_.pop_front();
     }
+    const double age =
+        static_cast<double>(now - restart_of_engines_) / static_cast<double>(base_.slow_start_duration);
+    const double share =
+        base_.slow_start_initial_share + (1 - base_.slow_start_initial_share) * std::min(1.0, age);
+    const double n = base_.overload_factor * share * 12 / mean_work_;
+    result_.worst = std::max(result_.worst, in_window_ / (n + 2 * std::sqrt(n) + 2));
   }
-  return result;
-}
+
+  const Plan plan_;
+  std::mt19937_64 random_;
+  const Settings base_;
+  const double mean_work_;
+  const Nanos restart_of_engines_ = kStart + plan_.warm_up;
+  std::vector<EngineEntry> engines_;
+  std::vector<Member> gateways_;
+  RequestId next_id_ = 1;
+  std::vector<Action> actions_;
+  std::deque<std::pair<Nanos, double>> window_;  // sends to the observed engine
+  double in_window_ = 0;
+  Outcomes result_;
+};
 
 // Every combination of traffic, of restarts, and of whether there are warm engines to go to.
 void KeepsTo(Plan plan, const std::vector<double>& loads, const std::vector<bool>& cold) {
@@ -211,7 +241,7 @@
           plan.restart_at = restart;
           plan.load = load;
           ++plan.seed;
-          const Outcomes got = Play(plan);
+          const Outcomes got = FleetSimulation(plan).Run();
           const std::string how = "load " + std::to_string(load) + (all_cold ? ", all cold" : "") +
                                   (skewed ? ", skewed" : "") + (restart < 0 ? "" : ", restarted");
           EXPECT_LE(got.worst, 1) << how;
@@ -247,7 +277,7 @@
       plan.skewed = skewed;
       plan.length = 2500 * kMs;
       plan.restart_at = restart;
-      const Outcomes got = Play(plan);
+      const Outcomes got = FleetSimulation(plan).Run();
       EXPECT_LE(got.worst, 1) << restart << " " << skewed;
     }
   }
