--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -142,7 +142,7 @@
   return op;
 }
 
-TEST(Linearizable, TellsHistoriesApart) {
+TEST(Linearizability, StaleReadOrLostUpdate_IsNotLinearizable) {
   using K = Operation::Kind;
   using E = Operation::Result;
   const Operation first = Op(K::kChange, 0, 10, 0, E::kCommitted, 1);
@@ -170,7 +170,7 @@
       << "once seen it stays";
 }
 
-TEST(Acts, FindsAContradictionAndAnEngineThatIsOut) {
+TEST(LeaseHistory, StaleActionOrEjectedEngine_IsAViolation) {
   const auto line = [](const char* act, int version, const char* engine, int ms) {
     return " debug rules act=" + std::string(act) + " version=" + std::to_string(version) +
            " class=lookup engine=" + engine + " mono_us=" + std::to_string(1000 * ms);
--- a/tests/shapes_test.cpp
+++ b/tests/shapes_test.cpp
@@ -54,16 +54,16 @@
 
 void CheckFloor(const DayResult& day, const std::string& site) {
   for (std::size_t i = 0; i < day.classes.size(); ++i) {
-    EXPECT_GT(day.classes[i].taken, 0) << "class " << i << "\n" << site;
-    EXPECT_GE(day.classes[i].InTime(), kInTimeLeast) << "class " << i << "\n"
-                                                     << day.Describe() << "\n"
-                                                     << site;
+    EXPECT_GT(day.classes[i].submitted, 0) << "class " << i << "\n" << site;
+    EXPECT_GE(day.classes[i].InTimeShare(), kInTimeLeast) << "class " << i << "\n"
+                                                          << day.Describe() << "\n"
+                                                          << site;
   }
 }
 
 void CheckAgainst(const DayResult& reference, const DayResult& day, const std::string& site) {
   for (std::size_t i = 0; i < day.classes.size(); ++i)
-    EXPECT_GE(day.classes[i].InTime(), reference.classes[i].InTime() - kBelowReferenceMost)
+    EXPECT_GE(day.classes[i].InTimeShare(), reference.classes[i].InTimeShare() - kBelowReferenceMost)
         << "class " << i << "\nreference: " << reference.Describe() << "\n"
         << day.Describe() << "\n"
         << site;
@@ -71,13 +71,13 @@
 
 void CheckRules(const DayResult& day, const std::string& site) {
   std::string first;
-  for (const std::string& breach : day.breaches) first += breach + "\n";
-  EXPECT_EQ(day.breach_count, 0) << first << day.Describe() << "\n" << site;
+  for (const std::string& violation : day.violations) first += violation + "\n";
+  EXPECT_EQ(day.violation_count, 0) << first << day.Describe() << "\n" << site;
 }
 
 DayResult Play(const DrawnSite& drawn, const DeciderFactory& decider) {
   const std::uint64_t seed = kTrafficSeed + drawn.number;
-  return PlayDay(BuildSite(drawn.shape, kCalmLoad, seed), kDay, seed, decider);
+  return SimulateDay(BuildSite(drawn.shape, kCalmLoad, seed), kDay, seed, decider);
 }
 
 TEST_P(CalmDay, ServesEveryClassAndKeepsTheRules) {
@@ -113,8 +113,8 @@
 TEST(SiteShapes, TheSameSeedGivesTheSameDay) {
   const Site site = BuildSite(Sites().front().shape, kCalmLoad, kTrafficSeed);
   const Nanos length = kDay / 8;
-  EXPECT_EQ(PlayDay(site, length, kTrafficSeed, MakeGateway).Describe(),
-            PlayDay(site, length, kTrafficSeed, MakeGateway).Describe());
+  EXPECT_EQ(SimulateDay(site, length, kTrafficSeed, MakeGateway).Describe(),
+            SimulateDay(site, length, kTrafficSeed, MakeGateway).Describe());
 }
 
 }  // namespace
