--- a/src/testing/fault_test/operator_workload.cpp
+++ b/src/testing/fault_test/operator_workload.cpp
@@ -43,7 +43,7 @@
     co_await loop_.Sleep(interval);
     const std::vector<std::string> proxies = LiveProxies();
     if (proxies.empty() || stopped_) continue;
-    const std::string proxy = proxies[random() % proxies.size()];
+    const std::string& proxy = proxies[random() % proxies.size()];
     const std::uint64_t kind = random() % kCallKinds;
     if (!trial_.measure_each_change && kind < kReadKinds) {
       loop_.Spawn(operators_.Read(proxy));
--- a/src/testing/fault_test/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -39,9 +39,9 @@
 enum class LastArgument { kName, kDuration };
 
 struct ActionWord {
-  const char* word;
-  ActionType type;
-  int names;  // how many it takes, or kAnyNumber
+  const char* word = nullptr;
+  ActionType type = ActionType::kKill;
+  int names = 0;  // how many it takes, or kAnyNumber
   LastArgument last = LastArgument::kName;
 };
 constexpr ActionWord kActionWords[] = {
