--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -11,9 +11,9 @@
 #include "gossip/membership_view.h"
 #include "replicated_config/lease.h"
 #include "replicated_config/notification_pacer.h"
-#include "testing/benchmark/socket_fleet.h"
 #include "testing/benchmark/scale_leases.h"
 #include "testing/benchmark/scale_view.h"
+#include "testing/benchmark/socket_fleet.h"
 #include "testing/simulation/processor_time.h"
 
 namespace lemoncroft {
@@ -280,8 +280,10 @@
 TEST(HollowFleet, SettlesOnSocketsAndPutsAChangeInForce) {
   constexpr int kRuns = 3;  // a run that the machine held up shows nothing, and is played again
   benchmark::SocketFleetCost cost = benchmark::MeasureSocketFleet(SmallSocketFleet());
-  for (int run = 1; run < kRuns && cost.is_inconclusive; ++run) cost = benchmark::MeasureSocketFleet(SmallSocketFleet());
-  ASSERT_FALSE(cost.is_inconclusive) << "nothing is shown: the loop was late by " << cost.longest_lag_ms << " ms";
+  for (int run = 1; run < kRuns && cost.is_inconclusive; ++run)
+    cost = benchmark::MeasureSocketFleet(SmallSocketFleet());
+  ASSERT_FALSE(cost.is_inconclusive) << "nothing is shown: the loop was late by " << cost.longest_lag_ms
+                                     << " ms";
   ASSERT_TRUE(cost.settled);
   EXPECT_GT(cost.datagram_bytes_per_s, 300);
   EXPECT_LE(cost.view_bytes_per_s, 1500);
