--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -5,7 +5,11 @@
 // nothing. It reads no clock and does no I/O: the host passes the time, which never runs backwards (an
 // earlier time is taken as the last one). The same settings, seed and sequence of Step calls give the same
 // actions. Every Request ends exactly once: in an AttemptEnded with `finished` set, in RejectRequest, in Fail
-// or in ClientGone. Events about unknown ids are ignored.
+// or in ClientGone, whichever comes first; later outcomes of its attempts are only accounted for. Events
+// about unknown ids are ignored.
+//
+// "Gateway" is the module's word for a proxy. Request::repeat, StreamStarted, ProgressNotice and PeerMessage
+// come from the simulator only; the proxy posts none of them.
 #ifndef LEMONCROFT_GATEWAY_H_
 #define LEMONCROFT_GATEWAY_H_
 
@@ -43,7 +47,7 @@
   Nanos est_work = 0;        // 0 = no estimate
   double est_memory_mb = 0;
   std::uint32_t tables = 0;  // table group that it reads or loads
-  bool repeat = false;       // marked by the client
+  bool repeat = false;       // marked by the client; not used for decisions
 };
 
 // An attempt has its outcome; each Send gets exactly one.
@@ -53,7 +57,7 @@
   EngineId engine = 0;
   Outcome outcome = Outcome::kOk;
   Nanos waited = 0;       // from the send to the outcome
-  bool finished = false;  // the client has its final response
+  bool finished = false;  // the request needs no retry: it has its response, or its client has left
   Nanos work = 0;         // that the query needed, as the engine reports; 0 = not reported
   double memory_mb = 0;   // likewise
   LoadReport load;
@@ -65,7 +69,8 @@
   int attempt = 0;
 };
 
-// The client has disconnected: the request needs no response.
+// The request needs no decision any more: its client has left or cancelled it, or the host has responded by
+// itself.
 struct ClientGone {
   RequestId id = 0;
 };
@@ -119,7 +124,8 @@
   int place = 0;
 };
 
-// The client's timeout has expired: the request is ended, whatever still runs of it.
+// It is too late for another decision, shortly before the client's timeout: the request is ended, and its
+// running attempts are cancelled.
 struct DeadlineReached {
   RequestId id = 0;
 };
--- a/include/lemoncroft/settings.h
+++ b/include/lemoncroft/settings.h
@@ -86,7 +86,9 @@
   bool list_on_request = false;     // the endpoint list must be asked for
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_hedge = false;  // two attempts of one request may be in flight at a time
+  // Attempts of one request may overlap: a retry need not wait until the attempt before surely runs no more.
+  // The module itself never sends a hedged attempt.
+  bool may_hedge = false;
   bool may_message = false;
   bool may_send_retry_after = false;  // rejected clients are told when to retry
   bool honors_memory_grants = false;
--- a/include/lemoncroft/types.h
+++ b/include/lemoncroft/types.h
@@ -43,7 +43,8 @@
 };
 
 // How an attempt ended. kLost: it may have run, but its response was lost or corrupted on the way although
-// the engine is alive. kNotSent: it never left this process.
+// the engine is alive. kNotSent: it surely did not run, for no fault of the engine; it never left this
+// process, or its time was over before the engine would have begun.
 enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent, kLost };
 
 inline constexpr std::size_t kMaxReportFields = 4;
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -51,7 +51,7 @@
   }
 }
 
-// The oldest connection has had the most time for its command.
+// Asks the oldest connection that hasn't been asked yet to end: it has had the most time.
 void Listener::EvictOldest() {
   for (const ConnectionPtr& connection : connections_) {
     if (connection->evicted.cancelled()) continue;
--- a/src/admin/listener.h
+++ b/src/admin/listener.h
@@ -1,7 +1,7 @@
 // The operators' listener: a connection carries one command and gets one reply, however busy the proxy is.
 //
 // Contract. Everything happens on the event loop's thread. What a command does is the handler's business
-// (cli/operations.h). Bounds: kMaxConnections at a time, kMaxLineBytes for a command, 2 s for it to arrive
+// (proxy/operations.h). Bounds: kMaxConnections at a time, kMaxLineBytes for a command, 2 s for it to arrive
 // and 1 s for the reply to be read. Errors: a connection that fails ends alone; the constructor throws
 // std::system_error.
 //
@@ -39,7 +39,8 @@
   Listener(runtime::Loop& loop, const runtime::Address& address, Handler handler)
       : loop_(loop), listener_(loop, address), handler_(std::move(handler)) {}
 
-  // Runs behind the handler and may change its reply before it is sent. Optional.
+  // Runs after the handler and may change its reply before it is sent; it may take as long as the fleet needs
+  // to agree. Optional.
   FollowUp follow_up;
 
   runtime::Task<> Run();
--- a/src/backend/attempt.h
+++ b/src/backend/attempt.h
@@ -13,12 +13,14 @@
 struct Attempt {
   const request::ForwardedFields* forwarded = nullptr;  // outlives the attempt
   EngineId engine = 0;
-  runtime::Time deadline{};  // the attempt ends by then
+  // The query is given up by then. The end of an exclusive attempt may be reported later, once its
+  // cancellation is confirmed.
+  runtime::Time deadline{};
   // The statement must not be sent after this: past its window the engine would execute a repeat.
   runtime::Time not_after = runtime::kNever;
   double grant_mb = 0;  // memory; 0: the engine chooses
   int priority = 1;
-  bool again = false;  // an earlier attempt may have been executed
+  bool may_have_run = false;  // an earlier attempt may have been executed, or still be
   // Must not run beside another attempt, or beside the next request with its ordering key: the attempt ends
   // only once the engine surely no longer runs it.
   bool exclusive = false;
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -96,18 +96,18 @@
 }
 
 // The next attempt may go to the same engine under the same id. The attempt therefore ends only after the
-// cancellation, which would hit the next one else. There is no next one after the deadline, and no engine to
-// tell after a reset.
+// cancellation, which would hit the next one else. There is no next one after the deadline. After a reset the
+// engine has most likely ended: only an exclusive attempt, which must be sure, tries to cancel there.
 Task<> Engines::CancelIfRunning(Query& query, Outcome outcome) {
   const Attempt& attempt = query.attempt;
-  const bool may_run =
+  const bool should_cancel =
       outcome == Outcome::kCancelled || outcome == Outcome::kTimeout || outcome == Outcome::kLost;
-  const bool in_doubt = (may_run || outcome == Outcome::kReset) && !query.done;
+  const bool in_doubt = (should_cancel || outcome == Outcome::kReset) && !query.done;
   if (in_doubt && attempt.exclusive) {
     co_await CancelAndConfirm(query);
-  } else if (may_run && Now() >= attempt.deadline) {
+  } else if (should_cancel && Now() >= attempt.deadline) {
     loop_.Spawn(TrySendCommand(attempt.engine, CancelCommand(query.request_id())));
-  } else if (may_run) {
+  } else if (should_cancel) {
     co_await TrySendCommand(attempt.engine, CancelCommand(query.request_id()));
   }
 }
@@ -154,7 +154,7 @@
 // This process may have been stopped since the request was submitted, for longer than its lease.
 bool Engines::LeasePermits(const Attempt& attempt) const {
   return lease_fence_ == nullptr ||
-         lease_fence_->RecordSend(attempt.forwarded->class_name, attempt.engine, attempt.again);
+         lease_fence_->RecordSend(attempt.forwarded->class_name, attempt.engine, attempt.may_have_run);
 }
 
 Task<Io> Engines::SendStatement(Query& query, runtime::Span remaining_time) {
--- a/src/broker/active_request.h
+++ b/src/broker/active_request.h
@@ -77,7 +77,7 @@
   bool MayHaveRun() const;
 
   // When the decision module is told that time is up: early enough for it to decide before the client stops
-  // waiting. Attempts end by then.
+  // waiting. Attempts are given up by then.
   runtime::Time DecisionDeadline() const;
   // When the request fails whatever the decision module and its attempts do.
   runtime::Time ResponseDeadline() const;
--- a/src/broker/admission_queue_host.cpp
+++ b/src/broker/admission_queue_host.cpp
@@ -76,8 +76,8 @@
 }
 
 void AdmissionQueueHost::OnAttemptEnded(RequestId id, int attempt, admission_queue::Work reported_work,
-                                        bool executed) {
-  queue_.OnAttemptEnded(id, attempt, reported_work, executed, Now());
+                                        bool may_have_run) {
+  queue_.OnAttemptEnded(id, attempt, reported_work, may_have_run, Now());
   work_pending_.Open();
 }
 
--- a/src/broker/attempts.cpp
+++ b/src/broker/attempts.cpp
@@ -47,14 +47,14 @@
   attempt.grant_mb = request->grant.grant_mb;
   attempt.priority = request->grant.priority;
   attempt.exclusive = !site_->module.may_hedge || request->client_request.ordering_key != 0;
-  attempt.again = may_have_run;
+  attempt.may_have_run = may_have_run;
   loop_.Spawn(RunAttempt(request, number, attempt));
 }
 
 Task<> Broker::RunAttempt(ActiveRequestPtr request, int number, backend::Attempt attempt) {
   AttemptRecord& record = request->attempt(number);
-  // The module must get an outcome whatever goes wrong. After an exception that is the default outcome of a
-  // Result, which doesn't claim that the attempt never ran.
+  // The module must get an outcome whatever goes wrong. After an exception that is kReset, the default of a
+  // Result: the attempt may have run.
   AttemptFinished finished{number, {}};
   try {
     finished.result = co_await engines_.Run(attempt, record.cancel);
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -38,10 +38,11 @@
 
 class Broker {
  public:
-  // Limits of the requests that are active at a time; further ones are rejected.
+  // Further requests are rejected. A request is open until its final response, and active until its last
+  // attempt has ended as well.
   struct Limits {
-    std::size_t max_requests = 4096;
-    std::size_t max_bytes = std::size_t{48} << 20;  // of their forwarded fields
+    std::size_t max_requests = 4096;                // active
+    std::size_t max_bytes = std::size_t{48} << 20;  // forwarded fields of open requests
   };
 
   Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed,
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -34,6 +34,7 @@
   return described;
 }
 
+// kShed counts rejected requests; cancelled ones are counted as kWithdrawn where the client leaves.
 metrics::End CountedAs(ResponseStatus status) {
   switch (status) {
     case ResponseStatus::kServed:
--- a/src/decision/constants.h
+++ b/src/decision/constants.h
@@ -96,8 +96,9 @@
 inline constexpr int kMaxFailedPlacements = 4;       // of one group of pending requests in one step
 inline constexpr int kExplorationsPerObjective = 4;  // of one class, in the time of its latency objective
 inline constexpr double kMinLateWeightShare = 0.15;  // below this share no request waits past its objective
-inline constexpr Nanos kTimerInterval = 20 * kMillisecond;  // between two steps while requests are open
-// Before a deadline, for the response: two timers.
+inline constexpr Nanos kTimerInterval =
+    20 * kMillisecond;  // longest time between two steps while requests are open
+// Reserved before a deadline for the response to reach the client: two timer intervals.
 inline constexpr Nanos kResponseMargin = 40 * kMillisecond;
 inline constexpr double kMinWork = 1e-4;  // thread seconds that any request needs
 
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -172,7 +172,7 @@
 void Scheduler::AdvanceTime(double seconds) {
   recent_work_ *= std::exp(-seconds / limits::SentLoad::kRecentTimeConstantSeconds);
   limits::FleetCapacity fleet = AdvanceEngines(seconds);
-  UpdateClassWeights();
+  UpdateHeaviestClass();
   fleet.heaviest_class_work = heaviest_class_work_;
   credit_.Advance(seconds, fleet, credit_.started() ? 0 : RandomUniform());
   constexpr double kMinLoad = 0.1;
@@ -194,7 +194,7 @@
   return fleet;
 }
 
-void Scheduler::UpdateClassWeights() {
+void Scheduler::UpdateHeaviestClass() {
   heaviest_class_work_ = 0;
   for (const ClassEstimates& estimates : estimates_)
     heaviest_class_work_ = std::max(heaviest_class_work_, estimates.mean_work());
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -89,7 +89,8 @@
   // Brings everything that decays or accrues up to date, `seconds` after the last step.
   void AdvanceTime(double seconds);
   limits::FleetCapacity AdvanceEngines(double seconds);
-  void UpdateClassWeights();
+  // Finds the work of the heaviest class and the best weight rate of the heavy ones.
+  void UpdateHeaviestClass();
 
   // ---- Requests ----
   bool IsOverQuota(const Request& request);
@@ -102,8 +103,8 @@
   // Makes the first request of the key pending, if the key isn't paused.
   void AdvanceKey(std::uint64_t key);
   void LeaveKey(const RequestState& request);
-  // Ends the request without a response from an engine: as rejected where that can't hide an effect, else as
-  // failed. An attempt in flight is cancelled.
+  // Ends the request without a response from an engine: as rejected if no attempt can have had an effect or
+  // repeats do no harm, else as failed. An attempt in flight is cancelled.
   void RejectOrFail(RequestState& request);
   // Drops the request's state, or keeps it until the outcome of an attempt in flight.
   void Finish(RequestState& request);
@@ -117,7 +118,9 @@
   // The last moment to send a request so that it meets its latency objective, or once late its deadline.
   Nanos LatestStart(const RequestState& request) const;
   void OnLatestStartPassed(RequestState& request);
-  bool ExplorationDue(const RequestState& request);
+  // Whether the request may go although the recent pace rules out its objective; at most one does in an
+  // interval.
+  bool TakeExploration(const RequestState& request);
 
   // ---- Admission: whether an engine may take a request now ----
   bool CanTake(const RequestState& request, EngineState& engine);
@@ -127,7 +130,7 @@
   static bool FailedOn(const RequestState& request, const EngineState& engine);
   bool OtherEngineAvailable(const RequestState& request) const;
   bool BypassesCredit(const RequestState& request) const;
-  bool MaySpendCredit(const RequestState& request, const EngineState& engine) const;
+  bool CreditAllows(const RequestState& request, const EngineState& engine) const;
   bool MemoryAllows(const RequestState& request, const EngineState& engine) const;
   bool UnderPressure(const RequestState& request, const EngineState& engine) const;
   bool ConcurrencyAllows(const RequestState& request, const EngineState& engine) const;
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -45,7 +45,7 @@
 }
 
 // Without credit a heavy request needs an idle engine, or without load reports a fleet at its best.
-bool Scheduler::MaySpendCredit(const RequestState& request, const EngineState& engine) const {
+bool Scheduler::CreditAllows(const RequestState& request, const EngineState& engine) const {
   if (credit_.HasCredit()) return true;
   if (Class(request).holds_tables && WeightRate(request.spec.class_id) >= best_heavy_weight_rate_)
     return true;
@@ -132,7 +132,7 @@
   // An engine that fails fast looks idle while others are busy: it must not get again all that it has failed.
   if (FailedOn(request, engine) && OtherEngineAvailable(request)) return false;
   if (engine.breaker.IsHalfOpen() && !engine.in_flight.empty()) return false;
-  if (!BypassesCredit(request) && !MaySpendCredit(request, engine)) return false;
+  if (!BypassesCredit(request) && !CreditAllows(request, engine)) return false;
   return MemoryAllows(request, engine) && ConcurrencyAllows(request, engine);
 }
 
--- a/src/decision/scheduler_deadlines.cpp
+++ b/src/decision/scheduler_deadlines.cpp
@@ -45,7 +45,7 @@
   const bool waits = !request.late && Class(request).late_weight_share >= kMinLateWeightShare;
   if (request.phase == RequestPhase::kPending) RemovePending(request);
   if (now_ >= RetryDeadline(request)) return RejectOrFail(request);
-  request.exploratory = !request.late && ExplorationDue(request);
+  request.exploratory = !request.late && TakeExploration(request);
   request.late = !request.exploratory;
   if (!waits && !request.exploratory) return RejectOrFail(request);
   if (LatestStart(request) <= now_) return RejectOrFail(request);
@@ -55,7 +55,7 @@
 
 // A class that sends nothing because its recent latency rules out the objective would never see the latency
 // recover. Like a half-open circuit breaker it lets a request through from time to time.
-bool Scheduler::ExplorationDue(const RequestState& request) {
+bool Scheduler::TakeExploration(const RequestState& request) {
   if (request.exploratory) return false;
   Nanos& last_attempt_at = last_attempt_at_[request.spec.class_id];
   if (now_ - last_attempt_at < Class(request).latency_objective / kExplorationsPerObjective) return false;
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -15,9 +15,9 @@
   engine.in_flight.erase(request.spec.id);
   RecordUsage(request);
   const Outcome outcome = end.outcome;
-  const bool may_run_on =
+  const bool adds_backlog =
       outcome == Outcome::kCancelled || outcome == Outcome::kTimeout || outcome == Outcome::kLost;
-  engine.sent_load.RecordEnd(request.charge, may_run_on);
+  engine.sent_load.RecordEnd(request.charge, adds_backlog);
   const bool report_due = report_layout_.in_responses && outcome == Outcome::kOk;
   RecordReport(engine, end.load, report_due ? ReportExpectation::kDue : ReportExpectation::kOptional);
   RecordHealth(request, engine, end);
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -34,7 +34,7 @@
     co_await runtime::Waiter(context_.loop, &output_flushed_, runtime::kNever);
   }
   if (!peer_closed_ && !aborted_) {
-    if (!std::exchange(write_side_closed_, true)) write_side_closed_at_ = Now();
+    if (!std::exchange(closing_, true)) closing_since_ = Now();
     co_await runtime::LingeringClose(context_.loop, *socket_, kLingerTimeout, &stop_lingering_);
   }
 }
@@ -44,15 +44,15 @@
 bool ClientConnection::CloseIfIdle() {
   if (output_closed_ || !open_streams_.empty() || !IsFlushed() || HasUnreadInput()) return false;
   socket_->ShutdownWrite();
-  write_side_closed_ = true;
+  closing_ = true;
   output_closed_ = true;
-  write_side_closed_at_ = Now();
+  closing_since_ = Now();
   stop_reading_.Cancel();
   return true;
 }
 
 bool ClientConnection::MayStopLingering(runtime::Time now) const {
-  return write_side_closed_ && !stop_lingering_.cancelled() && now - write_side_closed_at_ > kMinLinger;
+  return closing_ && !stop_lingering_.cancelled() && now - closing_since_ > kMinLinger;
 }
 
 bool ClientConnection::IsIdle() const {
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -33,7 +33,8 @@
 
 struct ClientLimits {
   std::size_t connections = 400;
-  std::size_t max_unread_bytes = std::size_t{4} << 20;           // of responses that one client leaves unread
+  std::size_t max_unread_bytes = std::size_t{4}
+                                 << 20;  // of responses to one client, not yet handed to the socket
   std::size_t max_total_unread_bytes = std::size_t{32} << 20;    // of all clients
   std::size_t max_total_unparsed_bytes = std::size_t{48} << 20;  // of incomplete frames of all clients
 };
@@ -60,7 +61,7 @@
   runtime::Task<> Serve();
 
   // Sends the response to the request on `stream`; nothing if the output has been closed.
-  void SendResponse(std::uint32_t stream, const request::Response& answer);
+  void SendResponse(std::uint32_t stream, const request::Response& response);
   void SendWaitNotice(std::uint32_t stream, const request::WaitNotice& notice);
   // Asks the client, once, for no new request on this connection.
   void AnnounceDrain();
@@ -70,7 +71,7 @@
   // Ends a lingering close early.
   void StopLingering() { stop_lingering_.Cancel(); }
 
-  bool IsClosing() const { return write_side_closed_; }
+  bool IsClosing() const { return closing_; }
   // True once a lingering close has had its minimum time, until it is stopped.
   bool MayStopLingering(runtime::Time now) const;
   // Without open requests and output, and not closing.
@@ -118,20 +119,20 @@
   std::string input_;
   std::size_t accounted_input_bytes_ = 0;  // of `input_`, in the context's total
   codec::FrameReader frame_reader_;
-  int invalid_frames_ = 0;
+  int input_errors_ = 0;  // frames, requests and deadlines that were answered with an error
   runtime::Time opened_at_ = runtime::Now(), last_active_at_ = runtime::Now();
   runtime::Time partial_frame_since_ = runtime::kNever;
   bool has_sent_request_ = false;
-  bool peer_closed_ = false;       // nobody waits for responses
-  bool input_unreadable_ = false;  // frames can't be told apart any more
+  bool peer_closed_ = false;     // nobody waits for responses
+  bool discards_input_ = false;  // further input is not parsed
 
   std::string output_;  // not yet handed to WriteOutput
   bool write_in_progress_ = false;
   bool output_closed_ = false;  // nothing more is appended
   bool drain_announced_ = false;
-  bool aborted_ = false;            // nothing can be written any more
-  bool write_side_closed_ = false;  // nothing is read as a request nor written any more
-  runtime::Time write_side_closed_at_{};
+  bool aborted_ = false;  // nothing can be written any more
+  bool closing_ = false;  // no request is read and nothing written any more
+  runtime::Time closing_since_{};
 
   std::unordered_map<std::uint32_t, RequestId> open_streams_;  // requests that are owed a response
   runtime::Gate output_appended_, output_flushed_;
--- a/src/frontend/client_connection_input.cpp
+++ b/src/frontend/client_connection_input.cpp
@@ -37,13 +37,13 @@
     if (io == Io::kCancelled) co_return;
     peer_closed_ = io != Io::kOk;
     if (peer_closed_) co_return;
-    const int invalid_frames_before = invalid_frames_;
+    const int input_errors_before = input_errors_;
     const std::size_t bytes_before = input_.size();
     if (HandleFrames() == InputState::kUnreadable) co_return;
     UpdatePartialFrameAge(bytes_before);
     // The client that exceeds the limit on partial frames of all clients is closed, not the process ended.
     if (!AccountInput()) co_return SendError(0, kErrorTooMuchUnparsed);
-    if (invalid_frames_ > std::max(invalid_frames_before, kInvalidFramesBeforePause)) {
+    if (input_errors_ > std::max(input_errors_before, kInvalidFramesBeforePause)) {
       co_await context_.loop.Sleep(kInvalidFramePause, &stop_reading_);
     } else {
       co_await context_.loop.NextTurn();  // other clients get their turn even if this one never pauses
@@ -75,7 +75,7 @@
 }
 
 Task<> ClientConnection::DiscardInput() {
-  input_unreadable_ = true;
+  discards_input_ = true;
   std::string discarded;
   for (std::size_t bytes = 0; !stop_discarding_.cancelled(); bytes += discarded.size()) {
     discarded.clear();
@@ -134,7 +134,7 @@
   has_sent_request_ = true;
   last_active_at_ = Now();
   if (open_streams_.size() >= kMaxOpenStreams) {
-    ++invalid_frames_;
+    ++input_errors_;
     CountEnded(request->forwarded.class_name, metrics::End::kShed);
     return Append(codec::kResponseFrame, frame.stream, codec::kRejectedCode, {}, kErrorTooManyStreams);
   }
--- a/src/frontend/client_connection_output.cpp
+++ b/src/frontend/client_connection_output.cpp
@@ -22,8 +22,8 @@
   return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(span).count());
 }
 
-codec::ResponseCode CodeOf(request::ResponseStatus verdict) {
-  switch (verdict) {
+codec::ResponseCode CodeOf(request::ResponseStatus status) {
+  switch (status) {
     case request::ResponseStatus::kServed:
       return codec::kServedCode;
     case request::ResponseStatus::kRejected:
@@ -36,18 +36,18 @@
 
 }  // namespace
 
-void ClientConnection::SendResponse(std::uint32_t stream, const request::Response& answer) {
+void ClientConnection::SendResponse(std::uint32_t stream, const request::Response& response) {
   if (output_closed_) return;
   open_streams_.erase(stream);
   last_active_at_ = Now();
   std::string retry_after;
   codec::FieldViews fields;
-  if (answer.retry_after > Span::zero()) {
-    retry_after = MillisecondsText(answer.retry_after);
+  if (response.retry_after > Span::zero()) {
+    retry_after = MillisecondsText(response.retry_after);
     fields.emplace_back(kFieldRetryAfterMs, retry_after);
   }
-  Append(codec::kResponseFrame, stream, CodeOf(answer.status), fields, answer.rows);
-  if (open_streams_.empty() && input_unreadable_) stop_discarding_.Cancel();
+  Append(codec::kResponseFrame, stream, CodeOf(response.status), fields, response.rows);
+  if (open_streams_.empty() && discards_input_) stop_discarding_.Cancel();
 }
 
 void ClientConnection::SendWaitNotice(std::uint32_t stream, const request::WaitNotice& notice) {
@@ -59,13 +59,13 @@
 }
 
 void ClientConnection::SendError(std::uint32_t stream, std::string_view text) {
-  ++invalid_frames_;
+  ++input_errors_;
   Append(codec::kResponseFrame, stream, codec::kFailedCode, {}, text);
 }
 
 void ClientConnection::Append(codec::FrameType type, std::uint32_t stream, codec::ResponseCode code,
                               const codec::FieldViews& fields, std::string_view body) {
-  if (aborted_ || write_side_closed_) return;
+  if (aborted_ || closing_) return;
   codec::WriteResponse(output_, type, stream, code, fields, body);
   output_appended_.Open();
   // Clients that leave responses unread are dropped before their buffers take the process's memory.
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -6,7 +6,7 @@
 // fails ends alone; a shortage of descriptors delays accepting.
 //
 // Owns the listening socket until it has stopped accepting. Connections (client_connection.h) are owned by
-// the coroutines that serve them. Called by the wiring in src/cli/.
+// the coroutines that serve them. Called by the wiring in src/proxy/.
 #ifndef LEMONCROFT_FRONTEND_FRAME_SERVER_H_
 #define LEMONCROFT_FRONTEND_FRAME_SERVER_H_
 
--- a/src/frontend/stream_response_sink.h
+++ b/src/frontend/stream_response_sink.h
@@ -19,8 +19,8 @@
   StreamResponseSink(std::weak_ptr<ClientConnection> connection, std::uint32_t stream)
       : connection_(std::move(connection)), stream_(stream) {}
 
-  void Complete(const request::Response& answer) override {
-    if (const auto connection = connection_.lock()) connection->SendResponse(stream_, answer);
+  void Complete(const request::Response& response) override {
+    if (const auto connection = connection_.lock()) connection->SendResponse(stream_, response);
   }
 
   void NotifyWait(const request::WaitNotice& notice) override {
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -2,10 +2,10 @@
 //
 // Contract. No I/O, no clock. Each event is counted once, by the module that ends what is counted: requests
 // by the broker, or by the clients' side if the broker never sees them; attempts by the back end; reloads by
-// the wiring in src/cli/. Gauges are read at the time of the call. For each class: received = ok + shed +
+// the wiring in src/proxy/. Gauges are read at the time of the call. For each class: received = ok + shed +
 // errors + withdrawn + open.
 //
-// Owner: the wiring in src/cli/. Thread: the event loop's.
+// Owner: the wiring in src/proxy/. Thread: the event loop's.
 #ifndef LEMONCROFT_METRICS_COUNTERS_H_
 #define LEMONCROFT_METRICS_COUNTERS_H_
 
--- a/src/operator_config/operator_keys.h
+++ b/src/operator_config/operator_keys.h
@@ -1,5 +1,5 @@
 // The keys of the operator's file (deploy/operator.kdl), and the terms that the program uses for them.
-// Nothing else knows these words.
+// The reader of the file knows them only from here.
 #ifndef LEMONCROFT_OPERATOR_CONFIG_OPERATOR_KEYS_H_
 #define LEMONCROFT_OPERATOR_CONFIG_OPERATOR_KEYS_H_
 
--- a/src/proxy/operations.cpp
+++ b/src/proxy/operations.cpp
@@ -14,8 +14,8 @@
 constexpr auto kEjectionStoreInterval = 50ms;
 }  // namespace
 
-Reply Operations::Answer(const Command& call) {
-  switch (call.verb) {
+Reply Operations::Answer(const Command& command) {
+  switch (command.verb) {
     case Verb::kReadyz:
       if (phase_ == Phase::kEnding) return {false, "ending", {}};
       if (has_valid_lease && !has_valid_lease()) return {false, "cut off from the fleet's rules", {}};
@@ -30,15 +30,16 @@
                           additional_metrics_ ? additional_metrics_() : decltype(additional_metrics_())()})};
     case Verb::kExclude:
     case Verb::kInclude:
-      return HandleManualEjection(call);
+      return HandleManualEjection(command);
   }
   return {false, "unknown call", {}};
 }
 
-Reply Operations::HandleManualEjection(const Command& call) {
-  const bool out = call.verb == Verb::kExclude;
-  const std::string& id = call.engine;
+Reply Operations::HandleManualEjection(const Command& command) {
+  const bool out = command.verb == Verb::kExclude;
+  const std::string& id = command.engine;
   const bool was_out = directory_.IsEjected(id);
+  // The engine returns with the version that ends its ejection.
   if (!out && was_out && ejections_are_replicated_) return {true, {}, {}};
   const discovery::ManualEjectionResult done =
       out ? directory_.Eject(id, on_update_)
--- a/src/proxy/operations.h
+++ b/src/proxy/operations.h
@@ -25,14 +25,14 @@
   enum class Phase { kStarting, kServing, kEnding };
 
   Operations(runtime::Loop& loop, discovery::EndpointDirectory& directory, broker::Broker& broker,
-             const metrics::Counters& counters, discovery::EndpointDirectory::UpdateCallback tell)
+             const metrics::Counters& counters, discovery::EndpointDirectory::UpdateCallback on_update)
       : loop_(loop),
         directory_(directory),
         broker_(broker),
         counters_(counters),
-        on_update_(std::move(tell)) {}
+        on_update_(std::move(on_update)) {}
 
-  admin::Reply Answer(const admin::Command& call);
+  admin::Reply Answer(const admin::Command& command);
   void set_phase(Phase phase) {
     phase_ = phase;
     if (on_phase) on_phase(phase);
@@ -58,7 +58,7 @@
   runtime::Task<> WatchEjectionStore();
 
  private:
-  admin::Reply HandleManualEjection(const admin::Command& call);
+  admin::Reply HandleManualEjection(const admin::Command& command);
   void ImportEjections();
 
   runtime::Loop& loop_;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -141,8 +141,8 @@
   return listener;
 }
 
-// Reloads at each SIGHUP; any other signal that is handled ends the proxy. Signals that arrive while one is
-// handled are read in the next turn.
+// Reloads at each SIGHUP; any other signal that is handled ends the proxy. Signals that arrive during a
+// reload are read in the next turn; after the one that ends the proxy none is read.
 runtime::Task<> HandleSignals(runtime::Loop& loop, SignalReader& signals, const StartupOptions& options,
                               ReloadableState& state, Operations& operations, Fleet* fleet) {
   // No `while (co_await ...)`: built so by GCC 12.2, this coroutine never reads a signal. The compiler seems
@@ -159,7 +159,8 @@
 
 }  // namespace
 
-// Parts are constructed in the order of their dependence and destroyed in reverse. The order of the calls in
+// Parts are constructed in the order of their dependence and destroyed in reverse; nothing uses `state`, to
+// which callbacks of earlier parts refer, once the loop has ended. The order of the calls in
 // between is part of the contract too: each part knows its classes, settings and callbacks before the first
 // endpoint list and the first client.
 int RunProxy(Config config, const StartupOptions& options) {
@@ -209,7 +210,7 @@
                         .endpoint_watch = endpoint_watch,
                         .counters = counters,
                         .on_endpoint_update = on_endpoint_update,
-                        .default_max_open_requests = max_open,
+                        .max_open_requests_cap = max_open,
                         .queue_state_file = {},
                         .own_queue_settings = {},
                         .fleet_settings = fleet ? &fleet->settings() : nullptr};
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -21,7 +21,7 @@
   settings::ActiveSettings& active = state.active_settings;
   active.Replace(std::move(migration.site));
   state.broker.ApplySettings(std::move(migration.inherits_estimates_from),
-                             MaxOpenRequests(*active, state.default_max_open_requests));
+                             MaxOpenRequests(*active, state.max_open_requests_cap));
   state.directory.RenumberKindsAndZones(state.on_endpoint_update);
   state.engines.set_connect_timeout(decision::ToSpan(active->module.connect_timeout));
   state.engines.set_report_fields(active->report_fields);
--- a/src/proxy/reload.h
+++ b/src/proxy/reload.h
@@ -39,7 +39,8 @@
   discovery::EndpointWatch& endpoint_watch;
   metrics::Counters& counters;
   discovery::EndpointDirectory::UpdateCallback on_endpoint_update;
-  std::size_t default_max_open_requests;  // where the settings give no number
+  // Upper bound, and the default where the settings give no number; fixed at the start.
+  std::size_t max_open_requests_cap;
 
   std::string queue_state_file;  // empty: none is written
   // As the operator's file has them, without the replicated configuration; nullopt: no admission queue.
--- a/src/proxy/replicated_config_ejections.cpp
+++ b/src/proxy/replicated_config_ejections.cpp
@@ -27,7 +27,7 @@
   std::set<std::string> out = document_.ejected_engines;
   for (const auto& [engine, ejection] : manual_ejections_)
     if (ejection.ejected) out.insert(engine);
-  directory_.ImportEjections(out, {}, tell_);
+  directory_.ImportEjections(out, {}, on_update_);
 }
 
 Document ReplicatedConfigService::LatestDocument() const {
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -84,14 +84,14 @@
                                                  const operator_config::ReplicatedConfigSettings& settings,
                                                  const std::string& name,
                                                  discovery::EndpointDirectory& directory,
-                                                 discovery::EndpointDirectory::UpdateCallback tell,
+                                                 discovery::EndpointDirectory::UpdateCallback on_update,
                                                  LocalConfig local_config)
     : loop_(loop),
       fleet_(fleet),
       settings_(settings),
       name_(name),
       directory_(directory),
-      tell_(std::move(tell)),
+      on_update_(std::move(on_update)),
       local_config_(std::move(local_config)),
       document_checks_(MakeDocumentChecks()),
       replica_(ReplicaOptionsOf(settings, name), fleet.view().members().self(), document_checks_, Draw(),
@@ -317,10 +317,10 @@
   return UsableVersion() || PermittedInIsolation(class_name, engine);
 }
 
-bool ReplicatedConfigService::RecordSend(const std::string& class_name, EngineId engine, bool again) {
+bool ReplicatedConfigService::RecordSend(const std::string& class_name, EngineId engine, bool may_have_run) {
   const std::optional<Version> version = UsableVersion();
-  const bool in_isolation =
-      !version && PermittedInIsolation(class_name, engine) && !again;  // an isolated proxy never retries
+  const bool in_isolation = !version && PermittedInIsolation(class_name, engine) &&
+                            !may_have_run;  // an isolated proxy never retries
   if (!version && !in_isolation) {
     ++rejected_sends_;
     return false;
@@ -328,9 +328,9 @@
   ++(in_isolation ? isolated_sends_ : sends_);
   const discovery::Endpoint* member = directory_.Find(engine);
   spdlog::debug("rules act={} version={} class={} engine={} mono_us={}",
-                in_isolation ? "kept"
-                : again      ? "again"
-                             : "send",
+                in_isolation   ? "kept"
+                : may_have_run ? "again"
+                               : "send",
                 version.value_or(active_version_), class_name, member == nullptr ? "-" : member->name,
                 MonoUs(Now()));
   return true;
--- a/src/proxy/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -48,7 +48,7 @@
   ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
                           const operator_config::ReplicatedConfigSettings& settings, const std::string& name,
                           discovery::EndpointDirectory& directory,
-                          discovery::EndpointDirectory::UpdateCallback tell, LocalConfig local_config);
+                          discovery::EndpointDirectory::UpdateCallback on_update, LocalConfig local_config);
 
   void Start();
   // Transfers leadership, if this proxy has it, because the process ends.
@@ -56,7 +56,8 @@
 
   bool AdmitsClass(const std::string& class_name) override;
   bool PermitsSend(const std::string& class_name, EngineId engine) override;
-  bool RecordSend(const std::string& class_name, EngineId engine, bool again) override;
+  // Returns false if the send is not permitted.
+  bool RecordSend(const std::string& class_name, EngineId engine, bool may_have_run) override;
 
   // Checks that the active version can be applied to new settings of this proxy.
   [[nodiscard]] tl::expected<void, replicated_config::IncompatibleDocument> CheckCompatible(
@@ -65,9 +66,11 @@
   const replicated_config::Document& document() const { return document_; }
   const operator_config::ReplicatedConfigSettings& settings() const { return settings_; }
 
-  // Proposes to the fleet an `exclude` or `include` that was carried out here. Returns `reply` with what the
-  // fleet has decided so far.
+  // Proposes to the fleet an accepted `exclude`, which is in effect here already, or `include`, which takes
+  // effect with the version that has it. Returns `reply` with what the fleet has decided so far.
   runtime::Task<admin::Reply> ReplicateManualEjection(admin::Command call, admin::Reply reply);
+  // Whether this proxy has a lease. Its version may still have to be activated here: until then sends are
+  // rejected (UsableVersion).
   bool ready() const { return replica_.UsableVersion(runtime::Now()).has_value(); }
   std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
 
@@ -125,7 +128,7 @@
   operator_config::ReplicatedConfigSettings settings_;
   std::string name_;
   discovery::EndpointDirectory& directory_;
-  discovery::EndpointDirectory::UpdateCallback tell_;
+  discovery::EndpointDirectory::UpdateCallback on_update_;
   LocalConfig local_config_;
   replicated_config::DocumentChecks document_checks_;
   replicated_config::ConfigReplica replica_;
@@ -135,8 +138,7 @@
   runtime::Time planned_at_ = runtime::kNever;
 
   std::unique_ptr<storage::Worker> worker_;
-  std::uint64_t epoch_ = 0;  // number of openings; results of earlier ones are ignored
-  std::uint64_t store_ = 0;
+  std::uint64_t epoch_ = 0;  // how often the store was opened; results of earlier ones are ignored
   bool opening_store_ = false, reported_unavailable_ = false;
   runtime::Span slowest_sync_{};
 
@@ -148,7 +150,7 @@
   mutable std::uint64_t last_change_number_ = 0;
   std::uint64_t sends_ = 0, isolated_sends_ = 0, rejected_sends_ = 0, step_downs_ = 0;
   std::string published_state_;
-  bool isolated_ = false;
+  bool isolated_ = false;  // no usable version; "cut_off" in logs, "/cut-off" in the gossip attribute
 };
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -17,8 +17,9 @@
 constexpr auto kKeepAcceptingDuration = 500ms;
 // ... and new requests on open connections for so long in any case.
 constexpr auto kKeepServingDuration = 700ms;
-// With a successor, SIGKILL comes when the longest deadline of a class, at most kMaxDrainWithSuccessor, has
-// passed. Open requests are answered kFinalAnswerMargin before it.
+// Where the listener is shared, SIGKILL is expected once the longest deadline of a class, at most
+// kMaxDrainWithSuccessor, has passed since kKeepServingDuration after SIGTERM. Open requests are answered
+// kFinalAnswerMargin before that.
 constexpr auto kMaxDrainWithSuccessor = 5000ms, kFinalAnswerMargin = 200ms;
 constexpr auto kClientCloseTimeout = 200ms;     // for clients to end connections that are shut
 constexpr auto kCancelAttemptsTimeout = 100ms;  // for engines to be told of attempts that nobody waits for
@@ -59,17 +60,17 @@
                           const settings::ActiveSettings& active_settings, ListenerOwnership listener,
                           Fleet* fleet) {
   using Queue = frontend::FrameServer::Queue;
-  const bool has_successor = listener == ListenerOwnership::kShared;
+  const bool listener_is_shared = listener == ListenerOwnership::kShared;
   const Time since = Now();
   spdlog::info("ending: {} requests open", broker.open_requests());
-  if (has_successor) server.StopAccepting(Queue::kLeaveQueued);
+  if (listener_is_shared) server.StopAccepting(Queue::kLeaveQueued);
   server.AnnounceDrain();
   co_await loop.SleepUntil(since + kKeepAcceptingDuration);
-  if (!has_successor) server.StopAccepting(Queue::kAcceptQueued);
+  if (!listener_is_shared) server.StopAccepting(Queue::kAcceptQueued);
   server.AnnounceDrain();  // to clients that have connected since
   co_await loop.SleepUntil(since + kKeepServingDuration);
   broker.RejectNewRequests();
-  if (has_successor) co_await CompleteRequestsBy(loop, broker, FinalAnswerTime(since, *active_settings));
+  if (listener_is_shared) co_await CompleteRequestsBy(loop, broker, FinalAnswerTime(since, *active_settings));
   co_await CloseConnections(loop, server, broker);
   // The engines of cancelled attempts are still being told; without that the attempts would run on.
   const Time cancel_by = Now() + kCancelAttemptsTimeout;
--- a/src/proxy/shutdown.h
+++ b/src/proxy/shutdown.h
@@ -1,9 +1,10 @@
 // Ends the proxy after SIGTERM without losing requests that it has accepted.
 //
 // Contract. In order: clients are told that the process ends, new connections and then requests are served
-// for a short time more, open requests are completed, resting connections are closed, attempts that nobody
+// for a short time more, open requests are completed, idle connections are closed, attempts that nobody
 // waits for are cancelled at the engines, the proxy leaves the fleet, the loop stops. Owner: RunProxy; the
-// event loop's thread. Errors: none; each step is bounded in time.
+// event loop's thread. Errors: none. Bounded in time by the deadlines of open requests and by the timeouts
+// for clients that read nothing.
 #ifndef LEMONCROFT_PROXY_SHUTDOWN_H_
 #define LEMONCROFT_PROXY_SHUTDOWN_H_
 
--- a/src/request/client_request.h
+++ b/src/request/client_request.h
@@ -43,7 +43,7 @@
 // How a request ended.
 enum class ResponseStatus {
   kServed,
-  kRejected,  // not executed; harmless to send again
+  kRejected,  // not served; harmless to send again: not executed, or of a class whose repeats do no harm
   kFailed,    // may have been executed
 };
 
--- a/src/request/lease_fence.h
+++ b/src/request/lease_fence.h
@@ -19,9 +19,9 @@
   virtual bool AdmitsClass(const std::string& class_name) = 0;
   // Whether an attempt of a class might be sent to an engine now.
   virtual bool PermitsSend(const std::string& class_name, EngineId engine) = 0;
-  // Permits an attempt in the turn in which it is sent, and records it if permitted. `again`: an engine may
-  // have received the request before.
-  virtual bool RecordSend(const std::string& class_name, EngineId engine, bool again) = 0;
+  // Permits an attempt in the turn in which it is sent, and records it if permitted. `may_have_run`: an
+  // earlier attempt of the request may have been executed, or still be.
+  virtual bool RecordSend(const std::string& class_name, EngineId engine, bool may_have_run) = 0;
 };
 
 }  // namespace lemoncroft::request
--- a/src/testing/fault_test/history_check.cpp
+++ b/src/testing/fault_test/history_check.cpp
@@ -15,7 +15,7 @@
 constexpr const char* kChanged = "changed";
 constexpr const char* kFailed = "failed";
 constexpr const char* kLeft = "left";
-constexpr const char* kPaused = "held";  // by the machine
+constexpr const char* kPaused = "held";  // the process noticed that it had not run
 
 // How long before it reports a pause a process may have been stalled by the trial.
 constexpr double kPauseReportPeriods = 4;
--- a/src/testing/fault_test/lease_history.h
+++ b/src/testing/fault_test/lease_history.h
@@ -4,7 +4,8 @@
 // No I/O and no clock: owned by the TrialRunner, which passes in the processes' log lines and the
 // operators' calls; Check() looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all
 // processes share; a process stamps each action in the turn of its loop in which it acts. There is no
-// slack: a guarantee that fails on a slow machine fails.
+// slack in the bounds, however slow the machine. An attempt that is void for another reason is repeated,
+// though, and its violations don't count (trial_series.cpp).
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 
--- a/src/testing/fault_test/measurements.h
+++ b/src/testing/fault_test/measurements.h
@@ -1,7 +1,7 @@
 // What a trial measures, beyond the checks: the cost of processes, latency of configuration changes, and
 // how much a partitioned side still serves.
 //
-// Filled in by the TrialRunner, read by the command line.
+// Filled in by the TrialRunner, read by RunAttempt (trial_series.cpp).
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_MEASUREMENTS_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_MEASUREMENTS_H_
 
--- a/src/testing/fault_test/trial_runner.h
+++ b/src/testing/fault_test/trial_runner.h
@@ -1,9 +1,9 @@
 // Runs one trial: starts real proxies on loopback behind the relay, carries out the script, and checks what
 // happened.
 //
-// Owned by the command line; one instance runs one trial. Ends only processes that it started, by their
-// ids, and leaves none behind. Records how late its own loop runs: a trial that the machine delayed is
-// void. Errors: std::runtime_error and std::system_error if ports, addresses or processes are not to be
+// Owned by RunAttempt (trial_series.cpp); one instance runs one trial. Ends only processes that it started,
+// by their ids, and leaves none behind. Records how late its own loop runs: a trial that the machine delayed
+// is void. Errors: std::runtime_error and std::system_error if ports, addresses or processes are not to be
 // had.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
@@ -63,7 +63,8 @@
   void RecordLinkFaults();
   bool HasReplicatedConfig() const { return !trial_.voters.empty(); }
 
-  // Tasks of the loop refer to the members below it. Run() destroys them before it returns.
+  // The loop's tasks refer to the members declared after `loop_`; Loop::Run() destroys those tasks before it
+  // returns.
   const Trial trial_;
   runtime::Loop loop_;
   simulation::Links links_;
