--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
-#include <ranges>
 
 namespace lemoncroft::simulation {
 namespace {
@@ -13,7 +12,7 @@
 constexpr double kThrash = 0.6;      // by how much at twice the knee
 constexpr double kSpill = 2.5;       // further work of a query without any memory, in times its work
 constexpr double kSwapSlowdown = 6;  // at twice the memory
-constexpr std::size_t kSnapshotsMost = 8;
+constexpr std::size_t kMaxSnapshots = 8;
 
 double Seconds(Nanos time) { return static_cast<double>(time) / 1e9; }
 
@@ -167,13 +166,14 @@
   for (const ReportField field : traits_.report_fields)
     snapshot.report.values.at(snapshot.report.count++) = Value(field);
   snapshots_.push_back(snapshot);
-  if (snapshots_.size() > kSnapshotsMost) snapshots_.pop_front();
+  if (snapshots_.size() > kMaxSnapshots) snapshots_.pop_front();
 }
 
 LoadReport QueryEngine::Report(Nanos now) const {
-  for (const auto& snapshot : std::ranges::reverse_view(snapshots_))
-    if (snapshot.at + traits_.report_delay <= now) return snapshot.report;
-  return {};
+  const auto newest_visible =
+      std::find_if(snapshots_.rbegin(), snapshots_.rend(),
+                   [&](const Snapshot& snapshot) { return snapshot.at + traits_.report_delay <= now; });
+  return newest_visible == snapshots_.rend() ? LoadReport{} : newest_visible->report;
 }
 
 double QueryEngine::Progress(const Key& key) const {
