--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -7,7 +7,7 @@
 
 namespace lemoncroft::admin {
 
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 using namespace std::chrono_literals;
@@ -35,7 +35,7 @@
 Task<> Listener::Run() {
   for (;;) {
     std::unique_ptr<runtime::Socket> socket;
-    if (co_await listener_.Accept(socket) != Io::kOk) {
+    if (co_await listener_.Accept(socket) != IoResult::kOk) {
       co_await loop_.Sleep(kNoDescriptorsPause);
       continue;
     }
@@ -63,8 +63,8 @@
 Task<> Listener::Serve(ConnectionPtr connection) {
   const Reply reply = co_await ReplyTo(*connection);
   std::size_t written = 0;
-  const Io io = co_await connection->socket->Write(Encode(reply), written, Now() + kReplyTimeout);
-  if (io == Io::kOk)
+  const IoResult io = co_await connection->socket->Write(Encode(reply), written, Now() + kReplyTimeout);
+  if (io == IoResult::kOk)
     co_await runtime::LingeringClose(loop_, *connection->socket, kReplyTimeout, &connection->evicted);
   connections_.remove(connection);
 }
@@ -75,9 +75,9 @@
   const auto deadline = Now() + kCommandTimeout;
   for (;;) {
     received.clear();
-    const Io io = co_await connection.socket->Read(received, kReadBytes, deadline, &connection.evicted);
-    if (io == Io::kTimeout) co_return Failed(protocol::kErrorTimeout);
-    if (io != Io::kOk) co_return Failed(protocol::kErrorConnectionEnded);
+    const IoResult io = co_await connection.socket->Read(received, kReadBytes, deadline, &connection.evicted);
+    if (io == IoResult::kTimeout) co_return Failed(protocol::kErrorTimeout);
+    if (io != IoResult::kOk) co_return Failed(protocol::kErrorConnectionEnded);
     const LineReader::State state = reader.Feed(received);
     if (state == LineReader::State::kTooLong) co_return Failed(protocol::kErrorTooLong);
     if (state == LineReader::State::kLine) break;
--- a/src/backend/connection_pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -4,7 +4,7 @@
 
 namespace lemoncroft::backend {
 
-using runtime::Io;
+using runtime::IoResult;
 using namespace std::chrono_literals;
 
 namespace {
@@ -69,32 +69,34 @@
   return nullptr;
 }
 
-runtime::Task<Io> ConnectionPool::Acquire(EngineId engine, runtime::Time deadline,
-                                          runtime::Cancellation* cancel, PooledConnection& out, Reuse reuse) {
+runtime::Task<IoResult> ConnectionPool::Acquire(EngineId engine, runtime::Time deadline,
+                                                runtime::Cancellation* cancel, PooledConnection& out,
+                                                Reuse reuse) {
   const discovery::Endpoint* endpoint = directory_.Find(engine);
-  if (endpoint == nullptr) co_return Io::kClosed;
+  if (endpoint == nullptr) co_return IoResult::kClosed;
   if (reuse == Reuse::kIfIdle) {
     if (auto connection = TakeIdle(engine)) {
       Lend(*endpoint, std::move(connection), Origin::kReused, out);
-      co_return Io::kOk;
+      co_return IoResult::kOk;
     }
   }
-  if (open_connections_ >= limits_.max_connections && !EvictOne()) co_return Io::kNoDescriptors;
+  if (open_connections_ >= limits_.max_connections && !EvictOne()) co_return IoResult::kNoDescriptors;
   const std::uint64_t incarnation = endpoint->incarnation;
   std::unique_ptr<runtime::Socket> socket;
   ++open_connections_;  // before the connect, so that concurrent ones can't exceed the limit
-  Io io = co_await Connect(loop_, endpoint->address, deadline, cancel, socket);
+  IoResult io = co_await Connect(loop_, endpoint->address, deadline, cancel, socket);
   // The endpoint list may have changed during the connect: the address may be another engine's now.
   endpoint = directory_.Find(engine);
-  if (io == Io::kOk && (endpoint == nullptr || endpoint->incarnation != incarnation)) io = Io::kClosed;
-  if (io != Io::kOk) {
+  if (io == IoResult::kOk && (endpoint == nullptr || endpoint->incarnation != incarnation))
+    io = IoResult::kClosed;
+  if (io != IoResult::kOk) {
     --open_connections_;
     co_return io;
   }
   auto connection =
       std::make_unique<http::Connection>(std::move(socket), endpoint->host_port, limits_.response);
   Lend(*endpoint, std::move(connection), Origin::kNew, out);
-  co_return Io::kOk;
+  co_return IoResult::kOk;
 }
 
 void ConnectionPool::CloseIdle(EngineId engine) {
--- a/src/backend/connection_pool.h
+++ b/src/backend/connection_pool.h
@@ -65,8 +65,9 @@
   // Acquires a connection to an engine into `out`; `out` is unchanged on failure. kNoDescriptors: the limit
   // is reached and no idle connection can be closed, or the process has no descriptors. kClosed: the engine
   // isn't listed, or changed during the connect. Others as in runtime::Connect.
-  runtime::Task<runtime::Io> Acquire(EngineId engine, runtime::Time deadline, runtime::Cancellation* cancel,
-                                     PooledConnection& out, Reuse reuse = Reuse::kIfIdle);
+  runtime::Task<runtime::IoResult> Acquire(EngineId engine, runtime::Time deadline,
+                                           runtime::Cancellation* cancel, PooledConnection& out,
+                                           Reuse reuse = Reuse::kIfIdle);
   // Closes the idle connections to an engine.
   void CloseIdle(EngineId engine);
   // Closes connections that have been idle for too long, for as long as the loop runs.
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -6,7 +6,7 @@
 
 namespace lemoncroft::backend {
 
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 using namespace std::chrono_literals;
@@ -29,10 +29,10 @@
 constexpr std::size_t kMaxResultBytes = 64 * 1024;
 
 // The outcome of an attempt whose connection failed before anything was sent.
-Outcome OutcomeOfFailedConnect(Io io) {
+Outcome OutcomeOfFailedConnect(IoResult io) {
   switch (io) {
-    case Io::kCancelled:
-    case Io::kNoDescriptors:  // this process's own shortage, not the engine's fault
+    case IoResult::kCancelled:
+    case IoResult::kNoDescriptors:  // this process's own shortage, not the engine's fault
       return Outcome::kNotSent;
     default:
       return Outcome::kConnectFailed;
@@ -40,11 +40,11 @@
 }
 
 // Whether polling ends after an attempt to reconnect, and with which outcome; nothing if it goes on.
-std::optional<Outcome> OutcomeOfReconnect(Io io, runtime::Time deadline) {
-  if (io == Io::kCancelled) return Outcome::kCancelled;
+std::optional<Outcome> OutcomeOfReconnect(IoResult io, runtime::Time deadline) {
+  if (io == IoResult::kCancelled) return Outcome::kCancelled;
   if (Now() >= deadline) return Outcome::kTimeout;
-  if (io == Io::kNoDescriptors) return Outcome::kLost;
-  if (io == Io::kOk || io == Io::kClosed) return std::nullopt;
+  if (io == IoResult::kNoDescriptors) return Outcome::kLost;
+  if (io == IoResult::kOk || io == IoResult::kClosed) return std::nullopt;
   return Outcome::kReset;
 }
 
@@ -120,11 +120,12 @@
   for (int broken_connections = 0;;) {
     const runtime::Time connect_by =
         std::min({attempt.deadline, attempt.not_after, Now() + connect_timeout_});
-    const Io connected = co_await pool_.Acquire(attempt.engine, connect_by, &query.cancel, query.connection);
+    const IoResult connected =
+        co_await pool_.Acquire(attempt.engine, connect_by, &query.cancel, query.connection);
     if (Now() >= attempt.not_after) co_return Outcome::kNotSent;
     // A reset during the connect may be this connection's alone; a refusal is the engine's.
-    if (connected == Io::kClosed && ++broken_connections < kMaxBrokenConnections) continue;
-    if (connected != Io::kOk) co_return OutcomeOfFailedConnect(connected);
+    if (connected == IoResult::kClosed && ++broken_connections < kMaxBrokenConnections) continue;
+    if (connected != IoResult::kOk) co_return OutcomeOfFailedConnect(connected);
     // The engine may have begun to drain, or the request have ended, during the connect.
     if (query.cancel.cancelled() || !directory_.MaySend(attempt.engine)) co_return Outcome::kNotSent;
     const runtime::Duration remaining_time = attempt.deadline - Now();
@@ -133,20 +134,20 @@
       co_await loop_.Sleep(kLeaseRefusalDelay, &query.cancel);
       co_return Outcome::kNotSent;
     }
-    const Io sent = co_await SendStatement(query, remaining_time);
-    if (sent == Io::kOk && query.HasValidResponse(0)) {
+    const IoResult sent = co_await SendStatement(query, remaining_time);
+    if (sent == IoResult::kOk && query.HasValidResponse(0)) {
       StoreLoadReport(query);
       co_return Outcome::kOk;
     }
-    if (sent == Io::kOk || query.connection->sent_any()) {
+    if (sent == IoResult::kOk || query.connection->sent_any()) {
       query.last_called = Now();
-      if (sent == Io::kCancelled) co_return Outcome::kCancelled;
+      if (sent == IoResult::kCancelled) co_return Outcome::kCancelled;
       // The engine may execute the statement although its response is damaged, late or lost: poll for it.
       query.lost_response = true;
       query.connection = PooledConnection();
       co_return co_await Poll(query, 0);
     }
-    if (sent == Io::kCancelled) co_return Outcome::kNotSent;
+    if (sent == IoResult::kCancelled) co_return Outcome::kNotSent;
     // Nothing was sent. A reused connection may have been closed by the engine meanwhile: take another one.
     if (!query.connection.reused() && ++broken_connections >= kMaxBrokenConnections)
       co_return Outcome::kConnectFailed;
@@ -159,13 +160,13 @@
          lease_fence_->RecordSend(attempt.forwarded->class_name, attempt.engine, attempt.may_have_run);
 }
 
-Task<Io> Engines::SendStatement(Query& query, runtime::Duration remaining_time) {
+Task<IoResult> Engines::SendStatement(Query& query, runtime::Duration remaining_time) {
   const codec::HttpRequest call = SubmitCall(query.attempt, remaining_time);
   const runtime::Time respond_by = query.TimeLimit(kStatusTimeout);
   const runtime::Time send_by = std::min(respond_by, query.attempt.not_after);
   query.last_called = Now();
-  const Io sent = co_await query.connection->Send(call, send_by, &query.cancel);
-  if (sent != Io::kOk) co_return sent;
+  const IoResult sent = co_await query.connection->Send(call, send_by, &query.cancel);
+  if (sent != IoResult::kOk) co_return sent;
   counters_.CountAttempt();
   co_return co_await query.connection->Receive(respond_by, &query.cancel, query.response);
 }
@@ -184,22 +185,22 @@
     // A connection that the engine closes, or on which more than a response has come, is given up.
     if (query.connection && !query.connection->Reusable()) query.connection = PooledConnection();
     if (!query.connection) {
-      const Io connected = co_await Reconnect(query);
+      const IoResult connected = co_await Reconnect(query);
       if (const auto ended = OutcomeOfReconnect(connected, query.attempt.deadline)) co_return *ended;
       outcome = Outcome::kReset;
-      if (connected == Io::kClosed) continue;
+      if (connected == IoResult::kClosed) continue;
     }
     const runtime::Duration timeout = page == 0 ? kStatusTimeout : kPageTimeout * poll;
-    const Io called =
+    const IoResult called =
         co_await query.connection->Call(call, query.TimeLimit(timeout), &query.cancel, query.response);
     query.last_called = Now();
-    if (called == Io::kOk && query.HasValidResponse(page)) {
+    if (called == IoResult::kOk && query.HasValidResponse(page)) {
       StoreLoadReport(query);
       co_return Outcome::kOk;
     }
-    if (called == Io::kCancelled) co_return Outcome::kCancelled;
+    if (called == IoResult::kCancelled) co_return Outcome::kCancelled;
     if (Now() >= query.attempt.deadline) co_return Outcome::kTimeout;
-    engine_reacted = engine_reacted || called != Io::kTimeout;
+    engine_reacted = engine_reacted || called != IoResult::kTimeout;
     outcome = engine_reacted ? Outcome::kLost : Outcome::kTimeout;
     query.lost_response = true;
     query.connection = PooledConnection();
@@ -208,7 +209,7 @@
 }
 
 // After a lost response only a new connection will do: a reused one may be lost as well.
-Task<Io> Engines::Reconnect(Query& query) {
+Task<IoResult> Engines::Reconnect(Query& query) {
   const runtime::Time connect_by = std::min(query.attempt.deadline, Now() + connect_timeout_);
   const auto reuse = query.lost_response ? ConnectionPool::Reuse::kNever : ConnectionPool::Reuse::kIfIdle;
   co_return co_await pool_.Acquire(query.attempt.engine, connect_by, &query.cancel, query.connection, reuse);
@@ -258,11 +259,11 @@
   co_await connection->Receive(Now() + kLateResponseTimeout, nullptr, ignored);
 }
 
-Task<Io> Engines::SendCommand(EngineId engine, QueryCommand command) {
+Task<IoResult> Engines::SendCommand(EngineId engine, QueryCommand command) {
   const ScopedCount pending(pending_commands_);
   PooledConnection connection;
-  const Io connected = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, connection);
-  if (connected != Io::kOk) co_return connected;
+  const IoResult connected = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, connection);
+  if (connected != IoResult::kOk) co_return connected;
   const codec::HttpRequest call = CommandCall(command);
   codec::HttpResponse ignored;
   co_return co_await connection->Call(call, Now() + connect_timeout_, nullptr, ignored);
@@ -279,8 +280,8 @@
   const runtime::Time abandoned_by = query.last_called + kEngineAbandonTimeout + kEngineAbandonMargin;
   runtime::Duration backoff = kMinCancelBackoff;
   while (Now() < abandoned_by) {
-    const Io io = co_await SendCommand(query.attempt.engine, CancelCommand(query.request_id()));
-    if (io == Io::kOk) co_return;
+    const IoResult io = co_await SendCommand(query.attempt.engine, CancelCommand(query.request_id()));
+    if (io == IoResult::kOk) co_return;
     co_await loop_.SleepUntil(std::min(abandoned_by, Now() + backoff));
     backoff = std::min<runtime::Duration>(2 * backoff, kMaxCancelBackoff);
   }
@@ -293,14 +294,14 @@
 Task<ProbeResult> Engines::Probe(EngineId engine) {
   ProbeResult result;
   PooledConnection connection;
-  const Io connected = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, connection);
-  if (connected != Io::kOk) co_return result;
+  const IoResult connected = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, connection);
+  if (connected != IoResult::kOk) co_return result;
   const codec::HttpRequest call =
       ProbeCall(report_fields_.empty() ? ProbeKind::kHealthOnly : ProbeKind::kWithLoadReport);
   codec::HttpResponse response;
-  const Io called = co_await connection->Call(call, Now() + connect_timeout_, nullptr, response);
-  if (called != Io::kOk) {
-    result.outcome = called == Io::kTimeout ? Outcome::kTimeout : Outcome::kReset;
+  const IoResult called = co_await connection->Call(call, Now() + connect_timeout_, nullptr, response);
+  if (called != IoResult::kOk) {
+    result.outcome = called == IoResult::kTimeout ? Outcome::kTimeout : Outcome::kReset;
     co_return result;
   }
   result.outcome = IsHealthy(response) ? Outcome::kOk : Outcome::kFull;
--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -62,7 +62,7 @@
   // Submits the statement. kOk: the engine has answered; the response says how the query stands.
   runtime::Task<Outcome> Submit(Query& query);
   // Sends the statement on the query's connection and receives the response.
-  runtime::Task<runtime::Io> SendStatement(Query& query, runtime::Duration remaining_time);
+  runtime::Task<runtime::IoResult> SendStatement(Query& query, runtime::Duration remaining_time);
   // Polls until the query is done. kOk: the response has the first page.
   runtime::Task<Outcome> AwaitCompletion(Query& query);
   runtime::Task<Outcome> FetchPages(Query& query);
@@ -70,7 +70,7 @@
   // Polls for a page, or for the status (page 0), until there is a valid response. kOk: there is.
   runtime::Task<Outcome> Poll(Query& query, int page);
   // Gives the query another connection.
-  runtime::Task<runtime::Io> Reconnect(Query& query);
+  runtime::Task<runtime::IoResult> Reconnect(Query& query);
   // Makes sure that nothing is left running of an attempt that ended with `outcome`.
   runtime::Task<> CancelIfRunning(Query& query, Outcome outcome);
   // Cancels a query and returns once it surely no longer runs.
@@ -81,7 +81,7 @@
   runtime::Task<> DiscardResponse(PooledConnection connection);
 
   // Sends a command; kOk: the engine has received it.
-  runtime::Task<runtime::Io> SendCommand(EngineId engine, QueryCommand command);
+  runtime::Task<runtime::IoResult> SendCommand(EngineId engine, QueryCommand command);
   // The same, ignoring failures.
   runtime::Task<> TrySendCommand(EngineId engine, QueryCommand command);
 
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using runtime::Io;
+using runtime::IoResult;
 
 // Requests to a draining engine must stop within 250 ms of the feed's event. A connection that died silently
 // has to be detected and replaced within that time, as has one to a feed that was down.
@@ -59,8 +59,9 @@
   const auto address = runtime::Address::Parse(host_port);
   if (!address) co_return;  // the configuration is checked for this
   std::unique_ptr<runtime::Socket> socket;
-  const Io up = co_await Connect(loop_, *address, runtime::Now() + kConnectTimeout, &address_changed, socket);
-  if (up != Io::kOk) {
+  const IoResult up =
+      co_await Connect(loop_, *address, runtime::Now() + kConnectTimeout, &address_changed, socket);
+  if (up != IoResult::kOk) {
     spdlog::debug("control feed: no connection to {}", host_port);
     co_return;
   }
@@ -72,10 +73,10 @@
                    "&wait=" + std::to_string(kLongPollTimeout.count());
     codec::HttpResponse response;
     const runtime::Time begin_by = runtime::Now() + kLongPollTimeout + kLongPollGrace;
-    Io io = co_await connection.Send(request, begin_by, &address_changed);
-    if (io == Io::kOk)
+    IoResult io = co_await connection.Send(request, begin_by, &address_changed);
+    if (io == IoResult::kOk)
       io = co_await connection.Receive(begin_by, begin_by + kAnswerTimeout, &address_changed, response);
-    if (io != Io::kOk || response.status != 200) {
+    if (io != IoResult::kOk || response.status != 200) {
       spdlog::info("control feed: connection lost after event {}", directory_.last_event());
       co_return;
     }
--- a/src/frontend/client_connection_input.cpp
+++ b/src/frontend/client_connection_input.cpp
@@ -10,7 +10,7 @@
 namespace lemoncroft::frontend {
 
 using codec::FrameReader;
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 using namespace client_protocol;
@@ -32,10 +32,10 @@
 Task<> ClientConnection::ReadFrames() {
   // A client that always has more to read never waits in Read, where the cancellation would be seen.
   while (!stop_reading_.cancelled()) {
-    const Io io = co_await socket_->Read(input_, kReadBytes, ReadDeadline(), &stop_reading_);
-    if (io == Io::kTimeout) co_return SendError(0, kErrorRequestTimeout);
-    if (io == Io::kCancelled) co_return;
-    peer_closed_ = io != Io::kOk;
+    const IoResult io = co_await socket_->Read(input_, kReadBytes, ReadDeadline(), &stop_reading_);
+    if (io == IoResult::kTimeout) co_return SendError(0, kErrorRequestTimeout);
+    if (io == IoResult::kCancelled) co_return;
+    peer_closed_ = io != IoResult::kOk;
     if (peer_closed_) co_return;
     const int input_errors_before = input_errors_;
     const std::size_t bytes_before = input_.size();
@@ -79,9 +79,9 @@
   std::string discarded;
   for (std::size_t bytes = 0; !stop_discarding_.cancelled(); bytes += discarded.size()) {
     discarded.clear();
-    const Io io = co_await socket_->Read(discarded, kReadBytes, runtime::kNever, &stop_discarding_);
-    peer_closed_ = io == Io::kClosed;
-    if (io != Io::kOk) co_return;
+    const IoResult io = co_await socket_->Read(discarded, kReadBytes, runtime::kNever, &stop_discarding_);
+    peer_closed_ = io == IoResult::kClosed;
+    if (io != IoResult::kOk) co_return;
     if (bytes < runtime::kMaxLingerBytes) {
       co_await context_.loop.NextTurn();
     } else {
--- a/src/frontend/client_connection_output.cpp
+++ b/src/frontend/client_connection_output.cpp
@@ -7,7 +7,7 @@
 namespace lemoncroft::frontend {
 
 using runtime::Duration;
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 using namespace client_protocol;
@@ -88,10 +88,10 @@
     c.write_in_progress_ = true;
     c.context_.total_unread_bytes += bytes.size();
     std::size_t written = 0;
-    const Io io = co_await c.socket_->Write(bytes, written, Now() + kWriteTimeout);
+    const IoResult io = co_await c.socket_->Write(bytes, written, Now() + kWriteTimeout);
     c.context_.total_unread_bytes -= bytes.size();
     c.write_in_progress_ = false;
-    if (io != Io::kOk) c.Abort();
+    if (io != IoResult::kOk) c.Abort();
     c.output_flushed_.Open();
   }
 }
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -7,7 +7,7 @@
 
 namespace lemoncroft::frontend {
 
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 using namespace std::chrono_literals;
@@ -35,9 +35,9 @@
   for (int accepted = 1;; ++accepted) {
     if (stop_accepting_.cancelled() && queue_ == Queue::kLeaveQueued) break;
     std::unique_ptr<runtime::Socket> socket;
-    const Io io = co_await listener_->Accept(socket, &stop_accepting_);
-    if (io == Io::kCancelled) break;
-    if (io == Io::kNoDescriptors) {  // the backlog holds new connections until descriptors are free
+    const IoResult io = co_await listener_->Accept(socket, &stop_accepting_);
+    if (io == IoResult::kCancelled) break;
+    if (io == IoResult::kNoDescriptors) {  // the backlog holds new connections until descriptors are free
       EvictConnection();
       co_await loop_.Sleep(kNoDescriptorsPause, &stop_accepting_);
       continue;
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -5,7 +5,7 @@
 
 namespace lemoncroft::http {
 
-using runtime::Io;
+using runtime::IoResult;
 using namespace std::chrono_literals;
 
 namespace {
@@ -17,54 +17,54 @@
 
 }  // namespace
 
-runtime::Task<Io> Connection::Call(const codec::HttpRequest& request, runtime::Time deadline,
-                                   runtime::Cancellation* cancel, codec::HttpResponse& out) {
-  const Io sent = co_await Send(request, deadline, cancel);
-  if (sent != Io::kOk) co_return sent;
+runtime::Task<IoResult> Connection::Call(const codec::HttpRequest& request, runtime::Time deadline,
+                                         runtime::Cancellation* cancel, codec::HttpResponse& out) {
+  const IoResult sent = co_await Send(request, deadline, cancel);
+  if (sent != IoResult::kOk) co_return sent;
   co_return co_await Receive(deadline, cancel, out);
 }
 
-runtime::Task<Io> Connection::Send(const codec::HttpRequest& request, runtime::Time deadline,
-                                   runtime::Cancellation* cancel) {
+runtime::Task<IoResult> Connection::Send(const codec::HttpRequest& request, runtime::Time deadline,
+                                         runtime::Cancellation* cancel) {
   sent_any_ = false;
   auto bytes = codec::WriteHead(request, host_);
-  if (!bytes) co_return Io::kClosed;
+  if (!bytes) co_return IoResult::kClosed;
   bytes->append(request.body);
   pending_ = true;
   parser_ = codec::HttpParser(limits_);
   std::size_t written = 0;
-  const Io io = co_await socket_->Write(*bytes, written, deadline, cancel);
+  const IoResult io = co_await socket_->Write(*bytes, written, deadline, cancel);
   sent_any_ = written > 0;
-  if (io != Io::kOk) keep_alive_ = false;  // nothing can follow a part of a request
+  if (io != IoResult::kOk) keep_alive_ = false;  // nothing can follow a part of a request
   co_return io;
 }
 
-runtime::Task<Io> Connection::Receive(runtime::Time deadline, runtime::Cancellation* cancel,
-                                      codec::HttpResponse& out) {
+runtime::Task<IoResult> Connection::Receive(runtime::Time deadline, runtime::Cancellation* cancel,
+                                            codec::HttpResponse& out) {
   co_return co_await Receive(deadline, deadline, cancel, out);
 }
 
-runtime::Task<Io> Connection::Receive(runtime::Time begin_by, runtime::Time complete_by,
-                                      runtime::Cancellation* cancel, codec::HttpResponse& out) {
+runtime::Task<IoResult> Connection::Receive(runtime::Time begin_by, runtime::Time complete_by,
+                                            runtime::Cancellation* cancel, codec::HttpResponse& out) {
   for (;;) {
     codec::HttpParser::State state = parser_.Feed(received_);
     if (state == codec::HttpParser::State::kNeedMore) {
       const bool has_begun = !received_.empty() || parser_.begun();
       const runtime::Time read_by =
           has_begun ? std::min(complete_by, runtime::Now() + kStallTimeout) : begin_by;
-      const Io io = co_await socket_->Read(received_, kMaxReadBytes, read_by, cancel);
-      if (io == Io::kOk) continue;
-      if (io != Io::kClosed) co_return io;
+      const IoResult io = co_await socket_->Read(received_, kMaxReadBytes, read_by, cancel);
+      if (io == IoResult::kOk) continue;
+      if (io != IoResult::kClosed) co_return io;
       state = parser_.Finish();
     }
     pending_ = false;
     if (state != codec::HttpParser::State::kDone) {
       keep_alive_ = false;
-      co_return Io::kClosed;
+      co_return IoResult::kClosed;
     }
     out = std::move(parser_.response());
     keep_alive_ = keep_alive_ && out.keep_alive;
-    co_return Io::kOk;
+    co_return IoResult::kOk;
   }
 }
 
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -3,8 +3,8 @@
 // Contract: Send (or Call) only when no response is pending. Every wait ends at its deadline or with its
 // cancellation; a wait for a response that was cut short can be resumed with Receive. Owners: the engines'
 // connection pool and the control feed's watch. Thread safety: none; used on the event loop's thread.
-// Errors: as runtime::Io; kClosed also for a response that can't be parsed, after which the connection is not
-// reusable, and for a request that can't be written as a header.
+// Errors: as runtime::IoResult; kClosed also for a response that can't be parsed, after which the connection
+// is not reusable, and for a request that can't be written as a header.
 #ifndef LEMONCROFT_HTTP_CONNECTION_H_
 #define LEMONCROFT_HTTP_CONNECTION_H_
 
@@ -24,18 +24,18 @@
       : socket_(std::move(socket)), host_(std::move(host)), limits_(limits), parser_(limits) {}
 
   // Sends a request; its response is to be received next.
-  runtime::Task<runtime::Io> Send(const codec::HttpRequest& request, runtime::Time deadline,
-                                  runtime::Cancellation* cancel);
+  runtime::Task<runtime::IoResult> Send(const codec::HttpRequest& request, runtime::Time deadline,
+                                        runtime::Cancellation* cancel);
   // Receives the response to the request sent last. The response has to begin by `deadline`, and is received
   // completely soon after that or not at all.
-  runtime::Task<runtime::Io> Receive(runtime::Time deadline, runtime::Cancellation* cancel,
-                                     codec::HttpResponse& out);
+  runtime::Task<runtime::IoResult> Receive(runtime::Time deadline, runtime::Cancellation* cancel,
+                                           codec::HttpResponse& out);
   // The same for a long response, which has to begin by `begin_by` and to be complete by `complete_by`.
-  runtime::Task<runtime::Io> Receive(runtime::Time begin_by, runtime::Time complete_by,
-                                     runtime::Cancellation* cancel, codec::HttpResponse& out);
+  runtime::Task<runtime::IoResult> Receive(runtime::Time begin_by, runtime::Time complete_by,
+                                           runtime::Cancellation* cancel, codec::HttpResponse& out);
   // Sends a request and receives its response.
-  runtime::Task<runtime::Io> Call(const codec::HttpRequest& request, runtime::Time deadline,
-                                  runtime::Cancellation* cancel, codec::HttpResponse& out);
+  runtime::Task<runtime::IoResult> Call(const codec::HttpRequest& request, runtime::Time deadline,
+                                        runtime::Cancellation* cancel, codec::HttpResponse& out);
 
   // True while a response is still to come.
   bool pending() const { return pending_; }
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 using runtime::Time;
@@ -165,7 +165,7 @@
 Task<> Link::ReceiveDatagrams() {
   for (std::size_t n = 1;; ++n) {
     const runtime::DatagramSocket::Received received = co_await datagrams_->Receive();
-    if (received.io != Io::kOk) co_return;
+    if (received.result != IoResult::kOk) co_return;
     ++metrics_.received;
     const auto message = DecodeCounted(received.bytes, received.complete ? gossip::kMaxDatagramBytes : 0);
     if (message) HandleDatagram(*message);
@@ -193,14 +193,14 @@
 Task<tl::expected<std::string, StreamError>> ReadFrame(runtime::Socket& socket, Time deadline) {
   std::string head;
   while (head.size() < kLengthBytes)
-    if (co_await socket.Read(head, kLengthBytes - head.size(), deadline) != Io::kOk)
+    if (co_await socket.Read(head, kLengthBytes - head.size(), deadline) != IoResult::kOk)
       co_return tl::make_unexpected(StreamError::kClosed);
   std::size_t size = 0;
   for (std::size_t i = kLengthBytes; i-- > 0;) size = size << 8 | static_cast<std::uint8_t>(head[i]);
   if (size > kMaxStreamMessageBytes) co_return tl::make_unexpected(StreamError::kFrameTooLong);
   std::string frame;
   while (frame.size() < size)
-    if (co_await socket.Read(frame, size - frame.size(), deadline) != Io::kOk) {
+    if (co_await socket.Read(frame, size - frame.size(), deadline) != IoResult::kOk) {
       // The error metrics have always counted a stream that ends after this many bytes as a frame too long.
       const bool counts_as_too_long = frame.size() == kLengthBytes;
       co_return tl::make_unexpected(counts_as_too_long ? StreamError::kFrameTooLong : StreamError::kClosed);
@@ -215,7 +215,7 @@
     bytes.push_back(static_cast<char>(frame.size() >> shift & 0xff));
   bytes += frame;
   std::size_t written = 0;
-  co_return co_await socket.Write(bytes, written, deadline) == Io::kOk;
+  co_return co_await socket.Write(bytes, written, deadline) == IoResult::kOk;
 }
 
 Task<tl::expected<std::string, CallError>> CallPeer(runtime::Loop& loop, std::string fleet,
@@ -224,7 +224,7 @@
   std::unique_ptr<runtime::Socket> socket;
   const std::string request =
       Encode(fleet, AppMessage{gossip::kNoInstance, Subsystem::kOperatorCall, std::move(bytes)});
-  if (co_await Connect(loop, to, deadline, nullptr, socket, from) != Io::kOk)
+  if (co_await Connect(loop, to, deadline, nullptr, socket, from) != IoResult::kOk)
     co_return tl::make_unexpected(CallError::kConnectFailed);
   if (!co_await WriteFrame(*socket, request, deadline)) co_return tl::make_unexpected(CallError::kSendFailed);
   const auto frame = co_await ReadFrame(*socket, deadline);
@@ -268,7 +268,7 @@
   std::unique_ptr<runtime::Socket> socket;
   std::string end;
   bool sent =
-      co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == Io::kOk;
+      co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == IoResult::kOk;
   if (sent) sent = co_await WriteFrame(*socket, frame, deadline);
   if (sent)
     co_await socket->Read(end, 1, deadline);  // until the peer has read it and closes
@@ -289,9 +289,9 @@
 Task<> Link::AcceptStreams() {
   for (;;) {
     std::unique_ptr<runtime::Socket> socket;
-    const Io io = co_await streams_->Accept(socket);
-    if (io == Io::kCancelled) co_return;
-    if (io != Io::kOk) {
+    const IoResult io = co_await streams_->Accept(socket);
+    if (io == IoResult::kCancelled) co_return;
+    if (io != IoResult::kOk) {
       co_await loop_.Sleep(kAcceptRetryInterval);
       continue;
     }
@@ -343,7 +343,7 @@
 
 Task<bool> Link::SyncWith(gossip::Endpoint to, Time deadline) {
   std::unique_ptr<runtime::Socket> socket;
-  if (co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) != Io::kOk)
+  if (co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) != IoResult::kOk)
     co_return false;
   const std::string request = Encode(fleet_, view_.StartSync(Now()));
   metrics_.sync_bytes += request.size();
--- a/src/runtime/datagram.cpp
+++ b/src/runtime/datagram.cpp
@@ -35,13 +35,14 @@
                                  reinterpret_cast<sockaddr*>(&from.raw), &length);
     if (n >= 0) {
       const std::size_t size = static_cast<std::size_t>(n);
-      co_return Received{Io::kOk, {buffer_, std::min(size, sizeof buffer_)}, size <= sizeof buffer_, from};
+      co_return Received{
+          IoResult::kOk, {buffer_, std::min(size, sizeof buffer_)}, size <= sizeof buffer_, from};
     }
     // Other errors (no memory) may persist: retrying them at once would keep the loop from other tasks.
     const bool is_empty = errno == EAGAIN || errno == EWOULDBLOCK;
     const Time retry_at = is_empty ? kNever : Now() + kErrorRetryInterval;
     const Wake wake = co_await Waiter(loop_, &watched_.readable, retry_at, cancel);
-    if (wake == Wake::kCancelled) co_return Received{Io::kCancelled, {}, true, {}};
+    if (wake == Wake::kCancelled) co_return Received{IoResult::kCancelled, {}, true, {}};
   }
 }
 
--- a/src/runtime/datagram.h
+++ b/src/runtime/datagram.h
@@ -21,13 +21,13 @@
   // One datagram; its bytes are valid until the next call. Longer ones than `kMaxBytes` are cut; `complete`
   // is false then.
   struct Received {
-    Io io = Io::kOk;
+    IoResult result = IoResult::kOk;
     std::string_view bytes;
     bool complete = true;
     Address from;
   };
   static constexpr std::size_t kMaxBytes = 2048;
-  // Waits for a datagram. Received::io is kOk or kCancelled.
+  // Waits for a datagram. Received::result is kOk or kCancelled.
   Task<Received> Receive(Cancellation* cancel = nullptr);
   // False if the system didn't take the datagram: its buffer is full, or there is no route.
   bool Send(std::string_view bytes, const Address& to);
--- a/src/runtime/lingering_close.cpp
+++ b/src/runtime/lingering_close.cpp
@@ -13,7 +13,7 @@
   for (std::size_t left = kMaxLingerBytes; left > 0 && Now() < deadline;) {
     if (cancel != nullptr && cancel->cancelled()) break;
     discarded.clear();
-    if (co_await socket.Read(discarded, kReadBytes, deadline, cancel) != Io::kOk) break;
+    if (co_await socket.Read(discarded, kReadBytes, deadline, cancel) != IoResult::kOk) break;
     left -= std::min(left, discarded.size());
     co_await loop.NextTurn();  // other tasks get their turn even if the peer never pauses
   }
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -24,7 +24,7 @@
   return error == EMFILE || error == ENFILE || error == ENOMEM || error == ENOBUFS;
 }
 
-Io FromWake(Wake wake) { return wake == Wake::kTimeout ? Io::kTimeout : Io::kCancelled; }
+IoResult FromWake(Wake wake) { return wake == Wake::kTimeout ? IoResult::kTimeout : IoResult::kCancelled; }
 
 void SetOption(int fd, int level, int name) {
   const int on = 1;
@@ -94,22 +94,23 @@
   loop_.Watch(fd_.get(), &watched_);
 }
 
-Task<Io> Socket::Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel) {
+Task<IoResult> Socket::Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel) {
   // Shared by all sockets, so that those that wait hold no memory for their reads.
   static thread_local std::array<char, kMaxReadBytes> scratch;
   for (;;) {
     const ssize_t n = ::recv(fd_.get(), scratch.data(), std::min(max_bytes, scratch.size()), 0);
     if (n > 0) into.append(scratch.data(), static_cast<std::size_t>(n));
-    if (n > 0) co_return Io::kOk;
-    if (n == 0) co_return Io::kClosed;
+    if (n > 0) co_return IoResult::kOk;
+    if (n == 0) co_return IoResult::kClosed;
     if (errno == EINTR) continue;
-    if (!WouldBlock(errno)) co_return Io::kClosed;
+    if (!WouldBlock(errno)) co_return IoResult::kClosed;
     const Wake wake = co_await Waiter(loop_, &watched_.readable, deadline, cancel);
     if (wake != Wake::kReady) co_return FromWake(wake);
   }
 }
 
-Task<Io> Socket::Write(std::string_view bytes, std::size_t& written, Time deadline, Cancellation* cancel) {
+Task<IoResult> Socket::Write(std::string_view bytes, std::size_t& written, Time deadline,
+                             Cancellation* cancel) {
   written = 0;
   while (written < bytes.size()) {
     const ssize_t n = ::send(fd_.get(), bytes.data() + written, bytes.size() - written, MSG_NOSIGNAL);
@@ -118,11 +119,11 @@
       continue;
     }
     if (errno == EINTR) continue;
-    if (!WouldBlock(errno)) co_return Io::kClosed;
+    if (!WouldBlock(errno)) co_return IoResult::kClosed;
     const Wake wake = co_await Waiter(loop_, &watched_.writable, deadline, cancel);
     if (wake != Wake::kReady) co_return FromWake(wake);
   }
-  co_return Io::kOk;
+  co_return IoResult::kOk;
 }
 
 void Socket::ShutdownWrite() { ::shutdown(fd_.get(), SHUT_WR); }
@@ -139,31 +140,32 @@
   return out;
 }
 
-Task<Io> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel, std::unique_ptr<Socket>& out,
-                 std::optional<Address> from) {
+Task<IoResult> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel,
+                       std::unique_ptr<Socket>& out, std::optional<Address> from) {
   Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!fd) co_return Io::kNoDescriptors;
+  if (!fd) co_return IoResult::kNoDescriptors;
   SetOption(fd.get(), IPPROTO_TCP, TCP_NODELAY);
   if (from) {
     from->raw.sin_port = 0;
     if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&from->raw), sizeof from->raw) != 0)
-      co_return Io::kClosed;
+      co_return IoResult::kClosed;
   }
   // Watched only once the handshake is under way: before it, epoll reports a socket as hung up.
   const int failed = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw);
-  if (failed != 0 && errno != EINPROGRESS) co_return errno == ECONNREFUSED ? Io::kRefused : Io::kClosed;
+  if (failed != 0 && errno != EINPROGRESS)
+    co_return errno == ECONNREFUSED ? IoResult::kRefused : IoResult::kClosed;
   std::unique_ptr<Socket> socket = MakeSocket(loop, std::move(fd));
-  if (!socket) co_return Io::kNoDescriptors;
+  if (!socket) co_return IoResult::kNoDescriptors;
   if (failed != 0) {
     const Wake wake = co_await Waiter(loop, &socket->watched_.writable, deadline, cancel);
     if (wake != Wake::kReady) co_return FromWake(wake);
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(socket->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) co_return error == ECONNREFUSED ? Io::kRefused : Io::kClosed;
+    if (error != 0) co_return error == ECONNREFUSED ? IoResult::kRefused : IoResult::kClosed;
   }
   out = std::move(socket);
-  co_return Io::kOk;
+  co_return IoResult::kOk;
 }
 
 Listener::Listener(Loop& loop, const Address& address) : loop_(loop), socket_(loop, Listen(address)) {}
@@ -173,18 +175,18 @@
 // If another process holds the socket too, closing this descriptor would leave it in the epoll set.
 Listener::~Listener() { loop_.Unwatch(socket_.fd()); }
 
-Task<Io> Listener::Accept(std::unique_ptr<Socket>& out, Cancellation* cancel) {
+Task<IoResult> Listener::Accept(std::unique_ptr<Socket>& out, Cancellation* cancel) {
   for (;;) {
     Descriptor fd(::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) {
       SetOption(fd.get(), IPPROTO_TCP, TCP_NODELAY);
       out = MakeSocket(loop_, std::move(fd));
-      co_return out ? Io::kOk : Io::kNoDescriptors;
+      co_return out ? IoResult::kOk : IoResult::kNoDescriptors;
     }
-    if (IsShortage(errno)) co_return Io::kNoDescriptors;
+    if (IsShortage(errno)) co_return IoResult::kNoDescriptors;
     if (WouldBlock(errno)) {
       const Wake wake = co_await Waiter(loop_, &socket_.watched_.readable, kNever, cancel);
-      if (wake == Wake::kCancelled) co_return Io::kCancelled;
+      if (wake == Wake::kCancelled) co_return IoResult::kCancelled;
     }
     // Other errors concern one connection that was about to be accepted: the next one is tried.
   }
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -1,8 +1,8 @@
 // Non-blocking TCP sockets on the loop: every wait has a deadline and can be cancelled.
 //
 // Contract. One coroutine reads and one writes a socket at a time. The loop outlives the sockets, and a
-// socket outlives the tasks that it returned. Errors of connections are returned as Io; std::system_error is
-// thrown only by constructors. Thread: the event loop's.
+// socket outlives the tasks that it returned. Errors of connections are returned as IoResult;
+// std::system_error is thrown only by constructors. Thread: the event loop's.
 #ifndef LEMONCROFT_RUNTIME_SOCKET_H_
 #define LEMONCROFT_RUNTIME_SOCKET_H_
 
@@ -25,7 +25,7 @@
 };
 
 // How an operation on a socket ended.
-enum class Io {
+enum class IoResult {
   kOk,
   kClosed,     // by the peer, or the connection failed
   kTimeout,    // its deadline has passed
@@ -43,10 +43,12 @@
   Socket& operator=(const Socket&) = delete;
 
   // Waits for input and appends it to `into`: at most `max_bytes` and 16 KB.
-  Task<Io> Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel = nullptr);
+  Task<IoResult> Read(std::string& into, std::size_t max_bytes, Time deadline,
+                      Cancellation* cancel = nullptr);
   // Writes all of `bytes`, which must outlive the task; `written` counts what the kernel took, also on
   // failure.
-  Task<Io> Write(std::string_view bytes, std::size_t& written, Time deadline, Cancellation* cancel = nullptr);
+  Task<IoResult> Write(std::string_view bytes, std::size_t& written, Time deadline,
+                       Cancellation* cancel = nullptr);
   // Closes the write side: the peer reads the end of the stream behind the last byte written.
   void ShutdownWrite();
   // True while there is no unread input and the peer has not closed: an idle connection that can be used.
@@ -56,8 +58,8 @@
 
  private:
   friend class Listener;
-  friend Task<Io> Connect(Loop&, Address, Time, Cancellation*, std::unique_ptr<Socket>&,
-                          std::optional<Address>);
+  friend Task<IoResult> Connect(Loop&, Address, Time, Cancellation*, std::unique_ptr<Socket>&,
+                                std::optional<Address>);
 
   Loop& loop_;
   Watched watched_;
@@ -66,8 +68,8 @@
 
 // Opens a connection to `to`. `out` is set on kOk alone; kClosed: unreachable. `from`: the local host to
 // connect from, at any of its ports.
-Task<Io> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel, std::unique_ptr<Socket>& out,
-                 std::optional<Address> from = std::nullopt);
+Task<IoResult> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel,
+                       std::unique_ptr<Socket>& out, std::optional<Address> from = std::nullopt);
 
 // Takes over the listening socket that this process inherited as descriptor `number`, and makes it
 // non-blocking. Throws std::runtime_error if it is no listening TCP socket. To be called before any other
@@ -82,7 +84,7 @@
   ~Listener();
   // Waits for a connection. Returns kOk, kCancelled, or kNoDescriptors if the process or the system has none
   // left.
-  Task<Io> Accept(std::unique_ptr<Socket>& out, Cancellation* cancel = nullptr);
+  Task<IoResult> Accept(std::unique_ptr<Socket>& out, Cancellation* cancel = nullptr);
   Address address() const;  // as bound
 
  private:
--- a/src/testing/fault_test/child_process.cpp
+++ b/src/testing/fault_test/child_process.cpp
@@ -115,7 +115,7 @@
 
 runtime::Task<> ChildProcess::ReadLines(std::shared_ptr<runtime::Socket> output, LineHandler on_line) {
   std::string text;
-  while (co_await output->Read(text, kMaxLineBytes, runtime::kNever) == runtime::Io::kOk) {
+  while (co_await output->Read(text, kMaxLineBytes, runtime::kNever) == runtime::IoResult::kOk) {
     std::size_t from = 0;
     for (std::size_t end = 0; (end = text.find('\n', from)) != std::string::npos; from = end + 1)
       on_line(text.substr(from, end - from));
--- a/src/testing/fault_test/client_load.cpp
+++ b/src/testing/fault_test/client_load.cpp
@@ -48,12 +48,13 @@
   const std::string queries = ReadinessQueries();
   for (;; co_await loop_.Sleep(kReconnectInterval)) {
     std::unique_ptr<runtime::Socket> socket;
-    if (co_await Connect(loop_, to, Now() + kConnectTimeout, nullptr, socket) != runtime::Io::kOk) continue;
+    if (co_await Connect(loop_, to, Now() + kConnectTimeout, nullptr, socket) != runtime::IoResult::kOk)
+      continue;
     std::string answers;
     for (std::size_t written = 0;;) {
-      if (co_await socket->Write(queries, written, Now() + kWriteTimeout) != runtime::Io::kOk) break;
+      if (co_await socket->Write(queries, written, Now() + kWriteTimeout) != runtime::IoResult::kOk) break;
       const Time next = Now() + kBatchInterval;
-      while (co_await socket->Read(answers, kReadBytes, next) == runtime::Io::kOk) answers.clear();
+      while (co_await socket->Read(answers, kReadBytes, next) == runtime::IoResult::kOk) answers.clear();
       if (Now() < next) break;  // the connection has ended
     }
   }
--- a/src/testing/fault_test/emulated_engine.cpp
+++ b/src/testing/fault_test/emulated_engine.cpp
@@ -7,7 +7,7 @@
 
 namespace lemoncroft::fault_test {
 
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Task;
 
 namespace {
@@ -55,7 +55,7 @@
   const std::size_t body = std::strtoul(HeaderValue(head, kHeaderContentLength).c_str(), nullptr, 10);
   const std::size_t request = head.size() + kHeadSeparatorBytes + body;
   while (buffer.size() < request)
-    if (co_await socket.Read(buffer, kReadBytes, runtime::kNever) != Io::kOk) co_return false;
+    if (co_await socket.Read(buffer, kReadBytes, runtime::kNever) != IoResult::kOk) co_return false;
   buffer.erase(0, request);
   co_return true;
 }
--- a/src/testing/fault_test/load_client.cpp
+++ b/src/testing/fault_test/load_client.cpp
@@ -11,7 +11,7 @@
 namespace lemoncroft::fault_test {
 
 using namespace std::chrono_literals;
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 
@@ -69,8 +69,8 @@
     co_await loop_.SleepUntil(next);
     if (!connected_ || draining_) {
       std::unique_ptr<runtime::Socket> connected;
-      const Io io = co_await Connect(loop_, proxy_, Now() + kConnectTimeout, nullptr, connected);
-      if (io != Io::kOk) {
+      const IoResult io = co_await Connect(loop_, proxy_, Now() + kConnectTimeout, nullptr, connected);
+      if (io != IoResult::kOk) {
         ++counts_.connect_failures;
         co_await loop_.Sleep(kReconnectInterval);
         continue;
@@ -100,7 +100,7 @@
       if (frame.type == codec::kResponseFrame) CountResponse({connection, frame.stream}, frame.payload);
     }
     reader.Compact(buffer);
-    if (co_await socket->Read(buffer, kReadBytes, runtime::kNever) != Io::kOk) break;
+    if (co_await socket->Read(buffer, kReadBytes, runtime::kNever) != IoResult::kOk) break;
   }
   if (connection == connection_) connected_ = false;
   counts_.lost_with_connection +=
--- a/src/testing/fault_test/operator_client.cpp
+++ b/src/testing/fault_test/operator_client.cpp
@@ -105,10 +105,10 @@
   const Time begun = Now(), deadline = begun + kCallTimeout;
   std::string answer;
   std::size_t written = 0;
-  runtime::Io io =
+  runtime::IoResult io =
       co_await Connect(loop_, *runtime::Address::Parse(process->admin_address), deadline, nullptr, socket);
-  if (io == runtime::Io::kOk) io = co_await socket->Write(call, written, deadline);
-  while (io == runtime::Io::kOk) io = co_await socket->Read(answer, kAdminReadBytes, deadline);
+  if (io == runtime::IoResult::kOk) io = co_await socket->Write(call, written, deadline);
+  while (io == runtime::IoResult::kOk) io = co_await socket->Read(answer, kAdminReadBytes, deadline);
   if (!answer.starts_with(kAcknowledged))
     findings_.violations.push_back(proxy + " answered '" + answer + "' to " + call);
   if (Now() - begun > kMaxEjectionLatency + kSchedulingSlack)
--- a/src/testing/fault_test/relay.cpp
+++ b/src/testing/fault_test/relay.cpp
@@ -10,7 +10,7 @@
 namespace lemoncroft::fault_test {
 
 using namespace std::chrono_literals;
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 
@@ -91,7 +91,7 @@
 Task<> Relay::ForwardDatagrams(const MachineAddress& to) {
   for (std::size_t count = 1;; ++count) {
     const runtime::DatagramSocket::Received received = co_await to.datagrams->Receive();
-    if (received.io != Io::kOk) co_return;
+    if (received.result != IoResult::kOk) co_return;
     const Sender from = SenderAt(received.from);
     if (from.machine == 0) continue;
     const auto deliver = [&](simulation::Instant at, std::string bytes) {
@@ -117,8 +117,8 @@
   std::shared_ptr<runtime::Socket> in = std::move(socket);
   std::unique_ptr<runtime::Socket> connected;
   const runtime::Address own = MakeAddress(kAdvertisedNetwork, from, kAnyPort);
-  const Io io = co_await Connect(loop_, BoundAddress(to), deadline, nullptr, connected, own);
-  if (io != Io::kOk) co_return;
+  const IoResult io = co_await Connect(loop_, BoundAddress(to), deadline, nullptr, connected, own);
+  if (io != IoResult::kOk) co_return;
   std::shared_ptr<runtime::Socket> out = std::move(connected);
   loop_.Spawn(CopyStream(out, in, to.machine, from));
   co_await CopyStream(in, out, from, to.machine);
@@ -127,14 +127,14 @@
 Task<> Relay::CopyStream(std::shared_ptr<runtime::Socket> in, std::shared_ptr<runtime::Socket> out,
                          std::size_t from, std::size_t to) {
   for (std::string bytes;; bytes.clear()) {
-    if (co_await in->Read(bytes, kStreamReadBytes, Now() + kStreamTimeout) != Io::kOk) break;
+    if (co_await in->Read(bytes, kStreamReadBytes, Now() + kStreamTimeout) != IoResult::kOk) break;
     const runtime::Time deadline = Now() + kStreamTimeout;
     while (!IsOpen(from, to) && Now() < deadline) co_await loop_.Sleep(kStreamPollInterval);
     if (!IsOpen(from, to)) break;
     co_await loop_.Sleep(TransferTime(from, to, bytes.size()));
     links_.Garble(NodeOf(from), NodeOf(to), bytes);
     std::size_t written = 0;
-    if (co_await out->Write(bytes, written, Now() + kStreamTimeout) != Io::kOk) break;
+    if (co_await out->Write(bytes, written, Now() + kStreamTimeout) != IoResult::kOk) break;
   }
   out->ShutdownWrite();
 }
--- a/src/testing/fault_test/tcp_server.cpp
+++ b/src/testing/fault_test/tcp_server.cpp
@@ -3,7 +3,7 @@
 namespace lemoncroft::fault_test {
 
 using namespace std::chrono_literals;
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Task;
 
@@ -18,9 +18,9 @@
 Task<> AcceptConnections(runtime::Loop& loop, runtime::Listener& listener, ConnectionHandler serve) {
   for (;;) {
     std::unique_ptr<runtime::Socket> socket;
-    const Io io = co_await listener.Accept(socket);
-    if (io == Io::kCancelled) co_return;
-    if (io == Io::kOk) loop.Spawn(serve(std::move(socket)));
+    const IoResult io = co_await listener.Accept(socket);
+    if (io == IoResult::kCancelled) co_return;
+    if (io == IoResult::kOk) loop.Spawn(serve(std::move(socket)));
     co_await loop.NextTurn();
   }
 }
@@ -29,7 +29,7 @@
   std::size_t end = 0;
   while ((end = buffer.find(kHeadEnd)) == std::string::npos) {
     if (buffer.size() > kMaxHeadBytes) co_return std::nullopt;
-    if (co_await socket.Read(buffer, kReadBytes, runtime::kNever) != Io::kOk) co_return std::nullopt;
+    if (co_await socket.Read(buffer, kReadBytes, runtime::kNever) != IoResult::kOk) co_return std::nullopt;
   }
   co_return buffer.substr(0, end + kLineEnd.size());
 }
@@ -44,7 +44,7 @@
 
 Task<bool> WriteResponse(runtime::Socket& socket, std::string response) {
   std::size_t written = 0;
-  co_return co_await socket.Write(response, written, Now() + kWriteTimeout) == Io::kOk;
+  co_return co_await socket.Write(response, written, Now() + kWriteTimeout) == IoResult::kOk;
 }
 
 }  // namespace lemoncroft::fault_test
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -169,14 +169,14 @@
   runtime::Task<> AcceptAll() {
     for (;;) {
       std::unique_ptr<runtime::Socket> socket;
-      if (co_await listener_.Accept(socket) != runtime::Io::kOk) continue;
+      if (co_await listener_.Accept(socket) != runtime::IoResult::kOk) continue;
       ++connections_;
       loop_.Spawn(Serve(std::move(socket)));
     }
   }
   runtime::Task<> Serve(std::unique_ptr<runtime::Socket> socket) {
     std::string in;
-    while (co_await socket->Read(in, 4096, runtime::kNever) == runtime::Io::kOk) {
+    while (co_await socket->Read(in, 4096, runtime::kNever) == runtime::IoResult::kOk) {
       const std::size_t head = in.find("\r\n\r\n");
       if (head == std::string::npos) continue;
       const std::size_t sized = in.find("Content-Length: ");
@@ -249,7 +249,7 @@
       co_await Write(socket, "HTTP/1.1 200 OK\r\nChunks: 1\r\n\r\n");
       for (std::size_t written = 1; written > 0;) {
         const std::string more(trickles ? 1 : 64 * 1024, 'x');
-        if (co_await socket.Write(more, written, Now() + 1s) != runtime::Io::kOk) co_return;
+        if (co_await socket.Write(more, written, Now() + 1s) != runtime::IoResult::kOk) co_return;
         co_await loop_.Sleep(trickles ? 20ms : 1ms);
       }
     });
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using runtime::Io;
+using runtime::IoResult;
 using runtime::Now;
 using runtime::Socket;
 using runtime::Task;
@@ -76,7 +76,7 @@
   }
 
   Task<> Engine(runtime::Listener& listener) {
-    for (SocketPtr socket; co_await listener.Accept(socket) == Io::kOk;)
+    for (SocketPtr socket; co_await listener.Accept(socket) == IoResult::kOk;)
       loop_.Spawn(Answer(std::move(socket)));
   }
 
@@ -89,7 +89,7 @@
       const std::size_t sized = in.find("Content-Length: ");
       const std::size_t body = sized < end ? std::stoul(in.substr(sized + 16)) : 0;
       if (end == std::string::npos || in.size() < end + 4 + body) {
-        if (co_await socket->Read(in, 4096, runtime::kNever) != Io::kOk) co_return;
+        if (co_await socket->Read(in, 4096, runtime::kNever) != IoResult::kOk) co_return;
         continue;
       }
       in.erase(0, end + 4 + body);
@@ -131,7 +131,7 @@
 
   Task<> Client() {
     SocketPtr socket;
-    if (co_await Connect(loop_, address_, Now() + 1s, nullptr, socket) == Io::kOk) {
+    if (co_await Connect(loop_, address_, Now() + 1s, nullptr, socket) == IoResult::kOk) {
       const int requests = 1 + Pick(40);
       std::size_t written = 0;
       std::string in;
@@ -146,7 +146,7 @@
       const auto until = Now() + (Pick(3) == 0 ? 20ms : 700ms);
       codec::FrameReader reader;
       codec::Frame frame;
-      while (co_await socket->Read(in, 4096, until) == Io::kOk) {
+      while (co_await socket->Read(in, 4096, until) == IoResult::kOk) {
         while (reader.Next(in, frame) == codec::FrameReader::Result::kFrame)
           if (frame.type == codec::kResponseFrame && frame.stream != 0) ++responses_[frame.payload[0]];
         reader.Compact(in);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -47,7 +47,7 @@
   std::vector<runtime::Time> connected_at;
   const auto close_connections = [&]() -> runtime::Task<> {
     for (std::unique_ptr<runtime::Socket> socket;; socket.reset()) {
-      if (co_await feed.Accept(socket) == runtime::Io::kOk) connected_at.push_back(runtime::Now());
+      if (co_await feed.Accept(socket) == runtime::IoResult::kOk) connected_at.push_back(runtime::Now());
     }
   };
   const auto stop_later = [&]() -> runtime::Task<> {
--- a/tests/golden_stream_test.cpp
+++ b/tests/golden_stream_test.cpp
@@ -34,7 +34,7 @@
     co_await runtime::Connect(loop, address, Now() + 1s, nullptr, socket);
     if (socket) {
       co_await Write(*socket, call);
-      while (co_await socket->Read(in, 4096, Now() + 1s) == runtime::Io::kOk) {
+      while (co_await socket->Read(in, 4096, Now() + 1s) == runtime::IoResult::kOk) {
       }
     }
     loop.Stop();
@@ -66,9 +66,9 @@
   std::optional<std::string> got;
   const auto serve = [&]() -> Task<> {
     std::unique_ptr<runtime::Socket> socket;
-    if (co_await listener.Accept(socket) != runtime::Io::kOk) co_return;
+    if (co_await listener.Accept(socket) != runtime::IoResult::kOk) co_return;
     while (heard.size() < golden["call"].size() / 2)
-      if (co_await socket->Read(heard, 4096, Now() + 1s) != runtime::Io::kOk) break;
+      if (co_await socket->Read(heard, 4096, Now() + 1s) != runtime::IoResult::kOk) break;
     co_await Write(*socket, answer);
   };
   const auto ask = [&]() -> Task<> {
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -20,7 +20,7 @@
   std::string in;
   std::size_t waiting = 0;
   const auto read = [&]() -> runtime::Task<> {
-    while (co_await reader.Read(in, 16 * 1024, runtime::kNever) == runtime::Io::kOk) {
+    while (co_await reader.Read(in, 16 * 1024, runtime::kNever) == runtime::IoResult::kOk) {
     }
     loop.Stop();
   };
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -194,7 +194,7 @@
   runtime::Task<> Run() {
     for (;;) {
       std::unique_ptr<runtime::Socket> socket;
-      if (co_await listener_.Accept(socket) != runtime::Io::kOk) co_return;
+      if (co_await listener_.Accept(socket) != runtime::IoResult::kOk) co_return;
       ++connections_;
       std::string request;
       co_await socket->Read(request, 4096, runtime::Now() + 1s);
@@ -202,7 +202,7 @@
       for (std::size_t at = 0; at < answer_.size(); at += slice) {
         std::size_t written = 0;
         const auto part = std::string_view(answer_).substr(at, slice);
-        if (co_await socket->Write(part, written, runtime::Now() + 1s) != runtime::Io::kOk) break;
+        if (co_await socket->Write(part, written, runtime::Now() + 1s) != runtime::IoResult::kOk) break;
         co_await loop_.Sleep(pause_);
       }
       sockets_.push_back(std::move(socket));
