--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -85,8 +85,8 @@
 
 Task<RequestEvent> Broker::NextEvent(ActiveRequest& request, Time deadline) {
   while (request.inbox.empty()) {
-    const runtime::Wake wake = co_await runtime::Waiter(loop_, &request.inbox_filled, deadline);
-    if (wake == runtime::Wake::kTimeout) co_return DeadlinePassed{};
+    const runtime::WakeReason wake = co_await runtime::Waiter(loop_, &request.inbox_filled, deadline);
+    if (wake == runtime::WakeReason::kTimeout) co_return DeadlinePassed{};
   }
   RequestEvent event = std::move(request.inbox.front());
   request.inbox.pop_front();
--- a/src/runtime/datagram.cpp
+++ b/src/runtime/datagram.cpp
@@ -41,8 +41,8 @@
     // Other errors (no memory) may persist: retrying them at once would keep the loop from other tasks.
     const bool is_empty = errno == EAGAIN || errno == EWOULDBLOCK;
     const Time retry_at = is_empty ? kNever : Now() + kErrorRetryInterval;
-    const Wake wake = co_await Waiter(loop_, &watched_.readable, retry_at, cancel);
-    if (wake == Wake::kCancelled) co_return Received{IoResult::kCancelled, {}, true, {}};
+    const WakeReason wake = co_await Waiter(loop_, &watched_.readable, retry_at, cancel);
+    if (wake == WakeReason::kCancelled) co_return Received{IoResult::kCancelled, {}, true, {}};
   }
 }
 
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -28,7 +28,7 @@
 }
 
 void Gate::Open() {
-  if (waiter_ != nullptr) waiter_->Finish(Wake::kReady);
+  if (waiter_ != nullptr) waiter_->Finish(WakeReason::kReady);
 }
 
 Cancellation::~Cancellation() {
@@ -37,7 +37,7 @@
 
 void Cancellation::Cancel() {
   cancelled_ = true;
-  if (waiter_ != nullptr) waiter_->Finish(Wake::kCancelled);
+  if (waiter_ != nullptr) waiter_->Finish(WakeReason::kCancelled);
 }
 
 void Waiter::await_suspend(std::coroutine_handle<> handle) {
@@ -48,7 +48,7 @@
   if (deadline_ != kNever) loop_.HeapPush(this);
 }
 
-void Waiter::Finish(Wake result) {
+void Waiter::Finish(WakeReason result) {
   Unlink();
   result_ = result;
   loop_.Post(handle_);
@@ -127,7 +127,7 @@
   if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
   for (int i = 0; i < n; ++i) OpenGates(events[static_cast<std::size_t>(i)]);
   const Time now = Now();
-  while (!heap_.empty() && heap_.front()->deadline_ <= now) heap_.front()->Finish(Wake::kTimeout);
+  while (!heap_.empty() && heap_.front()->deadline_ <= now) heap_.front()->Finish(WakeReason::kTimeout);
 }
 
 void Loop::Run() {
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -31,7 +31,7 @@
 inline Time Now() { return std::chrono::steady_clock::now(); }
 
 // Why a wait ended.
-enum class Wake { kReady, kTimeout, kCancelled };
+enum class WakeReason { kReady, kTimeout, kCancelled };
 
 class Loop;
 class Waiter;
@@ -79,11 +79,11 @@
 
   bool await_ready() {
     if (cancel_ == nullptr || !cancel_->cancelled()) return false;
-    result_ = Wake::kCancelled;
+    result_ = WakeReason::kCancelled;
     return true;
   }
   void await_suspend(std::coroutine_handle<> handle);
-  Wake await_resume() const { return result_; }
+  WakeReason await_resume() const { return result_; }
 
  private:
   friend class Loop;
@@ -91,8 +91,8 @@
   friend class Cancellation;
   static constexpr std::size_t kNotInHeap = static_cast<std::size_t>(-1);
 
-  void Finish(Wake result);  // ends the wait and queues the coroutine
-  void Unlink();             // from gate, cancellation and heap
+  void Finish(WakeReason result);  // ends the wait and queues the coroutine
+  void Unlink();                   // from gate, cancellation and heap
 
   Loop& loop_;
   Gate* gate_;
@@ -101,7 +101,7 @@
   bool linked_ = false;
   std::size_t heap_index_ = kNotInHeap;
   std::coroutine_handle<> handle_;
-  Wake result_ = Wake::kReady;
+  WakeReason result_ = WakeReason::kReady;
 };
 
 // The readiness of a descriptor in the epoll set. Both gates open on errors and hang-ups too.
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -24,7 +24,9 @@
   return error == EMFILE || error == ENFILE || error == ENOMEM || error == ENOBUFS;
 }
 
-IoResult FromWake(Wake wake) { return wake == Wake::kTimeout ? IoResult::kTimeout : IoResult::kCancelled; }
+IoResult FromWake(WakeReason wake) {
+  return wake == WakeReason::kTimeout ? IoResult::kTimeout : IoResult::kCancelled;
+}
 
 void SetOption(int fd, int level, int name) {
   const int on = 1;
@@ -104,8 +106,8 @@
     if (n == 0) co_return IoResult::kClosed;
     if (errno == EINTR) continue;
     if (!WouldBlock(errno)) co_return IoResult::kClosed;
-    const Wake wake = co_await Waiter(loop_, &watched_.readable, deadline, cancel);
-    if (wake != Wake::kReady) co_return FromWake(wake);
+    const WakeReason wake = co_await Waiter(loop_, &watched_.readable, deadline, cancel);
+    if (wake != WakeReason::kReady) co_return FromWake(wake);
   }
 }
 
@@ -120,8 +122,8 @@
     }
     if (errno == EINTR) continue;
     if (!WouldBlock(errno)) co_return IoResult::kClosed;
-    const Wake wake = co_await Waiter(loop_, &watched_.writable, deadline, cancel);
-    if (wake != Wake::kReady) co_return FromWake(wake);
+    const WakeReason wake = co_await Waiter(loop_, &watched_.writable, deadline, cancel);
+    if (wake != WakeReason::kReady) co_return FromWake(wake);
   }
   co_return IoResult::kOk;
 }
@@ -157,8 +159,8 @@
   std::unique_ptr<Socket> socket = MakeSocket(loop, std::move(fd));
   if (!socket) co_return IoResult::kNoDescriptors;
   if (failed != 0) {
-    const Wake wake = co_await Waiter(loop, &socket->watched_.writable, deadline, cancel);
-    if (wake != Wake::kReady) co_return FromWake(wake);
+    const WakeReason wake = co_await Waiter(loop, &socket->watched_.writable, deadline, cancel);
+    if (wake != WakeReason::kReady) co_return FromWake(wake);
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(socket->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
@@ -185,8 +187,8 @@
     }
     if (IsShortage(errno)) co_return IoResult::kNoDescriptors;
     if (WouldBlock(errno)) {
-      const Wake wake = co_await Waiter(loop_, &socket_.watched_.readable, kNever, cancel);
-      if (wake == Wake::kCancelled) co_return IoResult::kCancelled;
+      const WakeReason wake = co_await Waiter(loop_, &socket_.watched_.readable, kNever, cancel);
+      if (wake == WakeReason::kCancelled) co_return IoResult::kCancelled;
     }
     // Other errors concern one connection that was about to be accepted: the next one is tried.
   }
