--- a/src/broker/active_request.h
+++ b/src/broker/active_request.h
@@ -61,7 +61,7 @@
   std::vector<std::unique_ptr<AttemptRecord>> attempts;
   bool deadline_reported = false;  // to the decision module
   std::deque<RequestEvent> inbox;
-  runtime::Gate inbox_filled;
+  runtime::ConditionVariable inbox_filled;
 
   const std::string& client_request_id() const { return client_request.forwarded.request_id; }
   const std::string& class_name() const { return client_request.forwarded.class_name; }
@@ -70,7 +70,7 @@
   // Queues an event and wakes the request's coroutine.
   void Post(RequestEvent event) {
     inbox.push_back(std::move(event));
-    inbox_filled.Open();
+    inbox_filled.Notify();
   }
   bool HasRunningAttempts() const;
   // Whether an engine may have executed the request, or may be executing it.
--- a/src/broker/admission_queue_host.cpp
+++ b/src/broker/admission_queue_host.cpp
@@ -47,14 +47,14 @@
       ready_cores_.erase(entry.engine);
   }
   if (ReadyCores() != cores_before) queue_.SetFleetCores(ReadyCores(), Now());
-  work_pending_.Open();
+  work_pending_.Notify();
 }
 
 void AdmissionQueueHost::Configure(admission_queue::Settings settings) {
   settings_ = std::move(settings);
   if (proxy_count_) settings_.budget_share = 1.0 / std::max(1, *proxy_count_);
   queue_.Configure(settings_, Now());
-  work_pending_.Open();
+  work_pending_.Notify();
 }
 
 void AdmissionQueueHost::SetProxyCount(int proxy_count) {
@@ -64,7 +64,7 @@
 
 admission_queue::AdmissionQueue::SubmitResult AdmissionQueueHost::Submit(
     const admission_queue::QueuedRequest& request) {
-  work_pending_.Open();
+  work_pending_.Notify();
   const admission_queue::AdmissionQueue::SubmitResult result = queue_.Submit(request, Now());
   if (result.rejected) LogRejection(*result.rejected);
   return result;
@@ -72,18 +72,18 @@
 
 void AdmissionQueueHost::OnAttemptStarted(RequestId id, int attempt, int priority) {
   queue_.OnAttemptStarted(id, attempt, priority, Now());
-  work_pending_.Open();
+  work_pending_.Notify();
 }
 
 void AdmissionQueueHost::OnAttemptEnded(RequestId id, int attempt, admission_queue::Work reported_work,
                                         bool may_have_run) {
   queue_.OnAttemptEnded(id, attempt, reported_work, may_have_run, Now());
-  work_pending_.Open();
+  work_pending_.Notify();
 }
 
 void AdmissionQueueHost::OnRequestCompleted(RequestId id) {
   queue_.OnRequestCompleted(id, Now());
-  work_pending_.Open();
+  work_pending_.Notify();
 }
 
 runtime::Duration AdmissionQueueHost::RetryAfter(admission_queue::TenantId tenant,
--- a/src/broker/admission_queue_host.h
+++ b/src/broker/admission_queue_host.h
@@ -57,7 +57,7 @@
   std::vector<KindSettings> kinds_;
   std::function<void(const admission_queue::Decision&)> apply_decision_;
   std::map<EngineId, double> ready_cores_;  // by ready engine
-  runtime::Gate work_pending_;
+  runtime::ConditionVariable work_pending_;
 };
 
 }  // namespace lemoncroft::broker
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -48,7 +48,7 @@
 
 void ModuleHost::Post(Event event) {
   events_.push_back(std::move(event));
-  events_pending_.Open();
+  events_pending_.Notify();
 }
 
 void ModuleHost::ApplySettings(SettingsChanged change) {
--- a/src/broker/module_host.h
+++ b/src/broker/module_host.h
@@ -54,7 +54,7 @@
   std::vector<Event> events_;    // for the next step
   std::vector<Action> actions_;  // of the last step; kept for its capacity
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  runtime::Gate events_pending_;
+  runtime::ConditionVariable events_pending_;
 };
 
 }  // namespace lemoncroft::broker
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -29,7 +29,7 @@
   input_ = std::string();
   AccountInput();
   output_closed_ = true;
-  output_appended_.Open();
+  output_appended_.Notify();
   while (!aborted_ && !IsFlushed()) {  // WriteOutput aborts if the client stops reading
     co_await runtime::Waiter(context_.loop, &output_flushed_, runtime::kNever);
   }
@@ -63,7 +63,7 @@
   if (output_closed_ || aborted_ || drain_announced_) return;
   drain_announced_ = true;
   codec::WriteFrame(output_, codec::kDrainFrame, 0);
-  output_appended_.Open();
+  output_appended_.Notify();
 }
 
 }  // namespace lemoncroft::frontend
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -135,7 +135,7 @@
   runtime::Time closing_since_{};
 
   std::unordered_map<std::uint32_t, RequestId> open_streams_;  // requests that are owed a response
-  runtime::Gate output_appended_, output_flushed_;
+  runtime::ConditionVariable output_appended_, output_flushed_;
   runtime::Cancellation stop_reading_;
   runtime::Cancellation stop_discarding_;
   runtime::Cancellation stop_lingering_;
--- a/src/frontend/client_connection_output.cpp
+++ b/src/frontend/client_connection_output.cpp
@@ -67,7 +67,7 @@
                               const codec::FieldViews& fields, std::string_view body) {
   if (aborted_ || closing_) return;
   codec::WriteResponse(output_, type, stream, code, fields, body);
-  output_appended_.Open();
+  output_appended_.Notify();
   // Clients that leave responses unread are dropped before their buffers take the process's memory.
   const ClientLimits& limits = context_.limits;
   const bool too_much_unread = output_.size() > limits.max_unread_bytes;
@@ -92,7 +92,7 @@
     c.context_.total_unread_bytes -= bytes.size();
     c.write_in_progress_ = false;
     if (io != IoResult::kOk) c.Abort();
-    c.output_flushed_.Open();
+    c.output_flushed_.Notify();
   }
 }
 
@@ -101,8 +101,8 @@
   output_.clear();
   stop_reading_.Cancel();
   stop_discarding_.Cancel();
-  output_appended_.Open();
-  output_flushed_.Open();
+  output_appended_.Notify();
+  output_flushed_.Notify();
 }
 
 }  // namespace lemoncroft::frontend
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -58,7 +58,7 @@
 
 Task<> FrameServer::ServeConnection(ConnectionPtr connection) {
   co_await connection->Serve();
-  capacity_available_.Open();
+  capacity_available_.Notify();
 }
 
 void FrameServer::StopAccepting(Queue queue) {
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -76,7 +76,7 @@
   ConnectionContext context_;
   std::unique_ptr<runtime::Listener> listener_;
   runtime::Cancellation stop_accepting_;
-  runtime::Gate capacity_available_;
+  runtime::ConditionVariable capacity_available_;
   std::list<std::weak_ptr<ClientConnection>> connections_;  // by age
   std::size_t rejected_connections_ = 0;
   runtime::Time rejection_logged_at_{};
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -139,7 +139,7 @@
       if (outbound_syncs_ < kMaxOutboundSyncs) loop_.Spawn(RunStateSync(sync->to));
     }
   }
-  if (view_.NextDeadline() < timer_deadline_) wake_timer_.Open();
+  if (view_.NextDeadline() < timer_deadline_) wake_timer_.Notify();
 }
 
 Task<> Link::RunTimer() {
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -130,7 +130,7 @@
   EventHandler on_event_;
   LinkMetrics metrics_;
   LatencyHistogram turns_;
-  runtime::Gate wake_timer_;
+  runtime::ConditionVariable wake_timer_;
   runtime::Time timer_deadline_ = runtime::kNever;
   std::size_t inbound_streams_ = 0, outbound_syncs_ = 0, outbound_messages_ = 0, active_calls_ = 0;
 };
--- a/src/proxy/replicated_config_ejections.cpp
+++ b/src/proxy/replicated_config_ejections.cpp
@@ -93,7 +93,7 @@
   using admin::Verb;
   if (!reply.accepted || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
   manual_ejections_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
-  ejections_changed_.Open();
+  ejections_changed_.Notify();
   const Time last = Now() + kManualEjectionTimeout;
   for (;;) {
     const auto it = manual_ejections_.find(call.engine);
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -145,7 +145,7 @@
 void ReplicatedConfigService::DispatchOutputs() {
   for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
     for (const replicated_config::ConfigReplicaOutput& output : outputs) HandleOutput(output);
-  if (replica_.due() < planned_at_) timer_changed_.Open();
+  if (replica_.due() < planned_at_) timer_changed_.Notify();
 }
 
 // Returns the process of that name; where two live, the one that has the store.
@@ -190,7 +190,7 @@
     const auto it = pending_calls_.find(finished->outcome.id);
     if (it == pending_calls_.end()) return;
     it->second->finished = *finished;
-    it->second->gate.Open();
+    it->second->completed.Notify();
   } else if (const auto* event = std::get_if<replicated_config::LogEvent>(&output)) {
     spdlog::log(event->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", event->text,
                 MonoUs(Now()));
@@ -402,7 +402,7 @@
 
 Task<replicated_config::RequestCompleted> ReplicatedConfigService::AwaitCompletion(std::string id) {
   const auto waiting = pending_calls_.at(id);
-  while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->gate, runtime::kNever);
+  while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->completed, runtime::kNever);
   pending_calls_.erase(id);
   co_return *waiting->finished;
 }
--- a/src/proxy/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -84,7 +84,7 @@
     std::string why;                                   // why the last proposal was not committed
   };
   struct PendingCall {
-    runtime::Gate gate;
+    runtime::ConditionVariable completed;
     std::optional<replicated_config::RequestCompleted> finished;
   };
 
@@ -134,7 +134,7 @@
   replicated_config::ConfigReplica replica_;
   replicated_config::NotificationPacer notification_pacer_;
   std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last UpdatePeers
-  runtime::Gate timer_changed_, ejections_changed_;
+  runtime::ConditionVariable timer_changed_, ejections_changed_;
   runtime::Time planned_at_ = runtime::kNever;
 
   std::unique_ptr<storage::Worker> worker_;
--- a/src/proxy/signals.h
+++ b/src/proxy/signals.h
@@ -26,7 +26,7 @@
 
  private:
   runtime::Loop& loop_;
-  runtime::Watched watched_;
+  runtime::DescriptorReadiness readiness_;
   runtime::Descriptor fd_;
 };
 
--- a/src/runtime/datagram.cpp
+++ b/src/runtime/datagram.cpp
@@ -24,7 +24,7 @@
 // The buffer is read only as far as a datagram has filled it.
 // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
 DatagramSocket::DatagramSocket(Loop& loop, const Address& address) : loop_(loop), fd_(BindSocket(address)) {
-  loop_.Watch(fd_.get(), &watched_);
+  loop_.Watch(fd_.get(), &readiness_);
 }
 
 Task<DatagramSocket::Received> DatagramSocket::Receive(Cancellation* cancel) {
@@ -41,7 +41,7 @@
     // Other errors (no memory) may persist: retrying them at once would keep the loop from other tasks.
     const bool is_empty = errno == EAGAIN || errno == EWOULDBLOCK;
     const Time retry_at = is_empty ? kNever : Now() + kErrorRetryInterval;
-    const WakeReason wake = co_await Waiter(loop_, &watched_.readable, retry_at, cancel);
+    const WakeReason wake = co_await Waiter(loop_, &readiness_.readable, retry_at, cancel);
     if (wake == WakeReason::kCancelled) co_return Received{IoResult::kCancelled, {}, true, {}};
   }
 }
--- a/src/runtime/datagram.h
+++ b/src/runtime/datagram.h
@@ -34,7 +34,7 @@
 
  private:
   Loop& loop_;
-  Watched watched_;
+  DescriptorReadiness readiness_;
   Descriptor fd_;
   char buffer_[kMaxBytes];
 };
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -14,20 +14,20 @@
 constexpr std::size_t kEventsPerPoll = 256;
 constexpr std::int64_t kMaxPollMs = 60'000;
 
-void OpenGates(const epoll_event& event) {
-  auto* watched = static_cast<Watched*>(event.data.ptr);
+void NotifyWaiters(const epoll_event& event) {
+  auto* readiness = static_cast<DescriptorReadiness*>(event.data.ptr);
   const bool has_failed = (event.events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP)) != 0;
-  if (has_failed || (event.events & EPOLLIN) != 0) watched->readable.Open();
-  if (has_failed || (event.events & EPOLLOUT) != 0) watched->writable.Open();
+  if (has_failed || (event.events & EPOLLIN) != 0) readiness->readable.Notify();
+  if (has_failed || (event.events & EPOLLOUT) != 0) readiness->writable.Notify();
 }
 
 }  // namespace
 
-Gate::~Gate() {
-  if (waiter_ != nullptr) waiter_->gate_ = nullptr;
+ConditionVariable::~ConditionVariable() {
+  if (waiter_ != nullptr) waiter_->condition_ = nullptr;
 }
 
-void Gate::Open() {
+void ConditionVariable::Notify() {
   if (waiter_ != nullptr) waiter_->Finish(WakeReason::kReady);
 }
 
@@ -43,7 +43,7 @@
 void Waiter::await_suspend(std::coroutine_handle<> handle) {
   handle_ = handle;
   linked_ = true;
-  if (gate_ != nullptr) gate_->waiter_ = this;
+  if (condition_ != nullptr) condition_->waiter_ = this;
   if (cancel_ != nullptr) cancel_->waiter_ = this;
   if (deadline_ != kNever) loop_.HeapPush(this);
 }
@@ -57,7 +57,7 @@
 void Waiter::Unlink() {
   if (!linked_) return;
   linked_ = false;
-  if (gate_ != nullptr && gate_->waiter_ == this) gate_->waiter_ = nullptr;
+  if (condition_ != nullptr && condition_->waiter_ == this) condition_->waiter_ = nullptr;
   if (cancel_ != nullptr && cancel_->waiter_ == this) cancel_->waiter_ = nullptr;
   if (heap_index_ != kNotInHeap) loop_.HeapErase(this);
 }
@@ -66,10 +66,10 @@
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-void Loop::Watch(int fd, Watched* watched) {
+void Loop::Watch(int fd, DescriptorReadiness* readiness) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  event.data.ptr = watched;
+  event.data.ptr = readiness;
   if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0) {
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
@@ -125,7 +125,7 @@
   std::array<epoll_event, kEventsPerPoll> events;
   const int n = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), wait_ms);
   if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-  for (int i = 0; i < n; ++i) OpenGates(events[static_cast<std::size_t>(i)]);
+  for (int i = 0; i < n; ++i) NotifyWaiters(events[static_cast<std::size_t>(i)]);
   const Time now = Now();
   while (!heap_.empty() && heap_.front()->deadline_ <= now) heap_.front()->Finish(WakeReason::kTimeout);
 }
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -1,8 +1,8 @@
 // The event loop: one thread, one epoll set, one heap of deadlines, one queue of coroutines that are ready.
 //
-// A coroutine waits through a Waiter: for a Gate to open (a socket's readiness, an inbox), for its deadline
-// or for its Cancellation, whichever is first. A woken coroutine is queued, never resumed inside the call
-// that woke it, so that no caller is re-entered.
+// A coroutine waits through a Waiter: for a ConditionVariable (a socket's readiness, an inbox), for its
+// deadline or for its Cancellation, whichever is first. A woken coroutine is queued, never resumed inside the
+// call that woke it, so that no caller is re-entered.
 //
 // Contract. Everything here is used by one thread alone, the one that calls Loop::Run(). Each turn of the
 // loop polls the sockets, wakes what is due and resumes the coroutines that were ready at its start. Errors:
@@ -38,13 +38,13 @@
 
 // An event that one coroutine at a time waits for, such as a socket's readiness. Its owner may destroy it
 // while somebody waits: the wait then ends by deadline or cancellation alone.
-class Gate {
+class ConditionVariable {
  public:
-  Gate() = default;
-  Gate(const Gate&) = delete;
-  Gate& operator=(const Gate&) = delete;
-  ~Gate();
-  void Open();  // wakes the waiter, if any; has no effect on later waits
+  ConditionVariable() = default;
+  ConditionVariable(const ConditionVariable&) = delete;
+  ConditionVariable& operator=(const ConditionVariable&) = delete;
+  ~ConditionVariable();
+  void Notify();  // wakes the waiter, if any; has no effect on later waits
 
  private:
   friend class Waiter;
@@ -67,12 +67,12 @@
   Waiter* waiter_ = nullptr;
 };
 
-// One wait of one coroutine: `co_await Waiter(loop, &gate, deadline, &cancel)` returns why it ended. The gate
-// and the cancellation are optional.
+// One wait of one coroutine: `co_await Waiter(loop, &condition, deadline, &cancel)` returns why it ended. The
+// condition and the cancellation are optional.
 class Waiter {
  public:
-  Waiter(Loop& loop, Gate* gate, Time deadline, Cancellation* cancel = nullptr)
-      : loop_(loop), gate_(gate), deadline_(deadline), cancel_(cancel) {}
+  Waiter(Loop& loop, ConditionVariable* condition, Time deadline, Cancellation* cancel = nullptr)
+      : loop_(loop), condition_(condition), deadline_(deadline), cancel_(cancel) {}
   Waiter(const Waiter&) = delete;
   Waiter& operator=(const Waiter&) = delete;
   ~Waiter() { Unlink(); }
@@ -87,15 +87,15 @@
 
  private:
   friend class Loop;
-  friend class Gate;
+  friend class ConditionVariable;
   friend class Cancellation;
   static constexpr std::size_t kNotInHeap = static_cast<std::size_t>(-1);
 
   void Finish(WakeReason result);  // ends the wait and queues the coroutine
-  void Unlink();                   // from gate, cancellation and heap
+  void Unlink();                   // from condition, cancellation and heap
 
   Loop& loop_;
-  Gate* gate_;
+  ConditionVariable* condition_;
   Time deadline_;
   Cancellation* cancel_;
   bool linked_ = false;
@@ -104,9 +104,9 @@
   WakeReason result_ = WakeReason::kReady;
 };
 
-// The readiness of a descriptor in the epoll set. Both gates open on errors and hang-ups too.
-struct Watched {
-  Gate readable, writable;
+// The readiness of a descriptor in the epoll set. Errors and hang-ups notify both too.
+struct DescriptorReadiness {
+  ConditionVariable readable, writable;
 };
 
 class Loop {
@@ -138,10 +138,10 @@
 
   Turn NextTurn() { return Turn{*this}; }
 
-  // Opens the gates of `watched` when `fd` becomes readable or writable (edge-triggered), until `fd` is
-  // closed. Throws std::system_error.
-  void Watch(int fd, Watched* watched);
-  // To be called before `watched` is destroyed if other descriptors keep the same file open: closing `fd`
+  // Notifies the waiters of `readiness` when `fd` becomes readable or writable (edge-triggered), until `fd`
+  // is closed. Throws std::system_error.
+  void Watch(int fd, DescriptorReadiness* readiness);
+  // To be called before `readiness` is destroyed if other descriptors keep the same file open: closing `fd`
   // would not end the watch then.
   void Unwatch(int fd);
 
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -93,7 +93,7 @@
 }
 
 Socket::Socket(Loop& loop, Descriptor fd) : loop_(loop), fd_(std::move(fd)) {
-  loop_.Watch(fd_.get(), &watched_);
+  loop_.Watch(fd_.get(), &readiness_);
 }
 
 Task<IoResult> Socket::Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel) {
@@ -106,7 +106,7 @@
     if (n == 0) co_return IoResult::kClosed;
     if (errno == EINTR) continue;
     if (!WouldBlock(errno)) co_return IoResult::kClosed;
-    const WakeReason wake = co_await Waiter(loop_, &watched_.readable, deadline, cancel);
+    const WakeReason wake = co_await Waiter(loop_, &readiness_.readable, deadline, cancel);
     if (wake != WakeReason::kReady) co_return FromWake(wake);
   }
 }
@@ -122,7 +122,7 @@
     }
     if (errno == EINTR) continue;
     if (!WouldBlock(errno)) co_return IoResult::kClosed;
-    const WakeReason wake = co_await Waiter(loop_, &watched_.writable, deadline, cancel);
+    const WakeReason wake = co_await Waiter(loop_, &readiness_.writable, deadline, cancel);
     if (wake != WakeReason::kReady) co_return FromWake(wake);
   }
   co_return IoResult::kOk;
@@ -159,7 +159,7 @@
   std::unique_ptr<Socket> socket = MakeSocket(loop, std::move(fd));
   if (!socket) co_return IoResult::kNoDescriptors;
   if (failed != 0) {
-    const WakeReason wake = co_await Waiter(loop, &socket->watched_.writable, deadline, cancel);
+    const WakeReason wake = co_await Waiter(loop, &socket->readiness_.writable, deadline, cancel);
     if (wake != WakeReason::kReady) co_return FromWake(wake);
     int error = 0;
     socklen_t size = sizeof error;
@@ -187,7 +187,7 @@
     }
     if (IsShortage(errno)) co_return IoResult::kNoDescriptors;
     if (WouldBlock(errno)) {
-      const WakeReason wake = co_await Waiter(loop_, &socket_.watched_.readable, kNever, cancel);
+      const WakeReason wake = co_await Waiter(loop_, &socket_.readiness_.readable, kNever, cancel);
       if (wake == WakeReason::kCancelled) co_return IoResult::kCancelled;
     }
     // Other errors concern one connection that was about to be accepted: the next one is tried.
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -62,7 +62,7 @@
                                 std::optional<Address>);
 
   Loop& loop_;
-  Watched watched_;
+  DescriptorReadiness readiness_;
   Descriptor fd_;
 };
 
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -51,7 +51,7 @@
     : loop_(loop), shared_(std::make_shared<Shared>(std::move(options))) {
   shared_->completion_event = runtime::Descriptor(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
   if (!shared_->completion_event) throw std::system_error(errno, std::generic_category(), "eventfd");
-  loop_.Watch(shared_->completion_event.get(), &watched_);
+  loop_.Watch(shared_->completion_event.get(), &readiness_);
   std::thread(RunThread, shared_).detach();
 }
 
@@ -144,7 +144,7 @@
       while (::read(shared_->completion_event.get(), &count, sizeof count) > 0) {
       }
     }
-    co_await runtime::Waiter(loop_, &watched_.readable, runtime::kNever);
+    co_await runtime::Waiter(loop_, &readiness_.readable, runtime::kNever);
   }
 }
 
--- a/src/storage/worker.h
+++ b/src/storage/worker.h
@@ -50,7 +50,7 @@
 
   runtime::Loop& loop_;
   std::shared_ptr<Shared> shared_;  // with the thread, which may outlive this object
-  runtime::Watched watched_;
+  runtime::DescriptorReadiness readiness_;
 };
 
 }  // namespace lemoncroft::storage
--- a/src/testing/benchmark/socket_fleet.cpp
+++ b/src/testing/benchmark/socket_fleet.cpp
@@ -116,7 +116,7 @@
       replica_.SetPeers(members.others());
     for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
       for (const replicated_config::ConfigReplicaOutput& output : outputs) ProcessOutputs(output);
-    if (replica_.due() < timer_deadline_) timer_changed_.Open();
+    if (replica_.due() < timer_deadline_) timer_changed_.Notify();
   }
 
   void ProcessOutputs(const replicated_config::ConfigReplicaOutput& output) {
@@ -146,7 +146,7 @@
   replicated_config::ConfigReplica replica_;
   std::uint64_t store_;
   std::uint64_t peers_as_of_ = 0;  // the members's changes when the keeper was told its peers
-  runtime::Gate timer_changed_;
+  runtime::ConditionVariable timer_changed_;
   Time timer_deadline_ = runtime::kNever;
 };
 
