--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -90,7 +90,7 @@
   return {ntohl(address.raw.sin_addr.s_addr), ntohs(address.raw.sin_port)};
 }
 
-std::string ToString(const gossip::Endpoint& endpoint) { return ToAddress(endpoint).Text(); }
+std::string ToString(const gossip::Endpoint& endpoint) { return ToAddress(endpoint).ToString(); }
 
 Link::Link(runtime::Loop& loop, const LinkOptions& options, std::uint64_t seed, EventHandler on_event)
     : loop_(loop),
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -46,7 +46,7 @@
 }  // namespace
 
 runtime::Descriptor InheritListener(const std::string& descriptor_number) {
-  return runtime::InheritedListener(DescriptorNumber(descriptor_number));
+  return runtime::AdoptListeningSocket(DescriptorNumber(descriptor_number));
 }
 
 std::unique_ptr<hot_restart::ProcessRegistry> JoinPeerProcesses(
--- a/src/runtime/datagram.cpp
+++ b/src/runtime/datagram.cpp
@@ -15,7 +15,7 @@
   Descriptor fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) throw std::system_error(errno, std::generic_category(), "socket");
   if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0)
-    throw std::system_error(errno, std::generic_category(), "cannot bind datagrams to " + address.Text());
+    throw std::system_error(errno, std::generic_category(), "cannot bind datagrams to " + address.ToString());
   return fd;
 }
 
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -77,19 +77,19 @@
 
 void Loop::Unwatch(int fd) { ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr); }
 
-Task<> Loop::Root(Loop& loop, Task<> task, Roots::iterator self) {
+Task<> Loop::RunSpawned(Loop& loop, Task<> task, TaskList::iterator self) {
   try {
     co_await task;
   } catch (const std::exception& e) {
     spdlog::error("a task ended with an exception: {}", e.what());
   }
-  loop.ended_.push_back(self);
+  loop.ended_tasks_.push_back(self);
 }
 
 void Loop::Spawn(Task<> task) {
   // The list node is created first: the coroutine refers to it when it ends.
-  auto self = roots_.emplace(roots_.end(), Task<>(nullptr));
-  *self = Root(*this, std::move(task), self);
+  auto self = spawned_.emplace(spawned_.end(), Task<>(nullptr));
+  *self = RunSpawned(*this, std::move(task), self);
   Post(self->handle());
 }
 
@@ -99,14 +99,14 @@
     std::coroutine_handle<> handle = ready_.front();
     ready_.pop_front();
     handle.resume();
-    for (Roots::iterator it : ended_) roots_.erase(it);
-    ended_.clear();
+    for (TaskList::iterator it : ended_tasks_) spawned_.erase(it);
+    ended_tasks_.clear();
   }
 }
 
 void Loop::DropTasks() {
   ready_.clear();
-  while (!roots_.empty()) roots_.pop_front();
+  while (!spawned_.empty()) spawned_.pop_front();
 }
 
 int Loop::PollTimeoutMs() const {
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -147,10 +147,10 @@
 
  private:
   friend class Waiter;
-  using Roots = std::list<Task<>>;
+  using TaskList = std::list<Task<>>;
 
   // Runs a spawned task and marks its root as ended.
-  static Task<> Root(Loop& loop, Task<> task, Roots::iterator self);
+  static Task<> RunSpawned(Loop& loop, Task<> task, TaskList::iterator self);
   void Post(std::coroutine_handle<> handle) { ready_.push_back(handle); }
   void RunReady();
   void DropTasks();
@@ -168,8 +168,8 @@
   bool stopped_ = false;
   std::deque<std::coroutine_handle<>> ready_;
   std::vector<Waiter*> heap_;
-  Roots roots_;                         // spawned tasks
-  std::vector<Roots::iterator> ended_;  // of these, those to be destroyed
+  TaskList spawned_;                             // spawned tasks
+  std::vector<TaskList::iterator> ended_tasks_;  // of these, those to be destroyed
 };
 
 }  // namespace lemoncroft::runtime
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -48,14 +48,14 @@
   SetOption(fd.get(), SOL_SOCKET, SO_REUSEADDR);
   const auto* raw = reinterpret_cast<const sockaddr*>(&address.raw);
   if (::bind(fd.get(), raw, sizeof address.raw) != 0 || ::listen(fd.get(), kListenBacklog) != 0) {
-    throw std::system_error(errno, std::generic_category(), "cannot listen on " + address.Text());
+    throw std::system_error(errno, std::generic_category(), "cannot listen on " + address.ToString());
   }
   return fd;
 }
 
 }  // namespace
 
-Descriptor InheritedListener(int number) {
+Descriptor AdoptListeningSocket(int number) {
   const std::string name = "descriptor " + std::to_string(number);
   if (::fcntl(number, F_GETFD) < 0) throw std::runtime_error(name + " is not open");
   const auto option = [&](int which) {
@@ -86,7 +86,7 @@
   return out;
 }
 
-std::string Address::Text() const {
+std::string Address::ToString() const {
   char host[INET_ADDRSTRLEN] = "";
   ::inet_ntop(AF_INET, &raw.sin_addr, host, sizeof host);
   return host + (":" + std::to_string(ntohs(raw.sin_port)));
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -21,7 +21,7 @@
 struct Address {
   sockaddr_in raw{};
   static std::optional<Address> Parse(std::string_view text);  // nullopt if it isn't one
-  std::string Text() const;
+  std::string ToString() const;
 };
 
 // How an operation on a socket ended.
@@ -74,13 +74,13 @@
 // Takes over the listening socket that this process inherited as descriptor `number`, and makes it
 // non-blocking. Throws std::runtime_error if it is no listening TCP socket. To be called before any other
 // descriptor is opened, which might get that number.
-Descriptor InheritedListener(int number);
+Descriptor AdoptListeningSocket(int number);
 
 // A listening socket. Destroying it stops listening unless another process holds the socket too.
 class Listener {
  public:
   Listener(Loop& loop, const Address& address);  // throws std::system_error
-  Listener(Loop& loop, Descriptor listening);    // a non-blocking socket, as from InheritedListener()
+  Listener(Loop& loop, Descriptor listening);    // a non-blocking socket, as from AdoptListeningSocket()
   ~Listener();
   // Waits for a connection. Returns kOk, kCancelled, or kNoDescriptors if the process or the system has none
   // left.
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -25,7 +25,7 @@
   std::exception_ptr error;
 
   // Suspends the ended coroutine and resumes its awaiter.
-  struct Final {
+  struct FinalAwaiter {
     bool await_ready() noexcept { return false; }
     template <typename P>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<P> self) noexcept {
@@ -34,7 +34,7 @@
     void await_resume() noexcept {}
   };
   std::suspend_always initial_suspend() noexcept { return {}; }
-  Final final_suspend() noexcept { return {}; }
+  FinalAwaiter final_suspend() noexcept { return {}; }
   void unhandled_exception() noexcept { error = std::current_exception(); }
 };
 
--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -162,7 +162,7 @@
       : loop_(loop), answer_(std::move(answer)), listener_(loop, *runtime::Address::Parse("127.0.0.1:0")) {
     loop_.Spawn(AcceptAll());
   }
-  std::string host_port() const { return listener_.address().Text(); }
+  std::string host_port() const { return listener_.address().ToString(); }
   int connections() const { return connections_; }
 
  private:
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -55,7 +55,7 @@
     loop.Stop();
   };
   discovery::EndpointWatch endpoint_watch(
-      loop, directory, feed.address().Text(), [](const EngineList&) {}, 7);
+      loop, directory, feed.address().ToString(), [](const EngineList&) {}, 7);
   loop.Spawn(close_connections());
   loop.Spawn(endpoint_watch.Run());
   loop.Spawn(stop_later());
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -188,7 +188,7 @@
     answer_ = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
 
-  std::string address() const { return listener_.address().Text(); }
+  std::string address() const { return listener_.address().ToString(); }
   int connections() const { return connections_; }
 
   runtime::Task<> Run() {
