--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -195,7 +195,7 @@
   // Applies all events, then decides once; appends to `actions`.
   void Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions);
   // Listed engines that are ejected as outliers at `now`.
-  std::vector<EngineId> Avoided(Nanos now) const;
+  std::vector<EngineId> EjectedEngines(Nanos now) const;
 
  private:
   std::unique_ptr<decision::Scheduler> scheduler_;
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -156,8 +156,8 @@
 
 // This process may have been stopped since the request was submitted, for longer than its lease.
 bool Engines::LeasePermits(const Attempt& attempt) const {
-  return lease_fence_ == nullptr ||
-         lease_fence_->RecordSend(attempt.forwarded->class_name, attempt.engine, attempt.may_have_run);
+  return lease_fence_ == nullptr || lease_fence_->PermitAndRecordSend(attempt.forwarded->class_name,
+                                                                      attempt.engine, attempt.may_have_run);
 }
 
 Task<IoResult> Engines::SendStatement(Query& query, runtime::Duration remaining_time) {
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -88,7 +88,7 @@
   // True if no attempt runs and no engine is still to be told of a cancellation.
   bool idle() const { return active_requests_.empty() && !engines_.has_pending_commands(); }
   // Engines that the decision module avoids by its own choice.
-  std::vector<EngineId> AvoidedEngines() const { return host_.AvoidedEngines(); }
+  std::vector<EngineId> EjectedEngines() const { return host_.EjectedEngines(); }
 
  private:
   // kCompleted: the request has had its final response, or its client has cancelled it.
--- a/src/broker/module_host.h
+++ b/src/broker/module_host.h
@@ -38,7 +38,7 @@
 
   // The steady clock's time for a time of the module.
   runtime::Time ToTime(Nanos at) const { return clock_.ToTime(at); }
-  std::vector<EngineId> AvoidedEngines() const { return gateway_.Avoided(clock_.At(runtime::Now())); }
+  std::vector<EngineId> EjectedEngines() const { return gateway_.EjectedEngines(clock_.At(runtime::Now())); }
 
  private:
   using Timer = std::pair<runtime::Time, std::uint64_t>;  // when it fires, and the module's token
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -13,7 +13,7 @@
 Gateway::Gateway(Gateway&&) noexcept = default;
 Gateway& Gateway::operator=(Gateway&&) noexcept = default;
 
-std::vector<EngineId> Gateway::Avoided(Nanos now) const { return scheduler_->EjectedEngines(now); }
+std::vector<EngineId> Gateway::EjectedEngines(Nanos now) const { return scheduler_->EjectedEngines(now); }
 
 void Gateway::Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions) {
   scheduler_->Step(now, events, actions);
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -55,7 +55,7 @@
 
   // See Gateway::Step.
   void Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions);
-  // See Gateway::Avoided.
+  // See Gateway::EjectedEngines.
   std::vector<EngineId> EjectedEngines(Nanos now) const;
 
  private:
--- a/src/proxy/operations.cpp
+++ b/src/proxy/operations.cpp
@@ -26,7 +26,7 @@
           true,
           {},
           counters_.Text({broker_.open_requests(), directory_.size(),
-                          directory_.CountEjected(broker_.AvoidedEngines()),
+                          directory_.CountEjected(broker_.EjectedEngines()),
                           additional_metrics_ ? additional_metrics_() : decltype(additional_metrics_())()})};
     case Verb::kExclude:
     case Verb::kInclude:
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -317,7 +317,8 @@
   return UsableVersion() || PermittedInIsolation(class_name, engine);
 }
 
-bool ReplicatedConfigService::RecordSend(const std::string& class_name, EngineId engine, bool may_have_run) {
+bool ReplicatedConfigService::PermitAndRecordSend(const std::string& class_name, EngineId engine,
+                                                  bool may_have_run) {
   const std::optional<Version> version = UsableVersion();
   const bool in_isolation = !version && PermittedInIsolation(class_name, engine) &&
                             !may_have_run;  // an isolated proxy never retries
--- a/src/proxy/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -57,7 +57,7 @@
   bool AdmitsClass(const std::string& class_name) override;
   bool PermitsSend(const std::string& class_name, EngineId engine) override;
   // Returns false if the send is not permitted.
-  bool RecordSend(const std::string& class_name, EngineId engine, bool may_have_run) override;
+  bool PermitAndRecordSend(const std::string& class_name, EngineId engine, bool may_have_run) override;
 
   // Checks that the active version can be applied to new settings of this proxy.
   [[nodiscard]] tl::expected<void, replicated_config::IncompatibleDocument> CheckCompatible(
--- a/src/request/lease_fence.h
+++ b/src/request/lease_fence.h
@@ -21,7 +21,7 @@
   virtual bool PermitsSend(const std::string& class_name, EngineId engine) = 0;
   // Permits an attempt in the turn in which it is sent, and records it if permitted. `may_have_run`: an
   // earlier attempt of the request may have been executed, or still be.
-  virtual bool RecordSend(const std::string& class_name, EngineId engine, bool may_have_run) = 0;
+  virtual bool PermitAndRecordSend(const std::string& class_name, EngineId engine, bool may_have_run) = 0;
 };
 
 }  // namespace lemoncroft::request
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -17,7 +17,7 @@
   void Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions) override {
     gateway_.Step(now, events, actions);
   }
-  std::vector<EngineId> Avoided(Nanos now) const override { return gateway_.Avoided(now); }
+  std::vector<EngineId> EjectedEngines(Nanos now) const override { return gateway_.EjectedEngines(now); }
 
  private:
   Gateway gateway_;
@@ -33,7 +33,7 @@
     actions_ = &actions;
     for (const Event& event : events) std::visit([this](const auto& e) { On(e); }, event);
   }
-  std::vector<EngineId> Avoided(Nanos) const override { return {}; }
+  std::vector<EngineId> EjectedEngines(Nanos) const override { return {}; }
 
  private:
   struct KeyQueue {
--- a/src/testing/simulation/deciders.h
+++ b/src/testing/simulation/deciders.h
@@ -21,7 +21,7 @@
  public:
   virtual ~Decider() = default;
   virtual void Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions) = 0;
-  virtual std::vector<EngineId> Avoided(Nanos now) const = 0;
+  virtual std::vector<EngineId> EjectedEngines(Nanos now) const = 0;
 };
 using DeciderFactory = std::function<std::unique_ptr<Decider>(const Settings& settings, std::uint64_t seed)>;
 
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -525,7 +525,7 @@
       if (engines_[i]->idle()) idle.push_back({site_.engines[i].engine, engines_[i]->idle_since()});
     if (idle.empty()) return;
     std::vector<std::vector<EngineId>> avoided;
-    for (const Proxy& proxy : gateways_) avoided.push_back(proxy.decider->Avoided(now_));
+    for (const Proxy& proxy : gateways_) avoided.push_back(proxy.decider->EjectedEngines(now_));
     checker_.CheckIdle(now_, idle, avoided);
   }
 
