--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -118,10 +118,11 @@
 };
 
 // The number of live gateways and this one's place in the order of their names, from the membership view.
-// Once known it replaces Settings::gateways and Settings::self, for subsets and for shared budgets.
+// Once known it replaces Settings::gateway_count and Settings::gateway_index, for subsets and for shared
+// budgets.
 struct FleetSize {
-  int gateways = 1;
-  int place = 0;
+  int gateway_count = 1;
+  int gateway_index = 0;
 };
 
 // It is too late for another decision, shortly before the client's timeout: the request is ended, and its
--- a/include/lemoncroft/settings.h
+++ b/include/lemoncroft/settings.h
@@ -76,8 +76,8 @@
   double late_fail_price = 0;   // points for weight that ends unserved after its objective, as a share
   double cross_zone_price = 0;  // points for an attempt that crosses zones, per first attempt
 
-  int gateways = 1;  // of this tier, this one included
-  int self = 0;      // this gateway's number among them
+  int gateway_count = 1;  // of this tier, this one included
+  int gateway_index = 0;  // this gateway's number among them
   int max_attempts = 1;
   MemoryShort memory_short = MemoryShort::kTrim;
   std::uint16_t zone = 0;
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -100,10 +100,10 @@
 
 void Scheduler::ApplyFleetSize() {
   if (fleet_size_) {
-    settings_.gateways = fleet_size_->gateways;
-    settings_.self = fleet_size_->place;
+    settings_.gateway_count = fleet_size_->gateway_count;
+    settings_.gateway_index = fleet_size_->gateway_index;
   }
-  settings_.gateways = std::max(1, settings_.gateways);
+  settings_.gateway_count = std::max(1, settings_.gateway_count);
 }
 
 // ---- Endpoint list ----
@@ -153,19 +153,20 @@
     engine.in_subset = false;
     if (engine.Serving()) serving.push_back(id);
   }
-  max_gateways_per_engine_ = subset::MaxGatewaysPerEngine(serving.size(), settings_.gateways);
+  max_gateways_per_engine_ = subset::MaxGatewaysPerEngine(serving.size(), settings_.gateway_count);
   const std::vector<EngineId> chosen = (fleet_size_ ? subset::SubsetByMembershipRank : subset::SubsetByHash)(
-      serving, settings_.gateways, settings_.self);
+      serving, settings_.gateway_count, settings_.gateway_index);
   for (EngineId id : chosen) engines_.at(id).in_subset = true;
   subset_share_ =
       serving.empty() ? 1 : static_cast<double>(chosen.size()) / static_cast<double>(serving.size());
 }
 
 double Scheduler::SeedConcurrencyLimit(const EngineState& engine) const {
-  return std::max(1.0, limits::ConcurrencyLimit::kSeedThreadsPerCore * engine.cores / settings_.gateways);
+  return std::max(1.0,
+                  limits::ConcurrencyLimit::kSeedThreadsPerCore * engine.cores / settings_.gateway_count);
 }
 
-double Scheduler::GatewaysPerEngine() const { return std::max(1.0, subset_share_ * settings_.gateways); }
+double Scheduler::GatewaysPerEngine() const { return std::max(1.0, subset_share_ * settings_.gateway_count); }
 
 // ---- Time ----
 
@@ -183,7 +184,7 @@
 
 limits::FleetCapacity Scheduler::AdvanceEngines(double seconds) {
   limits::FleetCapacity fleet;
-  fleet.gateways = settings_.gateways;
+  fleet.gateways = settings_.gateway_count;
   fleet.latency_ratio = fleet_latency_ratio_;
   const double gateways_per_engine = GatewaysPerEngine();
   for (auto& [id, engine] : engines_) {
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -97,7 +97,7 @@
 inline double Scheduler::SlowStartShare(const EngineState& engine) const {
   if (fleet_size_) {
     return engine.in_subset ? kSubsetSlowStartShare / max_gateways_per_engine_
-                            : (1 - kSubsetSlowStartShare) / settings_.gateways;
+                            : (1 - kSubsetSlowStartShare) / settings_.gateway_count;
   }
   const double demand_share = credit_.demand_share();
   if (subset_share_ >= 1) return demand_share;
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -38,7 +38,7 @@
   const double quota_per_s = settings_.tenants[spec.tenant].quota_per_s;
   if (quota_per_s <= 0) return false;
   const double part = fleet_size_
-                          ? 1.0 / settings_.gateways
+                          ? 1.0 / settings_.gateway_count
                           : std::min(1.0, credit_.demand_share() / limits::CapacityCredit::kAssumedLoad);
   return !quotas_[spec.tenant].Take(now_, quota_per_s * part, kQuotaBurstSeconds);
 }
--- a/src/decision/scheduler_selection.cpp
+++ b/src/decision/scheduler_selection.cpp
@@ -52,7 +52,7 @@
   if (!load) return;
   // Loads of one group wait for each other: each gateway starts with engines that no other one starts with.
   const auto of_other_gateways = [this](const EngineState* engine) {
-    return (engine->rank + settings_.self) % settings_.gateways != 0;
+    return (engine->rank + settings_.gateway_index) % settings_.gateway_count != 0;
   };
   if (!std::all_of(candidates.begin(), candidates.end(), of_other_gateways))
     std::erase_if(candidates, of_other_gateways);
--- a/src/operator_config/admission_queue_block.cpp
+++ b/src/operator_config/admission_queue_block.cpp
@@ -99,7 +99,7 @@
 
 admission_queue::Settings DefaultsOf(const settings::Site& site) {
   admission_queue::Settings queue;
-  queue.budget_share = 1.0 / std::max(1, site.module.gateways);
+  queue.budget_share = 1.0 / std::max(1, site.module.gateway_count);
   queue.max_retry_after = admission_queue::Duration(site.module.max_retry_after);
   queue.classes = ClassPoliciesOf(site);
   for (const std::string& name : site.tenants)
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -305,7 +305,7 @@
     const std::size_t zones = in_.List(fields::kZones).size();
     if (in_.Has(fields::kProxyCount) && in_.Count(fields::kProxyCount) == 0)
       Warn(fields::kProxyCount, "0 is taken as 1");
-    if (s.self >= std::max(1, s.gateways)) Warn(fields::kOwnIndex, "not below siblings");
+    if (s.gateway_index >= std::max(1, s.gateway_count)) Warn(fields::kOwnIndex, "not below siblings");
     if (zones > 0 && s.zone >= zones) Warn(fields::kOwnZone, "the settings list no such zone");
     if (s.tick > kMaxTick) OutOfRange(fields::kDecisionInterval);
     const std::string mode = in_.Text(fields::kListMode);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -223,8 +223,8 @@
 void ParseProxies(const Pairs& in, Site& site) {
   site.zones = in.List(fields::kZones);
   site.kinds = in.List(fields::kMachineKinds);
-  site.module.gateways = in.Count(fields::kProxyCount, 1);
-  site.module.self = in.Count(fields::kOwnIndex);
+  site.module.gateway_count = in.Count(fields::kProxyCount, 1);
+  site.module.gateway_index = in.Count(fields::kOwnIndex);
   site.module.zone = static_cast<std::uint16_t>(in.Count(fields::kOwnZone));
   site.module.tick = in.Time(fields::kDecisionInterval);
 }
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -32,7 +32,7 @@
 
 Settings SettingsOf(const DecisionPlan& plan) {
   Settings s;
-  s.gateways = plan.gateways;
+  s.gateway_count = plan.gateways;
   s.tick = kTickNanos;
   for (const ClassProfile& of : kClassProfiles) {
     ClassSettings c;
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -77,7 +77,7 @@
     ChooseTableGroups();
     for (std::size_t i = 0; i < site.engines.size(); ++i)
       engines_.push_back(std::make_unique<QueryEngine>(site.traits[i], kLongAgo));
-    for (int i = 0; i < site.settings.gateways; ++i) AddGateway(i, seed, decider);
+    for (int i = 0; i < site.settings.gateway_count; ++i) AddGateway(i, seed, decider);
     if (site.restarted) PlanRestart();
   }
 
@@ -134,7 +134,7 @@
 
   void AddGateway(int number, std::uint64_t seed, const DeciderFactory& decider) {
     Settings settings = site_.settings;
-    settings.self = number;
+    settings.gateway_index = number;
     settings.zone = site_.engines[static_cast<std::size_t>(number) % site_.engines.size()].zone;
     Proxy proxy;
     proxy.decider = decider(settings, seed + 1 + static_cast<std::uint64_t>(number));
@@ -175,8 +175,8 @@
     EngineEntry entry = site_.engines[*site_.restarted];
     entry.readiness = readiness;
     entry.started_at = started_at;
-    for (int i = 0; i < site_.settings.gateways; ++i) {
-      const Nanos delay = kMaxListDelay * (i + 1) / site_.settings.gateways;
+    for (int i = 0; i < site_.settings.gateway_count; ++i) {
+      const Nanos delay = kMaxListDelay * (i + 1) / site_.settings.gateway_count;
       Schedule(now_ + delay, [this, i, entry] { SendList(i, ListKind::kChange, {entry}); });
     }
   }
@@ -266,7 +266,7 @@
     const std::uint64_t tenants = std::max<std::uint64_t>(1, site_.settings.tenants.size());
     active.request.tenant = static_cast<std::uint16_t>(random_() % tenants);
     const std::uint64_t pick = random_();
-    const auto gateways = static_cast<std::uint64_t>(site_.settings.gateways);
+    const auto gateways = static_cast<std::uint64_t>(site_.settings.gateway_count);
     if (c.in_order) active.request.key = 1 + pick % site_.keys;
     active.gateway = static_cast<int>((c.in_order ? active.request.key : pick) % gateways);
     active.grant.id = id;
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 SiteInvariantChecker::SiteInvariantChecker(const Site& site)
-    : site_(site), gateways_(static_cast<std::size_t>(site.settings.gateways)) {}
+    : site_(site), gateways_(static_cast<std::size_t>(site.settings.gateway_count)) {}
 
 bool SiteInvariantChecker::ActiveRequest::HasAttemptInFlight() const {
   return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -176,7 +176,7 @@
 
 Settings SettingsOf(const SiteShape& shape) {
   Settings s;
-  s.gateways = Number(shape, Dimension::kGateways);
+  s.gateway_count = Number(shape, Dimension::kGateways);
   s.tick = 5 * kMs;
   s.classes = Classes(shape);
   s.report_fields = Fields(shape);
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -49,7 +49,7 @@
 
 Settings SettingsOf(const Plan& plan) {
   Settings s;
-  s.gateways = plan.gateways;
+  s.gateway_count = plan.gateways;
   s.tick = kTick;
   for (const ClassOf& of : kClasses) {
     ClassSettings c;
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -79,7 +79,7 @@
 TEST(EngineJam, AHomeIsPreferredOnlyUpToWhatFillsIt) {
   constexpr int kRequests = 1000, kFirst = 3000;  // until the demand that a start assumes is forgotten
   Settings settings = WithoutReports();
-  settings.gateways = 8;
+  settings.gateway_count = 8;
   Host host(settings);
   host.List(Engines(20));
   std::map<EngineId, int> sent;
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -13,7 +13,7 @@
 // charged to the gateway's credit; without credit none leaves unless an engine is idle.
 TEST(Share, HeavyQueriesAreHeldToAPartOfTheFleet) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.classes = {SomeClass(5, 4)};
   s.classes[0].deadline = 30 * kSecond;
   Host host(s);
@@ -31,7 +31,7 @@
 // weight is 12 for a thread second, has spent the credit of one gateway of a hundred.
 int AttemptsWithoutCredit(const ClassSettings& class_id, Nanos time) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.report_fields.clear();
   s.classes = {class_id, SomeClass(12)};
   s.classes[0].deadline = s.classes[1].deadline = 60 * kSecond;
@@ -72,7 +72,7 @@
 // With many gateways nearly all load is that of others, so that a heavy request waits for a load report.
 TEST(Share, AHeavyQueryAsksAnEnginesLoadBeforeItGoes) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.may_probe = true;
   s.classes = {SomeClass(1), SomeClass(5, 4)};
   s.classes[0].latency_objective = 100 * kMs;
@@ -108,7 +108,7 @@
 
 Settings WithReports() {
   Settings s = SomeSettings();
-  s.gateways = 4;
+  s.gateway_count = 4;
   s.report_fields = {ReportField::kInflight, ReportField::kX0};
   s.may_probe = true;
   return s;
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -113,7 +113,7 @@
 
 inline Settings SomeSettings() {
   Settings s;
-  s.gateways = 2;
+  s.gateway_count = 2;
   s.classes = {SomeClass()};
   s.kinds = {{8, 16384}};
   s.drain_grace = 250 * kMs;
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -76,7 +76,7 @@
 
 TEST(FleetSize, TakeThePlaceOfWhatTheSettingsTellAlsoOverAReload) {
   Settings s = SomeSettings();
-  s.gateways = 2;
+  s.gateway_count = 2;
   const auto used = [&](bool told, bool reloaded) {
     Host host(s);
     if (told) host.Step({FleetSize{100, 3}});
--- a/tests/gateway_slow_start_test.cpp
+++ b/tests/gateway_slow_start_test.cpp
@@ -28,7 +28,7 @@
   double sent = 0;
   for (const Host::Sent& x : host.sends) sent += x.engine == 1 ? 0.1 : 0;
   EXPECT_GT(sent, 0);
-  EXPECT_LE(sent, 2.5 * 0.35 * 8 * 1.5 / s.gateways) << "half of what all gateways may send";
+  EXPECT_LE(sent, 2.5 * 0.35 * 8 * 1.5 / s.gateway_count) << "half of what all gateways may send";
 }
 
 TEST(Rule4, TwoProcessesOfAGatewayDivideWhatAColdEngineTakes) {
@@ -78,7 +78,7 @@
 // no more than its budget in any window, and still send something.
 TEST(Rule4, AllGatewaysTogetherKeepAColdEnginesBudget) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.slow_start_initial_share = 0.3;
   s.slow_start_duration = 15 * kSecond;
   s.overload_factor = 2.5;
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -256,7 +256,7 @@
   EXPECT_TRUE(batches[0].stopped);
   EXPECT_TRUE(batches[0].started);
   EXPECT_EQ(batches[0].seed, 0x0123456789abcdefu);
-  EXPECT_EQ(batches[0].settings.gateways, 3);
+  EXPECT_EQ(batches[0].settings.gateway_count, 3);
 }
 
 // ---- The document of rules ----
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -106,7 +106,7 @@
   site.module.classes[1].latency_objective = 3'000'000'000;
   site.module.classes[1].threads = 2;
   site.module.classes[1].priority_weight = 10;
-  site.module.gateways = 2;
+  site.module.gateway_count = 2;
   return site;
 }
 
--- a/tests/scenario_parsers.cpp
+++ b/tests/scenario_parsers.cpp
@@ -75,7 +75,7 @@
 
 std::string Settings(const std::string& text) {
   const settings::Site site = settings::ParseSite(proxy::Flatten(codec::Json::Parse(text)));
-  std::string out = std::to_string(site.module.gateways);
+  std::string out = std::to_string(site.module.gateway_count);
   for (std::size_t i = 0; i < site.classes.size(); ++i) {
     out += " " + site.classes[i] + ":" + std::to_string(site.module.classes[i].threads);
   }
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -17,7 +17,7 @@
 
 // The engines that gateway number `self` sends to.
 std::set<EngineId> EnginesUsed(Settings s, int self, int engines) {
-  s.self = self;
+  s.gateway_index = self;
   s.report_fields = {};
   Host host(s);
   std::vector<EngineEntry> fleet;
@@ -35,7 +35,7 @@
 
 TEST(Subset, EachOfManyGatewaysSendsToAPartOfTheFleet) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   std::map<EngineId, int> sharing;
   for (int self = 0; self < 100; ++self) {
     const std::set<EngineId> used = EnginesUsed(s, self, 60);
@@ -127,7 +127,7 @@
 // Loads go only to the last half of the order. An engine that is listed later must get its rank.
 TEST(RankingCache, TheModuleRanksAnewWhenTheListChanges) {
   Settings s = SomeSettings();
-  s.gateways = 1;
+  s.gateway_count = 1;
   ClassSettings load = SomeClass(), reader = SomeClass();
   load.holds_tables = true;
   reader.blocked_by_loads = true;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -118,7 +118,7 @@
       "siblings=3\ndcs=a,b\nflavors=std\nrequestClasses.count=1\nrequestClasses.0.promiseNs=500000000\n"
       "requestClasses.0.effect=token\nrequestClasses.0.staysIn=b\nspecifics.threadsByClass=4\n"
       "guarantees.fallNs=1500000000\nunknown.key=x\n");
-  EXPECT_EQ(s.gateways, 3);
+  EXPECT_EQ(s.gateway_count, 3);
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
   EXPECT_EQ(s.classes[0].zones, std::vector<std::uint16_t>{1});
