--- a/include/lemoncroft/settings.h
+++ b/include/lemoncroft/settings.h
@@ -44,11 +44,11 @@
   double memory_mb = 0;
 };
 
-// Retry budget: retries in any `budget_window` number at most free + ratio x requests received in it.
-struct AttemptBudget {
+// Retry budget: retries in any `window` number at most free + ratio x requests received in it.
+struct RetryBudgetSettings {
   double free = 0;
   double ratio = 0;
-  Nanos budget_window = 0;
+  Nanos window = 0;
 };
 
 struct Settings {
@@ -56,7 +56,7 @@
   std::vector<TenantSettings> tenants;
   std::vector<KindSettings> kinds;
   std::vector<ReportField> report_fields;  // of load reports, in order; empty: there are none
-  std::optional<AttemptBudget> attempt_budget;
+  std::optional<RetryBudgetSettings> retry_budget;
   Nanos tick = 0;                      // shortest time between two steps
   double over_quota_weight_share = 1;  // of the priority weight, for requests over their tenant's quota
 
--- a/src/decision/limits/retry_budget.h
+++ b/src/decision/limits/retry_budget.h
@@ -1,4 +1,4 @@
-// A retry budget: the retries in any `budget_window` may number `free` plus `ratio` for each request received
+// A retry budget: the retries in any `window` may number `free` plus `ratio` for each request received
 // in it.
 //
 // Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
@@ -20,9 +20,9 @@
 
   // Whether one more retry fits. `free` is divided by `parts`. Retries count for `margin` longer than
   // requests, since engines measure the window at the arrival of retries.
-  bool Allows(const AttemptBudget& budget, int parts, Nanos margin, Nanos now) {
-    DropThrough(retries_, now - budget.budget_window - margin);
-    DropThrough(requests_, now - budget.budget_window);
+  bool Allows(const RetryBudgetSettings& budget, int parts, Nanos margin, Nanos now) {
+    DropThrough(retries_, now - budget.window - margin);
+    DropThrough(requests_, now - budget.window);
     const double allowed = budget.free / parts + budget.ratio * static_cast<double>(requests_.size());
     return static_cast<double>(retries_.size()) + 1 <= allowed;
   }
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -45,8 +45,8 @@
 // ---- Retry rules ----
 
 bool Scheduler::RetryBudgetAllows(const RequestState& request) {
-  if (request.attempts == 0 || !settings_.attempt_budget) return true;
-  return retries_.Allows(*settings_.attempt_budget, process_parts_, kTimerInterval, now_);
+  if (request.attempts == 0 || !settings_.retry_budget) return true;
+  return retries_.Allows(*settings_.retry_budget, process_parts_, kTimerInterval, now_);
 }
 
 Nanos Scheduler::RetryDeadline(const RequestState& request) const {
@@ -69,7 +69,7 @@
   const double memory_mb = MemoryNeed(request);
   GrantResources(request, engine, memory_mb);
   actions_->push_back(Send{request.spec.id, engine.entry.engine, 0, RetryDeadline(request)});
-  if (request.attempts > 0 && settings_.attempt_budget) retries_.RecordRetry(now_);
+  if (request.attempts > 0 && settings_.retry_budget) retries_.RecordRetry(now_);
   last_attempt_at_[request.spec.class_id] = now_;
 
   ++request.attempts;
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -25,7 +25,7 @@
       class_settings.priority_weight * (IsOverQuota(spec) ? settings_.over_quota_weight_share : 1);
   // Work that can't be done within the timeout is no demand, however large the client's estimate is.
   credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
-  if (settings_.attempt_budget) retries_.RecordRequest(now_);
+  if (settings_.retry_budget) retries_.RecordRequest(now_);
   request.ordered = class_settings.in_order && spec.key != 0;
   if (request.ordered) keys_.Append(spec.key, spec.id);
   Enqueue(request);
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -401,8 +401,8 @@
   if (document.max_attempts) s.max_attempts = *document.max_attempts;
   if (document.max_open_requests) site.max_open = *document.max_open_requests;
   if (document.retry_budget)
-    s.attempt_budget = AttemptBudget{document.retry_budget->free, document.retry_budget->ratio,
-                                     document.retry_budget->window.count()};
+    s.retry_budget = RetryBudgetSettings{document.retry_budget->free, document.retry_budget->ratio,
+                                         document.retry_budget->window.count()};
   for (const auto& [name, entry] : document.classes) {
     ClassSettings& c = s.classes.at(site.ClassOf(name).value());
     if (entry.effect) c.effect = *entry.effect;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -266,9 +266,9 @@
   s.order_settle = in.Time(fields::kOrderSettle);
   s.must_ask_within = in.Time(fields::kMustAskWithin);
   if (in.Has(fields::kRetryBudgetWindow)) {
-    s.attempt_budget =
-        AttemptBudget{in.Number(fields::kRetryBudgetFree), in.Number(fields::kRetryBudgetRatio),
-                      in.Time(fields::kRetryBudgetWindow)};
+    s.retry_budget =
+        RetryBudgetSettings{in.Number(fields::kRetryBudgetFree), in.Number(fields::kRetryBudgetRatio),
+                            in.Time(fields::kRetryBudgetWindow)};
   }
 }
 
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -133,8 +133,8 @@
 }
 
 std::size_t SiteInvariantChecker::BudgetLeft(Nanos now, GatewayState& gateway) const {
-  const AttemptBudget& budget = *site_.settings.attempt_budget;
-  const Nanos from = now - budget.budget_window;
+  const RetryBudgetSettings& budget = *site_.settings.retry_budget;
+  const Nanos from = now - budget.window;
   while (!gateway.submitted.empty() && gateway.submitted.front() <= from) gateway.submitted.pop_front();
   while (!gateway.retries.empty() && gateway.retries.front() <= from) gateway.retries.pop_front();
   const double allowed = budget.free + budget.ratio * static_cast<double>(gateway.submitted.size());
@@ -143,7 +143,7 @@
 }
 
 void SiteInvariantChecker::CheckBudget(Nanos now, const ActiveRequest& active) {
-  if (!site_.settings.attempt_budget) return;
+  if (!site_.settings.retry_budget) return;
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
   if (BudgetLeft(now, state) == 0) AddViolation(now, active.request.id, "a further attempt past the budget");
   state.retries.push_back(now);
@@ -248,7 +248,7 @@
 bool SiteInvariantChecker::IsHeldBack(Nanos now, const ActiveRequest& active) {
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
   if (Ordered(active) && state.keys[active.request.key].order.front() != active.request.id) return true;
-  return !active.attempts.empty() && site_.settings.attempt_budget && BudgetLeft(now, state) == 0;
+  return !active.attempts.empty() && site_.settings.retry_budget && BudgetLeft(now, state) == 0;
 }
 
 bool SiteInvariantChecker::MayRunOn(Nanos now, const ActiveRequest& active, EngineId engine) {
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -188,7 +188,7 @@
   s.overload_factor = 4;
   s.overload_window = 2 * kSecond;
   s.order_settle = 300 * kMs;
-  if (shape.Is(Dimension::kBudget, "present")) s.attempt_budget = AttemptBudget{2, 0.01, 10 * kSecond};
+  if (shape.Is(Dimension::kBudget, "present")) s.retry_budget = RetryBudgetSettings{2, 0.01, 10 * kSecond};
   s.may_cancel = !shape.Is(Dimension::kCancel, "not allowed");
   s.may_probe = shape.Is(Dimension::kProbes, "allowed");
   s.may_hedge = shape.Is(Dimension::kCopies, "allowed");
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -76,7 +76,7 @@
 
 TEST(Rule7, FurtherAttemptsStayWithinTheBudget) {
   Settings s = SomeSettings();
-  s.attempt_budget = AttemptBudget{1, 0.1, 10 * kSecond};
+  s.retry_budget = RetryBudgetSettings{1, 0.1, 10 * kSecond};
   Host host(s);
   host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
   for (RequestId id = 1; id <= 20; ++id) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -124,7 +124,7 @@
   EXPECT_EQ(s.classes[0].zones, std::vector<std::uint16_t>{1});
   EXPECT_EQ(s.classes[0].threads, 4);
   EXPECT_EQ(s.overload_window, 1500 * 1000000);
-  EXPECT_FALSE(s.attempt_budget.has_value());
+  EXPECT_FALSE(s.retry_budget.has_value());
   EXPECT_THROW(ParseSettings("siblings=many"), WireError);
   EXPECT_THROW(ParseSettings("siblings"), WireError);
   EXPECT_THROW(ParseSettings("requestClasses.count=1e12"), WireError);
