--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -8,8 +8,8 @@
 // or in ClientGone, whichever comes first; later outcomes of its attempts are only accounted for. Events
 // about unknown ids are ignored.
 //
-// "Gateway" is the module's word for a proxy. Request::repeat, StreamStarted, ProgressNotice and PeerMessage
-// come from the simulator only; the proxy posts none of them.
+// "Gateway" is the module's word for a proxy. Request::is_repeat, StreamStarted, ProgressNotice and
+// PeerMessage come from the simulator only; the proxy posts none of them.
 #ifndef LEMONCROFT_GATEWAY_H_
 #define LEMONCROFT_GATEWAY_H_
 
@@ -41,13 +41,13 @@
 struct Request {
   RequestId id = 0;
   std::uint16_t class_id = 0;
-  std::uint16_t tenant = 0;  // kNoTenant where the site has none
-  std::uint64_t key = 0;     // ordering key; 0 = none
-  Nanos client_timeout = 0;  // until the client gives up
-  Nanos est_work = 0;        // 0 = no estimate
-  double est_memory_mb = 0;
-  std::uint32_t tables = 0;  // table group that it reads or loads
-  bool repeat = false;       // marked by the client; not used for decisions
+  std::uint16_t tenant = 0;        // kNoTenant where the site has none
+  std::uint64_t ordering_key = 0;  // ordering key; 0 = none
+  Nanos client_timeout = 0;        // until the client gives up
+  Nanos estimated_work = 0;        // 0 = no estimate
+  double estimated_memory_mb = 0;
+  std::uint32_t table_group = 0;  // table group that it reads or loads
+  bool is_repeat = false;         // marked by the client; not used for decisions
 };
 
 // An attempt has its outcome; each Send gets exactly one.
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -16,7 +16,7 @@
                  },
                  [](const Request& request) {
                    spdlog::trace("told request {} class {} tenant {} work {}", request.id, request.class_id,
-                                 request.tenant, request.est_work);
+                                 request.tenant, request.estimated_work);
                  },
                  [](const AttemptEnded& ended) {
                    spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended.id, ended.attempt,
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -26,11 +26,11 @@
   described.id = request.id;
   described.class_id = client_request.class_id;
   described.tenant = client_request.tenant;
-  described.key = client_request.ordering_key;
+  described.ordering_key = client_request.ordering_key;
   described.client_timeout = std::max<Nanos>(0, ToNanos(client_request.deadline - Now()));
-  described.est_work = ToNanos(client_request.estimated_work);
-  described.est_memory_mb = client_request.estimated_memory_mb;
-  described.tables = client_request.table_group;
+  described.estimated_work = ToNanos(client_request.estimated_work);
+  described.estimated_memory_mb = client_request.estimated_memory_mb;
+  described.table_group = client_request.table_group;
   return described;
 }
 
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -215,7 +215,7 @@
     return Estimates(request).ExpectedTime(request.work) / request.threads;
   }
   double MemoryNeed(const RequestState& request) const {
-    return Estimates(request).ExpectedMemoryMb(request.spec.est_memory_mb);
+    return Estimates(request).ExpectedMemoryMb(request.spec.estimated_memory_mb);
   }
   // Speed of the engine's responses against the fleet's, at most 1.
   double RelativeSpeed(const EngineState& engine) const;
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -22,7 +22,7 @@
   if (!Class(request).holds_tables) return false;
   return std::any_of(engine.in_flight.begin(), engine.in_flight.end(), [&](RequestId id) {
     const RequestState& other = requests_.at(id);
-    return Class(other).holds_tables && other.spec.tables == request.spec.tables;
+    return Class(other).holds_tables && other.spec.table_group == request.spec.table_group;
   });
 }
 
@@ -63,7 +63,7 @@
   const auto own = static_cast<double>(engine.in_flight.size());
   const auto granted = engine.reported_load.GrantedMemoryShare(own, max_gateways_per_engine_);
   const double max_granted = kUnestimatedGrantFactor * (light ? 1 : kMaxHeavyMemoryShare);
-  if (granted && request.spec.est_memory_mb <= 0 && *granted > max_granted) return false;
+  if (granted && request.spec.estimated_memory_mb <= 0 && *granted > max_granted) return false;
   const double others =
       engine.reported_load.IsFresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.memory_mb() : 0;
   if (light || (engine.in_flight.empty() && others == 0)) return true;
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -126,7 +126,7 @@
     if (engine != engines_.end()) request->may_have_run_on = engine->second.entry;
   }
   if (MayStillRun(end.outcome) && request->ordered)
-    keys_.PauseUntil(request->spec.key, now_ + settings_.order_settle);
+    keys_.PauseUntil(request->spec.ordering_key, now_ + settings_.order_settle);
   if (end.finished || request->phase == RequestPhase::kDone) return Finish(*request);
   RetryOrEnd(*request);
 }
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -87,7 +87,7 @@
   engine.sent_load.RecordSend(request.charge);
   recent_work_ += request.work;
   if (InSlowStart(engine)) engine.slow_start.Spend(SlowStartCharge(request, SlowStartRate(engine)));
-  engine.warm_tables.RecordRead(request.spec.tables);
+  engine.warm_tables.RecordRead(request.spec.table_group);
   CheckRunaway(request);
 }
 
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -72,10 +72,10 @@
   engine.breaker.RecordSuccess(kErrorWeight);
   const double reported_work = ToSeconds(end.work);
   const double ratio =
-      estimates_[request.spec.class_id].Learn({.estimated_work = ToSeconds(request.spec.est_work),
+      estimates_[request.spec.class_id].Learn({.estimated_work = ToSeconds(request.spec.estimated_work),
                                                .reported_work = reported_work,
                                                .time = ToSeconds(end.waited) * request.threads,
-                                               .estimated_memory_mb = request.spec.est_memory_mb,
+                                               .estimated_memory_mb = request.spec.estimated_memory_mb,
                                                .reported_memory_mb = end.memory_mb,
                                                .exploratory = request.exploratory});
   const double sample = std::min(ratio, kMaxLatencyRatio);
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -17,7 +17,7 @@
   request.spec = spec;
   const ClassSettings& class_settings = Class(request);
   request.threads = class_settings.threads;
-  request.work = std::max(kMinWork, Estimates(request).ExpectedWork(ToSeconds(spec.est_work)));
+  request.work = std::max(kMinWork, Estimates(request).ExpectedWork(ToSeconds(spec.estimated_work)));
   const double stretch = class_settings.latency_objective_stretch * request.work / request.threads;
   request.objective_at = now_ + class_settings.latency_objective + FromSeconds(stretch);
   request.deadline = now_ + spec.client_timeout;
@@ -26,8 +26,8 @@
   // Work that can't be done within the timeout is no demand, however large the client's estimate is.
   credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
   if (settings_.retry_budget) retries_.RecordRequest(now_);
-  request.ordered = class_settings.in_order && spec.key != 0;
-  if (request.ordered) keys_.Append(spec.key, spec.id);
+  request.ordered = class_settings.in_order && spec.ordering_key != 0;
+  if (request.ordered) keys_.Append(spec.ordering_key, spec.id);
   Enqueue(request);
 }
 
@@ -49,7 +49,7 @@
   if (!request.ordered) return AddPending(request);
   request.phase = RequestPhase::kBehindKey;
   ScheduleCheck(request, LatestStart(request));
-  AdvanceKey(request.spec.key);
+  AdvanceKey(request.spec.ordering_key);
 }
 
 void Scheduler::AddPending(RequestState& request) {
@@ -77,14 +77,14 @@
 void Scheduler::RebuildKeyQueues(const std::vector<int>& inherits_estimates_from) {
   std::set<RequestId> ordered;  // in the order of arrival
   for (auto& [id, request] : requests_) {
-    for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.key != 0; ++i) {
+    for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.ordering_key != 0; ++i) {
       const bool successor = inherits_estimates_from[i] == request.spec.class_id;
       request.ordered = request.ordered || (settings_.classes[i].in_order && successor);
     }
     if (request.ordered) ordered.insert(id);
   }
   keys_.Clear();
-  for (RequestId id : ordered) keys_.Append(requests_.at(id).spec.key, id);
+  for (RequestId id : ordered) keys_.Append(requests_.at(id).spec.ordering_key, id);
   for (RequestId id : ordered) {
     RequestState& request = requests_.at(id);
     if (request.phase == RequestPhase::kPending) RemovePending(request);
@@ -102,8 +102,8 @@
 
 void Scheduler::LeaveKey(const RequestState& request) {
   if (!request.ordered) return;
-  keys_.Remove(request.spec.key, request.spec.id);
-  AdvanceKey(request.spec.key);
+  keys_.Remove(request.spec.ordering_key, request.spec.id);
+  AdvanceKey(request.spec.ordering_key);
 }
 
 // ---- End ----
--- a/src/decision/scheduler_selection.cpp
+++ b/src/decision/scheduler_selection.cpp
@@ -40,7 +40,7 @@
 // for loads, loads use the last ones.
 void Scheduler::KeepEnginesForTables(const RequestState& request, std::vector<EngineState*>& candidates) {
   const std::size_t ranked =
-      rankings_.Rank(engines_, subset::Mix(request.spec.tables),
+      rankings_.Rank(engines_, subset::Mix(request.spec.table_group),
                      [&](const EngineState& engine) { return MayRunOn(request, engine); });
   const bool load = Class(request).holds_tables;
   const std::size_t reader_engines = ranked - static_cast<std::size_t>(kLoadEngineShare * ranked);
@@ -134,7 +134,7 @@
   const double remaining_work =
       in_flight.remaining_work + (engine.sent_load.backlog() + others * running_mix_.remaining_work());
   const bool preferred = engine.rank < kPreferredEngines && !Class(request).holds_tables;
-  const bool warm = engine.warm_tables.Holds(request.spec.tables) || preferred;
+  const bool warm = engine.warm_tables.Holds(request.spec.table_group) || preferred;
   const double own = request.work / request.threads * (warm ? 1 - kWarmWorkSaving : 1);
   // An engine that hangs some attempts responds fast to the others; heavy requests lose most by hanging.
   const double excess_hung = engine.hung_share - fleet_hung_share_ - kHungShareNoise;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -132,15 +132,15 @@
   request.id = in.Int<std::uint64_t>("req");
   request.class_id = in.Int<std::uint16_t>("qos");
   request.tenant = in.Int<std::uint16_t>("project");
-  request.key = in.Int<std::uint64_t>("key");
+  request.ordering_key = in.Int<std::uint64_t>("key");
   request.client_timeout = in.Time("patienceLeftNs");
-  request.est_work = in.Time("estCostNs");
-  request.est_memory_mb = in.Float("ramMb");
+  request.estimated_work = in.Time("estCostNs");
+  request.estimated_memory_mb = in.Float("ramMb");
   float tables = in.Float("tableGroup");
-  request.tables = tables > 0 && tables < kMaxTableGroup ? static_cast<std::uint32_t>(tables) : 0;
+  request.table_group = tables > 0 && tables < kMaxTableGroup ? static_cast<std::uint32_t>(tables) : 0;
   auto attributes = in.Int<std::uint16_t>("attrs");
-  if ((attributes & kAttributeHasWorkEstimate) == 0) request.est_work = 0;
-  request.repeat = (attributes & kAttributeIsRepeat) != 0;
+  if ((attributes & kAttributeHasWorkEstimate) == 0) request.estimated_work = 0;
+  request.is_repeat = (attributes & kAttributeIsRepeat) != 0;
   return request;
 }
 
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -103,9 +103,9 @@
       draw -= kClassProfiles[r.class_id++].share;
     const ClassProfile& of = kClassProfiles[r.class_id];
     r.client_timeout = 10'000 * kMs;
-    r.tables = static_cast<std::uint32_t>(random_() % plan_.table_groups);
+    r.table_group = static_cast<std::uint32_t>(random_() % plan_.table_groups);
     const double work = of.work * std::exponential_distribution<>(1)(random_);
-    r.est_work = std::max<Nanos>(kMs, static_cast<Nanos>(work * 1e9));
+    r.estimated_work = std::max<Nanos>(kMs, static_cast<Nanos>(work * 1e9));
     open_[r.id] = {work, of.threads, 0};
     events_.push_back(r);
   }
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -243,8 +243,8 @@
     request.class_id = static_cast<std::uint16_t>(q.class_id);
     request.tenant = static_cast<std::uint16_t>(q.tenant);
     request.client_timeout = static_cast<Nanos>(std::max(0.0, q.deadline - now_) * 1e9);
-    request.est_work = static_cast<Nanos>(q.estimated_work * 1e9);
-    request.tables = static_cast<std::uint32_t>(Uniform(0, kMaxTables));
+    request.estimated_work = static_cast<Nanos>(q.estimated_work * 1e9);
+    request.table_group = static_cast<std::uint32_t>(Uniform(0, kMaxTables));
     events_.emplace_back(request);
   }
 
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -41,7 +41,9 @@
     Nanos settled_at = 0;
   };
 
-  bool Ordered(const Request& r) const { return settings_.classes[r.class_id].in_order && r.key != 0; }
+  bool Ordered(const Request& r) const {
+    return settings_.classes[r.class_id].in_order && r.ordering_key != 0;
+  }
 
   void On(const EngineList& list) {
     for (const EngineEntry& entry : *list.entries) listed_[entry.engine] = entry;
@@ -50,9 +52,9 @@
   void On(const Request& request) {
     requests_[request.id] = request;
     if (!Ordered(request)) return Forward(request);
-    KeyQueue& queue = key_queues_[request.key];
+    KeyQueue& queue = key_queues_[request.ordering_key];
     queue.order.push_back(request.id);
-    if (queue.order.size() == 1) ForwardFirst(request.key);
+    if (queue.order.size() == 1) ForwardFirst(request.ordering_key);
   }
 
   void On(const AttemptEnded& end) {
@@ -80,10 +82,10 @@
       in_flight_.erase(sent);
     }
     if (!Ordered(request)) return;
-    KeyQueue& queue = key_queues_[request.key];
+    KeyQueue& queue = key_queues_[request.ordering_key];
     std::erase(queue.order, id);
     if (may_still_run) queue.settled_at = now_ + settings_.order_settle;
-    ForwardFirst(request.key);
+    ForwardFirst(request.ordering_key);
   }
 
   void ForwardFirst(std::uint64_t key) {
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -245,8 +245,8 @@
         std::exp((rough ? kRoughMemoryEstimateDeviation : kGoodEstimateDeviation) * Normal());
     if (site_.estimates == EstimateQuality::kNone) return;
     const ClassTraffic& traffic = site_.traffic[active.request.class_id];
-    active.request.est_work = ToNanos(active.work * off_work * (rough ? traffic.work_bias : 1));
-    active.request.est_memory_mb = active.memory_mb * off_memory * (rough ? traffic.memory_bias : 1);
+    active.request.estimated_work = ToNanos(active.work * off_work * (rough ? traffic.work_bias : 1));
+    active.request.estimated_memory_mb = active.memory_mb * off_memory * (rough ? traffic.memory_bias : 1);
   }
 
   void SubmitRequest() {
@@ -262,13 +262,13 @@
     Estimate(active);
     active.request.client_timeout = ToNanos(Seconds(c.deadline) * (0.8 + 0.2 * Chance()));
     active.deadline = now_ + active.request.client_timeout;
-    active.request.tables = static_cast<std::uint32_t>(random_() % table_groups_);
+    active.request.table_group = static_cast<std::uint32_t>(random_() % table_groups_);
     const std::uint64_t tenants = std::max<std::uint64_t>(1, site_.settings.tenants.size());
     active.request.tenant = static_cast<std::uint16_t>(random_() % tenants);
     const std::uint64_t pick = random_();
     const auto gateways = static_cast<std::uint64_t>(site_.settings.gateway_count);
-    if (c.in_order) active.request.key = 1 + pick % site_.keys;
-    active.gateway = static_cast<int>((c.in_order ? active.request.key : pick) % gateways);
+    if (c.in_order) active.request.ordering_key = 1 + pick % site_.keys;
+    active.gateway = static_cast<int>((c.in_order ? active.request.ordering_key : pick) % gateways);
     active.grant.id = id;
     const bool leaves = Chance() < kAbandonedShare;
     const Nanos leaves_after = ToNanos(Chance() * Seconds(c.latency_objective));
@@ -392,14 +392,14 @@
     plan.work = Discarded(active, number) ? kDiscardedWork : active.work;
     plan.memory_mb = active.memory_mb;
     const double usual = kDefaultGrantFactor * site_.traffic[active.request.class_id].memory_mb;
-    const double estimate = active.request.est_memory_mb;
+    const double estimate = active.request.estimated_memory_mb;
     plan.own_grant_mb = estimate > 0 ? kGrantMargin * estimate : usual;
     const double most =
         site_.settings.max_grant_share * site_.traits[active.attempts.back().engine - 1].memory_mb;
     plan.own_grant_mb = std::min(plan.own_grant_mb, most);
     plan.grant_mb = std::min(active.grant.grant_mb, most);
     plan.priority = active.grant.priority;
-    plan.tables = active.request.tables;
+    plan.tables = active.request.table_group;
     plan.holds_tables = c.holds_tables;
     plan.blocked_by_loads = c.blocked_by_loads;
     return plan;
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -68,7 +68,7 @@
   open_[request.id] = gateway;
   GatewayState& state = gateways_[static_cast<std::size_t>(gateway)];
   state.submitted.push_back(now);
-  if (Ordered(active)) state.keys[request.key].order.push_back(request.id);
+  if (Ordered(active)) state.keys[request.ordering_key].order.push_back(request.id);
 }
 
 void SiteInvariantChecker::Sent(Nanos now, const Send& send) {
@@ -115,7 +115,8 @@
 
 void SiteInvariantChecker::CheckOrder(Nanos now, const ActiveRequest& active) {
   if (!Ordered(active)) return;
-  const KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.key];
+  const KeyQueue& line =
+      gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
   if (line.order.empty() || line.order.front() != active.request.id)
     AddViolation(now, active.request.id, "an attempt before the one ahead of it in its key's order is over");
   if (now < line.settle_until) AddViolation(now, active.request.id, "an attempt while its key rests");
@@ -158,7 +159,7 @@
   ended.may_have_run = MayHaveRun(outcome);
   active.waiting_since = now;
   if (Ordered(active) && MayStillRun(outcome)) {
-    KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.key];
+    KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
     line.settle_until = now + site_.settings.order_settle;
   }
   ForgetIfOver(now, id);
@@ -169,7 +170,7 @@
   if (it == requests_.end() || !it->second.has_response || it->second.HasAttemptInFlight()) return;
   if (Ordered(it->second)) {
     auto& keys = gateways_[static_cast<std::size_t>(it->second.gateway)].keys;
-    KeyQueue& line = keys[it->second.request.key];
+    KeyQueue& line = keys[it->second.request.ordering_key];
     std::erase(line.order, id);
     if (!line.order.empty())
       requests_.at(line.order.front()).waiting_since = std::max(now, line.settle_until);
@@ -247,7 +248,8 @@
 // Whether a rule holds the request back.
 bool SiteInvariantChecker::IsHeldBack(Nanos now, const ActiveRequest& active) {
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
-  if (Ordered(active) && state.keys[active.request.key].order.front() != active.request.id) return true;
+  if (Ordered(active) && state.keys[active.request.ordering_key].order.front() != active.request.id)
+    return true;
   return !active.attempts.empty() && site_.settings.retry_budget && BudgetLeft(now, state) == 0;
 }
 
--- a/src/testing/simulation/site_invariant_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -84,7 +84,7 @@
     return site_.settings.classes[active.request.class_id];
   }
   bool Ordered(const ActiveRequest& active) const {
-    return Class(active).in_order && active.request.key != 0;
+    return Class(active).in_order && active.request.ordering_key != 0;
   }
   void RecordResponse(Nanos now, RequestId id, ActiveRequest& active);
   void ForgetIfOver(Nanos now, RequestId id);  // if it has a response and no attempt in flight
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -177,8 +177,8 @@
     request.class_id = class_id;
     request.client_timeout = 10 * kSecond;
     const double work = plan_.small * kClasses[class_id].work * -std::log(1 - Chance());
-    request.est_work = static_cast<Nanos>(std::max(1e-5, work) * 1e9);
-    request.tables = static_cast<std::uint32_t>(random_() % 20);
+    request.estimated_work = static_cast<Nanos>(std::max(1e-5, work) * 1e9);
+    request.table_group = static_cast<std::uint32_t>(random_() % 20);
     member.work[request.id] = std::max(1e-5, work);
     member.class_id[request.id] = class_id;
     member.events.push_back(request);
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -85,7 +85,7 @@
   std::map<EngineId, int> sent;
   for (RequestId id = 1; id <= kFirst + kRequests; ++id) {
     Request request = Ask(id);
-    request.tables = 7;  // all of one group
+    request.table_group = 7;  // all of one group
     host.Step({request});
     if (id > kFirst) ++sent[host.engine_of[id]];
     host.End(id, Outcome::kOk, kWork);
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -185,7 +185,7 @@
   host.List({Ready(1)});
   for (RequestId id = 1; id <= 12; ++id) {
     Request r = Ask(id);
-    r.est_memory_mb = 100;
+    r.estimated_memory_mb = 100;
     host.Step({r});
     AttemptEnded e;
     e.id = id;
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -235,7 +235,7 @@
       Host host(s, seed);
       host.List({Ready(1), Ready(2), Ready(3), Ready(4), Ready(5), Ready(6)});
       Request reader = Ask(1, 0), load = Ask(2, 1);
-      reader.tables = load.tables = tables;
+      reader.table_group = load.table_group = tables;
       host.Step({reader, load});
       ASSERT_EQ(host.sends.size(), 2u) << "each side has an engine";
       readers.insert(host.engine_of[1]);
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -139,8 +139,8 @@
   r.id = id;
   r.class_id = class_id;
   r.client_timeout = client_timeout;
-  r.est_work = work;
-  r.tables = static_cast<std::uint32_t>(id % 17);
+  r.estimated_work = work;
+  r.table_group = static_cast<std::uint32_t>(id % 17);
   return r;
 }
 
--- a/tests/gateway_requests_test.cpp
+++ b/tests/gateway_requests_test.cpp
@@ -84,8 +84,8 @@
   Host host(s);
   host.List({Ready(1), Ready(2), Ready(3)});
   Request a = Ask(1), b = Ask(2), c = Ask(3);
-  a.key = b.key = 5;
-  c.key = 6;
+  a.ordering_key = b.ordering_key = 5;
+  c.ordering_key = 6;
   host.Step({a, b, c});
   ASSERT_EQ(host.sends.size(), 2u);
   EXPECT_EQ(host.Attempts(2), 0);
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -87,7 +87,7 @@
     std::set<EngineId> engines;
     for (RequestId id = 1; id <= 300; ++id) {
       Request ask = Ask(id, 0, 4 * kSecond, kMs);
-      ask.tables = static_cast<std::uint32_t>(id);
+      ask.table_group = static_cast<std::uint32_t>(id);
       host.Step({ask});
       if (host.engine_of.contains(id))
         engines.insert(host.engine_of[id]), host.End(id, Outcome::kOk, kMs, kMs);
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -47,7 +47,7 @@
     Request request;
     request.id = ++last_;
     request.class_id = class_id, request.tenant = tenant;
-    request.client_timeout = client_timeout, request.est_memory_mb = memory_mb;
+    request.client_timeout = client_timeout, request.estimated_memory_mb = memory_mb;
     ends_[last_] = now_ + client_timeout;
     events_.push_back(request);
     return last_;
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -26,7 +26,7 @@
   std::set<EngineId> used;
   for (RequestId id = 1; id <= 300; ++id) {
     Request ask = Ask(id, 0, 4 * kSecond, kMs);
-    ask.tables = static_cast<std::uint32_t>(id);  // a group each: no engine is a home
+    ask.table_group = static_cast<std::uint32_t>(id);  // a group each: no engine is a home
     host.Step({ask});
     if (host.engine_of.contains(id)) used.insert(host.engine_of[id]), host.End(id, Outcome::kOk, kMs, kMs);
   }
@@ -135,7 +135,7 @@
   Host host(s);
   host.List({Ready(1), Ready(2)});
   Request first = Ask(1), second = Ask(2);
-  first.tables = second.tables = 5;
+  first.table_group = second.table_group = 5;
   host.Step({first});
   ASSERT_TRUE(host.engine_of.contains(1));
   host.End(1, Outcome::kOk);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -54,11 +54,11 @@
   ASSERT_EQ(batches[0].events.size(), 2u);
   const auto& r = std::get<Request>(batches[0].events[0]);
   EXPECT_EQ(r.id, 0x0003fcd55d3a91c4u);
-  EXPECT_EQ(r.key, 0x91f03b7c55d20a64u);
+  EXPECT_EQ(r.ordering_key, 0x91f03b7c55d20a64u);
   EXPECT_EQ(r.client_timeout, 0x0e4e1c00);
-  EXPECT_EQ(r.est_work, 0xb71b00);
-  EXPECT_EQ(r.est_memory_mb, 384);
-  EXPECT_EQ(r.tables, 11u);
+  EXPECT_EQ(r.estimated_work, 0xb71b00);
+  EXPECT_EQ(r.estimated_memory_mb, 384);
+  EXPECT_EQ(r.table_group, 11u);
   EXPECT_EQ(std::get<TimerFired>(batches[0].events[1]).token, 0x4du);
   EXPECT_EQ(batches[1].instance, 5);
   EXPECT_EQ(std::get<ClientGone>(batches[1].events[0]).id, 0x000814800e6f2b19u);
