--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -33,8 +33,8 @@
   AttemptEnded served;
   served.id = 7;
   served.engine = 42;
-  served.waited = 5'000'000;
-  served.finished = true;
+  served.elapsed = 5'000'000;
+  served.request_finished = true;
   gateway.Step(1'005'000'000, std::vector<Event>{served}, actions);
   return sent ? 0 : 1;
 }
--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -4,9 +4,9 @@
 // Contract. One Gateway serves one gateway process and is used by one thread at a time; instances share
 // nothing. It reads no clock and does no I/O: the host passes the time, which never runs backwards (an
 // earlier time is taken as the last one). The same settings, seed and sequence of Step calls give the same
-// actions. Every Request ends exactly once: in an AttemptEnded with `finished` set, in RejectRequest, in Fail
-// or in ClientGone, whichever comes first; later outcomes of its attempts are only accounted for. Events
-// about unknown ids are ignored.
+// actions. Every Request ends exactly once: in an AttemptEnded with `request_finished` set, in RejectRequest,
+// in Fail or in ClientGone, whichever comes first; later outcomes of its attempts are only accounted for.
+// Events about unknown ids are ignored.
 //
 // "Gateway" is the module's word for a proxy. Request::is_repeat, StreamStarted, ProgressNotice and
 // PeerMessage come from the simulator only; the proxy posts none of them.
@@ -56,11 +56,11 @@
   int attempt = 0;
   EngineId engine = 0;
   Outcome outcome = Outcome::kOk;
-  Nanos waited = 0;       // from the send to the outcome
-  bool finished = false;  // the request needs no retry: it has its response, or its client has left
-  Nanos work = 0;         // that the query needed, as the engine reports; 0 = not reported
-  double memory_mb = 0;   // likewise
-  LoadReport load;
+  Nanos elapsed = 0;              // from the send to the outcome
+  bool request_finished = false;  // the request needs no retry: it has its response, or its client has left
+  Nanos work = 0;                 // that the query needed, as the engine reports; 0 = not reported
+  double memory_mb = 0;           // likewise
+  LoadReport load_report;
 };
 
 // A streamed response has begun to reach the client: the attempt is no longer cancelled for running long.
@@ -89,8 +89,8 @@
 struct Probed {
   EngineId engine = 0;
   Outcome outcome = Outcome::kOk;
-  Nanos waited = 0;
-  LoadReport load;
+  Nanos elapsed = 0;
+  LoadReport load_report;
 };
 
 struct PeerMessage {
--- a/src/broker/attempts.cpp
+++ b/src/broker/attempts.cpp
@@ -27,7 +27,7 @@
   const request::ClientRequest& client_request = request.client_request;
   spdlog::debug("request {} {} group {}: attempt {} at {} ended {} after {} ms, held {} ms, work {} of {} ms",
                 request.client_request_id(), request.class_name(), client_request.table_group, event.attempt,
-                event.engine, static_cast<int>(event.outcome), Milliseconds(event.waited),
+                event.engine, static_cast<int>(event.outcome), Milliseconds(event.elapsed),
                 Milliseconds(ToNanos(attempt.started - request.submitted)), Milliseconds(event.work),
                 Milliseconds(ToNanos(client_request.estimated_work)));
 }
@@ -98,11 +98,11 @@
   event.attempt = finished.attempt;
   event.engine = record.engine;
   event.outcome = result.outcome;
-  event.waited = ToNanos(Now() - record.started);
-  event.finished = progress == Progress::kCompleted;
+  event.elapsed = ToNanos(Now() - record.started);
+  event.request_finished = progress == Progress::kCompleted;
   event.work = ToNanos(result.work);
   event.memory_mb = result.memory_mb;
-  event.load = result.load;
+  event.load_report = result.load;
   LogAttemptEnded(request, record, event);
   host_.Post(event);
   if (queue_) queue_->OnAttemptEnded(request.id, finished.attempt, result.work, MayHaveRun(result.outcome));
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -96,8 +96,8 @@
   probed.engine = engine;
   const backend::ProbeResult result = co_await engines_.Probe(engine);
   probed.outcome = result.outcome;
-  probed.load = result.load;
-  probed.waited = ToNanos(Now() - started);
+  probed.load_report = result.load;
+  probed.elapsed = ToNanos(Now() - started);
   host_.Post(probed);
 }
 
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -20,7 +20,7 @@
                  },
                  [](const AttemptEnded& ended) {
                    spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended.id, ended.attempt,
-                                 static_cast<int>(ended.outcome), ended.finished, ended.work);
+                                 static_cast<int>(ended.outcome), ended.request_finished, ended.work);
                  },
                  [](const ClientGone& gone) { spdlog::trace("told gone {}", gone.id); },
                  [](const auto&) {},
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -127,7 +127,7 @@
   }
   if (MayStillRun(end.outcome) && request->ordered)
     keys_.PauseUntil(request->spec.ordering_key, now_ + settings_.order_settle);
-  if (end.finished || request->phase == RequestPhase::kDone) return Finish(*request);
+  if (end.request_finished || request->phase == RequestPhase::kDone) return Finish(*request);
   RetryOrEnd(*request);
 }
 
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -19,7 +19,7 @@
       outcome == Outcome::kCancelled || outcome == Outcome::kTimeout || outcome == Outcome::kLost;
   engine.sent_load.RecordEnd(request.charge, adds_backlog);
   const bool report_due = report_layout_.in_responses && outcome == Outcome::kOk;
-  RecordReport(engine, end.load, report_due ? ReportExpectation::kDue : ReportExpectation::kOptional);
+  RecordReport(engine, end.load_report, report_due ? ReportExpectation::kDue : ReportExpectation::kOptional);
   RecordHealth(request, engine, end);
 }
 
@@ -74,7 +74,7 @@
   const double ratio =
       estimates_[request.spec.class_id].Learn({.estimated_work = ToSeconds(request.spec.estimated_work),
                                                .reported_work = reported_work,
-                                               .time = ToSeconds(end.waited) * request.threads,
+                                               .time = ToSeconds(end.elapsed) * request.threads,
                                                .estimated_memory_mb = request.spec.estimated_memory_mb,
                                                .reported_memory_mb = end.memory_mb,
                                                .exploratory = request.exploratory});
@@ -94,7 +94,7 @@
 
 void Scheduler::Handle(const Probed& probed) {
   const auto engine = engines_.find(probed.engine);
-  if (engine != engines_.end()) RecordReport(engine->second, probed.load, ReportExpectation::kDue);
+  if (engine != engines_.end()) RecordReport(engine->second, probed.load_report, ReportExpectation::kDue);
 }
 
 void Scheduler::RecordReport(EngineState& engine, const LoadReport& report, ReportExpectation expectation) {
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -159,23 +159,23 @@
   ended.attempt = in.Int<std::uint16_t>("roundNo");
   ended.engine = in.Int<std::uint32_t>("engine");
   ended.outcome = ReadOutcome(in);
-  ended.waited = in.Time("waitTimeNs");
-  ended.finished = in.Int<std::uint8_t>("finished") != 0;
+  ended.elapsed = in.Time("waitTimeNs");
+  ended.request_finished = in.Int<std::uint8_t>("finished") != 0;
   auto statistics = in.Int<std::uint32_t>("stats");
   if (ended.outcome == Outcome::kOk) {
     ended.work = static_cast<Nanos>(statistics / kStatisticsWorkUnit) * kNanosPerMs;
     ended.memory_mb = (statistics % kStatisticsWorkUnit) * kStatisticsMemoryUnitMb;
   }
-  ended.load = ReadLoadReport(in);
+  ended.load_report = ReadLoadReport(in);
   return ended;
 }
 
 Probed ReadProbed(Reader& in) {
   Probed probed;
-  probed.waited = in.Time("waitTimeNs");
+  probed.elapsed = in.Time("waitTimeNs");
   probed.engine = in.Int<std::uint32_t>("engine");
   probed.outcome = ReadOutcome(in);
-  probed.load = ReadLoadReport(in);
+  probed.load_report = ReadLoadReport(in);
   return probed;
 }
 
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -113,7 +113,7 @@
   void EndAttempts() {
     for (; !running_.empty() && running_.top().ends <= now_; running_.pop()) {
       events_.push_back(running_.top().end);
-      served_ += running_.top().end.finished;
+      served_ += running_.top().end.request_finished;
       open_.erase(running_.top().end.id);
     }
   }
@@ -138,9 +138,9 @@
     end.engine = send.engine;
     end.outcome = Outcome::kOk;
     end.work = static_cast<Nanos>(open.work * 1e9);
-    end.waited = end.work / open.threads;
-    end.finished = true;
-    running_.push({now_ + end.waited, end});
+    end.elapsed = end.work / open.threads;
+    end.request_finished = true;
+    running_.push({now_ + end.elapsed, end});
   }
   void On(const RejectRequest& reject) { EndRejected(reject.id); }
   void On(const Fail& fail) { EndRejected(fail.id); }
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -332,9 +332,9 @@
     ended.attempt = attempt;
     ended.engine = f.engine;
     ended.outcome = outcome;
-    ended.finished = ok;
+    ended.request_finished = ok;
     const auto it = queries_.find(id);
-    ended.waited = static_cast<Nanos>((now_ - starts_[f.key]) * 1e9);
+    ended.elapsed = static_cast<Nanos>((now_ - starts_[f.key]) * 1e9);
     starts_.erase(f.key);
     if (ok) ended.work = static_cast<Nanos>(f.work * 1e9);
     events_.emplace_back(ended);
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -58,7 +58,7 @@
   }
 
   void On(const AttemptEnded& end) {
-    if (!end.finished) actions_->push_back(Fail{end.id});
+    if (!end.request_finished) actions_->push_back(Fail{end.id});
     const bool may_still_run = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
                                end.outcome == Outcome::kCancelled;
     Remove(end.id, may_still_run);
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -458,11 +458,11 @@
     ++result_.probes;
     Probed probed;
     probed.engine = probe.engine;
-    probed.waited = site_.settings.tick;
+    probed.elapsed = site_.settings.tick;
     const bool there = restarted_engine_up_ || !site_.restarted || probe.engine != RestartedId();
-    if (there && site_.reports != ReportWay::kNone) probed.load = ReportOf(probe.engine, true);
+    if (there && site_.reports != ReportWay::kNone) probed.load_report = ReportOf(probe.engine, true);
     probed.outcome = there ? Outcome::kOk : Outcome::kConnectFailed;
-    Schedule(now_ + probed.waited, [this, gateway, probed] {
+    Schedule(now_ + probed.elapsed, [this, gateway, probed] {
       gateways_[static_cast<std::size_t>(gateway)].events.push_back(probed);
     });
   }
@@ -495,13 +495,13 @@
     end.attempt = number;
     end.engine = a.engine;
     end.outcome = outcome;
-    end.waited = now_ - a.sent_at;
-    end.finished = served || active.over;
+    end.elapsed = now_ - a.sent_at;
+    end.request_finished = served || active.over;
     if (outcome == Outcome::kOk && site_.settings.reports_cost) {
       end.work = ToNanos(active.work);
       end.memory_mb = active.memory_mb;
     }
-    if (outcome == Outcome::kOk) end.load = ReportOf(a.engine, false);
+    if (outcome == Outcome::kOk) end.load_report = ReportOf(a.engine, false);
     checker_.Ended(now_, id, number, outcome);
     Post(active, end);
     if (served) CompleteServed(id);
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -190,10 +190,10 @@
     end.id = send.id;
     end.attempt = member.attempts[send.id]++;
     end.engine = send.engine;
-    end.finished = true;
+    end.request_finished = true;
     end.work = static_cast<Nanos>(work * 1e9);
-    end.waited = static_cast<Nanos>(work * 1e9 / 2);
-    member.in_flight.push({now + end.waited, end});
+    end.elapsed = static_cast<Nanos>(work * 1e9 / 2);
+    member.in_flight.push({now + end.elapsed, end});
     if (send.engine == kObserved && now >= restart_of_engines_)
       Observe(plan_.small * kClasses[member.class_id.at(send.id)].work / mean_work_, now);
   }
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -84,15 +84,15 @@
   ASSERT_EQ(host.probes.size(), 1u);
   Probed full;
   full.engine = host.probes[0];
-  full.load.count = 2;
-  full.load.values = {40, 1.0f};
+  full.load_report.count = 2;
+  full.load_report.values = {40, 1.0f};
   host.Step({full});
   EXPECT_EQ(host.Attempts(1), 0) << "others fill it";
   host.RunUntil(host.now + 300 * kMs);
   ASSERT_EQ(host.probes.size(), 2u) << "another look, a beat later";
   Probed idle = full;
   idle.engine = host.probes[1];
-  idle.load.values = {0, 0.0f};
+  idle.load_report.values = {0, 0.0f};
   host.Step({idle});
   EXPECT_EQ(host.Attempts(1), 1);
   EXPECT_EQ(host.engine_of[1], idle.engine);
@@ -101,8 +101,8 @@
 Probed Report(EngineId engine, float inflight, float memory) {
   Probed probed;
   probed.engine = engine;
-  probed.load.count = 2;
-  probed.load.values = {inflight, memory};
+  probed.load_report.count = 2;
+  probed.load_report.values = {inflight, memory};
   return probed;
 }
 
@@ -190,9 +190,9 @@
     AttemptEnded e;
     e.id = id;
     e.engine = 1;
-    e.waited = e.work = 100 * kMs;
+    e.elapsed = e.work = 100 * kMs;
     e.memory_mb = 200;
-    e.finished = true;
+    e.request_finished = true;
     host.Step({e});
   }
   EXPECT_GE(host.grants[12].grant_mb, 180);
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -21,10 +21,10 @@
     e.id = id;
     e.engine = host.engine_of.at(id);
     e.outcome = Outcome::kOk;
-    e.waited = e.work = 100 * kMs;
-    e.finished = true;
-    e.load.count = 2;
-    e.load.values = {8, 1.0f};
+    e.elapsed = e.work = 100 * kMs;
+    e.request_finished = true;
+    e.load_report.count = 2;
+    e.load_report.values = {8, 1.0f};
     host.Step({e});
   }
 }
@@ -133,10 +133,10 @@
   AttemptEnded e;
   e.id = 1;
   e.engine = 1;
-  e.waited = e.work = 2 * kSecond;
-  e.finished = true;
-  e.load.count = 2;
-  e.load.values = {30, 0.5f};
+  e.elapsed = e.work = 2 * kSecond;
+  e.request_finished = true;
+  e.load_report.count = 2;
+  e.load_report.values = {30, 0.5f};
   host.Step({e});
   host.Step({Ask(2, 1, 4 * kSecond, 2 * kSecond)});
   EXPECT_EQ(host.Attempts(2), 0);
@@ -164,10 +164,10 @@
     AttemptEnded e;
     e.id = host.sends[next].id;
     e.engine = 1;
-    e.waited = e.work = 100 * kMs;
-    e.finished = true;
-    e.load.count = 2;
-    e.load.values = {14, 1.0f};
+    e.elapsed = e.work = 100 * kMs;
+    e.request_finished = true;
+    e.load_report.count = 2;
+    e.load_report.values = {14, 1.0f};
     host.Step({e});
     ++ended;
     const std::size_t running = host.sends.size() - ended;
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -56,9 +56,9 @@
     e.attempt = attempts_[id] - 1;
     e.engine = engine_of[id];
     e.outcome = outcome;
-    e.waited = waited;
+    e.elapsed = waited;
     e.work = work;
-    e.finished = finished || outcome == Outcome::kOk;
+    e.request_finished = finished || outcome == Outcome::kOk;
     Step({e});
   }
   int Attempts(RequestId id) { return attempts_[id]; }
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -208,10 +208,10 @@
   EXPECT_EQ(started.attempt, 2);
   const auto& probed = std::get<Probed>(events[1]);
   EXPECT_EQ(probed.engine, 0x03124a07u);
-  EXPECT_EQ(probed.waited, 18'500'000);
+  EXPECT_EQ(probed.elapsed, 18'500'000);
   EXPECT_EQ(probed.outcome, Outcome::kTimeout);
-  EXPECT_EQ(probed.load.count, 1);
-  EXPECT_EQ(probed.load.values[0], 7.0F);
+  EXPECT_EQ(probed.load_report.count, 1);
+  EXPECT_EQ(probed.load_report.values[0], 7.0F);
   const auto& message = std::get<PeerMessage>(events[2]);
   EXPECT_EQ(message.sender, 0x0102);
   EXPECT_EQ(message.body, "abc");
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -105,10 +105,10 @@
     if (!answered && !attempt.cancelled && !over) return;
     AttemptEnded ended;
     ended.id = attempt.send.id, ended.attempt = attempt.number, ended.engine = attempt.send.engine;
-    ended.waited = now_ - attempt.since;
+    ended.elapsed = now_ - attempt.since;
     ended.outcome = attempt.cancelled ? Outcome::kCancelled : answered ? answer : Outcome::kTimeout;
-    ended.finished = ended.outcome == Outcome::kOk;
-    served += ended.finished;
+    ended.request_finished = ended.outcome == Outcome::kOk;
+    served += ended.request_finished;
     events_.push_back(ended);
     attempt.number = -1;
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -78,11 +78,11 @@
   EXPECT_EQ((*list.entries)[1].engine, 0x2c9011f2u);
   const auto& end = std::get<AttemptEnded>(batches[0].events[1]);
   EXPECT_EQ(end.outcome, Outcome::kOk);
-  EXPECT_TRUE(end.finished);
+  EXPECT_TRUE(end.request_finished);
   EXPECT_EQ(end.work, 17'000'000);
   EXPECT_EQ(end.memory_mb, 0x60 * 4);
-  EXPECT_EQ(end.load.count, 2);
-  EXPECT_FLOAT_EQ(end.load.values[0], 7);
+  EXPECT_EQ(end.load_report.count, 2);
+  EXPECT_FLOAT_EQ(end.load_report.values[0], 7);
 }
 
 TEST(Decoder, BrokenFrames_Throw) {
