--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -5,8 +5,8 @@
 // nothing. It reads no clock and does no I/O: the host passes the time, which never runs backwards (an
 // earlier time is taken as the last one). The same settings, seed and sequence of Step calls give the same
 // actions. Every Request ends exactly once: in an AttemptEnded with `request_finished` set, in RejectRequest,
-// in Fail or in ClientGone, whichever comes first; later outcomes of its attempts are only accounted for.
-// Events about unknown ids are ignored.
+// in FailRequest or in RequestCancelled, whichever comes first; later outcomes of its attempts are only
+// accounted for. Events about unknown ids are ignored.
 //
 // "Gateway" is the module's word for a proxy. Request::is_repeat, StreamStarted, ProgressNotice and
 // PeerMessage come from the simulator only; the proxy posts none of them.
@@ -71,7 +71,7 @@
 
 // The request needs no decision any more: its client has left or cancelled it, or the host has responded by
 // itself.
-struct ClientGone {
+struct RequestCancelled {
   RequestId id = 0;
 };
 
@@ -86,7 +86,7 @@
 };
 
 // A Probe has its result.
-struct Probed {
+struct ProbeEnded {
   EngineId engine = 0;
   Outcome outcome = Outcome::kOk;
   Nanos elapsed = 0;
@@ -112,9 +112,9 @@
 };
 
 // Several processes act for this gateway, as during a hot restart: budgets that hold for the gateway as a
-// whole are divided by `parts`. Comes before the first endpoint list if it applies from the start.
-struct ProcessShare {
-  int parts = 1;
+// whole are divided by `processes`. Comes before the first endpoint list if it applies from the start.
+struct ProcessCount {
+  int processes = 1;
 };
 
 // The number of live gateways and this one's place in the order of their names, from the membership view.
@@ -132,11 +132,11 @@
 };
 
 // The process is about to end: every open request is ended now.
-struct Closing {};
+struct Shutdown {};
 
-using Event =
-    std::variant<SettingsChanged, ProcessShare, FleetSize, Closing, EngineList, Request, AttemptEnded,
-                 StreamStarted, ClientGone, DeadlineReached, ProgressNotice, Probed, PeerMessage, TimerFired>;
+using Event = std::variant<SettingsChanged, ProcessCount, FleetSize, Shutdown, EngineList, Request,
+                           AttemptEnded, StreamStarted, RequestCancelled, DeadlineReached, ProgressNotice,
+                           ProbeEnded, PeerMessage, TimerFired>;
 
 // ---- Actions: to be carried out in the order given, at the time of the step ----
 
@@ -160,7 +160,7 @@
   RequestId id = 0;
   Nanos retry_after = 0;  // 0 = none
 };
-struct Fail {  // final: failed, may have had an effect
+struct FailRequest {  // final: failed, may have had an effect
   RequestId id = 0;
 };
 struct WakeAt {
@@ -170,15 +170,15 @@
 struct Probe {
   EngineId engine = 0;
 };
-struct WatchList {  // subscribe to changes of the endpoint list
+struct WatchEngineList {  // subscribe to changes of the endpoint list
   bool on = true;
 };
 struct LogLine {
   std::string text;
 };
 
-using Action =
-    std::variant<ResourceGrant, Send, Cancel, RejectRequest, Fail, WakeAt, Probe, WatchList, LogLine>;
+using Action = std::variant<ResourceGrant, Send, Cancel, RejectRequest, FailRequest, WakeAt, Probe,
+                            WatchEngineList, LogLine>;
 
 namespace decision {
 class Scheduler;
--- a/include/lemoncroft/types.h
+++ b/include/lemoncroft/types.h
@@ -29,7 +29,7 @@
 enum class ReportField { kInflight, kQueue, kUtil, kLatencyMs, kQps, kEps, kX0, kX1, kOther };
 
 // kExcluded: manually ejected by an operator; like draining, until the operator includes it again.
-enum class Readiness { kReady, kDraining, kExcluded, kGone };
+enum class Readiness { kReady, kDraining, kExcluded, kRemoved };
 
 // One engine of the endpoint list.
 struct EngineEntry {
--- a/src/broker/active_request.h
+++ b/src/broker/active_request.h
@@ -40,7 +40,7 @@
 // What a request's coroutine reacts to, in order of arrival: actions of the decision module, decisions of the
 // admission queue, ends of attempts, the client and the clock.
 using RequestEvent =
-    std::variant<ResourceGrant, Send, Cancel, RejectRequest, Fail, AttemptFinished, CancelledByClient,
+    std::variant<ResourceGrant, Send, Cancel, RejectRequest, FailRequest, AttemptFinished, CancelledByClient,
                  DeadlinePassed, admission_queue::Dispatch, RejectedByQueue, request::WaitNotice>;
 
 // One attempt of a request. Its number is its index in ActiveRequest::attempts.
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -64,8 +64,8 @@
   std::visit(Overloaded{
                  [&](const Probe& probe) { loop_.Spawn(RunProbe(probe.engine)); },
                  [](const LogLine& line) { spdlog::info("module: {}", line.text); },
-                 [](const WakeAt&) {},     // handled by ModuleHost
-                 [](const WatchList&) {},  // the control feed is always followed
+                 [](const WakeAt&) {},           // handled by ModuleHost
+                 [](const WatchEngineList&) {},  // the control feed is always followed
                  [&](const auto& request_action) { Deliver(request_action.id, request_action); },
              },
              action);
@@ -92,7 +92,7 @@
 
 Task<> Broker::RunProbe(EngineId engine) {
   const Time started = Now();
-  Probed probed;
+  ProbeEnded probed;
   probed.engine = engine;
   const backend::ProbeResult result = co_await engines_.Probe(engine);
   probed.outcome = result.outcome;
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -72,14 +72,14 @@
   // `max_requests` replaces the one of Limits.
   void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests);
   // The number of processes that share this proxy's budgets, during a hot restart.
-  void SetProcessShare(int process_count) { host_.Post(ProcessShare{process_count}); }
+  void SetProcessCount(int process_count) { host_.Post(ProcessCount{process_count}); }
   // The number of proxies that serve, and this one's rank among them.
   void SetFleetSize(int proxy_count, int rank);
 
   // Rejects all requests submitted from now on: the process is about to end.
   void RejectNewRequests() { rejects_new_requests_ = true; }
   // Makes the decision module complete all open requests at once.
-  void CompleteAllRequests() { host_.Post(Closing{}); }
+  void CompleteAllRequests() { host_.Post(Shutdown{}); }
 
   // Classes and tenants of active requests, which a change of settings has to keep.
   settings::ReferencedNumbers NumbersInUse() const;
@@ -116,7 +116,7 @@
   Progress OnEvent(const ActiveRequestPtr& request, const Send& send);
   Progress OnEvent(const ActiveRequestPtr& request, const Cancel& cancel);
   Progress OnEvent(const ActiveRequestPtr& request, const RejectRequest& reject);
-  Progress OnEvent(const ActiveRequestPtr& request, const Fail& fail);
+  Progress OnEvent(const ActiveRequestPtr& request, const FailRequest& fail);
   Progress OnEvent(const ActiveRequestPtr& request, AttemptFinished& finished);
   Progress OnEvent(const ActiveRequestPtr& request, const CancelledByClient& cancelled);
   Progress OnEvent(const ActiveRequestPtr& request, const DeadlinePassed& passed);
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -22,7 +22,7 @@
                    spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended.id, ended.attempt,
                                  static_cast<int>(ended.outcome), ended.request_finished, ended.work);
                  },
-                 [](const ClientGone& gone) { spdlog::trace("told gone {}", gone.id); },
+                 [](const RequestCancelled& gone) { spdlog::trace("told gone {}", gone.id); },
                  [](const auto&) {},
              },
              event);
@@ -38,7 +38,7 @@
                  [](const RejectRequest& reject) {
                    spdlog::trace("says refuse {} later {}", reject.id, reject.retry_after);
                  },
-                 [](const Fail& fail) { spdlog::trace("says fail {}", fail.id); },
+                 [](const FailRequest& fail) { spdlog::trace("says fail {}", fail.id); },
                  [](const auto&) {},
              },
              action);
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -105,7 +105,7 @@
   }
   ReportNotSent(*request, send, Progress::kOpen);
   Respond(*request, {ResponseStatus::kRejected, MaxRetryAfter(), {}});
-  host_.Post(ClientGone{request->id});
+  host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
@@ -120,7 +120,7 @@
   return Progress::kCompleted;
 }
 
-Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const Fail&) {
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const FailRequest&) {
   Respond(*request, {ResponseStatus::kFailed, {}, {}});
   return Progress::kCompleted;
 }
@@ -135,7 +135,7 @@
 
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const CancelledByClient&) {
   counters_.CountEnded(request->class_name(), metrics::End::kWithdrawn);
-  host_.Post(ClientGone{request->id});
+  host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
@@ -146,7 +146,7 @@
   }
   spdlog::warn("request {}: failed after its deadline, without a decision", request->client_request_id());
   Respond(*request, {ResponseStatus::kFailed, {}, {}});
-  host_.Post(ClientGone{request->id});
+  host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -24,7 +24,7 @@
   if (first) first_step_at_ = now;
   actions_ = &actions;
   AdvanceTime(passed);
-  if (first && settings_.list_on_request) actions_->push_back(WatchList{true});
+  if (first && settings_.list_on_request) actions_->push_back(WatchEngineList{true});
   for (const Event& event : events) std::visit([this](const auto& concrete) { Handle(concrete); }, event);
   RunTimers();
   AdjustConcurrencyLimits();
@@ -90,7 +90,7 @@
   }
 }
 
-void Scheduler::Handle(const ProcessShare& share) { process_parts_ = std::max(1, share.parts); }
+void Scheduler::Handle(const ProcessCount& count) { process_parts_ = std::max(1, count.processes); }
 
 void Scheduler::Handle(const FleetSize& fleet_size) {
   fleet_size_ = fleet_size;
@@ -111,7 +111,7 @@
 void Scheduler::Handle(const EngineList& list) {
   const bool failed = list.kind == ListKind::kFailed || !list.entries;
   if (failed) {
-    if (settings_.list_on_request) actions_->push_back(WatchList{true});
+    if (settings_.list_on_request) actions_->push_back(WatchEngineList{true});
     return;
   }
   if (list.kind != ListKind::kChange) {
@@ -134,7 +134,7 @@
     engine.sent_load.ResetForRestart();
   }
   engine.entry = entry;
-  engine.listed = entry.readiness != Readiness::kGone;
+  engine.listed = entry.readiness != Readiness::kRemoved;
   const KindSettings kind =
       entry.kind < settings_.kinds.size() ? settings_.kinds[entry.kind] : KindSettings();
   engine.cores = kind.cores > 0 ? kind.cores : 1;
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -61,17 +61,17 @@
  private:
   // ---- Events ----
   void Handle(const SettingsChanged& change);
-  void Handle(const ProcessShare& share);
+  void Handle(const ProcessCount& count);
   void Handle(const FleetSize& fleet_size);
-  void Handle(const Closing&);
+  void Handle(const Shutdown&);
   void Handle(const EngineList& list);
   void Handle(const Request& request);
   void Handle(const AttemptEnded& end);
   void Handle(const StreamStarted& start);
-  void Handle(const ClientGone& gone);
+  void Handle(const RequestCancelled& gone);
   void Handle(const DeadlineReached& reached);
   void Handle(const ProgressNotice& notice);
-  void Handle(const Probed& probed);
+  void Handle(const ProbeEnded& probed);
   void Handle(const PeerMessage&) {}
   void Handle(const TimerFired&) {}
 
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -92,7 +92,7 @@
 
 // ---- Load reports ----
 
-void Scheduler::Handle(const Probed& probed) {
+void Scheduler::Handle(const ProbeEnded& probed) {
   const auto engine = engines_.find(probed.engine);
   if (engine != engines_.end()) RecordReport(engine->second, probed.load_report, ReportExpectation::kDue);
 }
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -12,7 +12,7 @@
 
 void Scheduler::Handle(const Request& spec) {
   if (requests_.contains(spec.id)) return;
-  if (spec.class_id >= settings_.classes.size()) return actions_->push_back(Fail{spec.id});
+  if (spec.class_id >= settings_.classes.size()) return actions_->push_back(FailRequest{spec.id});
   RequestState& request = requests_[spec.id];
   request.spec = spec;
   const ClassSettings& class_settings = Class(request);
@@ -115,7 +115,7 @@
     const Nanos retry_after = settings_.may_send_retry_after ? settings_.max_retry_after : 0;
     actions_->push_back(RejectRequest{request.spec.id, retry_after});
   } else {
-    actions_->push_back(Fail{request.spec.id});
+    actions_->push_back(FailRequest{request.spec.id});
   }
   Finish(request);
 }
@@ -128,7 +128,7 @@
   LeaveKey(finished);
 }
 
-void Scheduler::Handle(const Closing&) {
+void Scheduler::Handle(const Shutdown&) {
   std::set<RequestId> open;  // in the order of arrival
   for (const auto& [id, request] : requests_)
     if (request.phase != RequestPhase::kDone) open.insert(id);
@@ -140,7 +140,7 @@
   if (it != requests_.end() && it->second.phase != RequestPhase::kDone) RejectOrFail(it->second);
 }
 
-void Scheduler::Handle(const ClientGone& gone) {
+void Scheduler::Handle(const RequestCancelled& gone) {
   const auto it = requests_.find(gone.id);
   if (it == requests_.end() || it->second.phase == RequestPhase::kDone) return;
   RemovePending(it->second);
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -136,7 +136,7 @@
   entry.weight = json[feed::kWeight].Number(known != nullptr ? known->advertised.weight : 1);
   // An unknown state counts as draining: no new requests may go to a draining engine.
   entry.readiness = state == feed::kStateReady  ? Readiness::kReady
-                    : state == feed::kStateGone ? Readiness::kGone
+                    : state == feed::kStateGone ? Readiness::kRemoved
                                                 : Readiness::kDraining;
   const std::string kind = TextOr(json[feed::kMachineKind], known != nullptr ? known->kind : std::string());
   const std::string zone = TextOr(json[feed::kZone], known != nullptr ? known->zone : std::string());
@@ -150,7 +150,7 @@
     entry.started_at = decision::ModuleClock::AtUnix(
         std::chrono::milliseconds(std::max<std::int64_t>(0, up_since.Integer())));
   }
-  if (entry.readiness == Readiness::kGone) {
+  if (entry.readiness == Readiness::kRemoved) {
     Remove(entry.engine);
     return entry;
   }
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -62,7 +62,7 @@
     operations.EnableEjectionStore(
         tmpdir, decision::ToDuration(site.module.slow_start_duration + site.module.overload_window));
   // Before the endpoint list: the predecessor may just have sent an engine in slow start all that it takes.
-  if (registry && registry->ReadPeers().usage.serving > 0) broker.SetProcessShare(kProcessesAtStart);
+  if (registry && registry->ReadPeers().usage.serving > 0) broker.SetProcessCount(kProcessesAtStart);
   return registry;
 }
 
@@ -96,7 +96,7 @@
     state.engines.pool().set_max_connections(share.engines);
     const int process_count = ProcessCount(own, others);
     if (std::exchange(known_process_count, process_count) != process_count)
-      state.broker.SetProcessShare(process_count);
+      state.broker.SetProcessCount(process_count);
     if (std::exchange(known_peers, others.processes) == others.processes) continue;
     spdlog::info(
         "{} other processes of this proxy live: at most {} connections to clients, {} to engines now",
--- a/src/simulator_adapter/reply_writer.cpp
+++ b/src/simulator_adapter/reply_writer.cpp
@@ -48,7 +48,7 @@
     Put(out, a.id);
     Put(out, a.retry_after);
   }
-  void operator()(const Fail& a) const {
+  void operator()(const FailRequest& a) const {
     PutCode(ActionCode::kFail);
     Put(out, a.id);
   }
@@ -61,7 +61,7 @@
     PutCode(ActionCode::kProbe);
     Put(out, a.engine);
   }
-  void operator()(const WatchList& a) const {
+  void operator()(const WatchEngineList& a) const {
     PutCode(ActionCode::kWatchList);
     Put(out, static_cast<std::uint8_t>(a.on));
   }
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -76,7 +76,7 @@
     case ReadinessCode::kReady:
       return Readiness::kReady;
     case ReadinessCode::kGone:
-      return Readiness::kGone;
+      return Readiness::kRemoved;
     case ReadinessCode::kDraining:
       return Readiness::kDraining;
   }
@@ -170,8 +170,8 @@
   return ended;
 }
 
-Probed ReadProbed(Reader& in) {
-  Probed probed;
+ProbeEnded ReadProbeEnded(Reader& in) {
+  ProbeEnded probed;
   probed.elapsed = in.Time("waitTimeNs");
   probed.engine = in.Int<std::uint32_t>("engine");
   probed.outcome = ReadOutcome(in);
@@ -237,13 +237,13 @@
         Current(at).events.emplace_back(ReadAttemptEnded(in_));
         return;
       case EventCode::kClientGone:
-        Current(at).events.emplace_back(ClientGone{in_.Int<std::uint64_t>("req")});
+        Current(at).events.emplace_back(RequestCancelled{in_.Int<std::uint64_t>("req")});
         return;
       case EventCode::kTimerFired:
         Current(at).events.emplace_back(TimerFired{in_.Int<std::uint64_t>("keyBack")});
         return;
       case EventCode::kProbed:
-        return AddEvent(ReadProbed(in_), at);
+        return AddEvent(ReadProbeEnded(in_), at);
       case EventCode::kPeerMessage:
         return AddEvent(ReadPeerMessage(in_), at);
       case EventCode::kProgressNotice:
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -143,7 +143,7 @@
     running_.push({now_ + end.elapsed, end});
   }
   void On(const RejectRequest& reject) { EndRejected(reject.id); }
-  void On(const Fail& fail) { EndRejected(fail.id); }
+  void On(const FailRequest& fail) { EndRejected(fail.id); }
   void On(const WakeAt& wake) { wake_at_ = wake.at; }
   void On(const auto&) {}  // no more than its cost matters here
 
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -315,13 +315,13 @@
     Complete(rejection.id);
     ScheduleRetry(q, static_cast<double>(rejection.retry_after) / 1e9);
   }
-  void Apply(const Fail& fail) {
+  void Apply(const FailRequest& fail) {
     ++result_.failed;
     Complete(fail.id);
   }
   void Apply(const WakeAt& wake) { wakes_.push_back(wake.at); }
   void Apply(const Probe&) {}
-  void Apply(const WatchList&) {}
+  void Apply(const WatchEngineList&) {}
   void Apply(const LogLine&) {}
 
   void End(const simulation::Finished& f, Outcome outcome) {
@@ -407,7 +407,7 @@
       const auto engine = static_cast<std::uint32_t>(n * 3 + 1);
       fleet_.Remove(engine, ended);
       for (const simulation::Finished& f : ended) End(f, Outcome::kReset);
-      const EngineEntry gone{.engine = engine, .readiness = Readiness::kGone};
+      const EngineEntry gone{.engine = engine, .readiness = Readiness::kRemoved};
       events_.push_back(EngineList{ListKind::kChange, std::make_shared<std::vector<EngineEntry>>(1, gone)});
       queue_->SetFleetCores(fleet_.cores(), At(now_));
     }
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -58,14 +58,14 @@
   }
 
   void On(const AttemptEnded& end) {
-    if (!end.request_finished) actions_->push_back(Fail{end.id});
+    if (!end.request_finished) actions_->push_back(FailRequest{end.id});
     const bool may_still_run = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
                                end.outcome == Outcome::kCancelled;
     Remove(end.id, may_still_run);
   }
 
   // The end of an attempt in flight is reported later.
-  void On(const ClientGone& gone) {
+  void On(const RequestCancelled& gone) {
     if (!in_flight_.contains(gone.id)) Remove(gone.id, false);
   }
 
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -160,7 +160,7 @@
     Schedule(kStart + kDrainAt, [this] { Announce(Readiness::kDraining, 0); });
     Schedule(kStart + kGoneAt, [this] {
       ResetAttemptsAt(RestartedId());
-      Announce(Readiness::kGone, 0);
+      Announce(Readiness::kRemoved, 0);
     });
     Schedule(kStart + kBackAt, [this] {
       engines_[*site_.restarted] = std::make_unique<QueryEngine>(site_.traits[*site_.restarted], now_);
@@ -288,7 +288,7 @@
     if (it == requests_.end() || it->second.over) return;
     ++result_.classes[it->second.request.class_id].abandoned;
     checker_.Abandoned(now_, id);
-    Post(it->second, ClientGone{id});
+    Post(it->second, RequestCancelled{id});
     Finish(id);
   }
 
@@ -296,7 +296,7 @@
     const auto it = requests_.find(id);
     if (it == requests_.end() || it->second.over) return;
     checker_.TimedOut(now_, id);
-    Post(it->second, ClientGone{id});
+    Post(it->second, RequestCancelled{id});
     Finish(id);
   }
 
@@ -439,7 +439,7 @@
     Finish(rejection.id);
   }
 
-  void CarryOut(int, const Fail& fail) {
+  void CarryOut(int, const FailRequest& fail) {
     checker_.Failed(now_, fail);
     const auto it = requests_.find(fail.id);
     if (it == requests_.end() || it->second.over) return;
@@ -456,7 +456,7 @@
   void CarryOut(int gateway, const Probe& probe) {
     checker_.Probed(now_, probe);
     ++result_.probes;
-    Probed probed;
+    ProbeEnded probed;
     probed.engine = probe.engine;
     probed.elapsed = site_.settings.tick;
     const bool there = restarted_engine_up_ || !site_.restarted || probe.engine != RestartedId();
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -224,7 +224,7 @@
   ForgetIfOver(now, rejection.id);
 }
 
-void SiteInvariantChecker::Failed(Nanos now, const Fail& fail) {
+void SiteInvariantChecker::Failed(Nanos now, const FailRequest& fail) {
   if (ActiveRequest* active = FindRequest(now, fail.id, "a failure"); active != nullptr) {
     RecordResponse(now, fail.id, *active);
     ForgetIfOver(now, fail.id);
--- a/src/testing/simulation/site_invariant_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -37,7 +37,7 @@
   void Granted(Nanos now, const ResourceGrant& grant);
   void Served(Nanos now, RequestId id);
   void Rejected(Nanos now, const RejectRequest& rejection);
-  void Failed(Nanos now, const Fail& fail);
+  void Failed(Nanos now, const FailRequest& fail);
   void Abandoned(Nanos now, RequestId id);
   // The client has waited to the end: from now on nobody waits for an answer.
   void TimedOut(Nanos now, RequestId id);
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -62,7 +62,7 @@
   for (RequestId id = 1; id <= 4; ++id) host.Step({Ask(id, 0, 5 * kSecond, 2 * kSecond)});
   ASSERT_EQ(host.sends.size(), 4u);
   for (RequestId id = 1; id <= 4; ++id) {
-    host.Step({ClientGone{id}});
+    host.Step({RequestCancelled{id}});
     host.End(id, Outcome::kCancelled, kMs, 0, true);
   }
   host.List(Engines(2));
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -82,7 +82,7 @@
   EXPECT_EQ(host.Attempts(1), 0);
   EXPECT_EQ(host.Attempts(2), 1) << "a light query doesn't wait";
   ASSERT_EQ(host.probes.size(), 1u);
-  Probed full;
+  ProbeEnded full;
   full.engine = host.probes[0];
   full.load_report.count = 2;
   full.load_report.values = {40, 1.0f};
@@ -90,7 +90,7 @@
   EXPECT_EQ(host.Attempts(1), 0) << "others fill it";
   host.RunUntil(host.now + 300 * kMs);
   ASSERT_EQ(host.probes.size(), 2u) << "another look, a beat later";
-  Probed idle = full;
+  ProbeEnded idle = full;
   idle.engine = host.probes[1];
   idle.load_report.values = {0, 0.0f};
   host.Step({idle});
@@ -98,8 +98,8 @@
   EXPECT_EQ(host.engine_of[1], idle.engine);
 }
 
-Probed Report(EngineId engine, float inflight, float memory) {
-  Probed probed;
+ProbeEnded Report(EngineId engine, float inflight, float memory) {
+  ProbeEnded probed;
   probed.engine = engine;
   probed.load_report.count = 2;
   probed.load_report.values = {inflight, memory};
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -81,7 +81,7 @@
     } else if (auto* reject = std::get_if<RejectRequest>(&action)) {
       rejected[reject->id] = now;
       retry_after[reject->id] = reject->retry_after;
-    } else if (auto* fail = std::get_if<Fail>(&action)) {
+    } else if (auto* fail = std::get_if<FailRequest>(&action)) {
       failed[fail->id] = now;
     } else if (auto* cancel = std::get_if<Cancel>(&action)) {
       cancels.insert(cancel->id);
--- a/tests/gateway_requests_test.cpp
+++ b/tests/gateway_requests_test.cpp
@@ -33,7 +33,7 @@
   Host host(SomeSettings());
   host.List({});
   host.Step({Ask(1)});
-  host.Step({ClientGone{1}});
+  host.Step({RequestCancelled{1}});
   host.List({Ready(1)});
   EXPECT_TRUE(host.sends.empty());
 }
@@ -89,7 +89,7 @@
   host.Step({a, b, c});
   ASSERT_EQ(host.sends.size(), 2u);
   EXPECT_EQ(host.Attempts(2), 0);
-  host.Step({ClientGone{1}});
+  host.Step({RequestCancelled{1}});
   EXPECT_EQ(host.Attempts(2), 0) << "the attempt is still out";
   host.End(1, Outcome::kCancelled, kMs, 0, true);
   Nanos ended = host.now;
@@ -184,7 +184,7 @@
   host.Step({});
   AttemptEnded stray;
   stray.id = 77;
-  host.Step({stray, ClientGone{78}, ProgressNotice{79, 0, NoticeKind::kProgress, 0.5}, Probed{},
+  host.Step({stray, RequestCancelled{78}, ProgressNotice{79, 0, NoticeKind::kProgress, 0.5}, ProbeEnded{},
              TimerFired{5}, EngineList{ListKind::kFailed, nullptr}});
   EXPECT_TRUE(host.sends.empty());
   host.Step({Ask(1, 9)});
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -49,7 +49,7 @@
   draining.readiness = Readiness::kDraining;
   host.List({draining}, ListKind::kChange);
   host.Step({Ask(3, 1)});
-  host.Step({Closing{}});
+  host.Step({Shutdown{}});
   EXPECT_TRUE(host.rejected.contains(1));
   EXPECT_TRUE(host.failed.contains(2)) << "it may have run";
   EXPECT_TRUE(host.rejected.contains(3)) << "held: it never ran";
--- a/tests/gateway_slow_start_test.cpp
+++ b/tests/gateway_slow_start_test.cpp
@@ -37,7 +37,7 @@
     double total = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Host host(s, seed);
-      host.Step({ProcessShare{parts}});
+      host.Step({ProcessCount{parts}});
       host.List({Ready(1, host.now), Ready(2)});
       for (RequestId id = 1; id <= 400; ++id) {
         host.Step({Ask(id)});
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -145,11 +145,11 @@
                                              {"send", reply({Send{kId, 0x03124a07, 0x04c4b400, 5}}), {}},
                                              {"cancel", reply({Cancel{kId, 3}}), {}},
                                              {"refuse", reply({RejectRequest{kId, 1'000'000'000}}), {}},
-                                             {"fail", reply({Fail{kId}}), {}},
+                                             {"fail", reply({FailRequest{kId}}), {}},
                                              {"wake_at", reply({WakeAt{0x213362490, 0x4d}}), {}},
                                              {"probe", reply({Probe{0x03124a07}}), {}},
-                                             {"watch_on", reply({WatchList{true}}), {}},
-                                             {"watch_off", reply({WatchList{false}}), {}},
+                                             {"watch_on", reply({WatchEngineList{true}}), {}},
+                                             {"watch_off", reply({WatchEngineList{false}}), {}},
                                              {"log_line", reply({LogLine{"a line"}}), {}}});
 }
 
@@ -206,7 +206,7 @@
   const auto& started = std::get<StreamStarted>(events[0]);
   EXPECT_EQ(started.id, 0x0123456789abcdefu);
   EXPECT_EQ(started.attempt, 2);
-  const auto& probed = std::get<Probed>(events[1]);
+  const auto& probed = std::get<ProbeEnded>(events[1]);
   EXPECT_EQ(probed.engine, 0x03124a07u);
   EXPECT_EQ(probed.elapsed, 18'500'000);
   EXPECT_EQ(probed.outcome, Outcome::kTimeout);
@@ -238,7 +238,7 @@
         "000" +
             std::to_string(i + 1) + "00",
         2);
-    EXPECT_EQ(std::get<Probed>(batches.at(0).events.at(0)).outcome, outcomes[i]) << i + 1;
+    EXPECT_EQ(std::get<ProbeEnded>(batches.at(0).events.at(0)).outcome, outcomes[i]) << i + 1;
   }
 }
 
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -87,7 +87,7 @@
       if (const auto* send = std::get_if<Send>(&action)) Start(*send);
       if (const auto* cancel = std::get_if<Cancel>(&action))
         for (Attempt& attempt : out_) attempt.cancelled = attempt.cancelled || attempt.send.id == cancel->id;
-      if (const auto* probe = std::get_if<Probe>(&action)) events_.push_back(Probed{probe->engine});
+      if (const auto* probe = std::get_if<Probe>(&action)) events_.push_back(ProbeEnded{probe->engine});
       actions_.push_back(action);
     }
   }
@@ -172,7 +172,7 @@
     world.answer_after = 0;
     const RequestId id = world.Take(kLookup);
     world.RunFor(2 * kSecond);
-    world.Tell(ClientGone{id});
+    world.Tell(RequestCancelled{id});
     world.RunFor(2 * kSecond);
     EXPECT_EQ(!world.All<Cancel>().empty(), allowed);
   }
@@ -214,7 +214,7 @@
     world.Take(kLookup);
     world.RunFor(4 * kSecond);
     EXPECT_EQ(world.All<Send>().size(), static_cast<std::size_t>(most));
-    EXPECT_EQ(world.All<RejectRequest>().size() + world.All<Fail>().size(), 1u);
+    EXPECT_EQ(world.All<RejectRequest>().size() + world.All<FailRequest>().size(), 1u);
   }
 }
 
@@ -267,10 +267,10 @@
     settings.list_on_request = on_request;
     World world(settings);
     world.RunFor(10 * kMs);
-    EXPECT_EQ(world.All<WatchList>().size(), on_request ? 1u : 0u);
+    EXPECT_EQ(world.All<WatchEngineList>().size(), on_request ? 1u : 0u);
     world.Tell(EngineList{ListKind::kFailed, nullptr});
     world.RunFor(10 * kMs);
-    EXPECT_EQ(world.All<WatchList>().size(), on_request ? 2u : 0u);
+    EXPECT_EQ(world.All<WatchEngineList>().size(), on_request ? 2u : 0u);
   }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -61,7 +61,7 @@
   EXPECT_EQ(r.table_group, 11u);
   EXPECT_EQ(std::get<TimerFired>(batches[0].events[1]).token, 0x4du);
   EXPECT_EQ(batches[1].instance, 5);
-  EXPECT_EQ(std::get<ClientGone>(batches[1].events[0]).id, 0x000814800e6f2b19u);
+  EXPECT_EQ(std::get<RequestCancelled>(batches[1].events[0]).id, 0x000814800e6f2b19u);
 }
 
 TEST(Decoder, PageListAndOutcome_AreRead) {
