--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -9,7 +9,7 @@
   Settings settings;
   settings.classes.resize(1);
   settings.classes[0].latency_objective = 500'000'000;
-  settings.classes[0].deadline = 2'000'000'000;
+  settings.classes[0].client_timeout = 2'000'000'000;
   settings.kinds = {{8, 16384}};
   Gateway gateway(settings, /*seed=*/1);
 
--- a/include/lemoncroft/settings.h
+++ b/include/lemoncroft/settings.h
@@ -18,11 +18,11 @@
   // `latency_objective` plus `latency_objective_stretch` times the request's work over its threads.
   Nanos latency_objective = 0;
   double latency_objective_stretch = 0;
-  Nanos deadline = 0;  // how long a client waits in all
+  Nanos client_timeout = 0;  // how long a client waits in all
   double priority_weight = 1;
   double late_weight_share = 0;  // share of the priority weight earned after the latency objective
   Effect effect = Effect::kSafe;
-  RepeatGroup group = RepeatGroup::kAll;
+  RepeatGroup repeat_group = RepeatGroup::kAll;
   Nanos repeat_window = 0;  // how long repeats are discarded, from the first attempt that may have run
   bool in_order = false;    // requests with one ordering key run one at a time
   bool streaming = false;
@@ -66,30 +66,30 @@
   // A warming engine may be sent this multiple of its capacity at the time, in any `overload_window`.
   double overload_factor = 0;
   Nanos overload_window = 0;
-  Nanos order_settle = 0;  // pause of an ordering key after an attempt whose end is unknown
+  Nanos ordering_key_pause = 0;  // pause of an ordering key after an attempt whose end is unknown
   Nanos must_ask_within = 0;
   Nanos max_retry_after = 0;
   Nanos connect_timeout = 0;
 
   double max_grant_share = 1;  // of an engine's memory, to one request
-  Nanos progress_every = 0;
+  Nanos progress_interval = 0;
   double late_fail_price = 0;   // points for weight that ends unserved after its objective, as a share
   double cross_zone_price = 0;  // points for an attempt that crosses zones, per first attempt
 
   int gateway_count = 1;  // of this tier, this one included
   int gateway_index = 0;  // this gateway's number among them
   int max_attempts = 1;
-  MemoryShort memory_short = MemoryShort::kTrim;
+  MemoryShortagePolicy memory_shortage_policy = MemoryShortagePolicy::kTrim;
   std::uint16_t zone = 0;
 
-  bool reports_in_answers = false;  // else in the results of probes alone
-  bool list_on_request = false;     // the endpoint list must be asked for
+  bool reports_in_responses = false;  // else in the results of probes alone
+  bool list_on_request = false;       // the endpoint list must be asked for
   bool may_cancel = false;
   bool may_probe = false;
   // Attempts of one request may overlap: a retry need not wait until the attempt before surely runs no more.
   // The module itself never sends a hedged attempt.
   bool may_hedge = false;
-  bool may_message = false;
+  bool may_message_peers = false;
   bool may_send_retry_after = false;  // rejected clients are told when to retry
   bool honors_memory_grants = false;
   bool honors_priorities = false;
--- a/include/lemoncroft/types.h
+++ b/include/lemoncroft/types.h
@@ -25,7 +25,7 @@
 // The engines that recognise a repeated idempotency key: all, those of one zone, or those of one cell.
 enum class RepeatGroup { kAll, kZone, kCell };
 // What an engine does with a query whose memory grant is too small.
-enum class MemoryShort { kQueue, kTrim, kSwap };
+enum class MemoryShortagePolicy { kQueue, kTrim, kSwap };
 enum class ReportField { kInflight, kQueue, kUtil, kLatencyMs, kQps, kEps, kX0, kX1, kOther };
 
 // kExcluded: manually ejected by an operator; like draining, until the operator includes it again.
--- a/src/decision/reports/reported_load.cpp
+++ b/src/decision/reports/reported_load.cpp
@@ -22,8 +22,8 @@
 
 ReportLayout ReportLayout::FromSettings(const Settings& settings) {
   ReportLayout layout;
-  layout.in_responses = settings.reports_in_answers;
-  if (!settings.reports_in_answers && !settings.may_probe) return layout;
+  layout.in_responses = settings.reports_in_responses;
+  if (!settings.reports_in_responses && !settings.may_probe) return layout;
   layout.inflight = PositionOf(ReportField::kInflight, settings.report_fields);
   layout.memory = PositionOf(ReportField::kX0, settings.report_fields);
   return layout;
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -14,7 +14,7 @@
   const ClassSettings& class_settings = Class(request);
   if (!limits::PlacementAllows(class_settings, engine.entry)) return false;
   if (class_settings.effect != Effect::kKeyed || request.may_have_run_at < 0) return true;
-  return limits::SharesRepeats(class_settings.group, request.may_have_run_on, engine.entry);
+  return limits::SharesRepeats(class_settings.repeat_group, request.may_have_run_on, engine.entry);
 }
 
 // A second load of a table group would wait at the engine, its memory granted, until the first has ended.
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -40,7 +40,7 @@
 
 Nanos Scheduler::RunawayTimeout(const RequestState& request) const {
   if (!settings_.may_cancel || !MayCancelAndRetry(request)) return 0;
-  if (settings_.progress_every > 0 && !IsLight(request)) return 0;  // its progress tells
+  if (settings_.progress_interval > 0 && !IsLight(request)) return 0;  // its progress tells
   const double factor = RunawayFactor(request);
   if (Class(request).effect == Effect::kKeyed) return KeyedRunawayTimeout(request, factor);
   return FromSeconds(ExpectedSeconds(request) * factor);
@@ -68,7 +68,7 @@
 Nanos Scheduler::LastSafeCancel(const RequestState& request) const {
   const Nanos first_sent_at = request.may_have_run_at >= 0 ? request.may_have_run_at : request.sent_at;
   const Nanos window_end = first_sent_at + Class(request).repeat_window;
-  return window_end - settings_.order_settle - 4 * kTimerInterval - kResponseMargin;
+  return window_end - settings_.ordering_key_pause - 4 * kTimerInterval - kResponseMargin;
 }
 
 bool Scheduler::MayCancelAndRetry(const RequestState& request) const {
@@ -126,7 +126,7 @@
     if (engine != engines_.end()) request->may_have_run_on = engine->second.entry;
   }
   if (MayStillRun(end.outcome) && request->ordered)
-    keys_.PauseUntil(request->spec.ordering_key, now_ + settings_.order_settle);
+    keys_.PauseUntil(request->spec.ordering_key, now_ + settings_.ordering_key_pause);
   if (end.request_finished || request->phase == RequestPhase::kDone) return Finish(*request);
   RetryOrEnd(*request);
 }
--- a/src/frontend/request_parser.cpp
+++ b/src/frontend/request_parser.cpp
@@ -65,7 +65,7 @@
 
 std::optional<Estimates> ParseEstimates(const codec::Fields& fields, const ClassSettings& request_class,
                                         const settings::Site& settings) {
-  const double deadline_ms = static_cast<double>(request_class.deadline) / 1e6;
+  const double deadline_ms = static_cast<double>(request_class.client_timeout) / 1e6;
   const double max_memory_mb = kMaxMemoryFactor * LargestEngineMemoryMb(settings);
   const auto timeout = NumberOr(fields.Get(kFieldTimeoutMs), deadline_ms, kMaxTimeoutFactor * deadline_ms);
   const auto cpu = NumberOr(fields.Get(kFieldEstimatedCpuMs), 0, kMaxWorkFactor * deadline_ms);
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -132,7 +132,7 @@
   const settings::Pairs pairs = Flatten(settings);
   config.site = settings::ParseSite(pairs);
   config.findings = settings::Check(pairs, config.site);
-  config.site.module.progress_every = 0;  // engines' responses bring no progress notices
+  config.site.module.progress_interval = 0;  // engines' responses bring no progress notices
 }
 
 }  // namespace
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -28,7 +28,7 @@
 // The time by which open requests must be answered because SIGKILL follows.
 Time FinalAnswerTime(Time since, const settings::Site& site) {
   Nanos longest = 0;
-  for (const ClassSettings& c : site.module.classes) longest = std::max(longest, c.deadline);
+  for (const ClassSettings& c : site.module.classes) longest = std::max(longest, c.client_timeout);
   const auto drain = std::min<runtime::Duration>(decision::ToDuration(longest), kMaxDrainWithSuccessor);
   return since + kKeepServingDuration + drain - kFinalAnswerMargin;
 }
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -406,7 +406,7 @@
   for (const auto& [name, entry] : document.classes) {
     ClassSettings& c = s.classes.at(site.ClassOf(name).value());
     if (entry.effect) c.effect = *entry.effect;
-    if (entry.group) c.group = *entry.group;
+    if (entry.group) c.repeat_group = *entry.group;
     if (entry.repeat_window) c.repeat_window = entry.repeat_window->count();
   }
   for (const auto& [name, entry] : document.tenants)
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -190,7 +190,7 @@
     const auto check = [this, i](const char* field, bool in_range) {
       if (!in_range) OutOfRange(ClassSetting(i, field));
     };
-    check(request_class::kDeadline, c.deadline > 0 && c.deadline <= kMaxDeadline);
+    check(request_class::kDeadline, c.client_timeout > 0 && c.client_timeout <= kMaxDeadline);
     check(request_class::kLatencyObjective, c.latency_objective <= kMaxDeadline);
     check(request_class::kPriorityWeight, c.priority_weight >= 0 && c.priority_weight <= kMaxValue);
     check(request_class::kLateWeightShare, c.late_weight_share >= 0 && c.late_weight_share <= 1);
@@ -214,11 +214,11 @@
     const bool has_objective = in_.Time(fields::ClassPath(i, request_class::kLatencyObjective)) != 0;
     if (!has_objective && c.latency_objective_stretch <= 0)
       warn(request_class::kLatencyObjective, "none; its deadline is taken in its place");
-    if (c.latency_objective > c.deadline)
+    if (c.latency_objective > c.client_timeout)
       warn(request_class::kLatencyObjective, "past its deadline, where nobody waits any more");
     if (c.effect == Effect::kKeyed && c.repeat_window <= 0)
       warn(request_class::kRepeatWindow, "none, so what may have run is never tried again");
-    if (c.in_order && site_.module.order_settle <= 0)
+    if (c.in_order && site_.module.ordering_key_pause <= 0)
       warn(request_class::kInOrder,
            std::string(fields::kOrderSettle) + " is absent, so a key's next request follows at once");
     if (c.streaming) warn(request_class::kStreaming, "answers are passed on whole");
@@ -337,7 +337,7 @@
     if (s.connect_timeout > kMaxDeadline) OutOfRange(fields::kConnectTimeout);
     if (in_.Time(fields::kConnectTimeout) == 0)
       Warn(fields::kConnectTimeout, "none; 250 ms is taken in its place");
-    if (s.progress_every > 0)
+    if (s.progress_interval > 0)
       Warn(fields::kProgressInterval, "notes are not read; attempts are judged by how long they run");
   }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -124,9 +124,9 @@
   ClassSettings c;
   c.latency_objective = in.Time(path(f::kLatencyObjective));
   c.latency_objective_stretch = in.Number(path(f::kLatencyObjectiveStretch));
-  c.deadline = in.Time(path(f::kDeadline));
+  c.client_timeout = in.Time(path(f::kDeadline));
   // Without an objective, any response in time earns its weight.
-  if (c.latency_objective == 0 && c.latency_objective_stretch <= 0) c.latency_objective = c.deadline;
+  if (c.latency_objective == 0 && c.latency_objective_stretch <= 0) c.latency_objective = c.client_timeout;
   c.priority_weight = in.Number(path(f::kPriorityWeight), 1);
   c.late_weight_share = in.Number(path(f::kLateWeightShare));
   // An unknown word is taken as the strictest one.
@@ -135,11 +135,11 @@
                                {f::kEffectKeyed, Effect::kKeyed},
                                {f::kEffectUnsafe, Effect::kUnsafe}},
                               Effect::kSafe, Effect::kUnsafe);
-  c.group = in.OneOf<RepeatGroup>(path(f::kRepeatGroup),
-                                  {{f::kGroupAll, RepeatGroup::kAll},
-                                   {f::kGroupZone, RepeatGroup::kZone},
-                                   {f::kGroupCell, RepeatGroup::kCell}},
-                                  RepeatGroup::kAll, RepeatGroup::kCell);
+  c.repeat_group = in.OneOf<RepeatGroup>(path(f::kRepeatGroup),
+                                         {{f::kGroupAll, RepeatGroup::kAll},
+                                          {f::kGroupZone, RepeatGroup::kZone},
+                                          {f::kGroupCell, RepeatGroup::kCell}},
+                                         RepeatGroup::kAll, RepeatGroup::kCell);
   c.repeat_window = in.Time(path(f::kRepeatWindow));
   c.in_order = in.Flag(path(f::kInOrder));
   c.streaming = in.Flag(path(f::kStreaming));
@@ -171,12 +171,13 @@
   s.honors_memory_grants = in.Flag(fields::kHonorsMemoryGrants);
   s.honors_priorities = in.Flag(fields::kHonorsPriorities);
   s.max_grant_share = in.Number(fields::kMaxGrantShare, 1);
-  s.memory_short = in.OneOf<MemoryShort>(fields::kMemoryShort,
-                                         {{fields::kMemoryShortQueue, MemoryShort::kQueue},
-                                          {fields::kMemoryShortTrim, MemoryShort::kTrim},
-                                          {fields::kMemoryShortSwap, MemoryShort::kSwap}},
-                                         MemoryShort::kTrim, MemoryShort::kTrim);
-  s.progress_every = in.Time(fields::kProgressInterval);
+  s.memory_shortage_policy =
+      in.OneOf<MemoryShortagePolicy>(fields::kMemoryShort,
+                                     {{fields::kMemoryShortQueue, MemoryShortagePolicy::kQueue},
+                                      {fields::kMemoryShortTrim, MemoryShortagePolicy::kTrim},
+                                      {fields::kMemoryShortSwap, MemoryShortagePolicy::kSwap}},
+                                     MemoryShortagePolicy::kTrim, MemoryShortagePolicy::kTrim);
+  s.progress_interval = in.Time(fields::kProgressInterval);
   s.reports_cost = in.Flag(fields::kReportsCost);
 }
 
@@ -254,7 +255,7 @@
 void ParseReports(const Pairs& in, Site& site) {
   site.report_fields = in.List(fields::kReportFields);
   for (const std::string& field : site.report_fields) site.module.report_fields.push_back(ToField(field));
-  site.module.reports_in_answers = in.Text(fields::kReportSource) == fields::kReportsInAnswers;
+  site.module.reports_in_responses = in.Text(fields::kReportSource) == fields::kReportsInAnswers;
 }
 
 void ParseGuarantees(const Pairs& in, Settings& s) {
@@ -263,7 +264,7 @@
   s.slow_start_duration = in.Time(fields::kSlowStartDuration);
   s.overload_factor = in.Number(fields::kOverloadFactor);
   s.overload_window = in.Time(fields::kOverloadWindow);
-  s.order_settle = in.Time(fields::kOrderSettle);
+  s.ordering_key_pause = in.Time(fields::kOrderSettle);
   s.must_ask_within = in.Time(fields::kMustAskWithin);
   if (in.Has(fields::kRetryBudgetWindow)) {
     s.retry_budget =
@@ -276,7 +277,7 @@
   s.may_cancel = in.Flag(fields::kMayCancel);
   s.may_probe = in.Flag(fields::kMayProbe);
   s.may_hedge = in.Flag(fields::kMayHedge);
-  s.may_message = in.Flag(fields::kMayMessage);
+  s.may_message_peers = in.Flag(fields::kMayMessage);
   s.may_send_retry_after = in.Flag(fields::kMaySendRetryAfter);
   s.max_attempts = in.Count(fields::kMaxAttempts, 1);
   s.max_retry_after = in.Time(fields::kMaxRetryAfter);
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -38,7 +38,7 @@
     ClassSettings c;
     c.latency_objective = 3000 * kMs;
     c.latency_objective_stretch = 2.5;
-    c.deadline = 10'000 * kMs;
+    c.client_timeout = 10'000 * kMs;
     c.priority_weight = of.work > 1 ? 10 : 1;
     c.late_weight_share = 0.3;
     c.threads = of.threads;
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -84,7 +84,7 @@
     if (!Ordered(request)) return;
     KeyQueue& queue = key_queues_[request.ordering_key];
     std::erase(queue.order, id);
-    if (may_still_run) queue.settled_at = now_ + settings_.order_settle;
+    if (may_still_run) queue.settled_at = now_ + settings_.ordering_key_pause;
     ForwardFirst(request.ordering_key);
   }
 
--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -38,7 +38,8 @@
 void QueryEngine::Admit(Resident& resident) {
   const double wanted = Wanted(resident.plan);
   const double left = std::max(0.0, traits_.memory_mb - Granted());
-  resident.granted = traits_.memory_short == MemoryShort::kTrim ? std::min(wanted, left) : wanted;
+  resident.granted =
+      traits_.memory_shortage_policy == MemoryShortagePolicy::kTrim ? std::min(wanted, left) : wanted;
   resident.admitted = true;
   const double need = std::max(1e-9, resident.plan.memory_mb);
   const double missing = 1 - std::min(1.0, resident.granted / need);
@@ -57,7 +58,7 @@
   for (Resident* first : line) {
     const double granted = Granted();
     const bool fits = granted == 0 || granted + Wanted(first->plan) <= traits_.memory_mb;
-    if (traits_.memory_short == MemoryShort::kQueue && !fits) return;
+    if (traits_.memory_shortage_policy == MemoryShortagePolicy::kQueue && !fits) return;
     Admit(*first);
   }
 }
@@ -90,7 +91,7 @@
     const double age = Seconds(now - started_at_) / Seconds(traits_.slow_start_duration);
     speed *= traits_.slow_start_initial_share + (1 - traits_.slow_start_initial_share) * age;
   }
-  if (traits_.memory_short != MemoryShort::kSwap) return speed;
+  if (traits_.memory_shortage_policy != MemoryShortagePolicy::kSwap) return speed;
   double in_use = 0;
   for (const auto& [key, resident] : residents_)
     in_use += std::min(resident.granted, resident.plan.memory_mb);
--- a/src/testing/simulation/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -30,7 +30,7 @@
   double speed = 1;
   double memory_mb = 16384;
   std::size_t sessions = 64;
-  MemoryShort memory_short = MemoryShort::kTrim;
+  MemoryShortagePolicy memory_shortage_policy = MemoryShortagePolicy::kTrim;
   bool honors_memory_grants = true;
   bool honors_priorities = true;
   double slow_start_initial_share = 1;  // share of its speed that it has when it starts ...
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -150,7 +150,7 @@
 
   Nanos LongestDeadline() const {
     Nanos longest = 0;
-    for (const ClassSettings& c : site_.settings.classes) longest = std::max(longest, c.deadline);
+    for (const ClassSettings& c : site_.settings.classes) longest = std::max(longest, c.client_timeout);
     return longest;
   }
 
@@ -260,7 +260,7 @@
     active.work = Spread(traffic.work, kWorkDeviation);
     active.memory_mb = Spread(traffic.memory_mb, kMemoryDeviation);
     Estimate(active);
-    active.request.client_timeout = ToNanos(Seconds(c.deadline) * (0.8 + 0.2 * Chance()));
+    active.request.client_timeout = ToNanos(Seconds(c.client_timeout) * (0.8 + 0.2 * Chance()));
     active.deadline = now_ + active.request.client_timeout;
     active.request.table_group = static_cast<std::uint32_t>(random_() % table_groups_);
     const std::uint64_t tenants = std::max<std::uint64_t>(1, site_.settings.tenants.size());
@@ -374,7 +374,7 @@
     if (!engines_[a.engine - 1]->Start(now_, PlanOf(active, number)))
       return Schedule(now_ + site_.settings.tick,
                       [this, id, number] { EndAttempt(id, number, Outcome::kFull); });
-    if (site_.settings.progress_every > 0) ScheduleProgressNotice(id, number);
+    if (site_.settings.progress_interval > 0) ScheduleProgressNotice(id, number);
   }
 
   bool Discarded(const ActiveRequest& active, int number) const {
@@ -406,7 +406,7 @@
   }
 
   void ScheduleProgressNotice(RequestId id, int number) {
-    Schedule(now_ + site_.settings.progress_every, [this, id, number] {
+    Schedule(now_ + site_.settings.progress_interval, [this, id, number] {
       const auto it = requests_.find(id);
       if (it == requests_.end() || !it->second.attempts[static_cast<std::size_t>(number)].in_flight) return;
       const Attempt& a = it->second.attempts[static_cast<std::size_t>(number)];
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -107,7 +107,7 @@
 bool SiteInvariantChecker::SameGroup(const ActiveRequest& active, EngineId a, EngineId b) const {
   const EngineEntry& x = site_.engines[a - 1];
   const EngineEntry& y = site_.engines[b - 1];
-  const RepeatGroup group = Class(active).group;
+  const RepeatGroup group = Class(active).repeat_group;
   if (group == RepeatGroup::kZone) return x.zone == y.zone;
   if (group == RepeatGroup::kCell) return x.cell == y.cell;
   return true;
@@ -160,7 +160,7 @@
   active.waiting_since = now;
   if (Ordered(active) && MayStillRun(outcome)) {
     KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
-    line.settle_until = now + site_.settings.order_settle;
+    line.settle_until = now + site_.settings.ordering_key_pause;
   }
   ForgetIfOver(now, id);
 }
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -147,7 +147,7 @@
 void MarkClass(const SiteShape& shape, ClassSettings& marked) {
   marked.in_order = shape.Is(Dimension::kOrder, "by key");
   marked.effect = static_cast<Effect>(shape.at(Dimension::kEffect));
-  marked.group = static_cast<RepeatGroup>(shape.at(Dimension::kGroup));
+  marked.repeat_group = static_cast<RepeatGroup>(shape.at(Dimension::kGroup));
   marked.repeat_window = marked.effect == Effect::kKeyed ? 2 * kSecond : 0;
   if (shape.Is(Dimension::kBound, "zone")) marked.zones = {0};
   if (shape.Is(Dimension::kBound, "kind")) marked.kinds = {0};
@@ -159,7 +159,7 @@
     ClassSettings c;
     c.latency_objective = plan.latency_objective;
     c.latency_objective_stretch = 2;
-    c.deadline = plan.deadline;
+    c.client_timeout = plan.deadline;
     c.priority_weight = plan.priority_weight;
     c.late_weight_share = 0.3;
     c.threads = plan.threads;
@@ -180,14 +180,14 @@
   s.tick = 5 * kMs;
   s.classes = Classes(shape);
   s.report_fields = Fields(shape);
-  s.reports_in_answers = !s.report_fields.empty() && !shape.Is(Dimension::kReports, "in probes only");
+  s.reports_in_responses = !s.report_fields.empty() && !shape.Is(Dimension::kReports, "in probes only");
   s.over_quota_weight_share = 0.2;
   s.drain_grace = 250 * kMs;
   s.slow_start_initial_share = 0.33;
   s.slow_start_duration = 10 * kSecond;
   s.overload_factor = 4;
   s.overload_window = 2 * kSecond;
-  s.order_settle = 300 * kMs;
+  s.ordering_key_pause = 300 * kMs;
   if (shape.Is(Dimension::kBudget, "present")) s.retry_budget = RetryBudgetSettings{2, 0.01, 10 * kSecond};
   s.may_cancel = !shape.Is(Dimension::kCancel, "not allowed");
   s.may_probe = shape.Is(Dimension::kProbes, "allowed");
@@ -199,8 +199,8 @@
   s.honors_memory_grants = shape.Is(Dimension::kGrants, "heeded");
   s.honors_priorities = shape.Is(Dimension::kPriorities, "heeded");
   s.max_grant_share = 0.5;
-  s.memory_short = static_cast<MemoryShort>(shape.at(Dimension::kMemoryShort));
-  s.progress_every = shape.Is(Dimension::kNotes, "each second") ? kSecond : 0;
+  s.memory_shortage_policy = static_cast<MemoryShortagePolicy>(shape.at(Dimension::kMemoryShort));
+  s.progress_interval = shape.Is(Dimension::kNotes, "each second") ? kSecond : 0;
   s.reports_cost = shape.Is(Dimension::kCosts, "told");
   return s;
 }
@@ -223,7 +223,7 @@
     traits.cores = s.kinds[entry.kind].cores;
     traits.memory_mb = s.kinds[entry.kind].memory_mb;
     traits.sessions = static_cast<std::size_t>(8 * traits.cores);
-    traits.memory_short = s.memory_short;
+    traits.memory_shortage_policy = s.memory_shortage_policy;
     traits.honors_memory_grants = s.honors_memory_grants;
     traits.honors_priorities = s.honors_priorities;
     traits.slow_start_initial_share = s.slow_start_initial_share;
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -21,7 +21,7 @@
   site.classes = {"lookup"};
   ClassSettings lookup;
   lookup.latency_objective = 1'000'000'000;
-  lookup.deadline = 3'000'000'000;
+  lookup.client_timeout = 3'000'000'000;
   site.module.classes = {lookup};
   site.module.kinds = {{8, 16384}};
   site.module.max_attempts = 3;
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -55,7 +55,7 @@
     ClassSettings c;
     c.latency_objective = std::max<Nanos>(100 * kMs, static_cast<Nanos>(plan.small * 3e9));
     c.latency_objective_stretch = 2.5;
-    c.deadline = 10 * kSecond;
+    c.client_timeout = 10 * kSecond;
     c.priority_weight = of.work > 1 ? 10 : 1;
     c.late_weight_share = 0.3;
     c.threads = of.threads;
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -34,7 +34,7 @@
   s.classes.resize(2);
   for (ClassSettings& c : s.classes) {
     c.latency_objective = 200'000'000;
-    c.deadline = 400'000'000;
+    c.client_timeout = 400'000'000;
   }
   s.classes[1].effect = Effect::kUnsafe;
   s.tenants.resize(1);
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -15,7 +15,7 @@
   Settings s = SomeSettings();
   s.gateway_count = 100;
   s.classes = {SomeClass(5, 4)};
-  s.classes[0].deadline = 30 * kSecond;
+  s.classes[0].client_timeout = 30 * kSecond;
   Host host(s);
   std::vector<EngineEntry> fleet;
   for (EngineId id = 1; id <= 20; ++id) fleet.push_back(Ready(id));
@@ -34,7 +34,7 @@
   s.gateway_count = 100;
   s.report_fields.clear();
   s.classes = {class_id, SomeClass(12)};
-  s.classes[0].deadline = s.classes[1].deadline = 60 * kSecond;
+  s.classes[0].client_timeout = s.classes[1].client_timeout = 60 * kSecond;
   Host host(s);
   std::vector<EngineEntry> fleet;
   for (EngineId id = 1; id <= 20; ++id) fleet.push_back(Ready(id));
@@ -130,7 +130,7 @@
 // Engines admit requests beyond their memory, and then all that run there come to a standstill.
 TEST(Reports, AnEngineWhoseMemoryIsGrantedTakesNoMore) {
   Settings s = WithReports();
-  s.memory_short = MemoryShort::kSwap;
+  s.memory_shortage_policy = MemoryShortagePolicy::kSwap;
   Host host(s);
   host.List({Ready(1)});
   Request request = Ask(1);
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -149,7 +149,7 @@
 // latency objectives are met it doesn't fall below its seed.
 TEST(Bound, StepsUpAndTakesBackAStepThatDidNotPay) {
   Settings s = SomeSettings();
-  s.classes[0].latency_objective = s.classes[0].deadline = 60 * kSecond;
+  s.classes[0].latency_objective = s.classes[0].client_timeout = 60 * kSecond;
   s.reports_cost = true;
   Host host(s);
   host.List({Ready(1)});
--- a/tests/gateway_health_test.cpp
+++ b/tests/gateway_health_test.cpp
@@ -126,7 +126,7 @@
   Settings s = SomeSettings();
   s.reports_cost = true;
   s.classes[0].effect = Effect::kKeyed;
-  s.classes[0].deadline = s.classes[0].repeat_window = 20 * kSecond;
+  s.classes[0].client_timeout = s.classes[0].repeat_window = 20 * kSecond;
   Host host(s);
   host.List({Ready(1), Ready(2)});
   for (RequestId id = 1; id <= 40; ++id) {
@@ -153,7 +153,7 @@
   s.overload_factor = 4;
   s.overload_window = kSecond;
   s.classes[0].effect = Effect::kKeyed;
-  s.classes[0].deadline = s.classes[0].repeat_window = 20 * kSecond;
+  s.classes[0].client_timeout = s.classes[0].repeat_window = 20 * kSecond;
   Host host(s);
   host.List({Ready(1)});
   for (RequestId id = 1; id <= 40; ++id) {
@@ -220,7 +220,7 @@
 // twice.
 TEST(Health, WhereCostsAreUntoldTheTimesTellHowFarAnHonestAttemptMayStray) {
   Settings s = SomeSettings();
-  s.classes[0].deadline = 60 * kSecond;
+  s.classes[0].client_timeout = 60 * kSecond;
   s.may_cancel = true;
   Host host(s);
   host.List({Ready(1), Ready(2)});
@@ -242,7 +242,7 @@
   Settings s = SomeSettings();
   s.classes = {SomeClass(1), SomeClass(5)};
   s.classes[1].latency_objective = 8 * kSecond;
-  s.progress_every = 500 * kMs;
+  s.progress_interval = 500 * kMs;
   s.reports_cost = true;
   Host host(s);
   host.List({Ready(1), Ready(2)});
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -103,7 +103,7 @@
   ClassSettings c;
   c.latency_objective = kSecond;
   c.latency_objective_stretch = 1;
-  c.deadline = 5 * kSecond;
+  c.client_timeout = 5 * kSecond;
   c.priority_weight = priority_weight;
   c.late_weight_share = 0.3;
   c.threads = threads;
@@ -122,7 +122,7 @@
   s.max_retry_after = 2 * kSecond;
   s.max_attempts = 3;
   s.report_fields = {ReportField::kInflight, ReportField::kUtil};
-  s.reports_in_answers = true;
+  s.reports_in_responses = true;
   return s;
 }
 
--- a/tests/gateway_requests_test.cpp
+++ b/tests/gateway_requests_test.cpp
@@ -55,7 +55,7 @@
 TEST(Rule2, AKeyedRequestStaysInItsGroupAndWindow) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
-  s.classes[0].group = RepeatGroup::kZone;
+  s.classes[0].repeat_group = RepeatGroup::kZone;
   s.classes[0].repeat_window = kSecond;
   Host host(s);
   EngineEntry other = Ready(3);
@@ -80,7 +80,7 @@
 TEST(Rule5, OneKeyRunsOneAtATimeAndRestsAfterAnUnknownEnd) {
   Settings s = SomeSettings();
   s.classes[0].in_order = true;
-  s.order_settle = 300 * kMs;
+  s.ordering_key_pause = 300 * kMs;
   Host host(s);
   host.List({Ready(1), Ready(2), Ready(3)});
   Request a = Ask(1), b = Ask(2), c = Ask(3);
@@ -103,7 +103,7 @@
 TEST(Rule2, ASilentKeyedAttemptIsRepeatedAtTheEndOfItsWindow) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
-  s.classes[0].deadline = 20 * kSecond;
+  s.classes[0].client_timeout = 20 * kSecond;
   s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
   host.List({Ready(1), Ready(2)});
@@ -154,7 +154,7 @@
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].repeat_window = kSecond;
-  s.classes[0].deadline = 20 * kSecond;
+  s.classes[0].client_timeout = 20 * kSecond;
   s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
   host.List({Ready(1), Ready(2)});
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -19,9 +19,9 @@
   Settings s;
   s.tick = 5 * kMs;
   ClassSettings lookup, report;
-  lookup.latency_objective = 600 * kMs, lookup.deadline = 3 * kSecond, lookup.late_weight_share = 0.5;
-  report.latency_objective = 3 * kSecond, report.deadline = 15 * kSecond, report.late_weight_share = 0.5,
-  report.priority_weight = 4;
+  lookup.latency_objective = 600 * kMs, lookup.client_timeout = 3 * kSecond, lookup.late_weight_share = 0.5;
+  report.latency_objective = 3 * kSecond, report.client_timeout = 15 * kSecond,
+  report.late_weight_share = 0.5, report.priority_weight = 4;
   report.threads = 2;
   s.classes = {lookup, report};
   s.kinds = {{8, 16384}};
@@ -183,7 +183,7 @@
     Settings settings = Usual();
     settings.may_probe = allowed;
     settings.report_fields = {ReportField::kInflight};
-    settings.reports_in_answers = true;
+    settings.reports_in_responses = true;
     World world(settings);
     for (int i = 0; i < 20; ++i) world.Take(kReport, 14 * kSecond), world.RunFor(700 * kMs);
     world.RunFor(10 * kSecond);
@@ -276,9 +276,10 @@
 
 // Engines are not filled beyond their memory, so how they'd bear it makes no difference.
 TEST(SettingsEffect, ShortMemoryIsKeptFromInAllThreeWays) {
-  for (const MemoryShort way : {MemoryShort::kQueue, MemoryShort::kTrim, MemoryShort::kSwap}) {
+  for (const MemoryShortagePolicy way :
+       {MemoryShortagePolicy::kQueue, MemoryShortagePolicy::kTrim, MemoryShortagePolicy::kSwap}) {
     Settings settings = Usual();
-    settings.memory_short = way;
+    settings.memory_shortage_policy = way;
     settings.honors_memory_grants = true;
     World world(settings, 1);
     world.answer_after = 0;
--- a/tests/settings_migration_test.cpp
+++ b/tests/settings_migration_test.cpp
@@ -16,7 +16,7 @@
   settings::Site site;
   for (const auto& [name, deadline] : classes) {
     site.classes.push_back(name);
-    site.module.classes.emplace_back().deadline = deadline;
+    site.module.classes.emplace_back().client_timeout = deadline;
   }
   site.tenants = tenants;
   site.module.tenants.resize(tenants.size());
@@ -36,8 +36,8 @@
 TEST(MigrateSettings, ChangedClass_LeavesItsNumberToRequestsInFlight) {
   const auto next = MigrateSettings(SiteOf({{"a", 1}}), SiteOf({{"a", 9}}), {{0}, {0}});
   EXPECT_EQ(next.site.classes, (Names{"", "a"}));
-  EXPECT_EQ(next.site.module.classes[0].deadline, 1);
-  EXPECT_EQ(next.site.module.classes[1].deadline, 9);
+  EXPECT_EQ(next.site.module.classes[0].client_timeout, 1);
+  EXPECT_EQ(next.site.module.classes[1].client_timeout, 9);
   EXPECT_EQ(next.inherits_estimates_from, (std::vector<int>{0, 0}))
       << "it inherits the estimates of the old one";
   EXPECT_FALSE(next.site.ClassOf(""));
@@ -60,7 +60,7 @@
   EXPECT_TRUE(settings::HasRetired(site));
   site = MigrateSettings(site, settings::RemoveRetired(site), {}).site;
   EXPECT_EQ(std::count_if(site.module.classes.begin(), site.module.classes.end(),
-                          [](const ClassSettings& c) { return c.deadline > 0; }),
+                          [](const ClassSettings& c) { return c.client_timeout > 0; }),
             2);
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -243,7 +243,8 @@
 // A word that a later version brings must not keep a proxy from starting, nor loosen a rule.
 TEST(Settings, AnUnknownWordIsTakenAsTheStrictest) {
   EXPECT_EQ(Read(With("/requestClasses/0/effect", "soft")).site.module.classes[0].effect, Effect::kUnsafe);
-  EXPECT_EQ(Read(With("/requestClasses/0/group", "town")).site.module.classes[0].group, RepeatGroup::kCell);
+  EXPECT_EQ(Read(With("/requestClasses/0/group", "town")).site.module.classes[0].repeat_group,
+            RepeatGroup::kCell);
 }
 
 // An aim of 0 would be missed by every request before it could be sent.
@@ -275,7 +276,7 @@
 
 // The module leaves heavy attempts to the notes that it is told to expect, and on sockets none are read.
 TEST(Settings, PromiseNoNotesOnSockets) {
-  EXPECT_EQ(Read(With("/specifics/progressNs", 1000000)).site.module.progress_every, 0);
+  EXPECT_EQ(Read(With("/specifics/progressNs", 1000000)).site.module.progress_interval, 0);
 }
 
 // ---- Zones and machine kinds ----
