--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// A host in its smallest form: one engine, one request, and an answer that comes 5 ms later.
+// A minimal host of the decision module: one engine, one request, and a response after 5 ms.
 #include <cstdio>
 #include <memory>
 
@@ -25,7 +25,7 @@
   bool sent = false;
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
-      std::printf("request %d goes to engine %d\n", static_cast<int>(send->id),
+      std::printf("request %d is sent to engine %d\n", static_cast<int>(send->id),
                   static_cast<int>(send->engine));
       sent = send->id == 7 && send->engine == 42;
     }
--- a/include/lemoncroft/types.h
+++ b/include/lemoncroft/types.h
@@ -1,7 +1,5 @@
-// Value types that settings, events and actions of the decision module share: time, ids, engines of the
-// endpoint list, outcomes of attempts, load reports.
-//
-// Contract. Plain values without behaviour; times are nanoseconds of the module's clock. Errors: none.
+// Value types shared by the settings, events and actions of the decision module: time, ids, engines of the
+// endpoint list, outcomes of attempts, load reports. Times are nanoseconds of the module's clock.
 #ifndef LEMONCROFT_TYPES_H_
 #define LEMONCROFT_TYPES_H_
 
@@ -19,16 +17,18 @@
 // The tenant of a request on a site without tenants.
 inline constexpr std::uint16_t kNoTenant = std::numeric_limits<std::uint16_t>::max();
 
-// What a second execution of a request does: nothing (safe), nothing within the repeat window of its
-// idempotency key (keyed), or harm (unsafe).
+// The effect of a second execution of a request: none (kSafe), none within the repeat window of its
+// idempotency key (kKeyed), or harm (kUnsafe).
 enum class Effect { kSafe, kKeyed, kUnsafe };
-// The engines that recognise a repeated idempotency key: all, those of one zone, or those of one cell.
+// The engines that recognise a repeated idempotency key: all engines, those of one zone, or those of one
+// cell.
 enum class RepeatGroup { kAll, kZone, kCell };
 // What an engine does with a query whose memory grant is too small.
 enum class MemoryShortagePolicy { kQueue, kTrim, kSwap };
 enum class ReportField { kInflight, kQueue, kUtil, kLatencyMs, kQps, kEps, kX0, kX1, kOther };
 
-// kExcluded: manually ejected by an operator; like draining, until the operator includes it again.
+// kExcluded: ejected manually by an operator, and treated like a draining engine until the operator includes
+// it again.
 enum class Readiness { kReady, kDraining, kExcluded, kRemoved };
 
 // One engine of the endpoint list.
@@ -42,16 +42,17 @@
   Nanos started_at = 0;  // 0 = long ago
 };
 
-// How an attempt ended. kLost: it may have run, but its response was lost or corrupted on the way although
-// the engine is alive. kNotSent: it surely did not run, for no fault of the engine; it never left this
-// process, or its time was over before the engine would have begun.
+// The outcome of an attempt. kLost: the attempt may have run, but its response was lost or corrupted on the
+// way, although the engine is alive. kNotSent: the attempt certainly did not run, through no fault of the
+// engine: it never left this process, or its time was over before the engine would have started it.
 enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent, kLost };
 
 inline constexpr std::size_t kMaxReportFields = 4;
 
-// An engine's own figures, in the order of Settings::report_fields; NaN where one is missing.
+// The load figures that an engine reports about itself, in the order of Settings::report_fields. A missing
+// figure is NaN.
 struct LoadReport {
-  std::uint8_t count = 0;  // of the values; 0 = no report
+  std::uint8_t count = 0;  // number of values; 0 = no report
   std::array<float, kMaxReportFields> values{};
 };
 
