--- a/src/request/lease_fence.h
+++ b/src/request/lease_fence.h
@@ -1,8 +1,9 @@
 // Fences requests with the lease on the replicated configuration: a proxy acts only while its lease is valid.
-// The lease is checked in the turn of the action, since a process may be stopped and resumed anywhere.
+// The lease is checked in the same turn of the event loop as the action, because a process may be stopped and
+// resumed at any point.
 //
-// Contract: an answer is valid for the current turn of the event loop only. Without a fence every action is
-// permitted. Owner: the proxy's wiring. Thread safety: none.
+// A returned value is valid for the current turn of the event loop only. Without a fence, every action is
+// permitted. Not thread-safe. The code that assembles the proxy owns the fence.
 #ifndef LEMONCROFT_REQUEST_LEASE_FENCE_H_
 #define LEMONCROFT_REQUEST_LEASE_FENCE_H_
 
@@ -15,12 +16,13 @@
 class LeaseFence {
  public:
   virtual ~LeaseFence() = default;
-  // Whether requests of a class are admitted at all.
+  // Returns true if requests of the class are admitted at all.
   virtual bool AdmitsClass(const std::string& class_name) = 0;
-  // Whether an attempt of a class might be sent to an engine now.
+  // Returns true if an attempt of the class may currently be sent to the engine.
   virtual bool PermitsSend(const std::string& class_name, EngineId engine) = 0;
-  // Permits an attempt in the turn in which it is sent, and records it if permitted. `may_have_run`: an
-  // earlier attempt of the request may have been executed, or still be.
+  // Decides about an attempt in the turn in which it is sent. Returns true and records the attempt if it is
+  // permitted. `may_have_run`: an earlier attempt of the request may have been executed, or may still be
+  // running.
   virtual bool PermitAndRecordSend(const std::string& class_name, EngineId engine, bool may_have_run) = 0;
 };
 
