--- a/src/runtime/datagram.cpp
+++ b/src/runtime/datagram.cpp
@@ -15,13 +15,14 @@
   Descriptor fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) throw std::system_error(errno, std::generic_category(), "socket");
   if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0)
-    throw std::system_error(errno, std::generic_category(), "cannot bind datagrams to " + address.ToString());
+    throw std::system_error(errno, std::generic_category(),
+                            "cannot bind a UDP socket to " + address.ToString());
   return fd;
 }
 
 }  // namespace
 
-// The buffer is read only as far as a datagram has filled it.
+// The buffer needs no initial value: only the part that a datagram has filled is read.
 // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
 DatagramSocket::DatagramSocket(Loop& loop, const Address& address) : loop_(loop), fd_(BindSocket(address)) {
   loop_.Watch(fd_.get(), &readiness_);
@@ -38,7 +39,8 @@
       co_return Received{
           IoResult::kOk, {buffer_, std::min(size, sizeof buffer_)}, size <= sizeof buffer_, from};
     }
-    // Other errors (no memory) may persist: retrying them at once would keep the loop from other tasks.
+    // Other errors, such as a lack of memory, may persist: retrying immediately would starve other tasks of
+    // the loop.
     const bool is_empty = errno == EAGAIN || errno == EWOULDBLOCK;
     const Time retry_at = is_empty ? kNever : Now() + kErrorRetryInterval;
     const WakeReason wake = co_await Waiter(loop_, &readiness_.readable, retry_at, cancel);
--- a/src/runtime/datagram.h
+++ b/src/runtime/datagram.h
@@ -1,8 +1,8 @@
-// A non-blocking UDP socket on the loop: datagrams that can't be sent at once are dropped.
+// A non-blocking UDP socket on the event loop. Datagrams that can't be sent immediately are dropped.
 //
-// Contract. One coroutine receives at a time. The loop outlives the socket. Errors: std::system_error from
-// the constructor if the address can't be bound; Send returns false for a datagram that was dropped; errors
-// while receiving are retried. Thread: the event loop's.
+// One coroutine receives at a time. The loop outlives the socket. The constructor throws std::system_error if
+// the address can't be bound; Send returns false for a dropped datagram; errors while receiving are retried.
+// Used on the event loop's thread.
 #ifndef LEMONCROFT_RUNTIME_DATAGRAM_H_
 #define LEMONCROFT_RUNTIME_DATAGRAM_H_
 
@@ -18,8 +18,8 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  // One datagram; its bytes are valid until the next call. Longer ones than `kMaxBytes` are cut; `complete`
-  // is false then.
+  // One datagram. Its bytes are valid until the next call. A datagram longer than `kMaxBytes` is truncated,
+  // and `complete` is false.
   struct Received {
     IoResult result = IoResult::kOk;
     std::string_view bytes;
@@ -29,7 +29,7 @@
   static constexpr std::size_t kMaxBytes = 2048;
   // Waits for a datagram. Received::result is kOk or kCancelled.
   Task<Received> Receive(Cancellation* cancel = nullptr);
-  // False if the system didn't take the datagram: its buffer is full, or there is no route.
+  // Returns false if the system did not accept the datagram: its buffer is full, or there is no route.
   bool Send(std::string_view bytes, const Address& to);
 
  private:
--- a/src/runtime/descriptor.h
+++ b/src/runtime/descriptor.h
@@ -1,6 +1,5 @@
-// A file descriptor that is closed with its owner.
-//
-// Contract. Move-only. Errors of close() are ignored.
+// A move-only owner of a file descriptor, which it closes when it is destroyed. Errors of close() are
+// ignored.
 #ifndef LEMONCROFT_RUNTIME_DESCRIPTOR_H_
 #define LEMONCROFT_RUNTIME_DESCRIPTOR_H_
 
@@ -22,7 +21,7 @@
   ~Descriptor() {
     if (fd_ >= 0) ::close(fd_);
   }
-  int get() const { return fd_; }  // -1 if it holds none
+  int get() const { return fd_; }  // -1 if there is none
   explicit operator bool() const { return fd_ >= 0; }
 
  private:
--- a/src/runtime/lingering_close.cpp
+++ b/src/runtime/lingering_close.cpp
@@ -15,7 +15,7 @@
     discarded.clear();
     if (co_await socket.Read(discarded, kReadBytes, deadline, cancel) != IoResult::kOk) break;
     left -= std::min(left, discarded.size());
-    co_await loop.NextTurn();  // other tasks get their turn even if the peer never pauses
+    co_await loop.NextTurn();  // lets other tasks run even if the peer never pauses
   }
 }
 
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -81,20 +81,21 @@
   try {
     co_await task;
   } catch (const std::exception& e) {
-    spdlog::error("a task ended with an exception: {}", e.what());
+    spdlog::error("a spawned task ended with an exception: {}", e.what());
   }
   loop.ended_tasks_.push_back(self);
 }
 
 void Loop::Spawn(Task<> task) {
-  // The list node is created first: the coroutine refers to it when it ends.
+  // The list node is created first, because the coroutine refers to it when it ends.
   auto self = spawned_.emplace(spawned_.end(), Task<>(nullptr));
   *self = RunSpawned(*this, std::move(task), self);
   Post(self->handle());
 }
 
 void Loop::RunReady() {
-  // Only what is ready now: what these coroutines make ready runs after the sockets have been polled again.
+  // Resumes only the coroutines that are ready now. Those that become ready meanwhile run after the sockets
+  // have been polled again.
   for (std::size_t n = ready_.size(); n > 0 && !stopped_; --n) {
     std::coroutine_handle<> handle = ready_.front();
     ready_.pop_front();
@@ -120,7 +121,7 @@
 
 void Loop::Poll() {
   const int wait_ms = PollTimeoutMs();
-  // Read only as far as epoll_wait() fills it.
+  // The array needs no initial value: only the part that epoll_wait() has filled is read.
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
   std::array<epoll_event, kEventsPerPoll> events;
   const int n = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), wait_ms);
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -1,13 +1,14 @@
-// The event loop: one thread, one epoll set, one heap of deadlines, one queue of coroutines that are ready.
+// The event loop: one thread, one epoll set, one heap of deadlines, one queue of ready coroutines.
 //
 // A coroutine waits through a Waiter: for a ConditionVariable (a socket's readiness, an inbox), for its
-// deadline or for its Cancellation, whichever is first. A woken coroutine is queued, never resumed inside the
-// call that woke it, so that no caller is re-entered.
+// deadline or for its Cancellation, whichever is first. A woken coroutine is queued, and never resumed inside
+// the call that woke it, so that no caller is re-entered.
 //
-// Contract. Everything here is used by one thread alone, the one that calls Loop::Run(). Each turn of the
-// loop polls the sockets, wakes what is due and resumes the coroutines that were ready at its start. Errors:
-// std::system_error if the system refuses an epoll descriptor or a watch. Owner: the program's wiring; the
-// loop outlives the objects that refer to it, and its tasks end before Run() returns.
+// Everything here is used only by the thread that calls Loop::Run(). Each turn of the loop polls the sockets,
+// wakes the coroutines whose deadline has passed, and then resumes the coroutines that are ready by then;
+// those that become ready meanwhile are resumed in the next turn. std::system_error is thrown if the system
+// refuses an epoll descriptor or a watch. The loop outlives the objects that refer to it, and its tasks end
+// before Run() returns.
 #ifndef LEMONCROFT_RUNTIME_LOOP_H_
 #define LEMONCROFT_RUNTIME_LOOP_H_
 
@@ -27,17 +28,17 @@
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 inline constexpr Time kNever = Time::max();
 
-// The monotonic clock, which the loop's deadlines go by.
+// Returns the time of the monotonic clock, on which the loop's deadlines are based.
 inline Time Now() { return std::chrono::steady_clock::now(); }
 
-// Why a wait ended.
+// The reason why a wait ended.
 enum class WakeReason { kReady, kTimeout, kCancelled };
 
 class Loop;
 class Waiter;
 
-// An event that one coroutine at a time waits for, such as a socket's readiness. Its owner may destroy it
-// while somebody waits: the wait then ends by deadline or cancellation alone.
+// A condition that one coroutine at a time waits for, such as a socket's readiness. Its owner may destroy it
+// while a coroutine waits: the wait then ends only by its deadline or cancellation.
 class ConditionVariable {
  public:
   ConditionVariable() = default;
@@ -51,7 +52,7 @@
   Waiter* waiter_ = nullptr;
 };
 
-// Asks one chain of coroutines to stop: its present wait and all later ones end at once with kCancelled.
+// Asks one chain of coroutines to stop: its current wait and all later ones end immediately with kCancelled.
 class Cancellation {
  public:
   Cancellation() = default;
@@ -104,14 +105,14 @@
   WakeReason result_ = WakeReason::kReady;
 };
 
-// The readiness of a descriptor in the epoll set. Errors and hang-ups notify both too.
+// The readiness of a descriptor in the epoll set. Errors and hang-ups also notify both conditions.
 struct DescriptorReadiness {
   ConditionVariable readable, writable;
 };
 
 class Loop {
  public:
-  // Resumes the awaiter in the next turn of the loop, behind what is ready now.
+  // Resumes the awaiter in the next turn of the loop, after the coroutines that are ready now.
   struct Turn {
     Loop& loop;
     bool await_ready() const { return false; }
@@ -124,7 +125,7 @@
   Loop& operator=(const Loop&) = delete;
   ~Loop() { DropTasks(); }
 
-  // Runs `task` without an awaiter. An exception that leaves it is logged and ends only that task.
+  // Runs `task` without an awaiter. An exception that escapes from it is logged and ends only that task.
   void Spawn(Task<> task);
   // Runs until Stop(), then destroys all spawned tasks.
   void Run();
@@ -141,15 +142,15 @@
   // Notifies the waiters of `readiness` when `fd` becomes readable or writable (edge-triggered), until `fd`
   // is closed. Throws std::system_error.
   void Watch(int fd, DescriptorReadiness* readiness);
-  // To be called before `readiness` is destroyed if other descriptors keep the same file open: closing `fd`
-  // would not end the watch then.
+  // Must be called before `readiness` is destroyed if other descriptors keep the same file open, because
+  // closing `fd` does not end the watch in that case.
   void Unwatch(int fd);
 
  private:
   friend class Waiter;
   using TaskList = std::list<Task<>>;
 
-  // Runs a spawned task and marks its root as ended.
+  // Runs a spawned task and adds it to `ended_tasks_` at its end.
   static Task<> RunSpawned(Loop& loop, Task<> task, TaskList::iterator self);
   void Post(std::coroutine_handle<> handle) { ready_.push_back(handle); }
   void RunReady();
@@ -157,7 +158,7 @@
   int PollTimeoutMs() const;  // until the earliest deadline; 0 if a coroutine is ready
   void Poll();
 
-  // A binary heap of waiters by deadline. Each waiter has its index, so that it can be removed.
+  // A binary heap of waiters, ordered by deadline. Each waiter stores its index, so that it can be removed.
   void HeapPush(Waiter* waiter);
   void HeapErase(Waiter* waiter);
   void HeapPlace(Waiter* waiter, std::size_t at);
@@ -168,8 +169,8 @@
   bool stopped_ = false;
   std::deque<std::coroutine_handle<>> ready_;
   std::vector<Waiter*> heap_;
-  TaskList spawned_;                             // spawned tasks
-  std::vector<TaskList::iterator> ended_tasks_;  // of these, those to be destroyed
+  TaskList spawned_;
+  std::vector<TaskList::iterator> ended_tasks_;  // spawned tasks that have ended and are to be destroyed
 };
 
 }  // namespace lemoncroft::runtime
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -33,7 +33,7 @@
   ::setsockopt(fd, level, name, &on, sizeof on);
 }
 
-// Null if the loop can't watch the descriptor: a shortage must not end the task that met it.
+// Returns null if the loop can't watch the descriptor: a shortage must not end the task that encounters it.
 std::unique_ptr<Socket> MakeSocket(Loop& loop, Descriptor fd) {
   try {
     return std::make_unique<Socket>(loop, std::move(fd));
@@ -97,7 +97,7 @@
 }
 
 Task<IoResult> Socket::Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel) {
-  // Shared by all sockets, so that those that wait hold no memory for their reads.
+  // Shared by all sockets, so that waiting sockets need no memory for their reads.
   static thread_local std::array<char, kMaxReadBytes> scratch;
   for (;;) {
     const ssize_t n = ::recv(fd_.get(), scratch.data(), std::min(max_bytes, scratch.size()), 0);
@@ -152,7 +152,7 @@
     if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&from->raw), sizeof from->raw) != 0)
       co_return IoResult::kClosed;
   }
-  // Watched only once the handshake is under way: before it, epoll reports a socket as hung up.
+  // The socket is watched only after the handshake has begun: before that, epoll reports it as hung up.
   const int failed = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw);
   if (failed != 0 && errno != EINPROGRESS)
     co_return errno == ECONNREFUSED ? IoResult::kRefused : IoResult::kClosed;
@@ -174,7 +174,7 @@
 
 Listener::Listener(Loop& loop, Descriptor listening) : loop_(loop), socket_(loop, std::move(listening)) {}
 
-// If another process holds the socket too, closing this descriptor would leave it in the epoll set.
+// If another process has the same socket open, closing this descriptor leaves the socket in the epoll set.
 Listener::~Listener() { loop_.Unwatch(socket_.fd()); }
 
 Task<IoResult> Listener::Accept(std::unique_ptr<Socket>& out, Cancellation* cancel) {
@@ -190,7 +190,7 @@
       const WakeReason wake = co_await Waiter(loop_, &socket_.readiness_.readable, kNever, cancel);
       if (wake == WakeReason::kCancelled) co_return IoResult::kCancelled;
     }
-    // Other errors concern one connection that was about to be accepted: the next one is tried.
+    // Other errors concern only the connection that was to be accepted: try the next one.
   }
 }
 
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -1,8 +1,8 @@
-// Non-blocking TCP sockets on the loop: every wait has a deadline and can be cancelled.
+// Non-blocking TCP sockets on the event loop: every wait has a deadline and can be cancelled.
 //
-// Contract. One coroutine reads and one writes a socket at a time. The loop outlives the sockets, and a
-// socket outlives the tasks that it returned. Errors of connections are returned as IoResult;
-// std::system_error is thrown only by constructors. Thread: the event loop's.
+// At most one coroutine reads a socket, and at most one writes it, at a time. The loop outlives the sockets,
+// and a socket outlives the tasks that it returned. Errors of connections are returned as IoResult; only
+// constructors throw std::system_error. Used on the event loop's thread.
 #ifndef LEMONCROFT_RUNTIME_SOCKET_H_
 #define LEMONCROFT_RUNTIME_SOCKET_H_
 
@@ -20,21 +20,22 @@
 // An IPv4 address with a port, as in 127.0.0.1:80.
 struct Address {
   sockaddr_in raw{};
-  static std::optional<Address> Parse(std::string_view text);  // nullopt if it isn't one
+  static std::optional<Address> Parse(std::string_view text);  // nullopt if `text` is no address
   std::string ToString() const;
 };
 
-// How an operation on a socket ended.
+// The result of an operation on a socket.
 enum class IoResult {
   kOk,
-  kClosed,     // by the peer, or the connection failed
-  kTimeout,    // its deadline has passed
-  kCancelled,  // by its Cancellation
-  kRefused,    // nobody listens there
+  kClosed,     // the peer closed the connection, or the connection failed
+  kTimeout,    // the deadline has passed
+  kCancelled,  // the Cancellation was cancelled
+  kRefused,    // no process listens at the address
   kNoDescriptors,
 };
 
-// One connection. It is closed with its owner; to be sure that the last bytes arrive, see lingering_close.h.
+// One connection, which is closed when the socket is destroyed. See lingering_close.h for a close that
+// ensures that the last bytes arrive.
 class Socket {
  public:
   // Throws std::system_error if the loop can't watch the descriptor.
@@ -45,13 +46,13 @@
   // Waits for input and appends it to `into`: at most `max_bytes` and 16 KB.
   Task<IoResult> Read(std::string& into, std::size_t max_bytes, Time deadline,
                       Cancellation* cancel = nullptr);
-  // Writes all of `bytes`, which must outlive the task; `written` counts what the kernel took, also on
-  // failure.
+  // Writes all of `bytes`, which must outlive the task. `written` is the number of bytes that the kernel
+  // accepted, also on failure.
   Task<IoResult> Write(std::string_view bytes, std::size_t& written, Time deadline,
                        Cancellation* cancel = nullptr);
-  // Closes the write side: the peer reads the end of the stream behind the last byte written.
+  // Closes the write side: the peer reads the end of the stream after the last byte written.
   void ShutdownWrite();
-  // True while there is no unread input and the peer has not closed: an idle connection that can be used.
+  // Returns true if there is no unread input and the peer has not closed: the connection is idle and usable.
   bool IsIdle() const;
   int fd() const { return fd_.get(); }
   Address peer() const;
@@ -66,24 +67,24 @@
   Descriptor fd_;
 };
 
-// Opens a connection to `to`. `out` is set on kOk alone; kClosed: unreachable. `from`: the local host to
-// connect from, at any of its ports.
+// Opens a connection to `to`. `out` is set only on kOk; kClosed means that the address is unreachable.
+// `from`: the local host to connect from, at any of its ports.
 Task<IoResult> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel,
                        std::unique_ptr<Socket>& out, std::optional<Address> from = std::nullopt);
 
 // Takes over the listening socket that this process inherited as descriptor `number`, and makes it
-// non-blocking. Throws std::runtime_error if it is no listening TCP socket. To be called before any other
-// descriptor is opened, which might get that number.
+// non-blocking. Throws std::runtime_error if it is not a listening TCP socket. Must be called before any
+// other descriptor is opened, which might get the same number.
 Descriptor AdoptListeningSocket(int number);
 
-// A listening socket. Destroying it stops listening unless another process holds the socket too.
+// A listening socket. Destroying it stops listening unless another process has the same socket open.
 class Listener {
  public:
   Listener(Loop& loop, const Address& address);  // throws std::system_error
   Listener(Loop& loop, Descriptor listening);    // a non-blocking socket, as from AdoptListeningSocket()
   ~Listener();
-  // Waits for a connection. Returns kOk, kCancelled, or kNoDescriptors if the process or the system has none
-  // left.
+  // Waits for a connection. Returns kOk, kCancelled, or kNoDescriptors if the process or the system has no
+  // descriptors left.
   Task<IoResult> Accept(std::unique_ptr<Socket>& out, Cancellation* cancel = nullptr);
   Address address() const;  // as bound
 
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -1,9 +1,10 @@
-// A lazily started coroutine that its awaiter owns: Task<T> runs when awaited and returns a T or throws.
+// A lazily started coroutine that its awaiter owns: a Task<T> runs when it is awaited, and returns a T or
+// throws.
 //
-// Contract. A Task is awaited once at most. When it ends its awaiter is resumed directly, without a turn of
-// the loop. Destroying a Task destroys its frame, and with it everything that the coroutine holds: this is
-// how tasks are stopped at the end of the loop. Objects that a coroutine refers to must outlive its frame.
-// Thread: the event loop's.
+// A Task is awaited at most once. When it ends, its awaiter is resumed directly, without a turn of the loop.
+// Destroying a Task destroys its frame, and with it every object that the coroutine owns; this is how tasks
+// are stopped at the end of the loop. Objects that a coroutine refers to must outlive its frame. Used on the
+// event loop's thread.
 #ifndef LEMONCROFT_RUNTIME_TASK_H_
 #define LEMONCROFT_RUNTIME_TASK_H_
 
@@ -19,7 +20,7 @@
 
 namespace detail {
 
-// What all promises share: the awaiter to resume at the end, and the exception to rethrow in it.
+// The common part of all promises: the awaiter to resume at the end, and the exception to rethrow in it.
 struct PromiseBase {
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
