--- a/include/lemoncroft/settings.h
+++ b/include/lemoncroft/settings.h
@@ -2,6 +2,10 @@
 //
 // Plain values; src/settings/ checks them before they reach the module. A duration of 0 or an absent optional
 // means that the rule or feature does not apply.
+//
+// The module itself does not read ClassSettings::streaming, nor these members of Settings: `tick`,
+// `connect_timeout` and `may_hedge`, which its host applies, and `drain_grace`, `must_ask_within`,
+// `late_fail_price`, `cross_zone_price`, `memory_shortage_policy`, `zone` and `may_message_peers`.
 #ifndef LEMONCROFT_SETTINGS_H_
 #define LEMONCROFT_SETTINGS_H_
 
