--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// A host in its smallest form: one engine, one request, and an answer that comes 5 ms later.
+// A minimal host of the decision module: one engine, one request, and a response after 5 ms.
 #include <cstdio>
 #include <memory>
 
@@ -9,7 +9,7 @@
   Settings settings;
   settings.classes.resize(1);
   settings.classes[0].latency_objective = 500'000'000;
-  settings.classes[0].deadline = 2'000'000'000;
+  settings.classes[0].client_timeout = 2'000'000'000;
   settings.kinds = {{8, 16384}};
   Gateway gateway(settings, /*seed=*/1);
 
@@ -25,7 +25,7 @@
   bool sent = false;
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
-      std::printf("request %d goes to engine %d\n", static_cast<int>(send->id),
+      std::printf("request %d is sent to engine %d\n", static_cast<int>(send->id),
                   static_cast<int>(send->engine));
       sent = send->id == 7 && send->engine == 42;
     }
@@ -33,8 +33,8 @@
   AttemptEnded served;
   served.id = 7;
   served.engine = 42;
-  served.waited = 5'000'000;
-  served.finished = true;
+  served.elapsed = 5'000'000;
+  served.request_finished = true;
   gateway.Step(1'005'000'000, std::vector<Event>{served}, actions);
   return sent ? 0 : 1;
 }
--- a/src/backend/connection_pool.h
+++ b/src/backend/connection_pool.h
@@ -52,7 +52,7 @@
  public:
   struct Limits {
     std::size_t max_connections = 512;  // to all engines together, idle ones included
-    runtime::Span idle_timeout{};       // shorter than the engines' own, so that the pool closes first
+    runtime::Duration idle_timeout{};   // shorter than the engines' own, so that the pool closes first
     codec::HttpParser::Limits response{16 * 1024, 16 * 1024};
   };
 
@@ -65,8 +65,9 @@
   // Acquires a connection to an engine into `out`; `out` is unchanged on failure. kNoDescriptors: the limit
   // is reached and no idle connection can be closed, or the process has no descriptors. kClosed: the engine
   // isn't listed, or changed during the connect. Others as in runtime::Connect.
-  runtime::Task<runtime::Io> Acquire(EngineId engine, runtime::Time deadline, runtime::Cancellation* cancel,
-                                     PooledConnection& out, Reuse reuse = Reuse::kIfIdle);
+  runtime::Task<runtime::IoResult> Acquire(EngineId engine, runtime::Time deadline,
+                                           runtime::Cancellation* cancel, PooledConnection& out,
+                                           Reuse reuse = Reuse::kIfIdle);
   // Closes the idle connections to an engine.
   void CloseIdle(EngineId engine);
   // Closes connections that have been idle for too long, for as long as the loop runs.
@@ -74,7 +75,7 @@
 
   // Changes the limit; closes idle connections that exceed it.
   void set_max_connections(std::size_t max_connections);
-  void set_idle_timeout(runtime::Span idle_timeout) { limits_.idle_timeout = idle_timeout; }
+  void set_idle_timeout(runtime::Duration idle_timeout) { limits_.idle_timeout = idle_timeout; }
   // Connections that are open or being opened, idle ones included.
   std::size_t open_connections() const { return open_connections_; }
 
--- a/src/broker/active_request.h
+++ b/src/broker/active_request.h
@@ -34,13 +34,13 @@
 
 // The admission queue has rejected the request after queueing it.
 struct RejectedByQueue {
-  runtime::Span retry_after{};
+  runtime::Duration retry_after{};
 };
 
 // What a request's coroutine reacts to, in order of arrival: actions of the decision module, decisions of the
 // admission queue, ends of attempts, the client and the clock.
 using RequestEvent =
-    std::variant<ResourceGrant, Send, Cancel, RejectRequest, Fail, AttemptFinished, CancelledByClient,
+    std::variant<ResourceGrant, Send, Cancel, RejectRequest, FailRequest, AttemptFinished, CancelledByClient,
                  DeadlinePassed, admission_queue::Dispatch, RejectedByQueue, request::WaitNotice>;
 
 // One attempt of a request. Its number is its index in ActiveRequest::attempts.
@@ -61,7 +61,7 @@
   std::vector<std::unique_ptr<AttemptRecord>> attempts;
   bool deadline_reported = false;  // to the decision module
   std::deque<RequestEvent> inbox;
-  runtime::Gate inbox_filled;
+  runtime::ConditionVariable inbox_filled;
 
   const std::string& client_request_id() const { return client_request.forwarded.request_id; }
   const std::string& class_name() const { return client_request.forwarded.class_name; }
@@ -70,7 +70,7 @@
   // Queues an event and wakes the request's coroutine.
   void Post(RequestEvent event) {
     inbox.push_back(std::move(event));
-    inbox_filled.Open();
+    inbox_filled.Notify();
   }
   bool HasRunningAttempts() const;
   // Whether an engine may have executed the request, or may be executing it.
--- a/src/broker/admission_queue_host.h
+++ b/src/broker/admission_queue_host.h
@@ -44,7 +44,7 @@
   void OnAttemptStarted(RequestId id, int attempt, int priority);
   void OnAttemptEnded(RequestId id, int attempt, admission_queue::Work reported_work, bool may_have_run);
   void OnRequestCompleted(RequestId id);
-  runtime::Span RetryAfter(admission_queue::TenantId tenant, admission_queue::ClassId class_id);
+  runtime::Duration RetryAfter(admission_queue::TenantId tenant, admission_queue::ClassId class_id);
   admission_queue::AdmissionQueue::State Describe() { return queue_.Describe(runtime::Now()); }
 
  private:
@@ -57,7 +57,7 @@
   std::vector<KindSettings> kinds_;
   std::function<void(const admission_queue::Decision&)> apply_decision_;
   std::map<EngineId, double> ready_cores_;  // by ready engine
-  runtime::Gate work_pending_;
+  runtime::ConditionVariable work_pending_;
 };
 
 }  // namespace lemoncroft::broker
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -72,14 +72,14 @@
   // `max_requests` replaces the one of Limits.
   void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests);
   // The number of processes that share this proxy's budgets, during a hot restart.
-  void SetProcessShare(int process_count) { host_.Post(ProcessShare{process_count}); }
+  void SetProcessCount(int process_count) { host_.Post(ProcessCount{process_count}); }
   // The number of proxies that serve, and this one's rank among them.
   void SetFleetSize(int proxy_count, int rank);
 
   // Rejects all requests submitted from now on: the process is about to end.
   void RejectNewRequests() { rejects_new_requests_ = true; }
   // Makes the decision module complete all open requests at once.
-  void CompleteAllRequests() { host_.Post(Closing{}); }
+  void CompleteAllRequests() { host_.Post(Shutdown{}); }
 
   // Classes and tenants of active requests, which a change of settings has to keep.
   settings::ReferencedNumbers NumbersInUse() const;
@@ -88,7 +88,7 @@
   // True if no attempt runs and no engine is still to be told of a cancellation.
   bool idle() const { return active_requests_.empty() && !engines_.has_pending_commands(); }
   // Engines that the decision module avoids by its own choice.
-  std::vector<EngineId> AvoidedEngines() const { return host_.AvoidedEngines(); }
+  std::vector<EngineId> EjectedEngines() const { return host_.EjectedEngines(); }
 
  private:
   // kCompleted: the request has had its final response, or its client has cancelled it.
@@ -101,7 +101,7 @@
   // Submits a request to the admission queue; returns the response if the queue rejects it.
   std::optional<request::Response> SubmitToQueue(RequestId id, const request::ClientRequest& client_request,
                                                  request::ResponseSink& sink);
-  runtime::Span MaxRetryAfter() const;
+  runtime::Duration MaxRetryAfter() const;
 
   // The coroutine of a request (request_lifecycle.cpp).
 
@@ -116,7 +116,7 @@
   Progress OnEvent(const ActiveRequestPtr& request, const Send& send);
   Progress OnEvent(const ActiveRequestPtr& request, const Cancel& cancel);
   Progress OnEvent(const ActiveRequestPtr& request, const RejectRequest& reject);
-  Progress OnEvent(const ActiveRequestPtr& request, const Fail& fail);
+  Progress OnEvent(const ActiveRequestPtr& request, const FailRequest& fail);
   Progress OnEvent(const ActiveRequestPtr& request, AttemptFinished& finished);
   Progress OnEvent(const ActiveRequestPtr& request, const CancelledByClient& cancelled);
   Progress OnEvent(const ActiveRequestPtr& request, const DeadlinePassed& passed);
@@ -127,7 +127,7 @@
   // The only function that delivers a response and counts it.
   void Respond(const std::string& class_name, request::ResponseSink& sink, const request::Response& response);
   void Respond(ActiveRequest& request, const request::Response& response);
-  runtime::Span RetryAfter(const ActiveRequest& request, const RejectRequest& reject);
+  runtime::Duration RetryAfter(const ActiveRequest& request, const RejectRequest& reject);
 
   // Attempts (attempts.cpp).
 
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -16,13 +16,13 @@
                  },
                  [](const Request& request) {
                    spdlog::trace("told request {} class {} tenant {} work {}", request.id, request.class_id,
-                                 request.tenant, request.est_work);
+                                 request.tenant, request.estimated_work);
                  },
                  [](const AttemptEnded& ended) {
                    spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended.id, ended.attempt,
-                                 static_cast<int>(ended.outcome), ended.finished, ended.work);
+                                 static_cast<int>(ended.outcome), ended.request_finished, ended.work);
                  },
-                 [](const ClientGone& gone) { spdlog::trace("told gone {}", gone.id); },
+                 [](const RequestCancelled& gone) { spdlog::trace("told gone {}", gone.id); },
                  [](const auto&) {},
              },
              event);
@@ -38,7 +38,7 @@
                  [](const RejectRequest& reject) {
                    spdlog::trace("says refuse {} later {}", reject.id, reject.retry_after);
                  },
-                 [](const Fail& fail) { spdlog::trace("says fail {}", fail.id); },
+                 [](const FailRequest& fail) { spdlog::trace("says fail {}", fail.id); },
                  [](const auto&) {},
              },
              action);
@@ -48,11 +48,11 @@
 
 void ModuleHost::Post(Event event) {
   events_.push_back(std::move(event));
-  events_pending_.Open();
+  events_pending_.Notify();
 }
 
 void ModuleHost::ApplySettings(SettingsChanged change) {
-  tick_ = decision::ToSpan(change.settings->tick);
+  tick_ = decision::ToDuration(change.settings->tick);
   Post(std::move(change));
 }
 
--- a/src/broker/module_host.h
+++ b/src/broker/module_host.h
@@ -25,7 +25,7 @@
   ModuleHost(runtime::Loop& loop, const Settings& settings, std::uint64_t seed,
              std::function<void(const Action&)> apply_action)
       : loop_(loop),
-        tick_(decision::ToSpan(settings.tick)),
+        tick_(decision::ToDuration(settings.tick)),
         gateway_(settings, seed),
         apply_action_(std::move(apply_action)) {}
 
@@ -38,7 +38,7 @@
 
   // The steady clock's time for a time of the module.
   runtime::Time ToTime(Nanos at) const { return clock_.ToTime(at); }
-  std::vector<EngineId> AvoidedEngines() const { return gateway_.Avoided(clock_.At(runtime::Now())); }
+  std::vector<EngineId> EjectedEngines() const { return gateway_.EjectedEngines(clock_.At(runtime::Now())); }
 
  private:
   using Timer = std::pair<runtime::Time, std::uint64_t>;  // when it fires, and the module's token
@@ -47,14 +47,14 @@
   void CollectFiredTimers(runtime::Time now);
 
   runtime::Loop& loop_;
-  runtime::Span tick_;  // least time between two steps
+  runtime::Duration tick_;  // least time between two steps
   decision::ModuleClock clock_;
   Gateway gateway_;
   std::function<void(const Action&)> apply_action_;
   std::vector<Event> events_;    // for the next step
   std::vector<Action> actions_;  // of the last step; kept for its capacity
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  runtime::Gate events_pending_;
+  runtime::ConditionVariable events_pending_;
 };
 
 }  // namespace lemoncroft::broker
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -9,11 +9,11 @@
 
 namespace lemoncroft::broker {
 
+using decision::ToDuration;
 using decision::ToNanos;
-using decision::ToSpan;
 using request::ResponseStatus;
+using runtime::Duration;
 using runtime::Now;
-using runtime::Span;
 using runtime::Task;
 using runtime::Time;
 
@@ -26,11 +26,11 @@
   described.id = request.id;
   described.class_id = client_request.class_id;
   described.tenant = client_request.tenant;
-  described.key = client_request.ordering_key;
+  described.ordering_key = client_request.ordering_key;
   described.client_timeout = std::max<Nanos>(0, ToNanos(client_request.deadline - Now()));
-  described.est_work = ToNanos(client_request.estimated_work);
-  described.est_memory_mb = client_request.estimated_memory_mb;
-  described.tables = client_request.table_group;
+  described.estimated_work = ToNanos(client_request.estimated_work);
+  described.estimated_memory_mb = client_request.estimated_memory_mb;
+  described.table_group = client_request.table_group;
   return described;
 }
 
@@ -85,8 +85,8 @@
 
 Task<RequestEvent> Broker::NextEvent(ActiveRequest& request, Time deadline) {
   while (request.inbox.empty()) {
-    const runtime::Wake wake = co_await runtime::Waiter(loop_, &request.inbox_filled, deadline);
-    if (wake == runtime::Wake::kTimeout) co_return DeadlinePassed{};
+    const runtime::WakeReason wake = co_await runtime::Waiter(loop_, &request.inbox_filled, deadline);
+    if (wake == runtime::WakeReason::kTimeout) co_return DeadlinePassed{};
   }
   RequestEvent event = std::move(request.inbox.front());
   request.inbox.pop_front();
@@ -105,7 +105,7 @@
   }
   ReportNotSent(*request, send, Progress::kOpen);
   Respond(*request, {ResponseStatus::kRejected, MaxRetryAfter(), {}});
-  host_.Post(ClientGone{request->id});
+  host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
@@ -120,7 +120,7 @@
   return Progress::kCompleted;
 }
 
-Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const Fail&) {
+Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const FailRequest&) {
   Respond(*request, {ResponseStatus::kFailed, {}, {}});
   return Progress::kCompleted;
 }
@@ -135,7 +135,7 @@
 
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const CancelledByClient&) {
   counters_.CountEnded(request->class_name(), metrics::End::kWithdrawn);
-  host_.Post(ClientGone{request->id});
+  host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
@@ -146,7 +146,7 @@
   }
   spdlog::warn("request {}: failed after its deadline, without a decision", request->client_request_id());
   Respond(*request, {ResponseStatus::kFailed, {}, {}});
-  host_.Post(ClientGone{request->id});
+  host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
@@ -157,7 +157,7 @@
 
 // The request never ran, and the decision module never heard of it.
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const RejectedByQueue& rejected) {
-  const Span retry_after = site_->module.may_send_retry_after ? rejected.retry_after : Span::zero();
+  const Duration retry_after = site_->module.may_send_retry_after ? rejected.retry_after : Duration::zero();
   Respond(*request, {ResponseStatus::kRejected, retry_after, {}});
   return Progress::kCompleted;
 }
@@ -178,8 +178,8 @@
 }
 
 // The queue's estimate, if there is a queue, is closer than the longest wait that the settings allow.
-Span Broker::RetryAfter(const ActiveRequest& request, const RejectRequest& reject) {
-  if (!queue_ || reject.retry_after <= 0) return ToSpan(reject.retry_after);
+Duration Broker::RetryAfter(const ActiveRequest& request, const RejectRequest& reject) {
+  if (!queue_ || reject.retry_after <= 0) return ToDuration(reject.retry_after);
   return queue_->RetryAfter(request.client_request.tenant, request.client_request.class_id);
 }
 
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -24,7 +24,7 @@
   if (first) first_step_at_ = now;
   actions_ = &actions;
   AdvanceTime(passed);
-  if (first && settings_.list_on_request) actions_->push_back(WatchList{true});
+  if (first && settings_.list_on_request) actions_->push_back(WatchEngineList{true});
   for (const Event& event : events) std::visit([this](const auto& concrete) { Handle(concrete); }, event);
   RunTimers();
   AdjustConcurrencyLimits();
@@ -90,7 +90,7 @@
   }
 }
 
-void Scheduler::Handle(const ProcessShare& share) { process_parts_ = std::max(1, share.parts); }
+void Scheduler::Handle(const ProcessCount& count) { process_parts_ = std::max(1, count.processes); }
 
 void Scheduler::Handle(const FleetSize& fleet_size) {
   fleet_size_ = fleet_size;
@@ -100,10 +100,10 @@
 
 void Scheduler::ApplyFleetSize() {
   if (fleet_size_) {
-    settings_.gateways = fleet_size_->gateways;
-    settings_.self = fleet_size_->place;
+    settings_.gateway_count = fleet_size_->gateway_count;
+    settings_.gateway_index = fleet_size_->gateway_index;
   }
-  settings_.gateways = std::max(1, settings_.gateways);
+  settings_.gateway_count = std::max(1, settings_.gateway_count);
 }
 
 // ---- Endpoint list ----
@@ -111,7 +111,7 @@
 void Scheduler::Handle(const EngineList& list) {
   const bool failed = list.kind == ListKind::kFailed || !list.entries;
   if (failed) {
-    if (settings_.list_on_request) actions_->push_back(WatchList{true});
+    if (settings_.list_on_request) actions_->push_back(WatchEngineList{true});
     return;
   }
   if (list.kind != ListKind::kChange) {
@@ -134,7 +134,7 @@
     engine.sent_load.ResetForRestart();
   }
   engine.entry = entry;
-  engine.listed = entry.readiness != Readiness::kGone;
+  engine.listed = entry.readiness != Readiness::kRemoved;
   const KindSettings kind =
       entry.kind < settings_.kinds.size() ? settings_.kinds[entry.kind] : KindSettings();
   engine.cores = kind.cores > 0 ? kind.cores : 1;
@@ -153,19 +153,20 @@
     engine.in_subset = false;
     if (engine.Serving()) serving.push_back(id);
   }
-  max_gateways_per_engine_ = subset::MaxGatewaysPerEngine(serving.size(), settings_.gateways);
+  max_gateways_per_engine_ = subset::MaxGatewaysPerEngine(serving.size(), settings_.gateway_count);
   const std::vector<EngineId> chosen = (fleet_size_ ? subset::SubsetByMembershipRank : subset::SubsetByHash)(
-      serving, settings_.gateways, settings_.self);
+      serving, settings_.gateway_count, settings_.gateway_index);
   for (EngineId id : chosen) engines_.at(id).in_subset = true;
   subset_share_ =
       serving.empty() ? 1 : static_cast<double>(chosen.size()) / static_cast<double>(serving.size());
 }
 
 double Scheduler::SeedConcurrencyLimit(const EngineState& engine) const {
-  return std::max(1.0, limits::ConcurrencyLimit::kSeedThreadsPerCore * engine.cores / settings_.gateways);
+  return std::max(1.0,
+                  limits::ConcurrencyLimit::kSeedThreadsPerCore * engine.cores / settings_.gateway_count);
 }
 
-double Scheduler::GatewaysPerEngine() const { return std::max(1.0, subset_share_ * settings_.gateways); }
+double Scheduler::GatewaysPerEngine() const { return std::max(1.0, subset_share_ * settings_.gateway_count); }
 
 // ---- Time ----
 
@@ -183,7 +184,7 @@
 
 limits::FleetCapacity Scheduler::AdvanceEngines(double seconds) {
   limits::FleetCapacity fleet;
-  fleet.gateways = settings_.gateways;
+  fleet.gateways = settings_.gateway_count;
   fleet.latency_ratio = fleet_latency_ratio_;
   const double gateways_per_engine = GatewaysPerEngine();
   for (auto& [id, engine] : engines_) {
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -55,23 +55,23 @@
 
   // See Gateway::Step.
   void Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions);
-  // See Gateway::Avoided.
+  // See Gateway::EjectedEngines.
   std::vector<EngineId> EjectedEngines(Nanos now) const;
 
  private:
   // ---- Events ----
   void Handle(const SettingsChanged& change);
-  void Handle(const ProcessShare& share);
+  void Handle(const ProcessCount& count);
   void Handle(const FleetSize& fleet_size);
-  void Handle(const Closing&);
+  void Handle(const Shutdown&);
   void Handle(const EngineList& list);
   void Handle(const Request& request);
   void Handle(const AttemptEnded& end);
   void Handle(const StreamStarted& start);
-  void Handle(const ClientGone& gone);
+  void Handle(const RequestCancelled& gone);
   void Handle(const DeadlineReached& reached);
   void Handle(const ProgressNotice& notice);
-  void Handle(const Probed& probed);
+  void Handle(const ProbeEnded& probed);
   void Handle(const PeerMessage&) {}
   void Handle(const TimerFired&) {}
 
@@ -215,7 +215,7 @@
     return Estimates(request).ExpectedTime(request.work) / request.threads;
   }
   double MemoryNeed(const RequestState& request) const {
-    return Estimates(request).ExpectedMemoryMb(request.spec.est_memory_mb);
+    return Estimates(request).ExpectedMemoryMb(request.spec.estimated_memory_mb);
   }
   // Speed of the engine's responses against the fleet's, at most 1.
   double RelativeSpeed(const EngineState& engine) const;
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -12,12 +12,12 @@
 
 void Scheduler::Handle(const Request& spec) {
   if (requests_.contains(spec.id)) return;
-  if (spec.class_id >= settings_.classes.size()) return actions_->push_back(Fail{spec.id});
+  if (spec.class_id >= settings_.classes.size()) return actions_->push_back(FailRequest{spec.id});
   RequestState& request = requests_[spec.id];
   request.spec = spec;
   const ClassSettings& class_settings = Class(request);
   request.threads = class_settings.threads;
-  request.work = std::max(kMinWork, Estimates(request).ExpectedWork(ToSeconds(spec.est_work)));
+  request.work = std::max(kMinWork, Estimates(request).ExpectedWork(ToSeconds(spec.estimated_work)));
   const double stretch = class_settings.latency_objective_stretch * request.work / request.threads;
   request.objective_at = now_ + class_settings.latency_objective + FromSeconds(stretch);
   request.deadline = now_ + spec.client_timeout;
@@ -25,9 +25,9 @@
       class_settings.priority_weight * (IsOverQuota(spec) ? settings_.over_quota_weight_share : 1);
   // Work that can't be done within the timeout is no demand, however large the client's estimate is.
   credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
-  if (settings_.attempt_budget) retries_.RecordRequest(now_);
-  request.ordered = class_settings.in_order && spec.key != 0;
-  if (request.ordered) keys_.Append(spec.key, spec.id);
+  if (settings_.retry_budget) retries_.RecordRequest(now_);
+  request.ordered = class_settings.in_order && spec.ordering_key != 0;
+  if (request.ordered) keys_.Append(spec.ordering_key, spec.id);
   Enqueue(request);
 }
 
@@ -38,7 +38,7 @@
   const double quota_per_s = settings_.tenants[spec.tenant].quota_per_s;
   if (quota_per_s <= 0) return false;
   const double part = fleet_size_
-                          ? 1.0 / settings_.gateways
+                          ? 1.0 / settings_.gateway_count
                           : std::min(1.0, credit_.demand_share() / limits::CapacityCredit::kAssumedLoad);
   return !quotas_[spec.tenant].Take(now_, quota_per_s * part, kQuotaBurstSeconds);
 }
@@ -49,7 +49,7 @@
   if (!request.ordered) return AddPending(request);
   request.phase = RequestPhase::kBehindKey;
   ScheduleCheck(request, LatestStart(request));
-  AdvanceKey(request.spec.key);
+  AdvanceKey(request.spec.ordering_key);
 }
 
 void Scheduler::AddPending(RequestState& request) {
@@ -77,14 +77,14 @@
 void Scheduler::RebuildKeyQueues(const std::vector<int>& inherits_estimates_from) {
   std::set<RequestId> ordered;  // in the order of arrival
   for (auto& [id, request] : requests_) {
-    for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.key != 0; ++i) {
+    for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.ordering_key != 0; ++i) {
       const bool successor = inherits_estimates_from[i] == request.spec.class_id;
       request.ordered = request.ordered || (settings_.classes[i].in_order && successor);
     }
     if (request.ordered) ordered.insert(id);
   }
   keys_.Clear();
-  for (RequestId id : ordered) keys_.Append(requests_.at(id).spec.key, id);
+  for (RequestId id : ordered) keys_.Append(requests_.at(id).spec.ordering_key, id);
   for (RequestId id : ordered) {
     RequestState& request = requests_.at(id);
     if (request.phase == RequestPhase::kPending) RemovePending(request);
@@ -102,8 +102,8 @@
 
 void Scheduler::LeaveKey(const RequestState& request) {
   if (!request.ordered) return;
-  keys_.Remove(request.spec.key, request.spec.id);
-  AdvanceKey(request.spec.key);
+  keys_.Remove(request.spec.ordering_key, request.spec.id);
+  AdvanceKey(request.spec.ordering_key);
 }
 
 // ---- End ----
@@ -115,7 +115,7 @@
     const Nanos retry_after = settings_.may_send_retry_after ? settings_.max_retry_after : 0;
     actions_->push_back(RejectRequest{request.spec.id, retry_after});
   } else {
-    actions_->push_back(Fail{request.spec.id});
+    actions_->push_back(FailRequest{request.spec.id});
   }
   Finish(request);
 }
@@ -128,7 +128,7 @@
   LeaveKey(finished);
 }
 
-void Scheduler::Handle(const Closing&) {
+void Scheduler::Handle(const Shutdown&) {
   std::set<RequestId> open;  // in the order of arrival
   for (const auto& [id, request] : requests_)
     if (request.phase != RequestPhase::kDone) open.insert(id);
@@ -140,7 +140,7 @@
   if (it != requests_.end() && it->second.phase != RequestPhase::kDone) RejectOrFail(it->second);
 }
 
-void Scheduler::Handle(const ClientGone& gone) {
+void Scheduler::Handle(const RequestCancelled& gone) {
   const auto it = requests_.find(gone.id);
   if (it == requests_.end() || it->second.phase == RequestPhase::kDone) return;
   RemovePending(it->second);
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using runtime::Io;
+using runtime::IoResult;
 
 // Requests to a draining engine must stop within 250 ms of the feed's event. A connection that died silently
 // has to be detected and replaced within that time, as has one to a feed that was down.
@@ -19,7 +19,7 @@
 constexpr auto kLongPollGrace = 60ms;  // then a silent feed counts as lost
 constexpr auto kConnectTimeout = 150ms;
 // Exponential, with jitter: hundreds of proxies reconnect when a feed comes back.
-constexpr runtime::Span kMinBackoff = 10ms, kMaxBackoff = 80ms;
+constexpr runtime::Duration kMinBackoff = 10ms, kMaxBackoff = 80ms;
 // For the rest of an answer that has begun: a list of thousands of engines takes longer than the grace.
 constexpr auto kAnswerTimeout = 3s;
 constexpr codec::HttpParser::Limits kAnswerLimits{std::size_t{16} << 10, std::size_t{8} << 20};
@@ -43,9 +43,9 @@
 }
 
 // Between half of `backoff` and all of it.
-runtime::Span EndpointWatch::WithJitter(runtime::Span backoff) {
-  return backoff / 2 +
-         runtime::Span(std::uniform_int_distribution<runtime::Span::rep>(0, (backoff / 2).count())(random_));
+runtime::Duration EndpointWatch::WithJitter(runtime::Duration backoff) {
+  return backoff / 2 + runtime::Duration(std::uniform_int_distribution<runtime::Duration::rep>(
+                           0, (backoff / 2).count())(random_));
 }
 
 void EndpointWatch::ChangeAddress(std::string host_port) {
@@ -59,8 +59,9 @@
   const auto address = runtime::Address::Parse(host_port);
   if (!address) co_return;  // the configuration is checked for this
   std::unique_ptr<runtime::Socket> socket;
-  const Io up = co_await Connect(loop_, *address, runtime::Now() + kConnectTimeout, &address_changed, socket);
-  if (up != Io::kOk) {
+  const IoResult up =
+      co_await Connect(loop_, *address, runtime::Now() + kConnectTimeout, &address_changed, socket);
+  if (up != IoResult::kOk) {
     spdlog::debug("control feed: no connection to {}", host_port);
     co_return;
   }
@@ -72,10 +73,10 @@
                    "&wait=" + std::to_string(kLongPollTimeout.count());
     codec::HttpResponse response;
     const runtime::Time begin_by = runtime::Now() + kLongPollTimeout + kLongPollGrace;
-    Io io = co_await connection.Send(request, begin_by, &address_changed);
-    if (io == Io::kOk)
+    IoResult io = co_await connection.Send(request, begin_by, &address_changed);
+    if (io == IoResult::kOk)
       io = co_await connection.Receive(begin_by, begin_by + kAnswerTimeout, &address_changed, response);
-    if (io != Io::kOk || response.status != 200) {
+    if (io != IoResult::kOk || response.status != 200) {
       spdlog::info("control feed: connection lost after event {}", directory_.last_event());
       co_return;
     }
--- a/src/frontend/client_connection_output.cpp
+++ b/src/frontend/client_connection_output.cpp
@@ -6,9 +6,9 @@
 
 namespace lemoncroft::frontend {
 
-using runtime::Io;
+using runtime::Duration;
+using runtime::IoResult;
 using runtime::Now;
-using runtime::Span;
 using runtime::Task;
 using namespace client_protocol;
 using namespace std::chrono_literals;
@@ -18,7 +18,7 @@
 constexpr auto kWriteTimeout = 5s;
 
 // Whole milliseconds, rounded up.
-std::string MillisecondsText(Span span) {
+std::string MillisecondsText(Duration span) {
   return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(span).count());
 }
 
@@ -42,7 +42,7 @@
   last_active_at_ = Now();
   std::string retry_after;
   codec::FieldViews fields;
-  if (response.retry_after > Span::zero()) {
+  if (response.retry_after > Duration::zero()) {
     retry_after = MillisecondsText(response.retry_after);
     fields.emplace_back(kFieldRetryAfterMs, retry_after);
   }
@@ -67,7 +67,7 @@
                               const codec::FieldViews& fields, std::string_view body) {
   if (aborted_ || closing_) return;
   codec::WriteResponse(output_, type, stream, code, fields, body);
-  output_appended_.Open();
+  output_appended_.Notify();
   // Clients that leave responses unread are dropped before their buffers take the process's memory.
   const ClientLimits& limits = context_.limits;
   const bool too_much_unread = output_.size() > limits.max_unread_bytes;
@@ -88,11 +88,11 @@
     c.write_in_progress_ = true;
     c.context_.total_unread_bytes += bytes.size();
     std::size_t written = 0;
-    const Io io = co_await c.socket_->Write(bytes, written, Now() + kWriteTimeout);
+    const IoResult io = co_await c.socket_->Write(bytes, written, Now() + kWriteTimeout);
     c.context_.total_unread_bytes -= bytes.size();
     c.write_in_progress_ = false;
-    if (io != Io::kOk) c.Abort();
-    c.output_flushed_.Open();
+    if (io != IoResult::kOk) c.Abort();
+    c.output_flushed_.Notify();
   }
 }
 
@@ -101,8 +101,8 @@
   output_.clear();
   stop_reading_.Cancel();
   stop_discarding_.Cancel();
-  output_appended_.Open();
-  output_flushed_.Open();
+  output_appended_.Notify();
+  output_flushed_.Notify();
 }
 
 }  // namespace lemoncroft::frontend
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -44,7 +44,7 @@
 // Histogram of how long the view occupies the event loop, in buckets of powers of two microseconds.
 class LatencyHistogram {
  public:
-  void Add(runtime::Span duration);
+  void Add(runtime::Duration duration);
   std::uint64_t Percentile(double fraction) const;  // upper end of the bucket, in microseconds
 
  private:
@@ -130,7 +130,7 @@
   EventHandler on_event_;
   LinkMetrics metrics_;
   LatencyHistogram turns_;
-  runtime::Gate wake_timer_;
+  runtime::ConditionVariable wake_timer_;
   runtime::Time timer_deadline_ = runtime::kNever;
   std::size_t inbound_streams_ = 0, outbound_syncs_ = 0, outbound_messages_ = 0, active_calls_ = 0;
 };
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -13,8 +13,8 @@
 
 using replicated_config::Document;
 using replicated_config::Version;
+using runtime::Duration;
 using runtime::Now;
-using runtime::Span;
 using runtime::Task;
 using runtime::Time;
 using namespace std::chrono_literals;
@@ -73,9 +73,9 @@
     const auto document = replicated_config::ParseDocument(text);
     return document ? document->format : 0;
   };
-  checks.isolation_duration = [](const std::string& text) -> Span {
+  checks.isolation_duration = [](const std::string& text) -> Duration {
     const auto document = replicated_config::ParseDocument(text);
-    return document ? document->isolation.duration : Span();
+    return document ? document->isolation.duration : Duration();
   };
   return checks;
 }
@@ -145,7 +145,7 @@
 void ReplicatedConfigService::DispatchOutputs() {
   for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
     for (const replicated_config::ConfigReplicaOutput& output : outputs) HandleOutput(output);
-  if (replica_.due() < planned_at_) timer_changed_.Open();
+  if (replica_.due() < planned_at_) timer_changed_.Notify();
 }
 
 // Returns the process of that name; where two live, the one that has the store.
@@ -190,7 +190,7 @@
     const auto it = pending_calls_.find(finished->outcome.id);
     if (it == pending_calls_.end()) return;
     it->second->finished = *finished;
-    it->second->gate.Open();
+    it->second->completed.Notify();
   } else if (const auto* event = std::get_if<replicated_config::LogEvent>(&output)) {
     spdlog::log(event->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", event->text,
                 MonoUs(Now()));
@@ -213,7 +213,7 @@
   loop_.Spawn(ReopenStore(kFailedStoreRetryInterval));
 }
 
-Task<> ReplicatedConfigService::ReopenStore(Span after) {
+Task<> ReplicatedConfigService::ReopenStore(Duration after) {
   co_await loop_.Sleep(after);
   worker_->Open();
 }
@@ -250,8 +250,8 @@
       spdlog::warn("rules: the store cannot be opened, this voter waits: {}: {}",
                    storage::NameOf(done.error.code), done.error.message);
     loop_.Spawn(ReopenStore(done.error.code == storage::StoreErrorCode::kLocked
-                                ? Span(kHeldStoreRetryInterval)
-                                : Span(kFailedStoreRetryInterval)));
+                                ? Duration(kHeldStoreRetryInterval)
+                                : Duration(kFailedStoreRetryInterval)));
     return;
   }
   opening_store_ = reported_unavailable_ = false;
@@ -317,7 +317,8 @@
   return UsableVersion() || PermittedInIsolation(class_name, engine);
 }
 
-bool ReplicatedConfigService::RecordSend(const std::string& class_name, EngineId engine, bool may_have_run) {
+bool ReplicatedConfigService::PermitAndRecordSend(const std::string& class_name, EngineId engine,
+                                                  bool may_have_run) {
   const std::optional<Version> version = UsableVersion();
   const bool in_isolation = !version && PermittedInIsolation(class_name, engine) &&
                             !may_have_run;  // an isolated proxy never retries
@@ -402,13 +403,13 @@
 
 Task<replicated_config::RequestCompleted> ReplicatedConfigService::AwaitCompletion(std::string id) {
   const auto waiting = pending_calls_.at(id);
-  while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->gate, runtime::kNever);
+  while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->completed, runtime::kNever);
   pending_calls_.erase(id);
   co_return *waiting->finished;
 }
 
 Task<replicated_config::RequestCompleted> ReplicatedConfigService::Propose(
-    replicated_config::ConfigChange change, Span timeout) {
+    replicated_config::ConfigChange change, Duration timeout) {
   std::string id = change.id;
   if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
     co_return replicated_config::RequestCompleted{
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -14,21 +14,21 @@
 constexpr std::size_t kEventsPerPoll = 256;
 constexpr std::int64_t kMaxPollMs = 60'000;
 
-void OpenGates(const epoll_event& event) {
-  auto* watched = static_cast<Watched*>(event.data.ptr);
+void NotifyWaiters(const epoll_event& event) {
+  auto* readiness = static_cast<DescriptorReadiness*>(event.data.ptr);
   const bool has_failed = (event.events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP)) != 0;
-  if (has_failed || (event.events & EPOLLIN) != 0) watched->readable.Open();
-  if (has_failed || (event.events & EPOLLOUT) != 0) watched->writable.Open();
+  if (has_failed || (event.events & EPOLLIN) != 0) readiness->readable.Notify();
+  if (has_failed || (event.events & EPOLLOUT) != 0) readiness->writable.Notify();
 }
 
 }  // namespace
 
-Gate::~Gate() {
-  if (waiter_ != nullptr) waiter_->gate_ = nullptr;
+ConditionVariable::~ConditionVariable() {
+  if (waiter_ != nullptr) waiter_->condition_ = nullptr;
 }
 
-void Gate::Open() {
-  if (waiter_ != nullptr) waiter_->Finish(Wake::kReady);
+void ConditionVariable::Notify() {
+  if (waiter_ != nullptr) waiter_->Finish(WakeReason::kReady);
 }
 
 Cancellation::~Cancellation() {
@@ -37,18 +37,18 @@
 
 void Cancellation::Cancel() {
   cancelled_ = true;
-  if (waiter_ != nullptr) waiter_->Finish(Wake::kCancelled);
+  if (waiter_ != nullptr) waiter_->Finish(WakeReason::kCancelled);
 }
 
 void Waiter::await_suspend(std::coroutine_handle<> handle) {
   handle_ = handle;
   linked_ = true;
-  if (gate_ != nullptr) gate_->waiter_ = this;
+  if (condition_ != nullptr) condition_->waiter_ = this;
   if (cancel_ != nullptr) cancel_->waiter_ = this;
   if (deadline_ != kNever) loop_.HeapPush(this);
 }
 
-void Waiter::Finish(Wake result) {
+void Waiter::Finish(WakeReason result) {
   Unlink();
   result_ = result;
   loop_.Post(handle_);
@@ -57,7 +57,7 @@
 void Waiter::Unlink() {
   if (!linked_) return;
   linked_ = false;
-  if (gate_ != nullptr && gate_->waiter_ == this) gate_->waiter_ = nullptr;
+  if (condition_ != nullptr && condition_->waiter_ == this) condition_->waiter_ = nullptr;
   if (cancel_ != nullptr && cancel_->waiter_ == this) cancel_->waiter_ = nullptr;
   if (heap_index_ != kNotInHeap) loop_.HeapErase(this);
 }
@@ -66,10 +66,10 @@
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-void Loop::Watch(int fd, Watched* watched) {
+void Loop::Watch(int fd, DescriptorReadiness* readiness) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  event.data.ptr = watched;
+  event.data.ptr = readiness;
   if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0) {
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
@@ -77,57 +77,58 @@
 
 void Loop::Unwatch(int fd) { ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr); }
 
-Task<> Loop::Root(Loop& loop, Task<> task, Roots::iterator self) {
+Task<> Loop::RunSpawned(Loop& loop, Task<> task, TaskList::iterator self) {
   try {
     co_await task;
   } catch (const std::exception& e) {
-    spdlog::error("a task ended with an exception: {}", e.what());
+    spdlog::error("a spawned task ended with an exception: {}", e.what());
   }
-  loop.ended_.push_back(self);
+  loop.ended_tasks_.push_back(self);
 }
 
 void Loop::Spawn(Task<> task) {
-  // The list node is created first: the coroutine refers to it when it ends.
-  auto self = roots_.emplace(roots_.end(), Task<>(nullptr));
-  *self = Root(*this, std::move(task), self);
+  // The list node is created first, because the coroutine refers to it when it ends.
+  auto self = spawned_.emplace(spawned_.end(), Task<>(nullptr));
+  *self = RunSpawned(*this, std::move(task), self);
   Post(self->handle());
 }
 
 void Loop::RunReady() {
-  // Only what is ready now: what these coroutines make ready runs after the sockets have been polled again.
+  // Resumes only the coroutines that are ready now. Those that become ready meanwhile run after the sockets
+  // have been polled again.
   for (std::size_t n = ready_.size(); n > 0 && !stopped_; --n) {
     std::coroutine_handle<> handle = ready_.front();
     ready_.pop_front();
     handle.resume();
-    for (Roots::iterator it : ended_) roots_.erase(it);
-    ended_.clear();
+    for (TaskList::iterator it : ended_tasks_) spawned_.erase(it);
+    ended_tasks_.clear();
   }
 }
 
 void Loop::DropTasks() {
   ready_.clear();
-  while (!roots_.empty()) roots_.pop_front();
+  while (!spawned_.empty()) spawned_.pop_front();
 }
 
 int Loop::PollTimeoutMs() const {
   constexpr int kNoTimeout = -1;
   if (!ready_.empty()) return 0;
   if (heap_.empty()) return kNoTimeout;
-  const Span left = heap_.front()->deadline_ - Now();
+  const Duration left = heap_.front()->deadline_ - Now();
   const auto rounded_up = std::chrono::ceil<std::chrono::milliseconds>(left).count();
   return static_cast<int>(std::clamp<std::int64_t>(rounded_up, 0, kMaxPollMs));
 }
 
 void Loop::Poll() {
   const int wait_ms = PollTimeoutMs();
-  // Read only as far as epoll_wait() fills it.
+  // The array needs no initial value: only the part that epoll_wait() has filled is read.
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
   std::array<epoll_event, kEventsPerPoll> events;
   const int n = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), wait_ms);
   if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-  for (int i = 0; i < n; ++i) OpenGates(events[static_cast<std::size_t>(i)]);
+  for (int i = 0; i < n; ++i) NotifyWaiters(events[static_cast<std::size_t>(i)]);
   const Time now = Now();
-  while (!heap_.empty() && heap_.front()->deadline_ <= now) heap_.front()->Finish(Wake::kTimeout);
+  while (!heap_.empty() && heap_.front()->deadline_ <= now) heap_.front()->Finish(WakeReason::kTimeout);
 }
 
 void Loop::Run() {
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -1,13 +1,14 @@
-// The event loop: one thread, one epoll set, one heap of deadlines, one queue of coroutines that are ready.
+// The event loop: one thread, one epoll set, one heap of deadlines, one queue of ready coroutines.
 //
-// A coroutine waits through a Waiter: for a Gate to open (a socket's readiness, an inbox), for its deadline
-// or for its Cancellation, whichever is first. A woken coroutine is queued, never resumed inside the call
-// that woke it, so that no caller is re-entered.
+// A coroutine waits through a Waiter: for a ConditionVariable (a socket's readiness, an inbox), for its
+// deadline or for its Cancellation, whichever is first. A woken coroutine is queued, and never resumed inside
+// the call that woke it, so that no caller is re-entered.
 //
-// Contract. Everything here is used by one thread alone, the one that calls Loop::Run(). Each turn of the
-// loop polls the sockets, wakes what is due and resumes the coroutines that were ready at its start. Errors:
-// std::system_error if the system refuses an epoll descriptor or a watch. Owner: the program's wiring; the
-// loop outlives the objects that refer to it, and its tasks end before Run() returns.
+// Everything here is used only by the thread that calls Loop::Run(). Each turn of the loop polls the sockets,
+// wakes the coroutines whose deadline has passed, and then resumes the coroutines that are ready by then;
+// those that become ready meanwhile are resumed in the next turn. std::system_error is thrown if the system
+// refuses an epoll descriptor or a watch. The loop outlives the objects that refer to it, and its tasks end
+// before Run() returns.
 #ifndef LEMONCROFT_RUNTIME_LOOP_H_
 #define LEMONCROFT_RUNTIME_LOOP_H_
 
@@ -23,35 +24,35 @@
 
 namespace lemoncroft::runtime {
 
-using Span = std::chrono::nanoseconds;
-using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
+using Duration = std::chrono::nanoseconds;
+using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 inline constexpr Time kNever = Time::max();
 
-// The monotonic clock, which the loop's deadlines go by.
+// Returns the time of the monotonic clock, on which the loop's deadlines are based.
 inline Time Now() { return std::chrono::steady_clock::now(); }
 
-// Why a wait ended.
-enum class Wake { kReady, kTimeout, kCancelled };
+// The reason why a wait ended.
+enum class WakeReason { kReady, kTimeout, kCancelled };
 
 class Loop;
 class Waiter;
 
-// An event that one coroutine at a time waits for, such as a socket's readiness. Its owner may destroy it
-// while somebody waits: the wait then ends by deadline or cancellation alone.
-class Gate {
+// A condition that one coroutine at a time waits for, such as a socket's readiness. Its owner may destroy it
+// while a coroutine waits: the wait then ends only by its deadline or cancellation.
+class ConditionVariable {
  public:
-  Gate() = default;
-  Gate(const Gate&) = delete;
-  Gate& operator=(const Gate&) = delete;
-  ~Gate();
-  void Open();  // wakes the waiter, if any; has no effect on later waits
+  ConditionVariable() = default;
+  ConditionVariable(const ConditionVariable&) = delete;
+  ConditionVariable& operator=(const ConditionVariable&) = delete;
+  ~ConditionVariable();
+  void Notify();  // wakes the waiter, if any; has no effect on later waits
 
  private:
   friend class Waiter;
   Waiter* waiter_ = nullptr;
 };
 
-// Asks one chain of coroutines to stop: its present wait and all later ones end at once with kCancelled.
+// Asks one chain of coroutines to stop: its current wait and all later ones end immediately with kCancelled.
 class Cancellation {
  public:
   Cancellation() = default;
@@ -67,51 +68,51 @@
   Waiter* waiter_ = nullptr;
 };
 
-// One wait of one coroutine: `co_await Waiter(loop, &gate, deadline, &cancel)` returns why it ended. The gate
-// and the cancellation are optional.
+// One wait of one coroutine: `co_await Waiter(loop, &condition, deadline, &cancel)` returns why it ended. The
+// condition and the cancellation are optional.
 class Waiter {
  public:
-  Waiter(Loop& loop, Gate* gate, Time deadline, Cancellation* cancel = nullptr)
-      : loop_(loop), gate_(gate), deadline_(deadline), cancel_(cancel) {}
+  Waiter(Loop& loop, ConditionVariable* condition, Time deadline, Cancellation* cancel = nullptr)
+      : loop_(loop), condition_(condition), deadline_(deadline), cancel_(cancel) {}
   Waiter(const Waiter&) = delete;
   Waiter& operator=(const Waiter&) = delete;
   ~Waiter() { Unlink(); }
 
   bool await_ready() {
     if (cancel_ == nullptr || !cancel_->cancelled()) return false;
-    result_ = Wake::kCancelled;
+    result_ = WakeReason::kCancelled;
     return true;
   }
   void await_suspend(std::coroutine_handle<> handle);
-  Wake await_resume() const { return result_; }
+  WakeReason await_resume() const { return result_; }
 
  private:
   friend class Loop;
-  friend class Gate;
+  friend class ConditionVariable;
   friend class Cancellation;
   static constexpr std::size_t kNotInHeap = static_cast<std::size_t>(-1);
 
-  void Finish(Wake result);  // ends the wait and queues the coroutine
-  void Unlink();             // from gate, cancellation and heap
+  void Finish(WakeReason result);  // ends the wait and queues the coroutine
+  void Unlink();                   // from condition, cancellation and heap
 
   Loop& loop_;
-  Gate* gate_;
+  ConditionVariable* condition_;
   Time deadline_;
   Cancellation* cancel_;
   bool linked_ = false;
   std::size_t heap_index_ = kNotInHeap;
   std::coroutine_handle<> handle_;
-  Wake result_ = Wake::kReady;
+  WakeReason result_ = WakeReason::kReady;
 };
 
-// The readiness of a descriptor in the epoll set. Both gates open on errors and hang-ups too.
-struct Watched {
-  Gate readable, writable;
+// The readiness of a descriptor in the epoll set. Errors and hang-ups also notify both conditions.
+struct DescriptorReadiness {
+  ConditionVariable readable, writable;
 };
 
 class Loop {
  public:
-  // Resumes the awaiter in the next turn of the loop, behind what is ready now.
+  // Resumes the awaiter in the next turn of the loop, after the coroutines that are ready now.
   struct Turn {
     Loop& loop;
     bool await_ready() const { return false; }
@@ -124,7 +125,7 @@
   Loop& operator=(const Loop&) = delete;
   ~Loop() { DropTasks(); }
 
-  // Runs `task` without an awaiter. An exception that leaves it is logged and ends only that task.
+  // Runs `task` without an awaiter. An exception that escapes from it is logged and ends only that task.
   void Spawn(Task<> task);
   // Runs until Stop(), then destroys all spawned tasks.
   void Run();
@@ -132,30 +133,32 @@
   Waiter SleepUntil(Time when, Cancellation* cancel = nullptr) {
     return Waiter(*this, nullptr, when, cancel);
   }
-  Waiter Sleep(Span span, Cancellation* cancel = nullptr) { return SleepUntil(Now() + span, cancel); }
+  Waiter Sleep(Duration duration, Cancellation* cancel = nullptr) {
+    return SleepUntil(Now() + duration, cancel);
+  }
 
   Turn NextTurn() { return Turn{*this}; }
 
-  // Opens the gates of `watched` when `fd` becomes readable or writable (edge-triggered), until `fd` is
-  // closed. Throws std::system_error.
-  void Watch(int fd, Watched* watched);
-  // To be called before `watched` is destroyed if other descriptors keep the same file open: closing `fd`
-  // would not end the watch then.
+  // Notifies the waiters of `readiness` when `fd` becomes readable or writable (edge-triggered), until `fd`
+  // is closed. Throws std::system_error.
+  void Watch(int fd, DescriptorReadiness* readiness);
+  // Must be called before `readiness` is destroyed if other descriptors keep the same file open, because
+  // closing `fd` does not end the watch in that case.
   void Unwatch(int fd);
 
  private:
   friend class Waiter;
-  using Roots = std::list<Task<>>;
+  using TaskList = std::list<Task<>>;
 
-  // Runs a spawned task and marks its root as ended.
-  static Task<> Root(Loop& loop, Task<> task, Roots::iterator self);
+  // Runs a spawned task and adds it to `ended_tasks_` at its end.
+  static Task<> RunSpawned(Loop& loop, Task<> task, TaskList::iterator self);
   void Post(std::coroutine_handle<> handle) { ready_.push_back(handle); }
   void RunReady();
   void DropTasks();
   int PollTimeoutMs() const;  // until the earliest deadline; 0 if a coroutine is ready
   void Poll();
 
-  // A binary heap of waiters by deadline. Each waiter has its index, so that it can be removed.
+  // A binary heap of waiters, ordered by deadline. Each waiter stores its index, so that it can be removed.
   void HeapPush(Waiter* waiter);
   void HeapErase(Waiter* waiter);
   void HeapPlace(Waiter* waiter, std::size_t at);
@@ -166,8 +169,8 @@
   bool stopped_ = false;
   std::deque<std::coroutine_handle<>> ready_;
   std::vector<Waiter*> heap_;
-  Roots roots_;                         // spawned tasks
-  std::vector<Roots::iterator> ended_;  // of these, those to be destroyed
+  TaskList spawned_;
+  std::vector<TaskList::iterator> ended_tasks_;  // spawned tasks that have ended and are to be destroyed
 };
 
 }  // namespace lemoncroft::runtime
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -24,14 +24,16 @@
   return error == EMFILE || error == ENFILE || error == ENOMEM || error == ENOBUFS;
 }
 
-Io FromWake(Wake wake) { return wake == Wake::kTimeout ? Io::kTimeout : Io::kCancelled; }
+IoResult FromWake(WakeReason wake) {
+  return wake == WakeReason::kTimeout ? IoResult::kTimeout : IoResult::kCancelled;
+}
 
 void SetOption(int fd, int level, int name) {
   const int on = 1;
   ::setsockopt(fd, level, name, &on, sizeof on);
 }
 
-// Null if the loop can't watch the descriptor: a shortage must not end the task that met it.
+// Returns null if the loop can't watch the descriptor: a shortage must not end the task that encounters it.
 std::unique_ptr<Socket> MakeSocket(Loop& loop, Descriptor fd) {
   try {
     return std::make_unique<Socket>(loop, std::move(fd));
@@ -46,14 +48,14 @@
   SetOption(fd.get(), SOL_SOCKET, SO_REUSEADDR);
   const auto* raw = reinterpret_cast<const sockaddr*>(&address.raw);
   if (::bind(fd.get(), raw, sizeof address.raw) != 0 || ::listen(fd.get(), kListenBacklog) != 0) {
-    throw std::system_error(errno, std::generic_category(), "cannot listen on " + address.Text());
+    throw std::system_error(errno, std::generic_category(), "cannot listen on " + address.ToString());
   }
   return fd;
 }
 
 }  // namespace
 
-Descriptor InheritedListener(int number) {
+Descriptor AdoptListeningSocket(int number) {
   const std::string name = "descriptor " + std::to_string(number);
   if (::fcntl(number, F_GETFD) < 0) throw std::runtime_error(name + " is not open");
   const auto option = [&](int which) {
@@ -84,32 +86,33 @@
   return out;
 }
 
-std::string Address::Text() const {
+std::string Address::ToString() const {
   char host[INET_ADDRSTRLEN] = "";
   ::inet_ntop(AF_INET, &raw.sin_addr, host, sizeof host);
   return host + (":" + std::to_string(ntohs(raw.sin_port)));
 }
 
 Socket::Socket(Loop& loop, Descriptor fd) : loop_(loop), fd_(std::move(fd)) {
-  loop_.Watch(fd_.get(), &watched_);
+  loop_.Watch(fd_.get(), &readiness_);
 }
 
-Task<Io> Socket::Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel) {
-  // Shared by all sockets, so that those that wait hold no memory for their reads.
+Task<IoResult> Socket::Read(std::string& into, std::size_t max_bytes, Time deadline, Cancellation* cancel) {
+  // Shared by all sockets, so that waiting sockets need no memory for their reads.
   static thread_local std::array<char, kMaxReadBytes> scratch;
   for (;;) {
     const ssize_t n = ::recv(fd_.get(), scratch.data(), std::min(max_bytes, scratch.size()), 0);
     if (n > 0) into.append(scratch.data(), static_cast<std::size_t>(n));
-    if (n > 0) co_return Io::kOk;
-    if (n == 0) co_return Io::kClosed;
+    if (n > 0) co_return IoResult::kOk;
+    if (n == 0) co_return IoResult::kClosed;
     if (errno == EINTR) continue;
-    if (!WouldBlock(errno)) co_return Io::kClosed;
-    const Wake wake = co_await Waiter(loop_, &watched_.readable, deadline, cancel);
-    if (wake != Wake::kReady) co_return FromWake(wake);
+    if (!WouldBlock(errno)) co_return IoResult::kClosed;
+    const WakeReason wake = co_await Waiter(loop_, &readiness_.readable, deadline, cancel);
+    if (wake != WakeReason::kReady) co_return FromWake(wake);
   }
 }
 
-Task<Io> Socket::Write(std::string_view bytes, std::size_t& written, Time deadline, Cancellation* cancel) {
+Task<IoResult> Socket::Write(std::string_view bytes, std::size_t& written, Time deadline,
+                             Cancellation* cancel) {
   written = 0;
   while (written < bytes.size()) {
     const ssize_t n = ::send(fd_.get(), bytes.data() + written, bytes.size() - written, MSG_NOSIGNAL);
@@ -118,11 +121,11 @@
       continue;
     }
     if (errno == EINTR) continue;
-    if (!WouldBlock(errno)) co_return Io::kClosed;
-    const Wake wake = co_await Waiter(loop_, &watched_.writable, deadline, cancel);
-    if (wake != Wake::kReady) co_return FromWake(wake);
+    if (!WouldBlock(errno)) co_return IoResult::kClosed;
+    const WakeReason wake = co_await Waiter(loop_, &readiness_.writable, deadline, cancel);
+    if (wake != WakeReason::kReady) co_return FromWake(wake);
   }
-  co_return Io::kOk;
+  co_return IoResult::kOk;
 }
 
 void Socket::ShutdownWrite() { ::shutdown(fd_.get(), SHUT_WR); }
@@ -139,54 +142,55 @@
   return out;
 }
 
-Task<Io> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel, std::unique_ptr<Socket>& out,
-                 std::optional<Address> from) {
+Task<IoResult> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel,
+                       std::unique_ptr<Socket>& out, std::optional<Address> from) {
   Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!fd) co_return Io::kNoDescriptors;
+  if (!fd) co_return IoResult::kNoDescriptors;
   SetOption(fd.get(), IPPROTO_TCP, TCP_NODELAY);
   if (from) {
     from->raw.sin_port = 0;
     if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&from->raw), sizeof from->raw) != 0)
-      co_return Io::kClosed;
+      co_return IoResult::kClosed;
   }
-  // Watched only once the handshake is under way: before it, epoll reports a socket as hung up.
+  // The socket is watched only after the handshake has begun: before that, epoll reports it as hung up.
   const int failed = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw);
-  if (failed != 0 && errno != EINPROGRESS) co_return errno == ECONNREFUSED ? Io::kRefused : Io::kClosed;
+  if (failed != 0 && errno != EINPROGRESS)
+    co_return errno == ECONNREFUSED ? IoResult::kRefused : IoResult::kClosed;
   std::unique_ptr<Socket> socket = MakeSocket(loop, std::move(fd));
-  if (!socket) co_return Io::kNoDescriptors;
+  if (!socket) co_return IoResult::kNoDescriptors;
   if (failed != 0) {
-    const Wake wake = co_await Waiter(loop, &socket->watched_.writable, deadline, cancel);
-    if (wake != Wake::kReady) co_return FromWake(wake);
+    const WakeReason wake = co_await Waiter(loop, &socket->readiness_.writable, deadline, cancel);
+    if (wake != WakeReason::kReady) co_return FromWake(wake);
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(socket->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) co_return error == ECONNREFUSED ? Io::kRefused : Io::kClosed;
+    if (error != 0) co_return error == ECONNREFUSED ? IoResult::kRefused : IoResult::kClosed;
   }
   out = std::move(socket);
-  co_return Io::kOk;
+  co_return IoResult::kOk;
 }
 
 Listener::Listener(Loop& loop, const Address& address) : loop_(loop), socket_(loop, Listen(address)) {}
 
 Listener::Listener(Loop& loop, Descriptor listening) : loop_(loop), socket_(loop, std::move(listening)) {}
 
-// If another process holds the socket too, closing this descriptor would leave it in the epoll set.
+// If another process has the same socket open, closing this descriptor leaves the socket in the epoll set.
 Listener::~Listener() { loop_.Unwatch(socket_.fd()); }
 
-Task<Io> Listener::Accept(std::unique_ptr<Socket>& out, Cancellation* cancel) {
+Task<IoResult> Listener::Accept(std::unique_ptr<Socket>& out, Cancellation* cancel) {
   for (;;) {
     Descriptor fd(::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) {
       SetOption(fd.get(), IPPROTO_TCP, TCP_NODELAY);
       out = MakeSocket(loop_, std::move(fd));
-      co_return out ? Io::kOk : Io::kNoDescriptors;
+      co_return out ? IoResult::kOk : IoResult::kNoDescriptors;
     }
-    if (IsShortage(errno)) co_return Io::kNoDescriptors;
+    if (IsShortage(errno)) co_return IoResult::kNoDescriptors;
     if (WouldBlock(errno)) {
-      const Wake wake = co_await Waiter(loop_, &socket_.watched_.readable, kNever, cancel);
-      if (wake == Wake::kCancelled) co_return Io::kCancelled;
+      const WakeReason wake = co_await Waiter(loop_, &socket_.readiness_.readable, kNever, cancel);
+      if (wake == WakeReason::kCancelled) co_return IoResult::kCancelled;
     }
-    // Other errors concern one connection that was about to be accepted: the next one is tried.
+    // Other errors concern only the connection that was to be accepted: try the next one.
   }
 }
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -76,7 +76,7 @@
     case ReadinessCode::kReady:
       return Readiness::kReady;
     case ReadinessCode::kGone:
-      return Readiness::kGone;
+      return Readiness::kRemoved;
     case ReadinessCode::kDraining:
       return Readiness::kDraining;
   }
@@ -132,15 +132,15 @@
   request.id = in.Int<std::uint64_t>("req");
   request.class_id = in.Int<std::uint16_t>("qos");
   request.tenant = in.Int<std::uint16_t>("project");
-  request.key = in.Int<std::uint64_t>("key");
+  request.ordering_key = in.Int<std::uint64_t>("key");
   request.client_timeout = in.Time("patienceLeftNs");
-  request.est_work = in.Time("estCostNs");
-  request.est_memory_mb = in.Float("ramMb");
+  request.estimated_work = in.Time("estCostNs");
+  request.estimated_memory_mb = in.Float("ramMb");
   float tables = in.Float("tableGroup");
-  request.tables = tables > 0 && tables < kMaxTableGroup ? static_cast<std::uint32_t>(tables) : 0;
+  request.table_group = tables > 0 && tables < kMaxTableGroup ? static_cast<std::uint32_t>(tables) : 0;
   auto attributes = in.Int<std::uint16_t>("attrs");
-  if ((attributes & kAttributeHasWorkEstimate) == 0) request.est_work = 0;
-  request.repeat = (attributes & kAttributeIsRepeat) != 0;
+  if ((attributes & kAttributeHasWorkEstimate) == 0) request.estimated_work = 0;
+  request.is_repeat = (attributes & kAttributeIsRepeat) != 0;
   return request;
 }
 
@@ -159,23 +159,23 @@
   ended.attempt = in.Int<std::uint16_t>("roundNo");
   ended.engine = in.Int<std::uint32_t>("engine");
   ended.outcome = ReadOutcome(in);
-  ended.waited = in.Time("waitTimeNs");
-  ended.finished = in.Int<std::uint8_t>("finished") != 0;
+  ended.elapsed = in.Time("waitTimeNs");
+  ended.request_finished = in.Int<std::uint8_t>("finished") != 0;
   auto statistics = in.Int<std::uint32_t>("stats");
   if (ended.outcome == Outcome::kOk) {
     ended.work = static_cast<Nanos>(statistics / kStatisticsWorkUnit) * kNanosPerMs;
     ended.memory_mb = (statistics % kStatisticsWorkUnit) * kStatisticsMemoryUnitMb;
   }
-  ended.load = ReadLoadReport(in);
+  ended.load_report = ReadLoadReport(in);
   return ended;
 }
 
-Probed ReadProbed(Reader& in) {
-  Probed probed;
-  probed.waited = in.Time("waitTimeNs");
+ProbeEnded ReadProbeEnded(Reader& in) {
+  ProbeEnded probed;
+  probed.elapsed = in.Time("waitTimeNs");
   probed.engine = in.Int<std::uint32_t>("engine");
   probed.outcome = ReadOutcome(in);
-  probed.load = ReadLoadReport(in);
+  probed.load_report = ReadLoadReport(in);
   return probed;
 }
 
@@ -237,13 +237,13 @@
         Current(at).events.emplace_back(ReadAttemptEnded(in_));
         return;
       case EventCode::kClientGone:
-        Current(at).events.emplace_back(ClientGone{in_.Int<std::uint64_t>("req")});
+        Current(at).events.emplace_back(RequestCancelled{in_.Int<std::uint64_t>("req")});
         return;
       case EventCode::kTimerFired:
         Current(at).events.emplace_back(TimerFired{in_.Int<std::uint64_t>("keyBack")});
         return;
       case EventCode::kProbed:
-        return AddEvent(ReadProbed(in_), at);
+        return AddEvent(ReadProbeEnded(in_), at);
       case EventCode::kPeerMessage:
         return AddEvent(ReadPeerMessage(in_), at);
       case EventCode::kProgressNotice:
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -32,13 +32,13 @@
 
 Settings SettingsOf(const DecisionPlan& plan) {
   Settings s;
-  s.gateways = plan.gateways;
+  s.gateway_count = plan.gateways;
   s.tick = kTickNanos;
   for (const ClassProfile& of : kClassProfiles) {
     ClassSettings c;
     c.latency_objective = 3000 * kMs;
     c.latency_objective_stretch = 2.5;
-    c.deadline = 10'000 * kMs;
+    c.client_timeout = 10'000 * kMs;
     c.priority_weight = of.work > 1 ? 10 : 1;
     c.late_weight_share = 0.3;
     c.threads = of.threads;
@@ -103,9 +103,9 @@
       draw -= kClassProfiles[r.class_id++].share;
     const ClassProfile& of = kClassProfiles[r.class_id];
     r.client_timeout = 10'000 * kMs;
-    r.tables = static_cast<std::uint32_t>(random_() % plan_.table_groups);
+    r.table_group = static_cast<std::uint32_t>(random_() % plan_.table_groups);
     const double work = of.work * std::exponential_distribution<>(1)(random_);
-    r.est_work = std::max<Nanos>(kMs, static_cast<Nanos>(work * 1e9));
+    r.estimated_work = std::max<Nanos>(kMs, static_cast<Nanos>(work * 1e9));
     open_[r.id] = {work, of.threads, 0};
     events_.push_back(r);
   }
@@ -113,7 +113,7 @@
   void EndAttempts() {
     for (; !running_.empty() && running_.top().ends <= now_; running_.pop()) {
       events_.push_back(running_.top().end);
-      served_ += running_.top().end.finished;
+      served_ += running_.top().end.request_finished;
       open_.erase(running_.top().end.id);
     }
   }
@@ -138,12 +138,12 @@
     end.engine = send.engine;
     end.outcome = Outcome::kOk;
     end.work = static_cast<Nanos>(open.work * 1e9);
-    end.waited = end.work / open.threads;
-    end.finished = true;
-    running_.push({now_ + end.waited, end});
+    end.elapsed = end.work / open.threads;
+    end.request_finished = true;
+    running_.push({now_ + end.elapsed, end});
   }
   void On(const RejectRequest& reject) { EndRejected(reject.id); }
-  void On(const Fail& fail) { EndRejected(fail.id); }
+  void On(const FailRequest& fail) { EndRejected(fail.id); }
   void On(const WakeAt& wake) { wake_at_ = wake.at; }
   void On(const auto&) {}  // no more than its cost matters here
 
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -243,8 +243,8 @@
     request.class_id = static_cast<std::uint16_t>(q.class_id);
     request.tenant = static_cast<std::uint16_t>(q.tenant);
     request.client_timeout = static_cast<Nanos>(std::max(0.0, q.deadline - now_) * 1e9);
-    request.est_work = static_cast<Nanos>(q.estimated_work * 1e9);
-    request.tables = static_cast<std::uint32_t>(Uniform(0, kMaxTables));
+    request.estimated_work = static_cast<Nanos>(q.estimated_work * 1e9);
+    request.table_group = static_cast<std::uint32_t>(Uniform(0, kMaxTables));
     events_.emplace_back(request);
   }
 
@@ -315,13 +315,13 @@
     Complete(rejection.id);
     ScheduleRetry(q, static_cast<double>(rejection.retry_after) / 1e9);
   }
-  void Apply(const Fail& fail) {
+  void Apply(const FailRequest& fail) {
     ++result_.failed;
     Complete(fail.id);
   }
   void Apply(const WakeAt& wake) { wakes_.push_back(wake.at); }
   void Apply(const Probe&) {}
-  void Apply(const WatchList&) {}
+  void Apply(const WatchEngineList&) {}
   void Apply(const LogLine&) {}
 
   void End(const simulation::Finished& f, Outcome outcome) {
@@ -332,9 +332,9 @@
     ended.attempt = attempt;
     ended.engine = f.engine;
     ended.outcome = outcome;
-    ended.finished = ok;
+    ended.request_finished = ok;
     const auto it = queries_.find(id);
-    ended.waited = static_cast<Nanos>((now_ - starts_[f.key]) * 1e9);
+    ended.elapsed = static_cast<Nanos>((now_ - starts_[f.key]) * 1e9);
     starts_.erase(f.key);
     if (ok) ended.work = static_cast<Nanos>(f.work * 1e9);
     events_.emplace_back(ended);
@@ -407,7 +407,7 @@
       const auto engine = static_cast<std::uint32_t>(n * 3 + 1);
       fleet_.Remove(engine, ended);
       for (const simulation::Finished& f : ended) End(f, Outcome::kReset);
-      const EngineEntry gone{.engine = engine, .readiness = Readiness::kGone};
+      const EngineEntry gone{.engine = engine, .readiness = Readiness::kRemoved};
       events_.push_back(EngineList{ListKind::kChange, std::make_shared<std::vector<EngineEntry>>(1, gone)});
       queue_->SetFleetCores(fleet_.cores(), At(now_));
     }
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -17,7 +17,7 @@
   void Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions) override {
     gateway_.Step(now, events, actions);
   }
-  std::vector<EngineId> Avoided(Nanos now) const override { return gateway_.Avoided(now); }
+  std::vector<EngineId> EjectedEngines(Nanos now) const override { return gateway_.EjectedEngines(now); }
 
  private:
   Gateway gateway_;
@@ -33,7 +33,7 @@
     actions_ = &actions;
     for (const Event& event : events) std::visit([this](const auto& e) { On(e); }, event);
   }
-  std::vector<EngineId> Avoided(Nanos) const override { return {}; }
+  std::vector<EngineId> EjectedEngines(Nanos) const override { return {}; }
 
  private:
   struct KeyQueue {
@@ -41,7 +41,9 @@
     Nanos settled_at = 0;
   };
 
-  bool Ordered(const Request& r) const { return settings_.classes[r.class_id].in_order && r.key != 0; }
+  bool Ordered(const Request& r) const {
+    return settings_.classes[r.class_id].in_order && r.ordering_key != 0;
+  }
 
   void On(const EngineList& list) {
     for (const EngineEntry& entry : *list.entries) listed_[entry.engine] = entry;
@@ -50,20 +52,20 @@
   void On(const Request& request) {
     requests_[request.id] = request;
     if (!Ordered(request)) return Forward(request);
-    KeyQueue& queue = key_queues_[request.key];
+    KeyQueue& queue = key_queues_[request.ordering_key];
     queue.order.push_back(request.id);
-    if (queue.order.size() == 1) ForwardFirst(request.key);
+    if (queue.order.size() == 1) ForwardFirst(request.ordering_key);
   }
 
   void On(const AttemptEnded& end) {
-    if (!end.finished) actions_->push_back(Fail{end.id});
+    if (!end.request_finished) actions_->push_back(FailRequest{end.id});
     const bool may_still_run = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
                                end.outcome == Outcome::kCancelled;
     Remove(end.id, may_still_run);
   }
 
   // The end of an attempt in flight is reported later.
-  void On(const ClientGone& gone) {
+  void On(const RequestCancelled& gone) {
     if (!in_flight_.contains(gone.id)) Remove(gone.id, false);
   }
 
@@ -80,10 +82,10 @@
       in_flight_.erase(sent);
     }
     if (!Ordered(request)) return;
-    KeyQueue& queue = key_queues_[request.key];
+    KeyQueue& queue = key_queues_[request.ordering_key];
     std::erase(queue.order, id);
-    if (may_still_run) queue.settled_at = now_ + settings_.order_settle;
-    ForwardFirst(request.key);
+    if (may_still_run) queue.settled_at = now_ + settings_.ordering_key_pause;
+    ForwardFirst(request.ordering_key);
   }
 
   void ForwardFirst(std::uint64_t key) {
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -77,7 +77,7 @@
     ChooseTableGroups();
     for (std::size_t i = 0; i < site.engines.size(); ++i)
       engines_.push_back(std::make_unique<QueryEngine>(site.traits[i], kLongAgo));
-    for (int i = 0; i < site.settings.gateways; ++i) AddGateway(i, seed, decider);
+    for (int i = 0; i < site.settings.gateway_count; ++i) AddGateway(i, seed, decider);
     if (site.restarted) PlanRestart();
   }
 
@@ -134,7 +134,7 @@
 
   void AddGateway(int number, std::uint64_t seed, const DeciderFactory& decider) {
     Settings settings = site_.settings;
-    settings.self = number;
+    settings.gateway_index = number;
     settings.zone = site_.engines[static_cast<std::size_t>(number) % site_.engines.size()].zone;
     Proxy proxy;
     proxy.decider = decider(settings, seed + 1 + static_cast<std::uint64_t>(number));
@@ -150,7 +150,7 @@
 
   Nanos LongestDeadline() const {
     Nanos longest = 0;
-    for (const ClassSettings& c : site_.settings.classes) longest = std::max(longest, c.deadline);
+    for (const ClassSettings& c : site_.settings.classes) longest = std::max(longest, c.client_timeout);
     return longest;
   }
 
@@ -160,7 +160,7 @@
     Schedule(kStart + kDrainAt, [this] { Announce(Readiness::kDraining, 0); });
     Schedule(kStart + kGoneAt, [this] {
       ResetAttemptsAt(RestartedId());
-      Announce(Readiness::kGone, 0);
+      Announce(Readiness::kRemoved, 0);
     });
     Schedule(kStart + kBackAt, [this] {
       engines_[*site_.restarted] = std::make_unique<QueryEngine>(site_.traits[*site_.restarted], now_);
@@ -175,8 +175,8 @@
     EngineEntry entry = site_.engines[*site_.restarted];
     entry.readiness = readiness;
     entry.started_at = started_at;
-    for (int i = 0; i < site_.settings.gateways; ++i) {
-      const Nanos delay = kMaxListDelay * (i + 1) / site_.settings.gateways;
+    for (int i = 0; i < site_.settings.gateway_count; ++i) {
+      const Nanos delay = kMaxListDelay * (i + 1) / site_.settings.gateway_count;
       Schedule(now_ + delay, [this, i, entry] { SendList(i, ListKind::kChange, {entry}); });
     }
   }
@@ -245,8 +245,8 @@
         std::exp((rough ? kRoughMemoryEstimateDeviation : kGoodEstimateDeviation) * Normal());
     if (site_.estimates == EstimateQuality::kNone) return;
     const ClassTraffic& traffic = site_.traffic[active.request.class_id];
-    active.request.est_work = ToNanos(active.work * off_work * (rough ? traffic.work_bias : 1));
-    active.request.est_memory_mb = active.memory_mb * off_memory * (rough ? traffic.memory_bias : 1);
+    active.request.estimated_work = ToNanos(active.work * off_work * (rough ? traffic.work_bias : 1));
+    active.request.estimated_memory_mb = active.memory_mb * off_memory * (rough ? traffic.memory_bias : 1);
   }
 
   void SubmitRequest() {
@@ -260,15 +260,15 @@
     active.work = Spread(traffic.work, kWorkDeviation);
     active.memory_mb = Spread(traffic.memory_mb, kMemoryDeviation);
     Estimate(active);
-    active.request.client_timeout = ToNanos(Seconds(c.deadline) * (0.8 + 0.2 * Chance()));
+    active.request.client_timeout = ToNanos(Seconds(c.client_timeout) * (0.8 + 0.2 * Chance()));
     active.deadline = now_ + active.request.client_timeout;
-    active.request.tables = static_cast<std::uint32_t>(random_() % table_groups_);
+    active.request.table_group = static_cast<std::uint32_t>(random_() % table_groups_);
     const std::uint64_t tenants = std::max<std::uint64_t>(1, site_.settings.tenants.size());
     active.request.tenant = static_cast<std::uint16_t>(random_() % tenants);
     const std::uint64_t pick = random_();
-    const auto gateways = static_cast<std::uint64_t>(site_.settings.gateways);
-    if (c.in_order) active.request.key = 1 + pick % site_.keys;
-    active.gateway = static_cast<int>((c.in_order ? active.request.key : pick) % gateways);
+    const auto gateways = static_cast<std::uint64_t>(site_.settings.gateway_count);
+    if (c.in_order) active.request.ordering_key = 1 + pick % site_.keys;
+    active.gateway = static_cast<int>((c.in_order ? active.request.ordering_key : pick) % gateways);
     active.grant.id = id;
     const bool leaves = Chance() < kAbandonedShare;
     const Nanos leaves_after = ToNanos(Chance() * Seconds(c.latency_objective));
@@ -288,7 +288,7 @@
     if (it == requests_.end() || it->second.over) return;
     ++result_.classes[it->second.request.class_id].abandoned;
     checker_.Abandoned(now_, id);
-    Post(it->second, ClientGone{id});
+    Post(it->second, RequestCancelled{id});
     Finish(id);
   }
 
@@ -296,7 +296,7 @@
     const auto it = requests_.find(id);
     if (it == requests_.end() || it->second.over) return;
     checker_.TimedOut(now_, id);
-    Post(it->second, ClientGone{id});
+    Post(it->second, RequestCancelled{id});
     Finish(id);
   }
 
@@ -374,7 +374,7 @@
     if (!engines_[a.engine - 1]->Start(now_, PlanOf(active, number)))
       return Schedule(now_ + site_.settings.tick,
                       [this, id, number] { EndAttempt(id, number, Outcome::kFull); });
-    if (site_.settings.progress_every > 0) ScheduleProgressNotice(id, number);
+    if (site_.settings.progress_interval > 0) ScheduleProgressNotice(id, number);
   }
 
   bool Discarded(const ActiveRequest& active, int number) const {
@@ -392,21 +392,21 @@
     plan.work = Discarded(active, number) ? kDiscardedWork : active.work;
     plan.memory_mb = active.memory_mb;
     const double usual = kDefaultGrantFactor * site_.traffic[active.request.class_id].memory_mb;
-    const double estimate = active.request.est_memory_mb;
+    const double estimate = active.request.estimated_memory_mb;
     plan.own_grant_mb = estimate > 0 ? kGrantMargin * estimate : usual;
     const double most =
         site_.settings.max_grant_share * site_.traits[active.attempts.back().engine - 1].memory_mb;
     plan.own_grant_mb = std::min(plan.own_grant_mb, most);
     plan.grant_mb = std::min(active.grant.grant_mb, most);
     plan.priority = active.grant.priority;
-    plan.tables = active.request.tables;
+    plan.tables = active.request.table_group;
     plan.holds_tables = c.holds_tables;
     plan.blocked_by_loads = c.blocked_by_loads;
     return plan;
   }
 
   void ScheduleProgressNotice(RequestId id, int number) {
-    Schedule(now_ + site_.settings.progress_every, [this, id, number] {
+    Schedule(now_ + site_.settings.progress_interval, [this, id, number] {
       const auto it = requests_.find(id);
       if (it == requests_.end() || !it->second.attempts[static_cast<std::size_t>(number)].in_flight) return;
       const Attempt& a = it->second.attempts[static_cast<std::size_t>(number)];
@@ -439,7 +439,7 @@
     Finish(rejection.id);
   }
 
-  void CarryOut(int, const Fail& fail) {
+  void CarryOut(int, const FailRequest& fail) {
     checker_.Failed(now_, fail);
     const auto it = requests_.find(fail.id);
     if (it == requests_.end() || it->second.over) return;
@@ -456,13 +456,13 @@
   void CarryOut(int gateway, const Probe& probe) {
     checker_.Probed(now_, probe);
     ++result_.probes;
-    Probed probed;
+    ProbeEnded probed;
     probed.engine = probe.engine;
-    probed.waited = site_.settings.tick;
+    probed.elapsed = site_.settings.tick;
     const bool there = restarted_engine_up_ || !site_.restarted || probe.engine != RestartedId();
-    if (there && site_.reports != ReportWay::kNone) probed.load = ReportOf(probe.engine, true);
+    if (there && site_.reports != ReportWay::kNone) probed.load_report = ReportOf(probe.engine, true);
     probed.outcome = there ? Outcome::kOk : Outcome::kConnectFailed;
-    Schedule(now_ + probed.waited, [this, gateway, probed] {
+    Schedule(now_ + probed.elapsed, [this, gateway, probed] {
       gateways_[static_cast<std::size_t>(gateway)].events.push_back(probed);
     });
   }
@@ -495,13 +495,13 @@
     end.attempt = number;
     end.engine = a.engine;
     end.outcome = outcome;
-    end.waited = now_ - a.sent_at;
-    end.finished = served || active.over;
+    end.elapsed = now_ - a.sent_at;
+    end.request_finished = served || active.over;
     if (outcome == Outcome::kOk && site_.settings.reports_cost) {
       end.work = ToNanos(active.work);
       end.memory_mb = active.memory_mb;
     }
-    if (outcome == Outcome::kOk) end.load = ReportOf(a.engine, false);
+    if (outcome == Outcome::kOk) end.load_report = ReportOf(a.engine, false);
     checker_.Ended(now_, id, number, outcome);
     Post(active, end);
     if (served) CompleteServed(id);
@@ -525,7 +525,7 @@
       if (engines_[i]->idle()) idle.push_back({site_.engines[i].engine, engines_[i]->idle_since()});
     if (idle.empty()) return;
     std::vector<std::vector<EngineId>> avoided;
-    for (const Proxy& proxy : gateways_) avoided.push_back(proxy.decider->Avoided(now_));
+    for (const Proxy& proxy : gateways_) avoided.push_back(proxy.decider->EjectedEngines(now_));
     checker_.CheckIdle(now_, idle, avoided);
   }
 
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 SiteInvariantChecker::SiteInvariantChecker(const Site& site)
-    : site_(site), gateways_(static_cast<std::size_t>(site.settings.gateways)) {}
+    : site_(site), gateways_(static_cast<std::size_t>(site.settings.gateway_count)) {}
 
 bool SiteInvariantChecker::ActiveRequest::HasAttemptInFlight() const {
   return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
@@ -68,7 +68,7 @@
   open_[request.id] = gateway;
   GatewayState& state = gateways_[static_cast<std::size_t>(gateway)];
   state.submitted.push_back(now);
-  if (Ordered(active)) state.keys[request.key].order.push_back(request.id);
+  if (Ordered(active)) state.keys[request.ordering_key].order.push_back(request.id);
 }
 
 void SiteInvariantChecker::Sent(Nanos now, const Send& send) {
@@ -107,7 +107,7 @@
 bool SiteInvariantChecker::SameGroup(const ActiveRequest& active, EngineId a, EngineId b) const {
   const EngineEntry& x = site_.engines[a - 1];
   const EngineEntry& y = site_.engines[b - 1];
-  const RepeatGroup group = Class(active).group;
+  const RepeatGroup group = Class(active).repeat_group;
   if (group == RepeatGroup::kZone) return x.zone == y.zone;
   if (group == RepeatGroup::kCell) return x.cell == y.cell;
   return true;
@@ -115,7 +115,8 @@
 
 void SiteInvariantChecker::CheckOrder(Nanos now, const ActiveRequest& active) {
   if (!Ordered(active)) return;
-  const KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.key];
+  const KeyQueue& line =
+      gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
   if (line.order.empty() || line.order.front() != active.request.id)
     AddViolation(now, active.request.id, "an attempt before the one ahead of it in its key's order is over");
   if (now < line.settle_until) AddViolation(now, active.request.id, "an attempt while its key rests");
@@ -133,8 +134,8 @@
 }
 
 std::size_t SiteInvariantChecker::BudgetLeft(Nanos now, GatewayState& gateway) const {
-  const AttemptBudget& budget = *site_.settings.attempt_budget;
-  const Nanos from = now - budget.budget_window;
+  const RetryBudgetSettings& budget = *site_.settings.retry_budget;
+  const Nanos from = now - budget.window;
   while (!gateway.submitted.empty() && gateway.submitted.front() <= from) gateway.submitted.pop_front();
   while (!gateway.retries.empty() && gateway.retries.front() <= from) gateway.retries.pop_front();
   const double allowed = budget.free + budget.ratio * static_cast<double>(gateway.submitted.size());
@@ -143,7 +144,7 @@
 }
 
 void SiteInvariantChecker::CheckBudget(Nanos now, const ActiveRequest& active) {
-  if (!site_.settings.attempt_budget) return;
+  if (!site_.settings.retry_budget) return;
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
   if (BudgetLeft(now, state) == 0) AddViolation(now, active.request.id, "a further attempt past the budget");
   state.retries.push_back(now);
@@ -158,8 +159,8 @@
   ended.may_have_run = MayHaveRun(outcome);
   active.waiting_since = now;
   if (Ordered(active) && MayStillRun(outcome)) {
-    KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.key];
-    line.settle_until = now + site_.settings.order_settle;
+    KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
+    line.settle_until = now + site_.settings.ordering_key_pause;
   }
   ForgetIfOver(now, id);
 }
@@ -169,7 +170,7 @@
   if (it == requests_.end() || !it->second.has_response || it->second.HasAttemptInFlight()) return;
   if (Ordered(it->second)) {
     auto& keys = gateways_[static_cast<std::size_t>(it->second.gateway)].keys;
-    KeyQueue& line = keys[it->second.request.key];
+    KeyQueue& line = keys[it->second.request.ordering_key];
     std::erase(line.order, id);
     if (!line.order.empty())
       requests_.at(line.order.front()).waiting_since = std::max(now, line.settle_until);
@@ -223,7 +224,7 @@
   ForgetIfOver(now, rejection.id);
 }
 
-void SiteInvariantChecker::Failed(Nanos now, const Fail& fail) {
+void SiteInvariantChecker::Failed(Nanos now, const FailRequest& fail) {
   if (ActiveRequest* active = FindRequest(now, fail.id, "a failure"); active != nullptr) {
     RecordResponse(now, fail.id, *active);
     ForgetIfOver(now, fail.id);
@@ -247,8 +248,9 @@
 // Whether a rule holds the request back.
 bool SiteInvariantChecker::IsHeldBack(Nanos now, const ActiveRequest& active) {
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
-  if (Ordered(active) && state.keys[active.request.key].order.front() != active.request.id) return true;
-  return !active.attempts.empty() && site_.settings.attempt_budget && BudgetLeft(now, state) == 0;
+  if (Ordered(active) && state.keys[active.request.ordering_key].order.front() != active.request.id)
+    return true;
+  return !active.attempts.empty() && site_.settings.retry_budget && BudgetLeft(now, state) == 0;
 }
 
 bool SiteInvariantChecker::MayRunOn(Nanos now, const ActiveRequest& active, EngineId engine) {
--- a/src/testing/simulation/site_invariant_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -37,7 +37,7 @@
   void Granted(Nanos now, const ResourceGrant& grant);
   void Served(Nanos now, RequestId id);
   void Rejected(Nanos now, const RejectRequest& rejection);
-  void Failed(Nanos now, const Fail& fail);
+  void Failed(Nanos now, const FailRequest& fail);
   void Abandoned(Nanos now, RequestId id);
   // The client has waited to the end: from now on nobody waits for an answer.
   void TimedOut(Nanos now, RequestId id);
@@ -84,7 +84,7 @@
     return site_.settings.classes[active.request.class_id];
   }
   bool Ordered(const ActiveRequest& active) const {
-    return Class(active).in_order && active.request.key != 0;
+    return Class(active).in_order && active.request.ordering_key != 0;
   }
   void RecordResponse(Nanos now, RequestId id, ActiveRequest& active);
   void ForgetIfOver(Nanos now, RequestId id);  // if it has a response and no attempt in flight
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -49,13 +49,13 @@
 
 Settings SettingsOf(const Plan& plan) {
   Settings s;
-  s.gateways = plan.gateways;
+  s.gateway_count = plan.gateways;
   s.tick = kTick;
   for (const ClassOf& of : kClasses) {
     ClassSettings c;
     c.latency_objective = std::max<Nanos>(100 * kMs, static_cast<Nanos>(plan.small * 3e9));
     c.latency_objective_stretch = 2.5;
-    c.deadline = 10 * kSecond;
+    c.client_timeout = 10 * kSecond;
     c.priority_weight = of.work > 1 ? 10 : 1;
     c.late_weight_share = 0.3;
     c.threads = of.threads;
@@ -177,8 +177,8 @@
     request.class_id = class_id;
     request.client_timeout = 10 * kSecond;
     const double work = plan_.small * kClasses[class_id].work * -std::log(1 - Chance());
-    request.est_work = static_cast<Nanos>(std::max(1e-5, work) * 1e9);
-    request.tables = static_cast<std::uint32_t>(random_() % 20);
+    request.estimated_work = static_cast<Nanos>(std::max(1e-5, work) * 1e9);
+    request.table_group = static_cast<std::uint32_t>(random_() % 20);
     member.work[request.id] = std::max(1e-5, work);
     member.class_id[request.id] = class_id;
     member.events.push_back(request);
@@ -190,10 +190,10 @@
     end.id = send.id;
     end.attempt = member.attempts[send.id]++;
     end.engine = send.engine;
-    end.finished = true;
+    end.request_finished = true;
     end.work = static_cast<Nanos>(work * 1e9);
-    end.waited = static_cast<Nanos>(work * 1e9 / 2);
-    member.in_flight.push({now + end.waited, end});
+    end.elapsed = static_cast<Nanos>(work * 1e9 / 2);
+    member.in_flight.push({now + end.elapsed, end});
     if (send.engine == kObserved && now >= restart_of_engines_)
       Observe(plan_.small * kClasses[member.class_id.at(send.id)].work / mean_work_, now);
   }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -47,7 +47,7 @@
   std::vector<runtime::Time> connected_at;
   const auto close_connections = [&]() -> runtime::Task<> {
     for (std::unique_ptr<runtime::Socket> socket;; socket.reset()) {
-      if (co_await feed.Accept(socket) == runtime::Io::kOk) connected_at.push_back(runtime::Now());
+      if (co_await feed.Accept(socket) == runtime::IoResult::kOk) connected_at.push_back(runtime::Now());
     }
   };
   const auto stop_later = [&]() -> runtime::Task<> {
@@ -55,7 +55,7 @@
     loop.Stop();
   };
   discovery::EndpointWatch endpoint_watch(
-      loop, directory, feed.address().Text(), [](const EngineList&) {}, 7);
+      loop, directory, feed.address().ToString(), [](const EngineList&) {}, 7);
   loop.Spawn(close_connections());
   loop.Spawn(endpoint_watch.Run());
   loop.Spawn(stop_later());
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -62,7 +62,7 @@
   for (RequestId id = 1; id <= 4; ++id) host.Step({Ask(id, 0, 5 * kSecond, 2 * kSecond)});
   ASSERT_EQ(host.sends.size(), 4u);
   for (RequestId id = 1; id <= 4; ++id) {
-    host.Step({ClientGone{id}});
+    host.Step({RequestCancelled{id}});
     host.End(id, Outcome::kCancelled, kMs, 0, true);
   }
   host.List(Engines(2));
@@ -79,13 +79,13 @@
 TEST(EngineJam, AHomeIsPreferredOnlyUpToWhatFillsIt) {
   constexpr int kRequests = 1000, kFirst = 3000;  // until the demand that a start assumes is forgotten
   Settings settings = WithoutReports();
-  settings.gateways = 8;
+  settings.gateway_count = 8;
   Host host(settings);
   host.List(Engines(20));
   std::map<EngineId, int> sent;
   for (RequestId id = 1; id <= kFirst + kRequests; ++id) {
     Request request = Ask(id);
-    request.tables = 7;  // all of one group
+    request.table_group = 7;  // all of one group
     host.Step({request});
     if (id > kFirst) ++sent[host.engine_of[id]];
     host.End(id, Outcome::kOk, kWork);
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -13,9 +13,9 @@
 // charged to the gateway's credit; without credit none leaves unless an engine is idle.
 TEST(Share, HeavyQueriesAreHeldToAPartOfTheFleet) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.classes = {SomeClass(5, 4)};
-  s.classes[0].deadline = 30 * kSecond;
+  s.classes[0].client_timeout = 30 * kSecond;
   Host host(s);
   std::vector<EngineEntry> fleet;
   for (EngineId id = 1; id <= 20; ++id) fleet.push_back(Ready(id));
@@ -31,10 +31,10 @@
 // weight is 12 for a thread second, has spent the credit of one gateway of a hundred.
 int AttemptsWithoutCredit(const ClassSettings& class_id, Nanos time) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.report_fields.clear();
   s.classes = {class_id, SomeClass(12)};
-  s.classes[0].deadline = s.classes[1].deadline = 60 * kSecond;
+  s.classes[0].client_timeout = s.classes[1].client_timeout = 60 * kSecond;
   Host host(s);
   std::vector<EngineEntry> fleet;
   for (EngineId id = 1; id <= 20; ++id) fleet.push_back(Ready(id));
@@ -72,7 +72,7 @@
 // With many gateways nearly all load is that of others, so that a heavy request waits for a load report.
 TEST(Share, AHeavyQueryAsksAnEnginesLoadBeforeItGoes) {
   Settings s = SomeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.may_probe = true;
   s.classes = {SomeClass(1), SomeClass(5, 4)};
   s.classes[0].latency_objective = 100 * kMs;
@@ -82,33 +82,33 @@
   EXPECT_EQ(host.Attempts(1), 0);
   EXPECT_EQ(host.Attempts(2), 1) << "a light query doesn't wait";
   ASSERT_EQ(host.probes.size(), 1u);
-  Probed full;
+  ProbeEnded full;
   full.engine = host.probes[0];
-  full.load.count = 2;
-  full.load.values = {40, 1.0f};
+  full.load_report.count = 2;
+  full.load_report.values = {40, 1.0f};
   host.Step({full});
   EXPECT_EQ(host.Attempts(1), 0) << "others fill it";
   host.RunUntil(host.now + 300 * kMs);
   ASSERT_EQ(host.probes.size(), 2u) << "another look, a beat later";
-  Probed idle = full;
+  ProbeEnded idle = full;
   idle.engine = host.probes[1];
-  idle.load.values = {0, 0.0f};
+  idle.load_report.values = {0, 0.0f};
   host.Step({idle});
   EXPECT_EQ(host.Attempts(1), 1);
   EXPECT_EQ(host.engine_of[1], idle.engine);
 }
 
-Probed Report(EngineId engine, float inflight, float memory) {
-  Probed probed;
+ProbeEnded Report(EngineId engine, float inflight, float memory) {
+  ProbeEnded probed;
   probed.engine = engine;
-  probed.load.count = 2;
-  probed.load.values = {inflight, memory};
+  probed.load_report.count = 2;
+  probed.load_report.values = {inflight, memory};
   return probed;
 }
 
 Settings WithReports() {
   Settings s = SomeSettings();
-  s.gateways = 4;
+  s.gateway_count = 4;
   s.report_fields = {ReportField::kInflight, ReportField::kX0};
   s.may_probe = true;
   return s;
@@ -130,7 +130,7 @@
 // Engines admit requests beyond their memory, and then all that run there come to a standstill.
 TEST(Reports, AnEngineWhoseMemoryIsGrantedTakesNoMore) {
   Settings s = WithReports();
-  s.memory_short = MemoryShort::kSwap;
+  s.memory_shortage_policy = MemoryShortagePolicy::kSwap;
   Host host(s);
   host.List({Ready(1)});
   Request request = Ask(1);
@@ -185,14 +185,14 @@
   host.List({Ready(1)});
   for (RequestId id = 1; id <= 12; ++id) {
     Request r = Ask(id);
-    r.est_memory_mb = 100;
+    r.estimated_memory_mb = 100;
     host.Step({r});
     AttemptEnded e;
     e.id = id;
     e.engine = 1;
-    e.waited = e.work = 100 * kMs;
+    e.elapsed = e.work = 100 * kMs;
     e.memory_mb = 200;
-    e.finished = true;
+    e.request_finished = true;
     host.Step({e});
   }
   EXPECT_GE(host.grants[12].grant_mb, 180);
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -21,10 +21,10 @@
     e.id = id;
     e.engine = host.engine_of.at(id);
     e.outcome = Outcome::kOk;
-    e.waited = e.work = 100 * kMs;
-    e.finished = true;
-    e.load.count = 2;
-    e.load.values = {8, 1.0f};
+    e.elapsed = e.work = 100 * kMs;
+    e.request_finished = true;
+    e.load_report.count = 2;
+    e.load_report.values = {8, 1.0f};
     host.Step({e});
   }
 }
@@ -76,7 +76,7 @@
 
 TEST(Rule7, FurtherAttemptsStayWithinTheBudget) {
   Settings s = SomeSettings();
-  s.attempt_budget = AttemptBudget{1, 0.1, 10 * kSecond};
+  s.retry_budget = RetryBudgetSettings{1, 0.1, 10 * kSecond};
   Host host(s);
   host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
   for (RequestId id = 1; id <= 20; ++id) {
@@ -133,10 +133,10 @@
   AttemptEnded e;
   e.id = 1;
   e.engine = 1;
-  e.waited = e.work = 2 * kSecond;
-  e.finished = true;
-  e.load.count = 2;
-  e.load.values = {30, 0.5f};
+  e.elapsed = e.work = 2 * kSecond;
+  e.request_finished = true;
+  e.load_report.count = 2;
+  e.load_report.values = {30, 0.5f};
   host.Step({e});
   host.Step({Ask(2, 1, 4 * kSecond, 2 * kSecond)});
   EXPECT_EQ(host.Attempts(2), 0);
@@ -149,7 +149,7 @@
 // latency objectives are met it doesn't fall below its seed.
 TEST(Bound, StepsUpAndTakesBackAStepThatDidNotPay) {
   Settings s = SomeSettings();
-  s.classes[0].latency_objective = s.classes[0].deadline = 60 * kSecond;
+  s.classes[0].latency_objective = s.classes[0].client_timeout = 60 * kSecond;
   s.reports_cost = true;
   Host host(s);
   host.List({Ready(1)});
@@ -164,10 +164,10 @@
     AttemptEnded e;
     e.id = host.sends[next].id;
     e.engine = 1;
-    e.waited = e.work = 100 * kMs;
-    e.finished = true;
-    e.load.count = 2;
-    e.load.values = {14, 1.0f};
+    e.elapsed = e.work = 100 * kMs;
+    e.request_finished = true;
+    e.load_report.count = 2;
+    e.load_report.values = {14, 1.0f};
     host.Step({e});
     ++ended;
     const std::size_t running = host.sends.size() - ended;
@@ -235,7 +235,7 @@
       Host host(s, seed);
       host.List({Ready(1), Ready(2), Ready(3), Ready(4), Ready(5), Ready(6)});
       Request reader = Ask(1, 0), load = Ask(2, 1);
-      reader.tables = load.tables = tables;
+      reader.table_group = load.table_group = tables;
       host.Step({reader, load});
       ASSERT_EQ(host.sends.size(), 2u) << "each side has an engine";
       readers.insert(host.engine_of[1]);
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -56,9 +56,9 @@
     e.attempt = attempts_[id] - 1;
     e.engine = engine_of[id];
     e.outcome = outcome;
-    e.waited = waited;
+    e.elapsed = waited;
     e.work = work;
-    e.finished = finished || outcome == Outcome::kOk;
+    e.request_finished = finished || outcome == Outcome::kOk;
     Step({e});
   }
   int Attempts(RequestId id) { return attempts_[id]; }
@@ -81,7 +81,7 @@
     } else if (auto* reject = std::get_if<RejectRequest>(&action)) {
       rejected[reject->id] = now;
       retry_after[reject->id] = reject->retry_after;
-    } else if (auto* fail = std::get_if<Fail>(&action)) {
+    } else if (auto* fail = std::get_if<FailRequest>(&action)) {
       failed[fail->id] = now;
     } else if (auto* cancel = std::get_if<Cancel>(&action)) {
       cancels.insert(cancel->id);
@@ -103,7 +103,7 @@
   ClassSettings c;
   c.latency_objective = kSecond;
   c.latency_objective_stretch = 1;
-  c.deadline = 5 * kSecond;
+  c.client_timeout = 5 * kSecond;
   c.priority_weight = priority_weight;
   c.late_weight_share = 0.3;
   c.threads = threads;
@@ -113,7 +113,7 @@
 
 inline Settings SomeSettings() {
   Settings s;
-  s.gateways = 2;
+  s.gateway_count = 2;
   s.classes = {SomeClass()};
   s.kinds = {{8, 16384}};
   s.drain_grace = 250 * kMs;
@@ -122,7 +122,7 @@
   s.max_retry_after = 2 * kSecond;
   s.max_attempts = 3;
   s.report_fields = {ReportField::kInflight, ReportField::kUtil};
-  s.reports_in_answers = true;
+  s.reports_in_responses = true;
   return s;
 }
 
@@ -139,8 +139,8 @@
   r.id = id;
   r.class_id = class_id;
   r.client_timeout = client_timeout;
-  r.est_work = work;
-  r.tables = static_cast<std::uint32_t>(id % 17);
+  r.estimated_work = work;
+  r.table_group = static_cast<std::uint32_t>(id % 17);
   return r;
 }
 
--- a/tests/gateway_requests_test.cpp
+++ b/tests/gateway_requests_test.cpp
@@ -33,7 +33,7 @@
   Host host(SomeSettings());
   host.List({});
   host.Step({Ask(1)});
-  host.Step({ClientGone{1}});
+  host.Step({RequestCancelled{1}});
   host.List({Ready(1)});
   EXPECT_TRUE(host.sends.empty());
 }
@@ -55,7 +55,7 @@
 TEST(Rule2, AKeyedRequestStaysInItsGroupAndWindow) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
-  s.classes[0].group = RepeatGroup::kZone;
+  s.classes[0].repeat_group = RepeatGroup::kZone;
   s.classes[0].repeat_window = kSecond;
   Host host(s);
   EngineEntry other = Ready(3);
@@ -80,16 +80,16 @@
 TEST(Rule5, OneKeyRunsOneAtATimeAndRestsAfterAnUnknownEnd) {
   Settings s = SomeSettings();
   s.classes[0].in_order = true;
-  s.order_settle = 300 * kMs;
+  s.ordering_key_pause = 300 * kMs;
   Host host(s);
   host.List({Ready(1), Ready(2), Ready(3)});
   Request a = Ask(1), b = Ask(2), c = Ask(3);
-  a.key = b.key = 5;
-  c.key = 6;
+  a.ordering_key = b.ordering_key = 5;
+  c.ordering_key = 6;
   host.Step({a, b, c});
   ASSERT_EQ(host.sends.size(), 2u);
   EXPECT_EQ(host.Attempts(2), 0);
-  host.Step({ClientGone{1}});
+  host.Step({RequestCancelled{1}});
   EXPECT_EQ(host.Attempts(2), 0) << "the attempt is still out";
   host.End(1, Outcome::kCancelled, kMs, 0, true);
   Nanos ended = host.now;
@@ -103,7 +103,7 @@
 TEST(Rule2, ASilentKeyedAttemptIsRepeatedAtTheEndOfItsWindow) {
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
-  s.classes[0].deadline = 20 * kSecond;
+  s.classes[0].client_timeout = 20 * kSecond;
   s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
   host.List({Ready(1), Ready(2)});
@@ -154,7 +154,7 @@
   Settings s = SomeSettings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].repeat_window = kSecond;
-  s.classes[0].deadline = 20 * kSecond;
+  s.classes[0].client_timeout = 20 * kSecond;
   s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
   host.List({Ready(1), Ready(2)});
@@ -184,7 +184,7 @@
   host.Step({});
   AttemptEnded stray;
   stray.id = 77;
-  host.Step({stray, ClientGone{78}, ProgressNotice{79, 0, NoticeKind::kProgress, 0.5}, Probed{},
+  host.Step({stray, RequestCancelled{78}, ProgressNotice{79, 0, NoticeKind::kProgress, 0.5}, ProbeEnded{},
              TimerFired{5}, EngineList{ListKind::kFailed, nullptr}});
   EXPECT_TRUE(host.sends.empty());
   host.Step({Ask(1, 9)});
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -49,7 +49,7 @@
   draining.readiness = Readiness::kDraining;
   host.List({draining}, ListKind::kChange);
   host.Step({Ask(3, 1)});
-  host.Step({Closing{}});
+  host.Step({Shutdown{}});
   EXPECT_TRUE(host.rejected.contains(1));
   EXPECT_TRUE(host.failed.contains(2)) << "it may have run";
   EXPECT_TRUE(host.rejected.contains(3)) << "held: it never ran";
@@ -76,7 +76,7 @@
 
 TEST(FleetSize, TakeThePlaceOfWhatTheSettingsTellAlsoOverAReload) {
   Settings s = SomeSettings();
-  s.gateways = 2;
+  s.gateway_count = 2;
   const auto used = [&](bool told, bool reloaded) {
     Host host(s);
     if (told) host.Step({FleetSize{100, 3}});
@@ -87,7 +87,7 @@
     std::set<EngineId> engines;
     for (RequestId id = 1; id <= 300; ++id) {
       Request ask = Ask(id, 0, 4 * kSecond, kMs);
-      ask.tables = static_cast<std::uint32_t>(id);
+      ask.table_group = static_cast<std::uint32_t>(id);
       host.Step({ask});
       if (host.engine_of.contains(id))
         engines.insert(host.engine_of[id]), host.End(id, Outcome::kOk, kMs, kMs);
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -145,11 +145,11 @@
                                              {"send", reply({Send{kId, 0x03124a07, 0x04c4b400, 5}}), {}},
                                              {"cancel", reply({Cancel{kId, 3}}), {}},
                                              {"refuse", reply({RejectRequest{kId, 1'000'000'000}}), {}},
-                                             {"fail", reply({Fail{kId}}), {}},
+                                             {"fail", reply({FailRequest{kId}}), {}},
                                              {"wake_at", reply({WakeAt{0x213362490, 0x4d}}), {}},
                                              {"probe", reply({Probe{0x03124a07}}), {}},
-                                             {"watch_on", reply({WatchList{true}}), {}},
-                                             {"watch_off", reply({WatchList{false}}), {}},
+                                             {"watch_on", reply({WatchEngineList{true}}), {}},
+                                             {"watch_off", reply({WatchEngineList{false}}), {}},
                                              {"log_line", reply({LogLine{"a line"}}), {}}});
 }
 
@@ -206,12 +206,12 @@
   const auto& started = std::get<StreamStarted>(events[0]);
   EXPECT_EQ(started.id, 0x0123456789abcdefu);
   EXPECT_EQ(started.attempt, 2);
-  const auto& probed = std::get<Probed>(events[1]);
+  const auto& probed = std::get<ProbeEnded>(events[1]);
   EXPECT_EQ(probed.engine, 0x03124a07u);
-  EXPECT_EQ(probed.waited, 18'500'000);
+  EXPECT_EQ(probed.elapsed, 18'500'000);
   EXPECT_EQ(probed.outcome, Outcome::kTimeout);
-  EXPECT_EQ(probed.load.count, 1);
-  EXPECT_EQ(probed.load.values[0], 7.0F);
+  EXPECT_EQ(probed.load_report.count, 1);
+  EXPECT_EQ(probed.load_report.values[0], 7.0F);
   const auto& message = std::get<PeerMessage>(events[2]);
   EXPECT_EQ(message.sender, 0x0102);
   EXPECT_EQ(message.body, "abc");
@@ -238,7 +238,7 @@
         "000" +
             std::to_string(i + 1) + "00",
         2);
-    EXPECT_EQ(std::get<Probed>(batches.at(0).events.at(0)).outcome, outcomes[i]) << i + 1;
+    EXPECT_EQ(std::get<ProbeEnded>(batches.at(0).events.at(0)).outcome, outcomes[i]) << i + 1;
   }
 }
 
@@ -256,7 +256,7 @@
   EXPECT_TRUE(batches[0].stopped);
   EXPECT_TRUE(batches[0].started);
   EXPECT_EQ(batches[0].seed, 0x0123456789abcdefu);
-  EXPECT_EQ(batches[0].settings.gateways, 3);
+  EXPECT_EQ(batches[0].settings.gateway_count, 3);
 }
 
 // ---- The document of rules ----
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -180,7 +180,7 @@
 // Sends one answer slice by slice, as a loaded network brings it, and then nothing.
 class SlowFeed {
  public:
-  SlowFeed(runtime::Loop& loop, const std::string& body, std::size_t slices, runtime::Span pause)
+  SlowFeed(runtime::Loop& loop, const std::string& body, std::size_t slices, runtime::Duration pause)
       : loop_(loop),
         listener_(loop, *runtime::Address::Parse("127.0.0.1:0")),
         slices_(slices),
@@ -188,13 +188,13 @@
     answer_ = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
 
-  std::string address() const { return listener_.address().Text(); }
+  std::string address() const { return listener_.address().ToString(); }
   int connections() const { return connections_; }
 
   runtime::Task<> Run() {
     for (;;) {
       std::unique_ptr<runtime::Socket> socket;
-      if (co_await listener_.Accept(socket) != runtime::Io::kOk) co_return;
+      if (co_await listener_.Accept(socket) != runtime::IoResult::kOk) co_return;
       ++connections_;
       std::string request;
       co_await socket->Read(request, 4096, runtime::Now() + 1s);
@@ -202,7 +202,7 @@
       for (std::size_t at = 0; at < answer_.size(); at += slice) {
         std::size_t written = 0;
         const auto part = std::string_view(answer_).substr(at, slice);
-        if (co_await socket->Write(part, written, runtime::Now() + 1s) != runtime::Io::kOk) break;
+        if (co_await socket->Write(part, written, runtime::Now() + 1s) != runtime::IoResult::kOk) break;
         co_await loop_.Sleep(pause_);
       }
       sockets_.push_back(std::move(socket));
@@ -214,7 +214,7 @@
   runtime::Listener listener_;
   std::string answer_;
   std::size_t slices_;
-  runtime::Span pause_;
+  runtime::Duration pause_;
   int connections_ = 0;
   std::vector<std::unique_ptr<runtime::Socket>> sockets_;  // stay open
 };
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -19,9 +19,9 @@
   Settings s;
   s.tick = 5 * kMs;
   ClassSettings lookup, report;
-  lookup.latency_objective = 600 * kMs, lookup.deadline = 3 * kSecond, lookup.late_weight_share = 0.5;
-  report.latency_objective = 3 * kSecond, report.deadline = 15 * kSecond, report.late_weight_share = 0.5,
-  report.priority_weight = 4;
+  lookup.latency_objective = 600 * kMs, lookup.client_timeout = 3 * kSecond, lookup.late_weight_share = 0.5;
+  report.latency_objective = 3 * kSecond, report.client_timeout = 15 * kSecond,
+  report.late_weight_share = 0.5, report.priority_weight = 4;
   report.threads = 2;
   s.classes = {lookup, report};
   s.kinds = {{8, 16384}};
@@ -47,7 +47,7 @@
     Request request;
     request.id = ++last_;
     request.class_id = class_id, request.tenant = tenant;
-    request.client_timeout = client_timeout, request.est_memory_mb = memory_mb;
+    request.client_timeout = client_timeout, request.estimated_memory_mb = memory_mb;
     ends_[last_] = now_ + client_timeout;
     events_.push_back(request);
     return last_;
@@ -87,7 +87,7 @@
       if (const auto* send = std::get_if<Send>(&action)) Start(*send);
       if (const auto* cancel = std::get_if<Cancel>(&action))
         for (Attempt& attempt : out_) attempt.cancelled = attempt.cancelled || attempt.send.id == cancel->id;
-      if (const auto* probe = std::get_if<Probe>(&action)) events_.push_back(Probed{probe->engine});
+      if (const auto* probe = std::get_if<Probe>(&action)) events_.push_back(ProbeEnded{probe->engine});
       actions_.push_back(action);
     }
   }
@@ -105,10 +105,10 @@
     if (!answered && !attempt.cancelled && !over) return;
     AttemptEnded ended;
     ended.id = attempt.send.id, ended.attempt = attempt.number, ended.engine = attempt.send.engine;
-    ended.waited = now_ - attempt.since;
+    ended.elapsed = now_ - attempt.since;
     ended.outcome = attempt.cancelled ? Outcome::kCancelled : answered ? answer : Outcome::kTimeout;
-    ended.finished = ended.outcome == Outcome::kOk;
-    served += ended.finished;
+    ended.request_finished = ended.outcome == Outcome::kOk;
+    served += ended.request_finished;
     events_.push_back(ended);
     attempt.number = -1;
   }
@@ -172,7 +172,7 @@
     world.answer_after = 0;
     const RequestId id = world.Take(kLookup);
     world.RunFor(2 * kSecond);
-    world.Tell(ClientGone{id});
+    world.Tell(RequestCancelled{id});
     world.RunFor(2 * kSecond);
     EXPECT_EQ(!world.All<Cancel>().empty(), allowed);
   }
@@ -183,7 +183,7 @@
     Settings settings = Usual();
     settings.may_probe = allowed;
     settings.report_fields = {ReportField::kInflight};
-    settings.reports_in_answers = true;
+    settings.reports_in_responses = true;
     World world(settings);
     for (int i = 0; i < 20; ++i) world.Take(kReport, 14 * kSecond), world.RunFor(700 * kMs);
     world.RunFor(10 * kSecond);
@@ -214,7 +214,7 @@
     world.Take(kLookup);
     world.RunFor(4 * kSecond);
     EXPECT_EQ(world.All<Send>().size(), static_cast<std::size_t>(most));
-    EXPECT_EQ(world.All<RejectRequest>().size() + world.All<Fail>().size(), 1u);
+    EXPECT_EQ(world.All<RejectRequest>().size() + world.All<FailRequest>().size(), 1u);
   }
 }
 
@@ -267,18 +267,19 @@
     settings.list_on_request = on_request;
     World world(settings);
     world.RunFor(10 * kMs);
-    EXPECT_EQ(world.All<WatchList>().size(), on_request ? 1u : 0u);
+    EXPECT_EQ(world.All<WatchEngineList>().size(), on_request ? 1u : 0u);
     world.Tell(EngineList{ListKind::kFailed, nullptr});
     world.RunFor(10 * kMs);
-    EXPECT_EQ(world.All<WatchList>().size(), on_request ? 2u : 0u);
+    EXPECT_EQ(world.All<WatchEngineList>().size(), on_request ? 2u : 0u);
   }
 }
 
 // Engines are not filled beyond their memory, so how they'd bear it makes no difference.
 TEST(SettingsEffect, ShortMemoryIsKeptFromInAllThreeWays) {
-  for (const MemoryShort way : {MemoryShort::kQueue, MemoryShort::kTrim, MemoryShort::kSwap}) {
+  for (const MemoryShortagePolicy way :
+       {MemoryShortagePolicy::kQueue, MemoryShortagePolicy::kTrim, MemoryShortagePolicy::kSwap}) {
     Settings settings = Usual();
-    settings.memory_short = way;
+    settings.memory_shortage_policy = way;
     settings.honors_memory_grants = true;
     World world(settings, 1);
     world.answer_after = 0;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -54,14 +54,14 @@
   ASSERT_EQ(batches[0].events.size(), 2u);
   const auto& r = std::get<Request>(batches[0].events[0]);
   EXPECT_EQ(r.id, 0x0003fcd55d3a91c4u);
-  EXPECT_EQ(r.key, 0x91f03b7c55d20a64u);
+  EXPECT_EQ(r.ordering_key, 0x91f03b7c55d20a64u);
   EXPECT_EQ(r.client_timeout, 0x0e4e1c00);
-  EXPECT_EQ(r.est_work, 0xb71b00);
-  EXPECT_EQ(r.est_memory_mb, 384);
-  EXPECT_EQ(r.tables, 11u);
+  EXPECT_EQ(r.estimated_work, 0xb71b00);
+  EXPECT_EQ(r.estimated_memory_mb, 384);
+  EXPECT_EQ(r.table_group, 11u);
   EXPECT_EQ(std::get<TimerFired>(batches[0].events[1]).token, 0x4du);
   EXPECT_EQ(batches[1].instance, 5);
-  EXPECT_EQ(std::get<ClientGone>(batches[1].events[0]).id, 0x000814800e6f2b19u);
+  EXPECT_EQ(std::get<RequestCancelled>(batches[1].events[0]).id, 0x000814800e6f2b19u);
 }
 
 TEST(Decoder, PageListAndOutcome_AreRead) {
@@ -78,11 +78,11 @@
   EXPECT_EQ((*list.entries)[1].engine, 0x2c9011f2u);
   const auto& end = std::get<AttemptEnded>(batches[0].events[1]);
   EXPECT_EQ(end.outcome, Outcome::kOk);
-  EXPECT_TRUE(end.finished);
+  EXPECT_TRUE(end.request_finished);
   EXPECT_EQ(end.work, 17'000'000);
   EXPECT_EQ(end.memory_mb, 0x60 * 4);
-  EXPECT_EQ(end.load.count, 2);
-  EXPECT_FLOAT_EQ(end.load.values[0], 7);
+  EXPECT_EQ(end.load_report.count, 2);
+  EXPECT_FLOAT_EQ(end.load_report.values[0], 7);
 }
 
 TEST(Decoder, BrokenFrames_Throw) {
@@ -118,13 +118,13 @@
       "siblings=3\ndcs=a,b\nflavors=std\nrequestClasses.count=1\nrequestClasses.0.promiseNs=500000000\n"
       "requestClasses.0.effect=token\nrequestClasses.0.staysIn=b\nspecifics.threadsByClass=4\n"
       "guarantees.fallNs=1500000000\nunknown.key=x\n");
-  EXPECT_EQ(s.gateways, 3);
+  EXPECT_EQ(s.gateway_count, 3);
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
   EXPECT_EQ(s.classes[0].zones, std::vector<std::uint16_t>{1});
   EXPECT_EQ(s.classes[0].threads, 4);
   EXPECT_EQ(s.overload_window, 1500 * 1000000);
-  EXPECT_FALSE(s.attempt_budget.has_value());
+  EXPECT_FALSE(s.retry_budget.has_value());
   EXPECT_THROW(ParseSettings("siblings=many"), WireError);
   EXPECT_THROW(ParseSettings("siblings"), WireError);
   EXPECT_THROW(ParseSettings("requestClasses.count=1e12"), WireError);
