--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -10,20 +10,22 @@
 
 namespace {
 
-constexpr Span kUpdateInterval = 50ms;  // of charges, rates and forecasts
-constexpr Span kBacklogInterval = 5ms;  // between steps while reviews are due at once
-// Retry-After of a full queue: when about this many of the tenant's requests have left, or a fraction of the
-// estimated wait has passed.
+constexpr Span kUpdateInterval = 50ms;  // between updates of charges, rates and forecasts
+constexpr Span kBacklogInterval = 5ms;  // between steps while the review backlog is not empty
+// A request that is rejected because its tenant's queue is full may retry after the estimated time in which
+// about kPlacesBeforeRetry of the tenant's requests are dispatched. A request that is rejected because the
+// queue of all tenants is full may retry after 1/kQueueFullWaitDivisor of its estimated wait.
 constexpr int kPlacesBeforeRetry = 8;
 constexpr int kQueueFullWaitDivisor = 8;
-constexpr Span kImmediateStartTolerance = 100ms;  // allowed for a start without waiting
+// The latest start of an admitted request is at least this far ahead, unless its deadline is earlier.
+constexpr Span kImmediateStartTolerance = 100ms;
 constexpr double kVirtualTimeRateWindowSeconds = 4;
-constexpr double kEstimateBiasWeight = 0.03;  // of the newest response
-constexpr double kMaxEstimateError = 1.4;     // of the logarithm: limits the effect of an outlier
-constexpr double kMaxEstimateBias = 2.0;      // of the logarithm
+constexpr double kEstimateBiasWeight = 0.03;  // weight of the newest response
+constexpr double kMaxEstimateError = 1.4;     // logarithm of a ratio; limits the effect of an outlier
+constexpr double kMaxEstimateBias = 2.0;      // logarithm of a ratio
 constexpr double kMinWorkSeconds = 1e-6;      // avoids a division by zero
-constexpr double kMaxVirtualTimeRate = 20;    // per second: limits the effect of a jump
-constexpr double kMaxEstimateRatio = 200;     // to the default work of the class
+constexpr double kMaxVirtualTimeRate = 20;    // seconds per second; limits the effect of a jump
+constexpr double kMaxEstimateRatio = 200;     // ratio of an estimate to the default work of the class
 
 }  // namespace
 
@@ -76,7 +78,7 @@
                                                          const WaitEstimate& estimate, Time now) {
   const std::size_t waiting = tenants_[r.tenant].size();
   const std::size_t max_waiting = settings_.tenants[r.tenant].max_waiting;
-  // Places in a full queue become free at the rate that the estimate assumes.
+  // The queue of a tenant is assumed to drain at the rate on which the estimate is based.
   if (max_waiting > 0 && waiting >= max_waiting) {
     const Span retry_after = estimate.wait / static_cast<int>(1 + waiting / kPlacesBeforeRetry);
     return MakeReject(request, RejectReason::kTenantQueueFull, retry_after);
@@ -114,8 +116,8 @@
   r.raw_wait = RawWait(r, now);
   const WaitEstimate estimate = CorrectedEstimate(r, r.raw_wait);
   if (const auto rejected = RejectIfFullOrLate(request, r, estimate, now)) return {rejected, {}, {}};
-  // A request expected to run past its deadline is still tried if it can start at once: the expected run time
-  // is only an estimate.
+  // A request that is expected to run past its deadline is still admitted if it can start at once, since the
+  // expected run time is only an estimate.
   r.latest_start = std::max(r.latest_start, std::min(request.deadline, now + kImmediateStartTolerance));
   Enqueue(request, r, estimate, now);
   return {std::nullopt, estimate, r.latest_start};
@@ -179,7 +181,7 @@
   if (r.dispatched)
     tenants_[r.tenant].threads += (r.running_attempts - 1) * settings_.classes[r.class_id].threads;
   if (r.dispatched) threads_by_lane_[LaneOf(r.class_id)] -= settings_.classes[r.class_id].threads;
-  if (r.charged > Work::zero()) ledger_.Charge(r.tenant, -r.charged);  // dispatched, never started
+  if (r.charged > Work::zero()) ledger_.Charge(r.tenant, -r.charged);  // it never started
   requests_.erase(it);
   next_step_ = std::min(next_step_, now);
 }
@@ -210,7 +212,7 @@
   for (LaneState& lane : lanes_) {
     lane.pacer.Close(window, lane.had_waiting, fleet_cores_ > 0 ? cores : 0);
     lane.start_rate.Close(Seconds(window), true);
-    lane.had_waiting = true;  // until DispatchLane finds that none waits
+    lane.had_waiting = true;  // until DispatchLane finds no waiting request
     lane.forecast_stale = true;
   }
   for (TenantQueue& tenant : tenants_) {
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -1,17 +1,18 @@
-// Holds requests until the decision module has capacity for them: admits or rejects them, estimates their
+// Queues requests until the decision module has capacity for them: admits or rejects them, estimates their
 // waits, and dispatches them by tenant budget and aged priority.
 //
-// Order. Within a tenant and a lane (light or heavy classes) requests leave by their submission time less an
-// ageing credit, which grows with the logarithm of the priority weight of their class. All requests age at
-// the same rate, so the order of two waiting requests never changes (Jackson 1960; Kleinrock's time-dependent
-// priorities with equal slopes), and a request is overtaken only by ones submitted within the greatest
-// credit. Among tenants the least start tag goes first (fair_share_ledger.h).
+// Order: Within a tenant and a lane (light or heavy classes), requests are dispatched in the order of their
+// submission time minus an ageing credit, which grows with the logarithm of the priority weight of their
+// class. All requests age at the same rate, so the order of two waiting requests never changes (Jackson 1960;
+// Kleinrock's time-dependent priorities with equal slopes), and a request is overtaken only by requests that
+// are submitted at most the greatest ageing credit after it. Among tenants, the one with the least start tag
+// is served first (fair_share_ledger.h).
 //
-// Bounds. A request is dispatched or rejected by its latest start: its deadline less its expected run time,
-// or its submission plus the max_wait of its class if that is earlier. See docs/admission_queue.md.
+// Bounds: A request is dispatched or rejected by its latest start: its deadline minus its expected run time,
+// or its submission time plus the max_wait of its class if that is earlier. See docs/admission_queue.md.
 //
-// Not thread-safe: used by one thread. Every submitted request leaves by exactly one of OnAttemptStarted (its
-// first), Reject and OnRequestCompleted.
+// Not thread-safe: must be used by a single thread. Every submitted request leaves the queue in exactly one
+// way: by its first OnAttemptStarted, by a Reject or by OnRequestCompleted.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_ADMISSION_QUEUE_H_
 #define LEMONCROFT_ADMISSION_QUEUE_ADMISSION_QUEUE_H_
 
@@ -38,40 +39,42 @@
  public:
   explicit AdmissionQueue(Settings settings);
 
-  // Replaces the settings, also while requests wait and run. Tenants and classes must keep their indexes; a
-  // tenant past the end of the list loses its budget, and its waiting requests are rejected by later Steps.
+  // Replaces the settings; requests may be waiting and running. Tenants and classes must keep their indexes.
+  // A tenant past the end of the new list loses its budget, and its waiting requests are rejected by later
+  // calls of Step.
   void Configure(Settings settings, Time now);
-  // Sets the cores of all ready engines of the fleet.
+  // Sets the total number of cores of all ready engines of the fleet.
   void SetFleetCores(double cores, Time now);
 
   // The outcome of Submit.
   struct SubmitResult {
     std::optional<Reject> rejected;
     WaitEstimate estimate;
-    Time dispatch_deadline{};  // dispatched or rejected by then
+    Time dispatch_deadline{};  // the request is dispatched or rejected by this time
   };
-  // Queues a request or rejects it. A rejected request is not known afterwards. The id must not be in use by
-  // an open request.
+  // Queues a request or rejects it. After a rejection, the id of the request is unknown to the queue. The id
+  // must not be in use by an open request.
   SubmitResult Submit(const QueuedRequest& request, Time now);
 
-  // Reports the start of an attempt of a dispatched request; `priority`: 0 to 3, as sent to the engine.
-  // Unknown ids are ignored, here and below.
+  // Reports that an attempt of a dispatched request has started. `priority` is the value sent to the engine,
+  // 0 to 3. This call and the following ones ignore unknown ids.
   void OnAttemptStarted(RequestId id, int attempt, int priority, Time now);
-  // Reports the end of an attempt; `reported_work`: from the engine's response, zero if unknown; `executed`:
-  // whether any of it may have run.
+  // Reports that an attempt has ended. `reported_work` comes from the engine's response and is zero if
+  // unknown. `executed` is true if any part of the attempt may have run.
   void OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool executed, Time now);
-  // Reports that a request has its final response or that its client has gone. The ends of attempts that
-  // still run are reported afterwards.
+  // Reports that a request has received its final response or that its client has cancelled it. The ends of
+  // attempts that are still running are reported afterwards.
   void OnRequestCompleted(RequestId id, Time now);
 
-  // Makes the decisions that are due and appends them. To be called after any call above and at
-  // NextStepTime().
+  // Makes the decisions that are due and appends them to `decisions`. Must be called after any call above and
+  // at NextStepTime().
   void Step(Time now, std::vector<Decision>& decisions);
   Time NextStepTime() const { return next_step_; }
 
-  // The current estimate of a request; none once its first attempt has started.
+  // Returns the current estimate of a request, or nothing once its first attempt has started.
   std::optional<WaitEstimate> EstimateWait(RequestId id, Time now);
-  // The delay after which a rejected request should retry: the estimated wait of a newcomer of its class.
+  // Returns the delay after which a rejected request should retry: the upper bound of the estimated wait of a
+  // new request of its tenant and class.
   Span RetryAfter(TenantId tenant, ClassId class_id, Time now);
 
   struct TenantState {
@@ -82,18 +85,18 @@
     int threads = 0;
     std::size_t waiting = 0;
     Work waiting_work{};
-    Span longest_wait{};  // greatest estimate for a newcomer of any class
+    Span longest_wait{};  // greatest estimate for a new request of any class
     std::uint64_t submitted = 0, dispatched = 0, rejected = 0;
   };
   struct State {
     std::vector<TenantState> tenants;
-    double fleet_cores = 0, scale = 1;       // scale: of the budgets, 1 or less
+    double fleet_cores = 0, scale = 1;       // scale: factor applied to all budgets, at most 1
     std::array<double, 2> pace{};            // core-seconds per second, heavy and light
-    std::array<double, 2> estimate_error{};  // mean error of the logarithm, heavy and light
+    std::array<double, 2> estimate_error{};  // mean error of the logarithm of the wait, heavy and light
     std::size_t waiting = 0, dispatched = 0, running = 0;
     int overrun_threads = 0;
   };
-  // A summary for the state file.
+  // Returns a summary for the state file.
   State Describe(Time now);
   std::size_t waiting() const { return waiting_count_; }
   std::size_t open_requests() const { return requests_.size(); }
@@ -107,12 +110,12 @@
     ClassId class_id = 0;
     bool dispatched = false, started = false, wants_updates = false;
     std::int16_t running_attempts = 0;
-    std::uint8_t overtaken_by = 0;  // requests dispatched later and started earlier
+    std::uint8_t overtaken_by = 0;  // number of requests that were dispatched later but started earlier
     WorkIndex::Place place = 0;
     Work work{}, charged{};
     Time submitted_at{}, latest_start{};
     Span raw_wait{};         // the estimate at submission, before correction
-    Time announced_start{};  // by the last estimate reported
+    Time announced_start{};  // according to the last estimate that was reported
     Time next_review{};
   };
   struct TenantQueue {
@@ -120,7 +123,7 @@
     std::vector<RateEstimator> arrival_rates;  // core-seconds per second, by class
     std::array<Work, kLanes> waiting_work{};
     std::array<std::size_t, kLanes> waiting_count{};
-    int threads = 0;  // held by dispatched requests, and by attempts that outlive their request
+    int threads = 0;  // reserved by dispatched requests, or used by attempts that outlive their request
     std::uint64_t submitted = 0, dispatched = 0, rejected = 0;
     std::size_t size() const { return waiting_count[0] + waiting_count[1]; }
   };
@@ -128,16 +131,16 @@
     DispatchPacer pacer;
     EstimateAccuracy accuracy;
     RateEstimator start_rate{2.0};
-    std::vector<RequestId> dispatched;  // not started yet, oldest first
+    std::vector<RequestId> dispatched;  // dispatched but not started, oldest first
     Work dispatched_work{};
-    Time next_dispatch_at{};  // while the lane is paced
-    // Blocked: nothing is dispatched until a request that many others have overtaken starts.
+    Time next_dispatch_at{};  // earliest next dispatch while the lane is paced
+    // A blocked lane dispatches nothing until a request that many others have overtaken starts.
     bool blocked = false;
     Time blocked_since{};
     bool had_waiting = false;  // requests have waited throughout the current update interval
     WaitForecast forecast;
     Time forecast_at{};
-    std::size_t forecast_waiting = 0;  // requests that waited then
+    std::size_t forecast_waiting = 0;  // number of requests that waited at `forecast_at`
     bool forecast_stale = true;
   };
 
@@ -200,12 +203,12 @@
   std::array<LaneState, kLanes> lanes_;
   std::unordered_map<RequestId, Request> requests_;
   TimerWheel review_timers_;
-  std::deque<RequestId> review_backlog_;  // to be reviewed at once: the fleet or the budgets have changed
-  std::vector<std::string> pending_log_;  // texts for the next Step
+  std::deque<RequestId> review_backlog_;  // to be reviewed at once after a change of the fleet or the budgets
+  std::vector<std::string> pending_log_;  // texts of the log events that the next Step appends
   double fleet_cores_ = 0, budget_scale_ = 1;
-  double virtual_time_rate_ = 0;       // moving average, per second
+  double virtual_time_rate_ = 0;       // moving average, seconds per second
   double last_virtual_time_ = 0;       // at the last update
-  std::vector<int> last_priorities_;   // of the latest first attempt, by class
+  std::vector<int> last_priorities_;   // priority of the latest first attempt, by class
   std::vector<double> estimate_bias_;  // logarithm of reported over estimated work, by class
   std::size_t waiting_count_ = 0;
   std::array<int, kLanes> threads_by_lane_{};  // of dispatched requests that are not complete
--- a/src/admission_queue/configuration.cpp
+++ b/src/admission_queue/configuration.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr double kArrivalRateWindowSeconds = 5;
-constexpr double kMinScaleChange = 0.01;  // of the budgets, to be logged
+constexpr double kMinScaleChange = 0.01;  // smaller changes of the budget scale aren't logged
 
 }  // namespace
 
 void AdmissionQueue::Configure(Settings settings, Time now) {
-  // An index now used by another class must not inherit its estimate bias.
+  // A class must not inherit the estimate bias of the class that used its index before.
   for (std::size_t i = 0; i < std::min(estimate_bias_.size(), settings.classes.size()); ++i) {
     if (settings_.classes[i].name != settings.classes[i].name) estimate_bias_[i] = 0;
   }
@@ -44,7 +44,7 @@
   fleet_cores_ = std::max(0.0, cores);
   ApplyBudgets();
   for (LaneState& lane : lanes_) lane.forecast_stale = true;
-  // Review all waiting requests: their estimates change, and some can no longer start in time.
+  // Reviews all waiting requests, since their estimates change and some can no longer start in time.
   review_backlog_.clear();
   for (const TenantQueue& tenant : tenants_) {
     for (const WorkIndex& queue : tenant.class_queues) {
--- a/src/admission_queue/dispatch.cpp
+++ b/src/admission_queue/dispatch.cpp
@@ -10,20 +10,21 @@
 
 namespace {
 
-// Requests dispatched and not started, heavy and light: enough that the module never runs out of them, few
-// enough that the queue determines the order.
+// Limits on the number of requests that are dispatched but not started (by lane, heavy and light): enough
+// that the module never runs out of requests, few enough that the queue determines the order.
 constexpr std::array<std::size_t, 2> kMinDispatchWindow = {3, 16};
 constexpr std::size_t kMaxDispatchWindow = 512;
-constexpr double kDispatchWindowSeconds = 0.06;  // of the lane's recent starts
-// A request overtaken this often blocks its lane until it starts. It is given up after kMaxBlockedTime, since
-// the module evidently can't place it.
+constexpr double kDispatchWindowSeconds = 0.06;  // number of starts in this time, at the lane's recent rate
+// A request that is overtaken this often blocks its lane until it starts. After kMaxBlockedTime the lane
+// continues without it, since the module evidently can't place it.
 constexpr std::uint8_t kMaxOvertakes = 6;
 constexpr Span kMaxBlockedTime = 1s;
-// Of the wanted number of heavy threads: below the first no pacing, above the second no dispatch.
+// Fractions of the wanted number of heavy threads. Below the first, dispatches aren't paced; from the second
+// on, nothing is dispatched.
 constexpr double kUnpacedLoad = 0.8, kMaxLoad = 1.3;
-constexpr double kPacingGain = 1.5;       // of the pace, per relative deviation from the wanted threads
-constexpr double kMaxDeviation = 0.5;     // from the wanted threads, relative
-constexpr Span kMaxPacingCredit = 100ms;  // of dispatch time that was missed
+constexpr double kPacingGain = 1.5;       // relative rate change per relative deviation from wanted threads
+constexpr double kMaxDeviation = 0.5;     // relative deviation from the wanted threads
+constexpr Span kMaxPacingCredit = 100ms;  // limits how much missed dispatch time is made up for
 
 }  // namespace
 
@@ -47,10 +48,10 @@
   return first;
 }
 
-// A request holds its threads from dispatch to completion, also between two attempts, so that a retry finds
-// them free. Attempts that outlive it hold theirs until they end.
+// A request reserves its threads from dispatch to completion, also between two attempts, so that they are
+// available to a retry. Attempts that outlive their request occupy their threads until they end.
 bool AdmissionQueue::HasThreads(TenantId t, ClassId class_id) const {
-  if (tenants_[t].threads == 0) return true;  // a request wider than the cap may run alone
+  if (tenants_[t].threads == 0) return true;  // a request that needs more may run alone
   return ledger_.WithinThreadCap(t, tenants_[t].threads + settings_.classes[class_id].threads);
 }
 
@@ -64,12 +65,12 @@
   return next;
 }
 
-// Heavy requests run concurrently up to a number of threads per core; beyond it an engine only divides the
-// same capacity further. Near that number dispatches are spaced by DispatchInterval: dispatched at each
-// completion, requests would leave in bursts that can't be predicted.
+// Heavy requests run concurrently up to a number of threads per core; beyond it, an engine only divides the
+// same capacity further. Near that number, dispatches are spaced by DispatchInterval: a dispatch at each
+// completion would cause bursts that can't be predicted.
 bool AdmissionQueue::HasCapacity(Lane lane, Time now) const {
   const double wanted = settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share;
-  // Light requests seldom come near the limit, but a flood of them must not slow down everything that runs.
+  // Light requests rarely reach the limit, but a flood of them must not slow down all running requests.
   if (lane == kLight) return threads_by_lane_[kLight] < wanted;
   if (threads_by_lane_[kHeavy] < kUnpacedLoad * wanted) return true;
   return threads_by_lane_[kHeavy] < kMaxLoad * wanted && now >= lanes_[lane].next_dispatch_at;
@@ -136,7 +137,7 @@
     state.blocked = true;
     state.blocked_since = now;
   } else if (now - state.blocked_since >= kMaxBlockedTime) {
-    Request& r = requests_.at(*stuck);  // no longer counted, so that others continue
+    Request& r = requests_.at(*stuck);  // no longer considered, so that others continue
     RemoveFromDispatched(*stuck, r);
     state.blocked = false;
   }
--- a/src/admission_queue/dispatch_pacer.cpp
+++ b/src/admission_queue/dispatch_pacer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kDefaultPace = 0.8;   // core-seconds per second and core, before any measurement
-constexpr double kConfidenceGain = 4;  // of the weight of the busy rate
+constexpr double kConfidenceGain = 4;  // confidence per weight of the rate while requests waited
 constexpr double kMinPace = 1e-3;      // per core: keeps estimates finite
 
 }  // namespace
@@ -33,8 +33,8 @@
   any_.Close(Seconds(window), cores > 0);
 }
 
-// The rate while requests waited is the lane's capacity. The rate over all windows is only a lower bound of
-// it, used until enough of the former is known.
+// The rate while requests waited is the capacity of the lane. The rate over all windows is only a lower bound
+// of the capacity; it is used until enough windows in which requests waited have been measured.
 double DispatchPacer::Now(double cores) const {
   const double confidence = std::min(1.0, busy_.weight() * kConfidenceGain);
   const double guess = any_.known() ? std::max(any_.per_second(), kDefaultPace / 2) : kDefaultPace;
--- a/src/admission_queue/dispatch_pacer.h
+++ b/src/admission_queue/dispatch_pacer.h
@@ -1,4 +1,4 @@
-// Measures how fast a lane's work is dispatched.
+// Measures the rate at which the work of a lane starts.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_DISPATCH_PACER_H_
 #define LEMONCROFT_ADMISSION_QUEUE_DISPATCH_PACER_H_
 
@@ -9,14 +9,14 @@
 // An exponentially weighted moving average of a rate, updated once per time window.
 class RateEstimator {
  public:
-  // `time_constant`: of the exponential decay, in seconds.
+  // `time_constant` of the exponential decay is in seconds.
   explicit RateEstimator(double time_constant) : time_constant_(time_constant) {}
   void Add(double amount) { window_ += amount; }
-  // Ends a window of `seconds`. The window is discarded unless `counts`.
+  // Ends a window that lasted `seconds`. The window is discarded unless `counts` is true.
   void Close(double seconds, bool counts);
   double per_second() const { return value_; }
   bool known() const { return weight_ > 0; }
-  double weight() const { return weight_; }  // confidence: 0 unknown, towards 1
+  double weight() const { return weight_; }  // confidence, from 0 (no window counted) towards 1
 
  private:
   double time_constant_;  // seconds
@@ -24,15 +24,15 @@
   double value_ = 0, weight_ = 0;
 };
 
-// The dispatch rate of one lane: core-seconds started per second while requests of the lane waited. Stored
-// per available core, so that it follows a change of capacity at once.
+// The dispatch rate of one lane: core-seconds started per second while requests of the lane waited. The rate
+// is stored per available core, so that it follows a change of capacity at once.
 class DispatchPacer {
  public:
   DispatchPacer() : busy_(8.0), any_(4.0) {}
   void Started(Work work);
-  // Ends a window during which `cores` were available; `had_waiting`: some requests waited throughout.
+  // Ends a window during which `cores` were available. `had_waiting` is true if requests waited throughout.
   void Close(Span window, bool had_waiting, double cores);
-  // Core-seconds per second with `cores` available; greater than zero if `cores` is.
+  // Returns the core-seconds per second with `cores` available, greater than zero if `cores` is.
   double Now(double cores) const;
 
  private:
--- a/src/admission_queue/estimate_accuracy.cpp
+++ b/src/admission_queue/estimate_accuracy.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Errors are of the logarithm of the wait.
-constexpr double kLearningWeight = 0.003;                         // of the newest wait
+// Biases and errors are differences between logarithms of waits.
+constexpr double kLearningWeight = 0.003;                         // minimum weight of the newest wait
 constexpr double kMaxBias = 0.7;                                  // a correction by a factor of two
 constexpr double kMaxEstimateError = 0.8;                         // limits the effect of one outlier
 constexpr double kUpperBoundErrors = 1.6;                         // mean errors above the estimate
-constexpr double kLowerBoundErrors = 0.8;                         // mean errors below it
+constexpr double kLowerBoundErrors = 0.8;                         // mean errors below the estimate
 constexpr Span kMinMeasuredWait = std::chrono::milliseconds(50);  // shorter waits count as this long
 constexpr Span kBoundTolerance = std::chrono::milliseconds(50);   // added to both bounds
 
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-// The bias is learnt from raw estimates: learnt from corrected ones it would feed back on itself with the
-// delay of a whole wait, and oscillate.
+// The bias is computed from raw estimates. If it were computed from corrected estimates, it would feed back
+// on itself with the delay of a complete wait, and oscillate.
 void EstimateAccuracy::Learn(Span raw_wait, Span real_wait) {
   const auto log = [](Span span) { return std::log(Seconds(std::max(span, kMinMeasuredWait))); };
   const double weight = std::max(kLearningWeight, 1.0 / (++learned_ + 100));
--- a/src/admission_queue/estimate_accuracy.h
+++ b/src/admission_queue/estimate_accuracy.h
@@ -1,4 +1,5 @@
-// Compares raw wait estimates with real waits: learns a bias correction, and the mean error that remains.
+// Compares raw wait estimates with actual waits, and maintains a bias correction and the mean error that
+// remains after it.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_ESTIMATE_ACCURACY_H_
 #define LEMONCROFT_ADMISSION_QUEUE_ESTIMATE_ACCURACY_H_
 
@@ -10,7 +11,7 @@
  public:
   void Learn(Span raw_wait, Span real_wait);
   Span Corrected(Span raw_wait) const;
-  // Bounds around a corrected estimate that most real waits keep.
+  // Bounds around a corrected estimate; most actual waits lie within them.
   Span UpperBound(Span corrected_wait) const;
   Span LowerBound(Span corrected_wait) const;
   double bias() const { return bias_; }
--- a/src/admission_queue/fair_share_ledger.cpp
+++ b/src/admission_queue/fair_share_ledger.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 // A tenant may always be this far ahead: a heavy request is charged in full when it is dispatched, and must
-// not hold up the light ones of the same tenant.
+// not delay the light requests of the same tenant.
 constexpr double kMinLead = 1.0;  // seconds
 }  // namespace
 
@@ -41,8 +41,8 @@
   Account& account = accounts_[tenant];
   if (account.competing == competing) return;
   if (competing) {
-    // While no tenant competed, all were served on arrival and none is owed service: start from the greatest
-    // tag.
+    // While no tenant competed, all requests were served on arrival and no tenant is owed service, so this
+    // tenant starts from the greatest start tag.
     double from = virtual_time_;
     if (std::none_of(accounts_.begin(), accounts_.end(), [](const Account& a) { return a.competing; })) {
       for (const Account& a : accounts_) from = std::max(from, a.start_tag);
@@ -57,7 +57,7 @@
   Account& account = accounts_[tenant];
   work = std::max(work, -account.charged);
   account.charged += work;
-  // Work still running of a tenant that has lost its budget can be charged to nobody.
+  // A tenant that has lost its budget may still have running work. Its start tag doesn't advance.
   if (account.cores > 0) account.start_tag += Seconds(work) / account.cores;
   UpdateVirtualTime();
 }
--- a/src/admission_queue/fair_share_ledger.h
+++ b/src/admission_queue/fair_share_ledger.h
@@ -1,9 +1,9 @@
-// Accounts of the work charged to each tenant, as in start-time fair queueing (Goyal, Vin and Cheng 1996).
+// Accounts for the work charged to each tenant, as in start-time fair queueing (Goyal, Vin and Cheng 1996).
 //
 // A tenant's start tag, in seconds, advances by its charged work divided by its budget; the competing tenant
 // with the least start tag is served next. Capacity that one tenant leaves unused goes to the others in
-// proportion to their budgets until its next request. A start tag lags the virtual time by the tenant's burst
-// at most, so unused budget is not saved up.
+// proportion to their budgets until its next request. A start tag lags behind the virtual time by at most the
+// tenant's burst, so unused budget doesn't accumulate.
 //
 // Owns the accounts. Tenant ids passed in must be below size().
 #ifndef LEMONCROFT_ADMISSION_QUEUE_FAIR_SHARE_LEDGER_H_
@@ -19,7 +19,7 @@
 class FairShareLedger {
  public:
   struct Account {
-    double cores = 0;        // this proxy's share of the budget, after scaling; 0: may not send
+    double cores = 0;        // this proxy's share of the budget, after scaling; 0: nothing is dispatched
     double burst = 0;        // seconds
     double start_tag = 0;    // seconds
     int threads = 0;         // of running attempts
@@ -28,25 +28,25 @@
     Work charged{};          // in total, never negative
   };
 
-  // Applies new budgets. Accounts keep their start tags and threads; ones past the end of `tenants` lose
+  // Applies new budgets. Accounts keep their start tags and threads; accounts past the end of `tenants` lose
   // their budget. Budgets that add up to more than `capacity` cores are scaled down in proportion. Returns
-  // the scale, 1 or less.
+  // the scale, at most 1.
   double Configure(const std::vector<TenantBudget>& tenants, double budget_share, double capacity);
 
-  // A tenant that begins to compete is moved up to the virtual time less its burst.
+  // The start tag of a tenant that begins to compete is raised to at least the virtual time minus its burst.
   void SetCompeting(TenantId tenant, bool competing);
-  // Negative work is a refund, limited to what was charged.
+  // Negative work is a refund; it is limited to the work charged so far.
   void Charge(TenantId tenant, Work work);
   void AcquireThreads(TenantId tenant, int threads) { accounts_[tenant].threads += threads; }
   void ReleaseThreads(TenantId tenant, int threads) { accounts_[tenant].threads -= threads; }
 
   bool MaySend(TenantId tenant) const { return accounts_[tenant].cores > 0; }
-  // Whether the tenant may hold `threads` in total.
+  // Returns true if the tenant may use `threads` threads in total.
   bool WithinThreadCap(TenantId tenant, int threads) const;
-  // Whether the start tag is at most MaxLead ahead of the virtual time.
+  // Returns true if the start tag is at most MaxLead ahead of the virtual time.
   bool WithinMaxLead(TenantId tenant) const;
   double MaxLead(TenantId tenant) const;  // seconds
-  // The least start tag of the competing tenants, or the last such value while none competes; seconds.
+  // The least start tag of the competing tenants, or its last value while no tenant competes; seconds.
   double virtual_time() const { return virtual_time_; }
   const Account& at(TenantId tenant) const { return accounts_[tenant]; }
   std::size_t size() const { return accounts_.size(); }
--- a/src/admission_queue/reviews.cpp
+++ b/src/admission_queue/reviews.cpp
@@ -1,5 +1,5 @@
-// Periodic reviews of the waiting requests of AdmissionQueue: late ones are rejected, changed estimates
-// reported.
+// Periodic reviews of the waiting requests of AdmissionQueue: rejects requests that can't start in time and
+// reports changed estimates.
 
 #include <algorithm>
 
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr Span kMinReviewInterval = 100ms;  // of one waiting request
+constexpr Span kMinReviewInterval = 100ms;  // between two reviews of a waiting request
 constexpr std::size_t kMaxReviewsPerStep = 2048;
-// An estimate is reported again when the start moves by this much of the wait, and at least by so much.
+// An estimate is reported again when the expected start moves by more than this fraction of the wait and by
+// more than kMinEstimateChange.
 constexpr double kMinEstimateChangeRatio = 0.4;
 constexpr Span kMinEstimateChange = 750ms;
 
@@ -22,7 +23,7 @@
 void AdmissionQueue::ReviewDueRequests(Time now, std::vector<Decision>& decisions) {
   std::size_t left = kMaxReviewsPerStep;
   for (; !review_backlog_.empty() && left > 0; --left) {
-    const RequestId id = review_backlog_.back();  // the last are the most likely to be late
+    const RequestId id = review_backlog_.back();  // the last ids are the most likely to be late
     review_backlog_.pop_back();
     if (const auto it = requests_.find(id); it != requests_.end())
       ReviewRequest(id, it->second, now, decisions, false);
@@ -49,7 +50,7 @@
 
 Reject AdmissionQueue::RejectWaiting(RequestId id, Request& r, RejectReason reason, Time now) {
   RemoveFromQueue(r);
-  Request resubmitted = r;  // as if submitted again, behind all of its class
+  Request resubmitted = r;  // as if submitted now, behind all waiting requests of its class
   resubmitted.place = tenants_[r.tenant].class_queues[r.class_id].end();
   resubmitted.submitted_at = now;
   const Span slack = r.latest_start - r.submitted_at;
@@ -80,9 +81,9 @@
   if (reschedule) ScheduleReview(id, r, now, estimate.wait);
 }
 
-// A request that wants updates is reviewed more often as its start comes near. Any other is reviewed after
-// its expected start, or when half of its slack is gone: it can't be late earlier. Changes of the fleet or
-// the budgets put all requests into the backlog instead.
+// A request that wants updates is reviewed more often as its start approaches. Any other request is reviewed
+// after its expected start or when half of its slack has passed, whichever is later: it can't be late before.
+// Changes of the fleet or the budgets put all waiting requests into the backlog instead.
 void AdmissionQueue::ScheduleReview(RequestId id, Request& r, Time now, Span wait) {
   const Span slack = r.latest_start - now - wait;
   const Span until = r.wants_updates ? wait / 3 : std::max(wait + wait / 4, slack / 2);
--- a/src/admission_queue/running_attempts.cpp
+++ b/src/admission_queue/running_attempts.cpp
@@ -5,8 +5,8 @@
 namespace lemoncroft::admission_queue {
 
 namespace {
-constexpr double kOverrunRatio = 1.5;  // times its estimate: counted as overrun
-constexpr double kSpeedWeight = 0.01;  // of the newest response
+constexpr double kOverrunRatio = 1.5;  // work done over estimated work, above which an attempt overruns
+constexpr double kSpeedWeight = 0.01;  // minimum weight of the newest response
 constexpr double kMaxStretch = 50;     // limits the effect of a hung response
 }  // namespace
 
@@ -27,7 +27,7 @@
   if (a.overrun) overrun_threads_ -= a.start.threads;
   const Span elapsed = now - a.since;
   if (reported_work > Work::zero()) {
-    // A ratio of sums rather than a mean of ratios, so that long attempts weigh more.
+    // The ratio is computed from two averages instead of averaging ratios, so that long attempts weigh more.
     PrioritySpeed& speed = speeds_[Index(a.start.priority)];
     const double seen = std::min(Seconds(elapsed) * a.start.threads, kMaxStretch * Seconds(reported_work));
     const double weight = std::max(kSpeedWeight, 1.0 / (++speed.answers + 5));
--- a/src/admission_queue/running_attempts.h
+++ b/src/admission_queue/running_attempts.h
@@ -1,8 +1,10 @@
-// The running attempts: the work charged for each, the work it should have used by now, and overruns.
+// Tracks the running attempts: the work charged for each, the work that it is expected to have done by now,
+// and overruns.
 //
-// An attempt is charged its estimate when its request is dispatched, more while it runs past the estimate,
-// and is settled when it ends, by the work the engine reported or else by its run time. Owns the attempts'
-// state; charges go to the FairShareLedger, each core-second once.
+// The estimated work of an attempt is charged when its request is dispatched, and more work is charged while
+// the attempt runs past the estimate. When the attempt ends, its charge is settled by the work that the
+// engine reported, or else by its run time. Owns the state of the attempts; charges go to the
+// FairShareLedger, each core-second once.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_RUNNING_ATTEMPTS_H_
 #define LEMONCROFT_ADMISSION_QUEUE_RUNNING_ATTEMPTS_H_
 
@@ -27,35 +29,35 @@
     int attempt = 0;
     TenantId tenant = 0;
     int threads = 1;
-    int priority = 1;  // 0 to 3; lower ones run more slowly beside others
-    Work expected{};   // of the whole attempt
-    Work charged{};    // so far, at the dispatch; zero for a retry
+    int priority = 1;  // 0 to 3; attempts of a lower priority run more slowly beside others
+    Work expected{};   // of the complete attempt
+    Work charged{};    // so far: at first the charge of the dispatch, or zero for a retry
   };
   void Begin(const Start& start, Time now);
 
-  // Settles the charge of an attempt. `reported_work`: from the engine's response, zero if unknown;
-  // `executed`: whether any of it may have run. Returns the attempt's start, or nothing if it isn't known, so
-  // that a repeated call charges nothing.
+  // Settles the charge of an attempt. `reported_work` comes from the engine's response and is zero if
+  // unknown. `executed` is true if any part of the attempt may have run. Returns the start of the attempt, or
+  // nothing if the attempt isn't known, so that a repeated call charges nothing.
   std::optional<Start> End(RequestId id, int attempt, Work reported_work, bool executed, Time now);
 
-  // Charges running attempts for work past their charge. Called once per update interval.
+  // Charges running attempts for work beyond their charge. Called once per update interval.
   void ChargeOverruns(Time now);
 
-  // The expected time until the first of a tenant's attempts ends. One past its expected run time is assumed
-  // to run half as long again as it has (run times are heavy-tailed). Zero if none runs.
+  // Returns the expected time until the first of a tenant's attempts ends, or zero if no attempt is running.
+  // An attempt past its expected run time is assumed to run for another half of the time that it has run so
+  // far, since run times are heavy-tailed.
   Span TimeUntilFirstEnd(TenantId tenant, Time now) const;
 
-  int overrun_threads() const {
-    return overrun_threads_;
-  }  // held by attempts far past their expected run time
+  // The threads of attempts that are far past their expected run time.
+  int overrun_threads() const { return overrun_threads_; }
   int threads() const { return threads_; }
   std::size_t size() const { return attempts_.size(); }
-  // Recent ratio of thread time to CPU work, at a priority.
+  // Returns the recent ratio of thread time to CPU work at a priority.
   double stretch(int priority) const {
     const PrioritySpeed& speed = speeds_[Index(priority)];
     return speed.busy / speed.done;
   }
-  // The expected run time of `work` at the recent speed.
+  // Returns the expected run time of `work` at the recent ratio.
   Span RunTime(Work work, int threads, int priority) const {
     return FromSeconds(Seconds(work) * stretch(priority) / threads);
   }
@@ -66,7 +68,7 @@
     Time since{};
     bool overrun = false;
   };
-  // The work that an attempt should have done since its start.
+  // Estimates the work that an attempt has done since its start.
   Work EstimatedUse(const Attempt& attempt, Time now) const;
 
   FairShareLedger& ledger_;
--- a/src/admission_queue/timer_wheel.h
+++ b/src/admission_queue/timer_wheel.h
@@ -1,8 +1,8 @@
 // A hashed timing wheel (Varghese and Lauck 1987) of request ids.
 //
-// Adding and removing a timer cost constant time. Times are rounded down to a slot. A timer beyond the span
-// of the wheel fires at its end, and the caller adds it again. Timers can't be cancelled: the caller checks
-// whether an id is still due.
+// Adding and removing a timer take constant time. Times are rounded down to a slot. A timer beyond the span
+// of the wheel fires at the end of the span, and the caller must add it again. Timers can't be cancelled; the
+// caller must check whether an id is still due.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_TIMER_WHEEL_H_
 #define LEMONCROFT_ADMISSION_QUEUE_TIMER_WHEEL_H_
 
@@ -20,7 +20,7 @@
 
   TimerWheel() : slots_(kSlots) {}
 
-  // A time in the past fires at the next PopDue.
+  // A timer in the past fires at the next PopDue.
   void Add(Time at, RequestId id) {
     const std::int64_t slot = std::clamp(Number(at), next_, next_ + kSlots - 1);
     slots_[static_cast<std::size_t>(slot % kSlots)].push_back(id);
--- a/src/admission_queue/types.h
+++ b/src/admission_queue/types.h
@@ -1,11 +1,11 @@
 // Settings, requests and decisions of the admission queue.
 //
-// The queue stands ahead of the decision module. It orders waiting requests by tenant budget and by aged
-// priority, estimates how long each will wait, and dispatches requests to the module as fast as the module
-// starts them. Choosing an engine and retrying stay with the module.
+// The queue sits in front of the decision module. It orders waiting requests by tenant budget and aged
+// priority, estimates how long each request will wait, and dispatches requests to the module as fast as the
+// module starts them. The module still chooses engines and retries attempts.
 //
-// No I/O and no clock: every call takes the current time, which never runs backwards. The same settings and
-// calls give the same decisions. docs/admission_queue.md gives the design.
+// The queue performs no I/O and reads no clock: every call takes the current time, which must never decrease.
+// The same settings and calls produce the same decisions. docs/admission_queue.md describes the design.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_TYPES_H_
 #define LEMONCROFT_ADMISSION_QUEUE_TYPES_H_
 
@@ -27,15 +27,15 @@
 using ClassId = std::uint32_t;   // index into Settings::classes
 
 inline double Seconds(Span span) { return std::chrono::duration<double>(span).count(); }
-// Converts seconds; clamps to +/- 46 days, NaN gives zero.
+// Converts seconds to a Span. Clamps to +/- 46 days; returns zero for NaN.
 Span FromSeconds(double seconds);
 
 // The budget and limits of one tenant.
 struct TenantBudget {
   std::string name;
-  double cores = 0;             // core-seconds per second over the whole fleet; 0: rejects all requests
-  Span burst{};                 // how far ahead of other tenants it may run, in seconds of its budget
-  int max_threads = 0;          // held at a time, over the whole fleet; 0: no limit
+  double cores = 0;             // core-seconds per second over the whole fleet; 0: all requests are rejected
+  Span burst{};                 // how far the tenant may get ahead of others, in seconds of its budget
+  int max_threads = 0;          // used at a time, over the whole fleet; 0: no limit
   std::size_t max_waiting = 0;  // requests waiting at this proxy; 0: no limit
   std::vector<ClassId> barred_classes;
 };
@@ -46,14 +46,14 @@
   double priority_weight = 1;
   int threads = 1;
   Work default_work{};  // assumed for a request without an estimate
-  Span max_wait{};      // dispatched or rejected within; zero: limited by the deadline only
+  Span max_wait{};      // from submission to dispatch or rejection; zero: limited by the deadline only
   bool light = false;   // light and heavy classes are dispatched from separate lanes
 };
 
 struct Settings {
   std::vector<TenantBudget> tenants;
   std::vector<ClassPolicy> classes;
-  Span ageing = std::chrono::seconds(2);  // waiting time that outweighs ten times the priority weight
+  Span ageing = std::chrono::seconds(2);  // waiting time that outweighs a tenfold priority weight
   double heavy_threads_per_core = 1.4;    // threads of heavy classes that may run per core
   double budget_share = 1;                // this proxy's fraction of the fleet's budgets, 0 to 1
   std::size_t max_waiting = 200'000;      // requests of all tenants together
@@ -66,18 +66,18 @@
   TenantId tenant = 0;
   ClassId class_id = 0;
   Work estimated_work{};       // zero: unknown; implausible values are clamped
-  Time deadline{};             // when its client stops waiting
-  bool wants_updates = false;  // its client is notified of revised estimates
+  Time deadline{};             // the time at which the client stops waiting
+  bool wants_updates = false;  // the client is notified of revised estimates
 };
 
 enum class RejectReason { kNone, kNoBudget, kClassBarred, kTenantQueueFull, kQueueFull, kTooLate };
-// A text for the log.
+// Returns a text for the log.
 const char* Description(RejectReason reason);
 
 // An estimate of the time from now until the first attempt of a request starts.
 struct WaitEstimate {
   Span wait{};
-  Span upper_bound{};  // exceeded by few real waits, going by the recent estimation error
+  Span upper_bound{};  // exceeded by few actual waits, according to the recent estimation error
 };
 
 // Decisions, returned by AdmissionQueue::Step.
@@ -86,7 +86,7 @@
 struct Dispatch {
   RequestId id = 0;
 };
-// Reject the request; none of its attempts ever started.
+// Reject the request. None of its attempts has started.
 struct Reject {
   RequestId id = 0;
   RejectReason reason = RejectReason::kNone;
--- a/src/admission_queue/wait_estimation.cpp
+++ b/src/admission_queue/wait_estimation.cpp
@@ -10,15 +10,17 @@
 
 namespace {
 
-constexpr Span kMaxForecastAge = 20ms;          // a forecast is rebuilt when older ...
-constexpr std::size_t kMinForecastGrowth = 32;  // ... or when an eighth more and this many have joined
+// A forecast is rebuilt when it has reached this age, or when the number of waiting requests has grown by
+// more than an eighth plus kMinForecastGrowth.
+constexpr Span kMaxForecastAge = 20ms;
+constexpr std::size_t kMinForecastGrowth = 32;
 constexpr Span kMinRetryAfter = 50ms;
-constexpr double kOverrunPersistence = 0.3;  // fraction of overrunning threads taken as unavailable
+constexpr double kOverrunPersistence = 0.3;  // fraction of the overrunning threads assumed unavailable
 constexpr int kMaxOvertakingRounds = 3;
 constexpr double kMinBudgetCores = 1e-9;     // avoids a division by zero
 constexpr double kMinVirtualTimeRate = 0.1;  // per second: keeps estimates finite
 constexpr double kMinAvailableCores = 0.3;   // fraction of this proxy's cores
-constexpr double kPartialRequest = 0.5;      // of a request's work
+constexpr double kPartialRequest = 0.5;      // mean fraction of a request's work past the common level
 
 }  // namespace
 
@@ -62,7 +64,7 @@
   return ahead;
 }
 
-// The start tag that the tenant has once it competes.
+// Returns the start tag that the tenant has once it competes.
 double AdmissionQueue::EffectiveTag(TenantId t, Lane lane) const {
   const FairShareLedger::Account& account = ledger_.at(t);
   if (tenants_[t].waiting_count[lane] > 0) return account.start_tag;
@@ -102,8 +104,8 @@
   return tenants_[r.tenant].waiting_count[lane] == 0 && lane_open && tenant_free && !state.had_waiting;
 }
 
-// The work of later requests with a greater ageing credit: they overtake while the difference in credit
-// exceeds the age of `r`, and at most for `wait` seconds.
+// Returns the core-seconds of the later requests that will overtake `r`: requests with a greater ageing
+// credit overtake it while the difference in credit exceeds the age of `r`, and for at most `wait` seconds.
 double AdmissionQueue::OvertakingWork(const Request& r, double wait, Time now) const {
   const TenantQueue& tenant = tenants_[r.tenant];
   const Lane lane = LaneOf(r.class_id);
@@ -116,8 +118,8 @@
   return overtaking;
 }
 
-// Other tenants are served in whole requests, and so are half a request past the common level on average.
-// Returns the core-seconds of this excess for those served before `target`.
+// Other tenants are served in complete requests, and are therefore half a request past the common level on
+// average. Returns the core-seconds of this excess, summed over the tenants with a start tag below `target`.
 double AdmissionQueue::PartialRequestWork(const Request& r, double target) const {
   const Lane lane = LaneOf(r.class_id);
   double past_level = 0;
@@ -129,7 +131,7 @@
   return past_level;
 }
 
-// Extends `wait` by the limits of the tenant itself: its lead over the others, and its thread cap.
+// Extends `wait` to account for the tenant's own limits: its maximum lead over the others and its thread cap.
 double AdmissionQueue::WaitWithTenantLimits(const Request& r, double wait, double target, double work_ahead,
                                             Time now) const {
   const FairShareLedger::Account& account = ledger_.at(r.tenant);
@@ -157,7 +159,7 @@
   const double cores = std::max(kMinBudgetCores, ledger_.at(r.tenant).cores);
   const double start_tag = EffectiveTag(r.tenant, lane);
   double wait = state.forecast.TimeUntil(start_tag + work / cores);
-  // The longer the wait, the more requests overtake: iterate.
+  // Iterates, since more requests overtake during a longer wait.
   double overtaking = 0;
   for (int round = 0; round < kMaxOvertakingRounds; ++round) {
     overtaking = OvertakingWork(r, wait, now);
--- a/src/admission_queue/wait_forecast.cpp
+++ b/src/admission_queue/wait_forecast.cpp
@@ -10,11 +10,11 @@
 constexpr int kSteps = 40;
 constexpr double kFirstStep = 0.1;  // seconds
 constexpr double kGrowth = 1.09;    // ratio of successive steps
-constexpr double kMinRise = 1e-3;   // of the level per second past the last point: keeps estimates finite
+constexpr double kMinRise = 1e-3;   // of the level, per second after the last point; keeps estimates finite
 
-// Divides `amount` among the tenants so that their tags rise to a common level, those with the least tags
-// first, each by at most the work it has. Writes the parts to `given` and returns the level, which is found
-// by bisection since the total is monotone in it.
+// Divides `amount` core-seconds among the tenants so that their start tags rise to a common level, beginning
+// with the least start tags; no tenant receives more than its waiting work `has`. Writes the parts to `given`
+// and returns the level, which is found by bisection since the total increases monotonically with the level.
 double ShareOut(const std::vector<TenantFlow>& flows, const std::vector<double>& tags,
                 const std::vector<double>& has, double amount, double level_before,
                 std::vector<double>& given) {
@@ -26,8 +26,8 @@
     high = std::max(high, tags[i] + has[i] / flows[i].cores);
     all += has[i];
   }
-  // Unused capacity raises the level as if all tenants had more work, so that a later tag is reached in
-  // finite time.
+  // Unused capacity raises the level as if all tenants had more work, so that the level reaches any later
+  // start tag in finite time.
   double cores = 0;
   for (const TenantFlow& flow : flows) cores += flow.cores;
   const double over = cores > 0 ? std::max(0.0, amount - all) / cores : 0;
--- a/src/admission_queue/wait_forecast.h
+++ b/src/admission_queue/wait_forecast.h
@@ -1,10 +1,11 @@
 // Predicts when the waiting work of all tenants will be dispatched, with a fluid model of fair queueing.
 //
-// The tenants with waiting work share the dispatch rate in proportion to their budgets, those with the least
-// start tags first, so that their tags rise along one common level; arrivals continue at their recent rate.
-// A request leaves when the level reaches its tenant's start tag plus the work ahead of it over the budget.
-// The fluid limit of start-time fair queueing is generalized processor sharing (Parekh and Gallager 1993).
-// The level is computed ahead at a fixed number of points in time and interpolated between them.
+// The tenants with waiting work share the dispatch rate in proportion to their budgets, beginning with the
+// least start tags, so that their start tags rise along one common level; arrivals continue at their recent
+// rate. A request is dispatched when the level reaches the start tag of its tenant plus the work ahead of the
+// request divided by the tenant's budget. The fluid limit of start-time fair queueing is generalized
+// processor sharing (Parekh and Gallager 1993). The level is computed in advance for a fixed number of points
+// in time and interpolated between them.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_WAIT_FORECAST_H_
 #define LEMONCROFT_ADMISSION_QUEUE_WAIT_FORECAST_H_
 
@@ -24,15 +25,16 @@
 
 class WaitForecast {
  public:
-  // `pace`: core-seconds dispatched per second. `first_dispatch_at`: seconds from now until dispatch begins.
+  // `pace` is in core-seconds per second. `first_dispatch_at` is the number of seconds from now until the
+  // next dispatch.
   void Build(const std::vector<TenantFlow>& flows, double pace, double first_dispatch_at);
 
-  // Seconds until the level reaches `start_tag`, extrapolated past the last point.
+  // Returns the seconds until the level reaches `start_tag`, extrapolated after the last point.
   double TimeUntil(double start_tag) const;
   bool built() const { return !times_.empty(); }
 
  private:
-  std::vector<double> times_, levels_;  // seconds from now, and the level then
+  std::vector<double> times_, levels_;  // seconds after Build, and the level at that time
 };
 
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/work_index.cpp
+++ b/src/admission_queue/work_index.cpp
@@ -25,7 +25,7 @@
   assert(place >= begin_ && place < end_ && slot.occupied);
   Add(place & (slots_.size() - 1), -slot.work.count());
   total_ -= slot.work;
-  slot.work = Work::zero();  // submitted_at stays: WorkSubmittedBefore searches by it
+  slot.work = Work::zero();  // WorkSubmittedBefore still needs submitted_at
   slot.occupied = false;
   --count_;
   while (begin_ < end_ && !At(begin_).occupied) ++begin_;
@@ -59,7 +59,7 @@
   for (Place place = begin_; place < end_; ++place) slots[place & (places - 1)] = At(place);
   slots_.swap(slots);
   tree_.assign(places, 0);
-  // Builds the tree in one pass: each index adds its sum to its parent.
+  // Builds the tree in one pass, in which each index adds its sum to its parent.
   for (std::size_t i = 0; i < places; ++i) {
     tree_[i] += slots_[i].work.count();
     const std::size_t above = i | (i + 1);
