--- a/src/admission_queue/configuration.cpp
+++ b/src/admission_queue/configuration.cpp
@@ -65,7 +65,7 @@
                   "budgets scaled to %.0f%%: they add up to more than the fleet's %.0f cores",
                   budget_scale_ * 100, fleet_cores_);
   } else {
-    std::snprintf(text, sizeof text, "budgets whole again: the fleet has %.0f cores", fleet_cores_);
+    std::snprintf(text, sizeof text, "budgets no longer scaled: the fleet has %.0f cores", fleet_cores_);
   }
   pending_log_.emplace_back(text);
 }
--- a/src/admission_queue/types.cpp
+++ b/src/admission_queue/types.cpp
@@ -24,7 +24,7 @@
     case RejectReason::kQueueFull:
       return "too many requests are waiting";
     case RejectReason::kTooLate:
-      return "it could not start in time";
+      return "the request could not start in time";
   }
   return "?";
 }
