--- a/src/admission_queue/dispatch.cpp
+++ b/src/admission_queue/dispatch.cpp
@@ -30,7 +30,7 @@
 
 bool AdmissionQueue::IsCompeting(TenantId t) const {
   const TenantQueue& tenant = tenants_[t];
-  if (!ledger_.MaySend(t)) return false;
+  if (!ledger_.HasBudget(t)) return false;
   for (const Lane lane : {kHeavy, kLight}) {
     if (tenant.waiting_count[lane] > 0 && HasThreads(t, NextClass(tenant, lane))) return true;
   }
@@ -58,7 +58,7 @@
 std::optional<TenantId> AdmissionQueue::NextTenant(Lane lane) const {
   std::optional<TenantId> next;
   for (TenantId t = 0; t < tenants_.size(); ++t) {
-    if (tenants_[t].waiting_count[lane] == 0 || !ledger_.MaySend(t) || !ledger_.WithinMaxLead(t)) continue;
+    if (tenants_[t].waiting_count[lane] == 0 || !ledger_.HasBudget(t) || !ledger_.WithinMaxLead(t)) continue;
     if (!HasThreads(t, NextClass(tenants_[t], lane))) continue;
     if (!next || ledger_.at(t).start_tag < ledger_.at(*next).start_tag) next = t;
   }
--- a/src/admission_queue/fair_share_ledger.cpp
+++ b/src/admission_queue/fair_share_ledger.cpp
@@ -13,22 +13,22 @@
 
 double FairShareLedger::Configure(const std::vector<TenantBudget>& tenants, double budget_share,
                                   double capacity) {
-  double asked = 0;
-  for (const TenantBudget& tenant : tenants) asked += tenant.cores;
-  const double scale = asked > capacity && capacity > 0 ? capacity / asked : 1;
-  const double newcomer = virtual_time_;
-  const std::size_t open_requests = accounts_.size();
-  accounts_.resize(std::max(open_requests, tenants.size()));
+  double total_cores = 0;
+  for (const TenantBudget& tenant : tenants) total_cores += tenant.cores;
+  const double scale = total_cores > capacity && capacity > 0 ? capacity / total_cores : 1;
+  const double initial_start_tag = virtual_time_;
+  const std::size_t previous_count = accounts_.size();
+  accounts_.resize(std::max(previous_count, tenants.size()));
   cores_ = 0;
   for (std::size_t i = 0; i < accounts_.size(); ++i) {
     Account& account = accounts_[i];
-    if (i >= open_requests) account.start_tag = newcomer;
-    const bool gone = i >= tenants.size();
-    account.cores = gone ? 0 : tenants[i].cores * budget_share * scale;
-    account.burst = gone ? 0 : Seconds(tenants[i].burst);
+    if (i >= previous_count) account.start_tag = initial_start_tag;
+    const bool removed = i >= tenants.size();
+    account.cores = removed ? 0 : tenants[i].cores * budget_share * scale;
+    account.burst = removed ? 0 : Seconds(tenants[i].burst);
     // A small cap still leaves each proxy one thread.
     account.max_threads =
-        gone || tenants[i].max_threads == 0
+        removed || tenants[i].max_threads == 0
             ? 0
             : std::max(1, static_cast<int>(std::lround(tenants[i].max_threads * budget_share)));
     cores_ += account.cores;
@@ -43,11 +43,11 @@
   if (competing) {
     // While no tenant competed, all requests were served on arrival and no tenant is owed service, so this
     // tenant starts from the greatest start tag.
-    double from = virtual_time_;
+    double base_tag = virtual_time_;
     if (std::none_of(accounts_.begin(), accounts_.end(), [](const Account& a) { return a.competing; })) {
-      for (const Account& a : accounts_) from = std::max(from, a.start_tag);
+      for (const Account& a : accounts_) base_tag = std::max(base_tag, a.start_tag);
     }
-    account.start_tag = std::max(account.start_tag, from - account.burst);
+    account.start_tag = std::max(account.start_tag, base_tag - account.burst);
   }
   account.competing = competing;
   UpdateVirtualTime();
--- a/src/admission_queue/fair_share_ledger.h
+++ b/src/admission_queue/fair_share_ledger.h
@@ -40,7 +40,7 @@
   void AcquireThreads(TenantId tenant, int threads) { accounts_[tenant].threads += threads; }
   void ReleaseThreads(TenantId tenant, int threads) { accounts_[tenant].threads -= threads; }
 
-  bool MaySend(TenantId tenant) const { return accounts_[tenant].cores > 0; }
+  bool HasBudget(TenantId tenant) const { return accounts_[tenant].cores > 0; }
   // Returns true if the tenant may use `threads` threads in total.
   bool WithinThreadCap(TenantId tenant, int threads) const;
   // Returns true if the start tag is at most MaxLead ahead of the virtual time.
