--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -145,7 +145,7 @@
       ++requests_.at(other).overtaken_by;
     }
     RemoveFromDispatched(id, r);
-    lane.pacer.Started(r.work);
+    lane.rate_meter.AddStarted(r.work);
     lane.start_rate.Add(1);
     lane.accuracy.Learn(r.raw_wait, now - r.submitted_at);
   }
@@ -210,13 +210,13 @@
   running_.ChargeOverruns(now);
   const double cores = AvailableCores();
   for (LaneState& lane : lanes_) {
-    lane.pacer.Close(window, lane.had_waiting, fleet_cores_ > 0 ? cores : 0);
-    lane.start_rate.Close(Seconds(window), true);
+    lane.rate_meter.EndWindow(window, lane.had_waiting, fleet_cores_ > 0 ? cores : 0);
+    lane.start_rate.EndWindow(Seconds(window), true);
     lane.had_waiting = true;  // until DispatchLane finds no waiting request
     lane.forecast_stale = true;
   }
   for (TenantQueue& tenant : tenants_) {
-    for (RateEstimator& rate : tenant.arrival_rates) rate.Close(Seconds(window), true);
+    for (RateEstimator& rate : tenant.arrival_rates) rate.EndWindow(Seconds(window), true);
   }
   for (TenantId t = 0; t < tenants_.size(); ++t) ledger_.SetCompeting(t, IsCompeting(t));
   const double moved = std::max(0.0, ledger_.virtual_time() - last_virtual_time_) / Seconds(window);
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -91,7 +91,7 @@
   struct State {
     std::vector<TenantState> tenants;
     double fleet_cores = 0, scale = 1;       // scale: factor applied to all budgets, at most 1
-    std::array<double, 2> pace{};            // core-seconds per second, heavy and light
+    std::array<double, 2> dispatch_rate{};   // core-seconds per second, heavy and light
     std::array<double, 2> estimate_error{};  // mean error of the logarithm of the wait, heavy and light
     std::size_t waiting = 0, dispatched = 0, running = 0;
     int overrun_threads = 0;
@@ -128,7 +128,7 @@
     std::size_t size() const { return waiting_count[0] + waiting_count[1]; }
   };
   struct LaneState {
-    DispatchPacer pacer;
+    DispatchRateMeter rate_meter;
     EstimateAccuracy accuracy;
     RateEstimator start_rate{2.0};
     std::vector<RequestId> dispatched;  // dispatched but not started, oldest first
--- a/src/admission_queue/dispatch.cpp
+++ b/src/admission_queue/dispatch.cpp
@@ -82,7 +82,7 @@
   const double deviation =
       std::clamp((wanted - threads_by_lane_[kHeavy]) / wanted, -kMaxDeviation, kMaxDeviation);
   return FromSeconds(Seconds(work) /
-                     (lanes_[lane].pacer.Now(AvailableCores()) * (1 + kPacingGain * deviation)));
+                     (lanes_[lane].rate_meter.PerSecond(AvailableCores()) * (1 + kPacingGain * deviation)));
 }
 
 std::size_t AdmissionQueue::DispatchWindow(Lane lane) const {
--- a/src/admission_queue/state.cpp
+++ b/src/admission_queue/state.cpp
@@ -15,7 +15,7 @@
   state.running = running_.size();
   state.overrun_threads = running_.overrun_threads();
   for (const Lane lane : {kHeavy, kLight}) {
-    state.pace[lane] = lanes_[lane].pacer.Now(AvailableCores());
+    state.dispatch_rate[lane] = lanes_[lane].rate_meter.PerSecond(AvailableCores());
     state.estimate_error[lane] = lanes_[lane].accuracy.mean_error();
     state.dispatched += lanes_[lane].dispatched.size();
   }
--- a/src/admission_queue/wait_estimation.cpp
+++ b/src/admission_queue/wait_estimation.cpp
@@ -86,10 +86,10 @@
       if (LaneOf(k) == lane) flows[t].arrival_rate += tenants_[t].arrival_rates[k].per_second();
     }
   }
-  const double pace = state.pacer.Now(AvailableCores());
+  const double dispatch_rate = state.rate_meter.PerSecond(AvailableCores());
   const double gap =
       lane == kHeavy && state.next_dispatch_at > now ? Seconds(state.next_dispatch_at - now) : 0;
-  state.forecast.Build(flows, pace, std::max(gap, Seconds(state.dispatched_work) / pace));
+  state.forecast.Build(flows, dispatch_rate, std::max(gap, Seconds(state.dispatched_work) / dispatch_rate));
   state.forecast_at = now;
   state.forecast_waiting = waiting_count_;
   state.forecast_stale = false;
@@ -151,8 +151,8 @@
   const Lane lane = LaneOf(r.class_id);
   LaneState& state = lanes_[lane];
   if (fleet_cores_ <= 0) return r.latest_start - r.submitted_at + 1s;
-  const double pace = state.pacer.Now(AvailableCores());
-  if (r.dispatched) return FromSeconds(Seconds(state.dispatched_work) / 2 / pace);
+  const double dispatch_rate = state.rate_meter.PerSecond(AvailableCores());
+  if (r.dispatched) return FromSeconds(Seconds(state.dispatched_work) / 2 / dispatch_rate);
   if (CanStartAtOnce(r, now)) return Span::zero();
   RefreshForecast(lane, now);
   const double work = Seconds(WorkAhead(r));
@@ -167,7 +167,7 @@
     wait = state.forecast.TimeUntil(start_tag + (work + overtaking) / cores);
   }
   const double target = start_tag + (work + overtaking) / cores;
-  wait += PartialRequestWork(r, target) / pace;
+  wait += PartialRequestWork(r, target) / dispatch_rate;
   return FromSeconds(WaitWithTenantLimits(r, wait, target, work + overtaking, now));
 }
 
--- a/src/admission_queue/wait_forecast.cpp
+++ b/src/admission_queue/wait_forecast.cpp
@@ -50,7 +50,8 @@
 
 }  // namespace
 
-void WaitForecast::Build(const std::vector<TenantFlow>& flows, double pace, double first_dispatch_at) {
+void WaitForecast::Build(const std::vector<TenantFlow>& flows, double dispatch_rate,
+                         double first_dispatch_delay) {
   std::vector<double> tags, has, given(flows.size());
   double level = HUGE_VAL;
   for (const TenantFlow& flow : flows) {
@@ -63,15 +64,15 @@
   }
   times_.assign(1, 0.0);
   levels_.assign(1, level);
-  if (first_dispatch_at > 0) {
-    times_.push_back(first_dispatch_at);
+  if (first_dispatch_delay > 0) {
+    times_.push_back(first_dispatch_delay);
     levels_.push_back(level);
-    for (std::size_t i = 0; i < flows.size(); ++i) has[i] += flows[i].arrival_rate * first_dispatch_at;
+    for (std::size_t i = 0; i < flows.size(); ++i) has[i] += flows[i].arrival_rate * first_dispatch_delay;
   }
   double step = kFirstStep;
   for (int n = 0; n < kSteps; ++n, step *= kGrowth) {
     for (std::size_t i = 0; i < flows.size(); ++i) has[i] += flows[i].arrival_rate * step;
-    level = ShareOut(flows, tags, has, pace * step, level, given);
+    level = ShareOut(flows, tags, has, dispatch_rate * step, level, given);
     times_.push_back(times_.back() + step);
     levels_.push_back(level);
     for (std::size_t i = 0; i < flows.size(); ++i) {
--- a/src/admission_queue/wait_forecast.h
+++ b/src/admission_queue/wait_forecast.h
@@ -25,9 +25,9 @@
 
 class WaitForecast {
  public:
-  // `pace` is in core-seconds per second. `first_dispatch_at` is the number of seconds from now until the
-  // next dispatch.
-  void Build(const std::vector<TenantFlow>& flows, double pace, double first_dispatch_at);
+  // `dispatch_rate` is in core-seconds per second. `first_dispatch_delay` is the number of seconds from now
+  // until the next dispatch.
+  void Build(const std::vector<TenantFlow>& flows, double dispatch_rate, double first_dispatch_delay);
 
   // Returns the seconds until the level reaches `start_tag`, extrapolated after the last point.
   double TimeUntil(double start_tag) const;
--- a/src/proxy/queue_state.cpp
+++ b/src/proxy/queue_state.cpp
@@ -25,8 +25,8 @@
                       {"overrun_threads", state.overrun_threads},
                       {"fleet_cores", state.fleet_cores},
                       {"scale", state.scale},
-                      {"pace_heavy", state.pace[0]},
-                      {"pace_light", state.pace[1]},
+                      {"pace_heavy", state.dispatch_rate[0]},
+                      {"pace_light", state.dispatch_rate[1]},
                       {"error_heavy", state.estimate_error[0]},
                       {"error_light", state.estimate_error[1]},
                       {"teams", ordered_json::array()}};
--- a/src/testing/benchmark/admission_queue_cost.cpp
+++ b/src/testing/benchmark/admission_queue_cost.cpp
@@ -45,8 +45,8 @@
     if (submitted.rejected) {
       std::fprintf(stderr, "rejected: %s, estimate %.1f s, dispatch rate %.1f, %zu waiting\n",
                    Description(submitted.rejected->reason),
-                   admission_queue::Seconds(submitted.rejected->retry_after), queue_.Describe(now_).pace[0],
-                   waiting());
+                   admission_queue::Seconds(submitted.rejected->retry_after),
+                   queue_.Describe(now_).dispatch_rate[0], waiting());
       std::abort();
     }  // a rejected request costs nothing and would falsify the result
   }
