--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -157,8 +157,9 @@
   next_step_ = std::min(next_step_, now);
 }
 
-void AdmissionQueue::OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool executed, Time now) {
-  const auto ended = running_.End(id, attempt, reported_work, executed, now);
+void AdmissionQueue::OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool may_have_run,
+                                    Time now) {
+  const auto ended = running_.End(id, attempt, reported_work, may_have_run, now);
   if (!ended) return;
   next_step_ = std::min(next_step_, now);
   const auto it = requests_.find(id);
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -60,8 +60,8 @@
   // 0 to 3. This call and the following ones ignore unknown ids.
   void OnAttemptStarted(RequestId id, int attempt, int priority, Time now);
   // Reports that an attempt has ended. `reported_work` comes from the engine's response and is zero if
-  // unknown. `executed` is true if any part of the attempt may have run.
-  void OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool executed, Time now);
+  // unknown. `may_have_run` is true if any part of the attempt may have run.
+  void OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool may_have_run, Time now);
   // Reports that a request has received its final response or that its client has cancelled it. The ends of
   // attempts that are still running are reported afterwards.
   void OnRequestCompleted(RequestId id, Time now);
--- a/src/admission_queue/running_attempts.cpp
+++ b/src/admission_queue/running_attempts.cpp
@@ -5,39 +5,40 @@
 namespace lemoncroft::admission_queue {
 
 namespace {
-constexpr double kOverrunRatio = 1.5;  // work done over estimated work, above which an attempt overruns
-constexpr double kSpeedWeight = 0.01;  // minimum weight of the newest response
-constexpr double kMaxStretch = 50;     // limits the effect of a hung response
+constexpr double kOverrunRatio = 1.5;     // work done over estimated work, above which an attempt overruns
+constexpr double kSlowdownWeight = 0.01;  // minimum weight of the newest response
+constexpr double kMaxSlowdown = 50;       // limits the effect of a hung response
 }  // namespace
 
 void RunningAttempts::Begin(const Start& start, Time now) {
-  const auto [it, fresh] = attempts_.try_emplace({start.id, start.attempt}, Attempt{start, now, false});
-  if (!fresh) return;
+  const auto [it, inserted] = attempts_.try_emplace({start.id, start.attempt}, Attempt{start, now, false});
+  if (!inserted) return;
   ledger_.AcquireThreads(start.tenant, start.threads);
   threads_ += start.threads;
 }
 
 std::optional<RunningAttempts::Start> RunningAttempts::End(RequestId id, int attempt, Work reported_work,
-                                                           bool executed, Time now) {
+                                                           bool may_have_run, Time now) {
   const auto it = attempts_.find({id, attempt});
   if (it == attempts_.end()) return std::nullopt;
   const Attempt& a = it->second;
   ledger_.ReleaseThreads(a.start.tenant, a.start.threads);
   threads_ -= a.start.threads;
   if (a.overrun) overrun_threads_ -= a.start.threads;
-  const Span elapsed = now - a.since;
+  const Span elapsed = now - a.started_at;
   if (reported_work > Work::zero()) {
     // The ratio is computed from two averages instead of averaging ratios, so that long attempts weigh more.
-    PrioritySpeed& speed = speeds_[Index(a.start.priority)];
-    const double seen = std::min(Seconds(elapsed) * a.start.threads, kMaxStretch * Seconds(reported_work));
-    const double weight = std::max(kSpeedWeight, 1.0 / (++speed.answers + 5));
-    speed.busy += weight * (seen - speed.busy);
-    speed.done += weight * (Seconds(reported_work) - speed.done);
+    SlowdownAverage& average = slowdowns_[Index(a.start.priority)];
+    const double measured_thread_seconds =
+        std::min(Seconds(elapsed) * a.start.threads, kMaxSlowdown * Seconds(reported_work));
+    const double weight = std::max(kSlowdownWeight, 1.0 / (++average.responses + 5));
+    average.thread_seconds += weight * (measured_thread_seconds - average.thread_seconds);
+    average.core_seconds += weight * (Seconds(reported_work) - average.core_seconds);
   }
-  const Work used = !executed                      ? Work::zero()
-                    : reported_work > Work::zero() ? reported_work
-                                                   : EstimatedUse(a, now);
-  ledger_.Charge(a.start.tenant, used - a.start.charged);
+  const Work work_done = !may_have_run                  ? Work::zero()
+                         : reported_work > Work::zero() ? reported_work
+                                                        : EstimatedWorkDone(a, now);
+  ledger_.Charge(a.start.tenant, work_done - a.start.charged);
   const Start ended = a.start;
   attempts_.erase(it);
   return ended;
@@ -45,12 +46,12 @@
 
 void RunningAttempts::ChargeOverruns(Time now) {
   for (auto& [key, a] : attempts_) {
-    const Work used = EstimatedUse(a, now);
-    if (used > a.start.charged) {
-      ledger_.Charge(a.start.tenant, used - a.start.charged);
-      a.start.charged = used;
+    const Work work_done = EstimatedWorkDone(a, now);
+    if (work_done > a.start.charged) {
+      ledger_.Charge(a.start.tenant, work_done - a.start.charged);
+      a.start.charged = work_done;
     }
-    if (a.overrun || Seconds(used) <= kOverrunRatio * Seconds(a.start.expected)) continue;
+    if (a.overrun || Seconds(work_done) <= kOverrunRatio * Seconds(a.start.expected_work)) continue;
     a.overrun = true;
     overrun_threads_ += a.start.threads;
   }
@@ -60,15 +61,15 @@
   Span first = Span::max();
   for (const auto& [key, a] : attempts_) {
     if (a.start.tenant != tenant) continue;
-    const Span executed = now - a.since,
-               expected = RunTime(a.start.expected, a.start.threads, a.start.priority);
-    first = std::min(first, expected > executed ? expected - executed : executed / 2);
+    const Span elapsed = now - a.started_at,
+               run_time = RunTime(a.start.expected_work, a.start.threads, a.start.priority);
+    first = std::min(first, run_time > elapsed ? run_time - elapsed : elapsed / 2);
   }
   return first == Span::max() ? Span::zero() : first;
 }
 
-Work RunningAttempts::EstimatedUse(const Attempt& a, Time now) const {
-  return FromSeconds(Seconds(now - a.since) * a.start.threads / stretch(a.start.priority));
+Work RunningAttempts::EstimatedWorkDone(const Attempt& a, Time now) const {
+  return FromSeconds(Seconds(now - a.started_at) * a.start.threads / slowdown(a.start.priority));
 }
 
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/running_attempts.h
+++ b/src/admission_queue/running_attempts.h
@@ -29,16 +29,16 @@
     int attempt = 0;
     TenantId tenant = 0;
     int threads = 1;
-    int priority = 1;  // 0 to 3; attempts of a lower priority run more slowly beside others
-    Work expected{};   // of the complete attempt
-    Work charged{};    // so far: at first the charge of the dispatch, or zero for a retry
+    int priority = 1;      // 0 to 3; attempts of a lower priority run more slowly beside others
+    Work expected_work{};  // of the complete attempt
+    Work charged{};        // so far: at first the charge of the dispatch, or zero for a retry
   };
   void Begin(const Start& start, Time now);
 
   // Settles the charge of an attempt. `reported_work` comes from the engine's response and is zero if
-  // unknown. `executed` is true if any part of the attempt may have run. Returns the start of the attempt, or
-  // nothing if the attempt isn't known, so that a repeated call charges nothing.
-  std::optional<Start> End(RequestId id, int attempt, Work reported_work, bool executed, Time now);
+  // unknown. `may_have_run` is true if any part of the attempt may have run. Returns the start of the
+  // attempt, or nothing if the attempt isn't known, so that a repeated call charges nothing.
+  std::optional<Start> End(RequestId id, int attempt, Work reported_work, bool may_have_run, Time now);
 
   // Charges running attempts for work beyond their charge. Called once per update interval.
   void ChargeOverruns(Time now);
@@ -52,34 +52,34 @@
   int overrun_threads() const { return overrun_threads_; }
   int threads() const { return threads_; }
   std::size_t size() const { return attempts_.size(); }
-  // Returns the recent ratio of thread time to CPU work at a priority.
-  double stretch(int priority) const {
-    const PrioritySpeed& speed = speeds_[Index(priority)];
-    return speed.busy / speed.done;
+  // Returns the recent slowdown at a priority: the ratio of thread time to CPU work.
+  double slowdown(int priority) const {
+    const SlowdownAverage& average = slowdowns_[Index(priority)];
+    return average.thread_seconds / average.core_seconds;
   }
-  // Returns the expected run time of `work` at the recent ratio.
+  // Returns the expected run time of `work` at the recent slowdown.
   Span RunTime(Work work, int threads, int priority) const {
-    return FromSeconds(Seconds(work) * stretch(priority) / threads);
+    return FromSeconds(Seconds(work) * slowdown(priority) / threads);
   }
 
  private:
   struct Attempt {
     Start start;
-    Time since{};
+    Time started_at{};
     bool overrun = false;
   };
   // Estimates the work that an attempt has done since its start.
-  Work EstimatedUse(const Attempt& attempt, Time now) const;
+  Work EstimatedWorkDone(const Attempt& attempt, Time now) const;
 
   FairShareLedger& ledger_;
   std::map<std::pair<RequestId, int>, Attempt> attempts_;
   int threads_ = 0, overrun_threads_ = 0;
-  struct PrioritySpeed {
-    double busy = 1, done = 1;  // moving averages over responses: thread-seconds, and core-seconds done
-    int answers = 0;
+  struct SlowdownAverage {
+    double thread_seconds = 1, core_seconds = 1;  // moving averages over responses
+    int responses = 0;
   };
   static std::size_t Index(int priority) { return static_cast<std::size_t>(std::clamp(priority, 0, 3)); }
-  std::array<PrioritySpeed, 4> speeds_;  // by priority
+  std::array<SlowdownAverage, 4> slowdowns_;  // by priority
 };
 
 }  // namespace lemoncroft::admission_queue
--- a/src/admission_queue/wait_estimation.cpp
+++ b/src/admission_queue/wait_estimation.cpp
@@ -141,7 +141,7 @@
       wait = std::max(wait, past / std::max(kMinVirtualTimeRate, virtual_time_rate_));
   }
   if (account.max_threads > 0 && !HasThreads(r.tenant, r.class_id)) {
-    const double each = running_.stretch(last_priorities_[r.class_id]) / account.max_threads;
+    const double each = running_.slowdown(last_priorities_[r.class_id]) / account.max_threads;
     wait = std::max(wait, Seconds(running_.TimeUntilFirstEnd(r.tenant, now)) + work_ahead * each);
   }
   return wait;
