--- a/src/admission_queue/reviews.cpp
+++ b/src/admission_queue/reviews.cpp
@@ -33,7 +33,7 @@
     if (!id) break;
     const auto it = requests_.find(*id);
     if (it == requests_.end() || it->second.dispatched) continue;
-    if (it->second.next_review > now + TimerWheel::kSlot)
+    if (it->second.next_review > now + TimerWheel::kSlotDuration)
       review_timers_.Add(it->second.next_review, *id);  // beyond the wheel's span, or rescheduled since
     else
       ReviewRequest(*id, it->second, now, decisions, true);
@@ -43,7 +43,7 @@
 RejectReason AdmissionQueue::ReviewResult(const Request& r, const WaitEstimate& estimate, Time now) const {
   const RejectReason barred = BarredReason(r.tenant, r.class_id);
   if (barred != RejectReason::kNone) return barred;
-  const bool late = now + TimerWheel::kSlot >= r.latest_start ||
+  const bool late = now + TimerWheel::kSlotDuration >= r.latest_start ||
                     now + lanes_[LaneOf(r.class_id)].accuracy.LowerBound(estimate.wait) > r.latest_start;
   return late ? RejectReason::kTooLate : RejectReason::kNone;
 }
--- a/src/admission_queue/timer_wheel.h
+++ b/src/admission_queue/timer_wheel.h
@@ -16,25 +16,25 @@
 
 class TimerWheel {
  public:
-  static constexpr Span kSlot = std::chrono::milliseconds(10);
+  static constexpr Span kSlotDuration = std::chrono::milliseconds(10);
 
-  TimerWheel() : slots_(kSlots) {}
+  TimerWheel() : slots_(kSlotCount) {}
 
   // A timer in the past fires at the next PopDue.
   void Add(Time at, RequestId id) {
-    const std::int64_t slot = std::clamp(Number(at), next_, next_ + kSlots - 1);
-    slots_[static_cast<std::size_t>(slot % kSlots)].push_back(id);
+    const std::int64_t slot = std::clamp(SlotNumber(at), next_slot_, next_slot_ + kSlotCount - 1);
+    slots_[static_cast<std::size_t>(slot % kSlotCount)].push_back(id);
     ++size_;
   }
 
   // Removes and returns one id that is due by `now`, if any.
   [[nodiscard]] std::optional<RequestId> PopDue(Time now) {
-    for (const std::int64_t last = Number(now); next_ <= last; ++next_) {
+    for (const std::int64_t last = SlotNumber(now); next_slot_ <= last; ++next_slot_) {
       if (size_ == 0) {  // skip empty slots
-        next_ = last + 1;
+        next_slot_ = last + 1;
         return std::nullopt;
       }
-      std::vector<RequestId>& slot = slots_[static_cast<std::size_t>(next_ % kSlots)];
+      std::vector<RequestId>& slot = slots_[static_cast<std::size_t>(next_slot_ % kSlotCount)];
       if (slot.empty()) continue;
       const RequestId id = slot.back();
       slot.pop_back();
@@ -48,11 +48,11 @@
   std::size_t size() const { return size_; }
 
  private:
-  static constexpr std::int64_t kSlots = 8192;
-  static std::int64_t Number(Time at) { return at.time_since_epoch() / kSlot; }
+  static constexpr std::int64_t kSlotCount = 8192;
+  static std::int64_t SlotNumber(Time at) { return at.time_since_epoch() / kSlotDuration; }
 
   std::vector<std::vector<RequestId>> slots_;
-  std::int64_t next_ = 0;  // number of the next slot to be emptied
+  std::int64_t next_slot_ = 0;  // number of the next slot to be emptied
   std::size_t size_ = 0;
 };
 
--- a/src/admission_queue/wait_estimation.cpp
+++ b/src/admission_queue/wait_estimation.cpp
@@ -58,7 +58,7 @@
   for (ClassId k = 0; k < tenant.class_queues.size(); ++k) {
     if (LaneOf(k) != lane || tenant.class_queues[k].empty()) continue;
     ahead += k == r.class_id ? tenant.class_queues[k].WorkBefore(r.place)
-                             : tenant.class_queues[k].WorkSubmittedBefore(
+                             : tenant.class_queues[k].WorkSubmittedBy(
                                    r.submitted_at - AgeingCredit(r.class_id) + AgeingCredit(k));
   }
   return ahead;
--- a/src/admission_queue/work_index.cpp
+++ b/src/admission_queue/work_index.cpp
@@ -25,7 +25,7 @@
   assert(place >= begin_ && place < end_ && slot.occupied);
   Add(place & (slots_.size() - 1), -slot.work.count());
   total_ -= slot.work;
-  slot.work = Work::zero();  // WorkSubmittedBefore still needs submitted_at
+  slot.work = Work::zero();  // WorkSubmittedBy still needs submitted_at
   slot.occupied = false;
   --count_;
   while (begin_ < end_ && !At(begin_).occupied) ++begin_;
@@ -37,11 +37,11 @@
   if (place >= end_) return total_;
   const std::size_t mask = slots_.size() - 1;
   const std::size_t from = begin_ & mask, to = place & mask;
-  const std::int64_t sum = Sum(to) - Sum(from);
+  const std::int64_t sum = PrefixSum(to) - PrefixSum(from);
   return from <= to ? Work(sum) : Work(sum) + total_;
 }
 
-Work WorkIndex::WorkSubmittedBefore(Time time) const {
+Work WorkIndex::WorkSubmittedBy(Time time) const {
   if (count_ == 0 || time >= At(end_ - 1).submitted_at) return total_;
   Place low = begin_, high = end_;
   while (low < high) {
@@ -62,8 +62,8 @@
   // Builds the tree in one pass, in which each index adds its sum to its parent.
   for (std::size_t i = 0; i < places; ++i) {
     tree_[i] += slots_[i].work.count();
-    const std::size_t above = i | (i + 1);
-    if (above < places) tree_[above] += tree_[i];
+    const std::size_t parent = i | (i + 1);
+    if (parent < places) tree_[parent] += tree_[i];
   }
 }
 
@@ -71,7 +71,7 @@
   for (; index < tree_.size(); index |= index + 1) tree_[index] += change;
 }
 
-std::int64_t WorkIndex::Sum(std::size_t index) const {
+std::int64_t WorkIndex::PrefixSum(std::size_t index) const {
   std::int64_t sum = 0;
   for (; index > 0; index &= index - 1) sum += tree_[index - 1];
   return sum;
--- a/src/admission_queue/work_index.h
+++ b/src/admission_queue/work_index.h
@@ -38,16 +38,16 @@
   // Returns the work of the requests ahead of `place`.
   Work WorkBefore(Place place) const;
   // Returns the work of the requests submitted no later than `time`.
-  Work WorkSubmittedBefore(Time time) const;
+  Work WorkSubmittedBy(Time time) const;
   std::size_t memory_bytes() const { return slots_.capacity() * (sizeof(Slot) + sizeof(std::int64_t)); }
 
  private:
   void Resize(std::size_t places);
   void Add(std::size_t index, std::int64_t change);
-  std::int64_t Sum(std::size_t index) const;  // over all indexes below `index`
+  std::int64_t PrefixSum(std::size_t index) const;  // over all indexes below `index`
 
   std::vector<Slot> slots_;         // the size is zero or a power of two
-  std::vector<std::int64_t> tree_;  // Fenwick tree over the same indexes
+  std::vector<std::int64_t> tree_;  // binary indexed tree over the same indexes
   Place begin_ = 0, end_ = 0;
   std::size_t count_ = 0;
   Work total_{};
--- a/tests/admission_queue_test.cpp
+++ b/tests/admission_queue_test.cpp
@@ -165,7 +165,7 @@
           Work sum{};
           for (const auto& [place, work] : plain) {
             RC_ASSERT(index.WorkBefore(place) == sum);
-            RC_ASSERT(index.WorkSubmittedBefore(index.At(place).submitted_at) == sum + work);
+            RC_ASSERT(index.WorkSubmittedBy(index.At(place).submitted_at) == sum + work);
             sum += work;
           }
           RC_ASSERT(index.total() == sum);
