--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -147,7 +147,7 @@
     RemoveFromDispatched(id, r);
     lane.rate_meter.AddStarted(r.work);
     lane.start_rate.Add(1);
-    lane.accuracy.Learn(r.raw_wait, now - r.submitted_at);
+    lane.accuracy.AddSample(r.raw_wait, now - r.submitted_at);
   }
   ++r.running_attempts;
   running_.Begin({id, attempt, r.tenant, settings_.classes[r.class_id].threads,
--- a/src/admission_queue/estimate_accuracy.cpp
+++ b/src/admission_queue/estimate_accuracy.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 // Biases and errors are differences between logarithms of waits.
-constexpr double kLearningWeight = 0.003;                         // minimum weight of the newest wait
+constexpr double kMinSampleWeight = 0.003;                        // minimum weight of the newest wait
 constexpr double kMaxBias = 0.7;                                  // a correction by a factor of two
-constexpr double kMaxEstimateError = 0.8;                         // limits the effect of one outlier
+constexpr double kMaxError = 0.8;                                 // limits the effect of one outlier
 constexpr double kUpperBoundErrors = 1.6;                         // mean errors above the estimate
 constexpr double kLowerBoundErrors = 0.8;                         // mean errors below the estimate
 constexpr Span kMinMeasuredWait = std::chrono::milliseconds(50);  // shorter waits count as this long
@@ -22,13 +22,13 @@
 
 // The bias is computed from raw estimates. If it were computed from corrected estimates, it would feed back
 // on itself with the delay of a complete wait, and oscillate.
-void EstimateAccuracy::Learn(Span raw_wait, Span real_wait) {
+void EstimateAccuracy::AddSample(Span raw_wait, Span actual_wait) {
   const auto log = [](Span span) { return std::log(Seconds(std::max(span, kMinMeasuredWait))); };
-  const double weight = std::max(kLearningWeight, 1.0 / (++learned_ + 100));
-  const double error = log(real_wait) - log(Corrected(raw_wait));
-  mean_error_ += weight * (std::min(std::abs(error), kMaxEstimateError) - mean_error_);
-  if (raw_wait <= 4 * kMinMeasuredWait && real_wait <= 4 * kMinMeasuredWait) return;
-  const double raw_error = std::clamp(log(real_wait) - log(raw_wait), -2 * kMaxBias, 2 * kMaxBias);
+  const double weight = std::max(kMinSampleWeight, 1.0 / (++sample_count_ + 100));
+  const double error = log(actual_wait) - log(Corrected(raw_wait));
+  mean_error_ += weight * (std::min(std::abs(error), kMaxError) - mean_error_);
+  if (raw_wait <= 4 * kMinMeasuredWait && actual_wait <= 4 * kMinMeasuredWait) return;
+  const double raw_error = std::clamp(log(actual_wait) - log(raw_wait), -2 * kMaxBias, 2 * kMaxBias);
   bias_ = std::clamp(bias_ + weight * (raw_error - bias_), -kMaxBias, kMaxBias);
 }
 
--- a/src/admission_queue/estimate_accuracy.h
+++ b/src/admission_queue/estimate_accuracy.h
@@ -9,7 +9,7 @@
 
 class EstimateAccuracy {
  public:
-  void Learn(Span raw_wait, Span real_wait);
+  void AddSample(Span raw_wait, Span actual_wait);
   Span Corrected(Span raw_wait) const;
   // Bounds around a corrected estimate; most actual waits lie within them.
   Span UpperBound(Span corrected_wait) const;
@@ -19,7 +19,7 @@
 
  private:
   double bias_ = 0, mean_error_ = 0.2;  // of the logarithm of the wait
-  int learned_ = 0;
+  int sample_count_ = 0;
 };
 
 }  // namespace lemoncroft::admission_queue
