--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -13,24 +13,24 @@
 constexpr Span kUpdateInterval = 50ms;  // between updates of charges, rates and forecasts
 constexpr Span kBacklogInterval = 5ms;  // between steps while the review backlog is not empty
 // A request that is rejected because its tenant's queue is full may retry after the estimated time in which
-// about kPlacesBeforeRetry of the tenant's requests are dispatched. A request that is rejected because the
-// queue of all tenants is full may retry after 1/kQueueFullWaitDivisor of its estimated wait.
-constexpr int kPlacesBeforeRetry = 8;
+// about kDispatchesBeforeRetry of the tenant's requests are dispatched. A request that is rejected because
+// the queue of all tenants is full may retry after 1/kQueueFullWaitDivisor of its estimated wait.
+constexpr int kDispatchesBeforeRetry = 8;
 constexpr int kQueueFullWaitDivisor = 8;
 // The latest start of an admitted request is at least this far ahead, unless its deadline is earlier.
 constexpr Span kImmediateStartTolerance = 100ms;
-constexpr double kVirtualTimeRateWindowSeconds = 4;
-constexpr double kEstimateBiasWeight = 0.03;  // weight of the newest response
-constexpr double kMaxEstimateError = 1.4;     // logarithm of a ratio; limits the effect of an outlier
-constexpr double kMaxEstimateBias = 2.0;      // logarithm of a ratio
-constexpr double kMinWorkSeconds = 1e-6;      // avoids a division by zero
-constexpr double kMaxVirtualTimeRate = 20;    // seconds per second; limits the effect of a jump
-constexpr double kMaxEstimateRatio = 200;     // ratio of an estimate to the default work of the class
+constexpr double kVirtualTimeRateTimeConstantSeconds = 4;
+constexpr double kWorkBiasWeight = 0.03;    // weight of the newest response
+constexpr double kMaxWorkError = 1.4;       // logarithm of a ratio; limits the effect of an outlier
+constexpr double kMaxWorkBias = 2.0;        // logarithm of a ratio
+constexpr double kMinWorkSeconds = 1e-6;    // avoids a division by zero
+constexpr double kMaxVirtualTimeRate = 20;  // seconds per second; limits the effect of a jump
+constexpr double kMaxEstimateRatio = 200;   // ratio of an estimate to the default work of the class
 
 }  // namespace
 
 AdmissionQueue::AdmissionQueue(Settings settings) : settings_(std::move(settings)), running_(ledger_) {
-  estimate_bias_.assign(settings_.classes.size(), 0);
+  work_estimate_bias_.assign(settings_.classes.size(), 0);
   Configure(settings_, Time{});
 }
 
@@ -38,7 +38,7 @@
   const ClassPolicy& c = settings_.classes[request.class_id];
   const Work default_work = std::max<Work>(1us, c.default_work);
   if (request.estimated_work <= Work::zero()) return default_work;
-  const double corrected = Seconds(request.estimated_work) * std::exp(estimate_bias_[request.class_id]);
+  const double corrected = Seconds(request.estimated_work) * std::exp(work_estimate_bias_[request.class_id]);
   return std::clamp<Work>(FromSeconds(corrected), 1us,
                           FromSeconds(Seconds(default_work) * kMaxEstimateRatio));
 }
@@ -80,7 +80,7 @@
   const std::size_t max_waiting = settings_.tenants[r.tenant].max_waiting;
   // The queue of a tenant is assumed to drain at the rate on which the estimate is based.
   if (max_waiting > 0 && waiting >= max_waiting) {
-    const Span retry_after = estimate.wait / static_cast<int>(1 + waiting / kPlacesBeforeRetry);
+    const Span retry_after = estimate.wait / static_cast<int>(1 + waiting / kDispatchesBeforeRetry);
     return MakeReject(request, RejectReason::kTenantQueueFull, retry_after);
   }
   if (waiting_count_ >= settings_.max_waiting)
@@ -99,7 +99,7 @@
   tenant.waiting_work[lane] += r.work;
   ++tenant.waiting_count[lane];
   ++waiting_count_;
-  r.announced_start = now + estimate.wait;
+  r.reported_start = now + estimate.wait;
   Request& entry = requests_.emplace(request.id, r).first->second;
   ScheduleReview(request.id, entry, now, estimate.wait);
   next_step_ = now;
@@ -168,9 +168,9 @@
   if (it == requests_.end() || reported_work <= Work::zero()) return;
   const Request& r = it->second;
   const double error = std::log(Seconds(reported_work) / std::max(kMinWorkSeconds, Seconds(r.work)));
-  double& bias = estimate_bias_[r.class_id];
-  bias = std::clamp(bias + kEstimateBiasWeight * std::clamp(error, -kMaxEstimateError, kMaxEstimateError),
-                    -kMaxEstimateBias, kMaxEstimateBias);
+  double& bias = work_estimate_bias_[r.class_id];
+  bias = std::clamp(bias + kWorkBiasWeight * std::clamp(error, -kMaxWorkError, kMaxWorkError), -kMaxWorkBias,
+                    kMaxWorkBias);
 }
 
 void AdmissionQueue::OnRequestCompleted(RequestId id, Time now) {
@@ -220,10 +220,10 @@
     for (RateEstimator& rate : tenant.arrival_rates) rate.EndWindow(Seconds(window), true);
   }
   for (TenantId t = 0; t < tenants_.size(); ++t) ledger_.SetCompeting(t, IsCompeting(t));
-  const double moved = std::max(0.0, ledger_.virtual_time() - last_virtual_time_) / Seconds(window);
+  const double advance_rate = std::max(0.0, ledger_.virtual_time() - last_virtual_time_) / Seconds(window);
   last_virtual_time_ = ledger_.virtual_time();
-  virtual_time_rate_ += (1 - std::exp(-Seconds(window) / kVirtualTimeRateWindowSeconds)) *
-                        (std::min(moved, kMaxVirtualTimeRate) - virtual_time_rate_);
+  virtual_time_rate_ += (1 - std::exp(-Seconds(window) / kVirtualTimeRateTimeConstantSeconds)) *
+                        (std::min(advance_rate, kMaxVirtualTimeRate) - virtual_time_rate_);
 }
 
 std::size_t AdmissionQueue::memory_bytes() const {
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -114,8 +114,8 @@
     WorkIndex::Place place = 0;
     Work work{}, charged{};
     Time submitted_at{}, latest_start{};
-    Span raw_wait{};         // the estimate at submission, before correction
-    Time announced_start{};  // according to the last estimate that was reported
+    Span raw_wait{};        // the estimate at submission, before correction
+    Time reported_start{};  // according to the last estimate that was reported
     Time next_review{};
   };
   struct TenantQueue {
@@ -148,7 +148,7 @@
   Span AgeingCredit(ClassId class_id) const { return ageing_credits_[class_id]; }
   Work ExpectedWork(const QueuedRequest& request) const;
   Span RunTime(const Request& r) const;
-  WaitEstimate EstimateForNewcomer(TenantId tenant, ClassId class_id, Time now);
+  WaitEstimate EstimateForNewRequest(TenantId tenant, ClassId class_id, Time now);
   Span BoundedRetryAfter(Span retry_after) const;
   Request NewRequest(const QueuedRequest& request, Time now) const;
   RejectReason BarredReason(TenantId tenant, ClassId class_id) const;
@@ -166,7 +166,7 @@
   double WaitWithTenantLimits(const Request& r, double wait, double target, double work_ahead,
                               Time now) const;
   Work WorkAhead(const Request& r) const;
-  double EffectiveTag(TenantId tenant, Lane lane) const;
+  double EffectiveStartTag(TenantId tenant, Lane lane) const;
   void RefreshForecast(Lane lane, Time now);
   WaitEstimate CorrectedEstimate(const Request& r, Span raw_wait) const;
   WaitEstimate CorrectedEstimate(const Request& r, Time now) { return CorrectedEstimate(r, RawWait(r, now)); }
@@ -206,10 +206,10 @@
   std::deque<RequestId> review_backlog_;  // to be reviewed at once after a change of the fleet or the budgets
   std::vector<std::string> pending_log_;  // texts of the log events that the next Step appends
   double fleet_cores_ = 0, budget_scale_ = 1;
-  double virtual_time_rate_ = 0;       // moving average, seconds per second
-  double last_virtual_time_ = 0;       // at the last update
-  std::vector<int> last_priorities_;   // priority of the latest first attempt, by class
-  std::vector<double> estimate_bias_;  // logarithm of reported over estimated work, by class
+  double virtual_time_rate_ = 0;            // moving average, seconds per second
+  double last_virtual_time_ = 0;            // at the last update
+  std::vector<int> last_priorities_;        // priority of the latest first attempt, by class
+  std::vector<double> work_estimate_bias_;  // logarithm of reported over estimated work, by class
   std::size_t waiting_count_ = 0;
   std::array<int, kLanes> threads_by_lane_{};  // of dispatched requests that are not complete
   Time last_update_{}, next_step_{};
--- a/src/admission_queue/configuration.cpp
+++ b/src/admission_queue/configuration.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr double kArrivalRateWindowSeconds = 5;
+constexpr double kArrivalRateTimeConstantSeconds = 5;
 constexpr double kMinScaleChange = 0.01;  // smaller changes of the budget scale aren't logged
 
 }  // namespace
 
 void AdmissionQueue::Configure(Settings settings, Time now) {
   // A class must not inherit the estimate bias of the class that used its index before.
-  for (std::size_t i = 0; i < std::min(estimate_bias_.size(), settings.classes.size()); ++i) {
-    if (settings_.classes[i].name != settings.classes[i].name) estimate_bias_[i] = 0;
+  for (std::size_t i = 0; i < std::min(work_estimate_bias_.size(), settings.classes.size()); ++i) {
+    if (settings_.classes[i].name != settings.classes[i].name) work_estimate_bias_[i] = 0;
   }
   settings_ = std::move(settings);
-  estimate_bias_.resize(settings_.classes.size());
+  work_estimate_bias_.resize(settings_.classes.size());
   last_priorities_.resize(settings_.classes.size(), 1);
   double least = HUGE_VAL;
   for (const ClassPolicy& c : settings_.classes) least = std::min(least, std::max(1e-9, c.priority_weight));
@@ -34,7 +34,7 @@
   if (tenants_.size() < settings_.tenants.size()) tenants_.resize(settings_.tenants.size());
   for (TenantQueue& tenant : tenants_) {
     tenant.class_queues.resize(settings_.classes.size());
-    tenant.arrival_rates.resize(settings_.classes.size(), RateEstimator(kArrivalRateWindowSeconds));
+    tenant.arrival_rates.resize(settings_.classes.size(), RateEstimator(kArrivalRateTimeConstantSeconds));
   }
   settings_.tenants.resize(tenants_.size());
   SetFleetCores(fleet_cores_, now);
--- a/src/admission_queue/dispatch.cpp
+++ b/src/admission_queue/dispatch.cpp
@@ -19,11 +19,11 @@
 // continues without it, since the module evidently can't place it.
 constexpr std::uint8_t kMaxOvertakes = 6;
 constexpr Span kMaxBlockedTime = 1s;
-// Fractions of the wanted number of heavy threads. Below the first, dispatches aren't paced; from the second
+// Ratios of heavy threads to their target number. Below the first, dispatches aren't paced; from the second
 // on, nothing is dispatched.
-constexpr double kUnpacedLoad = 0.8, kMaxLoad = 1.3;
-constexpr double kPacingGain = 1.5;       // relative rate change per relative deviation from wanted threads
-constexpr double kMaxDeviation = 0.5;     // relative deviation from the wanted threads
+constexpr double kUnpacedThreadRatio = 0.8, kMaxThreadRatio = 1.3;
+constexpr double kPacingGain = 1.5;       // relative rate change per relative deviation from the target
+constexpr double kMaxDeviation = 0.5;     // relative deviation from the target number of threads
 constexpr Span kMaxPacingCredit = 100ms;  // limits how much missed dispatch time is made up for
 
 }  // namespace
@@ -42,8 +42,8 @@
   Time least = Time::max();
   for (ClassId k = 0; k < tenant.class_queues.size(); ++k) {
     if (LaneOf(k) != lane || tenant.class_queues[k].empty()) continue;
-    const Time key = tenant.class_queues[k].front().submitted_at - AgeingCredit(k);
-    if (key < least) least = key, first = k;
+    const Time aged_time = tenant.class_queues[k].front().submitted_at - AgeingCredit(k);
+    if (aged_time < least) least = aged_time, first = k;
   }
   return first;
 }
@@ -69,25 +69,25 @@
 // same capacity further. Near that number, dispatches are spaced by DispatchInterval: a dispatch at each
 // completion would cause bursts that can't be predicted.
 bool AdmissionQueue::HasCapacity(Lane lane, Time now) const {
-  const double wanted = settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share;
+  const double target_threads = settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share;
   // Light requests rarely reach the limit, but a flood of them must not slow down all running requests.
-  if (lane == kLight) return threads_by_lane_[kLight] < wanted;
-  if (threads_by_lane_[kHeavy] < kUnpacedLoad * wanted) return true;
-  return threads_by_lane_[kHeavy] < kMaxLoad * wanted && now >= lanes_[lane].next_dispatch_at;
+  if (lane == kLight) return threads_by_lane_[kLight] < target_threads;
+  if (threads_by_lane_[kHeavy] < kUnpacedThreadRatio * target_threads) return true;
+  return threads_by_lane_[kHeavy] < kMaxThreadRatio * target_threads && now >= lanes_[lane].next_dispatch_at;
 }
 
 Span AdmissionQueue::DispatchInterval(Lane lane, Work work) const {
-  const double wanted =
+  const double target_threads =
       std::max(1.0, settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share);
   const double deviation =
-      std::clamp((wanted - threads_by_lane_[kHeavy]) / wanted, -kMaxDeviation, kMaxDeviation);
+      std::clamp((target_threads - threads_by_lane_[kHeavy]) / target_threads, -kMaxDeviation, kMaxDeviation);
   return FromSeconds(Seconds(work) /
                      (lanes_[lane].rate_meter.PerSecond(AvailableCores()) * (1 + kPacingGain * deviation)));
 }
 
 std::size_t AdmissionQueue::DispatchWindow(Lane lane) const {
-  const auto wanted = static_cast<std::size_t>(lanes_[lane].start_rate.per_second() * kDispatchWindowSeconds);
-  return std::clamp(wanted, kMinDispatchWindow[lane], kMaxDispatchWindow);
+  const auto window = static_cast<std::size_t>(lanes_[lane].start_rate.per_second() * kDispatchWindowSeconds);
+  return std::clamp(window, kMinDispatchWindow[lane], kMaxDispatchWindow);
 }
 
 Dispatch AdmissionQueue::DispatchNext(TenantId t, Lane lane, Time now) {
--- a/src/admission_queue/estimate_accuracy.cpp
+++ b/src/admission_queue/estimate_accuracy.cpp
@@ -14,7 +14,7 @@
 constexpr double kUpperBoundErrors = 1.6;                         // mean errors above the estimate
 constexpr double kLowerBoundErrors = 0.8;                         // mean errors below the estimate
 constexpr Span kMinMeasuredWait = std::chrono::milliseconds(50);  // shorter waits count as this long
-constexpr Span kBoundTolerance = std::chrono::milliseconds(50);   // added to both bounds
+constexpr Span kBoundTolerance = std::chrono::milliseconds(50);   // widens both bounds
 
 Span Scaled(Span span, double factor) { return FromSeconds(Seconds(span) * factor); }
 
--- a/src/admission_queue/reviews.cpp
+++ b/src/admission_queue/reviews.cpp
@@ -21,14 +21,14 @@
 }  // namespace
 
 void AdmissionQueue::ReviewDueRequests(Time now, std::vector<Decision>& decisions) {
-  std::size_t left = kMaxReviewsPerStep;
-  for (; !review_backlog_.empty() && left > 0; --left) {
+  std::size_t remaining = kMaxReviewsPerStep;
+  for (; !review_backlog_.empty() && remaining > 0; --remaining) {
     const RequestId id = review_backlog_.back();  // the last ids are the most likely to be late
     review_backlog_.pop_back();
     if (const auto it = requests_.find(id); it != requests_.end())
       ReviewRequest(id, it->second, now, decisions, false);
   }
-  for (; left > 0; --left) {
+  for (; remaining > 0; --remaining) {
     const std::optional<RequestId> id = review_timers_.PopDue(now);
     if (!id) break;
     const auto it = requests_.find(*id);
@@ -73,9 +73,9 @@
     return;
   }
   const Time start = now + estimate.wait;
-  const Span change = start > r.announced_start ? start - r.announced_start : r.announced_start - start;
+  const Span change = start > r.reported_start ? start - r.reported_start : r.reported_start - start;
   if (change > std::max(kMinEstimateChange, FromSeconds(kMinEstimateChangeRatio * Seconds(estimate.wait)))) {
-    r.announced_start = start;
+    r.reported_start = start;
     if (r.wants_updates) decisions.emplace_back(EstimateUpdate{id, estimate});
   }
   if (reschedule) ScheduleReview(id, r, now, estimate.wait);
@@ -86,8 +86,8 @@
 // Changes of the fleet or the budgets put all waiting requests into the backlog instead.
 void AdmissionQueue::ScheduleReview(RequestId id, Request& r, Time now, Span wait) {
   const Span slack = r.latest_start - now - wait;
-  const Span until = r.wants_updates ? wait / 3 : std::max(wait + wait / 4, slack / 2);
-  r.next_review = std::min(now + std::max(kMinReviewInterval, until), std::max(now, r.latest_start));
+  const Span delay = r.wants_updates ? wait / 3 : std::max(wait + wait / 4, slack / 2);
+  r.next_review = std::min(now + std::max(kMinReviewInterval, delay), std::max(now, r.latest_start));
   review_timers_.Add(r.next_review, id);
 }
 
--- a/src/admission_queue/state.cpp
+++ b/src/admission_queue/state.cpp
@@ -31,7 +31,7 @@
     summary.waiting = tenant.size();
     summary.waiting_work = tenant.waiting_work[kHeavy] + tenant.waiting_work[kLight];
     for (ClassId k = 0; k < tenant.class_queues.size() && account.cores > 0; ++k) {
-      summary.longest_wait = std::max(summary.longest_wait, EstimateForNewcomer(t, k, now).wait);
+      summary.longest_wait = std::max(summary.longest_wait, EstimateForNewRequest(t, k, now).wait);
     }
     summary.submitted = tenant.submitted;
     summary.dispatched = tenant.dispatched;
--- a/src/admission_queue/wait_estimation.cpp
+++ b/src/admission_queue/wait_estimation.cpp
@@ -17,10 +17,10 @@
 constexpr Span kMinRetryAfter = 50ms;
 constexpr double kOverrunPersistence = 0.3;  // fraction of the overrunning threads assumed unavailable
 constexpr int kMaxOvertakingRounds = 3;
-constexpr double kMinBudgetCores = 1e-9;     // avoids a division by zero
-constexpr double kMinVirtualTimeRate = 0.1;  // per second: keeps estimates finite
-constexpr double kMinAvailableCores = 0.3;   // fraction of this proxy's cores
-constexpr double kPartialRequest = 0.5;      // mean fraction of a request's work past the common level
+constexpr double kMinBudgetCores = 1e-9;         // avoids a division by zero
+constexpr double kMinVirtualTimeRate = 0.1;      // seconds per second; keeps estimates finite
+constexpr double kMinAvailableFraction = 0.3;    // of this proxy's cores
+constexpr double kPartialRequestFraction = 0.5;  // mean fraction of a request's work past the common level
 
 }  // namespace
 
@@ -30,7 +30,7 @@
                                                   : retry_after;
 }
 
-WaitEstimate AdmissionQueue::EstimateForNewcomer(TenantId tenant, ClassId class_id, Time now) {
+WaitEstimate AdmissionQueue::EstimateForNewRequest(TenantId tenant, ClassId class_id, Time now) {
   Request r;
   r.tenant = tenant;
   r.class_id = class_id;
@@ -42,13 +42,14 @@
 
 Span AdmissionQueue::RetryAfter(TenantId tenant, ClassId class_id, Time now) {
   if (tenant >= tenants_.size() || class_id >= settings_.classes.size()) return settings_.max_retry_after;
-  return BoundedRetryAfter(EstimateForNewcomer(tenant, class_id, now).upper_bound);
+  return BoundedRetryAfter(EstimateForNewRequest(tenant, class_id, now).upper_bound);
 }
 
 double AdmissionQueue::AvailableCores() const {
-  const double own = fleet_cores_ * settings_.budget_share;
-  const double held = running_.overrun_threads() / std::max(1.0, settings_.heavy_threads_per_core * own);
-  return own * std::max(kMinAvailableCores, 1 - kOverrunPersistence * held);
+  const double own_cores = fleet_cores_ * settings_.budget_share;
+  const double overrun_ratio =
+      running_.overrun_threads() / std::max(1.0, settings_.heavy_threads_per_core * own_cores);
+  return own_cores * std::max(kMinAvailableFraction, 1 - kOverrunPersistence * overrun_ratio);
 }
 
 Work AdmissionQueue::WorkAhead(const Request& r) const {
@@ -65,7 +66,7 @@
 }
 
 // Returns the start tag that the tenant has once it competes.
-double AdmissionQueue::EffectiveTag(TenantId t, Lane lane) const {
+double AdmissionQueue::EffectiveStartTag(TenantId t, Lane lane) const {
   const FairShareLedger::Account& account = ledger_.at(t);
   if (tenants_[t].waiting_count[lane] > 0) return account.start_tag;
   return std::max(account.start_tag, ledger_.virtual_time() - account.burst);
@@ -80,7 +81,7 @@
   std::vector<TenantFlow> flows(tenants_.size());
   for (TenantId t = 0; t < tenants_.size(); ++t) {
     flows[t].cores = ledger_.at(t).cores;
-    flows[t].start_tag = EffectiveTag(t, lane);
+    flows[t].start_tag = EffectiveStartTag(t, lane);
     flows[t].waiting_work = Seconds(tenants_[t].waiting_work[lane]);
     for (ClassId k = 0; k < tenants_[t].arrival_rates.size(); ++k) {
       if (LaneOf(k) == lane) flows[t].arrival_rate += tenants_[t].arrival_rates[k].per_second();
@@ -112,8 +113,8 @@
   double overtaking = 0;
   for (ClassId k = 0; k < tenant.arrival_rates.size(); ++k) {
     if (LaneOf(k) != lane || AgeingCredit(k) <= AgeingCredit(r.class_id)) continue;
-    const double left = Seconds(AgeingCredit(k) - AgeingCredit(r.class_id) - (now - r.submitted_at));
-    overtaking += tenant.arrival_rates[k].per_second() * std::clamp(left, 0.0, wait);
+    const double remaining = Seconds(AgeingCredit(k) - AgeingCredit(r.class_id) - (now - r.submitted_at));
+    overtaking += tenant.arrival_rates[k].per_second() * std::clamp(remaining, 0.0, wait);
   }
   return overtaking;
 }
@@ -122,13 +123,13 @@
 // average. Returns the core-seconds of this excess, summed over the tenants with a start tag below `target`.
 double AdmissionQueue::PartialRequestWork(const Request& r, double target) const {
   const Lane lane = LaneOf(r.class_id);
-  double past_level = 0;
+  double excess_work = 0;
   for (TenantId t = 0; t < tenants_.size(); ++t) {
     if (t != r.tenant && tenants_[t].waiting_count[lane] > 0 && ledger_.at(t).start_tag < target)
-      past_level += kPartialRequest * Seconds(tenants_[t].waiting_work[lane]) /
-                    static_cast<double>(tenants_[t].waiting_count[lane]);
+      excess_work += kPartialRequestFraction * Seconds(tenants_[t].waiting_work[lane]) /
+                     static_cast<double>(tenants_[t].waiting_count[lane]);
   }
-  return past_level;
+  return excess_work;
 }
 
 // Extends `wait` to account for the tenant's own limits: its maximum lead over the others and its thread cap.
@@ -136,13 +137,14 @@
                                             Time now) const {
   const FairShareLedger::Account& account = ledger_.at(r.tenant);
   if (account.competing || ledger_.virtual_time() > 0) {
-    const double past = target - ledger_.virtual_time() - ledger_.MaxLead(r.tenant);
-    if (past > 0 && !ledger_.WithinMaxLead(r.tenant))
-      wait = std::max(wait, past / std::max(kMinVirtualTimeRate, virtual_time_rate_));
+    const double excess_lead = target - ledger_.virtual_time() - ledger_.MaxLead(r.tenant);
+    if (excess_lead > 0 && !ledger_.WithinMaxLead(r.tenant))
+      wait = std::max(wait, excess_lead / std::max(kMinVirtualTimeRate, virtual_time_rate_));
   }
   if (account.max_threads > 0 && !HasThreads(r.tenant, r.class_id)) {
-    const double each = running_.slowdown(last_priorities_[r.class_id]) / account.max_threads;
-    wait = std::max(wait, Seconds(running_.TimeUntilFirstEnd(r.tenant, now)) + work_ahead * each);
+    const double wait_per_core_second = running_.slowdown(last_priorities_[r.class_id]) / account.max_threads;
+    wait = std::max(wait,
+                    Seconds(running_.TimeUntilFirstEnd(r.tenant, now)) + work_ahead * wait_per_core_second);
   }
   return wait;
 }
@@ -157,7 +159,7 @@
   RefreshForecast(lane, now);
   const double work = Seconds(WorkAhead(r));
   const double cores = std::max(kMinBudgetCores, ledger_.at(r.tenant).cores);
-  const double start_tag = EffectiveTag(r.tenant, lane);
+  const double start_tag = EffectiveStartTag(r.tenant, lane);
   double wait = state.forecast.TimeUntil(start_tag + work / cores);
   // Iterates, since more requests overtake during a longer wait.
   double overtaking = 0;
