--- a/tests/admission_queue_test.cpp
+++ b/tests/admission_queue_test.cpp
@@ -1,5 +1,5 @@
-// The admission queue in virtual time: its parts, the difficult cases it is designed for, and properties of
-// generated workloads.
+// Tests of the admission queue and its parts in virtual time: the difficult cases that the queue is designed
+// for, and properties of generated workloads.
 #include "admission_queue/admission_queue.h"
 
 #include <gtest/gtest.h>
@@ -19,15 +19,15 @@
 
 Time At(double seconds) { return Time(FromSeconds(seconds)); }
 
-// An admission queue ahead of a simulated fleet, without the decision module: a dispatched request starts at
-// once on the engine with the fewest attempts.
+// An admission queue in front of a simulated fleet, without the decision module: a dispatched request starts
+// at once on the engine with the fewest attempts.
 class QueueWithFleet {
  public:
   struct Query {
     QueuedRequest request;
     double work = 0, submitted = 0, started = -1;
     Time dispatch_deadline{};
-    int completions = 0;  // rejections and ends; one per request
+    int completions = 0;  // number of rejections, cancellations and ends; must be 1 in the end
   };
 
   explicit QueueWithFleet(Settings settings, int engines = 4, double cores = 10)
@@ -45,7 +45,7 @@
     return s;
   }
 
-  // `actual_ratio`: of the work really needed to the estimate.
+  // `actual_ratio` is the ratio of the actual work to the estimated work.
   AdmissionQueue::SubmitResult Submit(TenantId tenant, ClassId class_id, double work, double timeout,
                                       double actual_ratio = 1) {
     QueuedRequest request{++last, tenant, class_id, FromSeconds(work), At(now + timeout), true};
@@ -191,14 +191,14 @@
                     {.name = "b", .cores = 1, .barred_classes = {}}},
                    1, 100);
   ledger.SetCompeting(1, true);
-  ledger.Charge(1, 3600s);  // an hour in which the first sent nothing
+  ledger.Charge(1, 3600s);  // an hour in which the first tenant sends nothing
   ledger.SetCompeting(0, true);
-  EXPECT_DOUBLE_EQ(ledger.at(0).start_tag, 3599);  // its burst
+  EXPECT_DOUBLE_EQ(ledger.at(0).start_tag, 3599);  // the virtual time minus the burst
   ledger.Charge(0, 6s);
   ledger.Charge(1, 1s);
   EXPECT_DOUBLE_EQ(ledger.at(0).start_tag, 3601);
   EXPECT_DOUBLE_EQ(ledger.at(1).start_tag, 3601);
-  ledger.Charge(1, -9999s);  // refunds are limited to what was charged
+  ledger.Charge(1, -9999s);  // refunds are limited to the work charged
   EXPECT_GE(ledger.at(1).charged, Work::zero());
 }
 
@@ -217,13 +217,14 @@
   forecast.Build({{3, 0, 30, 0}, {1, 0, 10, 0}}, 10, 0);
   EXPECT_NEAR(forecast.TimeUntil(10), 4, 0.01);  // 40 core-seconds at 10 per second
   forecast.Build({{3, 0, 30, 0}, {1, 5, 10, 0}}, 10, 1);
-  EXPECT_NEAR(forecast.TimeUntil(5), 2.5,
-              0.1);  // the one behind is served alone, after a second without dispatch
+  // The tenant with the lower start tag is served alone, after a second without dispatch.
+  EXPECT_NEAR(forecast.TimeUntil(5), 2.5, 0.1);
   forecast.Build({{1, 0, 0, 0}}, 10, 0);
-  EXPECT_LT(forecast.TimeUntil(1), 1);  // finite also with nothing waiting
+  EXPECT_LT(forecast.TimeUntil(1), 1);  // the wait is finite even if nothing waits
 }
 
-// Without ageing, a class of low priority weight waits for as long as others keep arriving.
+// Guards against starvation: without ageing, requests of the lowest priority weight wait for as long as
+// requests of greater weights keep arriving.
 TEST(AdmissionQueue, HigherPriorityKeepsArriving_AgedRequestsStartWithinMaxWait) {
   for (const bool ageing : {true, false}) {
     Settings s = QueueWithFleet::Tenants({40});
@@ -234,7 +235,7 @@
     setup.Run(1);
     std::vector<RequestId> loads;
     setup.before_tick = [&] {
-      for (int i = 0; i < 5; ++i) setup.Submit(0, 0, 0.09, 60);  // 45 cores of 40, without end
+      for (int i = 0; i < 5; ++i) setup.Submit(0, 0, 0.09, 60);  // permanent demand for 45 of 40 cores
       if (setup.EveryTicks(100)) {
         if (!setup.Submit(0, 2, 3, 60).rejected) loads.push_back(setup.last);
       }
@@ -252,7 +253,8 @@
   }
 }
 
-// Overruns must be charged while they run, or the other tenants would pay for them.
+// Attempts that need far more work than estimated must be charged while they run. Otherwise they use the
+// capacity of the other tenants until they end.
 TEST(AdmissionQueue, AttemptsOverrun_TheirOwnTenantIsCharged) {
   QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
   for (int i = 0; i < 200; ++i) {
@@ -261,10 +263,12 @@
   }
   setup.Run(4);
   EXPECT_NEAR(setup.fleet.consumed(0) / (setup.fleet.consumed(0) + setup.fleet.consumed(1)), 0.5, 0.12);
-  EXPECT_GT(setup.updates, 100) << "earlier estimates are revised";
+  EXPECT_GT(setup.updates, 100) << "earlier estimates must be revised";
   EXPECT_GT(setup.queue.Describe(At(setup.now)).overrun_threads, 0);
 }
 
+// When the fleet loses half of its engines, the estimates of the waiting requests must grow, and requests
+// that can no longer start in time must be rejected instead of waiting until their latest start.
 TEST(AdmissionQueue, HalfTheFleetLost_EstimatesFollowWithinASecond) {
   QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
   setup.before_tick = [&] {
@@ -286,7 +290,7 @@
   setup.RemoveEngine(1);
   setup.Run(setup.now + 1);
   EXPECT_GT(setup.rejected.size(), taken / 4)
-      << "requests that can no longer start in time are rejected at once";
+      << "requests that can no longer start in time must be rejected at once";
   std::size_t later = 0, waiting = 0;
   for (const auto& [id, q] : setup.queries) {
     if (q.started >= 0 || q.completions > 0 || before.at(id).wait < 2s) continue;
@@ -298,7 +302,7 @@
   for (const auto& [id, reject] : setup.rejected) EXPECT_GT(reject.retry_after, 0s);
 }
 
-// Without budgets all tenants would wait for the flood of one.
+// Without budgets, a flood of requests from one tenant would delay the requests of all others.
 TEST(AdmissionQueue, OneTenantFloods_OthersKeepThroughputAndWait) {
   double waited[2] = {}, share[2] = {};
   for (const int flood : {0, 1}) {
@@ -321,9 +325,10 @@
   EXPECT_LT(waited[1], waited[0] + 0.25);
 }
 
-// Light classes have a lane of their own. Without a thread limit a flood of them slows down everything that
-// runs: the heavy requests of the other tenant can't finish in time and are rejected. The fair share is a
-// half; docs/admission_queue.md gives the reason why it is less (known limits).
+// Light classes have a lane of their own. Without a limit on its threads, a flood of light requests slows
+// down all running requests: the heavy requests of the other tenant can't finish in time and are rejected.
+// The fair share is one half; docs/admission_queue.md explains under "known limits" why the actual share is
+// smaller.
 TEST(AdmissionQueue, LightRequestsFlood_HeavyRequestsKeepTheirShare) {
   Settings s = QueueWithFleet::Tenants({20, 20});
   s.classes[0].light = true;
@@ -340,7 +345,8 @@
   EXPECT_GT(had1 / (had0 + had1), 0.33);
 }
 
-// While another tenant waits in the other lane, a tenant gets ahead by its maximum lead only.
+// While another tenant waits in the other lane, a tenant must not get further ahead than its maximum lead.
+// Otherwise a tenant that uses one lane alone would get more than its share.
 TEST(AdmissionQueue, OtherTenantWaitsInOtherLane_LeadIsLimited) {
   Settings s = QueueWithFleet::Tenants({5, 5});
   s.classes[0].light = true;
@@ -356,7 +362,7 @@
     for (const Decision& d : out) {
       const RequestId id = std::get<Dispatch>(d).id;
       queue.OnAttemptStarted(id, 0, 1, At(0));
-      if (id < 100) continue;  // the heavy ones keep running and fill their lane
+      if (id < 100) continue;  // the heavy requests keep running and fill their lane
       ++light;
       queue.OnAttemptEnded(id, 0, 100ms, true, At(0));
       queue.OnRequestCompleted(id, At(0));
@@ -368,7 +374,7 @@
   EXPECT_LE(tenants[0].start_tag, tenants[1].start_tag + 1.1);
 }
 
-// Requests that wait when the last engine is lost are rejected before their deadlines.
+// Requests that are waiting when the last engine is lost must be rejected before their deadlines.
 TEST(AdmissionQueue, AllEnginesLost_WaitingRequestsAreRejectedByLatestStart) {
   AdmissionQueue queue(QueueWithFleet::Tenants({20}));
   queue.SetFleetCores(20, At(0));
@@ -418,7 +424,8 @@
   EXPECT_EQ(setup.queue.open_requests(), 0u);
 }
 
-// The final charge is the work that ran, whatever attempts were rejected or retried.
+// The final charge must equal the work that ran, regardless of rejected, cancelled and retried attempts and
+// of an end that is reported twice.
 TEST(AdmissionQueue, AttemptsRejectedCancelledAndRetried_WorkIsChargedOnce) {
   AdmissionQueue queue(QueueWithFleet::Tenants({10}));
   queue.SetFleetCores(40, At(0));
@@ -494,7 +501,8 @@
   EXPECT_EQ(most, 6);
 }
 
-// At its thread cap a tenant waits for a running attempt; one past its estimate is expected to run on.
+// A tenant at its thread cap waits for a running attempt to end. An attempt past its estimate must be
+// expected to continue; otherwise the estimated wait would be too short.
 TEST(AdmissionQueue, ThreadCapReached_EstimateFollowsRunningAttempts) {
   Settings s = QueueWithFleet::Tenants({20});
   s.tenants[0].max_threads = 2;
@@ -510,7 +518,8 @@
   EXPECT_NEAR(Seconds(queue.EstimateWait(2, At(20))->wait), 10, 1);
 }
 
-// A request keeps its threads between two attempts.
+// A request keeps its threads reserved between two attempts, and an attempt that outlives its request still
+// occupies them. Otherwise the tenant could exceed its thread cap.
 TEST(AdmissionQueue, ThreadsAreHeldBetweenAttemptsAndByOutlivingAttempts) {
   Settings s = QueueWithFleet::Tenants({20});
   s.tenants[0].max_threads = 1;
@@ -526,7 +535,7 @@
   queue.Step(At(1), out);
   EXPECT_EQ(out.size(), 1u);
   queue.OnAttemptStarted(1, 1, 1, At(1));
-  queue.OnRequestCompleted(1, At(2));  // its client has gone; the attempt still ends
+  queue.OnRequestCompleted(1, At(2));  // cancelled by the client; the attempt is still running
   queue.Step(At(2), out);
   EXPECT_EQ(out.size(), 1u);
   queue.OnAttemptEnded(1, 1, Work::zero(), true, At(3));
@@ -534,7 +543,8 @@
   EXPECT_EQ(out.size(), 2u);
 }
 
-// A request that the module can't place is neither overtaken for ever nor does it block the lane for good.
+// A request that the module can't place must neither be overtaken without limit nor block its lane
+// permanently.
 TEST(AdmissionQueue, RequestOvertakenOften_BlocksItsLaneForALimitedTime) {
   Settings s = QueueWithFleet::Tenants({40});
   AdmissionQueue queue(s);
@@ -550,7 +560,7 @@
     if (out.empty() && sent < 39) closed += 0.01;
     for (const Decision& d : out) {
       const auto* dispatch = std::get_if<Dispatch>(&d);
-      if (dispatch == nullptr || dispatch->id == 1) continue;  // the module never starts the first
+      if (dispatch == nullptr || dispatch->id == 1) continue;  // the module never starts the first request
       queue.OnAttemptStarted(dispatch->id, 0, 1, At(now)), ++sent;
       queue.OnAttemptEnded(dispatch->id, 0, 10ms, true, At(now));
       queue.OnRequestCompleted(dispatch->id, At(now));
@@ -561,7 +571,8 @@
   EXPECT_LT(closed, 1.5);
 }
 
-// Every queued request leaves exactly once and within its bound, and all accounts are settled.
+// Every queued request must leave the queue exactly once, and start by its dispatch deadline if it starts.
+// Afterwards no tenant may have waiting requests, threads in use or a negative charge.
 TEST(AdmissionQueue, RandomWorkload_ConservesRequestsAndKeepsBounds) {
   const bool ok = rc::check("conservation and bounds", [](std::uint32_t seed) {
     Settings s = QueueWithFleet::Tenants({12, 8, 20});
