--- a/tests/admission_queue_test.cpp
+++ b/tests/admission_queue_test.cpp
@@ -48,14 +48,14 @@
   // `actual_ratio` is the ratio of the actual work to the estimated work.
   AdmissionQueue::SubmitResult Submit(TenantId tenant, ClassId class_id, double work, double timeout,
                                       double actual_ratio = 1) {
-    QueuedRequest request{++last, tenant, class_id, FromSeconds(work), At(now + timeout), true};
+    QueuedRequest request{++last_id, tenant, class_id, FromSeconds(work), At(now + timeout), true};
     AdmissionQueue::SubmitResult result = queue.Submit(request, At(now));
     if (result.rejected) {
       ++rejected_on_submit;
       return result;
     }
-    queries[last] = {request, work * actual_ratio, now, -1, result.dispatch_deadline, 0};
-    estimates[last] = result.estimate;
+    queries[last_id] = {request, work * actual_ratio, now, -1, result.dispatch_deadline, 0};
+    estimates[last_id] = result.estimate;
     return result;
   }
 
@@ -110,7 +110,7 @@
   AdmissionQueue queue;
   simulation::Fleet fleet;
   double now = 0;
-  RequestId last = 0;
+  RequestId last_id = 0;
   std::map<RequestId, Query> queries;
   std::map<RequestId, Reject> rejected;
   std::map<RequestId, WaitEstimate> estimates;
@@ -124,25 +124,25 @@
     q.started = now;
     simulation::Engine best = 0;
     double least = HUGE_VAL;
-    std::map<simulation::Engine, double> load;
-    for (const auto& [key, engine] : where_) load[engine] += 1;
+    std::map<simulation::Engine, double> attempts_on;
+    for (const auto& [key, engine] : engines_) attempts_on[engine] += 1;
     for (simulation::Engine e = 0; e < 16; ++e) {
-      if (fleet.Has(e) && load[e] < least) least = load[e], best = e;
+      if (fleet.Has(e) && attempts_on[e] < least) least = attempts_on[e], best = e;
     }
     const int threads = q.request.class_id == 0 ? 1 : 2;
-    where_[{id, 0}] = best;
+    engines_[{id, 0}] = best;
     queue.OnAttemptStarted(id, 0, 1, At(now));
     ASSERT_TRUE(fleet.Start({{id, 0}, best, threads, 1, q.work, q.request.tenant}));
   }
 
   void End(const simulation::Finished& f) {
-    where_.erase(f.key);
+    engines_.erase(f.key);
     queue.OnAttemptEnded(f.key.first, 0, FromSeconds(f.work), true, At(now));
     queue.OnRequestCompleted(f.key.first, At(now));
     ++queries.at(f.key.first).completions;
   }
 
-  std::map<simulation::Key, simulation::Engine> where_;
+  std::map<simulation::Key, simulation::Engine> engines_;
   int ticks_ = 0;
 };
 
@@ -150,26 +150,26 @@
   const bool ok =
       rc::check("sums agree with a plain list", [](const std::vector<std::pair<bool, unsigned>>& ops) {
         WorkIndex index;
-        std::vector<std::pair<WorkIndex::Place, Work>> plain;
+        std::vector<std::pair<WorkIndex::Place, Work>> expected;
         Time now{};
-        for (const auto& [join, n] : ops) {
+        for (const auto& [push, number] : ops) {
           now += 1ms;
-          if (join || plain.empty()) {
-            const Work work(n % 1000);
-            plain.emplace_back(index.Push(n, now, work), work);
+          if (push || expected.empty()) {
+            const Work work(number % 1000);
+            expected.emplace_back(index.Push(number, now, work), work);
           } else {
-            const auto it = plain.begin() + n % plain.size();
+            const auto it = expected.begin() + number % expected.size();
             index.Remove(it->first);
-            plain.erase(it);
+            expected.erase(it);
           }
           Work sum{};
-          for (const auto& [place, work] : plain) {
+          for (const auto& [place, work] : expected) {
             RC_ASSERT(index.WorkBefore(place) == sum);
             RC_ASSERT(index.WorkSubmittedBy(index.At(place).submitted_at) == sum + work);
             sum += work;
           }
           RC_ASSERT(index.total() == sum);
-          RC_ASSERT(index.size() == plain.size());
+          RC_ASSERT(index.size() == expected.size());
         }
       });
   EXPECT_TRUE(ok);
@@ -185,7 +185,8 @@
   EXPECT_LT(index.memory_bytes(), full / 100);
 }
 
-TEST(FairShareLedger, IdleTenantReturns_IsOwedItsBurstOnly) {
+// An idle tenant must not accumulate unused budget; otherwise it would displace all others when it returns.
+TEST(FairShareLedger, IdleTenantReturns_StartTagLagsByBurstOnly) {
   FairShareLedger ledger;
   ledger.Configure({{.name = "a", .cores = 3, .burst = 1s, .barred_classes = {}},
                     {.name = "b", .cores = 1, .barred_classes = {}}},
@@ -212,7 +213,7 @@
   EXPECT_DOUBLE_EQ(ledger.at(1).cores, 5);
 }
 
-TEST(WaitForecast, LevelRisesWithTheDispatchRate) {
+TEST(WaitForecast, DispatchRateGiven_LevelRisesAtThatRate) {
   WaitForecast forecast;
   forecast.Build({{3, 0, 30, 0}, {1, 0, 10, 0}}, 10, 0);
   EXPECT_NEAR(forecast.TimeUntil(10), 4, 0.01);  // 40 core-seconds at 10 per second
@@ -237,7 +238,7 @@
     setup.before_tick = [&] {
       for (int i = 0; i < 5; ++i) setup.Submit(0, 0, 0.09, 60);  // permanent demand for 45 of 40 cores
       if (setup.EveryTicks(100)) {
-        if (!setup.Submit(0, 2, 3, 60).rejected) loads.push_back(setup.last);
+        if (!setup.Submit(0, 2, 3, 60).rejected) loads.push_back(setup.last_id);
       }
     };
     setup.Run(20);
@@ -255,7 +256,7 @@
 
 // Attempts that need far more work than estimated must be charged while they run. Otherwise they use the
 // capacity of the other tenants until they end.
-TEST(AdmissionQueue, AttemptsOverrun_TheirOwnTenantIsCharged) {
+TEST(AdmissionQueue, AttemptsOverrun_OwnTenantIsCharged) {
   QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
   for (int i = 0; i < 200; ++i) {
     setup.Submit(0, 1, 0.5, 120, 20);
@@ -278,8 +279,8 @@
   setup.before_tick = nullptr;
   setup.Run(7);
   for (int i = 0; i < 2000; ++i) setup.Submit(i % 2, 0, 0.4, 3 + i * 0.01 * 1.15);
-  const std::size_t taken = setup.queue.waiting();
-  EXPECT_GT(taken, 1900u);
+  const std::size_t admitted = setup.queue.waiting();
+  EXPECT_GT(admitted, 1900u);
   setup.Run(8);
   std::map<RequestId, WaitEstimate> before;
   for (const auto& [id, q] : setup.queries) {
@@ -289,40 +290,40 @@
   setup.RemoveEngine(0);
   setup.RemoveEngine(1);
   setup.Run(setup.now + 1);
-  EXPECT_GT(setup.rejected.size(), taken / 4)
+  EXPECT_GT(setup.rejected.size(), admitted / 4)
       << "requests that can no longer start in time must be rejected at once";
-  std::size_t later = 0, waiting = 0;
+  std::size_t longer = 0, waiting = 0;
   for (const auto& [id, q] : setup.queries) {
     if (q.started >= 0 || q.completions > 0 || before.at(id).wait < 2s) continue;
     ++waiting;
-    later += setup.estimates.at(id).wait > before.at(id).wait * 5 / 4;  // a second later, at half the rate
+    longer += setup.estimates.at(id).wait > before.at(id).wait * 5 / 4;  // a second later, at half the rate
   }
   EXPECT_GT(waiting, 300u);
-  EXPECT_GT(later, waiting * 9 / 10);
+  EXPECT_GT(longer, waiting * 9 / 10);
   for (const auto& [id, reject] : setup.rejected) EXPECT_GT(reject.retry_after, 0s);
 }
 
 // Without budgets, a flood of requests from one tenant would delay the requests of all others.
 TEST(AdmissionQueue, OneTenantFloods_OthersKeepThroughputAndWait) {
-  double waited[2] = {}, share[2] = {};
+  double mean_wait[2] = {}, throughput[2] = {};
   for (const int flood : {0, 1}) {
     QueueWithFleet setup(QueueWithFleet::Tenants({10, 10, 20}));
     setup.before_tick = [&] {
       if (!setup.EveryTicks(10)) return;
-      for (int team = 1; team < 3; ++team) setup.Submit(team, 0, 0.1 * (team == 2 ? 18 : 8), 20);
-      const int times = flood == 1 ? 10 : 1;
-      for (int i = 0; i < times; ++i) setup.Submit(0, 0, 1, 20);
+      for (int other = 1; other < 3; ++other) setup.Submit(other, 0, 0.1 * (other == 2 ? 18 : 8), 20);
+      const int submissions = flood == 1 ? 10 : 1;
+      for (int i = 0; i < submissions; ++i) setup.Submit(0, 0, 1, 20);
     };
     setup.Run(60);
     std::vector<double> waits;
     for (const auto& [id, q] : setup.queries) {
       if (q.request.tenant != 0 && q.started >= 0) waits.push_back(q.started - q.submitted);
     }
-    for (const double w : waits) waited[flood] += w / static_cast<double>(waits.size());
-    share[flood] = setup.fleet.consumed(1) + setup.fleet.consumed(2);
+    for (const double w : waits) mean_wait[flood] += w / static_cast<double>(waits.size());
+    throughput[flood] = setup.fleet.consumed(1) + setup.fleet.consumed(2);
   }
-  EXPECT_NEAR(share[1] / share[0], 1, 0.05);
-  EXPECT_LT(waited[1], waited[0] + 0.25);
+  EXPECT_NEAR(throughput[1] / throughput[0], 1, 0.05);
+  EXPECT_LT(mean_wait[1], mean_wait[0] + 0.25);
 }
 
 // Light classes have a lane of their own. Without a limit on its threads, a flood of light requests slows
@@ -339,10 +340,10 @@
     if (setup.EveryTicks(10)) setup.Submit(1, 1, 4, 20);      // 40
   };
   setup.Run(10);
-  const double from0 = setup.fleet.consumed(0), from1 = setup.fleet.consumed(1);
+  const double before0 = setup.fleet.consumed(0), before1 = setup.fleet.consumed(1);
   setup.Run(40);
-  const double had0 = setup.fleet.consumed(0) - from0, had1 = setup.fleet.consumed(1) - from1;
-  EXPECT_GT(had1 / (had0 + had1), 0.33);
+  const double consumed0 = setup.fleet.consumed(0) - before0, consumed1 = setup.fleet.consumed(1) - before1;
+  EXPECT_GT(consumed1 / (consumed0 + consumed1), 0.33);
 }
 
 // While another tenant waits in the other lane, a tenant must not get further ahead than its maximum lead.
@@ -355,7 +356,7 @@
   std::vector<Decision> out;
   for (RequestId id = 1; id <= 20; ++id) queue.Submit({id, 1, 1, 2s, At(900)}, At(0));
   for (RequestId id = 101; id <= 600; ++id) queue.Submit({id, 0, 0, 100ms, At(900)}, At(0));
-  std::size_t light = 0;
+  std::size_t light_dispatches = 0;
   for (int step = 0; step < 600; ++step) {
     out.clear();
     queue.Step(At(0), out);
@@ -363,14 +364,14 @@
       const RequestId id = std::get<Dispatch>(d).id;
       queue.OnAttemptStarted(id, 0, 1, At(0));
       if (id < 100) continue;  // the heavy requests keep running and fill their lane
-      ++light;
+      ++light_dispatches;
       queue.OnAttemptEnded(id, 0, 100ms, true, At(0));
       queue.OnRequestCompleted(id, At(0));
     }
   }
   const auto tenants = queue.Describe(At(0)).tenants;
   EXPECT_GT(tenants[1].waiting, 0u);
-  EXPECT_LT(light, 400u);
+  EXPECT_LT(light_dispatches, 400u);
   EXPECT_LE(tenants[0].start_tag, tenants[1].start_tag + 1.1);
 }
 
@@ -381,32 +382,35 @@
   std::vector<Decision> out;
   for (RequestId id = 1; id <= 20; ++id) queue.Submit({id, 0, 1, 2s, At(9)}, At(0));
   queue.Step(At(0), out);
-  const std::size_t handed = out.size();
+  const std::size_t dispatched = out.size();
   queue.SetFleetCores(0, At(1));
   for (int tick = 100; tick < 900; ++tick) queue.Step(At(tick / 100.0), out);
-  std::size_t refused = 0;
-  for (const Decision& d : out) refused += std::holds_alternative<Reject>(d);
-  EXPECT_EQ(refused, 20 - handed);
+  std::size_t rejections = 0;
+  for (const Decision& d : out) rejections += std::holds_alternative<Reject>(d);
+  EXPECT_EQ(rejections, 20 - dispatched);
   EXPECT_EQ(queue.waiting(), 0u);
 }
 
-TEST(AdmissionQueue, TenantIdleForAnHour_GetsItsShareAndNoMore) {
+// A tenant that returns after an idle hour must not be owed the capacity that it didn't use.
+TEST(AdmissionQueue, TenantIdleForAnHour_GetsItsShareOnly) {
   QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
   setup.before_tick = [&] {
     if (setup.EveryTicks(100)) setup.Submit(0, 0, 1, 3);
   };
   setup.Run(3600);
-  const double from0 = setup.fleet.consumed(0), from1 = setup.fleet.consumed(1);
+  const double before0 = setup.fleet.consumed(0), before1 = setup.fleet.consumed(1);
   setup.before_tick = [&] {
     if (!setup.EveryTicks(100)) return;
     for (int i = 0; i < 60; ++i) setup.Submit(0, 0, 1, 30), setup.Submit(1, 0, 1, 30);
   };
   setup.Run(3610);
-  const double had0 = setup.fleet.consumed(0) - from0, had1 = setup.fleet.consumed(1) - from1;
-  EXPECT_NEAR(had1 / (had0 + had1), 0.5, 0.05);
+  const double consumed0 = setup.fleet.consumed(0) - before0, consumed1 = setup.fleet.consumed(1) - before1;
+  EXPECT_NEAR(consumed1 / (consumed0 + consumed1), 0.5, 0.05);
 }
 
-TEST(AdmissionQueue, BudgetsChange_WaitingAndRunningRequestsAreKept) {
+// A change of the settings must not lose any waiting or running request. Only the requests of the tenant that
+// loses its budget are rejected.
+TEST(AdmissionQueue, BudgetsChange_WaitingAndRunningRequestsRemain) {
   QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
   for (int i = 0; i < 300; ++i) setup.Submit(i % 2, 0, 0.5, 60);
   setup.Run(1);
@@ -454,7 +458,8 @@
   EXPECT_EQ(queue.Describe(At(9)).tenants[0].threads, 0);
 }
 
-TEST(AdmissionQueue, ManyCancellations_NothingIsLeftBehind) {
+// Cancelled requests, waiting or running, must not stay open, and must be charged the work that was done.
+TEST(AdmissionQueue, ManyCancellations_AllRequestsCompleteAndChargesMatch) {
   QueueWithFleet setup(QueueWithFleet::Tenants({20, 20}));
   for (int i = 0; i < 1000; ++i) setup.Submit(i % 2, i % 3, 0.5, 60);
   setup.Run(1);
@@ -467,7 +472,9 @@
   EXPECT_NEAR(setup.Charged(0) + setup.Charged(1), setup.fleet.consumed(0) + setup.fleet.consumed(1), 2);
 }
 
-TEST(AdmissionQueue, ZeroBudgetsAndAbsurdEstimates) {
+// Tenants without a budget, barred classes, full queues and unknown tenants must be rejected with their
+// reason; requests with implausible estimates must be admitted and dispatched.
+TEST(AdmissionQueue, ZeroBudgetsAndImplausibleEstimates) {
   Settings s = QueueWithFleet::Tenants({10, 0});
   s.tenants[0].barred_classes = {2};
   s.tenants[0].max_waiting = 5;
@@ -477,9 +484,11 @@
   EXPECT_EQ(queue.Submit({2, 0, 2, 1s, At(60)}, At(0)).rejected->reason, RejectReason::kClassBarred);
   EXPECT_EQ(queue.Submit({3, 7, 0, 1s, At(60)}, At(0)).rejected->reason, RejectReason::kNoBudget);
   queue.SetFleetCores(10, At(0));
-  for (const Work absurd : {Work(0), Work(-1), Work::max(), Work::min(), Work(1)}) {
+  for (const Work implausible : {Work(0), Work(-1), Work::max(), Work::min(), Work(1)}) {
     EXPECT_FALSE(
-        queue.Submit({static_cast<RequestId>(100 + absurd.count() % 97), 0, 0, absurd, At(1e5)}, At(0))
+        queue
+            .Submit({static_cast<RequestId>(100 + implausible.count() % 97), 0, 0, implausible, At(1e5)},
+                    At(0))
             .rejected);
   }
   EXPECT_EQ(queue.Submit({200, 0, 0, 1s, At(1e5)}, At(0)).rejected->reason, RejectReason::kTenantQueueFull);
@@ -488,17 +497,17 @@
   for (const Decision& d : out) EXPECT_TRUE(std::holds_alternative<Dispatch>(d));
 }
 
-TEST(AdmissionQueue, ThreadCapIsKept) {
+TEST(AdmissionQueue, DemandExceedsThreadCap_CapIsReachedNotExceeded) {
   Settings s = QueueWithFleet::Tenants({20, 20});
   s.tenants[0].max_threads = 6;
   QueueWithFleet setup(s);
-  int most = 0;
+  int max_threads_seen = 0;
   setup.before_tick = [&] {
     if (setup.EveryTicks(10)) setup.Submit(0, 1, 2, 10);
-    most = std::max(most, setup.queue.Describe(At(setup.now)).tenants[0].threads);
+    max_threads_seen = std::max(max_threads_seen, setup.queue.Describe(At(setup.now)).tenants[0].threads);
   };
   setup.Run(10);
-  EXPECT_EQ(most, 6);
+  EXPECT_EQ(max_threads_seen, 6);
 }
 
 // A tenant at its thread cap waits for a running attempt to end. An attempt past its estimate must be
@@ -512,15 +521,15 @@
   queue.Submit({1, 0, 1, 8s, At(90)}, At(0));
   queue.Step(At(0), out);
   queue.OnAttemptStarted(1, 0, 1, At(0));
-  const double fresh = Seconds(queue.Submit({2, 0, 1, 2s, At(90)}, At(0.1)).estimate.wait);
-  EXPECT_NEAR(fresh, 3.9, 0.5);  // 8 core-seconds on two threads
+  const double initial_wait = Seconds(queue.Submit({2, 0, 1, 2s, At(90)}, At(0.1)).estimate.wait);
+  EXPECT_NEAR(initial_wait, 3.9, 0.5);  // 8 core-seconds on two threads
   queue.Step(At(20), out);
   EXPECT_NEAR(Seconds(queue.EstimateWait(2, At(20))->wait), 10, 1);
 }
 
 // A request keeps its threads reserved between two attempts, and an attempt that outlives its request still
 // occupies them. Otherwise the tenant could exceed its thread cap.
-TEST(AdmissionQueue, ThreadsAreHeldBetweenAttemptsAndByOutlivingAttempts) {
+TEST(AdmissionQueue, AttemptEndsOrOutlivesRequest_ThreadsStayReserved) {
   Settings s = QueueWithFleet::Tenants({20});
   s.tenants[0].max_threads = 1;
   AdmissionQueue queue(s);
@@ -551,24 +560,24 @@
   queue.SetFleetCores(40, At(0));
   std::vector<Decision> out;
   for (RequestId id = 1; id <= 40; ++id) queue.Submit({id, 0, 0, 10ms, At(600)}, At(0));
-  double closed = 0;
-  std::size_t sent = 0;
+  double blocked_seconds = 0;
+  std::size_t started_count = 0;
   for (int tick = 0; tick < 300; ++tick) {
     const double now = tick / 100.0;
     out.clear();
     queue.Step(At(now), out);
-    if (out.empty() && sent < 39) closed += 0.01;
+    if (out.empty() && started_count < 39) blocked_seconds += 0.01;
     for (const Decision& d : out) {
       const auto* dispatch = std::get_if<Dispatch>(&d);
       if (dispatch == nullptr || dispatch->id == 1) continue;  // the module never starts the first request
-      queue.OnAttemptStarted(dispatch->id, 0, 1, At(now)), ++sent;
+      queue.OnAttemptStarted(dispatch->id, 0, 1, At(now)), ++started_count;
       queue.OnAttemptEnded(dispatch->id, 0, 10ms, true, At(now));
       queue.OnRequestCompleted(dispatch->id, At(now));
     }
   }
-  EXPECT_EQ(sent, 39u);
-  EXPECT_GT(closed, 0.9);
-  EXPECT_LT(closed, 1.5);
+  EXPECT_EQ(started_count, 39u);
+  EXPECT_GT(blocked_seconds, 0.9);
+  EXPECT_LT(blocked_seconds, 1.5);
 }
 
 // Every queued request must leave the queue exactly once, and start by its dispatch deadline if it starts.
@@ -579,9 +588,9 @@
     s.tenants[2].max_threads = 20;
     QueueWithFleet setup(s);
     std::uint32_t state = seed | 1;
-    const auto draw = [&state](std::uint32_t n) {
+    const auto draw = [&state](std::uint32_t bound) {
       state = state * 1664525 + 1013904223;
-      return (state >> 8) % n;
+      return (state >> 8) % bound;
     };
     setup.before_tick = [&] {
       for (std::uint32_t i = draw(4); i > 0; --i) {
@@ -589,7 +598,7 @@
         setup.Submit(draw(3), class_id, (1 + draw(40)) * 0.02, 1 + draw(12), draw(20) == 0 ? 15 : 1);
       }
       if (draw(100) == 0 && !setup.queries.empty()) {
-        auto it = setup.queries.lower_bound(1 + draw(static_cast<std::uint32_t>(setup.last)));
+        auto it = setup.queries.lower_bound(1 + draw(static_cast<std::uint32_t>(setup.last_id)));
         if (it != setup.queries.end() && it->second.completions == 0) setup.CancelRequest(it->first);
       }
       if (setup.now > 4 && setup.fleet.Has(3)) setup.RemoveEngine(3);
