--- a/tests/admission_queue_test.cpp
+++ b/tests/admission_queue_test.cpp
@@ -473,7 +473,7 @@
 }
 
 // Tenants without a budget, barred classes, full queues and unknown tenants must be rejected with their
-// reason; requests with implausible estimates must be admitted and dispatched.
+// reason; requests with implausible estimates must be admitted and not be rejected afterwards.
 TEST(AdmissionQueue, ZeroBudgetsAndImplausibleEstimates) {
   Settings s = QueueWithFleet::Tenants({10, 0});
   s.tenants[0].barred_classes = {2};
