--- a/src/admission_queue/dispatch.cpp
+++ b/src/admission_queue/dispatch.cpp
@@ -10,26 +10,27 @@
 
 namespace {
 
-// Requests dispatched and not started, heavy and light: enough that the module never runs out of them, few
-// enough that the queue determines the order.
+// Limits on the number of requests that are dispatched but not started (by lane, heavy and light): enough
+// that the module never runs out of requests, few enough that the queue determines the order.
 constexpr std::array<std::size_t, 2> kMinDispatchWindow = {3, 16};
 constexpr std::size_t kMaxDispatchWindow = 512;
-constexpr double kDispatchWindowSeconds = 0.06;  // of the lane's recent starts
-// A request overtaken this often blocks its lane until it starts. It is given up after kMaxBlockedTime, since
-// the module evidently can't place it.
+constexpr double kDispatchWindowSeconds = 0.06;  // number of starts in this time, at the lane's recent rate
+// A request that is overtaken this often blocks its lane until it starts. After kMaxBlockedTime the lane
+// continues without it, since the module evidently can't place it.
 constexpr std::uint8_t kMaxOvertakes = 6;
 constexpr Duration kMaxBlockedTime = 1s;
-// Of the wanted number of heavy threads: below the first no pacing, above the second no dispatch.
-constexpr double kUnpacedLoad = 0.8, kMaxLoad = 1.3;
-constexpr double kPacingGain = 1.5;           // of the pace, per relative deviation from the wanted threads
-constexpr double kMaxDeviation = 0.5;         // from the wanted threads, relative
-constexpr Duration kMaxPacingCredit = 100ms;  // of dispatch time that was missed
+// Ratios of heavy threads to their target number. Below the first, dispatches aren't paced; from the second
+// on, nothing is dispatched.
+constexpr double kUnpacedThreadRatio = 0.8, kMaxThreadRatio = 1.3;
+constexpr double kPacingGain = 1.5;           // relative rate change per relative deviation from the target
+constexpr double kMaxDeviation = 0.5;         // relative deviation from the target number of threads
+constexpr Duration kMaxPacingCredit = 100ms;  // limits how much missed dispatch time is made up for
 
 }  // namespace
 
 bool AdmissionQueue::IsCompeting(TenantId t) const {
   const TenantQueue& tenant = tenants_[t];
-  if (!ledger_.MaySend(t)) return false;
+  if (!ledger_.HasBudget(t)) return false;
   for (const Lane lane : {kHeavy, kLight}) {
     if (tenant.waiting_count[lane] > 0 && HasThreads(t, NextClass(tenant, lane))) return true;
   }
@@ -41,52 +42,52 @@
   Time least = Time::max();
   for (ClassId k = 0; k < tenant.class_queues.size(); ++k) {
     if (LaneOf(k) != lane || tenant.class_queues[k].empty()) continue;
-    const Time key = tenant.class_queues[k].front().submitted_at - AgeingCredit(k);
-    if (key < least) least = key, first = k;
+    const Time aged_time = tenant.class_queues[k].front().submitted_at - AgeingCredit(k);
+    if (aged_time < least) least = aged_time, first = k;
   }
   return first;
 }
 
-// A request holds its threads from dispatch to completion, also between two attempts, so that a retry finds
-// them free. Attempts that outlive it hold theirs until they end.
+// A request reserves its threads from dispatch to completion, also between two attempts, so that they are
+// available to a retry. Attempts that outlive their request occupy their threads until they end.
 bool AdmissionQueue::HasThreads(TenantId t, ClassId class_id) const {
-  if (tenants_[t].threads == 0) return true;  // a request wider than the cap may run alone
+  if (tenants_[t].threads == 0) return true;  // a request that needs more may run alone
   return ledger_.WithinThreadCap(t, tenants_[t].threads + settings_.classes[class_id].threads);
 }
 
 std::optional<TenantId> AdmissionQueue::NextTenant(Lane lane) const {
   std::optional<TenantId> next;
   for (TenantId t = 0; t < tenants_.size(); ++t) {
-    if (tenants_[t].waiting_count[lane] == 0 || !ledger_.MaySend(t) || !ledger_.WithinMaxLead(t)) continue;
+    if (tenants_[t].waiting_count[lane] == 0 || !ledger_.HasBudget(t) || !ledger_.WithinMaxLead(t)) continue;
     if (!HasThreads(t, NextClass(tenants_[t], lane))) continue;
     if (!next || ledger_.at(t).start_tag < ledger_.at(*next).start_tag) next = t;
   }
   return next;
 }
 
-// Heavy requests run concurrently up to a number of threads per core; beyond it an engine only divides the
-// same capacity further. Near that number dispatches are spaced by DispatchInterval: dispatched at each
-// completion, requests would leave in bursts that can't be predicted.
+// Heavy requests run concurrently up to a number of threads per core; beyond it, an engine only divides the
+// same capacity further. Near that number, dispatches are spaced by DispatchInterval: a dispatch at each
+// completion would cause bursts that can't be predicted.
 bool AdmissionQueue::HasCapacity(Lane lane, Time now) const {
-  const double wanted = settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share;
-  // Light requests seldom come near the limit, but a flood of them must not slow down everything that runs.
-  if (lane == kLight) return threads_by_lane_[kLight] < wanted;
-  if (threads_by_lane_[kHeavy] < kUnpacedLoad * wanted) return true;
-  return threads_by_lane_[kHeavy] < kMaxLoad * wanted && now >= lanes_[lane].next_dispatch_at;
+  const double target_threads = settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share;
+  // Light requests rarely reach the limit, but a flood of them must not slow down all running requests.
+  if (lane == kLight) return threads_by_lane_[kLight] < target_threads;
+  if (threads_by_lane_[kHeavy] < kUnpacedThreadRatio * target_threads) return true;
+  return threads_by_lane_[kHeavy] < kMaxThreadRatio * target_threads && now >= lanes_[lane].next_dispatch_at;
 }
 
 Duration AdmissionQueue::DispatchInterval(Lane lane, Work work) const {
-  const double wanted =
+  const double target_threads =
       std::max(1.0, settings_.heavy_threads_per_core * fleet_cores_ * settings_.budget_share);
   const double deviation =
-      std::clamp((wanted - threads_by_lane_[kHeavy]) / wanted, -kMaxDeviation, kMaxDeviation);
+      std::clamp((target_threads - threads_by_lane_[kHeavy]) / target_threads, -kMaxDeviation, kMaxDeviation);
   return FromSeconds(Seconds(work) /
-                     (lanes_[lane].pacer.Now(AvailableCores()) * (1 + kPacingGain * deviation)));
+                     (lanes_[lane].rate_meter.PerSecond(AvailableCores()) * (1 + kPacingGain * deviation)));
 }
 
 std::size_t AdmissionQueue::DispatchWindow(Lane lane) const {
-  const auto wanted = static_cast<std::size_t>(lanes_[lane].start_rate.per_second() * kDispatchWindowSeconds);
-  return std::clamp(wanted, kMinDispatchWindow[lane], kMaxDispatchWindow);
+  const auto window = static_cast<std::size_t>(lanes_[lane].start_rate.per_second() * kDispatchWindowSeconds);
+  return std::clamp(window, kMinDispatchWindow[lane], kMaxDispatchWindow);
 }
 
 Dispatch AdmissionQueue::DispatchNext(TenantId t, Lane lane, Time now) {
@@ -136,7 +137,7 @@
     state.blocked = true;
     state.blocked_since = now;
   } else if (now - state.blocked_since >= kMaxBlockedTime) {
-    Request& r = requests_.at(*stuck);  // no longer counted, so that others continue
+    Request& r = requests_.at(*stuck);  // no longer considered, so that others continue
     RemoveFromDispatched(*stuck, r);
     state.blocked = false;
   }
--- a/src/admission_queue/estimate_accuracy.h
+++ b/src/admission_queue/estimate_accuracy.h
@@ -1,4 +1,5 @@
-// Compares raw wait estimates with real waits: learns a bias correction, and the mean error that remains.
+// Compares raw wait estimates with actual waits, and maintains a bias correction and the mean error that
+// remains after it.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_ESTIMATE_ACCURACY_H_
 #define LEMONCROFT_ADMISSION_QUEUE_ESTIMATE_ACCURACY_H_
 
@@ -8,9 +9,9 @@
 
 class EstimateAccuracy {
  public:
-  void Learn(Duration raw_wait, Duration real_wait);
+  void AddSample(Duration raw_wait, Duration actual_wait);
   Duration Corrected(Duration raw_wait) const;
-  // Bounds around a corrected estimate that most real waits keep.
+  // Bounds around a corrected estimate; most actual waits lie within them.
   Duration UpperBound(Duration corrected_wait) const;
   Duration LowerBound(Duration corrected_wait) const;
   double bias() const { return bias_; }
@@ -18,7 +19,7 @@
 
  private:
   double bias_ = 0, mean_error_ = 0.2;  // of the logarithm of the wait
-  int learned_ = 0;
+  int sample_count_ = 0;
 };
 
 }  // namespace lemoncroft::admission_queue
