--- a/src/codec/frame.cpp
+++ b/src/codec/frame.cpp
@@ -22,7 +22,8 @@
   for (std::size_t i = 0; i < bytes; ++i) out.push_back(static_cast<char>((value >> (8 * i)) & 0xff));
 }
 
-// Removes a size of `size_bytes` bytes and a text of that size from the front of `in`.
+// Removes a length-prefixed text, whose prefix has `size_bytes` bytes, from the front of `in`. Returns
+// nullopt if `in` is too short.
 std::optional<std::string_view> ReadSizedText(std::string_view& in, std::size_t size_bytes) {
   if (in.size() < size_bytes) return std::nullopt;
   const std::size_t size = ReadLittleEndian(in.substr(0, size_bytes));
@@ -43,7 +44,7 @@
   const std::string_view rest = buffer.substr(read_bytes_);
   if (rest.size() < kLengthBytes) return Result::kNeedMore;
   const std::size_t length = ReadLittleEndian(rest.substr(0, kLengthBytes));
-  // Checked before the rest has arrived, so that no buffer grows for an impossible length.
+  // The length is checked before the rest arrives, so that an invalid length can't make the buffer grow.
   if (length < kMinFrameBytes || length > kMaxFrameBytes) return Result::kBadLength;
   if (rest.size() < kLengthBytes + length) return Result::kNeedMore;
   frame.type = static_cast<std::uint8_t>(rest[kTypeOffset]);
--- a/src/codec/frame.h
+++ b/src/codec/frame.h
@@ -1,8 +1,8 @@
-// The client protocol's binary frames: length:4 type:1 stream:4 payload, little-endian.
+// Binary frames of the client protocol: length:4 type:1 stream:4 payload, in little-endian byte order.
 //
-// Contract. No I/O and no state but FrameReader's position in its buffer. Readers return views into the bytes
-// they were given. Used by the clients' side and by the test programs that play clients; the names of fields
-// are in frontend/client_fields.h.
+// This file performs no I/O; the only state is FrameReader's position in its buffer. Readers return views
+// into the bytes that they are given. The proxy's client side and the test clients use this file. The field
+// names are in frontend/client_fields.h.
 #ifndef LEMONCROFT_CODEC_FRAME_H_
 #define LEMONCROFT_CODEC_FRAME_H_
 
@@ -16,62 +16,65 @@
 
 namespace lemoncroft::codec {
 
-// Bounds of a frame's length field, which counts the type, the stream and the payload.
+// Bounds of a frame's length field, which covers the type, the stream and the payload.
 inline constexpr std::size_t kMinFrameBytes = 5;
 inline constexpr std::size_t kMaxFrameBytes = 262'144;
 
 enum FrameType : std::uint8_t {
-  // From clients. A payload of a request has fields and a statement, those of the others have nothing.
+  // Sent by clients. The payload of a request contains fields and a statement; other payloads carry no data.
   kRequestFrame = 65,
   kCancelFrame = 67,  // cancels the request on its stream
   kReadinessRequestFrame = 80,
-  // From the proxy. Payloads of responses and notices begin with a ResponseCode.
+  // Sent by the proxy. The payload of a response or a notice begins with a ResponseCode.
   kResponseFrame = 66,
-  kWaitNoticeFrame = 68,  // to clients that asked for it
+  kWaitNoticeFrame = 68,  // sent only to clients that asked for it
   kReadinessResponseFrame = 81,
-  kDrainFrame = 90,  // asks for no new request on this connection
+  kDrainFrame = 90,  // asks the client to send no new request on this connection
 };
 
 enum ResponseCode : std::uint8_t { kServedCode = 0, kRejectedCode = 11, kFailedCode = 5 };
 
 struct Frame {
-  std::uint8_t type = 0;  // a FrameType, or one that isn't known
+  std::uint8_t type = 0;  // a FrameType or an unknown value
   std::uint32_t stream = 0;
-  std::string_view payload;  // into the buffer that it was read from
+  std::string_view payload;  // refers to the buffer that the frame was read from
 };
 
-// Reads frames off the front of a buffer to which received bytes are appended.
+// Reads frames from the front of a buffer to which received bytes are appended.
 class FrameReader {
  public:
   enum class Result {
     kFrame,
     kNeedMore,
-    kBadLength,  // out of bounds: nothing that follows can be read
+    kBadLength,  // the length is out of bounds; the rest of the buffer can't be read
   };
-  // On kFrame, `frame` points into `buffer` until Compact or the buffer's next change.
+  // Reads the next frame. On kFrame, `frame` refers to `buffer` and is valid until Compact is called or the
+  // buffer changes.
   Result Next(std::string_view buffer, Frame& frame);
-  // Erases the frames that have been read.
+  // Erases the frames that have been read from `buffer`.
   void Compact(std::string& buffer);
 
  private:
   std::size_t read_bytes_ = 0;
 };
 
-// Names and values.
+// Field names and their values.
 using FieldViews = std::vector<std::pair<std::string_view, std::string_view>>;
 
 struct Fields {
   FieldViews fields;
-  std::string_view body;                              // what follows the fields
-  std::string_view Get(std::string_view name) const;  // the first of that name; empty if there is none
+  std::string_view body;  // the part of the payload after the fields
+  // Returns the value of the first field called `name`, or an empty view if there is none.
+  std::string_view Get(std::string_view name) const;
 };
 
-// Reads count:1, then name_size:1 name value_size:2 value for each. Nullopt if the payload ends before that.
+// Reads count:1, followed by name_size:1 name value_size:2 value for each field. Returns nullopt if the
+// payload is truncated.
 std::optional<Fields> ReadFields(std::string_view payload);
 
 // Appends a frame to `out`.
 void WriteFrame(std::string& out, std::uint8_t type, std::uint32_t stream, std::string_view payload = {});
-// Appends a frame whose payload is code, fields and body.
+// Appends a frame whose payload consists of the code, the fields and the body.
 void WriteResponse(std::string& out, std::uint8_t type, std::uint32_t stream, std::uint8_t code,
                    const FieldViews& fields = {}, std::string_view body = {});
 
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -21,7 +21,7 @@
                     [](char x, char y) { return Lower(x) == Lower(y); });
 }
 
-// Without blanks, tabs and a final carriage return.
+// Removes leading spaces and tabs, and trailing spaces, tabs and carriage returns.
 std::string_view Trim(std::string_view text) {
   const auto is_leading = [](char c) { return c == ' ' || c == '\t'; };
   const auto is_trailing = [](char c) { return c == ' ' || c == '\t' || c == '\r'; };
@@ -30,7 +30,7 @@
   return text;
 }
 
-// Parses a text that is an integer and nothing else.
+// Parses an integer that must span the whole text.
 template <typename T>
 bool ParseInteger(std::string_view text, T& value, int base) {
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
@@ -127,7 +127,7 @@
 HttpParser::StepResult HttpParser::StepChunkSize(std::string_view& rest) {
   const std::optional<std::string_view> line = TakeLine(rest, kMaxChunkLineBytes);
   if (!line) return StepResult::kNeedMore;
-  const std::string_view size = Trim(line->substr(0, line->find(';')));  // without extensions
+  const std::string_view size = Trim(line->substr(0, line->find(';')));  // without chunk extensions
   if (!ParseInteger(size, remaining_, kHexBase) || ExceedsBodyLimit(remaining_))
     phase_ = Phase::kBad;
   else
@@ -180,7 +180,7 @@
   if (phase_ == Phase::kHead) ChooseBodyPhase();
 }
 
-// "HTTP/1.x", a blank, three digits; a reason may follow.
+// A status line consists of "HTTP/1.x", a space, three digits and an optional reason phrase.
 bool HttpParser::ParseStatusLine(std::string_view line) {
   const bool well_formed = line.size() >= 12 && line.substr(0, 7) == "HTTP/1." && line[8] == ' ';
   if (!well_formed || !ParseInteger(line.substr(9, 3), response_.status, kDecimalBase)) return false;
@@ -196,7 +196,7 @@
   }
   response_.headers.emplace_back(Trim(line.substr(0, colon)), Trim(line.substr(colon + 1)));
   const auto& [name, value] = response_.headers.back();
-  // With two different lengths the end of the response is unknown.
+  // Two different lengths leave the end of the response undefined.
   if (EqualsIgnoringCase(name, kContentLength) && *response_.Find(name) != value) phase_ = Phase::kBad;
   if (EqualsIgnoringCase(name, "Connection") && EqualsIgnoringCase(value, "close"))
     response_.keep_alive = false;
@@ -205,7 +205,7 @@
 void HttpParser::ChooseBodyPhase() {
   const std::string* length = response_.Find(kContentLength);
   const std::string* encoding = response_.Find("Transfer-Encoding");
-  if (response_.status / 100 == 1) {  // interim: another response follows
+  if (response_.status / 100 == 1) {  // an interim response; another response follows
     response_ = HttpResponse();
   } else if (response_.status == kNoContent || response_.status == kNotModified) {
     phase_ = Phase::kDone;
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -1,6 +1,6 @@
-// The client's side of HTTP/1.1: writes requests, and parses responses incrementally.
+// The client side of HTTP/1.1: writes requests and parses responses incrementally.
 //
-// Without I/O. Thread safety: none; instances share nothing.
+// This file performs no I/O. An instance is not thread-safe; separate instances share no state.
 #ifndef LEMONCROFT_CODEC_HTTP_H_
 #define LEMONCROFT_CODEC_HTTP_H_
 
@@ -13,17 +13,17 @@
 
 namespace lemoncroft::codec {
 
-// A request. Refers to texts that outlive it.
+// A request. The texts that its views refer to must outlive it.
 struct HttpRequest {
   std::string_view method;
   std::string path;
-  std::vector<std::pair<std::string_view, std::string>> headers;  // in the order of the wire
+  std::vector<std::pair<std::string_view, std::string>> headers;  // in the order in which they are sent
   std::string_view body;
 };
 
-// Writes the request line, Host, the headers and Content-Length; the body follows on the wire unchanged.
-// Returns nothing if the value of a header has a line end or a zero byte, which would let a client inject
-// headers.
+// Writes the request line, Host, the headers and, for a request with a body, a POST or a PUT, Content-Length.
+// The caller sends the body unchanged after them. Returns nullopt if a header value contains a carriage
+// return, a line feed or a zero byte, which would let a client inject headers.
 std::optional<std::string> WriteHead(const HttpRequest& request, std::string_view host);
 
 struct HttpResponse {
@@ -32,16 +32,16 @@
   std::string body;
   bool keep_alive = true;
 
-  // The value of the first header of this name, or null. Names are compared case-insensitively.
+  // Returns the value of the first header called `name`, or null. Names are compared case-insensitively.
   const std::string* Find(std::string_view name) const;
-  // The same as a finite number; nothing if the value isn't one.
+  // Returns the same header's value as a number, or nullopt if it is not a finite number.
   std::optional<double> Number(std::string_view name) const;
 };
 
-// Parses one response. Interim responses (1xx) before it are skipped.
+// Parses one response and skips interim responses (1xx) before it.
 class HttpParser {
  public:
-  // In bytes; a response that exceeds them is bad.
+  // Limits in bytes. A response that exceeds one of them is bad.
   struct Limits {
     std::size_t head = 16 * 1024, body = 256 * 1024;
   };
@@ -49,18 +49,19 @@
 
   explicit HttpParser(Limits limits) : limits_(limits) {}
 
-  // Parses and removes bytes from the front of `buffer`. Bytes after a complete response stay there. kBad is
-  // final.
+  // Parses bytes and removes them from the front of `buffer`. Bytes after a complete response stay in the
+  // buffer. kBad is final.
   State Feed(std::string& buffer);
-  // To be called when the peer has closed the connection: kDone if the body lasts until then, else kBad.
+  // Must be called when the peer has closed the connection. Returns kDone if the response is complete or its
+  // body is delimited by the close, otherwise kBad.
   State Finish();
-  // Complete once the state is kDone; may be moved from then.
+  // The response is complete once the state is kDone; the caller may then move from it.
   HttpResponse& response() { return response_; }
-  // True once the head of a response other than an interim one has been parsed.
+  // Returns true once the head of a non-interim response has been parsed.
   bool begun() const { return phase_ != Phase::kHead; }
 
  private:
-  // What is expected next.
+  // The part of the response that is expected next.
   enum class Phase {
     kHead,
     kSizedBody,
@@ -74,7 +75,7 @@
   };
   enum class StepResult { kProgress, kNeedMore };
 
-  // Each step parses and removes bytes from the front of `rest`.
+  // Each step parses bytes and removes them from the front of `rest`.
   StepResult Step(std::string_view& rest);
   StepResult StepHead(std::string_view& rest);
   StepResult StepChunkSize(std::string_view& rest);
@@ -82,7 +83,8 @@
   StepResult StepTrailer(std::string_view& rest);
   StepResult StepBody(std::string_view& rest);
 
-  // Takes a line without its end; nothing if it is incomplete. A line of more than `max_bytes` is bad.
+  // Removes a line from `rest` and returns it without its line end, or returns nullopt if the line is
+  // incomplete. A line of more than `max_bytes` makes the response bad.
   std::optional<std::string_view> TakeLine(std::string_view& rest, std::size_t max_bytes);
   void ParseHead(std::string_view head);
   bool ParseStatusLine(std::string_view line);
@@ -95,7 +97,7 @@
 
   Limits limits_;
   Phase phase_ = Phase::kHead;
-  std::size_t remaining_ = 0;  // bytes of the sized body or of the chunk
+  std::size_t remaining_ = 0;  // unread bytes of the sized body or of the current chunk
   HttpResponse response_;
 };
 
--- a/src/codec/json.cpp
+++ b/src/codec/json.cpp
@@ -9,20 +9,20 @@
 
 constexpr int kMaxDepth = 64;  // of nested objects and arrays
 constexpr int kHexBase = 16;
-constexpr double kMaxInteger = 9e15;  // a double holds all integers up to this exactly
+constexpr double kMaxInteger = 9e15;  // a double represents every integer up to this value exactly
 constexpr std::string_view kWhitespace = " \t\r\n";
 constexpr std::string_view kNumberCharacters = "+-.eE0123456789";
-// Escapes of one character, and what they stand for.
+// The characters of single-character escapes, and the characters that the escapes denote.
 constexpr std::string_view kShortEscapes = "\"\\/bfnrt", kEscapedCharacters = "\"\\/\b\f\n\r\t";
 
-// UTF-16 surrogates.
+// Bounds of the UTF-16 surrogates, and the first code point beyond the Basic Multilingual Plane.
 constexpr unsigned kFirstHighSurrogate = 0xd800, kFirstLowSurrogate = 0xdc00, kSurrogatesEnd = 0xe000;
 constexpr unsigned kFirstSupplementaryCode = 0x10000;
 
 bool Contains(std::string_view characters, char c) { return characters.find(c) != std::string_view::npos; }
 
-// A recursive-descent parser. Every Parse function begins at the first byte of its production and ends behind
-// the last one; errors are thrown as JsonError.
+// A recursive-descent parser. Every Parse function begins at the first byte of its production and ends after
+// the last one. Errors are thrown as JsonError.
 class Parser {
  public:
   explicit Parser(std::string_view text) : text_(text) {}
@@ -39,14 +39,14 @@
     throw JsonError(std::string("JSON: ") + what + " at byte " + std::to_string(position_));
   }
 
-  // The next character; a zero byte at the end.
+  // Returns the next character, or a zero byte at the end of the text.
   char Peek() const { return position_ < text_.size() ? text_[position_] : '\0'; }
 
   void SkipWhitespace() {
     while (position_ < text_.size() && Contains(kWhitespace, text_[position_])) ++position_;
   }
 
-  // Skips whitespace, and the character if it follows.
+  // Skips whitespace, then skips `c` and returns true if it is the next character.
   bool Consume(char c) {
     SkipWhitespace();
     if (Peek() != c) return false;
@@ -128,7 +128,8 @@
     return value;
   }
 
-  // The code point of an escape, behind its u: four hex digits, or two escapes that are a surrogate pair.
+  // Parses the rest of an escape after its "u": four hex digits, or the digits of the first of two escapes
+  // that form a surrogate pair, and the second escape. Returns the code point.
   unsigned ParseEscapedCode() {
     const unsigned code = ParseHex4();
     const bool is_high = code >= kFirstHighSurrogate && code < kFirstLowSurrogate;
--- a/src/codec/json.h
+++ b/src/codec/json.h
@@ -1,7 +1,7 @@
-// Parses JSON into a tree of values, with a bound on the depth. Used for configuration and the control feed.
+// Parses JSON into a tree of values with a bounded depth. Used for the configuration and the control feed.
 //
-// Contract: a tree owns all its texts. Looking up what is absent, or of another kind, gives a null value or
-// the caller's default. Errors: Json::Parse throws JsonError. Thread safety: none.
+// A tree owns all its strings. Looking up a member that is absent or of another kind returns a null value or
+// the caller's default. Json::Parse throws JsonError. A tree is not thread-safe.
 #ifndef LEMONCROFT_CODEC_JSON_H_
 #define LEMONCROFT_CODEC_JSON_H_
 
@@ -13,7 +13,7 @@
 
 namespace lemoncroft::codec {
 
-// What is wrong with a text and at which byte.
+// A syntax error. what() states the error and its byte offset.
 class JsonError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,22 +23,25 @@
   enum class Kind { kNull, kBool, kNumber, kText, kArray, kObject };
 
   Kind kind = Kind::kNull;
-  std::string text;                // a string's characters; a number or a boolean as it was written
-  std::vector<Json> items;         // of an array; the values of an object's members, in order
-  std::vector<std::string> names;  // of an object's members, in the same order
+  std::string text;                // the characters of a string; the literal of a number or a boolean
+  std::vector<Json> items;         // the elements of an array, or the member values of an object, in order
+  std::vector<std::string> names;  // the member names of an object, in the same order
 
-  // Throws JsonError if the text isn't exactly one JSON value, or is nested too deeply.
+  // Throws JsonError if the text isn't exactly one JSON value or is nested too deeply.
   static Json Parse(std::string_view text);
 
-  // The first member of this name; a null value if there is none or this is no object.
+  // Returns the first member called `name`, or a null value if there is none or this is not an object.
   const Json& operator[](std::string_view name) const;
-  // The same, moved out; a null value is left in its place.
+  // Moves the first member called `name` out of the tree and leaves a null value in its place. Returns a null
+  // value if there is no such member.
   Json Take(std::string_view name);
   bool Is(Kind k) const { return kind == k; }
-  // The value of a number; `absent` if this is none.
+  // Returns the value of a number, or `absent` if this is not a finite number.
   double Number(double absent = 0) const;
-  // The same without its fraction; `absent` also if it is too large.
+  // Returns the value of a number without its fraction, or `absent` if this is not a finite number or is too
+  // large.
   std::int64_t Integer(std::int64_t absent = 0) const;
+  // Returns true if this is the boolean `true`.
   bool True() const { return kind == Kind::kBool && text == "true"; }
 };
 
--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -10,14 +10,14 @@
 namespace lemoncroft::codec {
 namespace {
 
-// Quotes around a multi-line string.
+// The quotes that open and close a multi-line string.
 constexpr std::u32string_view kMultiLineQuotes = U"\"\"\"";
 constexpr int kMaxEscapeDigits = 6;
 
-// The lines of a multi-line string as they are read.
+// The lines of a multi-line string, before its indentation is removed.
 struct MultiLineText {
   std::vector<std::string> lines{std::string()};
-  std::vector<bool> is_blank{true};  // by line: only white space, and none of it from an escape
+  std::vector<bool> is_blank{true};  // by line: it has only white space, none of which comes from an escape
 
   void StartLine() {
     lines.emplace_back();
@@ -25,7 +25,7 @@
   }
 };
 
-// Removes digit separators, which may stand behind any letter or digit.
+// Removes digit separators, which may follow any letter or digit.
 std::string WithoutUnderscores(const std::string& text) {
   std::string plain;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -61,7 +61,8 @@
   return !digits.empty() && read.ec == std::errc() && read.ptr == end;
 }
 
-// Recursive descent. Each function reads one construct of the grammar from the front of the input.
+// A recursive-descent parser. Each Parse function reads one construct of the grammar from the front of the
+// input.
 class Parser {
  public:
   explicit Parser(std::string_view text) : in_(text) {}
@@ -125,7 +126,7 @@
     return children;
   }
 
-  // An argument or a property; one that is dropped is read and not added.
+  // Parses an argument or a property and adds it to `node`, unless a slashdash has dropped it.
   void ParseEntry(KdlNode& node, bool is_dropped) {
     const KdlPosition place = in_.position();
     KdlValue value = ParseValue();
@@ -141,7 +142,7 @@
     if (!is_dropped) node.arguments.push_back(std::move(value));
   }
 
-  // Moves behind the '=' of a property, if there is one.
+  // Skips the '=' of a property and the white space around it. Returns false if there is no '='.
   bool SkipPropertySign() {
     std::size_t ahead = 0;
     while (IsKdlSpace(in_.Peek(ahead))) ++ahead;
@@ -214,14 +215,14 @@
 
   // ---- Texts ----
 
-  // Identifier characters as they stand; may be empty.
+  // Reads a run of identifier characters, which may be empty.
   std::string ParseWord() {
     std::string word;
     while (IsKdlIdentifierCharacter(in_.Peek())) AppendUtf8(word, in_.Next());
     return word;
   }
 
-  // A string of any form. `expected` names it in the error if there is none.
+  // Parses a string of any form. `expected` describes the string in the error if there is none.
   std::string ParseText(const char* expected) {
     const KdlPosition place = in_.position();
     std::size_t hashes = 0;
@@ -236,7 +237,7 @@
     return word;
   }
 
-  // Bare words may look neither like numbers nor like keywords.
+  // Throws KdlError for a bare word that looks like a number or a keyword.
   static void CheckBareWord(const std::string& word, KdlPosition place) {
     std::string_view start = word;
     if (start.front() == '+' || start.front() == '-') start.remove_prefix(1);
@@ -248,7 +249,7 @@
     }
   }
 
-  // A quoted string, or a raw one behind `hashes` number signs.
+  // Parses a quoted string, which is a raw string if it follows one or more number signs.
   std::string ParseQuoted(std::size_t hashes) {
     const KdlPosition place = in_.position();
     if (in_.Peek(1) == '"' && in_.Peek(2) == '"') {
@@ -270,7 +271,7 @@
     }
   }
 
-  // Moves behind closing quotes and number signs if they stand here.
+  // Skips closing quotes and number signs. Returns false if they don't come next.
   bool SkipClosing(std::size_t quotes, std::size_t hashes) {
     for (std::size_t i = 0; i < quotes + hashes; ++i) {
       if (in_.Peek(i) != (i < quotes ? U'"' : U'#')) return false;
@@ -334,7 +335,7 @@
     AppendUtf8(out, ParseCodePoint(place));
   }
 
-  // The hexadecimal digits of an escape \u{...}, and its closing brace.
+  // Parses the hexadecimal digits of an escape \u{...} and its closing brace.
   char32_t ParseCodePoint(KdlPosition place) {
     char32_t point = 0;
     int digits = 0;
@@ -353,7 +354,7 @@
 
   // ---- White space and comments ----
 
-  // Moves behind a slashdash, which drops the construct after it, if one stands here.
+  // Skips a slashdash, which drops the construct after it. Returns false if none comes next.
   bool SkipSlashdash() {
     if (!in_.Skip(U"/-")) return false;
     while (SkipBlank() || in_.SkipNewline()) {
@@ -361,7 +362,7 @@
     return true;
   }
 
-  // Moves behind white space, comments and continued lines; true if there were any.
+  // Skips white space, comments and line continuations. Returns true if there were any.
   bool SkipBlank() {
     bool any = false;
     for (;; any = true) {
@@ -382,8 +383,8 @@
   void SkipLineContinuation() {
     in_.Next();
     while (IsKdlSpace(in_.Peek()) || in_.Skip(U"/*")) {
-      // White space right behind "/*" is taken for the continuation's own, so that such a comment is an
-      // error.
+      // White space directly after "/*" is taken for white space of the continuation, which makes such a
+      // comment an error.
       if (IsKdlSpace(in_.Peek())) {
         in_.Next();
       } else {
@@ -394,7 +395,7 @@
     if (!in_.SkipNewline() && in_.Peek() != kKdlEnd) in_.Fail("a '\\' that does not end its line");
   }
 
-  // Moves behind a comment whose opening has been read; comments nest.
+  // Skips the rest of a block comment after its opening. Block comments nest.
   void SkipCommentRest() {
     const KdlPosition place = in_.position();
     for (int depth = 1; depth > 0;) {
--- a/src/codec/kdl.h
+++ b/src/codec/kdl.h
@@ -1,11 +1,11 @@
-// KDL 2.0, the document language of the operator's file: a bounded parser to a tree of nodes.
+// Parses KDL 2.0, the document language of the operator's file, into a tree of nodes.
 //
-// Reads the whole language: type annotations, bare, quoted, raw and multi-line strings, numbers in four
-// bases, keywords, slashdash and nested comments, line continuations. Text must be UTF-8. Every value keeps
-// its position, so that errors in its meaning can be reported with it.
+// The parser supports the complete language: type annotations; bare, quoted, raw and multi-line strings;
+// numbers in four bases; keywords; slashdash and nested comments; line continuations. The text must be UTF-8.
+// Every node and value has its position in the text, so that callers can report semantic errors with it.
 //
-// Contract. No I/O and no state. Errors: KdlError. Called by src/operator_config/ and the fault tests.
-// Source: the KDL 2.0.0 specification.
+// The parser performs no I/O, keeps no state between calls and reports errors as KdlError. Callers are
+// src/operator_config/, src/replicated_config/ and the fault tests. Reference: the KDL 2.0.0 specification.
 #ifndef LEMONCROFT_CODEC_KDL_H_
 #define LEMONCROFT_CODEC_KDL_H_
 
@@ -19,10 +19,10 @@
 namespace lemoncroft::codec {
 
 struct KdlPosition {
-  int line = 1, column = 1;  // from 1; columns count characters
+  int line = 1, column = 1;  // 1-based; a column counts characters
 };
 
-// The first error of a document. what() has the position too.
+// The first error of a document. what() includes the position.
 class KdlError : public std::runtime_error {
  public:
   KdlError(KdlPosition position, const std::string& what);
@@ -35,8 +35,8 @@
 struct KdlValue {
   enum class Kind { kText, kNumber, kBool, kNull };
   Kind kind = Kind::kNull;
-  std::string type;  // of the annotation; empty: none
-  std::string text;  // of a text; a number as it was written
+  std::string type;  // the type annotation; empty if there is none
+  std::string text;  // the characters of a string, or the literal of a number
   double number = 0;
   bool boolean = false;
   KdlPosition place;
@@ -45,7 +45,7 @@
 struct KdlNode {
   std::string name, type;
   std::vector<KdlValue> arguments;
-  std::vector<std::pair<std::string, KdlValue>> properties;  // of a name given twice the last one
+  std::vector<std::pair<std::string, KdlValue>> properties;  // only the last one of each name
   std::vector<KdlNode> children;
   KdlPosition place;
 };
@@ -54,7 +54,7 @@
 inline constexpr int kMaxKdlDepth = 32;
 inline constexpr std::size_t kMaxKdlNodes = 100'000;
 
-// Parses one complete document. Throws KdlError for anything else and beyond the limits above.
+// Parses one complete document. Throws KdlError if the text is malformed or exceeds one of the limits above.
 std::vector<KdlNode> ReadKdl(std::string_view text);
 
 }  // namespace lemoncroft::codec
--- a/src/codec/kdl_input.cpp
+++ b/src/codec/kdl_input.cpp
@@ -6,8 +6,8 @@
 constexpr char32_t kByteOrderMark = 0xfeff;
 constexpr std::size_t kByteOrderMarkBytes = 3;
 
-// Code points that no document may have: controls, surrogates, directions of writing, further byte order
-// marks.
+// Returns true for code points that KDL forbids: control characters, surrogates, bidirectional controls, and
+// byte order marks after the first character.
 bool IsForbidden(char32_t c) {
   return c <= 0x08 || (c >= 0x0e && c <= 0x1f) || c == 0x7f || (c >= 0xd800 && c <= 0xdfff) ||
          (c >= 0x200e && c <= 0x200f) || (c >= 0x202a && c <= 0x202e) || (c >= 0x2066 && c <= 0x2069) ||
@@ -16,7 +16,7 @@
 
 [[noreturn]] void FailNotUtf8(KdlPosition position) { throw KdlError(position, "not UTF-8"); }
 
-// How many bytes follow the first byte of a character.
+// Returns the number of bytes that follow the first byte of a character.
 std::size_t ContinuationBytes(unsigned char first, KdlPosition position) {
   if (first < 0x80) return 0;
   if (first >> 5 == 6) return 1;
@@ -25,9 +25,9 @@
   FailNotUtf8(position);
 }
 
-// Decodes the character at `offset` and moves `offset` behind it.
+// Decodes the character at `offset` and advances `offset` past it.
 char32_t DecodeUtf8(std::string_view text, std::size_t& offset, KdlPosition position) {
-  // By number of continuation bytes; smaller ones are overlong forms.
+  // The smallest character by number of continuation bytes; smaller characters are overlong encodings.
   constexpr char32_t kMinCharacter[] = {0, 0x80, 0x800, 0x10000};
   const auto first = static_cast<unsigned char>(text[offset]);
   const std::size_t more = ContinuationBytes(first, position);
--- a/src/codec/kdl_input.h
+++ b/src/codec/kdl_input.h
@@ -1,7 +1,7 @@
 // A KDL document as code points with their positions: the input of the parser in kdl.cpp.
 //
-// Contract. No I/O. The constructor checks the whole text, so that the parser sees only valid characters.
-// Errors are KdlError with a position.
+// KdlInput performs no I/O. Its constructor validates the complete text, so that the parser sees only valid
+// characters. Errors are reported as KdlError with a position.
 #ifndef LEMONCROFT_CODEC_KDL_INPUT_H_
 #define LEMONCROFT_CODEC_KDL_INPUT_H_
 
@@ -15,7 +15,7 @@
 
 namespace lemoncroft::codec {
 
-// What Peek and Next return at the end of the document.
+// Returned by Peek and Next at the end of the document.
 inline constexpr char32_t kKdlEnd = 0xffffffff;
 
 // Character classes of the KDL 2.0 specification.
@@ -28,19 +28,22 @@
 
 class KdlInput {
  public:
-  // Throws KdlError if the text is too large, not UTF-8 or has a character that no document may have.
+  // Throws KdlError if the text is too large, is not valid UTF-8 or contains a character that KDL forbids.
   explicit KdlInput(std::string_view text);
 
+  // Returns the character `ahead` characters after the next one, without consuming it.
   char32_t Peek(std::size_t ahead = 0) const;
-  // Returns the next character and moves on; stays at the end.
+  // Consumes and returns the next character. At the end of the document the position doesn't change.
   char32_t Next();
-  // Moves behind `text` if it stands here.
+  // Skips `text` and returns true if it comes next.
   bool Skip(std::u32string_view text);
-  // Moves behind a newline, of one or two characters, if one stands here.
+  // Skips a newline of one or two characters. Returns false if none comes next.
   bool SkipNewline();
-  // Moves up to the end of the line.
+  // Skips all characters up to the end of the line.
   void SkipRestOfLine();
+  // The position of the next character.
   KdlPosition position() const;
+  // Throws KdlError at the position of the next character.
   [[noreturn]] void Fail(const std::string& what) const { throw KdlError(position(), what); }
 
  private:
--- a/src/codec/msgpack_fields.h
+++ b/src/codec/msgpack_fields.h
@@ -1,9 +1,10 @@
-// Encodes and decodes plain structs by one list of their fields: a function `Fields(visitor, value)` names
-// the members of a struct once, and the visitors here count, pack and read them.
+// Encodes and decodes plain structs by a single list of their fields: a function `Fields(visitor, value)`
+// lists the members of a struct, and the visitors in this file count, pack and read them.
 //
-// Contract. As msgpack_reader.h. An enum needs a function `LastOf(E)`, found by argument-dependent lookup,
-// that returns its last value. Texts are packed as type bin. A visitor for further types of members derives
-// from these and brings in the base's overloads with `using`.
+// Errors and limits are those of msgpack_reader.h. An enum needs a function `LastOf(E)`, found by
+// argument-dependent lookup, that returns its last value. Texts are packed as type bin. A visitor that
+// supports more member types derives from one of these visitors and imports the base's overloads with
+// `using`.
 #ifndef LEMONCROFT_CODEC_MSGPACK_FIELDS_H_
 #define LEMONCROFT_CODEC_MSGPACK_FIELDS_H_
 
@@ -19,7 +20,7 @@
 
 using MsgpackPacker = msgpack::packer<msgpack::sbuffer>;
 
-// Counts the fields: the size of the struct's array.
+// Counts the fields, which gives the size of the struct's array.
 struct FieldCounter {
   std::uint32_t count = 0;
   template <typename T>
@@ -62,8 +63,8 @@
   }
 };
 
-// Reads the alternative of a variant that has number `index` on the wire. Numbers of alternatives are part of
-// the format: they are never reused. Throws msgpack::type_error for an unknown one.
+// Reads the variant alternative that has number `index` on the wire. The numbers of alternatives are part of
+// the format and are never reused. Throws msgpack::type_error for an unknown number.
 template <typename Reading, typename Variant, std::size_t I = 0>
 Variant ReadAlternative(std::size_t index, MsgpackReader& in) {
   if constexpr (I == std::variant_size_v<Variant>) {
@@ -77,7 +78,7 @@
   }
 }
 
-// Constrains a `Fields` function to one struct, which is const when it is packed.
+// Constrains a `Fields` function to the struct E. The value is const when it is packed.
 template <typename T, typename E>
 concept Is = std::is_same_v<std::remove_const_t<T>, E>;
 
--- a/src/codec/msgpack_reader.h
+++ b/src/codec/msgpack_reader.h
@@ -1,10 +1,10 @@
-// Reads MessagePack from peers and files: the elements of an array in turn, with limits on sizes and depth.
+// Reads MessagePack arrays from peers and files element by element, with limits on sizes and depth.
 //
-// Contract. No I/O. Elements that are missing, of another type or beyond a limit are reported by
-// msgpack::type_error or msgpack::unpack_error inside the callback of UnpackArray, which returns nullopt
-// then. Elements behind those that are read are ignored, so that later versions may append some. A reader
-// refers to the unpacked object and must not outlive it. Called by the codecs of raft, replicated_config and
-// peer_transport. Source: the MessagePack specification.
+// This file performs no I/O. An element that is missing, has another type or exceeds a limit raises
+// msgpack::type_error or msgpack::unpack_error inside UnpackArray, which catches it and returns nullopt.
+// Elements after the last one that is read are ignored, so that later versions can append elements. A reader
+// refers to the unpacked object and must not outlive it. Callers are the codecs of raft, replicated_config
+// and peer_transport. Reference: the MessagePack specification.
 #ifndef LEMONCROFT_CODEC_MSGPACK_READER_H_
 #define LEMONCROFT_CODEC_MSGPACK_READER_H_
 
@@ -18,7 +18,7 @@
 
 namespace lemoncroft::codec {
 
-// Reads the elements of one array, first to last. All reads throw msgpack::type_error on a mismatch.
+// Reads the elements of one array in order. Every read throws msgpack::type_error on a mismatch.
 class MsgpackReader {
  public:
   explicit MsgpackReader(const msgpack::object& from) {
@@ -26,23 +26,25 @@
     next_ = from.via.array.ptr;
     end_ = next_ + from.via.array.size;
   }
-  // Elements that have not been read.
+  // The number of elements that have not been read.
   std::size_t left() const { return static_cast<std::size_t>(end_ - next_); }
+  // Returns the next element.
   const msgpack::object& Next() {
     if (next_ == end_) throw msgpack::type_error();
     return *next_++;
   }
+  // Returns the next element, converted to T.
   template <typename T>
   T Take() {
     return Next().as<T>();
   }
-  // An element of type bin; its bytes may have any value.
+  // Returns the next element, of type bin; its bytes may have any value.
   std::string Bytes() {
     const msgpack::object& element = Next();
     if (element.type != msgpack::type::BIN) throw msgpack::type_error();
     return {element.via.bin.ptr, element.via.bin.size};
   }
-  // A value of an enum whose values are 0 to `last`.
+  // Returns the next element as a value of an enum whose values are 0 to `last`.
   template <typename T>
   T Enum(T last) {
     const auto value = Take<std::uint8_t>();
@@ -55,13 +57,14 @@
   const msgpack::object* end_;
 };
 
-// Largest sizes that are unpacked. Texts are the elements of type str; bin has a limit of its own.
+// The largest sizes that are unpacked. `text` limits elements of type str, and `bytes` limits elements of
+// type bin.
 struct MsgpackLimits {
   std::size_t list = 16384, text = 256, bytes = 0, depth = 8;
 };
 
-// Unpacks `bytes`, which hold one array, and returns what `read` makes of it; nullopt if they are malformed,
-// exceed `limits` or don't fit what `read` expects.
+// Unpacks the array in `bytes` and returns the result of `read`. Returns nullopt if the bytes are malformed,
+// exceed `limits` or don't match the elements that `read` expects.
 template <typename Read>
 auto UnpackArray(std::string_view bytes, const MsgpackLimits& limits, const Read& read)
     -> std::optional<decltype(read(std::declval<MsgpackReader&>()))> {
--- a/src/codec/order_key.cpp
+++ b/src/codec/order_key.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kHexDigits = 16;
 constexpr int kHexBase = 16;
-constexpr std::uint64_t kReplacementOfZero = 1;  // 0 means that there is no key
+constexpr std::uint64_t kReplacementOfZero = 1;  // 0 means that there is no ordering key
 
 }  // namespace
 
--- a/src/codec/order_key.h
+++ b/src/codec/order_key.h
@@ -1,7 +1,5 @@
-// Ordering keys: requests with the same key are executed in order. Clients write them as texts, the decision
-// module knows them as numbers.
-//
-// Pure functions.
+// Ordering keys: requests with the same ordering key are executed in order. Clients send an ordering key as
+// text; the decision module identifies it by a number.
 #ifndef LEMONCROFT_CODEC_ORDER_KEY_H_
 #define LEMONCROFT_CODEC_ORDER_KEY_H_
 
@@ -13,12 +11,13 @@
 
 inline constexpr std::size_t kMaxOrderKeyBytes = 128;
 
-// Whether a text is a valid ordering key: printable ASCII without blanks, 1 to kMaxOrderKeyBytes bytes.
+// Returns true if a text is a valid ordering key: 1 to kMaxOrderKeyBytes bytes of printable ASCII without
+// spaces.
 bool IsOrderKey(std::string_view text);
 
-// The number of a valid key: never 0, and the same for equal texts. 16 hex digits are taken as the number,
-// other texts are hashed (XXH3). Requests whose keys collide wait for each other, which costs time but keeps
-// the order.
+// Returns the number of a valid ordering key. The number is never 0, and equal texts have equal numbers. A
+// text of 16 hex digits is the number itself; any other text is hashed (XXH3). Requests whose ordering keys
+// collide wait for each other, which costs time but preserves the order.
 std::uint64_t OrderKeyNumber(std::string_view text);
 
 }  // namespace lemoncroft::codec
--- a/src/codec/statement.cpp
+++ b/src/codec/statement.cpp
@@ -9,24 +9,24 @@
 
 constexpr std::string_view kSchemaWithoutGroup = "staging";
 
-// Letters, digits, _ and $; all bytes of characters outside ASCII.
+// Returns true for ASCII letters and digits, _, $ and every byte of a non-ASCII character.
 bool IsNameCharacter(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_' || c == '$' ||
          static_cast<unsigned char>(c) >= 0x80;
 }
 
-// A name in a statement.
+// An identifier in a statement.
 struct Name {
   std::string_view text;      // without quotes
   bool is_qualifier = false;  // a dot follows, as after a schema
 };
 
-// Scans the names of a statement, without strings and comments.
+// Scans the identifiers of a statement and skips strings and comments.
 class Scanner {
  public:
   explicit Scanner(std::string_view text) : text_(text) {}
 
-  // The next name, bare or quoted; one with an empty text at the end.
+  // Returns the next name, bare or quoted, or a name with an empty text at the end of the statement.
   Name NextName() {
     while (position_ < text_.size()) {
       const char c = text_[position_];
@@ -55,7 +55,7 @@
     position_ = found == std::string_view::npos ? text_.size() : found + end.size();
   }
 
-  // A doubled quote, or one after a backslash, is part of the string.
+  // A doubled quote or an escaped quote is part of the string.
   void SkipString() {
     for (++position_; position_ < text_.size(); ++position_) {
       if (text_[position_] == '\\') {
@@ -81,7 +81,7 @@
     return text_.substr(from, position_ - from);
   }
 
-  // The name that ends at the current position.
+  // Makes the name that ends at the current position.
   Name MakeName(std::string_view name) const {
     const std::size_t next = std::min(text_.find_first_not_of(" \n\t", position_), text_.size());
     return {name, next < text_.size() && text_[next] == '.'};
@@ -91,7 +91,7 @@
   std::size_t position_ = 0;
 };
 
-// The number of a schema, if it has one.
+// Returns the table group in the name of a schema, or nullopt if it has none.
 std::optional<std::uint32_t> GroupOf(std::string_view schema) {
   const std::size_t underscore = schema.rfind('_');
   if (underscore == std::string_view::npos || underscore == 0) return std::nullopt;
--- a/src/codec/statement.h
+++ b/src/codec/statement.h
@@ -1,6 +1,4 @@
-// Finds the table group of an SQL statement, the only property that is read from a statement.
-//
-// Pure function.
+// Finds the table group of an SQL statement. The proxy reads nothing else from a statement.
 #ifndef LEMONCROFT_CODEC_STATEMENT_H_
 #define LEMONCROFT_CODEC_STATEMENT_H_
 
@@ -9,8 +7,8 @@
 
 namespace lemoncroft::codec {
 
-// The number after the underscore of the first schema in the statement that has one (17 in sales_17.orders);
-// 0 if there is none. Strings, comments and the schema `staging` are ignored.
+// Returns the number after the last underscore in the name of the first schema that has one (17 in
+// sales_17.orders), or 0 if no schema has one. Strings, comments and the schema `staging` are ignored.
 std::uint32_t TableGroup(std::string_view statement);
 
 }  // namespace lemoncroft::codec
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::size_t kMaxReadBytes = 16 * 1024;
-// Time between two reads of a response that has begun. One that stalls has a wrong length, or hangs.
+// The longest time between two reads of a response that has begun. A response that stalls for longer has a
+// wrong length, or its sender hangs.
 constexpr auto kStallTimeout = 150ms;
 constexpr std::string_view kResponseStart = "HTTP/1.";
 
@@ -35,7 +36,7 @@
   std::size_t written = 0;
   const Io io = co_await socket_->Write(*bytes, written, deadline, cancel);
   sent_any_ = written > 0;
-  if (io != Io::kOk) keep_alive_ = false;  // nothing can follow a part of a request
+  if (io != Io::kOk) keep_alive_ = false;  // no request can follow an incomplete one
   co_return io;
 }
 
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -1,10 +1,12 @@
-// One HTTP/1.1 connection of a client, with one call on it at a time.
+// The client side of an HTTP/1.1 connection, with one call at a time.
 //
-// Contract: Send (or Call) only when no response is pending. Every wait ends at its deadline or with its
-// cancellation; a wait for a response that was cut short can be resumed with Receive. Owners: the engines'
-// connection pool and the control feed's watch. Thread safety: none; used on the event loop's thread.
-// Errors: as runtime::Io; kClosed also for a response that can't be parsed, after which the connection is not
-// reusable, and for a request that can't be written as a header.
+// Send and Call may be called only when no response is pending. Every wait ends at its deadline or on its
+// cancellation; Receive can resume an interrupted wait for a response. Connections are owned by the engines'
+// connection pool and the watch of the control feed. The class is not thread-safe; it is used on the event
+// loop's thread.
+//
+// Errors are runtime::Io values. kClosed is also returned for a response that can't be parsed, after which
+// the connection is not reusable, and for a request whose head can't be written.
 #ifndef LEMONCROFT_HTTP_CONNECTION_H_
 #define LEMONCROFT_HTTP_CONNECTION_H_
 
@@ -23,27 +25,29 @@
   Connection(std::unique_ptr<runtime::Socket> socket, std::string host, codec::HttpParser::Limits limits = {})
       : socket_(std::move(socket)), host_(std::move(host)), limits_(limits), parser_(limits) {}
 
-  // Sends a request; its response is to be received next.
+  // Sends a request. The caller must receive its response next.
   runtime::Task<runtime::Io> Send(const codec::HttpRequest& request, runtime::Time deadline,
                                   runtime::Cancellation* cancel);
-  // Receives the response to the request sent last. The response has to begin by `deadline`, and is received
-  // completely soon after that or not at all.
+  // Receives the response to the last request. No read waits past `deadline`, nor, once the response has
+  // begun, for longer than a stall timeout.
   runtime::Task<runtime::Io> Receive(runtime::Time deadline, runtime::Cancellation* cancel,
                                      codec::HttpResponse& out);
-  // The same for a long response, which has to begin by `begin_by` and to be complete by `complete_by`.
+  // Receives a long response, which must begin by `begin_by` and be complete by `complete_by`. The stall
+  // timeout applies here too.
   runtime::Task<runtime::Io> Receive(runtime::Time begin_by, runtime::Time complete_by,
                                      runtime::Cancellation* cancel, codec::HttpResponse& out);
   // Sends a request and receives its response.
   runtime::Task<runtime::Io> Call(const codec::HttpRequest& request, runtime::Time deadline,
                                   runtime::Cancellation* cancel, codec::HttpResponse& out);
 
-  // True while a response is still to come.
+  // Returns true while a response is pending.
   bool pending() const { return pending_; }
-  // True if the last Send passed any byte to the kernel.
+  // Returns true if the last Send passed any byte to the kernel.
   bool sent_any() const { return sent_any_; }
-  // True if bytes that can't begin a response follow the last one: its length may have been wrong.
+  // Returns true if the last response is followed by bytes that can't begin another one. The length of the
+  // last response may have been wrong.
   bool HasExcessBytes() const;
-  // True if another request may be sent.
+  // Returns true if another request may be sent.
   bool Reusable() const { return !pending_ && keep_alive_ && received_.empty() && socket_->IsIdle(); }
 
  private:
--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kPageBytes = 4096;
-constexpr int kSqlitePrimaryCodeMask = 0xff;  // the low byte of a result code, also of an extended one
+constexpr int kSqlitePrimaryCodeMask = 0xff;  // the low byte of a result code, extended or not
 
 constexpr const char* kFormatRecord = "@format";
 constexpr const char* kOwnerRecord = "@owner";
@@ -27,8 +27,8 @@
 constexpr const char* kTruncateLog = "DELETE FROM log WHERE number > ?";
 constexpr const char* kCompactLog = "DELETE FROM log WHERE number <= ?";
 
-// A prepared statement. Bound values must outlive it. The first failure is kept: later calls do nothing and
-// Step returns its code.
+// A prepared statement. Bound values must outlive it. After the first failure, later calls have no effect and
+// Step returns the code of that failure.
 class Statement {
  public:
   Statement(sqlite3* db, const char* text) { code_ = sqlite3_prepare_v2(db, text, -1, &statement_, nullptr); }
@@ -49,7 +49,7 @@
     if (code_ == SQLITE_OK || code_ == SQLITE_ROW) code_ = sqlite3_step(statement_);
     return code_;
   }
-  // Steps a statement without rows, then resets it for other values.
+  // Executes a statement that returns no rows and resets it for further values.
   int StepAndReset() {
     const int code = Step();
     if (code == SQLITE_DONE) code_ = sqlite3_reset(statement_);
@@ -68,7 +68,7 @@
   int code_ = SQLITE_OK;
 };
 
-// Includes the name, so that a value that ended up under another name is recognised.
+// The checksum covers the name, so that a value stored under a wrong name is detected.
 std::int64_t ChecksumOf(std::string_view name, std::string_view value) {
   const std::uint64_t seed = XXH3_64bits(name.data(), name.size());
   return static_cast<std::int64_t>(XXH3_64bits_withSeed(value.data(), value.size(), seed));
@@ -136,7 +136,7 @@
   return contents;
 }
 
-// Exclusive locking keeps other processes out and needs no shared memory; synchronous=FULL makes a commit
+// Exclusive locking excludes other processes and needs no shared memory. synchronous=FULL makes a commit
 // durable before it returns.
 tl::expected<void, StoreError> Database::Configure() {
   const std::string max_pages =
@@ -189,7 +189,7 @@
   return {};
 }
 
-// The first opening writes the format version and the owner; later ones compare them.
+// The first Open writes the format version and the owner; later calls compare them.
 tl::expected<void, StoreError> Database::VerifyIdentity() {
   const Record expected[] = {{kFormatRecord, std::to_string(kFormatVersion)}, {kOwnerRecord, options_.owner}};
   for (const Record& record : expected) {
--- a/src/storage/database.h
+++ b/src/storage/database.h
@@ -1,11 +1,13 @@
 // A durable store for a small state: named records and an indexed log, changed by atomic batches.
 //
-// Contract. Calls block on the disk, so they belong on a thread of their own. A batch whose Write succeeded
-// survives any crash; a batch that a crash interrupted is applied completely or not at all. Each record and
-// log entry carries a checksum over its name and value: if one does not match, Open fails with kDamaged and
-// returns nothing. No call ends the process. Owner: one thread, and one process at a time; a second process
-// gets kLocked. Units: bytes; log indices from 1. Errors: StoreError. Source: SQLite's file format and
-// write-ahead log; see docs/storage.md.
+// Calls block on the disk and therefore belong on a dedicated thread. A batch whose Write succeeded survives
+// any crash; a batch that a crash interrupts is applied completely or not at all. Every record and log entry
+// has a checksum of its name and value. If a checksum does not match, Open fails with kDamaged and returns no
+// contents. No call terminates the process.
+//
+// A Database is used by one thread, and a store is open in one process at a time; a second process gets
+// kLocked. Sizes are in bytes, and log indices start at 1. Errors are reported as StoreError. The store uses
+// SQLite's file format and write-ahead log; see docs/storage.md.
 #ifndef LEMONCROFT_STORAGE_DATABASE_H_
 #define LEMONCROFT_STORAGE_DATABASE_H_
 
@@ -25,21 +27,21 @@
 enum class StoreErrorCode : std::uint8_t {
   kNone,
   kLocked,   // another process has the store open
-  kForeign,  // the store of another owner or of another format version, or no store at all
+  kForeign,  // the store has another owner or format version, or the file is not a store
   kDamaged,  // a checksum does not match, or SQLite reports corruption
   kFailed,   // the disk is full, read-only or failing, or a limit of this header was exceeded
 };
-// For log lines and status pages.
+// Returns the name of a code for log lines and status pages.
 const char* NameOf(StoreErrorCode code);
 
 struct StoreError {
   StoreErrorCode code = StoreErrorCode::kNone;
   std::string path;       // of the store
-  std::string operation;  // the SQL statement, or the record or log entry concerned
-  int sqlite_code = 0;    // SQLite's result code; 0 if the error is not SQLite's
+  std::string operation;  // the failed call or SQL statement, or the name of the record or log entry
+  int sqlite_code = 0;    // SQLite's result code; 0 if the error does not come from SQLite
   std::string message;    // the path and the reason, on one line
 
-  // The code's name and the message.
+  // Returns the code's name and the message.
   std::string ToString() const;
 };
 
@@ -52,7 +54,7 @@
       : name(std::move(record_name)), value(std::move(record_value)) {}
 
   std::string name;
-  std::string value;  // empty in a batch: the record is removed
+  std::string value;  // in a batch, an empty value removes the record
 };
 
 struct LogEntry {
@@ -71,17 +73,17 @@
   std::optional<std::uint64_t> compact_through;  // removes the log entries up to and including this index
 };
 
-// All that a store holds.
+// The complete contents of a store.
 struct StoreContents {
   std::map<std::string, std::string> records;  // value by name
-  std::map<std::uint64_t, std::string> log;    // value by index, without a gap
+  std::map<std::uint64_t, std::string> log;    // value by index; the indices are contiguous
 };
 
 class Database {
  public:
   struct Options {
     std::string path;
-    std::string owner;  // the fleet's and the proxy's name; written when the store is created, then verified
+    std::string owner;  // names the fleet and the proxy; written on creation, verified on each later Open
     std::uint64_t max_bytes = std::uint64_t{64} << 20;
     const char* vfs_name = nullptr;  // SQLite's VFS; null: the default one, on the real disk
   };
@@ -91,11 +93,11 @@
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
-  // Opens the store, or creates it, and reads all of it. Closes it first if it is open.
+  // Opens or creates the store and reads its contents. Closes the store first if it is open.
   [[nodiscard]] tl::expected<StoreContents, StoreError> Open();
-  // Applies the batch; it is durable on return. After an error nothing of it is.
+  // Applies the batch. On success the complete batch is durable; after an error no part of it is.
   [[nodiscard]] tl::expected<void, StoreError> Write(const WriteBatch& batch);
-  // Returns the space of removed records and entries to the file system.
+  // Returns the space of removed records and log entries to the file system.
   [[nodiscard]] tl::expected<void, StoreError> Compact();
   void Close();
 
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -16,14 +16,15 @@
 
 namespace {
 
-constexpr auto kCloseTimeout = std::chrono::milliseconds(200);  // of the destructor
+// The longest time for which the destructor waits for the thread.
+constexpr auto kCloseTimeout = std::chrono::milliseconds(200);
 
 }  // namespace
 
-// State of the loop's object and the thread; guarded by `mutex` but for the last three members.
+// State that the Worker and its thread share. `mutex` guards all members except the last three.
 struct Worker::Shared {
   struct Request {
-    bool is_open = false;  // else a write
+    bool is_open = false;  // true for Open, false for Write
     std::uint64_t sequence = 0;
     WriteBatch batch;
   };
@@ -42,9 +43,9 @@
   runtime::Descriptor completion_event;  // an eventfd, readable while completions wait
 
   const std::string path;
-  // Used by the thread alone.
+  // Used only by the thread.
   Database database;
-  bool writable = false;  // the last request succeeded
+  bool writable = false;  // true if the last request succeeded
 };
 
 Worker::Worker(runtime::Loop& loop, Database::Options options)
@@ -121,7 +122,7 @@
     if (shared->stopping) break;
     shared->completions.push_back(std::move(completion));
     const std::uint64_t increment = 1;
-    // Fails only if the counter is full; the descriptor is readable then.
+    // The write fails only if the counter is full, and then the descriptor is readable already.
     if (::write(shared->completion_event.get(), &increment, sizeof increment) < 0) continue;
   }
   shared->database.Close();
--- a/src/storage/worker.h
+++ b/src/storage/worker.h
@@ -1,10 +1,14 @@
-// A Database on a thread of its own, for an owner on the event loop: no disk operation blocks the loop.
+// Runs a Database on a dedicated thread for an owner on the event loop, so that no disk operation blocks the
+// loop.
 //
-// Contract. Batches are written in the order of the calls, and each one is reported once by NextCompletion,
-// in that order. The queue is bounded; Write refuses a batch if it is full. After a batch fails, later ones
-// fail too, unwritten, until Open succeeds: a later batch must not be durable when an earlier one is not.
-// Owner: one object on the loop. The destructor waits at most kCloseTimeout for the thread; a thread that a
-// slow disk holds up longer ends on its own. Units: batches. Errors: StoreError. Source: docs/storage.md.
+// Batches are written in the order of the calls, and NextCompletion reports each one once, in the same order.
+// The queue is bounded: Write rejects a batch if the queue is full. After a batch fails, later batches fail
+// without being written until Open succeeds, because a later batch must not be durable when an earlier one is
+// not.
+//
+// A Worker is owned by one object on the loop. The destructor waits at most kCloseTimeout for the thread; a
+// thread that a slow disk blocks for longer ends by itself. Errors are reported as StoreError. See
+// docs/storage.md.
 #ifndef LEMONCROFT_STORAGE_WORKER_H_
 #define LEMONCROFT_STORAGE_WORKER_H_
 
@@ -22,11 +26,11 @@
 
   // The result of one Open or Write.
   struct Completion {
-    bool is_open = false;        // of Open; else of Write
-    std::uint64_t sequence = 0;  // as passed to Write
-    StoreError error;            // code kNone: success
-    StoreContents contents;      // of a successful Open
-    runtime::Span duration{};    // on the worker's thread, without the time in the queue
+    bool is_open = false;        // true for Open, false for Write
+    std::uint64_t sequence = 0;  // the number passed to Write
+    StoreError error;            // the code is kNone on success
+    StoreContents contents;      // the contents read by a successful Open
+    runtime::Span duration{};    // the execution time on the worker's thread, without the time in the queue
   };
 
   Worker(runtime::Loop& loop, Database::Options options);
@@ -34,14 +38,14 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // Opens the store, also again after a failure. Drops the batches that are still queued, without a
+  // Opens the store, or reopens it after a failure. Drops the batches that are still queued; they get no
   // completion.
   void Open();
-  // Queues a batch. Returns false, and keeps nothing of it, if the queue is full. `sequence` is the caller's.
+  // Queues a batch, or returns false if the queue is full. The completion returns `sequence` unchanged.
   [[nodiscard]] bool Write(std::uint64_t sequence, WriteBatch batch);
-  // Waits for the next completion. One caller at a time.
+  // Waits for the next completion. At most one caller may wait at a time.
   runtime::Task<Completion> NextCompletion();
-  // Requests that the thread has not taken yet.
+  // Returns the number of requests that the thread has not started.
   std::size_t queue_size() const;
 
  private:
@@ -49,7 +53,7 @@
   static void RunThread(std::shared_ptr<Shared> shared);
 
   runtime::Loop& loop_;
-  std::shared_ptr<Shared> shared_;  // with the thread, which may outlive this object
+  std::shared_ptr<Shared> shared_;  // shared with the thread, which may outlive this object
   runtime::Watched watched_;
 };
 
