--- a/src/codec/msgpack_fields.h
+++ b/src/codec/msgpack_fields.h
@@ -1,5 +1,5 @@
-// Encodes and decodes plain structs by a single list of their fields: a function `Fields(visitor, value)`
-// lists the members of a struct, and the visitors in this file count, pack and read them.
+// Encodes and decodes plain structs by a single list of their fields: a function `VisitFields(visitor,
+// value)` lists the members of a struct, and the visitors in this file count, pack and read them.
 //
 // Errors and limits are those of msgpack_reader.h. An enum needs a function `LastOf(E)`, found by
 // argument-dependent lookup, that returns its last value. Texts are packed as type bin. A visitor that
@@ -65,22 +65,22 @@
 
 // Reads the variant alternative that has number `index` on the wire. The numbers of alternatives are part of
 // the format and are never reused. Throws msgpack::type_error for an unknown number.
-template <typename Reading, typename Variant, std::size_t I = 0>
+template <typename Reader, typename Variant, std::size_t I = 0>
 Variant ReadAlternative(std::size_t index, MsgpackReader& in) {
   if constexpr (I == std::variant_size_v<Variant>) {
     throw msgpack::type_error();
   } else {
-    if (index != I) return ReadAlternative<Reading, Variant, I + 1>(index, in);
+    if (index != I) return ReadAlternative<Reader, Variant, I + 1>(index, in);
     std::variant_alternative_t<I, Variant> value;
-    Reading reading{{in}};
-    Fields(reading, value);
+    Reader reader{{in}};
+    VisitFields(reader, value);
     return value;
   }
 }
 
-// Constrains a `Fields` function to the struct E. The value is const when it is packed.
+// Constrains a `VisitFields` function to the struct E. The value is const when it is packed.
 template <typename T, typename E>
-concept Is = std::is_same_v<std::remove_const_t<T>, E>;
+concept MaybeConst = std::is_same_v<std::remove_const_t<T>, E>;
 
 }  // namespace lemoncroft::codec
 
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -4,7 +4,7 @@
 
 namespace lemoncroft::raft {
 
-using codec::Is;
+using codec::MaybeConst;
 using codec::MsgpackPacker;
 using codec::MsgpackReader;
 
@@ -17,41 +17,41 @@
 
 // The encoded fields of each type, in order. New ones are only ever appended.
 
-template <typename V, Is<Entry> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<Entry> E>
+void VisitFields(V& v, E& e) {
   v(e.term), v(e.index), v(e.kind), v(e.data), v(e.voters);
 }
-template <typename V, Is<Snapshot> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<Snapshot> E>
+void VisitFields(V& v, E& e) {
   v(e.index), v(e.term), v(e.voters), v(e.data);
 }
-template <typename V, Is<HardState> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<HardState> E>
+void VisitFields(V& v, E& e) {
   v(e.term), v(e.voted_for);
 }
-template <typename V, Is<VoteRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<VoteRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.pre_vote), v(e.leadership_transfer), v(e.term), v(e.last_index), v(e.last_term);
 }
-template <typename V, Is<VoteResponse> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<VoteResponse> E>
+void VisitFields(V& v, E& e) {
   v(e.pre_vote), v(e.term), v(e.granted);
 }
-template <typename V, Is<AppendEntriesRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<AppendEntriesRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.term), v(e.heartbeat_round), v(e.prev_index), v(e.prev_term), v(e.leader_commit),
       v(e.leader_durable_index), v(e.entries);
 }
-template <typename V, Is<AppendEntriesResponse> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<AppendEntriesResponse> E>
+void VisitFields(V& v, E& e) {
   v(e.term), v(e.heartbeat_round), v(e.success), v(e.match_index);
 }
-template <typename V, Is<InstallSnapshotRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<InstallSnapshotRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.term), v(e.heartbeat_round), v(e.snapshot);
 }
-template <typename V, Is<TimeoutNowRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<TimeoutNowRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.term);
 }
 
@@ -65,9 +65,9 @@
   template <typename T>
   void PackValue(const T& value) {
     codec::FieldCounter counting;
-    Fields(counting, value);
+    VisitFields(counting, value);
     to.pack_array(counting.count);
-    Fields(*this, value);
+    VisitFields(*this, value);
   }
 };
 
@@ -82,7 +82,7 @@
   static void ReadValue(const msgpack::object& from, T& value) {
     MsgpackReader one(from);
     Reading each{{one}};
-    Fields(each, value);
+    VisitFields(each, value);
   }
 };
 
@@ -99,7 +99,7 @@
   return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
     T value;
     Reading reading{{in}};
-    Fields(reading, value);
+    VisitFields(reading, value);
     return value;
   });
 }
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -5,7 +5,7 @@
 
 namespace lemoncroft::replicated_config {
 
-using codec::Is;
+using codec::MaybeConst;
 using codec::MsgpackPacker;
 using codec::MsgpackReader;
 
@@ -16,70 +16,70 @@
 
 constexpr codec::MsgpackLimits kBounds{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
 
-template <typename V, Is<RaftMessage> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<RaftMessage> E>
+void VisitFields(V& v, E& e) {
   v(e.message);
 }
-template <typename V, Is<LeaseRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<LeaseRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.renewal.sequence), v(e.renewal.prepared_version), v(e.format), v(e.incompatible_version);
 }
-template <typename V, Is<LeaseResponse> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<LeaseResponse> E>
+void VisitFields(V& v, E& e) {
   v(e.grant.sequence), v(e.grant.active_version), v(e.grant.latest_version), v(e.grant.leader_clock),
       v(e.grant.leadership_epoch), v(e.voters);
 }
-template <typename V, Is<NotLeader> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<NotLeader> E>
+void VisitFields(V& v, E& e) {
   v(e.leader_hint);
 }
-template <typename V, Is<DocumentRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<DocumentRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.version);
 }
-template <typename V, Is<DocumentResponse> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<DocumentResponse> E>
+void VisitFields(V& v, E& e) {
   v(e.version), v(e.document);
 }
-template <typename V, Is<ProposeRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<ProposeRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.change.id), v(e.change.base_version), v(e.change.document), v(e.change.author),
       v(e.change.proposed_at_unix_ms);
 }
-template <typename V, Is<ProposalResult> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<ProposalResult> E>
+void VisitFields(V& v, E& e) {
   v(e.outcome.id), v(e.outcome.status), v(e.outcome.version), v(e.outcome.reason);
 }
-template <typename V, Is<ValidateRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<ValidateRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.id), v(e.document);
 }
-template <typename V, Is<ValidateResponse> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<ValidateResponse> E>
+void VisitFields(V& v, E& e) {
   v(e.id), v(e.reason);
 }
-template <typename V, Is<VoterChange> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<VoterChange> E>
+void VisitFields(V& v, E& e) {
   v(e.id), v(e.voter), v(e.add);
 }
-template <typename V, Is<ReadRequest> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<ReadRequest> E>
+void VisitFields(V& v, E& e) {
   v(e.id);
 }
-template <typename V, Is<ReadResponse> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<ReadResponse> E>
+void VisitFields(V& v, E& e) {
   v(e.id), v(e.latest_version), v(e.active_version), v(e.voters);
 }
-template <typename V, Is<StoreHello> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<StoreHello> E>
+void VisitFields(V& v, E& e) {
   v(e.store), v(e.bootstrapped), v(e.term), v(e.last_term), v(e.last_index);
 }
-template <typename V, Is<StoreHelloResponse> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<StoreHelloResponse> E>
+void VisitFields(V& v, E& e) {
   v(e.in_reply_to_store), v(e.store), v(e.opinion), v(e.bootstrap_voters);
 }
-template <typename V, Is<AdmitVoter> E>
-void Fields(V& v, E& e) {
+template <typename V, MaybeConst<AdmitVoter> E>
+void VisitFields(V& v, E& e) {
   v(e.store);
 }
 
@@ -118,12 +118,12 @@
   std::visit(
       [&](const auto& b) {
         codec::FieldCounter counting;
-        Fields(counting, b);
+        VisitFields(counting, b);
         to.pack_array(counting.count + 2);
         codec::PackBytes(to, message.sender);
         to.pack(static_cast<std::uint8_t>(message.body.index()));
         Packing packing{{to}};
-        Fields(packing, b);
+        VisitFields(packing, b);
       },
       message.body);
   return {body.data(), body.size()};
