--- a/src/codec/json.cpp
+++ b/src/codec/json.cpp
@@ -64,7 +64,7 @@
     } else if (c == '[') {
       ParseArray(out, depth);
     } else if (c == '"') {
-      out.kind = Json::Kind::kText;
+      out.kind = Json::Kind::kString;
       out.text = ParseString();
     } else if (c == '-' || (c >= '0' && c <= '9')) {
       ParseNumber(out);
--- a/src/codec/json.h
+++ b/src/codec/json.h
@@ -20,7 +20,7 @@
 };
 
 struct Json {
-  enum class Kind { kNull, kBool, kNumber, kText, kArray, kObject };
+  enum class Kind { kNull, kBool, kNumber, kString, kArray, kObject };
 
   Kind kind = Kind::kNull;
   std::string text;                // the characters of a string; the literal of a number or a boolean
--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -130,7 +130,7 @@
   void ParseEntry(KdlNode& node, bool is_dropped) {
     const KdlPosition place = in_.position();
     KdlValue value = ParseValue();
-    if (value.kind == KdlValue::Kind::kText && value.type.empty() && SkipPropertySign()) {
+    if (value.kind == KdlValue::Kind::kString && value.type.empty() && SkipPropertySign()) {
       std::string name = std::move(value.text);
       value = ParseValue();
       if (is_dropped) return;
@@ -177,7 +177,7 @@
     } else if (IsKdlDigit(first_digit)) {
       ParseNumber(value);
     } else {
-      value.kind = KdlValue::Kind::kText;
+      value.kind = KdlValue::Kind::kString;
       value.text = ParseText("a value");
     }
     return value;
@@ -420,6 +420,6 @@
                          std::to_string(position.column) + ": " + what),
       position_(position) {}
 
-std::vector<KdlNode> ReadKdl(std::string_view text) { return Parser(text).ParseDocument(); }
+std::vector<KdlNode> ParseKdl(std::string_view text) { return Parser(text).ParseDocument(); }
 
 }  // namespace lemoncroft::codec
--- a/src/codec/kdl.h
+++ b/src/codec/kdl.h
@@ -33,7 +33,7 @@
 };
 
 struct KdlValue {
-  enum class Kind { kText, kNumber, kBool, kNull };
+  enum class Kind { kString, kNumber, kBool, kNull };
   Kind kind = Kind::kNull;
   std::string type;  // the type annotation; empty if there is none
   std::string text;  // the characters of a string, or the literal of a number
@@ -55,7 +55,7 @@
 inline constexpr std::size_t kMaxKdlNodes = 100'000;
 
 // Parses one complete document. Throws KdlError if the text is malformed or exceeds one of the limits above.
-std::vector<KdlNode> ReadKdl(std::string_view text);
+std::vector<KdlNode> ParseKdl(std::string_view text);
 
 }  // namespace lemoncroft::codec
 
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -23,7 +23,7 @@
 constexpr Nanos kFileTimeTolerance = 1'000'000'000;
 
 std::string TextOr(const Json& json, const std::string& absent) {
-  return json.Is(Json::Kind::kText) ? json.text : absent;
+  return json.Is(Json::Kind::kString) ? json.text : absent;
 }
 
 Nanos NanosOf(EndpointDirectory::UnixTime at) {
--- a/src/operator_config/admission_queue_block.cpp
+++ b/src/operator_config/admission_queue_block.cpp
@@ -23,7 +23,7 @@
 // with a fault, if it is none of them. `what`: what is named.
 std::optional<std::size_t> ReadReference(const KdlNode& node, const std::vector<std::string>& names,
                                          const char* what, Faults& faults) {
-  const bool text = node.arguments.size() == 1 && node.arguments[0].kind == codec::KdlValue::Kind::kText;
+  const bool text = node.arguments.size() == 1 && node.arguments[0].kind == codec::KdlValue::Kind::kString;
   if (!text || !node.properties.empty()) {
     faults.AddAt(node, node.name + ": expected the name of a " + what);
     return std::nullopt;
--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -71,8 +71,8 @@
 
 void ReadSpan(const KdlNode& node, admission_queue::Span min, admission_queue::Span max,
               admission_queue::Span& out, Faults& faults) {
-  const KdlValue* value =
-      OnlyArgument(node, KdlValue::Kind::kText, "a time with its unit, such as \"250ms\" or \"2s\"", faults);
+  const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kString,
+                                       "a time with its unit, such as \"250ms\" or \"2s\"", faults);
   if (value == nullptr) return;
   admission_queue::Span span{};
   if (!ParseSpan(value->text, span))
@@ -109,7 +109,8 @@
 }
 
 void ReadText(const KdlNode& node, std::string& out, Faults& faults) {
-  if (const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kText, "a text", faults)) out = value->text;
+  if (const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kString, "a text", faults))
+    out = value->text;
 }
 
 void ReadBlock(const std::vector<KdlNode>& nodes, const NodeReaders& readers,
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -30,7 +30,7 @@
   }
   for (const KdlValue& value : node.arguments) {
     const auto address =
-        value.kind == KdlValue::Kind::kText ? runtime::Address::Parse(value.text) : std::nullopt;
+        value.kind == KdlValue::Kind::kString ? runtime::Address::Parse(value.text) : std::nullopt;
     const gossip::Endpoint endpoint = address ? peer_transport::ToEndpoint(*address) : gossip::Endpoint();
     if (!endpoint)
       faults.AddAt(node, value, node.name + ": '" + value.text + "' is not an IPv4 address with a port");
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -33,7 +33,7 @@
   OperatorFile file;
   Faults faults;
   try {
-    const std::vector<KdlNode> nodes = codec::ReadKdl(text);
+    const std::vector<KdlNode> nodes = codec::ParseKdl(text);
     const NodeReaders readers = {
         {keys::kAdmissionQueue,
          [&](const KdlNode& n) { file.admission_queue = ReadAdmissionQueue(n, site, faults); }},
--- a/src/operator_config/rules_block.cpp
+++ b/src/operator_config/rules_block.cpp
@@ -18,7 +18,7 @@
 
 void ReadVoters(const KdlNode& node, std::vector<std::string>& out, Faults& faults) {
   for (const KdlValue& value : node.arguments) {
-    const bool is_name = value.kind == KdlValue::Kind::kText && !value.text.empty() &&
+    const bool is_name = value.kind == KdlValue::Kind::kString && !value.text.empty() &&
                          value.text.size() <= gossip::kMaxNameBytes;
     if (!is_name)
       faults.AddAt(node, value, "voters: expected names of proxies");
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -43,7 +43,7 @@
           {"out", [&](const KdlNode& n) { Names(n, document_.ejected_engines); }},
           {"cut-off", [&](const KdlNode& n) { IsolationBlock(n); }},
       };
-      operator_config::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, errors_);
+      operator_config::ReadBlock(codec::ParseKdl(text), known, {"class", "tenant", "team", "out"}, errors_);
     } catch (const codec::KdlError& e) {
       const std::string what = e.what();  // "line N, column N: message"
       return tl::unexpected(InvalidDocument{
@@ -112,7 +112,7 @@
   void Names(const KdlNode& n, std::set<std::string>& into) {
     if (!n.properties.empty() || !n.children.empty()) errors_.Add(n.place, n.name + ": takes names alone");
     for (const KdlValue& value : n.arguments) {
-      if (value.kind != KdlValue::Kind::kText || !IsValidName(value.text))
+      if (value.kind != KdlValue::Kind::kString || !IsValidName(value.text))
         errors_.Add(value.place, n.name + ": a name is 1 to 128 plain characters without blanks");
       else if (!into.insert(value.text).second)
         errors_.Add(value.place, n.name + ": '" + value.text + "' is given twice");
--- a/src/testing/fault_test/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -241,7 +241,7 @@
   operator_config::Faults faults;
   std::vector<Trial> trials;
   try {
-    for (const KdlNode& node : codec::ReadKdl(text)) {
+    for (const KdlNode& node : codec::ParseKdl(text)) {
       if (node.name == kTrialWord)
         trials.push_back(ReadTrial(node, faults));
       else
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 using codec::KdlNode;
-using codec::ReadKdl;
+using codec::ParseKdl;
 
 std::string Shown(const KdlNode& node) {
   std::string out = node.type.empty() ? node.name : "(" + node.type + ")" + node.name;
   const auto value = [](const codec::KdlValue& v) {
     const std::string type = v.type.empty() ? "" : "(" + v.type + ")";
-    if (v.kind == codec::KdlValue::Kind::kText) return type + "'" + v.text + "'";
+    if (v.kind == codec::KdlValue::Kind::kString) return type + "'" + v.text + "'";
     if (v.kind == codec::KdlValue::Kind::kNumber) return type + std::to_string(v.number);
     return type + (v.kind == codec::KdlValue::Kind::kNull ? "null" : v.boolean ? "true" : "false");
   };
@@ -29,7 +29,7 @@
 std::string Shown(std::string_view text) {
   std::string out;
   try {
-    for (const KdlNode& node : ReadKdl(text)) out += (out.empty() ? "" : " | ") + Shown(node);
+    for (const KdlNode& node : ParseKdl(text)) out += (out.empty() ? "" : " | ") + Shown(node);
   } catch (const codec::KdlError& e) {
     return e.what();
   }
