--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -15,7 +15,7 @@
 constexpr int kMaxEscapeDigits = 6;
 
 // The lines of a multi-line string, before its indentation is removed.
-struct MultiLineText {
+struct MultiLineString {
   std::vector<std::string> lines{std::string()};
   std::vector<bool> is_blank{true};  // by line: it has only white space, none of which comes from an escape
 
@@ -65,11 +65,11 @@
 // input.
 class Parser {
  public:
-  explicit Parser(std::string_view text) : in_(text) {}
+  explicit Parser(std::string_view text) : input_(text) {}
 
   std::vector<KdlNode> ParseDocument() {
     std::vector<KdlNode> nodes = ParseNodes(0);
-    if (in_.Peek() != kKdlEnd) in_.Fail("a '}' that closes nothing");
+    if (input_.Peek() != kKdlEnd) input_.Fail("a '}' that closes nothing");
     return nodes;
   }
 
@@ -77,90 +77,90 @@
   // ---- Nodes ----
 
   std::vector<KdlNode> ParseNodes(int depth) {
-    if (depth > kMaxKdlDepth) in_.Fail("nested too deeply");
+    if (depth > kMaxKdlDepth) input_.Fail("nested too deeply");
     std::vector<KdlNode> nodes;
     for (;;) {
-      while (SkipBlank() || in_.SkipNewline() || in_.Skip(U";")) {
+      while (SkipSpaceAndComments() || input_.SkipNewline() || input_.Skip(U";")) {
       }
-      if (in_.Peek() == kKdlEnd || in_.Peek() == '}') return nodes;
-      const bool is_dropped = SkipSlashdash();
+      if (input_.Peek() == kKdlEnd || input_.Peek() == '}') return nodes;
+      const bool is_commented_out = SkipSlashdash();
       KdlNode node = ParseNode(depth);
-      if (!is_dropped) nodes.push_back(std::move(node));
+      if (!is_commented_out) nodes.push_back(std::move(node));
     }
   }
 
   KdlNode ParseNode(int depth) {
-    if (++node_count_ > kMaxKdlNodes) in_.Fail("too many nodes");
+    if (++node_count_ > kMaxKdlNodes) input_.Fail("too many nodes");
     KdlNode node;
-    node.place = in_.position();
+    node.place = input_.position();
     node.type = ParseAnnotation();
-    node.name = ParseText("a node's name");
+    node.name = ParseString("a node's name");
     bool has_children = false;
     for (;;) {
-      const bool has_space = SkipBlank();
+      const bool has_space = SkipSpaceAndComments();
       if (SkipNodeEnd()) return node;
-      const bool is_dropped = SkipSlashdash();
-      if (in_.Peek() == '{') {
+      const bool is_commented_out = SkipSlashdash();
+      if (input_.Peek() == '{') {
         std::vector<KdlNode> children = ParseChildren(depth);
-        if (is_dropped) continue;
-        if (has_children) in_.Fail("a second block of children");
+        if (is_commented_out) continue;
+        if (has_children) input_.Fail("a second block of children");
         has_children = true;
         node.children = std::move(children);
         continue;
       }
-      if (has_children) in_.Fail("a value behind the children");
-      if (!has_space) in_.Fail("no space before this");
-      ParseEntry(node, is_dropped);
+      if (has_children) input_.Fail("a value behind the children");
+      if (!has_space) input_.Fail("no space before this");
+      ParseEntry(node, is_commented_out);
     }
   }
 
   bool SkipNodeEnd() {
-    const char32_t c = in_.Peek();
-    return c == kKdlEnd || c == '}' || in_.Skip(U";") || in_.SkipNewline();
+    const char32_t c = input_.Peek();
+    return c == kKdlEnd || c == '}' || input_.Skip(U";") || input_.SkipNewline();
   }
 
   std::vector<KdlNode> ParseChildren(int depth) {
-    in_.Next();
+    input_.Next();
     std::vector<KdlNode> children = ParseNodes(depth + 1);
-    if (!in_.Skip(U"}")) in_.Fail("a '{' that is not closed");
+    if (!input_.Skip(U"}")) input_.Fail("a '{' that is not closed");
     return children;
   }
 
-  // Parses an argument or a property and adds it to `node`, unless a slashdash has dropped it.
-  void ParseEntry(KdlNode& node, bool is_dropped) {
-    const KdlPosition place = in_.position();
+  // Parses an argument or a property and adds it to `node`, unless a slashdash comments it out.
+  void ParseEntry(KdlNode& node, bool is_commented_out) {
+    const KdlPosition place = input_.position();
     KdlValue value = ParseValue();
-    if (value.kind == KdlValue::Kind::kString && value.type.empty() && SkipPropertySign()) {
+    if (value.kind == KdlValue::Kind::kString && value.type.empty() && SkipEqualsSign()) {
       std::string name = std::move(value.text);
       value = ParseValue();
-      if (is_dropped) return;
+      if (is_commented_out) return;
       std::erase_if(node.properties, [&name](const auto& p) { return p.first == name; });
       node.properties.emplace_back(std::move(name), std::move(value));
       return;
     }
     value.place = place;
-    if (!is_dropped) node.arguments.push_back(std::move(value));
+    if (!is_commented_out) node.arguments.push_back(std::move(value));
   }
 
   // Skips the '=' of a property and the white space around it. Returns false if there is no '='.
-  bool SkipPropertySign() {
+  bool SkipEqualsSign() {
     std::size_t ahead = 0;
-    while (IsKdlSpace(in_.Peek(ahead))) ++ahead;
-    if (in_.Peek(ahead) != '=') return false;
-    SkipBlank();
-    in_.Next();
-    SkipBlank();
+    while (IsKdlSpace(input_.Peek(ahead))) ++ahead;
+    if (input_.Peek(ahead) != '=') return false;
+    SkipSpaceAndComments();
+    input_.Next();
+    SkipSpaceAndComments();
     return true;
   }
 
   std::string ParseAnnotation() {
-    if (in_.Peek() != '(') return {};
-    in_.Next();
-    SkipBlank();
-    std::string type = ParseText("a type");
-    SkipBlank();
-    if (!in_.Skip(U")")) in_.Fail("a '(' that is not closed");
-    SkipBlank();
+    if (input_.Peek() != '(') return {};
+    input_.Next();
+    SkipSpaceAndComments();
+    std::string type = ParseString("a type");
+    SkipSpaceAndComments();
+    if (!input_.Skip(U")")) input_.Fail("a '(' that is not closed");
+    SkipSpaceAndComments();
     return type;
   }
 
@@ -168,23 +168,23 @@
 
   KdlValue ParseValue() {
     KdlValue value;
-    value.place = in_.position();
+    value.place = input_.position();
     value.type = ParseAnnotation();
-    const char32_t c = in_.Peek();
-    const char32_t first_digit = c == '+' || c == '-' ? in_.Peek(1) : c;
-    if (c == '#' && in_.Peek(1) != '"' && in_.Peek(1) != '#') {
+    const char32_t c = input_.Peek();
+    const char32_t first_digit = c == '+' || c == '-' ? input_.Peek(1) : c;
+    if (c == '#' && input_.Peek(1) != '"' && input_.Peek(1) != '#') {
       ParseKeyword(value);
     } else if (IsKdlDigit(first_digit)) {
       ParseNumber(value);
     } else {
       value.kind = KdlValue::Kind::kString;
-      value.text = ParseText("a value");
+      value.text = ParseString("a value");
     }
     return value;
   }
 
   void ParseKeyword(KdlValue& value) {
-    in_.Next();
+    input_.Next();
     const std::string word = ParseWord();
     if (word == "true" || word == "false") {
       value.kind = KdlValue::Kind::kBool;
@@ -213,26 +213,26 @@
     if (is_negative) value.number = -value.number;
   }
 
-  // ---- Texts ----
+  // ---- Strings ----
 
   // Reads a run of identifier characters, which may be empty.
   std::string ParseWord() {
     std::string word;
-    while (IsKdlIdentifierCharacter(in_.Peek())) AppendUtf8(word, in_.Next());
+    while (IsKdlIdentifierCharacter(input_.Peek())) AppendUtf8(word, input_.Next());
     return word;
   }
 
   // Parses a string of any form. `expected` describes the string in the error if there is none.
-  std::string ParseText(const char* expected) {
-    const KdlPosition place = in_.position();
+  std::string ParseString(const char* expected) {
+    const KdlPosition place = input_.position();
     std::size_t hashes = 0;
-    while (in_.Peek(hashes) == '#') ++hashes;
-    if (in_.Peek(hashes) == '"') {
-      for (std::size_t i = 0; i < hashes; ++i) in_.Next();
+    while (input_.Peek(hashes) == '#') ++hashes;
+    if (input_.Peek(hashes) == '"') {
+      for (std::size_t i = 0; i < hashes; ++i) input_.Next();
       return ParseQuoted(hashes);
     }
     std::string word = hashes > 0 ? std::string() : ParseWord();
-    if (word.empty()) in_.Fail(std::string("expected ") + expected);
+    if (word.empty()) input_.Fail(std::string("expected ") + expected);
     CheckBareWord(word, place);
     return word;
   }
@@ -251,22 +251,22 @@
 
   // Parses a quoted string, which is a raw string if it follows one or more number signs.
   std::string ParseQuoted(std::size_t hashes) {
-    const KdlPosition place = in_.position();
-    if (in_.Peek(1) == '"' && in_.Peek(2) == '"') {
-      in_.Skip(kMultiLineQuotes);
-      if (!in_.SkipNewline()) in_.Fail("a multi-line string begins on the line after its quotes");
+    const KdlPosition place = input_.position();
+    if (input_.Peek(1) == '"' && input_.Peek(2) == '"') {
+      input_.Skip(kMultiLineQuotes);
+      if (!input_.SkipNewline()) input_.Fail("a multi-line string begins on the line after its quotes");
       return ParseMultiLine(hashes, place);
     }
-    in_.Next();
+    input_.Next();
     std::string out;
     for (;;) {
       if (SkipClosing(1, hashes)) return out;
-      const char32_t c = in_.Peek();
+      const char32_t c = input_.Peek();
       if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(place, "a string that does not end on its line");
       if (c == '\\' && hashes == 0) {
         ParseEscape(out);
       } else {
-        AppendUtf8(out, in_.Next());
+        AppendUtf8(out, input_.Next());
       }
     }
   }
@@ -274,18 +274,18 @@
   // Skips closing quotes and number signs. Returns false if they don't come next.
   bool SkipClosing(std::size_t quotes, std::size_t hashes) {
     for (std::size_t i = 0; i < quotes + hashes; ++i) {
-      if (in_.Peek(i) != (i < quotes ? U'"' : U'#')) return false;
+      if (input_.Peek(i) != (i < quotes ? U'"' : U'#')) return false;
     }
-    for (std::size_t i = 0; i < quotes + hashes; ++i) in_.Next();
+    for (std::size_t i = 0; i < quotes + hashes; ++i) input_.Next();
     return true;
   }
 
   std::string ParseMultiLine(std::size_t hashes, KdlPosition place) {
-    MultiLineText text;
+    MultiLineString text;
     while (!SkipClosing(kMultiLineQuotes.size(), hashes)) {
-      const char32_t c = in_.Peek();
+      const char32_t c = input_.Peek();
       if (c == kKdlEnd) throw KdlError(place, "a multi-line string that does not end");
-      if (in_.SkipNewline()) {
+      if (input_.SkipNewline()) {
         text.StartLine();
       } else if (c == '\\' && hashes == 0) {
         const std::size_t size_before = text.lines.back().size();
@@ -293,14 +293,14 @@
         if (text.lines.back().size() > size_before) text.is_blank.back() = false;
       } else {
         if (!IsKdlSpace(c)) text.is_blank.back() = false;
-        AppendUtf8(text.lines.back(), in_.Next());
+        AppendUtf8(text.lines.back(), input_.Next());
       }
     }
     return JoinWithoutIndentation(text, place);
   }
 
   // The white space before the closing quotes is the indentation of every line that is not blank.
-  static std::string JoinWithoutIndentation(const MultiLineText& text, KdlPosition place) {
+  static std::string JoinWithoutIndentation(const MultiLineString& text, KdlPosition place) {
     if (!text.is_blank.back()) throw KdlError(place, "the closing quotes stand on a line of their own");
     const std::string& indentation = text.lines.back();
     std::string out;
@@ -316,22 +316,22 @@
   }
 
   void ParseEscape(std::string& out) {
-    const KdlPosition place = in_.position();
-    in_.Next();
-    const char32_t c = in_.Peek();
+    const KdlPosition place = input_.position();
+    input_.Next();
+    const char32_t c = input_.Peek();
     if (IsKdlSpace(c) || IsKdlNewline(c)) {
-      while (IsKdlSpace(in_.Peek()) || IsKdlNewline(in_.Peek())) in_.Next();
+      while (IsKdlSpace(input_.Peek()) || IsKdlNewline(input_.Peek())) input_.Next();
       return;
     }
-    in_.Next();
-    constexpr std::string_view kLetters = "nrt\\\"bfs";
-    constexpr std::string_view kMeanings = "\n\r\t\\\"\b\f ";
-    const std::size_t known = c < 0x80 ? kLetters.find(static_cast<char>(c)) : std::string_view::npos;
+    input_.Next();
+    constexpr std::string_view kEscapeLetters = "nrt\\\"bfs";
+    constexpr std::string_view kEscapedCharacters = "\n\r\t\\\"\b\f ";
+    const std::size_t known = c < 0x80 ? kEscapeLetters.find(static_cast<char>(c)) : std::string_view::npos;
     if (known != std::string_view::npos) {
-      out += kMeanings[known];
+      out += kEscapedCharacters[known];
       return;
     }
-    if (c != 'u' || !in_.Skip(U"{")) throw KdlError(place, "an escape that there is not");
+    if (c != 'u' || !input_.Skip(U"{")) throw KdlError(place, "an escape that there is not");
     AppendUtf8(out, ParseCodePoint(place));
   }
 
@@ -340,39 +340,39 @@
     char32_t point = 0;
     int digits = 0;
     bool is_valid = true;
-    for (; is_valid && digits <= kMaxEscapeDigits && in_.Peek() != '}' && in_.Peek() < 0x80; ++digits) {
-      const auto digit = static_cast<char>(in_.Next());
+    for (; is_valid && digits <= kMaxEscapeDigits && input_.Peek() != '}' && input_.Peek() < 0x80; ++digits) {
+      const auto digit = static_cast<char>(input_.Next());
       int value = 0;
       is_valid = std::from_chars(&digit, &digit + 1, value, 16).ec == std::errc();
       point = point * 16 + static_cast<char32_t>(value);
     }
     const bool is_scalar = point <= 0x10ffff && (point < 0xd800 || point > 0xdfff);
-    if (!is_valid || digits < 1 || digits > kMaxEscapeDigits || !is_scalar || !in_.Skip(U"}"))
+    if (!is_valid || digits < 1 || digits > kMaxEscapeDigits || !is_scalar || !input_.Skip(U"}"))
       throw KdlError(place, "not a code point");
     return point;
   }
 
   // ---- White space and comments ----
 
-  // Skips a slashdash, which drops the construct after it. Returns false if none comes next.
+  // Skips a slashdash, which comments out the construct after it. Returns false if none comes next.
   bool SkipSlashdash() {
-    if (!in_.Skip(U"/-")) return false;
-    while (SkipBlank() || in_.SkipNewline()) {
+    if (!input_.Skip(U"/-")) return false;
+    while (SkipSpaceAndComments() || input_.SkipNewline()) {
     }
     return true;
   }
 
   // Skips white space, comments and line continuations. Returns true if there were any.
-  bool SkipBlank() {
+  bool SkipSpaceAndComments() {
     bool any = false;
     for (;; any = true) {
-      if (IsKdlSpace(in_.Peek())) {
-        in_.Next();
-      } else if (in_.Skip(U"//")) {
-        in_.SkipRestOfLine();
-      } else if (in_.Skip(U"/*")) {
-        SkipCommentRest();
-      } else if (in_.Peek() == '\\') {
+      if (IsKdlSpace(input_.Peek())) {
+        input_.Next();
+      } else if (input_.Skip(U"//")) {
+        input_.SkipRestOfLine();
+      } else if (input_.Skip(U"/*")) {
+        SkipRestOfComment();
+      } else if (input_.Peek() == '\\') {
         SkipLineContinuation();
       } else {
         return any;
@@ -381,35 +381,35 @@
   }
 
   void SkipLineContinuation() {
-    in_.Next();
-    while (IsKdlSpace(in_.Peek()) || in_.Skip(U"/*")) {
+    input_.Next();
+    while (IsKdlSpace(input_.Peek()) || input_.Skip(U"/*")) {
       // White space directly after "/*" is taken for white space of the continuation, which makes such a
       // comment an error.
-      if (IsKdlSpace(in_.Peek())) {
-        in_.Next();
+      if (IsKdlSpace(input_.Peek())) {
+        input_.Next();
       } else {
-        SkipCommentRest();
+        SkipRestOfComment();
       }
     }
-    if (in_.Skip(U"//")) in_.SkipRestOfLine();
-    if (!in_.SkipNewline() && in_.Peek() != kKdlEnd) in_.Fail("a '\\' that does not end its line");
+    if (input_.Skip(U"//")) input_.SkipRestOfLine();
+    if (!input_.SkipNewline() && input_.Peek() != kKdlEnd) input_.Fail("a '\\' that does not end its line");
   }
 
   // Skips the rest of a block comment after its opening. Block comments nest.
-  void SkipCommentRest() {
-    const KdlPosition place = in_.position();
+  void SkipRestOfComment() {
+    const KdlPosition place = input_.position();
     for (int depth = 1; depth > 0;) {
-      if (in_.Skip(U"/*")) {
+      if (input_.Skip(U"/*")) {
         ++depth;
-      } else if (in_.Skip(U"*/")) {
+      } else if (input_.Skip(U"*/")) {
         --depth;
-      } else if (in_.Next() == kKdlEnd) {
+      } else if (input_.Next() == kKdlEnd) {
         throw KdlError(place, "a comment that does not end");
       }
     }
   }
 
-  KdlInput in_;
+  KdlInput input_;
   std::size_t node_count_ = 0;
 };
 
--- a/src/codec/kdl_input.cpp
+++ b/src/codec/kdl_input.cpp
@@ -91,8 +91,8 @@
     if (c == kByteOrderMark && characters_.empty() && offset == kByteOrderMarkBytes) continue;
     if (IsForbidden(c)) throw KdlError(position, "a character that may not stand in a document");
     characters_.push_back({c, position});
-    const bool is_half_newline = c == '\r' && offset < text.size() && text[offset] == '\n';
-    if (IsKdlNewline(c) && !is_half_newline) {
+    const bool is_first_of_crlf = c == '\r' && offset < text.size() && text[offset] == '\n';
+    if (IsKdlNewline(c) && !is_first_of_crlf) {
       ++position.line;
       position.column = 1;
     } else {
