--- a/src/codec/json.cpp
+++ b/src/codec/json.cpp
@@ -35,8 +35,8 @@
   }
 
  private:
-  [[noreturn]] void Fail(const char* what) const {
-    throw JsonError(std::string("JSON: ") + what + " at byte " + std::to_string(position_));
+  [[noreturn]] void Fail(const char* message) const {
+    throw JsonError(std::string("JSON: ") + message + " at byte " + std::to_string(position_));
   }
 
   // Returns the next character, or a zero byte at the end of the text.
@@ -205,15 +205,15 @@
   return {};
 }
 
-double Json::Number(double absent) const {
-  double value = absent;
+double Json::Number(double fallback) const {
+  double value = fallback;
   if (kind == Kind::kNumber) std::from_chars(text.data(), text.data() + text.size(), value);
-  return std::isfinite(value) ? value : absent;
+  return std::isfinite(value) ? value : fallback;
 }
 
-std::int64_t Json::Integer(std::int64_t absent) const {
-  const double value = Number(static_cast<double>(absent));
-  return value > -kMaxInteger && value < kMaxInteger ? static_cast<std::int64_t>(value) : absent;
+std::int64_t Json::Integer(std::int64_t fallback) const {
+  const double value = Number(static_cast<double>(fallback));
+  return value > -kMaxInteger && value < kMaxInteger ? static_cast<std::int64_t>(value) : fallback;
 }
 
 }  // namespace lemoncroft::codec
--- a/src/codec/json.h
+++ b/src/codec/json.h
@@ -36,13 +36,13 @@
   // value if there is no such member.
   Json Take(std::string_view name);
   bool Is(Kind k) const { return kind == k; }
-  // Returns the value of a number, or `absent` if this is not a finite number.
-  double Number(double absent = 0) const;
-  // Returns the value of a number without its fraction, or `absent` if this is not a finite number or is too
-  // large.
-  std::int64_t Integer(std::int64_t absent = 0) const;
+  // Returns the value of a number, or `fallback` if this is not a finite number.
+  double Number(double fallback = 0) const;
+  // Returns the value of a number without its fraction, or `fallback` if this is not a finite number or is
+  // too large.
+  std::int64_t Integer(std::int64_t fallback = 0) const;
   // Returns true if this is the boolean `true`.
-  bool True() const { return kind == Kind::kBool && text == "true"; }
+  bool IsTrue() const { return kind == Kind::kBool && text == "true"; }
 };
 
 }  // namespace lemoncroft::codec
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -90,7 +90,7 @@
 std::optional<EngineList> EndpointDirectory::ApplyEvent(const Json& update) {
   const Json& list = update[feed::kEndpoints];
   if (!list.Is(Json::Kind::kArray)) return std::nullopt;
-  const bool complete = update[feed::kIsCompleteList].True();
+  const bool complete = update[feed::kIsCompleteList].IsTrue();
   std::vector<EngineEntry> entries;
   for (const Json& json : list.items) {
     if (auto entry = ApplyEndpoint(json)) entries.push_back(*entry);
