--- a/src/frontend/request_parser.cpp
+++ b/src/frontend/request_parser.cpp
@@ -121,7 +121,7 @@
   const bool has_key = !key.empty() || request_class.effect == Effect::kKeyed;
   if (has_key && !IsIdempotencyKey(key)) return tl::unexpected(RequestError::kInvalidIdempotencyKey);
   const std::string_view ordering_key = fields.Get(kFieldOrderingKey);
-  if (!ordering_key.empty() && !codec::IsOrderKey(ordering_key))
+  if (!ordering_key.empty() && !codec::IsValidOrderingKey(ordering_key))
     return tl::unexpected(RequestError::kInvalidOrderingKey);
   if (fields.body.empty()) return tl::unexpected(RequestError::kMissingStatement);
   const auto estimates = ParseEstimates(fields, request_class, settings);
@@ -130,7 +130,7 @@
   request::ClientRequest request;
   request.class_id = *class_id;
   request.tenant = *tenant;
-  request.ordering_key = ordering_key.empty() ? 0 : codec::OrderKeyNumber(ordering_key);
+  request.ordering_key = ordering_key.empty() ? 0 : codec::OrderingKeyNumber(ordering_key);
   request.deadline = runtime::Now() + FromMs(estimates->timeout_ms);
   request.estimated_work = FromMs(estimates->cpu_ms);
   request.estimated_memory_mb = estimates->memory_mb;
