--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -136,7 +136,7 @@
       StoreLoadReport(query);
       co_return Outcome::kOk;
     }
-    if (sent == Io::kOk || query.connection->sent_any()) {
+    if (sent == Io::kOk || query.connection->sent_any_bytes()) {
       query.last_called = Now();
       if (sent == Io::kCancelled) co_return Outcome::kCancelled;
       // The engine may execute the statement although its response is damaged, late or lost: poll for it.
--- a/src/codec/frame.cpp
+++ b/src/codec/frame.cpp
@@ -24,7 +24,7 @@
 
 // Removes a length-prefixed text, whose prefix has `size_bytes` bytes, from the front of `in`. Returns
 // nullopt if `in` is too short.
-std::optional<std::string_view> ReadSizedText(std::string_view& in, std::size_t size_bytes) {
+std::optional<std::string_view> ReadLengthPrefixedText(std::string_view& in, std::size_t size_bytes) {
   if (in.size() < size_bytes) return std::nullopt;
   const std::size_t size = ReadLittleEndian(in.substr(0, size_bytes));
   if (in.size() - size_bytes < size) return std::nullopt;
@@ -33,7 +33,7 @@
   return text;
 }
 
-void AppendSizedText(std::string& out, std::string_view text, std::size_t size_bytes) {
+void AppendLengthPrefixedText(std::string& out, std::string_view text, std::size_t size_bytes) {
   AppendLittleEndian(out, text.size(), size_bytes);
   out.append(text);
 }
@@ -72,9 +72,9 @@
   const auto count = static_cast<unsigned char>(payload[0]);
   payload.remove_prefix(1);
   for (int i = 0; i < count; ++i) {
-    const auto name = ReadSizedText(payload, kNameSizeBytes);
+    const auto name = ReadLengthPrefixedText(payload, kNameSizeBytes);
     if (!name) return std::nullopt;
-    const auto value = ReadSizedText(payload, kValueSizeBytes);
+    const auto value = ReadLengthPrefixedText(payload, kValueSizeBytes);
     if (!value) return std::nullopt;
     out.fields.emplace_back(*name, *value);
   }
@@ -94,8 +94,8 @@
   std::string payload(1, static_cast<char>(code));
   payload.push_back(static_cast<char>(fields.size()));
   for (const auto& [name, value] : fields) {
-    AppendSizedText(payload, name, kNameSizeBytes);
-    AppendSizedText(payload, value, kValueSizeBytes);
+    AppendLengthPrefixedText(payload, name, kNameSizeBytes);
+    AppendLengthPrefixedText(payload, value, kValueSizeBytes);
   }
   payload.append(body);
   WriteFrame(out, type, stream, payload);
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -58,7 +58,7 @@
   // The response is complete once the state is kDone; the caller may then move from it.
   HttpResponse& response() { return response_; }
   // Returns true once the head of a non-interim response has been parsed.
-  bool begun() const { return phase_ != Phase::kHead; }
+  bool head_parsed() const { return phase_ != Phase::kHead; }
 
  private:
   // The part of the response that is expected next.
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -27,7 +27,7 @@
 
 runtime::Task<Io> Connection::Send(const codec::HttpRequest& request, runtime::Time deadline,
                                    runtime::Cancellation* cancel) {
-  sent_any_ = false;
+  sent_any_bytes_ = false;
   auto bytes = codec::WriteHead(request, host_);
   if (!bytes) co_return Io::kClosed;
   bytes->append(request.body);
@@ -35,7 +35,7 @@
   parser_ = codec::HttpParser(limits_);
   std::size_t written = 0;
   const Io io = co_await socket_->Write(*bytes, written, deadline, cancel);
-  sent_any_ = written > 0;
+  sent_any_bytes_ = written > 0;
   if (io != Io::kOk) keep_alive_ = false;  // no request can follow an incomplete one
   co_return io;
 }
@@ -50,10 +50,10 @@
   for (;;) {
     codec::HttpParser::State state = parser_.Feed(received_);
     if (state == codec::HttpParser::State::kNeedMore) {
-      const bool has_begun = !received_.empty() || parser_.begun();
-      const runtime::Time read_by =
+      const bool has_begun = !received_.empty() || parser_.head_parsed();
+      const runtime::Time read_deadline =
           has_begun ? std::min(complete_by, runtime::Now() + kStallTimeout) : begin_by;
-      const Io io = co_await socket_->Read(received_, kMaxReadBytes, read_by, cancel);
+      const Io io = co_await socket_->Read(received_, kMaxReadBytes, read_deadline, cancel);
       if (io == Io::kOk) continue;
       if (io != Io::kClosed) co_return io;
       state = parser_.Finish();
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -43,7 +43,7 @@
   // Returns true while a response is pending.
   bool pending() const { return pending_; }
   // Returns true if the last Send passed any byte to the kernel.
-  bool sent_any() const { return sent_any_; }
+  bool sent_any_bytes() const { return sent_any_bytes_; }
   // Returns true if the last response is followed by bytes that can't begin another one. The length of the
   // last response may have been wrong.
   bool HasExcessBytes() const;
@@ -57,7 +57,7 @@
   codec::HttpParser parser_;
   std::string received_;  // not parsed yet
   bool pending_ = false;
-  bool sent_any_ = false;
+  bool sent_any_bytes_ = false;
   bool keep_alive_ = true;
 };
 
