--- a/src/codec/statement.cpp
+++ b/src/codec/statement.cpp
@@ -10,13 +10,13 @@
 constexpr std::string_view kSchemaWithoutGroup = "staging";
 
 // Returns true for ASCII letters and digits, _, $ and every byte of a non-ASCII character.
-bool IsNameCharacter(char c) {
+bool IsIdentifierCharacter(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_' || c == '$' ||
          static_cast<unsigned char>(c) >= 0x80;
 }
 
 // An identifier in a statement.
-struct Name {
+struct Identifier {
   std::string_view text;      // without quotes
   bool is_qualifier = false;  // a dot follows, as after a schema
 };
@@ -26,8 +26,9 @@
  public:
   explicit Scanner(std::string_view text) : text_(text) {}
 
-  // Returns the next name, bare or quoted, or a name with an empty text at the end of the statement.
-  Name NextName() {
+  // Returns the next identifier, bare or quoted, or an identifier with an empty text at the end of the
+  // statement.
+  Identifier NextIdentifier() {
     while (position_ < text_.size()) {
       const char c = text_[position_];
       if (c == '\'') {
@@ -37,9 +38,9 @@
       } else if (StartsWith("/*")) {
         SkipTo("*/");
       } else if (c == '"' || c == '`') {
-        return MakeName(ScanQuoted(c));
-      } else if (IsNameCharacter(c)) {
-        return MakeName(ScanWord());
+        return MakeIdentifier(ScanQuoted(c));
+      } else if (IsIdentifierCharacter(c)) {
+        return MakeIdentifier(ScanWord());
       } else {
         ++position_;
       }
@@ -69,22 +70,22 @@
   }
 
   std::string_view ScanQuoted(char quote) {
-    const std::size_t from = ++position_;
-    const std::size_t end = text_.find(quote, from);
+    const std::size_t start = ++position_;
+    const std::size_t end = text_.find(quote, start);
     position_ = end == std::string_view::npos ? text_.size() : end + 1;
-    return text_.substr(from, end == std::string_view::npos ? end : end - from);
+    return text_.substr(start, end == std::string_view::npos ? end : end - start);
   }
 
   std::string_view ScanWord() {
-    const std::size_t from = position_;
-    while (position_ < text_.size() && IsNameCharacter(text_[position_])) ++position_;
-    return text_.substr(from, position_ - from);
+    const std::size_t start = position_;
+    while (position_ < text_.size() && IsIdentifierCharacter(text_[position_])) ++position_;
+    return text_.substr(start, position_ - start);
   }
 
-  // Makes the name that ends at the current position.
-  Name MakeName(std::string_view name) const {
+  // Makes the identifier that ends at the current position.
+  Identifier MakeIdentifier(std::string_view text) const {
     const std::size_t next = std::min(text_.find_first_not_of(" \n\t", position_), text_.size());
-    return {name, next < text_.size() && text_[next] == '.'};
+    return {text, next < text_.size() && text_[next] == '.'};
   }
 
   std::string_view text_;
@@ -92,7 +93,7 @@
 };
 
 // Returns the table group in the name of a schema, or nullopt if it has none.
-std::optional<std::uint32_t> GroupOf(std::string_view schema) {
+std::optional<std::uint32_t> ParseTableGroup(std::string_view schema) {
   const std::size_t underscore = schema.rfind('_');
   if (underscore == std::string_view::npos || underscore == 0) return std::nullopt;
   if (schema.substr(0, underscore) == kSchemaWithoutGroup) return std::nullopt;
@@ -107,9 +108,10 @@
 
 std::uint32_t TableGroup(std::string_view statement) {
   Scanner scanner(statement);
-  for (Name name = scanner.NextName(); !name.text.empty(); name = scanner.NextName()) {
-    if (!name.is_qualifier) continue;
-    if (const auto group = GroupOf(name.text)) return *group;
+  for (Identifier identifier = scanner.NextIdentifier(); !identifier.text.empty();
+       identifier = scanner.NextIdentifier()) {
+    if (!identifier.is_qualifier) continue;
+    if (const auto group = ParseTableGroup(identifier.text)) return *group;
   }
   return 0;
 }
