--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -178,8 +178,8 @@
   for (; sqlite_code == SQLITE_ROW; sqlite_code = select.Step()) {
     const auto index = static_cast<std::uint64_t>(select.Integer(0));
     std::string value = select.Blob(1);
-    const bool follows = contents.log.empty() || contents.log.rbegin()->first + 1 == index;
-    if (select.Integer(2) != ChecksumOf(LogEntryName(index), value) || !follows)
+    const bool is_contiguous = contents.log.empty() || contents.log.rbegin()->first + 1 == index;
+    if (select.Integer(2) != ChecksumOf(LogEntryName(index), value) || !is_contiguous)
       return tl::unexpected(
           MakeError(StoreErrorCode::kDamaged, LogEntryName(index),
                     "the log entry " + std::to_string(index) + " does not match its checksum or position"));
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -86,7 +86,7 @@
 }
 
 Worker::Completion Worker::Shared::Execute(const Request& request) {
-  const runtime::Time begun = runtime::Now();
+  const runtime::Time started_at = runtime::Now();
   Completion completion;
   completion.is_open = request.is_open;
   completion.sequence = request.sequence;
@@ -103,7 +103,7 @@
     completion.error = {StoreErrorCode::kFailed, path, "write", 0, "an earlier batch was not written"};
   }
   writable = completion.error.code == StoreErrorCode::kNone;
-  completion.duration = runtime::Now() - begun;
+  completion.duration = runtime::Now() - started_at;
   return completion;
 }
 
