--- a/src/codec/statement.cpp
+++ b/src/codec/statement.cpp
@@ -83,9 +83,9 @@
   }
 
   // Makes the identifier that ends at the current position.
-  Identifier MakeIdentifier(std::string_view text) const {
+  Identifier MakeIdentifier(std::string_view identifier) const {
     const std::size_t next = std::min(text_.find_first_not_of(" \n\t", position_), text_.size());
-    return {text, next < text_.size() && text_[next] == '.'};
+    return {identifier, next < text_.size() && text_[next] == '.'};
   }
 
   std::string_view text_;
