--- a/src/codec/json.cpp
+++ b/src/codec/json.cpp
@@ -105,7 +105,7 @@
     out.text = text_.substr(start, position_ - start);
     double value = 0;
     auto [end, error] = std::from_chars(out.text.data(), out.text.data() + out.text.size(), value);
-    if (error != std::errc() || end != out.text.data() + out.text.size()) Fail("not a number");
+    if (error != std::errc() || end != out.text.data() + out.text.size()) Fail("invalid number");
   }
 
   void ParseLiteral(Json& out) {
@@ -123,7 +123,8 @@
     unsigned value = 0;
     const std::string_view digits = text_.substr(position_, 4);
     auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value, kHexBase);
-    if (digits.size() != 4 || error != std::errc() || end != digits.data() + 4) Fail("not four hex digits");
+    if (digits.size() != 4 || error != std::errc() || end != digits.data() + 4)
+      Fail("four hex digits expected");
     position_ += 4;
     return value;
   }
@@ -136,10 +137,10 @@
     if (is_high && text_.substr(position_, 2) == "\\u") {
       position_ += 2;
       const unsigned low = ParseHex4();
-      if (low < kFirstLowSurrogate || low >= kSurrogatesEnd) Fail("half a surrogate pair");
+      if (low < kFirstLowSurrogate || low >= kSurrogatesEnd) Fail("unpaired surrogate");
       return kFirstSupplementaryCode + ((code - kFirstHighSurrogate) << 10) + (low - kFirstLowSurrogate);
     }
-    if (code >= kFirstHighSurrogate && code < kSurrogatesEnd) Fail("half a surrogate pair");
+    if (code >= kFirstHighSurrogate && code < kSurrogatesEnd) Fail("unpaired surrogate");
     return code;
   }
 
@@ -169,8 +170,8 @@
   std::string ParseString() {
     std::string out;
     for (++position_; Peek() != '"';) {
-      if (position_ >= text_.size()) Fail("text without an end");
-      if (static_cast<unsigned char>(Peek()) < 0x20) Fail("control character in a text");
+      if (position_ >= text_.size()) Fail("unterminated string");
+      if (static_cast<unsigned char>(Peek()) < 0x20) Fail("unescaped control character in a string");
       if (Peek() == '\\') {
         ++position_;
         ParseEscape(out);
--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -69,7 +69,7 @@
 
   std::vector<KdlNode> ParseDocument() {
     std::vector<KdlNode> nodes = ParseNodes(0);
-    if (input_.Peek() != kKdlEnd) input_.Fail("a '}' that closes nothing");
+    if (input_.Peek() != kKdlEnd) input_.Fail("unmatched '}'");
     return nodes;
   }
 
@@ -94,7 +94,7 @@
     KdlNode node;
     node.place = input_.position();
     node.type = ParseAnnotation();
-    node.name = ParseString("a node's name");
+    node.name = ParseString("a node name");
     bool has_children = false;
     for (;;) {
       const bool has_space = SkipSpaceAndComments();
@@ -103,13 +103,13 @@
       if (input_.Peek() == '{') {
         std::vector<KdlNode> children = ParseChildren(depth);
         if (is_commented_out) continue;
-        if (has_children) input_.Fail("a second block of children");
+        if (has_children) input_.Fail("a second children block");
         has_children = true;
         node.children = std::move(children);
         continue;
       }
-      if (has_children) input_.Fail("a value behind the children");
-      if (!has_space) input_.Fail("no space before this");
+      if (has_children) input_.Fail("an argument or a property after the children block");
+      if (!has_space) input_.Fail("missing white space before an argument or a property");
       ParseEntry(node, is_commented_out);
     }
   }
@@ -122,7 +122,7 @@
   std::vector<KdlNode> ParseChildren(int depth) {
     input_.Next();
     std::vector<KdlNode> children = ParseNodes(depth + 1);
-    if (!input_.Skip(U"}")) input_.Fail("a '{' that is not closed");
+    if (!input_.Skip(U"}")) input_.Fail("unclosed '{'");
     return children;
   }
 
@@ -157,9 +157,9 @@
     if (input_.Peek() != '(') return {};
     input_.Next();
     SkipSpaceAndComments();
-    std::string type = ParseString("a type");
+    std::string type = ParseString("a type name");
     SkipSpaceAndComments();
-    if (!input_.Skip(U")")) input_.Fail("a '(' that is not closed");
+    if (!input_.Skip(U")")) input_.Fail("unclosed '('");
     SkipSpaceAndComments();
     return type;
   }
@@ -195,7 +195,7 @@
       value.text = "#" + word;
       value.number = word == "nan" ? std::numeric_limits<double>::quiet_NaN() : word == "inf" ? inf : -inf;
     } else if (word != "null") {
-      throw KdlError(value.place, "#" + word + " is no keyword");
+      throw KdlError(value.place, "#" + word + " is not a keyword");
     }
   }
 
@@ -209,7 +209,7 @@
     const int base = NumberBase(digits);
     const bool is_valid =
         base == 10 ? ParseDecimal(digits, value.number) : ParseInteger(digits.substr(2), base, value.number);
-    if (!is_valid) throw KdlError(value.place, "'" + value.text + "' is no number");
+    if (!is_valid) throw KdlError(value.place, "'" + value.text + "' is not a number");
     if (is_negative) value.number = -value.number;
   }
 
@@ -245,7 +245,8 @@
     if (!start.empty() && IsKdlDigit(static_cast<unsigned char>(start.front())))
       throw KdlError(place, "'" + word + "' looks like a number: put it in quotes");
     for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"}) {
-      if (word == keyword) throw KdlError(place, word + " is written #" + word + ", or in quotes");
+      if (word == keyword)
+        throw KdlError(place, "write the keyword as #" + word + ", or the string '" + word + "' in quotes");
     }
   }
 
@@ -254,7 +255,8 @@
     const KdlPosition place = input_.position();
     if (input_.Peek(1) == '"' && input_.Peek(2) == '"') {
       input_.Skip(kMultiLineQuotes);
-      if (!input_.SkipNewline()) input_.Fail("a multi-line string begins on the line after its quotes");
+      if (!input_.SkipNewline())
+        input_.Fail("missing newline after the opening quotes of a multi-line string");
       return ParseMultiLine(hashes, place);
     }
     input_.Next();
@@ -262,7 +264,7 @@
     for (;;) {
       if (SkipClosing(1, hashes)) return out;
       const char32_t c = input_.Peek();
-      if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(place, "a string that does not end on its line");
+      if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(place, "unterminated string");
       if (c == '\\' && hashes == 0) {
         ParseEscape(out);
       } else {
@@ -284,7 +286,7 @@
     MultiLineString text;
     while (!SkipClosing(kMultiLineQuotes.size(), hashes)) {
       const char32_t c = input_.Peek();
-      if (c == kKdlEnd) throw KdlError(place, "a multi-line string that does not end");
+      if (c == kKdlEnd) throw KdlError(place, "unterminated multi-line string");
       if (input_.SkipNewline()) {
         text.StartLine();
       } else if (c == '\\' && hashes == 0) {
@@ -301,7 +303,8 @@
 
   // The white space before the closing quotes is the indentation of every line that is not blank.
   static std::string JoinWithoutIndentation(const MultiLineString& text, KdlPosition place) {
-    if (!text.is_blank.back()) throw KdlError(place, "the closing quotes stand on a line of their own");
+    if (!text.is_blank.back())
+      throw KdlError(place, "the closing quotes of a multi-line string must be on a line of their own");
     const std::string& indentation = text.lines.back();
     std::string out;
     for (std::size_t i = 0; i + 1 < text.lines.size(); ++i) {
@@ -309,7 +312,7 @@
       if (text.is_blank[i]) continue;
       const std::string& line = text.lines[i];
       if (!line.starts_with(indentation))
-        throw KdlError(place, "a line is indented less than the closing quotes");
+        throw KdlError(place, "a line is indented less than the closing quotes of its multi-line string");
       out += line.substr(indentation.size());
     }
     return out;
@@ -331,7 +334,7 @@
       out += kEscapedCharacters[known];
       return;
     }
-    if (c != 'u' || !input_.Skip(U"{")) throw KdlError(place, "an escape that there is not");
+    if (c != 'u' || !input_.Skip(U"{")) throw KdlError(place, "unknown escape sequence");
     AppendUtf8(out, ParseCodePoint(place));
   }
 
@@ -348,7 +351,7 @@
     }
     const bool is_scalar = point <= 0x10ffff && (point < 0xd800 || point > 0xdfff);
     if (!is_valid || digits < 1 || digits > kMaxEscapeDigits || !is_scalar || !input_.Skip(U"}"))
-      throw KdlError(place, "not a code point");
+      throw KdlError(place, "invalid Unicode escape");
     return point;
   }
 
@@ -392,7 +395,8 @@
       }
     }
     if (input_.Skip(U"//")) input_.SkipRestOfLine();
-    if (!input_.SkipNewline() && input_.Peek() != kKdlEnd) input_.Fail("a '\\' that does not end its line");
+    if (!input_.SkipNewline() && input_.Peek() != kKdlEnd)
+      input_.Fail("missing newline after a line continuation '\\'");
   }
 
   // Skips the rest of a block comment after its opening. Block comments nest.
@@ -404,7 +408,7 @@
       } else if (input_.Skip(U"*/")) {
         --depth;
       } else if (input_.Next() == kKdlEnd) {
-        throw KdlError(place, "a comment that does not end");
+        throw KdlError(place, "unterminated comment");
       }
     }
   }
--- a/src/codec/kdl_input.cpp
+++ b/src/codec/kdl_input.cpp
@@ -14,7 +14,7 @@
          c == kByteOrderMark;
 }
 
-[[noreturn]] void FailNotUtf8(KdlPosition position) { throw KdlError(position, "not UTF-8"); }
+[[noreturn]] void FailNotUtf8(KdlPosition position) { throw KdlError(position, "invalid UTF-8"); }
 
 // Returns the number of bytes that follow the first byte of a character.
 std::size_t ContinuationBytes(unsigned char first, KdlPosition position) {
@@ -89,7 +89,7 @@
   for (std::size_t offset = 0; offset < text.size();) {
     const char32_t c = DecodeUtf8(text, offset, position);
     if (c == kByteOrderMark && characters_.empty() && offset == kByteOrderMarkBytes) continue;
-    if (IsForbidden(c)) throw KdlError(position, "a character that may not stand in a document");
+    if (IsForbidden(c)) throw KdlError(position, "a character that KDL forbids");
     characters_.push_back({c, position});
     const bool is_first_of_crlf = c == '\r' && offset < text.size() && text[offset] == '\n';
     if (IsKdlNewline(c) && !is_first_of_crlf) {
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -65,23 +65,24 @@
 
 TEST(Kdl, TellsWhereADocumentIsWrong) {
   const std::pair<const char*, const char*> cases[] = {
-      {"a {\n  b", "line 2, column 4: a '{' that is not closed"},
-      {"a }", "line 1, column 3: a '}' that closes nothing"},
-      {"a \"x\ny\"", "line 1, column 3: a string that does not end on its line"},
-      {"a true", "line 1, column 3: true is written #true, or in quotes"},
-      {"a #yes", "line 1, column 3: #yes is no keyword"},
-      {"a 1.", "line 1, column 3: '1.' is no number"},
-      {"a 12x", "line 1, column 3: '12x' is no number"},
-      {"a 0x", "line 1, column 3: '0x' is no number"},
-      {"a\"x\"", "line 1, column 2: no space before this"},
-      {"a { } 1", "line 1, column 7: a value behind the children"},
-      {"a /* x", "line 1, column 5: a comment that does not end"},
-      {"a \"\\q\"", "line 1, column 4: an escape that there is not"},
-      {"a \"\\u{d800}\"", "line 1, column 4: not a code point"},
-      {"a \"\"\"\n  x\n   \"\"\"", "line 1, column 3: a line is indented less than the closing quotes"},
-      {"a\n b \xff", "line 2, column 4: not UTF-8"},
-      {"a \xc0\xaf", "line 1, column 3: not UTF-8"},
-      {"a \x01", "line 1, column 3: a character that may not stand in a document"},
+      {"a {\n  b", "line 2, column 4: unclosed '{'"},
+      {"a }", "line 1, column 3: unmatched '}'"},
+      {"a \"x\ny\"", "line 1, column 3: unterminated string"},
+      {"a true", "line 1, column 3: write the keyword as #true, or the string 'true' in quotes"},
+      {"a #yes", "line 1, column 3: #yes is not a keyword"},
+      {"a 1.", "line 1, column 3: '1.' is not a number"},
+      {"a 12x", "line 1, column 3: '12x' is not a number"},
+      {"a 0x", "line 1, column 3: '0x' is not a number"},
+      {"a\"x\"", "line 1, column 2: missing white space before an argument or a property"},
+      {"a { } 1", "line 1, column 7: an argument or a property after the children block"},
+      {"a /* x", "line 1, column 5: unterminated comment"},
+      {"a \"\\q\"", "line 1, column 4: unknown escape sequence"},
+      {"a \"\\u{d800}\"", "line 1, column 4: invalid Unicode escape"},
+      {"a \"\"\"\n  x\n   \"\"\"",
+       "line 1, column 3: a line is indented less than the closing quotes of its multi-line string"},
+      {"a\n b \xff", "line 2, column 4: invalid UTF-8"},
+      {"a \xc0\xaf", "line 1, column 3: invalid UTF-8"},
+      {"a \x01", "line 1, column 3: a character that KDL forbids"},
       {"a k=", "line 1, column 5: expected a value"},
   };
   for (const auto& [text, error] : cases) EXPECT_EQ(Shown(text), error) << text;
@@ -158,7 +159,7 @@
       "f:7:3: team 'north' has no cores: give it a budget, 0 for none\n"
       "f:1:1: team 'south' of the site is not given: `team \"south\" { cores 0 }` would refuse all it sends\n"
       "f:9:1: 'wating' is not known here; known are fleet, rules, waiting");
-  EXPECT_EQ(Faults("waiting {"), "f:1:10: a '{' that is not closed");
+  EXPECT_EQ(Faults("waiting {"), "f:1:10: unclosed '{'");
   EXPECT_NE(Faults("waiting { team \"north\" { cores -1 }; team \"south\" { cores 1; bar \"lookup\"; bar "
                    "\"report\" } }")
                 .find("may use no class"),
