--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -180,9 +180,9 @@
     std::string value = select.Blob(1);
     const bool is_contiguous = contents.log.empty() || contents.log.rbegin()->first + 1 == index;
     if (select.Integer(2) != ChecksumOf(LogEntryName(index), value) || !is_contiguous)
-      return tl::unexpected(
-          MakeError(StoreErrorCode::kDamaged, LogEntryName(index),
-                    "the log entry " + std::to_string(index) + " does not match its checksum or position"));
+      return tl::unexpected(MakeError(StoreErrorCode::kDamaged, LogEntryName(index),
+                                      "the log entry " + std::to_string(index) +
+                                          " does not match its checksum, or the one before it is missing"));
     contents.log.emplace(index, std::move(value));
   }
   if (sqlite_code != SQLITE_DONE) return tl::unexpected(SqliteError(sqlite_code, kSelectLog));
@@ -217,19 +217,20 @@
   for (const Record& record : batch.records) {
     if (!record.name.empty() && record.name.size() <= kMaxNameBytes && record.value.size() <= kMaxValueBytes)
       continue;
-    return tl::unexpected(
-        MakeError(StoreErrorCode::kFailed, record.name, "a record is too long, or without a name"));
+    return tl::unexpected(MakeError(StoreErrorCode::kFailed, record.name,
+                                    "a record has no name, or its name or value is too long"));
   }
   for (const LogEntry& entry : batch.log) {
     if (entry.index > 0 && entry.value.size() <= kMaxValueBytes) continue;
     return tl::unexpected(MakeError(StoreErrorCode::kFailed, LogEntryName(entry.index),
-                                    "an entry of the log is too long, or without an index"));
+                                    "a log entry has no index, or its value is too long"));
   }
   return {};
 }
 
 tl::expected<void, StoreError> Database::Write(const WriteBatch& batch) {
-  if (db_ == nullptr) return tl::unexpected(MakeError(StoreErrorCode::kFailed, "write", "not open"));
+  if (db_ == nullptr)
+    return tl::unexpected(MakeError(StoreErrorCode::kFailed, "write", "the store is not open"));
   if (auto checked = CheckLimits(batch); !checked) return checked;
   if (auto begun = Execute("BEGIN IMMEDIATE"); !begun) return begun;
   auto result = ApplyBatch(batch);
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -189,7 +189,7 @@
   const auto written = closed.Write({});
   ASSERT_FALSE(written);
   EXPECT_EQ(written.error().sqlite_code, 0);
-  EXPECT_EQ(written.error().ToString(), "failed: /nowhere/store: not open");
+  EXPECT_EQ(written.error().ToString(), "failed: /nowhere/store: the store is not open");
 }
 
 }  // namespace
