--- a/tests/golden.h
+++ b/tests/golden.h
@@ -1,4 +1,5 @@
-// Golden bytes: fixtures of lines "name hex" under tests/fixtures/wire, compared with what an encoder writes.
+// Compares the output of encoders with golden bytes: fixtures under tests/fixtures/wire with one "name hex"
+// pair a line.
 #ifndef LEMONCROFT_TESTS_GOLDEN_H_
 #define LEMONCROFT_TESTS_GOLDEN_H_
 
@@ -42,11 +43,12 @@
 struct Case {
   std::string name;
   std::string encoded;
-  // Decodes bytes and encodes what they hold; "undecodable" where they hold nothing.
+  // Decodes bytes and encodes the result, or returns "undecodable". Empty if the bytes have no decoder.
   std::function<std::string(std::string_view)> reencode;
 };
 
-// Each case has its line in the fixture and the other way round; the bytes are the same in both directions.
+// Expects one line of the fixture for each case, and the same bytes from encoding and from decoding and
+// re-encoding.
 inline void ExpectGolden(const std::string& file, const std::vector<Case>& cases) {
   const auto golden = ReadFixture(file);
   EXPECT_EQ(golden.size(), cases.size()) << file;
--- a/tests/golden_stream_test.cpp
+++ b/tests/golden_stream_test.cpp
@@ -1,4 +1,4 @@
-// Pins what goes over sockets and has no encoder of its own: replies to operators, and the length in front of
+// Pins the bytes on sockets that have no encoder of their own: replies to operators, and the length prefix of
 // each frame on a stream between proxies.
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 
 runtime::Address AnyPort() { return *runtime::Address::Parse("127.0.0.1:0"); }
 
-// An address that was free a moment ago.
+// Returns an address with a port that was just released.
 runtime::Address FreeAddress(runtime::Loop& loop) { return runtime::Listener(loop, AnyPort()).address(); }
 
 Task<> Write(runtime::Socket& socket, std::string bytes) {
@@ -23,7 +23,7 @@
   co_await socket.Write(bytes, written, Now() + 1s);
 }
 
-// What a caller of the management address reads up to the end.
+// Returns all bytes that a caller of the management address receives.
 std::string ReplyTo(const std::string& call, const admin::Reply& reply) {
   runtime::Loop loop;
   const runtime::Address address = FreeAddress(loop);
@@ -56,7 +56,7 @@
   EXPECT_EQ(ReplyTo(std::string(300, 'a'), {true, "", ""}), "NAK the call is too long\n");
 }
 
-// A call and its answer on a stream: the length in four bytes, the lowest first, then the frame.
+// A call and its response on a stream: the length in four little-endian bytes, then the frame.
 TEST(PeerStream_CallAndAnswer, HaveGoldenBytes) {
   auto golden = golden::ReadFixture("peer_streams.txt");
   runtime::Loop loop;
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -1,9 +1,9 @@
-// Pins the bytes to clients, engines, operators and the simulator, and the canonical text of a document of
-// rules.
+// Pins the bytes that are sent to clients, engines, operators and the simulator, and the canonical text of a
+// configuration document.
 //
-// On the real program the scenarios pin the rest: answers, estimates and drains of clients (served, clients,
-// waiting, ending), which calls engines get (served, order, reports), and the replies to operators
-// (management, byhand, handover). Requests to engines as whole bytes are in backend_test.
+// The scenarios pin the rest with the real program: responses, wait notices and drains sent to clients
+// (served, clients, waiting, ending), the calls to engines (served, order, reports), and the replies to
+// operators (management, byhand, handover). backend_test pins complete requests to engines.
 #include <gtest/gtest.h>
 
 #include "admin/command.h"
@@ -164,7 +164,7 @@
   EXPECT_EQ(reply.size(), 8u + 3 + 3 + 65535);
 }
 
-// Records that wire_test doesn't decode field by field.
+// Decodes records. Used for the records that wire_test doesn't check field by field.
 std::vector<simulator_adapter::InstanceBatch> Decoded(const std::string& hex, std::size_t records) {
   simulator_adapter::Decoder decoder;
   const std::string body = FromHex(hex);
@@ -259,7 +259,7 @@
   EXPECT_EQ(batches[0].settings.gateways, 3);
 }
 
-// ---- The document of rules ----
+// ---- The configuration document ----
 
 constexpr const char* kWholeDocument = R"(format 1
 attempts 3
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -1,5 +1,6 @@
-// Pins the bytes between proxies and in the store: frames of the peer protocol, messages and durable records
-// of the log, messages about the replicated configuration, entries and snapshots of its state machine.
+// Pins the bytes that proxies exchange and store: frames of the peer protocol, messages and durable records
+// of the log, messages about the replicated configuration, and the entries and snapshots of its state
+// machine.
 #include <gtest/gtest.h>
 
 #include "golden.h"
@@ -86,7 +87,8 @@
                                                            std::string(300, 'x')})});
 }
 
-// The checksum itself is pinned by the bytes above; each part of the header is looked at.
+// Guards against a decoder that skips the check of a part of the header. The golden bytes above pin the
+// checksum itself.
 TEST(PeerFrame_WrongHeader, IsAFaultOfItsKind) {
   const std::string good = golden::FromHex(golden::ReadFixture("peer_frames.txt")["datagram_full"]);
   const auto fault = [&](const std::string& frame, std::string_view fleet, std::size_t most) {
@@ -174,7 +176,7 @@
           }};
 }
 
-// Of each alternative the empty value, in the order of their numbers on the wire.
+// Adds a case with the empty value of each alternative, in the order of the numbers on the wire.
 template <std::size_t I = 0>
 void AddMinimalMessages(std::vector<Case>& cases) {
   if constexpr (I < std::variant_size_v<replicated_config::MessageBody>) {
@@ -256,7 +258,8 @@
   ASSERT_TRUE(outcome);
   EXPECT_STREQ(replicated_config::NameOf(outcome->status), "taken");
   EXPECT_EQ(state_machine.latest_version(), 1u);
-  EXPECT_FALSE(state_machine.Apply(golden::FromHex(golden["force_full"]))) << "of a version that isn't there";
+  EXPECT_FALSE(state_machine.Apply(golden::FromHex(golden["force_full"])))
+      << "the entry names an unknown version";
   EXPECT_EQ(state_machine.active_version(), 0u);
   const auto conflict = state_machine.Apply(golden::FromHex(golden["change_full"]));
   ASSERT_TRUE(conflict);
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,5 @@
-// The durable store: a crash at every operation of the disk, damage, a full disk, a second process.
+// Tests the durable store against a crash at every disk operation, damaged data, a full disk and a second
+// process.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,7 +23,7 @@
 using simulation::StoreOptionsOn;
 using simulation::WorkloadBatch;
 
-// The code of a call's error; kNone if it succeeded.
+// Returns the error code of a call, or kNone if the call succeeded.
 template <typename T>
 StoreErrorCode CodeOf(const tl::expected<T, StoreError>& result) {
   return result ? StoreErrorCode::kNone : result.error().code;
@@ -61,7 +62,8 @@
   EXPECT_LT(simulation::MeasureLoopStallDuringWrites(disk, 3).longest_ms, 100);
 }
 
-// A batch must not be durable when an earlier one is not.
+// Guards against a batch that is durable although an earlier one is not: the disk is full for the first batch
+// only.
 TEST(StorageWorker, FailedBatch_FailsLaterBatchesUntilReopened) {
   simulation::SimulatedDisk disk;
   runtime::Loop loop;
@@ -147,7 +149,7 @@
     batch.records.push_back({"r" + std::to_string(written), std::string(100'000, 'x')});
     if (!database.Write(batch)) break;
   }
-  EXPECT_LT(written, 12) << "the store is limited to a megabyte";
+  EXPECT_LT(written, 12) << "the store exceeds its limit of 1 MiB";
 }
 
 TEST(Storage, RealFiles_RejectAnotherOwnerOrProcess) {
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,6 +1,6 @@
-// What earlier processes have stored is read back as it was meant, and what is stored today has the same
-// form: a voter's store, the engines that are out by hand, and the processes of one proxy. The files under
-// fixtures/ were written once and stay as they are.
+// Tests that data stored by an earlier process is read with the same meaning, and that data is still stored
+// in the same form: a voter's store, the manually ejected engines, and the registry of a proxy's processes.
+// The files under fixtures/ were written once and must not change.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sqlite3.h>
@@ -90,7 +90,7 @@
                                                        "474656d70747320330a6f70656e2d6d6f7374203530300a6f7574"
                                                        "20226537220aa3616461cf0000018bcfe573b890"}};
 
-// All that SQLite holds, with the tables' definitions and the checksums.
+// Returns the complete contents of an SQLite file, including the table definitions and the checksums.
 std::string DumpOf(const fs::path& path) {
   sqlite3* db = nullptr;
   EXPECT_EQ(sqlite3_open_v2(path.c_str(), &db, SQLITE_OPEN_READWRITE, nullptr), SQLITE_OK);
@@ -155,7 +155,7 @@
   EXPECT_EQ(dump, DumpOf(path_));
 }
 
-// What the promise, the snapshot and the log mean.
+// Returns the state that the hard state, the snapshot and the log of the voter's store encode.
 raft::PersistentState DurableOfVoter() {
   raft::PersistentState durable;
   durable.hard_state = {7, "n2"};
@@ -217,7 +217,7 @@
   EXPECT_EQ(*state_machine.Find(3), (replicated_config::VersionRecord{kThirdText, "ada", 1700000003000}));
 }
 
-// ---- Engines that are out by hand ----
+// ---- Manually ejected engines ----
 
 const std::set<std::string> kMarkFiles = {"back-6539", "out-64622f323a78", "out-732d31"};
 
@@ -271,10 +271,10 @@
     EXPECT_EQ(others.usage.engines, 1027u);
     EXPECT_EQ(others.usage.serving, 1u);
     registry.Publish({1, 2, 0});
-    EXPECT_EQ(Hex(BytesOf(path).substr(kSlotBytes)), "010000000200000000000000") << "the slot behind";
+    EXPECT_EQ(Hex(BytesOf(path).substr(kSlotBytes)), "010000000200000000000000") << "the next slot";
   }
   EXPECT_EQ(hot_restart::ProcessRegistry(folder.path()).ReadPeers().processes, 0u)
-      << "nobody holds a lock any more";
+      << "no process holds a lock";
 }
 
 TEST(ProcessRegistry, SameUsageToday_HasTheSameBytes) {
