--- a/tests/golden.h
+++ b/tests/golden.h
@@ -28,8 +28,8 @@
 
 inline std::string FromHex(std::string_view hex) {
   std::string bytes;
-  for (std::size_t at = 0; at + 1 < hex.size(); at += 2)
-    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(at, 2)), nullptr, 16)));
+  for (std::size_t offset = 0; offset + 1 < hex.size(); offset += 2)
+    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(offset, 2)), nullptr, 16)));
   return bytes;
 }
 
@@ -52,15 +52,16 @@
 inline void ExpectGolden(const std::string& file, const std::vector<Case>& cases) {
   const auto golden = ReadFixture(file);
   EXPECT_EQ(golden.size(), cases.size()) << file;
-  for (const Case& one : cases) {
-    const auto found = golden.find(one.name);
+  for (const Case& test_case : cases) {
+    const auto found = golden.find(test_case.name);
     if (found == golden.end()) {
-      ADD_FAILURE() << "missing in " << file << ":\n" << one.name << " " << ToHex(one.encoded);
+      ADD_FAILURE() << "missing in " << file << ":\n" << test_case.name << " " << ToHex(test_case.encoded);
       continue;
     }
-    EXPECT_EQ(ToHex(one.encoded), found->second) << one.name << " encoded";
-    if (!one.reencode) continue;
-    EXPECT_EQ(ToHex(one.reencode(FromHex(found->second))), found->second) << one.name << " decoded";
+    EXPECT_EQ(ToHex(test_case.encoded), found->second) << test_case.name << " encoded";
+    if (!test_case.reencode) continue;
+    EXPECT_EQ(ToHex(test_case.reencode(FromHex(found->second))), found->second)
+        << test_case.name << " decoded";
   }
 }
 
--- a/tests/golden_stream_test.cpp
+++ b/tests/golden_stream_test.cpp
@@ -57,31 +57,31 @@
 }
 
 // A call and its response on a stream: the length in four little-endian bytes, then the frame.
-TEST(PeerStream_CallAndAnswer, HaveGoldenBytes) {
+TEST(PeerStream_CallAndResponse, HaveGoldenBytes) {
   auto golden = golden::ReadFixture("peer_streams.txt");
   runtime::Loop loop;
   runtime::Listener listener(loop, AnyPort());
   const std::string answer = golden::FromHex(golden["answer"]);
-  std::string heard;
-  std::optional<std::string> got;
+  std::string received;
+  std::optional<std::string> response;
   const auto serve = [&]() -> Task<> {
     std::unique_ptr<runtime::Socket> socket;
     if (co_await listener.Accept(socket) != runtime::Io::kOk) co_return;
-    while (heard.size() < golden["call"].size() / 2)
-      if (co_await socket->Read(heard, 4096, Now() + 1s) != runtime::Io::kOk) break;
+    while (received.size() < golden["call"].size() / 2)
+      if (co_await socket->Read(received, 4096, Now() + 1s) != runtime::Io::kOk) break;
     co_await Write(*socket, answer);
   };
   const auto ask = [&]() -> Task<> {
-    const auto answered = co_await peer_transport::CallPeer(loop, "north", listener.address(),
-                                                            R"({"call":"status"})", Now() + 2s);
-    if (answered) got = *answered;
+    const auto received_response = co_await peer_transport::CallPeer(loop, "north", listener.address(),
+                                                                     R"({"call":"status"})", Now() + 2s);
+    if (received_response) response = *received_response;
     loop.Stop();
   };
   loop.Spawn(serve());
   loop.Spawn(ask());
   loop.Run();
-  EXPECT_EQ(golden::ToHex(heard), golden["call"]);
-  EXPECT_EQ(got, std::string(300, 'x'));
+  EXPECT_EQ(golden::ToHex(received), golden["call"]);
+  EXPECT_EQ(response, std::string(300, 'x'));
 }
 
 }  // namespace
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -27,8 +27,8 @@
   return out;
 }
 
-std::string AnswerOf(std::uint8_t type, std::uint8_t code, const codec::FieldViews& fields,
-                     std::string_view body) {
+std::string ResponseFrameOf(std::uint8_t type, std::uint8_t code, const codec::FieldViews& fields,
+                            std::string_view body) {
   std::string out;
   codec::WriteResponse(out, type, 0x01020304, code, fields, body);
   return out;
@@ -41,33 +41,37 @@
   return FrameOf(frame.type, frame.stream, frame.payload);
 }
 
-std::string ReencodedAnswer(std::string_view bytes) {
+std::string ReencodedResponse(std::string_view bytes) {
   codec::FrameReader reader;
   codec::Frame frame;
   if (reader.Next(bytes, frame) != codec::FrameReader::Result::kFrame) return "no frame";
   const auto fields = codec::ReadFields(frame.payload.substr(1));
   if (!fields) return "no fields";
-  return AnswerOf(frame.type, static_cast<std::uint8_t>(frame.payload[0]), fields->fields, fields->body);
+  return ResponseFrameOf(frame.type, static_cast<std::uint8_t>(frame.payload[0]), fields->fields,
+                         fields->body);
 }
 
 TEST(ClientFrame_EachKind, HasGoldenBytes) {
-  const std::string longer(300, 'x');
+  const std::string long_text(300, 'x');
   golden::ExpectGolden(
       "client_frames.txt",
       {{"request_minimal", FrameOf(codec::kRequestFrame, 0), ReencodedFrame},
-       {"request_full", FrameOf(codec::kRequestFrame, 0xfffefdfc, longer), ReencodedFrame},
+       {"request_full", FrameOf(codec::kRequestFrame, 0xfffefdfc, long_text), ReencodedFrame},
        {"cancel", FrameOf(codec::kCancelFrame, 2), ReencodedFrame},
        {"ready_ask", FrameOf(codec::kReadinessRequestFrame, 3, std::string_view("\0", 1)), ReencodedFrame},
        {"drain", FrameOf(codec::kDrainFrame, 0), ReencodedFrame},
-       {"ready", AnswerOf(codec::kReadinessResponseFrame, 0, {}, {}), ReencodedAnswer},
-       {"answer_minimal", AnswerOf(codec::kResponseFrame, codec::kServedCode, {}, {}), ReencodedAnswer},
+       {"ready", ResponseFrameOf(codec::kReadinessResponseFrame, 0, {}, {}), ReencodedResponse},
+       {"answer_minimal", ResponseFrameOf(codec::kResponseFrame, codec::kServedCode, {}, {}),
+        ReencodedResponse},
        {"answer_served",
-        AnswerOf(codec::kResponseFrame, codec::kServedCode, {{"n", longer}, {"", "v"}}, "a\tb\n"),
-        ReencodedAnswer},
-       {"answer_refused", AnswerOf(codec::kResponseFrame, codec::kRejectedCode, {{"later", "1000"}}, {}),
-        ReencodedAnswer},
-       {"answer_failed", AnswerOf(codec::kResponseFrame, codec::kFailedCode, {}, "why"), ReencodedAnswer},
-       {"estimate", AnswerOf(codec::kWaitNoticeFrame, 0, {{"wait", "250"}}, {}), ReencodedAnswer}});
+        ResponseFrameOf(codec::kResponseFrame, codec::kServedCode, {{"n", long_text}, {"", "v"}}, "a\tb\n"),
+        ReencodedResponse},
+       {"answer_refused",
+        ResponseFrameOf(codec::kResponseFrame, codec::kRejectedCode, {{"later", "1000"}}, {}),
+        ReencodedResponse},
+       {"answer_failed", ResponseFrameOf(codec::kResponseFrame, codec::kFailedCode, {}, "why"),
+        ReencodedResponse},
+       {"estimate", ResponseFrameOf(codec::kWaitNoticeFrame, 0, {{"wait", "250"}}, {}), ReencodedResponse}});
 }
 
 // ---- Requests to engines ----
@@ -91,13 +95,13 @@
 
 // ---- Calls of operators ----
 
-std::string Understood(std::string_view line) {
+std::string CommandOrError(std::string_view line) {
   const auto command = admin::ParseCommand(line);
   if (!command) return admin::Describe(command.error());
   return std::to_string(static_cast<int>(command->verb)) + " " + command->engine;
 }
 
-TEST(OperatorCall_EachLine, IsUnderstoodAsBefore) {
+TEST(OperatorCall_EachLine, GivesItsCommandOrError) {
   const std::pair<const char*, const char*> cases[] = {
       {"readyz", "0 "},
       {"telemetry", "1 "},
@@ -109,20 +113,20 @@
       {"exclude a b", "exclude takes the id of one database"},
       {"Readyz", "unknown call; there are readyz, telemetry, exclude ID, include ID"},
       {"readyz \x7f", "a call is plain text"}};
-  for (const auto& [line, meaning] : cases) EXPECT_EQ(Understood(line), meaning) << line;
+  for (const auto& [line, meaning] : cases) EXPECT_EQ(CommandOrError(line), meaning) << line;
 }
 
-TEST(OperatorCall_LineEnds, AreTakenUpToTheLimit) {
+TEST(OperatorCall_LineEnds, AreAcceptedUpToTheLimit) {
   using State = admin::LineReader::State;
-  const std::string most(256, 'a');
+  const std::string longest_line(256, 'a');
   const struct {
     std::string bytes;
     State state;
     std::string line;
   } cases[] = {{"readyz", State::kNeedMore, "readyz"},
                {"readyz\r\nrest", State::kLine, "readyz"},
-               {most + "\r\n", State::kLine, most},
-               {most + "a\n", State::kTooLong, most + "a"}};
+               {longest_line + "\r\n", State::kLine, longest_line},
+               {longest_line + "a\n", State::kTooLong, longest_line + "a"}};
   for (const auto& one : cases) {
     admin::LineReader reader;
     EXPECT_EQ(reader.Feed(one.bytes), one.state) << one.bytes;
@@ -171,7 +175,7 @@
   return decoder.Decode({body.size(), records, 1}, body);
 }
 
-TEST(BenchEvent_FurtherKinds, AreReadFieldByField) {
+TEST(BenchEvent_FurtherKinds, AreDecodedFieldByField) {
   const auto batches = Decoded(
       "0d0003"
       "04"
@@ -225,7 +229,7 @@
   EXPECT_EQ(list.entries, nullptr);
 }
 
-TEST(BenchEvent_EachOutcomeCode, IsItsOutcome) {
+TEST(BenchEvent_EachOutcomeCode, IsDecodedAsItsOutcome) {
   const Outcome outcomes[] = {Outcome::kOk,        Outcome::kError,         Outcome::kFull,
                               Outcome::kTimeout,   Outcome::kConnectFailed, Outcome::kReset,
                               Outcome::kCancelled, Outcome::kNotSent};
@@ -242,7 +246,7 @@
   }
 }
 
-TEST(BenchEvent_StartAndEnd, AreReadWithSeedAndSettings) {
+TEST(BenchEvent_StartAndEnd, AreDecodedWithSeedAndSettings) {
   const std::string setup = "siblings=3\n";
   const auto batches = Decoded(
       "0d0003"
@@ -261,7 +265,7 @@
 
 // ---- The configuration document ----
 
-constexpr const char* kWholeDocument = R"(format 1
+constexpr const char* kCompleteDocument = R"(format 1
 attempts 3
 open-most 900
 further-attempts free=2 ratio=0.125 over="10000ms"
@@ -276,24 +280,25 @@
 cut-off "10000ms" { class "b"; engine "e1" "e2"; }
 )";
 
-std::string Rewritten(std::string_view text) {
+std::string Reserialized(std::string_view text) {
   const auto read = replicated_config::ParseDocument(text);
   return read ? replicated_config::SerializeDocument(*read) : read.error().Text();
 }
 
-TEST(ConfigDocument_CanonicalText, ComesBackByteForByte) {
-  EXPECT_EQ(Rewritten(kWholeDocument), kWholeDocument);
-  EXPECT_EQ(Rewritten(""), "format 1\n");
-  EXPECT_EQ(Rewritten("format 2"), "format 2\n");
+TEST(ConfigDocument_CanonicalText, IsReproducedByteForByte) {
+  EXPECT_EQ(Reserialized(kCompleteDocument), kCompleteDocument);
+  EXPECT_EQ(Reserialized(""), "format 1\n");
+  EXPECT_EQ(Reserialized("format 2"), "format 2\n");
 }
 
-TEST(ConfigDocument_WholeAgainstEmpty, DiffersInTheseLines) {
-  const replicated_config::Document whole = replicated_config::ParseDocument(kWholeDocument).value();
-  replicated_config::Document changed = whole;
+TEST(ConfigDocument_CompleteAgainstEmpty, HasGoldenDifferences) {
+  const replicated_config::Document complete = replicated_config::ParseDocument(kCompleteDocument).value();
+  replicated_config::Document changed = complete;
   changed.max_attempts = 4;
-  EXPECT_EQ(replicated_config::Differences(whole, changed), std::vector<std::string>{"~ attempts: 3 -> 4"});
+  EXPECT_EQ(replicated_config::Differences(complete, changed),
+            std::vector<std::string>{"~ attempts: 3 -> 4"});
   std::string added;
-  for (const std::string& line : replicated_config::Differences({}, whole)) added += line + "\n";
+  for (const std::string& line : replicated_config::Differences({}, complete)) added += line + "\n";
   EXPECT_EQ(added, R"(+ attempts: 3
 + class a
 + class a effect: pure
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -17,13 +17,13 @@
 
 constexpr const char* kFleet = "north";
 const std::string kUndecodable = "undecodable";
-constexpr std::uint64_t kBig = 0x0123456789abcdef;
+constexpr std::uint64_t kLargeNumber = 0x0123456789abcdef;
 const std::string kBinary("a\0\xff\n", 4);
 
 // ---- Frames between proxies ----
 
 gossip::MemberRecord FullRecord() {
-  return {.id = kBig,
+  return {.id = kLargeNumber,
           .name = "proxy-1",
           .address = {0x7f000001, 7400},
           .zone = "b",
@@ -65,9 +65,10 @@
   ExpectGolden(
       "peer_frames.txt",
       {PeerCase("datagram_minimal", gossip::Datagram{{}, 0, gossip::Gossip{}, {}}),
-       PeerCase("datagram_full", gossip::Datagram{FullRecord(), kBig,
-                                                  gossip::PingRequest{90000, kBig + 1, {0x0a000102, 65535}},
-                                                  UpdateOfEachStatus()}),
+       PeerCase("datagram_full",
+                gossip::Datagram{FullRecord(), kLargeNumber,
+                                 gossip::PingRequest{90000, kLargeNumber + 1, {0x0a000102, 65535}},
+                                 UpdateOfEachStatus()}),
        DatagramCase("datagram_ping", gossip::Ping{1, 2}),
        DatagramCase("datagram_ping_request", gossip::PingRequest{3, 4, {0x7f000002, 80}}),
        DatagramCase("datagram_ack", gossip::Ack{5, 6}), DatagramCase("datagram_nack", gossip::Nack{7}),
@@ -80,42 +81,46 @@
        PeerCase("parcel_rules",
                 peer_transport::AppMessage{1, peer_transport::Subsystem::kReplicatedConfig, kBinary}),
        PeerCase("parcel_call",
-                peer_transport::AppMessage{kBig, peer_transport::Subsystem::kOperatorCall, "readyz"}),
+                peer_transport::AppMessage{kLargeNumber, peer_transport::Subsystem::kOperatorCall, "readyz"}),
        PeerCase("parcel_call_long", peer_transport::AppMessage{7, peer_transport::Subsystem::kOperatorCall,
                                                                std::string(300, 'x')}),
-       PeerCase("parcel_lists", peer_transport::AppMessage{kBig, peer_transport::Subsystem::kEndpointLists,
-                                                           std::string(300, 'x')})});
+       PeerCase("parcel_lists",
+                peer_transport::AppMessage{kLargeNumber, peer_transport::Subsystem::kEndpointLists,
+                                           std::string(300, 'x')})});
 }
 
 // Guards against a decoder that skips the check of a part of the header. The golden bytes above pin the
 // checksum itself.
-TEST(PeerFrame_WrongHeader, IsAFaultOfItsKind) {
-  const std::string good = golden::FromHex(golden::ReadFixture("peer_frames.txt")["datagram_full"]);
-  const auto fault = [&](const std::string& frame, std::string_view fleet, std::size_t most) {
-    const auto read = peer_transport::Decode(fleet, frame, most);
+TEST(PeerFrame_WrongHeader, IsReportedAsItsError) {
+  const std::string valid = golden::FromHex(golden::ReadFixture("peer_frames.txt")["datagram_full"]);
+  const auto error_of = [&](const std::string& frame, std::string_view fleet, std::size_t max_bytes) {
+    const auto read = peer_transport::Decode(fleet, frame, max_bytes);
     return read ? std::string("none") : std::string(peer_transport::NameOf(read.error()));
   };
-  const auto changed = [&](std::size_t at) {
-    std::string frame = good;
+  const auto with_flipped_bit = [&](std::size_t at) {
+    std::string frame = valid;
     frame[at] = static_cast<char>(frame[at] ^ 0x10);
     return frame;
   };
-  EXPECT_EQ(fault(good, kFleet, good.size()), "none");
-  EXPECT_EQ(fault(changed(3), kFleet, good.size()), "none") << "a later minor version";
-  EXPECT_EQ(fault(changed(0), kFleet, good.size()), "garbled") << "magic";
-  EXPECT_EQ(fault(changed(1), kFleet, good.size()), "garbled") << "magic";
-  EXPECT_EQ(fault(changed(2), kFleet, good.size()), "version");
-  for (std::size_t at = 4; at < 12; ++at) EXPECT_EQ(fault(changed(at), kFleet, good.size()), "garbled") << at;
-  EXPECT_EQ(fault(changed(good.size() - 1), kFleet, good.size()), "garbled") << "body";
-  EXPECT_EQ(fault(good.substr(0, 12), kFleet, good.size()), "cut");
-  EXPECT_EQ(fault(good, kFleet, good.size() - 1), "too long");
-  EXPECT_EQ(fault(good, "south", good.size()), "foreign");
+  EXPECT_EQ(error_of(valid, kFleet, valid.size()), "none");
+  EXPECT_EQ(error_of(with_flipped_bit(3), kFleet, valid.size()), "none") << "a later minor version";
+  EXPECT_EQ(error_of(with_flipped_bit(0), kFleet, valid.size()), "garbled") << "magic";
+  EXPECT_EQ(error_of(with_flipped_bit(1), kFleet, valid.size()), "garbled") << "magic";
+  EXPECT_EQ(error_of(with_flipped_bit(2), kFleet, valid.size()), "version");
+  for (std::size_t at = 4; at < 12; ++at)
+    EXPECT_EQ(error_of(with_flipped_bit(at), kFleet, valid.size()), "garbled") << at;
+  EXPECT_EQ(error_of(with_flipped_bit(valid.size() - 1), kFleet, valid.size()), "garbled") << "body";
+  EXPECT_EQ(error_of(valid.substr(0, 12), kFleet, valid.size()), "cut");
+  EXPECT_EQ(error_of(valid, kFleet, valid.size() - 1), "too long");
+  EXPECT_EQ(error_of(valid, "south", valid.size()), "foreign");
 }
 
 // ---- The log ----
 
-raft::Entry FullEntry() { return {kBig, 70000, raft::EntryKind::kVoters, kBinary, {"proxy-1", "proxy-2"}}; }
-raft::Snapshot FullSnapshot() { return {70000, kBig, {"proxy-1", "proxy-2"}, kBinary}; }
+raft::Entry FullEntry() {
+  return {kLargeNumber, 70000, raft::EntryKind::kVoters, kBinary, {"proxy-1", "proxy-2"}};
+}
+raft::Snapshot FullSnapshot() { return {70000, kLargeNumber, {"proxy-1", "proxy-2"}, kBinary}; }
 
 std::vector<raft::Entry> EntryOfEachKind() {
   return {{1, 2, raft::EntryKind::kNoOp, "", {}}, {1, 3, raft::EntryKind::kData, "data", {}}, FullEntry()};
@@ -137,22 +142,23 @@
 }
 
 TEST(LogMessage_EachKind, HasGoldenBytes) {
-  ExpectGolden("log_messages.txt",
-               {LogMessageCase("vote_request_minimal", raft::VoteRequest{}),
-                LogMessageCase("vote_request_full", raft::VoteRequest{true, true, kBig, 70000, 300}),
-                LogMessageCase("vote_request_handed", raft::VoteRequest{false, true, kBig, 70000, 300}),
-                LogMessageCase("vote_answer_minimal", raft::VoteResponse{}),
-                LogMessageCase("vote_answer_full", raft::VoteResponse{true, kBig, true}),
-                LogMessageCase("vote_answer_granted", raft::VoteResponse{false, kBig, true}),
-                LogMessageCase("append_minimal", raft::AppendEntriesRequest{}),
-                LogMessageCase("append_full", raft::AppendEntriesRequest{kBig, 200, 70000, 300, 69000, 70001,
-                                                                         EntryOfEachKind()}),
-                LogMessageCase("append_answer_minimal", raft::AppendEntriesResponse{}),
-                LogMessageCase("append_answer_full", raft::AppendEntriesResponse{kBig, 200, true, 70000}),
-                LogMessageCase("install_minimal", raft::InstallSnapshotRequest{}),
-                LogMessageCase("install_full", raft::InstallSnapshotRequest{kBig, 200, FullSnapshot()}),
-                LogMessageCase("hand_over_minimal", raft::TimeoutNowRequest{}),
-                LogMessageCase("hand_over_full", raft::TimeoutNowRequest{kBig})});
+  ExpectGolden(
+      "log_messages.txt",
+      {LogMessageCase("vote_request_minimal", raft::VoteRequest{}),
+       LogMessageCase("vote_request_full", raft::VoteRequest{true, true, kLargeNumber, 70000, 300}),
+       LogMessageCase("vote_request_handed", raft::VoteRequest{false, true, kLargeNumber, 70000, 300}),
+       LogMessageCase("vote_answer_minimal", raft::VoteResponse{}),
+       LogMessageCase("vote_answer_full", raft::VoteResponse{true, kLargeNumber, true}),
+       LogMessageCase("vote_answer_granted", raft::VoteResponse{false, kLargeNumber, true}),
+       LogMessageCase("append_minimal", raft::AppendEntriesRequest{}),
+       LogMessageCase("append_full", raft::AppendEntriesRequest{kLargeNumber, 200, 70000, 300, 69000, 70001,
+                                                                EntryOfEachKind()}),
+       LogMessageCase("append_answer_minimal", raft::AppendEntriesResponse{}),
+       LogMessageCase("append_answer_full", raft::AppendEntriesResponse{kLargeNumber, 200, true, 70000}),
+       LogMessageCase("install_minimal", raft::InstallSnapshotRequest{}),
+       LogMessageCase("install_full", raft::InstallSnapshotRequest{kLargeNumber, 200, FullSnapshot()}),
+       LogMessageCase("hand_over_minimal", raft::TimeoutNowRequest{}),
+       LogMessageCase("hand_over_full", raft::TimeoutNowRequest{kLargeNumber})});
 }
 
 TEST(LogRecord_EachKind, HasGoldenBytes) {
@@ -160,7 +166,7 @@
                {DurableCase("entry_minimal", raft::Entry{}, raft::DecodeEntry),
                 DurableCase("entry_full", FullEntry(), raft::DecodeEntry),
                 DurableCase("promise_minimal", raft::HardState{}, raft::DecodeHardState),
-                DurableCase("promise_full", raft::HardState{kBig, "proxy-2"}, raft::DecodeHardState),
+                DurableCase("promise_full", raft::HardState{kLargeNumber, "proxy-2"}, raft::DecodeHardState),
                 DurableCase("snapshot_minimal", raft::Snapshot{}, raft::DecodeSnapshot),
                 DurableCase("snapshot_full", FullSnapshot(), raft::DecodeSnapshot)});
 }
@@ -191,9 +197,10 @@
   const std::vector<std::string> voters = {"proxy-1", "proxy-2"};
   const ConfigChange change{"id-1", 70000, kBinary, "someone", 1700000000000};
   std::vector<Case> cases = {
-      ConfigMessageCase("logged", RaftMessage{raft::VoteRequest{true, false, kBig, 70000, 300}}),
-      ConfigMessageCase("renew", LeaseRequest{{kBig, 70000}, 2, 300}),
-      ConfigMessageCase("granted", LeaseResponse{{kBig, 70000, 70001, Span(-5'000'000'000), 300}, voters}),
+      ConfigMessageCase("logged", RaftMessage{raft::VoteRequest{true, false, kLargeNumber, 70000, 300}}),
+      ConfigMessageCase("renew", LeaseRequest{{kLargeNumber, 70000}, 2, 300}),
+      ConfigMessageCase("granted",
+                        LeaseResponse{{kLargeNumber, 70000, 70001, Span(-5'000'000'000), 300}, voters}),
       ConfigMessageCase("elsewhere", NotLeader{"proxy-2"}),
       ConfigMessageCase("fetch", DocumentRequest{70000}),
       ConfigMessageCase("fetched", DocumentResponse{70000, kBinary}),
@@ -207,16 +214,20 @@
       ConfigMessageCase("voters", VoterChange{"id-1", "proxy-2", true}),
       ConfigMessageCase("read", ReadRequest{"id-1"}),
       ConfigMessageCase("read_out", ReadResponse{"id-1", 70001, 70000, voters}),
-      ConfigMessageCase("hello", StoreHello{kBig, true, 300, 200, 70000}),
-      ConfigMessageCase("hello_answer_blank", StoreHelloResponse{kBig, 300, StoreOpinion::kEmptyStore, {}}),
-      ConfigMessageCase("hello_answer_fine", StoreHelloResponse{kBig, 300, StoreOpinion::kNoObjection, {}}),
-      ConfigMessageCase("hello_answer_older", StoreHelloResponse{kBig, 300, StoreOpinion::kStaleStore, {}}),
+      ConfigMessageCase("hello", StoreHello{kLargeNumber, true, 300, 200, 70000}),
+      ConfigMessageCase("hello_answer_blank",
+                        StoreHelloResponse{kLargeNumber, 300, StoreOpinion::kEmptyStore, {}}),
+      ConfigMessageCase("hello_answer_fine",
+                        StoreHelloResponse{kLargeNumber, 300, StoreOpinion::kNoObjection, {}}),
+      ConfigMessageCase("hello_answer_older",
+                        StoreHelloResponse{kLargeNumber, 300, StoreOpinion::kStaleStore, {}}),
       ConfigMessageCase(
           "hello_answer_founded",
-          StoreHelloResponse{kBig, 300, StoreOpinion::kBootstrapVoter, {{"proxy-2", 2}, {"proxy-1", kBig}}}),
+          StoreHelloResponse{
+              kLargeNumber, 300, StoreOpinion::kBootstrapVoter, {{"proxy-2", 2}, {"proxy-1", kLargeNumber}}}),
       ConfigMessageCase("hello_answer_stranger",
-                        StoreHelloResponse{kBig, 300, StoreOpinion::kUnknownStore, {}}),
-      ConfigMessageCase("invite", AdmitVoter{kBig})};
+                        StoreHelloResponse{kLargeNumber, 300, StoreOpinion::kUnknownStore, {}}),
+      ConfigMessageCase("invite", AdmitVoter{kLargeNumber})};
   AddMinimalMessages(cases);
   ExpectGolden("rules_notes.txt", cases);
 }
@@ -242,16 +253,17 @@
   for (const std::string& entry :
        {first, replicated_config::EncodeEntry(replicated_config::Version{1}), second, conflicting})
     state_machine.Apply(entry);
-  ExpectGolden("rules_book.txt",
-               {{"change_minimal", replicated_config::EncodeEntry(replicated_config::ConfigChange{}), {}},
-                {"change_full", replicated_config::EncodeEntry({"id-1", kBig, kBinary, "someone", -1}), {}},
-                {"force_minimal", replicated_config::EncodeEntry(replicated_config::Version{0}), {}},
-                {"force_full", replicated_config::EncodeEntry(replicated_config::Version{kBig}), {}},
-                StateMachineCase("snapshot_minimal", replicated_config::ConfigStateMachine()),
-                StateMachineCase("snapshot_full", state_machine)});
+  ExpectGolden(
+      "rules_book.txt",
+      {{"change_minimal", replicated_config::EncodeEntry(replicated_config::ConfigChange{}), {}},
+       {"change_full", replicated_config::EncodeEntry({"id-1", kLargeNumber, kBinary, "someone", -1}), {}},
+       {"force_minimal", replicated_config::EncodeEntry(replicated_config::Version{0}), {}},
+       {"force_full", replicated_config::EncodeEntry(replicated_config::Version{kLargeNumber}), {}},
+       StateMachineCase("snapshot_minimal", replicated_config::ConfigStateMachine()),
+       StateMachineCase("snapshot_full", state_machine)});
 }
 
-TEST(ConfigStateMachine_GoldenEntriesApplied, GiveTheGoldenSnapshot) {
+TEST(ConfigStateMachine_GoldenEntries, AreAppliedOrRejected) {
   auto golden = golden::ReadFixture("rules_book.txt");
   replicated_config::ConfigStateMachine state_machine;
   const auto outcome = state_machine.Apply(golden::FromHex(golden["change_minimal"]));
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -34,20 +34,20 @@
   return result ? std::string() : result.error().message;
 }
 
-TEST(Storage, Reopened_HoldsWhatWasWritten) {
+TEST(Storage, Reopened_ContainsAllWrittenBatches) {
   simulation::SimulatedDisk disk;
   EXPECT_EQ(RunWorkload(disk), kWorkloadBatches);
-  StoreContents wanted;
-  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), wanted);
+  StoreContents expected_contents;
+  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), expected_contents);
   Database reopened(StoreOptionsOn(disk));
   auto read = reopened.Open();
   ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
-  EXPECT_TRUE(SameContents(*read, wanted));
+  EXPECT_TRUE(SameContents(*read, expected_contents));
   const auto compacted = reopened.Compact();
   EXPECT_EQ(CodeOf(compacted), StoreErrorCode::kNone) << MessageOf(compacted);
   read = Database(StoreOptionsOn(disk)).Open();
   ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
-  EXPECT_TRUE(SameContents(*read, wanted));
+  EXPECT_TRUE(SameContents(*read, expected_contents));
 }
 
 TEST(Storage, CrashAtAnyOperation_LosesNoReportedBatch) {
@@ -92,8 +92,8 @@
 }
 
 TEST(Storage, FlippedBit_IsReportedOrChangesNothing) {
-  StoreContents wanted;
-  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), wanted);
+  StoreContents expected_contents;
+  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), expected_contents);
   int damaged = 0;
   std::mt19937_64 random(1);
   for (int i = 0; i < 400; ++i) {
@@ -103,7 +103,7 @@
     disk.FlipBit("store", random() % (8 * size));
     const auto read = Database(StoreOptionsOn(disk)).Open();
     if (read) {
-      EXPECT_TRUE(SameContents(*read, wanted)) << "a wrong record was returned";
+      EXPECT_TRUE(SameContents(*read, expected_contents)) << "a wrong record was returned";
     } else {
       ++damaged;
       EXPECT_NE(read.error().code, StoreErrorCode::kNone);
@@ -116,11 +116,11 @@
 TEST(Storage, FullDisk_FailsTheBatchAndKeepsEarlierOnes) {
   simulation::SimulatedDisk disk;
   Database database(StoreOptionsOn(disk));
-  StoreContents wanted;
+  StoreContents expected_contents;
   ASSERT_EQ(CodeOf(database.Open()), StoreErrorCode::kNone);
   for (int i = 0; i < 10; ++i) {
     ASSERT_EQ(CodeOf(database.Write(WorkloadBatch(i))), StoreErrorCode::kNone);
-    ApplyBatch(WorkloadBatch(i), wanted);
+    ApplyBatch(WorkloadBatch(i), expected_contents);
   }
   disk.set_capacity(0);
   auto written = database.Write(WorkloadBatch(10));
@@ -129,11 +129,11 @@
   disk.set_capacity(UINT64_MAX);
   written = database.Write(WorkloadBatch(10));
   EXPECT_EQ(CodeOf(written), StoreErrorCode::kNone) << MessageOf(written);
-  ApplyBatch(WorkloadBatch(10), wanted);
+  ApplyBatch(WorkloadBatch(10), expected_contents);
   database.Close();
   const auto read = Database(StoreOptionsOn(disk)).Open();
   ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
-  EXPECT_TRUE(SameContents(*read, wanted));
+  EXPECT_TRUE(SameContents(*read, expected_contents));
 }
 
 TEST(Storage, Limits_AreEnforced) {
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -57,7 +57,7 @@
   return out;
 }
 
-std::set<std::string> NamesIn(const fs::path& folder) {
+std::set<std::string> FileNamesIn(const fs::path& folder) {
   std::set<std::string> names;
   for (const auto& entry : fs::directory_iterator(folder)) names.insert(entry.path().filename());
   return names;
@@ -65,9 +65,9 @@
 
 // ---- A voter's store ----
 
-constexpr const char* kFirstText = "format 1\nattempts 3\n";
-constexpr const char* kSecondText = "format 1\nattempts 3\nout \"e7\"\n";
-constexpr const char* kThirdText = "format 1\nattempts 3\nopen-most 500\nout \"e7\"\n";
+constexpr const char* kFirstDocument = "format 1\nattempts 3\n";
+constexpr const char* kSecondDocument = "format 1\nattempts 3\nout \"e7\"\n";
+constexpr const char* kThirdDocument = "format 1\nattempts 3\nopen-most 500\nout \"e7\"\n";
 constexpr const char* kFounders = "n1 1311768467463790320\nn2 42\nn3 77\n";
 
 const std::map<std::string, std::string> kRecordsHex = {
@@ -123,7 +123,7 @@
   storage::StoreContents contents_;
 };
 
-TEST_F(VoterStore, OfAnEarlierProcess_Opened_GivesEachRecord) {
+TEST_F(VoterStore, EarlierStore_Opened_ContainsEachRecord) {
   std::map<std::string, std::string> records;
   for (const auto& [name, value] : contents_.records) records[name] = Hex(value);
   std::map<std::uint64_t, std::string> log;
@@ -132,80 +132,80 @@
   EXPECT_EQ(log, kLogHex);
 }
 
-TEST_F(VoterStore, OfAnEarlierProcess_OpenedByAnother_IsForeign) {
+TEST_F(VoterStore, EarlierStore_OpenedByAnotherOwner_IsForeign) {
   const auto contents = storage::Database({path_, "f1/n2"}).Open();
   ASSERT_FALSE(contents);
   EXPECT_EQ(contents.error().code, storage::StoreErrorCode::kForeign);
 }
 
-TEST_F(VoterStore, SameContentsWrittenToday_HaveTheSameTablesRowsAndChecksums) {
-  const fs::path today = folder_.path() / "today.db";
+TEST_F(VoterStore, SameContents_WrittenAgain_HaveTheSameTablesRowsAndChecksums) {
+  const fs::path new_store = folder_.path() / "new_store.db";
   storage::WriteBatch batch;
   for (const auto& [name, value] : contents_.records)
     if (!name.starts_with('@')) batch.records.emplace_back(name, value);
   for (const auto& [index, value] : contents_.log) batch.log.emplace_back(index, value);
-  storage::Database database({today, kOwner});
-  const auto fresh = database.Open();
-  ASSERT_TRUE(fresh) << fresh.error().ToString();
+  storage::Database database({new_store, kOwner});
+  const auto opened = database.Open();
+  ASSERT_TRUE(opened) << opened.error().ToString();
   const auto written = database.Write(batch);
   ASSERT_TRUE(written) << written.error().ToString();
   database.Close();
-  const std::string dump = DumpOf(today);
+  const std::string dump = DumpOf(new_store);
   EXPECT_NE(dump.find("CREATE TABLE records"), std::string::npos) << dump;
   EXPECT_EQ(dump, DumpOf(path_));
 }
 
 // Returns the state that the hard state, the snapshot and the log of the voter's store encode.
-raft::PersistentState DurableOfVoter() {
-  raft::PersistentState durable;
-  durable.hard_state = {7, "n2"};
-  durable.snapshot.index = 5;
-  durable.snapshot.term = 4;
-  durable.snapshot.voters = {"n1", "n2", "n3"};
+raft::PersistentState ExpectedPersistentState() {
+  raft::PersistentState state;
+  state.hard_state = {7, "n2"};
+  state.snapshot.index = 5;
+  state.snapshot.term = 4;
+  state.snapshot.voters = {"n1", "n2", "n3"};
   replicated_config::ConfigStateMachine state_machine;
   for (const auto& change :
-       {replicated_config::ConfigChange{"n1-1", 0, kFirstText, "ada", 1700000000000},
-        replicated_config::ConfigChange{"n2-1", 1, kSecondText, "n2 exclude e7", 1700000001000},
-        replicated_config::ConfigChange{"n3-1", 1, kThirdText, "eve", 1700000002000}}) {
+       {replicated_config::ConfigChange{"n1-1", 0, kFirstDocument, "ada", 1700000000000},
+        replicated_config::ConfigChange{"n2-1", 1, kSecondDocument, "n2 exclude e7", 1700000001000},
+        replicated_config::ConfigChange{"n3-1", 1, kThirdDocument, "eve", 1700000002000}}) {
     state_machine.Apply(replicated_config::EncodeEntry(change));
     if (change.base_version == 0)
       state_machine.Apply(replicated_config::EncodeEntry(replicated_config::Version{1}));
   }
-  durable.snapshot.data = state_machine.Snapshot();
+  state.snapshot.data = state_machine.Snapshot();
   using raft::EntryKind;
-  const replicated_config::ConfigChange last{"n1-2", 2, kThirdText, "ada", 1700000003000};
-  durable.log = {{5, 6, EntryKind::kNoOp, "", {}},
-                 {5, 7, EntryKind::kData, replicated_config::EncodeEntry(replicated_config::Version{2}), {}},
-                 {6, 8, EntryKind::kVoters, "", {"n1", "n2", "n3", "n4"}},
-                 {6, 9, EntryKind::kData, replicated_config::EncodeEntry(last), {}}};
-  return durable;
+  const replicated_config::ConfigChange last{"n1-2", 2, kThirdDocument, "ada", 1700000003000};
+  state.log = {{5, 6, EntryKind::kNoOp, "", {}},
+               {5, 7, EntryKind::kData, replicated_config::EncodeEntry(replicated_config::Version{2}), {}},
+               {6, 8, EntryKind::kVoters, "", {"n1", "n2", "n3", "n4"}},
+               {6, 9, EntryKind::kData, replicated_config::EncodeEntry(last), {}}};
+  return state;
 }
 
-TEST_F(VoterStore, OfAnEarlierProcess_Decoded_IsTermVoteSnapshotAndLog) {
-  const raft::PersistentState wanted = DurableOfVoter();
-  EXPECT_EQ(raft::DecodeHardState(contents_.records["promise"]), wanted.hard_state);
-  EXPECT_EQ(raft::DecodeSnapshot(contents_.records["snapshot"]), wanted.snapshot);
-  ASSERT_EQ(contents_.log.size(), wanted.log.size());
-  for (const raft::Entry& entry : wanted.log)
+TEST_F(VoterStore, EarlierStore_Decoded_ContainsTermVoteSnapshotAndLog) {
+  const raft::PersistentState expected = ExpectedPersistentState();
+  EXPECT_EQ(raft::DecodeHardState(contents_.records["promise"]), expected.hard_state);
+  EXPECT_EQ(raft::DecodeSnapshot(contents_.records["snapshot"]), expected.snapshot);
+  ASSERT_EQ(contents_.log.size(), expected.log.size());
+  for (const raft::Entry& entry : expected.log)
     EXPECT_EQ(raft::DecodeEntry(contents_.log[entry.index]), entry) << entry.index;
 }
 
-TEST_F(VoterStore, SameVoterEncodedToday_HasTheSameBytes) {
-  const raft::PersistentState durable = DurableOfVoter();
-  EXPECT_EQ(Hex(raft::Encode(durable.hard_state)), kRecordsHex.at("promise"));
-  EXPECT_EQ(Hex(raft::Encode(durable.snapshot)), kRecordsHex.at("snapshot"));
-  for (const raft::Entry& entry : durable.log)
+TEST_F(VoterStore, SameState_EncodedAgain_HasTheSameBytes) {
+  const raft::PersistentState state = ExpectedPersistentState();
+  EXPECT_EQ(Hex(raft::Encode(state.hard_state)), kRecordsHex.at("promise"));
+  EXPECT_EQ(Hex(raft::Encode(state.snapshot)), kRecordsHex.at("snapshot"));
+  for (const raft::Entry& entry : state.log)
     EXPECT_EQ(Hex(raft::Encode(entry)), kLogHex.at(entry.index)) << entry.index;
 }
 
-TEST_F(VoterStore, OfAnEarlierProcess_Restored_GivesTheDocumentsAndTheOutcomes) {
+TEST_F(VoterStore, EarlierStore_Restored_ContainsDocumentsAndOutcomes) {
   replicated_config::ConfigStateMachine state_machine;
   ASSERT_TRUE(state_machine.Restore(raft::DecodeSnapshot(contents_.records["snapshot"])->data));
   EXPECT_EQ(state_machine.latest_version(), 2u);
   EXPECT_EQ(state_machine.active_version(), 1u);
-  EXPECT_EQ(*state_machine.Find(1), (replicated_config::VersionRecord{kFirstText, "ada", 1700000000000}));
+  EXPECT_EQ(*state_machine.Find(1), (replicated_config::VersionRecord{kFirstDocument, "ada", 1700000000000}));
   EXPECT_EQ(*state_machine.Find(2),
-            (replicated_config::VersionRecord{kSecondText, "n2 exclude e7", 1700000001000}));
+            (replicated_config::VersionRecord{kSecondDocument, "n2 exclude e7", 1700000001000}));
   EXPECT_EQ(state_machine.FindOutcome("n2-1")->status, replicated_config::ChangeStatus::kCommitted);
   EXPECT_EQ(state_machine.FindOutcome("n3-1")->status, replicated_config::ChangeStatus::kConflict);
   for (const auto& [number, bytes] : contents_.log) {
@@ -214,14 +214,14 @@
   }
   EXPECT_EQ(state_machine.latest_version(), 3u);
   EXPECT_EQ(state_machine.active_version(), 2u);
-  EXPECT_EQ(*state_machine.Find(3), (replicated_config::VersionRecord{kThirdText, "ada", 1700000003000}));
+  EXPECT_EQ(*state_machine.Find(3), (replicated_config::VersionRecord{kThirdDocument, "ada", 1700000003000}));
 }
 
 // ---- Manually ejected engines ----
 
-const std::set<std::string> kMarkFiles = {"back-6539", "out-64622f323a78", "out-732d31"};
+const std::set<std::string> kEjectionFiles = {"back-6539", "out-64622f323a78", "out-732d31"};
 
-TEST(EjectionStore, WrittenByAnEarlierProcess_Read_GivesTheEngines) {
+TEST(EjectionStore, EarlierFiles_Read_ContainTheEngines) {
   const TemporaryFolder folder;
   fs::copy(kFixtures / "tmpdir", folder.path(), fs::copy_options::recursive);
   const fs::file_time_type::clock::duration returned = 1'700'000'000s;
@@ -235,16 +235,16 @@
   EXPECT_EQ(ejections->returned_at.at("e9"), hot_restart::UnixTime(1'700'000'000s));
 }
 
-TEST(EjectionStore, SameCallsToday_MakeTheSameFiles) {
+TEST(EjectionStore, SameCalls_Repeated_CreateTheSameFiles) {
   const TemporaryFolder folder;
   const hot_restart::EjectionStore store(folder.path());
   for (const char* id : {"s-1", "db/2:x", "e9"}) EXPECT_TRUE(store.SaveEjection(id));
   EXPECT_TRUE(store.SaveReturn("e9"));
-  EXPECT_EQ(NamesIn(folder.path()), (std::set<std::string>{"lemoncroft-hand-1"}));
+  EXPECT_EQ(FileNamesIn(folder.path()), (std::set<std::string>{"lemoncroft-hand-1"}));
   const fs::path files = folder.path() / "lemoncroft-hand-1";
-  EXPECT_EQ(NamesIn(files), kMarkFiles);
-  EXPECT_EQ(NamesIn(kFixtures / "tmpdir/lemoncroft-hand-1"), kMarkFiles);
-  for (const std::string& name : kMarkFiles) EXPECT_EQ(fs::file_size(files / name), 0u) << name;
+  EXPECT_EQ(FileNamesIn(files), kEjectionFiles);
+  EXPECT_EQ(FileNamesIn(kFixtures / "tmpdir/lemoncroft-hand-1"), kEjectionFiles);
+  for (const std::string& name : kEjectionFiles) EXPECT_EQ(fs::file_size(files / name), 0u) << name;
 }
 
 // ---- Processes of one proxy ----
@@ -252,7 +252,7 @@
 constexpr const char* kRegistryFile = "lemoncroft-census-1";
 constexpr off_t kSlotBytes = 12;
 
-TEST(ProcessRegistry, SlotOfAnEarlierProcess_WhileItsLockIsHeld_IsCounted) {
+TEST(ProcessRegistry, EarlierSlot_Locked_IsCounted) {
   const TemporaryFolder folder;
   const fs::path path = folder.path() / kRegistryFile;
   fs::copy_file(kFixtures / "tmpdir" / kRegistryFile, path);
@@ -265,11 +265,11 @@
     lock.l_len = 1;
     ASSERT_EQ(::fcntl(other.get(), F_OFD_SETLK, &lock), 0);
     const hot_restart::ProcessRegistry registry(folder.path());
-    const hot_restart::PeerProcesses others = registry.ReadPeers();
-    EXPECT_EQ(others.processes, 1u);
-    EXPECT_EQ(others.usage.clients, 5u);
-    EXPECT_EQ(others.usage.engines, 1027u);
-    EXPECT_EQ(others.usage.serving, 1u);
+    const hot_restart::PeerProcesses peers = registry.ReadPeers();
+    EXPECT_EQ(peers.processes, 1u);
+    EXPECT_EQ(peers.usage.clients, 5u);
+    EXPECT_EQ(peers.usage.engines, 1027u);
+    EXPECT_EQ(peers.usage.serving, 1u);
     registry.Publish({1, 2, 0});
     EXPECT_EQ(Hex(BytesOf(path).substr(kSlotBytes)), "010000000200000000000000") << "the next slot";
   }
@@ -277,11 +277,11 @@
       << "no process holds a lock";
 }
 
-TEST(ProcessRegistry, SameUsageToday_HasTheSameBytes) {
+TEST(ProcessRegistry, SameUsage_Published_HasTheSameBytes) {
   const TemporaryFolder folder;
   const hot_restart::ProcessRegistry registry(folder.path());
   registry.Publish({5, 1027, 1});
-  EXPECT_EQ(NamesIn(folder.path()), (std::set<std::string>{kRegistryFile}));
+  EXPECT_EQ(FileNamesIn(folder.path()), (std::set<std::string>{kRegistryFile}));
   EXPECT_EQ(Hex(BytesOf(folder.path() / kRegistryFile)), "050000000304000001000000");
   EXPECT_EQ(BytesOf(folder.path() / kRegistryFile), BytesOf(kFixtures / "tmpdir" / kRegistryFile));
 }
