--- a/src/codec/frame.cpp
+++ b/src/codec/frame.cpp
@@ -22,8 +22,9 @@
   for (std::size_t i = 0; i < bytes; ++i) out.push_back(static_cast<char>((value >> (8 * i)) & 0xff));
 }
 
-// Removes a size of `size_bytes` bytes and a text of that size from the front of `in`.
-std::optional<std::string_view> ReadSizedText(std::string_view& in, std::size_t size_bytes) {
+// Removes a length-prefixed text, whose prefix has `size_bytes` bytes, from the front of `in`. Returns
+// nullopt if `in` is too short.
+std::optional<std::string_view> ReadLengthPrefixedText(std::string_view& in, std::size_t size_bytes) {
   if (in.size() < size_bytes) return std::nullopt;
   const std::size_t size = ReadLittleEndian(in.substr(0, size_bytes));
   if (in.size() - size_bytes < size) return std::nullopt;
@@ -32,7 +33,7 @@
   return text;
 }
 
-void AppendSizedText(std::string& out, std::string_view text, std::size_t size_bytes) {
+void AppendLengthPrefixedText(std::string& out, std::string_view text, std::size_t size_bytes) {
   AppendLittleEndian(out, text.size(), size_bytes);
   out.append(text);
 }
@@ -43,7 +44,7 @@
   const std::string_view rest = buffer.substr(read_bytes_);
   if (rest.size() < kLengthBytes) return Result::kNeedMore;
   const std::size_t length = ReadLittleEndian(rest.substr(0, kLengthBytes));
-  // Checked before the rest has arrived, so that no buffer grows for an impossible length.
+  // The length is checked before the rest arrives, so that an invalid length can't make the buffer grow.
   if (length < kMinFrameBytes || length > kMaxFrameBytes) return Result::kBadLength;
   if (rest.size() < kLengthBytes + length) return Result::kNeedMore;
   frame.type = static_cast<std::uint8_t>(rest[kTypeOffset]);
@@ -71,9 +72,9 @@
   const auto count = static_cast<unsigned char>(payload[0]);
   payload.remove_prefix(1);
   for (int i = 0; i < count; ++i) {
-    const auto name = ReadSizedText(payload, kNameSizeBytes);
+    const auto name = ReadLengthPrefixedText(payload, kNameSizeBytes);
     if (!name) return std::nullopt;
-    const auto value = ReadSizedText(payload, kValueSizeBytes);
+    const auto value = ReadLengthPrefixedText(payload, kValueSizeBytes);
     if (!value) return std::nullopt;
     out.fields.emplace_back(*name, *value);
   }
@@ -93,8 +94,8 @@
   std::string payload(1, static_cast<char>(code));
   payload.push_back(static_cast<char>(fields.size()));
   for (const auto& [name, value] : fields) {
-    AppendSizedText(payload, name, kNameSizeBytes);
-    AppendSizedText(payload, value, kValueSizeBytes);
+    AppendLengthPrefixedText(payload, name, kNameSizeBytes);
+    AppendLengthPrefixedText(payload, value, kValueSizeBytes);
   }
   payload.append(body);
   WriteFrame(out, type, stream, payload);
--- a/src/codec/json.cpp
+++ b/src/codec/json.cpp
@@ -9,20 +9,20 @@
 
 constexpr int kMaxDepth = 64;  // of nested objects and arrays
 constexpr int kHexBase = 16;
-constexpr double kMaxInteger = 9e15;  // a double holds all integers up to this exactly
+constexpr double kMaxInteger = 9e15;  // a double represents every integer up to this value exactly
 constexpr std::string_view kWhitespace = " \t\r\n";
 constexpr std::string_view kNumberCharacters = "+-.eE0123456789";
-// Escapes of one character, and what they stand for.
+// The characters of single-character escapes, and the characters that the escapes denote.
 constexpr std::string_view kShortEscapes = "\"\\/bfnrt", kEscapedCharacters = "\"\\/\b\f\n\r\t";
 
-// UTF-16 surrogates.
+// Bounds of the UTF-16 surrogates, and the first code point beyond the Basic Multilingual Plane.
 constexpr unsigned kFirstHighSurrogate = 0xd800, kFirstLowSurrogate = 0xdc00, kSurrogatesEnd = 0xe000;
 constexpr unsigned kFirstSupplementaryCode = 0x10000;
 
 bool Contains(std::string_view characters, char c) { return characters.find(c) != std::string_view::npos; }
 
-// A recursive-descent parser. Every Parse function begins at the first byte of its production and ends behind
-// the last one; errors are thrown as JsonError.
+// A recursive-descent parser. Every Parse function begins at the first byte of its production and ends after
+// the last one. Errors are thrown as JsonError.
 class Parser {
  public:
   explicit Parser(std::string_view text) : text_(text) {}
@@ -35,18 +35,18 @@
   }
 
  private:
-  [[noreturn]] void Fail(const char* what) const {
-    throw JsonError(std::string("JSON: ") + what + " at byte " + std::to_string(position_));
+  [[noreturn]] void Fail(const char* message) const {
+    throw JsonError(std::string("JSON: ") + message + " at byte " + std::to_string(position_));
   }
 
-  // The next character; a zero byte at the end.
+  // Returns the next character, or a zero byte at the end of the text.
   char Peek() const { return position_ < text_.size() ? text_[position_] : '\0'; }
 
   void SkipWhitespace() {
     while (position_ < text_.size() && Contains(kWhitespace, text_[position_])) ++position_;
   }
 
-  // Skips whitespace, and the character if it follows.
+  // Skips whitespace, then skips `c` and returns true if it is the next character.
   bool Consume(char c) {
     SkipWhitespace();
     if (Peek() != c) return false;
@@ -64,7 +64,7 @@
     } else if (c == '[') {
       ParseArray(out, depth);
     } else if (c == '"') {
-      out.kind = Json::Kind::kText;
+      out.kind = Json::Kind::kString;
       out.text = ParseString();
     } else if (c == '-' || (c >= '0' && c <= '9')) {
       ParseNumber(out);
@@ -105,7 +105,7 @@
     out.text = text_.substr(start, position_ - start);
     double value = 0;
     auto [end, error] = std::from_chars(out.text.data(), out.text.data() + out.text.size(), value);
-    if (error != std::errc() || end != out.text.data() + out.text.size()) Fail("not a number");
+    if (error != std::errc() || end != out.text.data() + out.text.size()) Fail("invalid number");
   }
 
   void ParseLiteral(Json& out) {
@@ -123,22 +123,24 @@
     unsigned value = 0;
     const std::string_view digits = text_.substr(position_, 4);
     auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value, kHexBase);
-    if (digits.size() != 4 || error != std::errc() || end != digits.data() + 4) Fail("not four hex digits");
+    if (digits.size() != 4 || error != std::errc() || end != digits.data() + 4)
+      Fail("four hex digits expected");
     position_ += 4;
     return value;
   }
 
-  // The code point of an escape, behind its u: four hex digits, or two escapes that are a surrogate pair.
+  // Parses the rest of an escape after its "u": four hex digits, or the digits of the first of two escapes
+  // that form a surrogate pair, and the second escape. Returns the code point.
   unsigned ParseEscapedCode() {
     const unsigned code = ParseHex4();
     const bool is_high = code >= kFirstHighSurrogate && code < kFirstLowSurrogate;
     if (is_high && text_.substr(position_, 2) == "\\u") {
       position_ += 2;
       const unsigned low = ParseHex4();
-      if (low < kFirstLowSurrogate || low >= kSurrogatesEnd) Fail("half a surrogate pair");
+      if (low < kFirstLowSurrogate || low >= kSurrogatesEnd) Fail("unpaired surrogate");
       return kFirstSupplementaryCode + ((code - kFirstHighSurrogate) << 10) + (low - kFirstLowSurrogate);
     }
-    if (code >= kFirstHighSurrogate && code < kSurrogatesEnd) Fail("half a surrogate pair");
+    if (code >= kFirstHighSurrogate && code < kSurrogatesEnd) Fail("unpaired surrogate");
     return code;
   }
 
@@ -168,8 +170,8 @@
   std::string ParseString() {
     std::string out;
     for (++position_; Peek() != '"';) {
-      if (position_ >= text_.size()) Fail("text without an end");
-      if (static_cast<unsigned char>(Peek()) < 0x20) Fail("control character in a text");
+      if (position_ >= text_.size()) Fail("unterminated string");
+      if (static_cast<unsigned char>(Peek()) < 0x20) Fail("unescaped control character in a string");
       if (Peek() == '\\') {
         ++position_;
         ParseEscape(out);
@@ -204,15 +206,15 @@
   return {};
 }
 
-double Json::Number(double absent) const {
-  double value = absent;
+double Json::Number(double fallback) const {
+  double value = fallback;
   if (kind == Kind::kNumber) std::from_chars(text.data(), text.data() + text.size(), value);
-  return std::isfinite(value) ? value : absent;
+  return std::isfinite(value) ? value : fallback;
 }
 
-std::int64_t Json::Integer(std::int64_t absent) const {
-  const double value = Number(static_cast<double>(absent));
-  return value > -kMaxInteger && value < kMaxInteger ? static_cast<std::int64_t>(value) : absent;
+std::int64_t Json::Integer(std::int64_t fallback) const {
+  const double value = Number(static_cast<double>(fallback));
+  return value > -kMaxInteger && value < kMaxInteger ? static_cast<std::int64_t>(value) : fallback;
 }
 
 }  // namespace lemoncroft::codec
--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -10,14 +10,14 @@
 namespace lemoncroft::codec {
 namespace {
 
-// Quotes around a multi-line string.
+// The quotes that open and close a multi-line string.
 constexpr std::u32string_view kMultiLineQuotes = U"\"\"\"";
 constexpr int kMaxEscapeDigits = 6;
 
-// The lines of a multi-line string as they are read.
-struct MultiLineText {
+// The lines of a multi-line string, before its indentation is removed.
+struct MultiLineString {
   std::vector<std::string> lines{std::string()};
-  std::vector<bool> is_blank{true};  // by line: only white space, and none of it from an escape
+  std::vector<bool> is_blank{true};  // by line: it has only white space, none of which comes from an escape
 
   void StartLine() {
     lines.emplace_back();
@@ -25,7 +25,7 @@
   }
 };
 
-// Removes digit separators, which may stand behind any letter or digit.
+// Removes digit separators, which may follow any letter or digit.
 std::string WithoutUnderscores(const std::string& text) {
   std::string plain;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -61,14 +61,15 @@
   return !digits.empty() && read.ec == std::errc() && read.ptr == end;
 }
 
-// Recursive descent. Each function reads one construct of the grammar from the front of the input.
+// A recursive-descent parser. Each Parse function reads one construct of the grammar from the front of the
+// input.
 class Parser {
  public:
-  explicit Parser(std::string_view text) : in_(text) {}
+  explicit Parser(std::string_view text) : input_(text) {}
 
   std::vector<KdlNode> ParseDocument() {
     std::vector<KdlNode> nodes = ParseNodes(0);
-    if (in_.Peek() != kKdlEnd) in_.Fail("a '}' that closes nothing");
+    if (input_.Peek() != kKdlEnd) input_.Fail("unmatched '}'");
     return nodes;
   }
 
@@ -76,90 +77,90 @@
   // ---- Nodes ----
 
   std::vector<KdlNode> ParseNodes(int depth) {
-    if (depth > kMaxKdlDepth) in_.Fail("nested too deeply");
+    if (depth > kMaxKdlDepth) input_.Fail("nested too deeply");
     std::vector<KdlNode> nodes;
     for (;;) {
-      while (SkipBlank() || in_.SkipNewline() || in_.Skip(U";")) {
+      while (SkipSpaceAndComments() || input_.SkipNewline() || input_.Skip(U";")) {
       }
-      if (in_.Peek() == kKdlEnd || in_.Peek() == '}') return nodes;
-      const bool is_dropped = SkipSlashdash();
+      if (input_.Peek() == kKdlEnd || input_.Peek() == '}') return nodes;
+      const bool is_commented_out = SkipSlashdash();
       KdlNode node = ParseNode(depth);
-      if (!is_dropped) nodes.push_back(std::move(node));
+      if (!is_commented_out) nodes.push_back(std::move(node));
     }
   }
 
   KdlNode ParseNode(int depth) {
-    if (++node_count_ > kMaxKdlNodes) in_.Fail("too many nodes");
+    if (++node_count_ > kMaxKdlNodes) input_.Fail("too many nodes");
     KdlNode node;
-    node.place = in_.position();
+    node.place = input_.position();
     node.type = ParseAnnotation();
-    node.name = ParseText("a node's name");
+    node.name = ParseString("a node name");
     bool has_children = false;
     for (;;) {
-      const bool has_space = SkipBlank();
+      const bool has_space = SkipSpaceAndComments();
       if (SkipNodeEnd()) return node;
-      const bool is_dropped = SkipSlashdash();
-      if (in_.Peek() == '{') {
+      const bool is_commented_out = SkipSlashdash();
+      if (input_.Peek() == '{') {
         std::vector<KdlNode> children = ParseChildren(depth);
-        if (is_dropped) continue;
-        if (has_children) in_.Fail("a second block of children");
+        if (is_commented_out) continue;
+        if (has_children) input_.Fail("a second children block");
         has_children = true;
         node.children = std::move(children);
         continue;
       }
-      if (has_children) in_.Fail("a value behind the children");
-      if (!has_space) in_.Fail("no space before this");
-      ParseEntry(node, is_dropped);
+      if (has_children) input_.Fail("an argument or a property after the children block");
+      if (!has_space) input_.Fail("missing white space before an argument or a property");
+      ParseEntry(node, is_commented_out);
     }
   }
 
   bool SkipNodeEnd() {
-    const char32_t c = in_.Peek();
-    return c == kKdlEnd || c == '}' || in_.Skip(U";") || in_.SkipNewline();
+    const char32_t c = input_.Peek();
+    return c == kKdlEnd || c == '}' || input_.Skip(U";") || input_.SkipNewline();
   }
 
   std::vector<KdlNode> ParseChildren(int depth) {
-    in_.Next();
+    input_.Next();
     std::vector<KdlNode> children = ParseNodes(depth + 1);
-    if (!in_.Skip(U"}")) in_.Fail("a '{' that is not closed");
+    if (!input_.Skip(U"}")) input_.Fail("unclosed '{'");
     return children;
   }
 
-  // An argument or a property; one that is dropped is read and not added.
-  void ParseEntry(KdlNode& node, bool is_dropped) {
-    const KdlPosition place = in_.position();
+  // Parses an argument or a property and adds it to `node`, unless a slashdash comments it out.
+  void ParseEntry(KdlNode& node, bool is_commented_out) {
+    const KdlPosition place = input_.position();
     KdlValue value = ParseValue();
-    if (value.kind == KdlValue::Kind::kText && value.type.empty() && SkipPropertySign()) {
+    if (value.kind == KdlValue::Kind::kString && value.type.empty() && SkipEqualsSign()) {
       std::string name = std::move(value.text);
       value = ParseValue();
-      if (is_dropped) return;
+      if (is_commented_out) return;
       std::erase_if(node.properties, [&name](const auto& p) { return p.first == name; });
       node.properties.emplace_back(std::move(name), std::move(value));
       return;
     }
     value.place = place;
-    if (!is_dropped) node.arguments.push_back(std::move(value));
+    if (!is_commented_out) node.arguments.push_back(std::move(value));
   }
 
-  // Moves behind the '=' of a property, if there is one.
-  bool SkipPropertySign() {
+  // Skips the '=' of a property and the white space around it. Returns false if there is no '='.
+  bool SkipEqualsSign() {
     std::size_t ahead = 0;
-    while (IsKdlSpace(in_.Peek(ahead))) ++ahead;
-    if (in_.Peek(ahead) != '=') return false;
-    SkipBlank();
-    in_.Next();
-    SkipBlank();
+    while (IsKdlSpace(input_.Peek(ahead))) ++ahead;
+    if (input_.Peek(ahead) != '=') return false;
+    SkipSpaceAndComments();
+    input_.Next();
+    SkipSpaceAndComments();
     return true;
   }
 
   std::string ParseAnnotation() {
-    if (in_.Peek() != '(') return {};
-    in_.Next();
-    SkipBlank();
-    std::string type = ParseText("a type");
-    SkipBlank();
-    if (!in_.Skip(U")")) in_.Fail("a '(' that is not closed");
-    SkipBlank();
+    if (input_.Peek() != '(') return {};
+    input_.Next();
+    SkipSpaceAndComments();
+    std::string type = ParseString("a type name");
+    SkipSpaceAndComments();
+    if (!input_.Skip(U")")) input_.Fail("unclosed '('");
+    SkipSpaceAndComments();
     return type;
   }
 
@@ -167,23 +168,23 @@
 
   KdlValue ParseValue() {
     KdlValue value;
-    value.place = in_.position();
+    value.place = input_.position();
     value.type = ParseAnnotation();
-    const char32_t c = in_.Peek();
-    const char32_t first_digit = c == '+' || c == '-' ? in_.Peek(1) : c;
-    if (c == '#' && in_.Peek(1) != '"' && in_.Peek(1) != '#') {
+    const char32_t c = input_.Peek();
+    const char32_t first_digit = c == '+' || c == '-' ? input_.Peek(1) : c;
+    if (c == '#' && input_.Peek(1) != '"' && input_.Peek(1) != '#') {
       ParseKeyword(value);
     } else if (IsKdlDigit(first_digit)) {
       ParseNumber(value);
     } else {
-      value.kind = KdlValue::Kind::kText;
-      value.text = ParseText("a value");
+      value.kind = KdlValue::Kind::kString;
+      value.text = ParseString("a value");
     }
     return value;
   }
 
   void ParseKeyword(KdlValue& value) {
-    in_.Next();
+    input_.Next();
     const std::string word = ParseWord();
     if (word == "true" || word == "false") {
       value.kind = KdlValue::Kind::kBool;
@@ -194,7 +195,7 @@
       value.text = "#" + word;
       value.number = word == "nan" ? std::numeric_limits<double>::quiet_NaN() : word == "inf" ? inf : -inf;
     } else if (word != "null") {
-      throw KdlError(value.place, "#" + word + " is no keyword");
+      throw KdlError(value.place, "#" + word + " is not a keyword");
     }
   }
 
@@ -208,35 +209,35 @@
     const int base = NumberBase(digits);
     const bool is_valid =
         base == 10 ? ParseDecimal(digits, value.number) : ParseInteger(digits.substr(2), base, value.number);
-    if (!is_valid) throw KdlError(value.place, "'" + value.text + "' is no number");
+    if (!is_valid) throw KdlError(value.place, "'" + value.text + "' is not a number");
     if (is_negative) value.number = -value.number;
   }
 
-  // ---- Texts ----
+  // ---- Strings ----
 
-  // Identifier characters as they stand; may be empty.
+  // Reads a run of identifier characters, which may be empty.
   std::string ParseWord() {
     std::string word;
-    while (IsKdlIdentifierCharacter(in_.Peek())) AppendUtf8(word, in_.Next());
+    while (IsKdlIdentifierCharacter(input_.Peek())) AppendUtf8(word, input_.Next());
     return word;
   }
 
-  // A string of any form. `expected` names it in the error if there is none.
-  std::string ParseText(const char* expected) {
-    const KdlPosition place = in_.position();
+  // Parses a string of any form. `expected` describes the string in the error if there is none.
+  std::string ParseString(const char* expected) {
+    const KdlPosition place = input_.position();
     std::size_t hashes = 0;
-    while (in_.Peek(hashes) == '#') ++hashes;
-    if (in_.Peek(hashes) == '"') {
-      for (std::size_t i = 0; i < hashes; ++i) in_.Next();
+    while (input_.Peek(hashes) == '#') ++hashes;
+    if (input_.Peek(hashes) == '"') {
+      for (std::size_t i = 0; i < hashes; ++i) input_.Next();
       return ParseQuoted(hashes);
     }
     std::string word = hashes > 0 ? std::string() : ParseWord();
-    if (word.empty()) in_.Fail(std::string("expected ") + expected);
+    if (word.empty()) input_.Fail(std::string("expected ") + expected);
     CheckBareWord(word, place);
     return word;
   }
 
-  // Bare words may look neither like numbers nor like keywords.
+  // Throws KdlError for a bare word that looks like a number or a keyword.
   static void CheckBareWord(const std::string& word, KdlPosition place) {
     std::string_view start = word;
     if (start.front() == '+' || start.front() == '-') start.remove_prefix(1);
@@ -244,47 +245,49 @@
     if (!start.empty() && IsKdlDigit(static_cast<unsigned char>(start.front())))
       throw KdlError(place, "'" + word + "' looks like a number: put it in quotes");
     for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"}) {
-      if (word == keyword) throw KdlError(place, word + " is written #" + word + ", or in quotes");
+      if (word == keyword)
+        throw KdlError(place, "write the keyword as #" + word + ", or the string '" + word + "' in quotes");
     }
   }
 
-  // A quoted string, or a raw one behind `hashes` number signs.
+  // Parses a quoted string, which is a raw string if it follows one or more number signs.
   std::string ParseQuoted(std::size_t hashes) {
-    const KdlPosition place = in_.position();
-    if (in_.Peek(1) == '"' && in_.Peek(2) == '"') {
-      in_.Skip(kMultiLineQuotes);
-      if (!in_.SkipNewline()) in_.Fail("a multi-line string begins on the line after its quotes");
+    const KdlPosition place = input_.position();
+    if (input_.Peek(1) == '"' && input_.Peek(2) == '"') {
+      input_.Skip(kMultiLineQuotes);
+      if (!input_.SkipNewline())
+        input_.Fail("missing newline after the opening quotes of a multi-line string");
       return ParseMultiLine(hashes, place);
     }
-    in_.Next();
+    input_.Next();
     std::string out;
     for (;;) {
       if (SkipClosing(1, hashes)) return out;
-      const char32_t c = in_.Peek();
-      if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(place, "a string that does not end on its line");
+      const char32_t c = input_.Peek();
+      if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(place, "unterminated string");
       if (c == '\\' && hashes == 0) {
         ParseEscape(out);
       } else {
-        AppendUtf8(out, in_.Next());
+        AppendUtf8(out, input_.Next());
       }
     }
   }
 
-  // Moves behind closing quotes and number signs if they stand here.
+  // Skips closing quotes and number signs. Returns false if they don't come next.
   bool SkipClosing(std::size_t quotes, std::size_t hashes) {
     for (std::size_t i = 0; i < quotes + hashes; ++i) {
-      if (in_.Peek(i) != (i < quotes ? U'"' : U'#')) return false;
+      if (input_.Peek(i) != (i < quotes ? U'"' : U'#')) return false;
     }
-    for (std::size_t i = 0; i < quotes + hashes; ++i) in_.Next();
+    for (std::size_t i = 0; i < quotes + hashes; ++i) input_.Next();
     return true;
   }
 
   std::string ParseMultiLine(std::size_t hashes, KdlPosition place) {
-    MultiLineText text;
+    MultiLineString text;
     while (!SkipClosing(kMultiLineQuotes.size(), hashes)) {
-      const char32_t c = in_.Peek();
-      if (c == kKdlEnd) throw KdlError(place, "a multi-line string that does not end");
-      if (in_.SkipNewline()) {
+      const char32_t c = input_.Peek();
+      if (c == kKdlEnd) throw KdlError(place, "unterminated multi-line string");
+      if (input_.SkipNewline()) {
         text.StartLine();
       } else if (c == '\\' && hashes == 0) {
         const std::size_t size_before = text.lines.back().size();
@@ -292,15 +295,16 @@
         if (text.lines.back().size() > size_before) text.is_blank.back() = false;
       } else {
         if (!IsKdlSpace(c)) text.is_blank.back() = false;
-        AppendUtf8(text.lines.back(), in_.Next());
+        AppendUtf8(text.lines.back(), input_.Next());
       }
     }
     return JoinWithoutIndentation(text, place);
   }
 
   // The white space before the closing quotes is the indentation of every line that is not blank.
-  static std::string JoinWithoutIndentation(const MultiLineText& text, KdlPosition place) {
-    if (!text.is_blank.back()) throw KdlError(place, "the closing quotes stand on a line of their own");
+  static std::string JoinWithoutIndentation(const MultiLineString& text, KdlPosition place) {
+    if (!text.is_blank.back())
+      throw KdlError(place, "the closing quotes of a multi-line string must be on a line of their own");
     const std::string& indentation = text.lines.back();
     std::string out;
     for (std::size_t i = 0; i + 1 < text.lines.size(); ++i) {
@@ -308,70 +312,70 @@
       if (text.is_blank[i]) continue;
       const std::string& line = text.lines[i];
       if (!line.starts_with(indentation))
-        throw KdlError(place, "a line is indented less than the closing quotes");
+        throw KdlError(place, "a line is indented less than the closing quotes of its multi-line string");
       out += line.substr(indentation.size());
     }
     return out;
   }
 
   void ParseEscape(std::string& out) {
-    const KdlPosition place = in_.position();
-    in_.Next();
-    const char32_t c = in_.Peek();
+    const KdlPosition place = input_.position();
+    input_.Next();
+    const char32_t c = input_.Peek();
     if (IsKdlSpace(c) || IsKdlNewline(c)) {
-      while (IsKdlSpace(in_.Peek()) || IsKdlNewline(in_.Peek())) in_.Next();
+      while (IsKdlSpace(input_.Peek()) || IsKdlNewline(input_.Peek())) input_.Next();
       return;
     }
-    in_.Next();
-    constexpr std::string_view kLetters = "nrt\\\"bfs";
-    constexpr std::string_view kMeanings = "\n\r\t\\\"\b\f ";
-    const std::size_t known = c < 0x80 ? kLetters.find(static_cast<char>(c)) : std::string_view::npos;
+    input_.Next();
+    constexpr std::string_view kEscapeLetters = "nrt\\\"bfs";
+    constexpr std::string_view kEscapedCharacters = "\n\r\t\\\"\b\f ";
+    const std::size_t known = c < 0x80 ? kEscapeLetters.find(static_cast<char>(c)) : std::string_view::npos;
     if (known != std::string_view::npos) {
-      out += kMeanings[known];
+      out += kEscapedCharacters[known];
       return;
     }
-    if (c != 'u' || !in_.Skip(U"{")) throw KdlError(place, "an escape that there is not");
+    if (c != 'u' || !input_.Skip(U"{")) throw KdlError(place, "unknown escape sequence");
     AppendUtf8(out, ParseCodePoint(place));
   }
 
-  // The hexadecimal digits of an escape \u{...}, and its closing brace.
+  // Parses the hexadecimal digits of an escape \u{...} and its closing brace.
   char32_t ParseCodePoint(KdlPosition place) {
     char32_t point = 0;
     int digits = 0;
     bool is_valid = true;
-    for (; is_valid && digits <= kMaxEscapeDigits && in_.Peek() != '}' && in_.Peek() < 0x80; ++digits) {
-      const auto digit = static_cast<char>(in_.Next());
+    for (; is_valid && digits <= kMaxEscapeDigits && input_.Peek() != '}' && input_.Peek() < 0x80; ++digits) {
+      const auto digit = static_cast<char>(input_.Next());
       int value = 0;
       is_valid = std::from_chars(&digit, &digit + 1, value, 16).ec == std::errc();
       point = point * 16 + static_cast<char32_t>(value);
     }
     const bool is_scalar = point <= 0x10ffff && (point < 0xd800 || point > 0xdfff);
-    if (!is_valid || digits < 1 || digits > kMaxEscapeDigits || !is_scalar || !in_.Skip(U"}"))
-      throw KdlError(place, "not a code point");
+    if (!is_valid || digits < 1 || digits > kMaxEscapeDigits || !is_scalar || !input_.Skip(U"}"))
+      throw KdlError(place, "invalid Unicode escape");
     return point;
   }
 
   // ---- White space and comments ----
 
-  // Moves behind a slashdash, which drops the construct after it, if one stands here.
+  // Skips a slashdash, which comments out the construct after it. Returns false if none comes next.
   bool SkipSlashdash() {
-    if (!in_.Skip(U"/-")) return false;
-    while (SkipBlank() || in_.SkipNewline()) {
+    if (!input_.Skip(U"/-")) return false;
+    while (SkipSpaceAndComments() || input_.SkipNewline()) {
     }
     return true;
   }
 
-  // Moves behind white space, comments and continued lines; true if there were any.
-  bool SkipBlank() {
+  // Skips white space, comments and line continuations. Returns true if there were any.
+  bool SkipSpaceAndComments() {
     bool any = false;
     for (;; any = true) {
-      if (IsKdlSpace(in_.Peek())) {
-        in_.Next();
-      } else if (in_.Skip(U"//")) {
-        in_.SkipRestOfLine();
-      } else if (in_.Skip(U"/*")) {
-        SkipCommentRest();
-      } else if (in_.Peek() == '\\') {
+      if (IsKdlSpace(input_.Peek())) {
+        input_.Next();
+      } else if (input_.Skip(U"//")) {
+        input_.SkipRestOfLine();
+      } else if (input_.Skip(U"/*")) {
+        SkipRestOfComment();
+      } else if (input_.Peek() == '\\') {
         SkipLineContinuation();
       } else {
         return any;
@@ -380,35 +384,36 @@
   }
 
   void SkipLineContinuation() {
-    in_.Next();
-    while (IsKdlSpace(in_.Peek()) || in_.Skip(U"/*")) {
-      // White space right behind "/*" is taken for the continuation's own, so that such a comment is an
-      // error.
-      if (IsKdlSpace(in_.Peek())) {
-        in_.Next();
+    input_.Next();
+    while (IsKdlSpace(input_.Peek()) || input_.Skip(U"/*")) {
+      // White space directly after "/*" is taken for white space of the continuation, which makes such a
+      // comment an error.
+      if (IsKdlSpace(input_.Peek())) {
+        input_.Next();
       } else {
-        SkipCommentRest();
+        SkipRestOfComment();
       }
     }
-    if (in_.Skip(U"//")) in_.SkipRestOfLine();
-    if (!in_.SkipNewline() && in_.Peek() != kKdlEnd) in_.Fail("a '\\' that does not end its line");
+    if (input_.Skip(U"//")) input_.SkipRestOfLine();
+    if (!input_.SkipNewline() && input_.Peek() != kKdlEnd)
+      input_.Fail("missing newline after a line continuation '\\'");
   }
 
-  // Moves behind a comment whose opening has been read; comments nest.
-  void SkipCommentRest() {
-    const KdlPosition place = in_.position();
+  // Skips the rest of a block comment after its opening. Block comments nest.
+  void SkipRestOfComment() {
+    const KdlPosition place = input_.position();
     for (int depth = 1; depth > 0;) {
-      if (in_.Skip(U"/*")) {
+      if (input_.Skip(U"/*")) {
         ++depth;
-      } else if (in_.Skip(U"*/")) {
+      } else if (input_.Skip(U"*/")) {
         --depth;
-      } else if (in_.Next() == kKdlEnd) {
-        throw KdlError(place, "a comment that does not end");
+      } else if (input_.Next() == kKdlEnd) {
+        throw KdlError(place, "unterminated comment");
       }
     }
   }
 
-  KdlInput in_;
+  KdlInput input_;
   std::size_t node_count_ = 0;
 };
 
@@ -419,6 +424,6 @@
                          std::to_string(position.column) + ": " + what),
       position_(position) {}
 
-std::vector<KdlNode> ReadKdl(std::string_view text) { return Parser(text).ParseDocument(); }
+std::vector<KdlNode> ParseKdl(std::string_view text) { return Parser(text).ParseDocument(); }
 
 }  // namespace lemoncroft::codec
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::size_t kMaxReadBytes = 16 * 1024;
-// Time between two reads of a response that has begun. One that stalls has a wrong length, or hangs.
+// The longest time between two reads of a response that has begun. A response that stalls for longer has a
+// wrong length, or its sender hangs.
 constexpr auto kStallTimeout = 150ms;
 constexpr std::string_view kResponseStart = "HTTP/1.";
 
@@ -26,7 +27,7 @@
 
 runtime::Task<IoResult> Connection::Send(const codec::HttpRequest& request, runtime::Time deadline,
                                          runtime::Cancellation* cancel) {
-  sent_any_ = false;
+  sent_any_bytes_ = false;
   auto bytes = codec::WriteHead(request, host_);
   if (!bytes) co_return IoResult::kClosed;
   bytes->append(request.body);
@@ -34,8 +35,8 @@
   parser_ = codec::HttpParser(limits_);
   std::size_t written = 0;
   const IoResult io = co_await socket_->Write(*bytes, written, deadline, cancel);
-  sent_any_ = written > 0;
-  if (io != IoResult::kOk) keep_alive_ = false;  // nothing can follow a part of a request
+  sent_any_bytes_ = written > 0;
+  if (io != IoResult::kOk) keep_alive_ = false;  // no request can follow an incomplete one
   co_return io;
 }
 
@@ -49,10 +50,10 @@
   for (;;) {
     codec::HttpParser::State state = parser_.Feed(received_);
     if (state == codec::HttpParser::State::kNeedMore) {
-      const bool has_begun = !received_.empty() || parser_.begun();
-      const runtime::Time read_by =
+      const bool has_begun = !received_.empty() || parser_.head_parsed();
+      const runtime::Time read_deadline =
           has_begun ? std::min(complete_by, runtime::Now() + kStallTimeout) : begin_by;
-      const IoResult io = co_await socket_->Read(received_, kMaxReadBytes, read_by, cancel);
+      const IoResult io = co_await socket_->Read(received_, kMaxReadBytes, read_deadline, cancel);
       if (io == IoResult::kOk) continue;
       if (io != IoResult::kClosed) co_return io;
       state = parser_.Finish();
--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kPageBytes = 4096;
-constexpr int kSqlitePrimaryCodeMask = 0xff;  // the low byte of a result code, also of an extended one
+constexpr int kSqlitePrimaryCodeMask = 0xff;  // the low byte of a result code, extended or not
 
 constexpr const char* kFormatRecord = "@format";
 constexpr const char* kOwnerRecord = "@owner";
@@ -27,8 +27,8 @@
 constexpr const char* kTruncateLog = "DELETE FROM log WHERE number > ?";
 constexpr const char* kCompactLog = "DELETE FROM log WHERE number <= ?";
 
-// A prepared statement. Bound values must outlive it. The first failure is kept: later calls do nothing and
-// Step returns its code.
+// A prepared statement. Bound values must outlive it. After the first failure, later calls have no effect and
+// Step returns the code of that failure.
 class Statement {
  public:
   Statement(sqlite3* db, const char* text) { code_ = sqlite3_prepare_v2(db, text, -1, &statement_, nullptr); }
@@ -49,7 +49,7 @@
     if (code_ == SQLITE_OK || code_ == SQLITE_ROW) code_ = sqlite3_step(statement_);
     return code_;
   }
-  // Steps a statement without rows, then resets it for other values.
+  // Executes a statement that returns no rows and resets it for further values.
   int StepAndReset() {
     const int code = Step();
     if (code == SQLITE_DONE) code_ = sqlite3_reset(statement_);
@@ -68,7 +68,7 @@
   int code_ = SQLITE_OK;
 };
 
-// Includes the name, so that a value that ended up under another name is recognised.
+// The checksum covers the name, so that a value stored under a wrong name is detected.
 std::int64_t ChecksumOf(std::string_view name, std::string_view value) {
   const std::uint64_t seed = XXH3_64bits(name.data(), name.size());
   return static_cast<std::int64_t>(XXH3_64bits_withSeed(value.data(), value.size(), seed));
@@ -136,7 +136,7 @@
   return contents;
 }
 
-// Exclusive locking keeps other processes out and needs no shared memory; synchronous=FULL makes a commit
+// Exclusive locking excludes other processes and needs no shared memory. synchronous=FULL makes a commit
 // durable before it returns.
 tl::expected<void, StoreError> Database::Configure() {
   const std::string max_pages =
@@ -178,18 +178,18 @@
   for (; sqlite_code == SQLITE_ROW; sqlite_code = select.Step()) {
     const auto index = static_cast<std::uint64_t>(select.Integer(0));
     std::string value = select.Blob(1);
-    const bool follows = contents.log.empty() || contents.log.rbegin()->first + 1 == index;
-    if (select.Integer(2) != ChecksumOf(LogEntryName(index), value) || !follows)
-      return tl::unexpected(
-          MakeError(StoreErrorCode::kDamaged, LogEntryName(index),
-                    "the log entry " + std::to_string(index) + " does not match its checksum or position"));
+    const bool is_contiguous = contents.log.empty() || contents.log.rbegin()->first + 1 == index;
+    if (select.Integer(2) != ChecksumOf(LogEntryName(index), value) || !is_contiguous)
+      return tl::unexpected(MakeError(StoreErrorCode::kDamaged, LogEntryName(index),
+                                      "the log entry " + std::to_string(index) +
+                                          " does not match its checksum, or the one before it is missing"));
     contents.log.emplace(index, std::move(value));
   }
   if (sqlite_code != SQLITE_DONE) return tl::unexpected(SqliteError(sqlite_code, kSelectLog));
   return {};
 }
 
-// The first opening writes the format version and the owner; later ones compare them.
+// The first Open writes the format version and the owner; later calls compare them.
 tl::expected<void, StoreError> Database::VerifyIdentity() {
   const Record expected[] = {{kFormatRecord, std::to_string(kFormatVersion)}, {kOwnerRecord, options_.owner}};
   for (const Record& record : expected) {
@@ -217,19 +217,20 @@
   for (const Record& record : batch.records) {
     if (!record.name.empty() && record.name.size() <= kMaxNameBytes && record.value.size() <= kMaxValueBytes)
       continue;
-    return tl::unexpected(
-        MakeError(StoreErrorCode::kFailed, record.name, "a record is too long, or without a name"));
+    return tl::unexpected(MakeError(StoreErrorCode::kFailed, record.name,
+                                    "a record has no name, or its name or value is too long"));
   }
   for (const LogEntry& entry : batch.log) {
     if (entry.index > 0 && entry.value.size() <= kMaxValueBytes) continue;
     return tl::unexpected(MakeError(StoreErrorCode::kFailed, LogEntryName(entry.index),
-                                    "an entry of the log is too long, or without an index"));
+                                    "a log entry has no index, or its value is too long"));
   }
   return {};
 }
 
 tl::expected<void, StoreError> Database::Write(const WriteBatch& batch) {
-  if (db_ == nullptr) return tl::unexpected(MakeError(StoreErrorCode::kFailed, "write", "not open"));
+  if (db_ == nullptr)
+    return tl::unexpected(MakeError(StoreErrorCode::kFailed, "write", "the store is not open"));
   if (auto checked = CheckLimits(batch); !checked) return checked;
   if (auto begun = Execute("BEGIN IMMEDIATE"); !begun) return begun;
   auto result = ApplyBatch(batch);
--- a/tests/golden.h
+++ b/tests/golden.h
@@ -1,4 +1,5 @@
-// Golden bytes: fixtures of lines "name hex" under tests/fixtures/wire, compared with what an encoder writes.
+// Compares the output of encoders with golden bytes: fixtures under tests/fixtures/wire with one "name hex"
+// pair a line.
 #ifndef LEMONCROFT_TESTS_GOLDEN_H_
 #define LEMONCROFT_TESTS_GOLDEN_H_
 
@@ -27,8 +28,8 @@
 
 inline std::string FromHex(std::string_view hex) {
   std::string bytes;
-  for (std::size_t at = 0; at + 1 < hex.size(); at += 2)
-    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(at, 2)), nullptr, 16)));
+  for (std::size_t offset = 0; offset + 1 < hex.size(); offset += 2)
+    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(offset, 2)), nullptr, 16)));
   return bytes;
 }
 
@@ -42,23 +43,25 @@
 struct Case {
   std::string name;
   std::string encoded;
-  // Decodes bytes and encodes what they hold; "undecodable" where they hold nothing.
+  // Decodes bytes and encodes the result, or returns "undecodable". Empty if the bytes have no decoder.
   std::function<std::string(std::string_view)> reencode;
 };
 
-// Each case has its line in the fixture and the other way round; the bytes are the same in both directions.
+// Expects one line of the fixture for each case, and the same bytes from encoding and from decoding and
+// re-encoding.
 inline void ExpectGolden(const std::string& file, const std::vector<Case>& cases) {
   const auto golden = ReadFixture(file);
   EXPECT_EQ(golden.size(), cases.size()) << file;
-  for (const Case& one : cases) {
-    const auto found = golden.find(one.name);
+  for (const Case& test_case : cases) {
+    const auto found = golden.find(test_case.name);
     if (found == golden.end()) {
-      ADD_FAILURE() << "missing in " << file << ":\n" << one.name << " " << ToHex(one.encoded);
+      ADD_FAILURE() << "missing in " << file << ":\n" << test_case.name << " " << ToHex(test_case.encoded);
       continue;
     }
-    EXPECT_EQ(ToHex(one.encoded), found->second) << one.name << " encoded";
-    if (!one.reencode) continue;
-    EXPECT_EQ(ToHex(one.reencode(FromHex(found->second))), found->second) << one.name << " decoded";
+    EXPECT_EQ(ToHex(test_case.encoded), found->second) << test_case.name << " encoded";
+    if (!test_case.reencode) continue;
+    EXPECT_EQ(ToHex(test_case.reencode(FromHex(found->second))), found->second)
+        << test_case.name << " decoded";
   }
 }
 
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,5 @@
-// The durable store: a crash at every operation of the disk, damage, a full disk, a second process.
+// Tests the durable store against a crash at every disk operation, damaged data, a full disk and a second
+// process.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,7 +23,7 @@
 using simulation::StoreOptionsOn;
 using simulation::WorkloadBatch;
 
-// The code of a call's error; kNone if it succeeded.
+// Returns the error code of a call, or kNone if the call succeeded.
 template <typename T>
 StoreErrorCode CodeOf(const tl::expected<T, StoreError>& result) {
   return result ? StoreErrorCode::kNone : result.error().code;
@@ -33,20 +34,20 @@
   return result ? std::string() : result.error().message;
 }
 
-TEST(Storage, Reopened_HoldsWhatWasWritten) {
+TEST(Storage, Reopened_ContainsAllWrittenBatches) {
   simulation::SimulatedDisk disk;
   EXPECT_EQ(RunWorkload(disk), kWorkloadBatches);
-  StoreContents wanted;
-  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), wanted);
+  StoreContents expected_contents;
+  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), expected_contents);
   Database reopened(StoreOptionsOn(disk));
   auto read = reopened.Open();
   ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
-  EXPECT_TRUE(SameContents(*read, wanted));
+  EXPECT_TRUE(SameContents(*read, expected_contents));
   const auto compacted = reopened.Compact();
   EXPECT_EQ(CodeOf(compacted), StoreErrorCode::kNone) << MessageOf(compacted);
   read = Database(StoreOptionsOn(disk)).Open();
   ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
-  EXPECT_TRUE(SameContents(*read, wanted));
+  EXPECT_TRUE(SameContents(*read, expected_contents));
 }
 
 TEST(Storage, CrashAtAnyOperation_LosesNoReportedBatch) {
@@ -61,7 +62,8 @@
   EXPECT_LT(simulation::MeasureLoopStallDuringWrites(disk, 3).longest_ms, 100);
 }
 
-// A batch must not be durable when an earlier one is not.
+// Guards against a batch that is durable although an earlier one is not: the disk is full for the first batch
+// only.
 TEST(StorageWorker, FailedBatch_FailsLaterBatchesUntilReopened) {
   simulation::SimulatedDisk disk;
   runtime::Loop loop;
@@ -90,8 +92,8 @@
 }
 
 TEST(Storage, FlippedBit_IsReportedOrChangesNothing) {
-  StoreContents wanted;
-  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), wanted);
+  StoreContents expected_contents;
+  for (int i = 0; i < kWorkloadBatches; ++i) ApplyBatch(WorkloadBatch(i), expected_contents);
   int damaged = 0;
   std::mt19937_64 random(1);
   for (int i = 0; i < 400; ++i) {
@@ -101,7 +103,7 @@
     disk.FlipBit("store", random() % (8 * size));
     const auto read = Database(StoreOptionsOn(disk)).Open();
     if (read) {
-      EXPECT_TRUE(SameContents(*read, wanted)) << "a wrong record was returned";
+      EXPECT_TRUE(SameContents(*read, expected_contents)) << "a wrong record was returned";
     } else {
       ++damaged;
       EXPECT_NE(read.error().code, StoreErrorCode::kNone);
@@ -114,11 +116,11 @@
 TEST(Storage, FullDisk_FailsTheBatchAndKeepsEarlierOnes) {
   simulation::SimulatedDisk disk;
   Database database(StoreOptionsOn(disk));
-  StoreContents wanted;
+  StoreContents expected_contents;
   ASSERT_EQ(CodeOf(database.Open()), StoreErrorCode::kNone);
   for (int i = 0; i < 10; ++i) {
     ASSERT_EQ(CodeOf(database.Write(WorkloadBatch(i))), StoreErrorCode::kNone);
-    ApplyBatch(WorkloadBatch(i), wanted);
+    ApplyBatch(WorkloadBatch(i), expected_contents);
   }
   disk.set_capacity(0);
   auto written = database.Write(WorkloadBatch(10));
@@ -127,11 +129,11 @@
   disk.set_capacity(UINT64_MAX);
   written = database.Write(WorkloadBatch(10));
   EXPECT_EQ(CodeOf(written), StoreErrorCode::kNone) << MessageOf(written);
-  ApplyBatch(WorkloadBatch(10), wanted);
+  ApplyBatch(WorkloadBatch(10), expected_contents);
   database.Close();
   const auto read = Database(StoreOptionsOn(disk)).Open();
   ASSERT_EQ(CodeOf(read), StoreErrorCode::kNone) << MessageOf(read);
-  EXPECT_TRUE(SameContents(*read, wanted));
+  EXPECT_TRUE(SameContents(*read, expected_contents));
 }
 
 TEST(Storage, Limits_AreEnforced) {
@@ -147,7 +149,7 @@
     batch.records.push_back({"r" + std::to_string(written), std::string(100'000, 'x')});
     if (!database.Write(batch)) break;
   }
-  EXPECT_LT(written, 12) << "the store is limited to a megabyte";
+  EXPECT_LT(written, 12) << "the store exceeds its limit of 1 MiB";
 }
 
 TEST(Storage, RealFiles_RejectAnotherOwnerOrProcess) {
@@ -189,7 +191,7 @@
   const auto written = closed.Write({});
   ASSERT_FALSE(written);
   EXPECT_EQ(written.error().sqlite_code, 0);
-  EXPECT_EQ(written.error().ToString(), "failed: /nowhere/store: not open");
+  EXPECT_EQ(written.error().ToString(), "failed: /nowhere/store: the store is not open");
 }
 
 }  // namespace
