--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -125,17 +125,17 @@
 }
 
 void ReplicatedConfigService::Shutdown() {
-  replica_.Resign(Now());
+  replica_.TransferLeadership(Now());
   DispatchOutputs();
 }
 
 Task<> ReplicatedConfigService::RunTimers() {
   for (;;) {
-    planned_at_ = replica_.due();
+    planned_at_ = replica_.NextDeadline();
     if (planned_at_ > Now()) co_await runtime::Waiter(loop_, &timer_changed_, planned_at_);
     planned_at_ = runtime::kNever;
-    if (replica_.due() <= Now()) {
-      replica_.Step(Now());
+    if (replica_.NextDeadline() <= Now()) {
+      replica_.Tick(Now());
       DispatchOutputs();
     }
     co_await loop_.NextTurn();
@@ -145,7 +145,7 @@
 void ReplicatedConfigService::DispatchOutputs() {
   for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
     for (const replicated_config::ConfigReplicaOutput& output : outputs) HandleOutput(output);
-  if (replica_.due() < planned_at_) timer_changed_.Open();
+  if (replica_.NextDeadline() < planned_at_) timer_changed_.Open();
 }
 
 // Returns the process of that name; where two live, the one that has the store.
@@ -208,7 +208,7 @@
   if (opening_store_) return;
   ++step_downs_;
   spdlog::error("rules: this voter steps down: {}", why);
-  replica_.CloseStore();
+  replica_.OnStoreClosed();
   opening_store_ = true;
   loop_.Spawn(ReopenStore(kFailedStoreRetryInterval));
 }
@@ -229,9 +229,9 @@
         StepDown(std::string(storage::NameOf(done.error.code)) + ": " + done.error.message);
       else if (const std::uint64_t number = done.sequence & kBootstrapVotersWrite;
                number == kBootstrapVotersWrite)
-        replica_.OnBootstrapVotersStored(Now());
+        replica_.OnBootstrapVotersPersisted(Now());
       else if (number > 0)
-        replica_.OnStored(Now(), number);
+        replica_.OnPersisted(Now(), number);
     }
     DispatchOutputs();
   }
@@ -264,7 +264,7 @@
                stored->persistent_state.log.empty() ? stored->persistent_state.snapshot.index
                                                     : stored->persistent_state.log.back().index);
   fleet_.link().SetAttribute(kStoreAttribute, "1");
-  replica_.OpenStore(Now(), std::move(*stored));
+  replica_.OnStoreOpened(Now(), std::move(*stored));
 }
 
 // ---- The active version ----
--- a/src/replicated_config/config_replica.cpp
+++ b/src/replicated_config/config_replica.cpp
@@ -43,7 +43,7 @@
   if (!voters_.empty()) Send(voters_[next_voter_++ % voters_.size()], std::move(body));
 }
 
-ConfigReplica::Time ConfigReplica::due() const {
+ConfigReplica::Time ConfigReplica::NextDeadline() const {
   Time due = next_renewal_at_;
   for (const auto& [id, request] : pending_requests_)
     due = std::min({due, request.next_attempt, request.deadline});
@@ -57,7 +57,7 @@
   return due;
 }
 
-void ConfigReplica::Step(Time now) {
+void ConfigReplica::Tick(Time now) {
   if (raft_ && now >= raft_->NextDeadline()) raft_->Tick(now);
   RunAdmission(now);
   if (now >= next_renewal_at_) RenewLease(now);
@@ -70,7 +70,7 @@
   DispatchPendingOutputs(now);
 }
 
-void ConfigReplica::Resign(Time now) {
+void ConfigReplica::TransferLeadership(Time now) {
   if (!raft_) return;
   raft_->TransferLeadership(now);
   DispatchPendingOutputs(now);
--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -4,13 +4,13 @@
 //
 // Contract: no I/O, no clock, deterministic for a seed. Every call is passed the time of one monotonic
 // clock. What has to be persisted, sent or reported is returned by TakeOutputs, in order, and has to be
-// carried out in that order. Messages that depend on a write are held back until OnStored confirms it.
+// carried out in that order. Messages that depend on a write are held back until OnPersisted confirms it.
 // UsableVersion must be called in the same turn as the action that it permits.
 //
 // Thread safety: none; an object belongs to one thread.
 //
 // Errors: messages may be lost, delayed, duplicated and reordered. After a failed write the owner calls
-// CloseStore, which makes this voter step down until OpenStore.
+// OnStoreClosed, which makes this voter step down until OnStoreOpened.
 //
 // Design: docs/agreement.md.
 //
@@ -68,10 +68,10 @@
 
 // ---- Outputs ----
 
-struct Persist {  // write and sync it, then call OnStored(update.sequence)
+struct Persist {  // write and sync it, then call OnPersisted(update.sequence)
   raft::StorageUpdate update;
 };
-struct PersistBootstrapVoters {  // write and sync it, then call OnBootstrapVotersStored
+struct PersistBootstrapVoters {  // write and sync it, then call OnBootstrapVotersPersisted
   BootstrapVoters bootstrap_voters;
 };
 // To a process, or to a voter's current process by name. May be lost.
@@ -107,28 +107,28 @@
                 raft::Time now);
 
   // Runs the timers that are due.
-  void Step(raft::Time now);
-  // When Step has to be called next.
-  raft::Time due() const;
+  void Tick(raft::Time now);
+  // When Tick has to be called next.
+  raft::Time NextDeadline() const;
   // Handles a message of process `from`.
   void Receive(raft::Time now, Instance from, const Message& message);
   // Returns and clears the outputs of all calls so far.
   std::vector<ConfigReplicaOutput> TakeOutputs();
 
   // A voter's store. The owner opens it, carries out the writes and reports here: its contents once it is
-  // open, and CloseStore when it failed. This voter votes once VoterAdmission admits the store.
-  void OpenStore(raft::Time now, StoredState stored);
-  void CloseStore();  // this voter steps down until the next OpenStore
+  // open, and OnStoreClosed when it failed. This voter votes once VoterAdmission admits the store.
+  void OnStoreOpened(raft::Time now, StoredState stored);
+  void OnStoreClosed();  // this voter steps down until the next OnStoreOpened
   // The update with that sequence number, and all before it, are durable.
-  void OnStored(raft::Time now, std::uint64_t sequence);
-  void OnBootstrapVotersStored(raft::Time now);
+  void OnPersisted(raft::Time now, std::uint64_t sequence);
+  void OnBootstrapVotersPersisted(raft::Time now);
 
   // Requests of an operator. Each ends with one RequestCompleted, at `deadline` at the latest.
   void ProposeChange(raft::Time now, const ConfigChange& change, raft::Time deadline);
   void ChangeVoters(raft::Time now, const VoterChange& change, raft::Time deadline);
   void ReadCommitted(raft::Time now, const std::string& id, raft::Time deadline);
   // Gives up leadership, because this process ends.
-  void Resign(raft::Time now);
+  void TransferLeadership(raft::Time now);
 
   // Sets the other live processes of the fleet, from which documents may be fetched.
   void SetPeers(std::vector<Instance> peers) { peers_ = std::move(peers); }
@@ -188,7 +188,7 @@
   struct DeferredMessage {  // sent once a write is durable
     raft::NodeId to;
     raft::Message message;
-    std::uint64_t after_update = 0;
+    std::uint64_t after_sequence = 0;
   };
 
   // Common (config_replica.cpp).
@@ -225,7 +225,7 @@
   void DrainRaftOutputs(Time now);
   void ApplyCommitted(const raft::Entry& entry);
   void CompactLog();
-  void ReleaseStoredMessages(Time now);
+  void SendDeferredMessages(Time now);
   void Handle(Time now, Instance from, const Message& message, const RaftMessage& body);
   void Handle(Time now, Instance from, const Message& message, const StoreHello& body);
   void Handle(Time now, Instance from, const Message& message, const StoreHelloResponse& body);
@@ -281,7 +281,7 @@
   ConfigStateMachine state_machine_;
   Time next_hello_at_{}, admission_started_at_{};
   std::vector<DeferredMessage> deferred_messages_;
-  std::uint64_t last_stored_update_ = 0;
+  std::uint64_t persisted_sequence_ = 0;
   VoterProcesses processes_;
 
   // Leader.
--- a/src/replicated_config/config_replica_voter.cpp
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -27,8 +27,8 @@
 
 // ---- Store and admission ----
 
-void ConfigReplica::OpenStore(Time now, StoredState stored) {
-  CloseStore();
+void ConfigReplica::OnStoreOpened(Time now, StoredState stored) {
+  OnStoreClosed();
   restored_state_ = std::move(stored.persistent_state);
   std::vector<NodeId> voters = restored_state_.snapshot.voters;
   for (const raft::Entry& entry : restored_state_.log)
@@ -48,10 +48,10 @@
   DispatchPendingOutputs(now);
 }
 
-void ConfigReplica::CloseStore() {
+void ConfigReplica::OnStoreClosed() {
   raft_.reset();
   deferred_messages_.clear();
-  last_stored_update_ = 0;
+  persisted_sequence_ = 0;
   admission_.Close();
   AbandonInFlight();
   leading_term_ = 0;
@@ -70,8 +70,8 @@
   for (const NodeId& other : admission_.other_voters()) Send(other, admission_.hello());
 }
 
-void ConfigReplica::OnBootstrapVotersStored(Time now) {
-  admission_.OnBootstrapVotersStored();
+void ConfigReplica::OnBootstrapVotersPersisted(Time now) {
+  admission_.OnBootstrapVotersPersisted();
   RunAdmission(now);
   DispatchPendingOutputs(now);
 }
@@ -130,18 +130,18 @@
 
 // ---- Raft ----
 
-void ConfigReplica::OnStored(Time now, std::uint64_t sequence) {
+void ConfigReplica::OnPersisted(Time now, std::uint64_t sequence) {
   if (!raft_) return;
-  last_stored_update_ = std::max(last_stored_update_, sequence);
+  persisted_sequence_ = std::max(persisted_sequence_, sequence);
   raft_->OnPersisted(now, sequence);
-  ReleaseStoredMessages(now);
+  SendDeferredMessages(now);
   DispatchPendingOutputs(now);
 }
 
-void ConfigReplica::ReleaseStoredMessages(Time now) {
+void ConfigReplica::SendDeferredMessages(Time now) {
   std::vector<DeferredMessage> ready;
   std::erase_if(deferred_messages_, [&](DeferredMessage& deferred) {
-    if (deferred.after_update > last_stored_update_) return false;
+    if (deferred.after_sequence > persisted_sequence_) return false;
     ready.push_back(std::move(deferred));
     return true;
   });
@@ -169,7 +169,7 @@
         static_cast<void>(state_machine_.Restore(restored->snapshot.data));
     }
     CompactLog();
-    ReleaseStoredMessages(now);
+    SendDeferredMessages(now);
   }
 }
 
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -120,7 +120,7 @@
   state_ = State::kBootstrapping;
 }
 
-void VoterAdmission::OnBootstrapVotersStored() {
+void VoterAdmission::OnBootstrapVotersPersisted() {
   hello_.bootstrapped = true;
   state_ = State::kAdmitted;
 }
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -69,7 +69,7 @@
   // An operator has added this voter.
   void HandleAdmitVoter(const AdmitVoter& admission);
   // bootstrap_voters() is persisted.
-  void OnBootstrapVotersStored();
+  void OnBootstrapVotersPersisted();
 
   // Remembers what another voter has acknowledged to this process, to recognise a stale store of its later.
   void ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message);
--- a/src/testing/benchmark/socket_fleet.cpp
+++ b/src/testing/benchmark/socket_fleet.cpp
@@ -82,7 +82,7 @@
   void Start() {
     link_.Start();
     link_.SetPhase(gossip::Phase::kServing);
-    if (store_ != 0) replica_.OpenStore(Now(), {store_, {}, {}});
+    if (store_ != 0) replica_.OnStoreOpened(Now(), {store_, {}, {}});
     ProcessOutputs();
     loop_.Spawn(RunTimer());
   }
@@ -97,11 +97,11 @@
  private:
   Task<> RunTimer() {
     for (;;) {
-      timer_deadline_ = replica_.due();
+      timer_deadline_ = replica_.NextDeadline();
       if (timer_deadline_ > Now()) co_await runtime::Waiter(loop_, &timer_changed_, timer_deadline_);
       timer_deadline_ = runtime::kNever;
-      if (replica_.due() <= Now()) {
-        replica_.Step(Now());
+      if (replica_.NextDeadline() <= Now()) {
+        replica_.Tick(Now());
         ProcessOutputs();
       }
       co_await loop_.NextTurn();
@@ -114,7 +114,7 @@
       replica_.SetPeers(members.others());
     for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
       for (const replicated_config::ConfigReplicaOutput& output : outputs) ProcessOutputs(output);
-    if (replica_.due() < timer_deadline_) timer_changed_.Open();
+    if (replica_.NextDeadline() < timer_deadline_) timer_changed_.Open();
   }
 
   void ProcessOutputs(const replicated_config::ConfigReplicaOutput& output) {
@@ -123,9 +123,9 @@
         link_.Send(to->record.address, peer_transport::Subsystem::kReplicatedConfig,
                    replicated_config::Encode(post->message));
     } else if (const auto* keep = std::get_if<replicated_config::Persist>(&output)) {
-      replica_.OnStored(Now(), keep->update.sequence);
+      replica_.OnPersisted(Now(), keep->update.sequence);
     } else if (std::holds_alternative<replicated_config::PersistBootstrapVoters>(output)) {
-      replica_.OnBootstrapVotersStored(Now());
+      replica_.OnBootstrapVotersPersisted(Now());
     } else if (const auto* learnt = std::get_if<replicated_config::DocumentReceived>(&output)) {
       replica_.MarkPrepared(Now(), learnt->version);
     }
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -94,7 +94,7 @@
   const bool votes = i < plan_.voters || m.disk.store != 0;
   if (votes) {
     if (m.disk.store == 0) m.disk.store = random_() | 1;
-    m.replica->OpenStore(Local(m), {m.disk.store, m.disk.bootstrap_voters, m.disk.persistent_state});
+    m.replica->OnStoreOpened(Local(m), {m.disk.store, m.disk.bootstrap_voters, m.disk.persistent_state});
   }
   HandleOutputs(i);
 }
@@ -105,7 +105,7 @@
   Machine& m = machines_[i];
   if (m.replica == nullptr) return;
   m.pending_writes.clear();
-  m.replica->CloseStore();
+  m.replica->OnStoreClosed();
   HandleOutputs(i);
 }
 
@@ -191,7 +191,7 @@
 
 void ConfigReplicaFleet::ScheduleStep(std::size_t i) {
   const Machine& m = machines_[i];
-  const raft::Time due = m.replica->due();
+  const raft::Time due = m.replica->NextDeadline();
   if (due == raft::kNever) return;
   const auto at =
       Instant(static_cast<Instant::rep>(static_cast<double>((due - m.origin).count()) / m.rate) + 1);
@@ -232,8 +232,8 @@
   }
   switch (event.kind) {
     case ScheduledEvent::Kind::kStep:
-      if (m.replica->due() > Local(m)) return;  // rescheduled since
-      m.replica->Step(Local(m));
+      if (m.replica->NextDeadline() > Local(m)) return;  // rescheduled since
+      m.replica->Tick(Local(m));
       break;
     case ScheduledEvent::Kind::kMessage:
       if (const auto message = replicated_config::DecodeMessage(*event.bytes))
@@ -253,10 +253,10 @@
   m.pending_writes.erase(m.pending_writes.begin());
   if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
     ApplyUpdate(persist->update, m.disk.persistent_state);
-    m.replica->OnStored(Local(m), persist->update.sequence);
+    m.replica->OnPersisted(Local(m), persist->update.sequence);
   } else if (const auto* bootstrap = std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
     m.disk.bootstrap_voters = bootstrap->bootstrap_voters;
-    m.replica->OnBootstrapVotersStored(Local(m));
+    m.replica->OnBootstrapVotersPersisted(Local(m));
   }
 }
 
