--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -256,9 +256,9 @@
   }
   opening_store_ = reported_unavailable_ = false;
   ++epoch_;
-  if (stored->store == 0) {
-    stored->store = Draw();
-    WriteBatch(0, EncodeStoreId(stored->store));
+  if (stored->store_id == 0) {
+    stored->store_id = Draw();
+    WriteBatch(0, EncodeStoreId(stored->store_id));
   }
   spdlog::info("rules: store {} opened, log up to {}", settings_.store,
                stored->persistent_state.log.empty() ? stored->persistent_state.snapshot.index
--- a/src/proxy/voter_store.cpp
+++ b/src/proxy/voter_store.cpp
@@ -13,7 +13,7 @@
 
 std::string FormatBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters) {
   std::string out;
-  for (const auto& [name, store] : bootstrap_voters) out += name + " " + std::to_string(store) + "\n";
+  for (const auto& [name, store_id] : bootstrap_voters) out += name + " " + std::to_string(store_id) + "\n";
   return out;
 }
 
@@ -21,15 +21,15 @@
   replicated_config::BootstrapVoters bootstrap_voters;
   std::istringstream in(text);
   std::string name;
-  for (std::uint64_t store = 0; in >> name >> store;) bootstrap_voters[name] = store;
+  for (std::uint64_t store_id = 0; in >> name >> store_id;) bootstrap_voters[name] = store_id;
   return bootstrap_voters;
 }
 
 }  // namespace
 
-storage::WriteBatch EncodeStoreId(std::uint64_t store) {
+storage::WriteBatch EncodeStoreId(std::uint64_t store_id) {
   storage::WriteBatch batch;
-  batch.records.emplace_back(kRecordStoreId, std::to_string(store));
+  batch.records.emplace_back(kRecordStoreId, std::to_string(store_id));
   return batch;
 }
 
@@ -57,10 +57,10 @@
     const auto it = contents.records.find(name);
     return it == contents.records.end() ? std::string() : it->second;
   };
-  const std::string store = record(kRecordStoreId);
+  const std::string store_id = record(kRecordStoreId);
   const std::string hard_state = record(kRecordHardState);
   const std::string snapshot = record(kRecordSnapshot);
-  std::from_chars(store.data(), store.data() + store.size(), out.store);
+  std::from_chars(store_id.data(), store_id.data() + store_id.size(), out.store_id);
   out.bootstrap_voters = ParseBootstrapVoters(record(kRecordBootstrapVoters));
   if (!hard_state.empty()) {
     const auto read = raft::DecodeHardState(hard_state);
--- a/src/proxy/voter_store.h
+++ b/src/proxy/voter_store.h
@@ -19,7 +19,7 @@
 inline constexpr const char* kRecordHardState = "promise";
 inline constexpr const char* kRecordSnapshot = "snapshot";
 
-storage::WriteBatch EncodeStoreId(std::uint64_t store);
+storage::WriteBatch EncodeStoreId(std::uint64_t store_id);
 storage::WriteBatch EncodeBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters);
 storage::WriteBatch EncodeUpdate(const raft::StorageUpdate& update);
 
--- a/src/raft/raft.cpp
+++ b/src/raft/raft.cpp
@@ -99,7 +99,7 @@
 
 // ---- Model checking ----
 
-std::string Raft::Canonical() const {
+std::string Raft::CanonicalState() const {
   std::string out;
   const auto put = [&out](auto value) { out += std::to_string(value) + ","; };
   const auto text = [&out](const std::string& value) { out += value + ";"; };
--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -87,7 +87,7 @@
   const Snapshot& snapshot() const { return snapshot_; }
   const HardState& hard_state() const { return hard_state_; }
   // The state without times and heartbeat rounds as a text, equal for equal states. For model checking.
-  std::string Canonical() const;
+  std::string CanonicalState() const;
 
  private:
   // What a leader knows of another node.
--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -53,7 +53,7 @@
 struct ConfigReplicaOptions {
   raft::NodeId self;
   std::vector<raft::NodeId> initial_voters;  // the voters named in the operator's file
-  raft::Options log;
+  raft::Options raft_options;
   LeaseOptions lease;
   std::uint64_t format = 1;  // the newest document format that this program reads
   ConfigReplicaSafetyChecks safety_checks;
@@ -61,7 +61,7 @@
 
 // The contents of a voter's store when it was opened.
 struct StoredState {
-  std::uint64_t store = 0;
+  std::uint64_t store_id = 0;
   BootstrapVoters bootstrap_voters;
   raft::PersistentState persistent_state;
 };
@@ -177,7 +177,7 @@
   struct InFlightVoterChange {
     VoterChange change;
     Instance reply_to = 0;
-    std::uint64_t store = 0;  // the store that was added; another store of that voter is not admitted
+    std::uint64_t store_id = 0;  // the store that was added; another store of that voter is not admitted
   };
 
   struct HolderInfo {
--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -250,7 +250,7 @@
   next_admit_message_at_ = now + kAdmitVoterInterval;
   // Not once it is a voter: it may have acknowledged entries since, and must not vote with another store.
   if (wanted.add && !Contains(raft_->voters(), wanted.voter))
-    Send(wanted.voter, AdmitVoter{in_flight_voter_change_->store});
+    Send(wanted.voter, AdmitVoter{in_flight_voter_change_->store_id});
 }
 
 void ConfigReplica::Handle(Time now, Instance from, const Message&, const VoterChange& body) {
--- a/src/replicated_config/config_replica_voter.cpp
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -40,7 +40,7 @@
       restored_state_.log.empty() ? restored_state_.snapshot.index : restored_state_.log.back().index;
   hello.last_term =
       restored_state_.log.empty() ? restored_state_.snapshot.term : restored_state_.log.back().term;
-  admission_.Open(stored.store, std::move(stored.bootstrap_voters), voters, hello);
+  admission_.Open(stored.store_id, std::move(stored.bootstrap_voters), voters, hello);
   if (admission_.state() == VoterAdmission::State::kBootstrapping)
     outputs_.push_back(PersistBootstrapVoters{admission_.bootstrap_voters()});
   next_hello_at_ = admission_started_at_ = now;
@@ -88,8 +88,8 @@
     admission_.Close();
     return;
   }
-  raft_ =
-      std::make_unique<raft::Raft>(options_.log, options_.self, std::move(restored_state_), random_(), now);
+  raft_ = std::make_unique<raft::Raft>(options_.raft_options, options_.self, std::move(restored_state_),
+                                       random_(), now);
   restored_state_ = {};
   EmitLogEvent(false, "voter " + options_.self + " takes part, term " + std::to_string(raft_->term()) +
                           ", log up to " + std::to_string(raft_->last_index()));
--- a/src/replicated_config/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -126,7 +126,7 @@
   return !options_.safety_checks.wait_for_all_prepared || !AnyHolderBehind(now, version);
 }
 
-std::map<std::string, Version> LeaseGrantor::HoldersWithout(Time now, Version version) const {
+std::map<std::string, Version> LeaseGrantor::UnpreparedHolders(Time now, Version version) const {
   std::map<std::string, Version> missing;
   for (const auto& [name, lease] : leases_)
     if (lease.expiry > now && lease.prepared_version < version) missing[name] = lease.prepared_version;
@@ -142,7 +142,7 @@
 
 // ---- For the model checker ----
 
-std::string LeaseHolder::StateText(Time now) const {
+std::string LeaseHolder::CanonicalState(Time now) const {
   const auto left = [now](Time at) { return std::to_string(std::max<Span::rep>(0, (at - now).count())); };
   std::string out = std::to_string(last_sequence_) + "," + std::to_string(active_version_) + "," +
                     std::to_string(latest_version_) + "," + std::to_string(prepared_version_) + "," +
@@ -152,7 +152,7 @@
   return out;
 }
 
-std::string LeaseGrantor::StateText(Time now, const std::string& holder) const {
+std::string LeaseGrantor::CanonicalState(Time now, const std::string& holder) const {
   const Span longest = 2 * options_.duration;  // older differences have no effect
   if (holder.empty())
     return std::to_string(std::min(longest, now - leading_since_).count()) + "," +
--- a/src/replicated_config/lease.h
+++ b/src/replicated_config/lease.h
@@ -92,7 +92,7 @@
 
   // Returns all state that influences later calls, with times relative to `now`, for the model checker. Clock
   // samples are left out: clocks have one rate there.
-  std::string StateText(Time now) const;
+  std::string CanonicalState(Time now) const;
   // Runs the timer that stands in for check_expiry_on_use when a mutation test disables it.
   void Tick(Time now) { unexpired_at_last_tick_ = now < expiry_; }
 
@@ -131,13 +131,13 @@
   // version waits, so its cost does not grow with the number of holders.
   bool MayActivate(Time now, bool leads, Version version) const;
   // The live holders that have not prepared `version`, with the version that each has prepared.
-  std::map<std::string, Version> HoldersWithout(Time now, Version version) const;
+  std::map<std::string, Version> UnpreparedHolders(Time now, Version version) const;
   // The live holders, with the version that each has prepared.
   std::map<std::string, Version> LiveHolders(Time now) const;
   // The number of leases on record, including expired ones that were not dropped yet.
   std::size_t recorded_leases() const { return leases_.size(); }
   // Returns the record of one holder for the model checker; for an empty name, that of the leadership.
-  std::string StateText(Time now, const std::string& holder) const;
+  std::string CanonicalState(Time now, const std::string& holder) const;
 
  private:
   struct RecordedLease {
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -72,15 +72,15 @@
 }
 template <typename V, Is<StoreHello> E>
 void Fields(V& v, E& e) {
-  v(e.store), v(e.bootstrapped), v(e.term), v(e.last_term), v(e.last_index);
+  v(e.store_id), v(e.bootstrapped), v(e.term), v(e.last_term), v(e.last_index);
 }
 template <typename V, Is<StoreHelloResponse> E>
 void Fields(V& v, E& e) {
-  v(e.in_reply_to_store), v(e.store), v(e.opinion), v(e.bootstrap_voters);
+  v(e.in_reply_to_store_id), v(e.store_id), v(e.opinion), v(e.bootstrap_voters);
 }
 template <typename V, Is<AdmitVoter> E>
 void Fields(V& v, E& e) {
-  v(e.store);
+  v(e.store_id);
 }
 
 struct Packing : codec::FieldPacker {
--- a/src/replicated_config/messages.h
+++ b/src/replicated_config/messages.h
@@ -89,8 +89,8 @@
 
 // From a voter that has opened its store to the other voters (voter_admission.h).
 struct StoreHello {
-  std::uint64_t store = 0;    // id of the store, drawn when it was created
-  bool bootstrapped = false;  // the store has voted before
+  std::uint64_t store_id = 0;  // id of the store, drawn when it was created
+  bool bootstrapped = false;   // the store has voted before
   raft::Term term = 0, last_term = 0;
   raft::Index last_index = 0;
 };
@@ -103,14 +103,14 @@
   kUnknownStore,    // the fleet was bootstrapped without this store
 };
 struct StoreHelloResponse {
-  std::uint64_t in_reply_to_store = 0, store = 0;
+  std::uint64_t in_reply_to_store_id = 0, store_id = 0;
   StoreOpinion opinion = StoreOpinion::kEmptyStore;
   std::map<raft::NodeId, std::uint64_t> bootstrap_voters;  // their stores; with kBootstrapVoter
 };
 
 // From the leader to a voter with an empty store that an operator has added.
 struct AdmitVoter {
-  std::uint64_t store = 0;  // the store that was added
+  std::uint64_t store_id = 0;  // the store that was added
 };
 
 using MessageBody =
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -9,10 +9,10 @@
 constexpr std::size_t kMaxTrackedStores = 64;  // of voters without a vote
 }
 
-void VoterAdmission::Open(std::uint64_t store, BootstrapVoters bootstrap_voters,
+void VoterAdmission::Open(std::uint64_t store_id, BootstrapVoters bootstrap_voters,
                           const std::vector<raft::NodeId>& voters, StoreHello hello) {
   hello_ = hello;
-  hello_.store = store;
+  hello_.store_id = store_id;
   hello_.bootstrapped = !bootstrap_voters.empty();
   bootstrap_voters_ = std::move(bootstrap_voters);
   responses_.clear();
@@ -25,18 +25,18 @@
   if (hello_.bootstrapped && (voters.empty() || voters == std::vector<raft::NodeId>{self_}))
     state_ = State::kAdmitted;
   if (!hello_.bootstrapped && initial_voters_ == std::vector<raft::NodeId>{self_}) {
-    bootstrap_voters_ = {{self_, store}};
+    bootstrap_voters_ = {{self_, store_id}};
     state_ = State::kBootstrapping;
   }
 }
 
 StoreHelloResponse VoterAdmission::AnswerHello(const raft::NodeId& from, const StoreHello& hello) {
   StoreHelloResponse response;
-  response.in_reply_to_store = hello.store;
-  response.store = hello_.store;
+  response.in_reply_to_store_id = hello.store_id;
+  response.store_id = hello_.store_id;
   if (!hello.bootstrapped &&
       (unadmitted_stores_.contains(from) || unadmitted_stores_.size() < kMaxTrackedStores)) {
-    unadmitted_stores_[from] = hello.store;
+    unadmitted_stores_[from] = hello.store_id;
     acknowledged_.erase(from);  // it referred to another store
   }
   const auto bootstrap = bootstrap_voters_.find(from);
@@ -48,7 +48,7 @@
     response.opinion = stale ? StoreOpinion::kStaleStore : StoreOpinion::kNoObjection;
   } else if (bootstrap_voters_.empty()) {
     response.opinion = StoreOpinion::kEmptyStore;
-  } else if (bootstrap != bootstrap_voters_.end() && bootstrap->second == hello.store) {
+  } else if (bootstrap != bootstrap_voters_.end() && bootstrap->second == hello.store_id) {
     response.opinion = StoreOpinion::kBootstrapVoter;
     response.bootstrap_voters = bootstrap_voters_;
   } else {
@@ -60,7 +60,8 @@
 void VoterAdmission::HandleResponse(const raft::NodeId& from, const StoreHelloResponse& response) {
   const bool awaiting_responses =
       state_ && (*state_ == State::kQueryingVoters || *state_ == State::kEmptyStore);
-  if (!awaiting_responses || response.in_reply_to_store != hello_.store || !other_voters_.contains(from))
+  if (!awaiting_responses || response.in_reply_to_store_id != hello_.store_id ||
+      !other_voters_.contains(from))
     return;
   responses_[from] = response;
   if (hello_.bootstrapped) {
@@ -81,15 +82,15 @@
   } else if (response.opinion == StoreOpinion::kUnknownStore) {
     state_ = State::kEmptyStore;
     if (!safety_checks_.exclude_empty_store) {
-      bootstrap_voters_ = {{self_, hello_.store}};
+      bootstrap_voters_ = {{self_, hello_.store_id}};
       state_ = State::kBootstrapping;
     }
   } else {
-    BootstrapVoters all = {{self_, hello_.store}};
+    BootstrapVoters all = {{self_, hello_.store_id}};
     for (const raft::NodeId& name : initial_voters_) {
       const auto it = responses_.find(name);
       if (it != responses_.end() && it->second.opinion == StoreOpinion::kEmptyStore)
-        all[name] = it->second.store;
+        all[name] = it->second.store_id;
     }
     const bool is_initial_voter =
         std::find(initial_voters_.begin(), initial_voters_.end(), self_) != initial_voters_.end();
@@ -114,9 +115,9 @@
 }
 
 void VoterAdmission::HandleAdmitVoter(const AdmitVoter& admission) {
-  if (!state_ || hello_.bootstrapped || admission.store != hello_.store) return;
+  if (!state_ || hello_.bootstrapped || admission.store_id != hello_.store_id) return;
   if (*state_ != State::kQueryingVoters && *state_ != State::kEmptyStore) return;
-  bootstrap_voters_ = {{self_, hello_.store}};
+  bootstrap_voters_ = {{self_, hello_.store_id}};
   state_ = State::kBootstrapping;
 }
 
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -49,13 +49,13 @@
 
   // Starts admission for a store. `bootstrap_voters`: as persisted in it; empty where it never voted.
   // `voters`: of its log.
-  void Open(std::uint64_t store, BootstrapVoters bootstrap_voters, const std::vector<raft::NodeId>& voters,
+  void Open(std::uint64_t store_id, BootstrapVoters bootstrap_voters, const std::vector<raft::NodeId>& voters,
             StoreHello hello);
   void Close() { state_.reset(); }
   // Nullopt while no store is open.
   const std::optional<State>& state() const { return state_; }
   const BootstrapVoters& bootstrap_voters() const { return bootstrap_voters_; }
-  std::uint64_t store() const { return hello_.store; }
+  std::uint64_t store_id() const { return hello_.store_id; }
   const StoreHello& hello() const { return hello_; }
   const std::set<raft::NodeId>& other_voters() const { return other_voters_; }
 
--- a/src/testing/model_check/lease_world.cpp
+++ b/src/testing/model_check/lease_world.cpp
@@ -130,8 +130,9 @@
 }
 
 std::string LeaseWorld::TextOf(std::size_t holder) const {
-  std::string out = holders_[holder].StateText(At()) + "," + std::to_string(renewals_[holder]);
-  for (const Leader& leader : leaders_) out += "|" + leader.grantor.StateText(At(), std::to_string(holder));
+  std::string out = holders_[holder].CanonicalState(At()) + "," + std::to_string(renewals_[holder]);
+  for (const Leader& leader : leaders_)
+    out += "|" + leader.grantor.CanonicalState(At(), std::to_string(holder));
   return out;
 }
 
@@ -146,7 +147,7 @@
   for (const Leader& leader : leaders_)
     common += std::to_string(std::max(0, leader.lease_until - now_)) + "," +
               std::to_string(leader.latest_version) + "," + std::to_string(leader.active_version) + "," +
-              leader.grantor.StateText(At(), "") + ",";
+              leader.grantor.CanonicalState(At(), "") + ",";
   std::string smallest;
   for (const bool swapped : {false, true}) {
     std::string text = common;
--- a/src/testing/model_check/raft_model.cpp
+++ b/src/testing/model_check/raft_model.cpp
@@ -202,7 +202,7 @@
 
 std::string RaftModel::TextOf(std::size_t i) const {
   const Member& member = members_[i];
-  std::string out = member.raft.Canonical() + "|";
+  std::string out = member.raft.CanonicalState() + "|";
   const auto put_entries = [&out](const std::vector<Entry>& entries) {
     for (const Entry& entry : entries) {
       Put(out, entry.term);
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -79,7 +79,7 @@
   replicated_config::ConfigReplicaOptions options;
   options.self = NameOf(i);
   for (std::size_t v = 0; v < plan_.voters; ++v) options.initial_voters.push_back(NameOf(v));
-  options.log = plan_.log;
+  options.raft_options = plan_.log;
   options.lease = plan_.lease_options;
   options.safety_checks = plan_.safety_checks;
   return options;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -90,7 +90,7 @@
       grantor.HandleRenewal(now, true, holder, {1, prepared}, 1, latest_version);
       for (const replicated_config::Version version :
            {latest_version - 1, latest_version, latest_version + 1})
-        ASSERT_EQ(grantor.MayActivate(now, true, version), grantor.HoldersWithout(now, version).empty())
+        ASSERT_EQ(grantor.MayActivate(now, true, version), grantor.UnpreparedHolders(now, version).empty())
             << "seed " << seed << " step " << step << " version " << version;
     }
   }
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -66,7 +66,7 @@
       const bool acts =
           holder.UsableVersion(start + Span(static_cast<Span::rep>(static_cast<double>(at.count()) * slow)))
               .has_value();
-      const bool booked = !grantor.HoldersWithout(start + at, 2).empty();
+      const bool booked = !grantor.UnpreparedHolders(start + at, 2).empty();
       EXPECT_TRUE(!acts || booked) << slow << " " << at.count();
     }
   }
@@ -278,7 +278,7 @@
        holder.HandleGrant(start, {asked.sequence, 1, 1, 0ms, 1});
        for (Span at{}; at < 2s; at += 1ms) {
          const Span slow = Span(static_cast<Span::rep>(static_cast<double>(at.count()) * 0.99));
-         if (holder.UsableVersion(start + slow) && grantor.HoldersWithout(start + at, 2).empty())
+         if (holder.UsableVersion(start + slow) && grantor.UnpreparedHolders(start + at, 2).empty())
            return false;
        }
        return true;
