--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -8,14 +8,14 @@
 using codec::MsgpackPacker;
 using codec::MsgpackReader;
 
-// For the generic reader, which rejects larger values.
+// codec::FieldReader rejects enum values above this one.
 EntryKind LastOf(EntryKind) { return EntryKind::kVoters; }
 
 namespace {
 
-constexpr codec::MsgpackLimits kBounds{4096, 128, kMaxSnapshotBytes, 8};
+constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, kMaxSnapshotBytes, 8};
 
-// The encoded fields of each type, in order. New ones are only ever appended.
+// The encoded fields of each type, in order. New fields may only be appended.
 
 template <typename V, Is<Entry> E>
 void Fields(V& v, E& e) {
@@ -55,7 +55,7 @@
   v(e.term);
 }
 
-struct Packing : codec::FieldPacker {
+struct ValuePacker : codec::FieldPacker {
   using FieldPacker::operator();
   void operator()(const std::vector<Entry>& entries) {
     to.pack_array(static_cast<std::uint32_t>(entries.size()));
@@ -64,25 +64,25 @@
   void operator()(const Snapshot& snapshot) { PackValue(snapshot); }
   template <typename T>
   void PackValue(const T& value) {
-    codec::FieldCounter counting;
-    Fields(counting, value);
-    to.pack_array(counting.count);
+    codec::FieldCounter counter;
+    Fields(counter, value);
+    to.pack_array(counter.count);
     Fields(*this, value);
   }
 };
 
-struct Reading : codec::FieldReader {
+struct ValueReader : codec::FieldReader {
   using FieldReader::operator();
   void operator()(std::vector<Entry>& entries) {
-    MsgpackReader all(in.Next());
-    while (all.left() > 0) ReadValue(all.Next(), entries.emplace_back());
+    MsgpackReader elements(in.Next());
+    while (elements.left() > 0) ReadValue(elements.Next(), entries.emplace_back());
   }
   void operator()(Snapshot& snapshot) { ReadValue(in.Next(), snapshot); }
   template <typename T>
   static void ReadValue(const msgpack::object& from, T& value) {
-    MsgpackReader one(from);
-    Reading each{{one}};
-    Fields(each, value);
+    MsgpackReader elements(from);
+    ValueReader reader{{elements}};
+    Fields(reader, value);
   }
 };
 
@@ -90,16 +90,16 @@
 std::string EncodeValue(const T& value) {
   msgpack::sbuffer body;
   MsgpackPacker to(body);
-  Packing{{to}}.PackValue(value);
+  ValuePacker{{to}}.PackValue(value);
   return {body.data(), body.size()};
 }
 
 template <typename T>
 std::optional<T> DecodeValue(std::string_view bytes) {
-  return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
+  return codec::UnpackArray(bytes, kDecodingLimits, [](MsgpackReader& in) {
     T value;
-    Reading reading{{in}};
-    Fields(reading, value);
+    ValueReader reader{{in}};
+    Fields(reader, value);
     return value;
   });
 }
@@ -111,15 +111,15 @@
   MsgpackPacker to(body);
   to.pack_array(2);
   to.pack(static_cast<std::uint8_t>(message.index()));
-  std::visit([&](const auto& m) { Packing{{to}}.PackValue(m); }, message);
+  std::visit([&](const auto& m) { ValuePacker{{to}}.PackValue(m); }, message);
   return {body.data(), body.size()};
 }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) {
-  return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
+  return codec::UnpackArray(bytes, kDecodingLimits, [](MsgpackReader& in) {
     const auto index = in.Take<std::uint8_t>();
     MsgpackReader body(in.Next());
-    return codec::ReadAlternative<Reading, Message>(index, body);
+    return codec::ReadAlternative<ValueReader, Message>(index, body);
   });
 }
 
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr codec::MsgpackLimits kBounds{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
+constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
 
 template <typename V, Is<RaftMessage> E>
 void Fields(V& v, E& e) {
@@ -83,7 +83,7 @@
   v(e.store_id);
 }
 
-struct Packing : codec::FieldPacker {
+struct BodyPacker : codec::FieldPacker {
   using FieldPacker::operator();
   void operator()(Span value) { to.pack(static_cast<std::int64_t>(value.count())); }
   void operator()(const raft::Message& message) { codec::PackBytes(to, raft::Encode(message)); }
@@ -93,7 +93,7 @@
   }
 };
 
-struct Reading : codec::FieldReader {
+struct BodyReader : codec::FieldReader {
   using FieldReader::operator();
   void operator()(Span& value) { value = Span(in.Take<std::int64_t>()); }
   void operator()(raft::Message& message) {
@@ -102,10 +102,10 @@
     message = std::move(*read);
   }
   void operator()(std::map<raft::NodeId, std::uint64_t>& stores) {
-    MsgpackReader all(in.Next());
-    while (all.left() > 0) {
-      std::string name = all.Bytes();
-      stores[std::move(name)] = all.Take<std::uint64_t>();
+    MsgpackReader elements(in.Next());
+    while (elements.left() > 0) {
+      std::string name = elements.Bytes();
+      stores[std::move(name)] = elements.Take<std::uint64_t>();
     }
   }
 };
@@ -117,24 +117,24 @@
   MsgpackPacker to(body);
   std::visit(
       [&](const auto& b) {
-        codec::FieldCounter counting;
-        Fields(counting, b);
-        to.pack_array(counting.count + 2);
+        codec::FieldCounter counter;
+        Fields(counter, b);
+        to.pack_array(counter.count + 2);
         codec::PackBytes(to, message.sender);
         to.pack(static_cast<std::uint8_t>(message.body.index()));
-        Packing packing{{to}};
-        Fields(packing, b);
+        BodyPacker packer{{to}};
+        Fields(packer, b);
       },
       message.body);
   return {body.data(), body.size()};
 }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) {
-  return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
+  return codec::UnpackArray(bytes, kDecodingLimits, [](MsgpackReader& in) {
     Message message;
     message.sender = in.Bytes();
     const auto index = in.Take<std::uint8_t>();
-    message.body = codec::ReadAlternative<Reading, MessageBody>(index, in);
+    message.body = codec::ReadAlternative<BodyReader, MessageBody>(index, in);
     return message;
   });
 }
