--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -1,8 +1,7 @@
-// MessagePack encoding of Raft's messages, for the network, and of its persistent state, for the store.
+// MessagePack encoding of Raft messages, for the network, and of the persistent state, for the store.
 //
-// Contract. No I/O. A value is an array of its fields; later versions may append fields, which decoding
-// skips. Decoding returns nothing if the bytes are malformed, incomplete or above a limit. Owner: none.
-// Units: bytes.
+// Each value is an array of its fields. Later versions may append fields; decoders ignore fields that they
+// don't know. Decoding returns nullopt if the bytes are malformed, incomplete or exceed a limit.
 #ifndef LEMONCROFT_RAFT_CODEC_H_
 #define LEMONCROFT_RAFT_CODEC_H_
 
--- a/src/raft/raft.cpp
+++ b/src/raft/raft.cpp
@@ -16,7 +16,7 @@
       applied_index_(snapshot_.index),
       durable_index_(last_index()) {
   ReloadVoters();
-  // This node may have acknowledged a leader just before it stopped, so that leader's lease may still run.
+  // This node may have acknowledged a leader just before it stopped, so that leader may still hold its lease.
   last_leader_contact_ =
       options_.safety_checks.vote_delay_after_restart ? now : now - options_.min_election_timeout;
   ResetElectionTimer(now);
@@ -27,7 +27,7 @@
   return index > snapshot_.index && index <= last_index() ? EntryAt(index).term : 0;
 }
 
-// ---- Calls from the owner ----
+// ---- Calls by the host ----
 
 Time Raft::NextDeadline() const {
   if (role_ == Role::kLeader) return heartbeat_deadline_;
@@ -60,7 +60,7 @@
     durable_index_ = std::max(durable_index_, pending_updates_.front().last_index);
     pending_updates_.pop_front();
   }
-  // A later update may have replaced some of these entries by others, which are not durable yet.
+  // A later update, which is not durable yet, may have replaced some of these entries.
   for (const PendingUpdate& later : pending_updates_)
     durable_index_ = std::min(durable_index_, later.truncate_after);
   durable_index_ = std::min(durable_index_, last_index());
@@ -83,8 +83,9 @@
   outputs_.push_back(StorageUpdate{last_sequence_, hard_state_, snapshot_.index, log_, true, snapshot_});
 }
 
-// A leader replicates entries while it still writes them itself (thesis, section 10.2.1): durable_index_
-// keeps them out of its own count. All other messages wait for all earlier updates.
+// A leader sends entries while its own write of them is still pending (thesis, section 10.2.1);
+// durable_index_ excludes them from its own contribution to commit quorums. All other messages wait for all
+// earlier updates.
 void Raft::Send(const NodeId& to, Message message) {
   const bool replicates = std::holds_alternative<AppendEntriesRequest>(message) ||
                           std::holds_alternative<InstallSnapshotRequest>(message);
--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -1,15 +1,19 @@
 // One node of a Raft cluster as a deterministic state machine, in the manner of etcd/raft.
 //
-// Contract. No I/O and no clock: each call is passed the current time of one monotonic clock. Calls append
-// outputs (storage updates, messages, committed entries); the owner takes them by TakeOutputs after each call
-// and processes them in order. It persists storage updates in the order of their sequence numbers and reports
-// each by OnPersisted; it sends a message only once all updates up to SendMessage::after_sequence are
-// durable. The same restored state, seed and calls give the same outputs. Owner: one thread at a time. Units:
-// durations; log indices. Errors: ProposalError; messages may be lost, delayed, duplicated and reordered, and
-// a message that contradicts the protocol is ignored. Source: as raft/types.h; docs/agreement.md has the
-// design.
+// The node does no I/O and reads no clock: the host passes the current time of one monotonic clock to each
+// call. Calls append outputs (storage updates, messages, committed entries). After each call the host takes
+// them with TakeOutputs and processes them in order: it persists storage updates in the order of their
+// sequence numbers and reports each with OnPersisted, and it sends a message only once all updates up to
+// SendMessage::after_sequence are durable. The same restored state, seed and calls give the same outputs.
 //
-// A node that is not one of the voters is passive: it stores what a leader sends, and starts no elections.
+// Messages may be lost, delayed, duplicated and reordered. A message that contradicts the protocol is
+// ignored.
+//
+// Not thread-safe: only one thread at a time may use an object.
+//
+// A node that is not a voter is passive: it stores the entries that a leader sends and starts no elections.
+//
+// References: see raft/types.h; docs/agreement.md describes the design.
 //
 // The implementation is in raft.cpp (construction, timers, outputs), raft_election.cpp, raft_replication.cpp,
 // raft_membership.cpp and raft_snapshot.cpp.
@@ -35,10 +39,12 @@
   kNone,
   kNotLeader,
   kEntryTooLarge,
-  kChangeInProgress,  // also: the leader has committed nothing in its term yet, or the last voter would go
+  // A membership change is in progress, the leader has not committed an entry of its term yet, or the change
+  // would remove the last voter.
+  kChangeInProgress,
 };
 
-// The proposal is committed if the entry that is committed at `index` is of `term`.
+// The proposal is committed if the entry that is committed at `index` has the term `term`.
 struct ProposalResult {
   ProposalError error = ProposalError::kNone;
   Index index = 0;
@@ -47,72 +53,79 @@
 
 class Raft {
  public:
-  // `restored` is what was durable when this node stopped. A new node has only a snapshot with the voters.
+  // `restored` is the state that was durable when this node stopped. For a new node it contains only a
+  // snapshot with the voters.
   Raft(const Options& options, NodeId self, PersistentState restored, std::uint64_t seed, Time now);
 
-  // Runs the timers that are due. Call it at NextDeadline.
+  // Runs the timers that are due. The host calls it at NextDeadline.
   void Tick(Time now);
-  // When Tick has something to do next; changes with any call. kNever: not before another call.
+  // Returns the time at which Tick must be called next, or kNever if no timer is set. Any call may change it.
   Time NextDeadline() const;
   void Receive(Time now, const NodeId& from, const Message& message);
-  // All storage updates up to and including `sequence` are durable.
+  // Reports that all storage updates up to and including `sequence` are durable.
   void OnPersisted(Time now, std::uint64_t sequence);
-  // The outputs since the last call, in order.
+  // Returns the outputs since the last call, in order.
   [[nodiscard]] std::vector<Output> TakeOutputs();
 
-  // Appends an entry to the log, if this node leads.
+  // Appends an entry to the log if this node is the leader.
   ProposalResult Propose(Time now, std::string data);
-  // Adds or removes one voter. A voter to be added is brought up to date first, without a vote; the change is
-  // appended when it is (`index` is 0 until then).
+  // Adds or removes one voter. A node to be added first catches up as a learner, without a vote; the
+  // membership change is appended once it has, and the `index` of the result is 0 until then.
   ProposalResult ChangeVoters(Time now, const NodeId& id, bool add);
-  // Ends this node's leadership in favour of the voter with the longest log. No-op for others.
+  // Steps down in favor of the voter with the highest match index. Does nothing if this node is not the
+  // leader or there is no other voter.
   void TransferLeadership(Time now);
-  // Replaces the log up to `index`, which must be committed, by a snapshot with `data`.
+  // Replaces the log up to and including `index`, which must be committed, by a snapshot with `data`.
   void Compact(Index index, std::string data);
 
-  // Whether this node may act as leader now: the lease excludes any other leader.
+  // Returns true if this node holds the leader lease, which excludes any other leader: it may act as leader
+  // now.
   bool HoldsLeaderLease(Time now) const;
-  // Whether this leader has committed an entry of its term, and so knows all that was committed before it.
+  // Returns true if this leader has committed an entry of its term, and so knows all earlier committed
+  // entries.
   bool HasCommittedInTerm() const {
     return role_ == Role::kLeader && TermAt(commit_index_) == hard_state_.term;
   }
   Role role() const { return role_; }
   Term term() const { return hard_state_.term; }
-  const NodeId& leader() const { return leader_; }  // empty: not known
+  const NodeId& leader() const { return leader_; }  // empty if unknown
   Index commit_index() const { return commit_index_; }
   Index last_index() const { return snapshot_.index + log_.size(); }
-  const std::vector<NodeId>& voters() const { return voters_; }  // by the newest entry, committed or not
+  // The voters as of the newest membership entry, committed or not.
+  const std::vector<NodeId>& voters() const { return voters_; }
   bool AreVotersCommitted() const { return voters_index_ <= commit_index_; }
-  const std::vector<Entry>& log() const { return log_; }  // after the snapshot
+  const std::vector<Entry>& log() const { return log_; }  // the entries after the snapshot
   const Snapshot& snapshot() const { return snapshot_; }
   const HardState& hard_state() const { return hard_state_; }
-  // The state without times and heartbeat rounds as a text, equal for equal states. For model checking.
+  // Returns the state as a text for the model checker, without times and heartbeat rounds. Equal states have
+  // equal texts.
   std::string CanonicalState() const;
 
  private:
-  // What a leader knows of another node.
+  // The leader's view of another node's log.
   struct Progress {
-    Index match_index = 0;      // the logs agree up to here
-    Index last_sent_index = 0;  // sent since the last heartbeat, perhaps not received
-    std::uint64_t acked_round = 0;
+    Index match_index = 0;          // the last index up to which the logs are known to agree
+    Index last_sent_index = 0;      // the last entry sent since the last heartbeat; it may have been lost
+    std::uint64_t acked_round = 0;  // the newest heartbeat round that the node has acknowledged
   };
   // A storage update that is not durable yet.
   struct PendingUpdate {
     std::uint64_t sequence = 0;
     Index truncate_after = 0;
-    Index last_index = 0;  // of the log after the update
+    Index last_index = 0;  // the last index of the log after the update
   };
   enum class AppendMode {
-    kNewEntries,  // from the last sent entry on, nothing if there is none
-    kHeartbeat,   // from the last acknowledged entry on, also without entries
+    kNewEntries,  // sends the entries after the last sent one; sends nothing if there are none
+    kHeartbeat,   // sends the entries after the last acknowledged one, or a message without entries
   };
 
   std::size_t Majority() const { return voters_.size() / 2 + 1; }
-  Term TermAt(Index index) const;  // 0 if the entry is not there
+  Term TermAt(Index index) const;  // 0 if the log does not contain the entry
   const Entry& EntryAt(Index index) const { return log_[index - snapshot_.index - 1]; }
 
   // ---- raft.cpp: outputs ----
-  // Persists the hard state and replaces the stored log after truncate_after.
+  // Emits a storage update with the hard state that replaces the stored log after truncate_after by
+  // `entries`.
   void PersistEntries(Index truncate_after, std::vector<Entry> entries);
   void PersistSnapshot();
   void Send(const NodeId& to, Message message);
@@ -164,29 +177,31 @@
   Snapshot snapshot_;
   std::vector<Entry> log_;
   std::vector<NodeId> voters_;
-  Index voters_index_ = 0;  // of the entry or snapshot that set voters_
+  Index voters_index_ = 0;  // the index of the entry or snapshot that voters_ comes from
 
   Role role_ = Role::kFollower;
   NodeId leader_;
   Index commit_index_ = 0;
-  Index applied_index_ = 0;              // delivered as Committed
-  std::set<NodeId> votes_granted_;       // of a (pre-)candidate
-  std::map<NodeId, Progress> progress_;  // of a leader, without itself
-  std::optional<NodeId> joining_voter_;  // is brought up to date before it becomes a voter
+  Index applied_index_ = 0;              // the last entry that was emitted as Committed
+  std::set<NodeId> votes_granted_;       // to this (pre-)candidate
+  std::map<NodeId, Progress> progress_;  // leader only: the other nodes that it replicates to
+  std::optional<NodeId> joining_voter_;  // a learner that becomes a voter once it has caught up
 
   Time election_deadline_{};
   Time last_leader_contact_{};
   Time heartbeat_deadline_ = kNever;
   std::uint64_t heartbeat_round_ = 0;
   std::map<std::uint64_t, Time> heartbeat_sent_at_;  // by round
-  Time last_quorum_contact_{};     // when the newest round that a majority has acknowledged was sent
-  bool quorum_contacted_ = false;  // in this leadership; before that last_quorum_contact_ gives no lease
+  Time last_quorum_contact_{};  // the time at which the newest round that a majority acknowledged was sent
+  // True once a majority has acknowledged a round of this leadership. Until then last_quorum_contact_ grants
+  // no lease.
+  bool quorum_contacted_ = false;
 
-  std::uint64_t last_sequence_ = 0;  // of storage updates
+  std::uint64_t last_sequence_ = 0;  // the sequence number of the last storage update
   std::uint64_t persisted_sequence_ = 0;
-  std::uint64_t vote_sequence_ = 0;  // of the update with this candidate's vote for itself
+  std::uint64_t vote_sequence_ = 0;  // the storage update with this candidate's vote for itself
   std::deque<PendingUpdate> pending_updates_;
-  Index durable_index_ = 0;  // up to here the current log is durable
+  Index durable_index_ = 0;  // the current log is durable up to and including this index
   std::vector<Output> outputs_;
 };
 
--- a/src/raft/raft_election.cpp
+++ b/src/raft/raft_election.cpp
@@ -1,4 +1,4 @@
-// Raft: elections with pre-vote, the leader lease and leadership transfer.
+// Raft elections with pre-vote, the leader lease and leadership transfer.
 #include <algorithm>
 
 #include "raft/raft.h"
@@ -12,9 +12,10 @@
       now + options_.min_election_timeout + Duration(static_cast<Duration::rep>(random_() % (range + 1)));
 }
 
-// A voter that acknowledged a heartbeat grants no vote for the minimum election timeout by its own clock. It
-// did so after the heartbeat was sent, so by this clock no other leader can follow before this time. The
-// factor covers clocks that run at different rates.
+// A voter that acknowledges a heartbeat grants no vote for the minimum election timeout, measured by its own
+// clock from the acknowledgement. The leader measures the lease by its own clock from the earlier time at
+// which it sent the heartbeat, so no other leader can be elected before the lease ends. The factor
+// compensates for clocks that run at different rates.
 bool Raft::HoldsLeaderLease(Time now) const {
   if (role_ != Role::kLeader || !quorum_contacted_) return false;
   const double lease_ns = static_cast<double>(options_.min_election_timeout.count()) *
@@ -39,7 +40,7 @@
   quorum_contacted_ = false;
 }
 
-// On each message from the leader of the current or a newer term.
+// Called for each message from the leader of the current or a newer term.
 void Raft::FollowLeader(Time now, Term term, const NodeId& leader) {
   BecomeFollower(now, term, leader);
   last_leader_contact_ = now;
@@ -66,7 +67,7 @@
   PersistEntries(last_index(), {});
   vote_sequence_ = last_sequence_;
   votes_granted_.clear();
-  // A message to itself, so that its own vote also counts only once it is durable.
+  // The candidate's vote for itself is sent as a message, so that it also counts only once it is durable.
   Send(self_, VoteResponse{false, hard_state_.term, true});
   for (const NodeId& voter : voters_) {
     if (voter == self_) continue;
@@ -83,9 +84,9 @@
   for (const NodeId& voter : voters_)
     if (voter != self_) progress_[voter] = {0, last_index(), 0};
   quorum_contacted_ = false;
-  last_quorum_contact_ = now;  // check_quorum counts from here; the lease needs quorum_contacted_
+  last_quorum_contact_ = now;  // starts the check_quorum timeout; grants no lease until quorum_contacted_
   heartbeat_sent_at_.clear();
-  // Entries of earlier terms are committed together with this one.
+  // Committing this entry also commits all entries of earlier terms.
   AppendAsLeader(now, {0, 0, EntryKind::kNoOp, {}, {}});
   BroadcastHeartbeat(now);
 }
@@ -102,7 +103,7 @@
   const NodeId to = *successor;
   SendAppend(to, AppendMode::kHeartbeat);
   Send(to, TimeoutNowRequest{hard_state_.term});
-  // The successor may be elected at any time now, in spite of the lease.
+  // From now on the successor may be elected at any time, in spite of the lease.
   if (options_.safety_checks.release_lease_on_transfer) BecomeFollower(now, hard_state_.term, {});
 }
 
@@ -114,7 +115,8 @@
   return request.last_term != last_term ? request.last_term > last_term : request.last_index >= last_index();
 }
 
-// Whether a leader may still hold its lease by this node's acknowledgement (thesis, section 4.2.3).
+// Returns true if a leader may still hold a lease that relies on this node's acknowledgement (thesis, section
+// 4.2.3).
 bool Raft::DisturbsLeader(Time now, const VoteRequest& request) const {
   if (request.leadership_transfer || !options_.safety_checks.leader_stickiness) return false;
   const Time contact = role_ == Role::kLeader ? last_quorum_contact_ : last_leader_contact_;
--- a/src/raft/raft_membership.cpp
+++ b/src/raft/raft_membership.cpp
@@ -1,4 +1,4 @@
-// Raft: changes of the voters, one at a time.
+// Raft membership changes, one voter at a time.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,8 @@
 
 bool Raft::IsVoter() const { return std::find(voters_.begin(), voters_.end(), self_) != voters_.end(); }
 
-// Takes the voters from the newest entry that has some, committed or not (paper, section 6).
+// Sets the voters from the newest membership entry, committed or not (paper, section 6), or else from the
+// snapshot.
 void Raft::ReloadVoters() {
   voters_ = snapshot_.voters;
   voters_index_ = snapshot_.index;
@@ -30,7 +31,7 @@
 }
 
 ProposalResult Raft::AddVoter(Time now, const NodeId& id) {
-  // A node of this name that was removed earlier may come back with another store.
+  // A node of this name that was removed earlier may rejoin with another store.
   if (joining_voter_ != id) progress_[id] = {};
   joining_voter_ = id;
   SendAppend(id, AppendMode::kHeartbeat);
@@ -47,7 +48,8 @@
   return {ProposalError::kNone, last_index(), hard_state_.term};
 }
 
-// Appends the change that adds the joining node, once it lacks less than one batch of the log.
+// Appends the membership change that adds the joining node once that node has all committed entries and lacks
+// less than one batch of the log.
 void Raft::PromoteJoiningVoter(Time now) {
   if (!joining_voter_ || !progress_.contains(*joining_voter_)) return;
   if (!AreVotersCommitted() || TermAt(commit_index_) != hard_state_.term) return;
@@ -60,7 +62,8 @@
   SendNewEntries();
 }
 
-// A leader that is no voter any more hands over, so that the others need not wait for an election timeout.
+// A leader that is no longer a voter transfers its leadership, so that the others need not wait for an
+// election timeout.
 void Raft::StepDownAfterRemoval(Time now) {
   SendNewEntries();
   TransferLeadership(now);
--- a/src/raft/raft_replication.cpp
+++ b/src/raft/raft_replication.cpp
@@ -1,4 +1,4 @@
-// Raft: log replication, heartbeats and commitment.
+// Raft log replication, heartbeats and commitment.
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Older rounds are forgotten; answers to them extend no lease.
+// The leader drops older rounds; responses to them extend no lease.
 constexpr std::size_t kMaxTrackedHeartbeats = 64;
 
 }  // namespace
@@ -44,7 +44,7 @@
   while (heartbeat_sent_at_.size() > kMaxTrackedHeartbeats)
     heartbeat_sent_at_.erase(heartbeat_sent_at_.begin());
   for (const auto& [id, progress] : progress_) SendAppend(id, AppendMode::kHeartbeat);
-  if (voters_ == std::vector<NodeId>{self_}) {  // nobody else can answer
+  if (voters_ == std::vector<NodeId>{self_}) {  // there is no other voter that could respond
     quorum_contacted_ = true;
     last_quorum_contact_ = now;
   }
@@ -81,7 +81,7 @@
   for (const auto& [id, progress] : progress_) SendAppend(id, AppendMode::kNewEntries);
 }
 
-// The highest index that a majority of the voters holds durably.
+// Returns the highest index that a majority of the voters has stored durably.
 Index Raft::QuorumIndex() const {
   if (voters_.empty()) return 0;
   std::vector<Index> match_indices;
@@ -127,7 +127,8 @@
   if (role_ == Role::kLeader && progress_.contains(from)) SendAppend(from, AppendMode::kNewEntries);
 }
 
-// Finds the newest heartbeat round that a majority has acknowledged; the lease runs from when it was sent.
+// Finds the newest heartbeat round that a majority has acknowledged. The lease starts at the time at which
+// that round was sent.
 void Raft::UpdateQuorumContact() {
   std::vector<std::uint64_t> acked_rounds;
   for (const NodeId& voter : voters_) {
@@ -153,8 +154,9 @@
     return Send(from, AppendEntriesResponse{hard_state_.term, request.heartbeat_round, false, 0});
   if (role_ == Role::kLeader && request.term == hard_state_.term) return;  // a term has one leader
   FollowLeader(now, request.term, from);
-  if (const std::optional<Index> retry_after = FindConflict(request))
-    return Send(from, AppendEntriesResponse{hard_state_.term, request.heartbeat_round, false, *retry_after});
+  if (const std::optional<Index> conflict_hint = FindConflict(request))
+    return Send(from,
+                AppendEntriesResponse{hard_state_.term, request.heartbeat_round, false, *conflict_hint});
   AppendFromLeader(request.entries);
   const Index match_index =
       std::max(request.prev_index, request.entries.empty() ? 0 : request.entries.back().index);
@@ -167,8 +169,8 @@
                                    std::min(match_index, last_index())});
 }
 
-// If the entry at prev_index is missing or another one: the index behind which the leader should retry. It
-// goes back over the whole conflicting term at once.
+// Returns the index after which the leader should retry if the entry at prev_index is missing or has another
+// term, otherwise nullopt. Skips all entries of the conflicting term at once.
 std::optional<Index> Raft::FindConflict(const AppendEntriesRequest& request) const {
   if (!options_.safety_checks.log_matching) return std::nullopt;
   if (request.prev_index > last_index()) return last_index();
@@ -180,7 +182,7 @@
   return index;
 }
 
-// Skips the entries that are there already; at the first that is not, the rest of the log is replaced.
+// Skips the entries that the log already contains. The first other entry replaces the rest of the log.
 void Raft::AppendFromLeader(const std::vector<Entry>& entries) {
   Index truncate_after = last_index();
   std::vector<Entry> appended;
--- a/src/raft/raft_snapshot.cpp
+++ b/src/raft/raft_snapshot.cpp
@@ -1,4 +1,4 @@
-// Raft: log compaction and snapshots for followers that are behind the compacted log.
+// Raft log compaction, and snapshots for followers that need entries which were compacted.
 #include <algorithm>
 #include <utility>
 
@@ -26,7 +26,8 @@
                                    std::max(commit_index_, request.snapshot.index)});
 }
 
-// Keeps the log behind the snapshot if the log contains the snapshot's last entry.
+// Keeps the entries after the snapshot if the log contains the snapshot's last entry; otherwise drops the
+// entire log.
 void Raft::InstallSnapshot(const Snapshot& snapshot) {
   const bool log_continues = snapshot.index < last_index() && TermAt(snapshot.index) == snapshot.term;
   if (log_continues)
