--- a/src/replicated_config/config_replica.cpp
+++ b/src/replicated_config/config_replica.cpp
@@ -44,17 +44,17 @@
 }
 
 ConfigReplica::Time ConfigReplica::NextDeadline() const {
-  Time due = next_renewal_at_;
+  Time next = next_renewal_at_;
   for (const auto& [id, request] : pending_requests_)
-    due = std::min({due, request.next_attempt, request.deadline});
+    next = std::min({next, request.next_attempt, request.deadline});
   const auto& state = admission_.state();
   if (state &&
       (*state == VoterAdmission::State::kQueryingVoters || *state == VoterAdmission::State::kEmptyStore))
-    due = std::min(due, next_hello_at_);
-  if (raft_) due = std::min(due, raft_->NextDeadline());
-  if (in_flight_change_ && !in_flight_change_->proposed) due = std::min(due, in_flight_change_->deadline);
-  if (in_flight_voter_change_) due = std::min(due, next_admit_message_at_);
-  return due;
+    next = std::min(next, next_hello_at_);
+  if (raft_) next = std::min(next, raft_->NextDeadline());
+  if (in_flight_change_ && !in_flight_change_->proposed) next = std::min(next, in_flight_change_->deadline);
+  if (in_flight_voter_change_) next = std::min(next, next_admit_message_at_);
+  return next;
 }
 
 void ConfigReplica::Tick(Time now) {
@@ -80,9 +80,9 @@
   for (int round = 0; round < kMaxDispatchRounds; ++round) {
     DrainRaftOutputs(now);
     RunLeaderDuties(now);
-    std::vector<Message> own = std::exchange(messages_to_self_, {});
-    if (own.empty()) break;
-    for (const Message& message : own)
+    std::vector<Message> messages = std::exchange(messages_to_self_, {});
+    if (messages.empty()) break;
+    for (const Message& message : messages)
       std::visit([&](const auto& body) { Handle(now, self_, message, body); }, message.body);
   }
   DrainRaftOutputs(now);
--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -165,8 +165,8 @@
   };
   struct InFlightChange {  // on a leader: validated by the holders, then proposed
     ConfigChange change;
-    std::set<Instance> awaiting;
-    Time deadline{};
+    std::set<Instance> pending_validators;  // the holders that have not accepted the change yet
+    Time deadline{};                        // of the validation
     bool proposed = false;
     std::set<Instance> reply_to;
   };
--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -39,7 +39,7 @@
     if (version < state_machine_.active_version()) superseded_at_.try_emplace(version, now);
   ActivateLatestVersion(now);
   if (in_flight_change_ && !in_flight_change_->proposed &&
-      (in_flight_change_->awaiting.empty() || now >= in_flight_change_->deadline))
+      (in_flight_change_->pending_validators.empty() || now >= in_flight_change_->deadline))
     ProposeInFlight(now);
   if (in_flight_voter_change_) AdvanceVoterChange(now);
 }
@@ -139,13 +139,13 @@
   if (auto checked = CheckProposal(now, change); !checked) return reject(std::move(checked.error()));
   auto validators = FindValidators(now, change.document);
   if (!validators) return reject(std::move(validators.error()));
-  InFlightChange fresh;
-  fresh.change = change;
-  fresh.reply_to = {from};
-  fresh.deadline = now + kValidationTimeout;
-  fresh.awaiting = std::move(*validators);
-  in_flight_change_ = std::move(fresh);
-  for (const Instance holder : in_flight_change_->awaiting)
+  InFlightChange in_flight;
+  in_flight.change = change;
+  in_flight.reply_to = {from};
+  in_flight.deadline = now + kValidationTimeout;
+  in_flight.pending_validators = std::move(*validators);
+  in_flight_change_ = std::move(in_flight);
+  for (const Instance holder : in_flight_change_->pending_validators)
     Send(holder, ValidateRequest{change.id, change.document});
 }
 
@@ -210,7 +210,7 @@
 void ConfigReplica::Handle(Time, Instance from, const Message& message, const ValidateResponse& body) {
   if (!in_flight_change_ || in_flight_change_->change.id != body.id || in_flight_change_->proposed) return;
   if (body.reason.empty()) {
-    in_flight_change_->awaiting.erase(from);
+    in_flight_change_->pending_validators.erase(from);
     return;
   }
   SendOutcome(in_flight_change_->reply_to, {body.id, ChangeStatus::kRejected, state_machine_.latest_version(),
--- a/src/replicated_config/config_replica_voter.cpp
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -19,7 +19,7 @@
 
 std::vector<NodeId> NamesOf(const BootstrapVoters& bootstrap_voters) {
   std::vector<NodeId> names;
-  for (const auto& [name, store] : bootstrap_voters) names.push_back(name);
+  for (const auto& [name, store_id] : bootstrap_voters) names.push_back(name);
   return names;
 }
 
@@ -158,8 +158,8 @@
     const std::vector<raft::Output> outputs = raft_->TakeOutputs();
     if (outputs.empty()) return;
     for (const raft::Output& output : outputs) {
-      if (const auto* store = std::get_if<raft::StorageUpdate>(&output))
-        outputs_.push_back(Persist{*store});
+      if (const auto* update = std::get_if<raft::StorageUpdate>(&output))
+        outputs_.push_back(Persist{*update});
       else if (const auto* send = std::get_if<raft::SendMessage>(&output))
         deferred_messages_.push_back({send->to, send->message, send->after_sequence});
       else if (const auto* committed = std::get_if<raft::Committed>(&output))
--- a/src/replicated_config/config_state_machine.cpp
+++ b/src/replicated_config/config_state_machine.cpp
@@ -9,7 +9,7 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 using Reader = codec::MsgpackReader;
-constexpr codec::MsgpackLimits kBounds{4096, 128, kMaxStoredDocumentBytes + kMaxDocumentBytes, 8};
+constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, kMaxStoredDocumentBytes + kMaxDocumentBytes, 8};
 
 enum class EntryKind : std::uint8_t { kChange = 0, kActivate = 1 };
 
@@ -45,34 +45,35 @@
 }
 
 std::optional<ChangeOutcome> ConfigStateMachine::Apply(const std::string& entry) {
-  const auto outcome = codec::UnpackArray(entry, kBounds, [&](Reader& in) -> std::optional<ChangeOutcome> {
-    if (in.Enum(EntryKind::kActivate) == EntryKind::kActivate) {
-      const auto version = in.Take<std::uint64_t>();
-      if (version <= latest_version_) active_version_ = std::max(active_version_, version);
-      DropOldVersions();
-      return std::nullopt;
-    }
-    ChangeOutcome out;
-    out.id = in.Take<std::string>();
-    const auto base_version = in.Take<std::uint64_t>();
-    VersionRecord record;
-    record.document = in.Bytes();
-    record.author = in.Take<std::string>();
-    record.proposed_at_unix_ms = in.Take<std::int64_t>();
-    if (const ChangeOutcome* before = FindOutcome(out.id); before != nullptr && safety_checks_.idempotent)
-      return *before;
-    if (base_version != latest_version_ && safety_checks_.compare_and_set) {
-      out.status = ChangeStatus::kConflict;
-      out.version = latest_version_;
-    } else {
-      out.status = ChangeStatus::kCommitted;
-      out.version = ++latest_version_;
-      versions_[latest_version_] = std::move(record);
-    }
-    if (outcomes_.insert_or_assign(out.id, out).second) outcome_order_.push_back(out.id);
-    DropOldVersions();
-    return out;
-  });
+  const auto outcome =
+      codec::UnpackArray(entry, kDecodingLimits, [&](Reader& in) -> std::optional<ChangeOutcome> {
+        if (in.Enum(EntryKind::kActivate) == EntryKind::kActivate) {
+          const auto version = in.Take<std::uint64_t>();
+          if (version <= latest_version_) active_version_ = std::max(active_version_, version);
+          DropOldVersions();
+          return std::nullopt;
+        }
+        ChangeOutcome out;
+        out.id = in.Take<std::string>();
+        const auto base_version = in.Take<std::uint64_t>();
+        VersionRecord record;
+        record.document = in.Bytes();
+        record.author = in.Take<std::string>();
+        record.proposed_at_unix_ms = in.Take<std::int64_t>();
+        if (const ChangeOutcome* before = FindOutcome(out.id); before != nullptr && safety_checks_.idempotent)
+          return *before;
+        if (base_version != latest_version_ && safety_checks_.compare_and_set) {
+          out.status = ChangeStatus::kConflict;
+          out.version = latest_version_;
+        } else {
+          out.status = ChangeStatus::kCommitted;
+          out.version = ++latest_version_;
+          versions_[latest_version_] = std::move(record);
+        }
+        if (outcomes_.insert_or_assign(out.id, out).second) outcome_order_.push_back(out.id);
+        DropOldVersions();
+        return out;
+      });
   return outcome.value_or(std::nullopt);
 }
 
@@ -83,8 +84,8 @@
   std::size_t bytes = 0;
   for (const auto& [version, record] : versions_) bytes += record.document.size();
   for (auto it = versions_.begin(); it != versions_.end();) {
-    const bool over = bytes > kMaxStoredDocumentBytes || versions_.size() > kMaxVersions;
-    if (!over) break;
+    const bool exceeds_limit = bytes > kMaxStoredDocumentBytes || versions_.size() > kMaxVersions;
+    if (!exceeds_limit) break;
     if (it->first >= active_version_) {
       ++it;  // the active version, or one that may become active
       continue;
@@ -135,14 +136,14 @@
 }
 
 bool ConfigStateMachine::Restore(std::string_view snapshot) {
-  ConfigStateMachine fresh(safety_checks_);
+  ConfigStateMachine restored(safety_checks_);
   if (!snapshot.empty()) {
-    const auto good = codec::UnpackArray(snapshot, kBounds, [&](Reader& in) {
-      fresh.latest_version_ = in.Take<std::uint64_t>();
-      fresh.active_version_ = in.Take<std::uint64_t>();
+    const auto decoded = codec::UnpackArray(snapshot, kDecodingLimits, [&](Reader& in) {
+      restored.latest_version_ = in.Take<std::uint64_t>();
+      restored.active_version_ = in.Take<std::uint64_t>();
       Reader versions(in.Next());
       while (versions.left() > 0) {
-        VersionRecord& record = fresh.versions_[versions.Take<std::uint64_t>()];
+        VersionRecord& record = restored.versions_[versions.Take<std::uint64_t>()];
         record.document = versions.Bytes();
         record.author = versions.Take<std::string>();
         record.proposed_at_unix_ms = versions.Take<std::int64_t>();
@@ -153,14 +154,14 @@
         outcome.id = outcomes.Take<std::string>();
         outcome.status = outcomes.Enum(ChangeStatus::kUnknown);
         outcome.version = outcomes.Take<std::uint64_t>();
-        fresh.outcome_order_.push_back(outcome.id);
-        fresh.outcomes_[outcome.id] = std::move(outcome);
+        restored.outcome_order_.push_back(outcome.id);
+        restored.outcomes_[outcome.id] = std::move(outcome);
       }
       return true;
     });
-    if (!good) return false;
+    if (!decoded) return false;
   }
-  *this = std::move(fresh);
+  *this = std::move(restored);
   return true;
 }
 
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -32,18 +32,18 @@
  public:
   tl::expected<Document, InvalidDocument> Parse(std::string_view text) {
     try {
-      const operator_config::NodeReaders known = {
-          {"format", [&](const KdlNode& n) { Count(n, 1e6, document_.format); }},
-          {"attempts", [&](const KdlNode& n) { document_.max_attempts = Integer(n, 1, 100); }},
-          {"open-most", [&](const KdlNode& n) { document_.max_open_requests = Integer(n, 1, 1e6); }},
-          {"further-attempts", [&](const KdlNode& n) { RetryBudgetNode(n); }},
-          {"class", [&](const KdlNode& n) { Class(n); }},
-          {"tenant", [&](const KdlNode& n) { Tenant(n); }},
-          {"team", [&](const KdlNode& n) { Team(n); }},
-          {"out", [&](const KdlNode& n) { Names(n, document_.ejected_engines); }},
-          {"cut-off", [&](const KdlNode& n) { IsolationBlock(n); }},
+      const operator_config::NodeReaders readers = {
+          {"format", [&](const KdlNode& n) { ParseCount(n, 1e6, document_.format); }},
+          {"attempts", [&](const KdlNode& n) { document_.max_attempts = ParseInteger(n, 1, 100); }},
+          {"open-most", [&](const KdlNode& n) { document_.max_open_requests = ParseInteger(n, 1, 1e6); }},
+          {"further-attempts", [&](const KdlNode& n) { ParseRetryBudget(n); }},
+          {"class", [&](const KdlNode& n) { ParseClass(n); }},
+          {"tenant", [&](const KdlNode& n) { ParseTenant(n); }},
+          {"team", [&](const KdlNode& n) { ParseTeam(n); }},
+          {"out", [&](const KdlNode& n) { ParseNames(n, document_.ejected_engines); }},
+          {"cut-off", [&](const KdlNode& n) { ParseIsolationPolicy(n); }},
       };
-      operator_config::ReadBlock(codec::ReadKdl(text), known, {"class", "tenant", "team", "out"}, errors_);
+      operator_config::ReadBlock(codec::ReadKdl(text), readers, {"class", "tenant", "team", "out"}, errors_);
     } catch (const codec::KdlError& e) {
       const std::string what = e.what();  // "line N, column N: message"
       return tl::unexpected(InvalidDocument{
@@ -55,53 +55,53 @@
         errors_.Add({}, std::to_string(count) + " of one kind: at most " + std::to_string(kMaxNames));
     if (errors_.all().empty()) return std::move(document_);
     InvalidDocument invalid;
-    for (const operator_config::Fault& problem : errors_.all())
-      invalid.faults.push_back({problem.place.line, problem.place.column, problem.text});
+    for (const operator_config::Fault& fault : errors_.all())
+      invalid.faults.push_back({fault.place.line, fault.place.column, fault.text});
     return tl::unexpected(std::move(invalid));
   }
 
  private:
-  void Count(const KdlNode& n, double most, std::uint64_t& out) {
+  void ParseCount(const KdlNode& n, double max, std::uint64_t& out) {
     std::size_t value = out;
-    operator_config::ReadCount(n, most, value, errors_);
+    operator_config::ReadCount(n, max, value, errors_);
     out = value;
   }
-  int Integer(const KdlNode& n, double least, double most) {
-    double value = least;
-    operator_config::ReadNumber(n, least, most, value, errors_);
+  int ParseInteger(const KdlNode& n, double min, double max) {
+    double value = min;
+    operator_config::ReadNumber(n, min, max, value, errors_);
     if (value != std::floor(value)) errors_.Add(n.place, n.name + ": expected a whole number");
     return static_cast<int>(value);
   }
-  std::size_t Size(const KdlNode& n, double most) {
+  std::size_t ParseSize(const KdlNode& n, double max) {
     std::size_t value = 0;
-    operator_config::ReadCount(n, most, value, errors_);
+    operator_config::ReadCount(n, max, value, errors_);
     return value;
   }
-  double Number(const KdlNode& n) {
+  double ParseNumber(const KdlNode& n) {
     double value = 0;
     operator_config::ReadNumber(n, 0, kMaxRate, value, errors_);
     return value;
   }
-  Span Time(const KdlNode& n, Span least = 0s, Span most = 24h) {
+  Span ParseDuration(const KdlNode& n, Span min = 0s, Span max = 24h) {
     Span value{};
-    operator_config::ReadSpan(n, least, most, value, errors_);
+    operator_config::ReadSpan(n, min, max, value, errors_);
     return value;
   }
   // Reads the name of a block and returns its new entry; a duplicate is a fault.
   template <typename Override>
-  Override& Named(const KdlNode& n, std::map<std::string, Override>& into) {
-    KdlNode head = n;
-    head.children.clear();
+  Override& AddOverride(const KdlNode& n, std::map<std::string, Override>& out) {
+    KdlNode header = n;
+    header.children.clear();
     std::string name;
-    operator_config::ReadText(head, name, errors_);
+    operator_config::ReadText(header, name, errors_);
     if (!IsValidName(name))
       errors_.Add(n.place, n.name + ": a name is 1 to 128 plain characters without blanks");
-    const auto [it, fresh] = into.try_emplace(name);
-    if (!fresh) errors_.Add(n.place, n.name + " '" + name + "': given twice");
+    const auto [it, inserted] = out.try_emplace(name);
+    if (!inserted) errors_.Add(n.place, n.name + " '" + name + "': given twice");
     return it->second;
   }
   template <typename E, std::size_t N>
-  std::optional<E> OneOf(const KdlNode& n, const char* const (&names)[N]) {
+  std::optional<E> ParseEnum(const KdlNode& n, const char* const (&names)[N]) {
     std::string name;
     operator_config::ReadText(n, name, errors_);
     for (std::size_t i = 0; i < N; ++i)
@@ -109,67 +109,70 @@
     errors_.Add(n.place, n.name + ": '" + name + "' is none of those there are");
     return std::nullopt;
   }
-  void Names(const KdlNode& n, std::set<std::string>& into) {
+  void ParseNames(const KdlNode& n, std::set<std::string>& out) {
     if (!n.properties.empty() || !n.children.empty()) errors_.Add(n.place, n.name + ": takes names alone");
     for (const KdlValue& value : n.arguments) {
       if (value.kind != KdlValue::Kind::kText || !IsValidName(value.text))
         errors_.Add(value.place, n.name + ": a name is 1 to 128 plain characters without blanks");
-      else if (!into.insert(value.text).second)
+      else if (!out.insert(value.text).second)
         errors_.Add(value.place, n.name + ": '" + value.text + "' is given twice");
     }
   }
-  void Class(const KdlNode& node) {
-    ClassOverride& entry = Named(node, document_.classes);
+  void ParseClass(const KdlNode& node) {
+    ClassOverride& entry = AddOverride(node, document_.classes);
     operator_config::ReadBlock(
         node.children,
-        {{"effect", [&](const KdlNode& n) { entry.effect = OneOf<Effect>(n, kEffects); }},
-         {"group", [&](const KdlNode& n) { entry.group = OneOf<RepeatGroup>(n, kGroups); }},
-         {"repeat-window", [&](const KdlNode& n) { entry.repeat_window = Time(n); }}},
+        {{"effect", [&](const KdlNode& n) { entry.effect = ParseEnum<Effect>(n, kEffects); }},
+         {"group", [&](const KdlNode& n) { entry.group = ParseEnum<RepeatGroup>(n, kGroups); }},
+         {"repeat-window", [&](const KdlNode& n) { entry.repeat_window = ParseDuration(n); }}},
         {}, errors_);
   }
-  void Tenant(const KdlNode& node) {
-    TenantOverride& entry = Named(node, document_.tenants);
-    operator_config::ReadBlock(
-        node.children, {{"quota", [&](const KdlNode& n) { entry.quota_per_s = Number(n); }}}, {}, errors_);
-  }
-  void Team(const KdlNode& node) {
-    TeamOverride& entry = Named(node, document_.teams);
+  void ParseTenant(const KdlNode& node) {
+    TenantOverride& entry = AddOverride(node, document_.tenants);
     operator_config::ReadBlock(node.children,
-                               {{"cores", [&](const KdlNode& n) { entry.cores = Number(n); }},
-                                {"burst", [&](const KdlNode& n) { entry.burst = Time(n, 0s, 1h); }},
-                                {"threads", [&](const KdlNode& n) { entry.threads = Size(n, 1e7); }},
-                                {"waiting", [&](const KdlNode& n) { entry.max_waiting = Size(n, 2e6); }}},
-                               {}, errors_);
+                               {{"quota", [&](const KdlNode& n) { entry.quota_per_s = ParseNumber(n); }}}, {},
+                               errors_);
+  }
+  void ParseTeam(const KdlNode& node) {
+    TeamOverride& entry = AddOverride(node, document_.teams);
+    operator_config::ReadBlock(
+        node.children,
+        {{"cores", [&](const KdlNode& n) { entry.cores = ParseNumber(n); }},
+         {"burst", [&](const KdlNode& n) { entry.burst = ParseDuration(n, 0s, 1h); }},
+         {"threads", [&](const KdlNode& n) { entry.threads = ParseSize(n, 1e7); }},
+         {"waiting", [&](const KdlNode& n) { entry.max_waiting = ParseSize(n, 2e6); }}},
+        {}, errors_);
   }
-  void RetryBudgetNode(const KdlNode& node) {
+  void ParseRetryBudget(const KdlNode& node) {
     RetryBudget budget;
     for (const auto& [name, value] : node.properties) {
-      const bool number =
+      const bool is_number =
           value.kind == KdlValue::Kind::kNumber && value.number >= 0 && value.number <= kMaxRate;
-      const bool span = operator_config::ParseSpan(value.text, budget.window);
-      if (name == "free" && number)
+      const bool is_span = operator_config::ParseSpan(value.text, budget.window);
+      if (name == "free" && is_number)
         budget.free = value.number;
-      else if (name == "ratio" && number)
+      else if (name == "ratio" && is_number)
         budget.ratio = value.number;
-      else if (name != "over" || !span)
+      else if (name != "over" || !is_span)
         errors_.Add(value.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
     }
     if (budget.window <= 0s || !node.arguments.empty() || !node.children.empty())
       errors_.Add(node.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
     document_.retry_budget = budget;
   }
-  void IsolationBlock(const KdlNode& node) {
-    KdlNode head = node;
-    head.children.clear();
-    document_.isolation.duration = Time(head, 1s, kMaxIsolationDuration);
-    operator_config::ReadBlock(node.children,
-                               {{"class", [&](const KdlNode& n) { Names(n, document_.isolation.classes); }},
-                                {"engine", [&](const KdlNode& n) { Names(n, document_.isolation.engines); }}},
-                               {}, errors_);
-    const IsolationPolicy& c = document_.isolation;
-    if (c.classes.empty() || c.engines.empty())
+  void ParseIsolationPolicy(const KdlNode& node) {
+    KdlNode header = node;
+    header.children.clear();
+    document_.isolation.duration = ParseDuration(header, 1s, kMaxIsolationDuration);
+    operator_config::ReadBlock(
+        node.children,
+        {{"class", [&](const KdlNode& n) { ParseNames(n, document_.isolation.classes); }},
+         {"engine", [&](const KdlNode& n) { ParseNames(n, document_.isolation.engines); }}},
+        {}, errors_);
+    const IsolationPolicy& policy = document_.isolation;
+    if (policy.classes.empty() || policy.engines.empty())
       errors_.Add(node.place, "cut-off: name the classes that go on and the engines that they go on at");
-    for (const std::string& engine : c.engines)
+    for (const std::string& engine : policy.engines)
       if (document_.ejected_engines.contains(engine))
         errors_.Add(node.place, "cut-off: engine '" + engine + "' is out by hand");
   }
@@ -249,27 +252,27 @@
 }
 
 Lines DocumentLines(const Document& d) {
-  Lines all;
-  const auto put = [&](const std::string& kind, const auto& overrides, auto of) {
+  Lines lines;
+  const auto put = [&](const std::string& kind, const auto& overrides, auto to_lines) {
     for (const auto& [name, entry] : overrides) {
-      const Lines lines = of(entry);
-      all[kind + " " + name];  // present even if it overrides nothing
-      for (const auto& [what, value] : lines) all[kind + " " + name + " " + what] = value;
+      const Lines entry_lines = to_lines(entry);
+      lines[kind + " " + name];  // listed even if it overrides nothing
+      for (const auto& [what, value] : entry_lines) lines[kind + " " + name + " " + what] = value;
     }
   };
-  Put(all, "attempts", d.max_attempts);
-  Put(all, "open-most", d.max_open_requests);
-  Put(all, "further-attempts", d.retry_budget);
+  Put(lines, "attempts", d.max_attempts);
+  Put(lines, "open-most", d.max_open_requests);
+  Put(lines, "further-attempts", d.retry_budget);
   put("class", d.classes, ClassLines);
   put("tenant", d.tenants, TenantLines);
   put("team", d.teams, TeamLines);
-  for (const std::string& engine : d.ejected_engines) all["out " + engine];
+  for (const std::string& engine : d.ejected_engines) lines["out " + engine];
   if (d.isolation.duration > 0s) {
-    all["cut-off lasts"] = Format(d.isolation.duration);
-    all["cut-off class"] = Format(d.isolation.classes);
-    all["cut-off engine"] = Format(d.isolation.engines);
+    lines["cut-off lasts"] = Format(d.isolation.duration);
+    lines["cut-off class"] = Format(d.isolation.classes);
+    lines["cut-off engine"] = Format(d.isolation.engines);
   }
-  return all;
+  return lines;
 }
 
 }  // namespace
@@ -328,12 +331,12 @@
   const auto unknown = [](Cause cause, const std::string& name) {
     return tl::unexpected(IncompatibleDocument{cause, name});
   };
-  const auto over = [](Cause cause, auto supported, auto requested) {
+  const auto exceeds = [](Cause cause, auto supported, auto requested) {
     return tl::unexpected(IncompatibleDocument{
         cause, {}, static_cast<std::uint64_t>(supported), static_cast<std::uint64_t>(requested)});
   };
   if (document.format > kNewestDocumentFormat)
-    return over(Cause::kFormat, kNewestDocumentFormat, document.format);
+    return exceeds(Cause::kFormat, kNewestDocumentFormat, document.format);
   for (const auto& [name, entry] : document.classes)
     if (!own.ClassOf(name)) return unknown(Cause::kUnknownClass, name);
   for (const std::string& name : document.isolation.classes)
@@ -341,9 +344,9 @@
   for (const auto& [name, entry] : document.tenants)
     if (!own.TenantOf(name)) return unknown(Cause::kUnknownTenant, name);
   if (document.max_attempts && *document.max_attempts > own.module.max_attempts)
-    return over(Cause::kMaxAttempts, own.module.max_attempts, *document.max_attempts);
+    return exceeds(Cause::kMaxAttempts, own.module.max_attempts, *document.max_attempts);
   if (document.max_open_requests && own.max_open > 0 && *document.max_open_requests > own.max_open)
-    return over(Cause::kMaxOpenRequests, own.max_open, *document.max_open_requests);
+    return exceeds(Cause::kMaxOpenRequests, own.max_open, *document.max_open_requests);
   if (!document.teams.empty() && queue == nullptr) return unknown(Cause::kNoAdmissionQueue, {});
   for (const auto& [name, entry] : document.teams) {
     const bool known =
@@ -368,10 +371,10 @@
 }
 
 std::string SuccessorConflict::Text() const {
-  const std::string in_use = "proxies that are cut off may go on ";
+  const std::string isolated_use = "proxies that are cut off may go on ";
   const std::string duration = " for " + Format(isolation_duration) + ": take it from `cut-off` ";
-  if (kind == Kind::kEjectsEngine) return in_use + "at engine '" + name + "'" + duration + "first";
-  return in_use + "with class '" + name + "'" + duration + "before its rules change";
+  if (kind == Kind::kEjectsEngine) return isolated_use + "at engine '" + name + "'" + duration + "first";
+  return isolated_use + "with class '" + name + "'" + duration + "before its rules change";
 }
 
 std::string IncompatibleDocument::Text() const {
@@ -415,8 +418,8 @@
 }
 
 admission_queue::Settings ApplyDocument(const Document& document, const admission_queue::Settings& own) {
-  admission_queue::Settings line = own;
-  for (admission_queue::TenantBudget& team : line.tenants) {
+  admission_queue::Settings queue = own;
+  for (admission_queue::TenantBudget& team : queue.tenants) {
     const auto it = document.teams.find(team.name);
     if (it == document.teams.end()) continue;
     const TeamOverride& entry = it->second;
@@ -425,7 +428,7 @@
     if (entry.threads) team.max_threads = static_cast<int>(*entry.threads);
     if (entry.max_waiting) team.max_waiting = *entry.max_waiting;
   }
-  return line;
+  return queue;
 }
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -6,14 +6,14 @@
 namespace lemoncroft::replicated_config {
 namespace {
 
-constexpr std::size_t kMaxPendingRenewals = 16;    // unanswered renewals
-constexpr std::size_t kExpirySweepThreshold = 64;  // records; above it, expired ones are dropped
-constexpr std::size_t kMaxClockSamples = 11;       // spans ten renewal intervals
-constexpr Span kMessageDelayTolerance =
-    std::chrono::milliseconds(20);  // network jitter in a comparison of clocks
-
-Span Scaled(Span span, double by) {
-  return Span(static_cast<Span::rep>(static_cast<double>(span.count()) * by));
+constexpr std::size_t kMaxPendingRenewals = 16;    // renewals without a grant
+constexpr std::size_t kExpirySweepThreshold = 64;  // above this number of leases, expired ones are dropped
+constexpr std::size_t kMaxClockSamples = 11;       // 11 samples span ten renewal intervals
+// The network jitter that a comparison of clocks tolerates.
+constexpr Span kMessageDelayTolerance = std::chrono::milliseconds(20);
+
+Span Scaled(Span span, double factor) {
+  return Span(static_cast<Span::rep>(static_cast<double>(span.count()) * factor));
 }
 
 }  // namespace
@@ -27,10 +27,10 @@
 }
 
 void LeaseHolder::HandleGrant(Time now, const LeaseGrant& grant) {
-  const auto asked = pending_renewals_.find(grant.sequence);
-  if (asked == pending_renewals_.end()) return;  // answered before, or dropped as too old
-  const Time since = options_.safety_checks.start_at_request ? asked->second : now;
-  pending_renewals_.erase(pending_renewals_.begin(), std::next(asked));
+  const auto renewal = pending_renewals_.find(grant.sequence);
+  if (renewal == pending_renewals_.end()) return;  // already granted, or dropped as too old
+  const Time start = options_.safety_checks.start_at_request ? renewal->second : now;
+  pending_renewals_.erase(pending_renewals_.begin(), std::next(renewal));
   CompareClockRates(now, grant);
   latest_version_ = std::max(latest_version_, grant.latest_version);
   if (grant.active_version < active_version_ && options_.safety_checks.monotonic_versions)
@@ -39,8 +39,8 @@
   const Span lease = options_.safety_checks.allow_for_clock_rates
                          ? Scaled(options_.duration, 1 - options_.max_clock_rate_difference)
                          : options_.duration;
-  const Time ends = since + lease;
-  expiry_ = std::max(expiry_, ends);
+  const Time end = start + lease;
+  expiry_ = std::max(expiry_, end);
   unexpired_at_last_tick_ = true;
 }
 
@@ -52,8 +52,9 @@
   if (clock_samples_.size() < kMaxClockSamples) return;
   const Span local = clock_samples_.back().local - clock_samples_.front().local;
   const Span leader = clock_samples_.back().leader - clock_samples_.front().leader;
-  const Span apart = local > leader ? local - leader : leader - local;
-  clock_rates_differ_ = apart > Scaled(local, options_.max_clock_rate_difference) + kMessageDelayTolerance;
+  const Span difference = local > leader ? local - leader : leader - local;
+  clock_rates_differ_ =
+      difference > Scaled(local, options_.max_clock_rate_difference) + kMessageDelayTolerance;
 }
 
 void LeaseHolder::MarkPrepared(Version version) { prepared_version_ = std::max(prepared_version_, version); }
@@ -127,10 +128,10 @@
 }
 
 std::map<std::string, Version> LeaseGrantor::UnpreparedHolders(Time now, Version version) const {
-  std::map<std::string, Version> missing;
+  std::map<std::string, Version> unprepared;
   for (const auto& [name, lease] : leases_)
-    if (lease.expiry > now && lease.prepared_version < version) missing[name] = lease.prepared_version;
-  return missing;
+    if (lease.expiry > now && lease.prepared_version < version) unprepared[name] = lease.prepared_version;
+  return unprepared;
 }
 
 std::map<std::string, Version> LeaseGrantor::LiveHolders(Time now) const {
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -89,7 +89,7 @@
   void operator()(const raft::Message& message) { codec::PackBytes(to, raft::Encode(message)); }
   void operator()(const std::map<raft::NodeId, std::uint64_t>& stores) {
     to.pack_array(static_cast<std::uint32_t>(2 * stores.size()));
-    for (const auto& [name, store] : stores) (*this)(name), (*this)(store);
+    for (const auto& [name, store_id] : stores) (*this)(name), (*this)(store_id);
   }
 };
 
--- a/src/replicated_config/notification_pacer.h
+++ b/src/replicated_config/notification_pacer.h
@@ -32,12 +32,12 @@
   // fleet.
   bool ShouldNotify(Time now, bool changed, std::size_t members) {
     if (!changed) {
-      due_at_.reset();
+      publish_at_.reset();
       return false;
     }
-    if (!due_at_) due_at_ = now + DrawDelay(members);
-    if (now < *due_at_) return false;
-    due_at_.reset();
+    if (!publish_at_) publish_at_ = now + DrawDelay(members);
+    if (now < *publish_at_) return false;
+    publish_at_.reset();
     return true;
   }
 
@@ -46,12 +46,12 @@
   Span DrawDelay(std::size_t members) {
     const double mean =
         std::chrono::duration<double>(kMeanNotificationInterval).count() * static_cast<double>(members);
-    const double drawn = 2 * mean * static_cast<double>(random_() >> 11) * 0x1.0p-53;
-    return Span(static_cast<Span::rep>(drawn * 1e9));
+    const double delay = 2 * mean * static_cast<double>(random_() >> 11) * 0x1.0p-53;
+    return Span(static_cast<Span::rep>(delay * 1e9));
   }
 
   std::mt19937_64 random_;
-  std::optional<Time> due_at_;
+  std::optional<Time> publish_at_;
 };
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -86,16 +86,16 @@
       state_ = State::kBootstrapping;
     }
   } else {
-    BootstrapVoters all = {{self_, hello_.store_id}};
+    BootstrapVoters empty_stores = {{self_, hello_.store_id}};
     for (const raft::NodeId& name : initial_voters_) {
       const auto it = responses_.find(name);
       if (it != responses_.end() && it->second.opinion == StoreOpinion::kEmptyStore)
-        all[name] = it->second.store_id;
+        empty_stores[name] = it->second.store_id;
     }
     const bool is_initial_voter =
         std::find(initial_voters_.begin(), initial_voters_.end(), self_) != initial_voters_.end();
-    if (is_initial_voter && all.size() == initial_voters_.size()) {
-      bootstrap_voters_ = std::move(all);
+    if (is_initial_voter && empty_stores.size() == initial_voters_.size()) {
+      bootstrap_voters_ = std::move(empty_stores);
       state_ = State::kBootstrapping;
     }
   }
