--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -1,20 +1,22 @@
-// One proxy's replica of the fleet's configuration: it holds a lease on the active version, fetches the
-// documents of versions, and carries out requests made here. A voter also replicates the log and applies
-// it to the state machine; the leader among them grants leases, validates changes and activates versions.
+// One proxy's replica of the fleet's configuration. Every replica holds a lease on the active version,
+// fetches the documents of versions, and submits the requests of operators to the leader. A voter also
+// replicates the Raft log and applies it to the state machine. The leader among the voters grants leases,
+// validates changes and activates versions.
 //
-// Contract: no I/O, no clock, deterministic for a seed. Every call is passed the time of one monotonic
-// clock. What has to be persisted, sent or reported is returned by TakeOutputs, in order, and has to be
-// carried out in that order. Messages that depend on a write are held back until OnPersisted confirms it.
-// UsableVersion must be called in the same turn as the action that it permits.
+// The replica does no I/O and reads no clock, and is deterministic for a seed. The host passes the time of
+// one monotonic clock to each call. After each call the host takes the outputs (writes, messages, reports)
+// with TakeOutputs and processes them in order. The replica defers messages that depend on a write until
+// OnPersisted confirms it. UsableVersion must be called in the same turn of the event loop as the action that
+// it permits.
 //
-// Thread safety: none; an object belongs to one thread.
+// Messages may be lost, delayed, duplicated and reordered. After a failed write the host calls OnStoreClosed,
+// which makes this voter step down until OnStoreOpened.
 //
-// Errors: messages may be lost, delayed, duplicated and reordered. After a failed write the owner calls
-// OnStoreClosed, which makes this voter step down until OnStoreOpened.
+// Not thread-safe: an object belongs to one thread.
 //
 // Design: docs/agreement.md.
 //
-// Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Gray and
+// References: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Gray and
 // Cheriton, "Leases" (1989).
 #ifndef LEMONCROFT_REPLICATED_CONFIG_CONFIG_REPLICA_H_
 #define LEMONCROFT_REPLICATED_CONFIG_CONFIG_REPLICA_H_
@@ -41,11 +43,12 @@
 
 namespace lemoncroft::replicated_config {
 
-// Disabled one at a time by mutation tests, but for wait_for_settled_log, which has none yet.
+// The rules that safety depends on. Mutation tests disable one at a time, except for wait_for_settled_log,
+// which has no mutation test yet.
 struct ConfigReplicaSafetyChecks {
-  bool wait_for_settled_log = true;  // a leader grants once it has committed in its term
+  bool wait_for_settled_log = true;  // a leader grants leases once it has committed an entry of its term
   bool validate_on_holders = true;   // lease holders validate a change before it is proposed
-  bool expire_laggards = true;       // a holder that is late to prepare gets no more grants
+  bool expire_laggards = true;       // a holder that prepares a version too late gets no more grants
   StateMachineSafetyChecks state_machine;
   AdmissionSafetyChecks admission;
 };
@@ -68,27 +71,30 @@
 
 // ---- Outputs ----
 
-struct Persist {  // write and sync it, then call OnPersisted(update.sequence)
+// Asks the host to make the update durable and then to call OnPersisted(update.sequence).
+struct Persist {
   raft::StorageUpdate update;
 };
-struct PersistBootstrapVoters {  // write and sync it, then call OnBootstrapVotersPersisted
+// Asks the host to make the bootstrap voters durable and then to call OnBootstrapVotersPersisted.
+struct PersistBootstrapVoters {
   BootstrapVoters bootstrap_voters;
 };
-// To a process, or to a voter's current process by name. May be lost.
+// Asks the host to send a message to one process or, by name, to the current process of a voter. The message
+// may be lost.
 struct SendMessage {
   std::variant<raft::NodeId, Instance> to;
   Message message;
 };
-// A document has arrived: the owner answers with MarkPrepared or MarkIncompatible.
+// The document of a version was received. The host validates it and calls MarkPrepared or MarkIncompatible.
 struct DocumentReceived {
   Version version = 0;
   std::string document;
 };
-// Leases are now for this version, whose document is prepared here.
+// The lease is now for this version, whose document is prepared here.
 struct VersionActivated {
   Version version = 0;
 };
-// A request made here has ended: ProposeChange, ChangeVoters or ReadCommitted.
+// A request that was submitted to this replica (ProposeChange, ChangeVoters or ReadCommitted) has completed.
 struct RequestCompleted {
   ChangeOutcome outcome;
   std::optional<ReadResponse> read;
@@ -106,64 +112,68 @@
   ConfigReplica(ConfigReplicaOptions options, Instance self, DocumentChecks checks, std::uint64_t seed,
                 raft::Time now);
 
-  // Runs the timers that are due.
+  // Runs the timers that are due. The host calls it at NextDeadline.
   void Tick(raft::Time now);
-  // When Tick has to be called next.
+  // Returns the time at which Tick must be called next.
   raft::Time NextDeadline() const;
-  // Handles a message of process `from`.
+  // Handles a message from the process `from`.
   void Receive(raft::Time now, Instance from, const Message& message);
-  // Returns and clears the outputs of all calls so far.
+  // Returns the outputs since the last call, in order.
   std::vector<ConfigReplicaOutput> TakeOutputs();
 
-  // A voter's store. The owner opens it, carries out the writes and reports here: its contents once it is
-  // open, and OnStoreClosed when it failed. This voter votes once VoterAdmission admits the store.
+  // Reports the contents of a voter's store, which the host has opened. This voter votes once VoterAdmission
+  // admits the store.
   void OnStoreOpened(raft::Time now, StoredState stored);
-  void OnStoreClosed();  // this voter steps down until the next OnStoreOpened
-  // The update with that sequence number, and all before it, are durable.
+  // Reports that the store has failed. This voter steps down until the next OnStoreOpened.
+  void OnStoreClosed();
+  // Reports that all storage updates up to and including `sequence` are durable.
   void OnPersisted(raft::Time now, std::uint64_t sequence);
   void OnBootstrapVotersPersisted(raft::Time now);
 
-  // Requests of an operator. Each ends with one RequestCompleted, at `deadline` at the latest.
+  // Requests of operators. Each completes with one RequestCompleted, at `deadline` at the latest.
   void ProposeChange(raft::Time now, const ConfigChange& change, raft::Time deadline);
   void ChangeVoters(raft::Time now, const VoterChange& change, raft::Time deadline);
   void ReadCommitted(raft::Time now, const std::string& id, raft::Time deadline);
-  // Gives up leadership, because this process ends.
+  // Transfers leadership to another voter before this process ends. Does nothing if this voter is not the
+  // leader.
   void TransferLeadership(raft::Time now);
 
-  // Sets the other live processes of the fleet, from which documents may be fetched.
+  // Sets the other live processes of the fleet. The replica may fetch documents from them.
   void SetPeers(std::vector<Instance> peers) { peers_ = std::move(peers); }
 
-  // Answers to DocumentReceived.
+  // The host's responses to DocumentReceived.
   void MarkPrepared(raft::Time now, Version version);
   void MarkIncompatible(Version version);
 
-  // Returns the version that may be acted on at this instant; nullopt while this proxy is
-  // isolated: it holds no valid lease, lacks the version's document, or its clock rate differs too much.
+  // Returns the version that this proxy may act on at `now`, or nullopt while the proxy is isolated: it holds
+  // no valid lease, lacks the version's document, or its clock rate differs too much from the leader's.
   std::optional<Version> UsableVersion(raft::Time now) const;
   const LeaseHolder& holder() const { return holder_; }
-  // Null where the document of that version is not stored here.
+  // Returns null if the document of that version is not stored here.
   const std::string* FindDocument(Version version) const;
-  // Null unless this proxy is a voter that takes part.
+  // Both are null unless this proxy is a voter whose store is admitted.
   const ConfigStateMachine* state_machine() const { return raft_ ? &state_machine_ : nullptr; }
-  const raft::Raft* raft() const { return raft_.get(); }  // likewise
+  const raft::Raft* raft() const { return raft_.get(); }
   const VoterAdmission& admission() const { return admission_; }
-  // Whether this voter leads and may grant leases at this instant.
+  // Returns true if this voter is the leader and may grant leases at `now`.
   bool Leads(raft::Time now) const {
     return raft_ && raft_->HoldsLeaderLease(now) &&
            (raft_->HasCommittedInTerm() || !options_.safety_checks.wait_for_settled_log);
   }
-  const raft::NodeId& leader() const { return leader_; }  // empty: unknown
-  // On a leader: the lease holders as "name/instance", with the version that each has prepared.
+  const raft::NodeId& leader() const { return leader_; }  // empty if unknown
+  // Leader only: returns the live lease holders as "name/instance", with the version that each has prepared.
   std::map<std::string, Version> HoldersByName(raft::Time now) const;
 
  private:
   using Time = raft::Time;
 
-  struct PendingRequest {  // made here by an operator; repeated until the leader answers
+  // An operator's request, which is sent again until the leader responds.
+  struct PendingRequest {
     MessageBody body;
     Time deadline{}, next_attempt{};
   };
-  struct InFlightChange {  // on a leader: validated by the holders, then proposed
+  // Leader only: a change that lease holders validate before it is proposed.
+  struct InFlightChange {
     ConfigChange change;
     std::set<Instance> pending_validators;  // the holders that have not accepted the change yet
     Time deadline{};                        // of the validation
@@ -177,29 +187,30 @@
   struct InFlightVoterChange {
     VoterChange change;
     Instance reply_to = 0;
-    std::uint64_t store_id = 0;  // the store that was added; another store of that voter is not admitted
+    std::uint64_t store_id = 0;  // the added store; no other store of this voter is admitted
   };
 
   struct HolderInfo {
     raft::NodeId name;
-    std::uint64_t format = 0;  // the newest document format that it reads
+    std::uint64_t format = 0;  // the newest document format that the holder reads
   };
 
-  struct DeferredMessage {  // sent once a write is durable
+  // A message that is sent once the storage update `after_sequence` is durable.
+  struct DeferredMessage {
     raft::NodeId to;
     raft::Message message;
     std::uint64_t after_sequence = 0;
   };
 
-  // Common (config_replica.cpp).
+  // Shared by all roles (config_replica.cpp).
   void EmitLogEvent(bool warn, std::string text) { outputs_.push_back(LogEvent{warn, std::move(text)}); }
   void Send(const std::variant<raft::NodeId, Instance>& to, MessageBody body);
-  // Sends to the known leader, or to the voters in turn.
+  // Sends to the leader if it is known, otherwise to each voter in turn.
   void SendToLeader(MessageBody body);
-  // Processes queued outputs until none remain; called at the end of every public call. Bounded by
-  // kMaxDispatchRounds.
+  // Processes Raft's outputs and this replica's messages to itself until none remain, but at most
+  // kMaxDispatchRounds times. Called at the end of each public call that may cause outputs.
   void DispatchPendingOutputs(Time now);
-  // Reports a new active version, and a change of clock_rates_differ.
+  // Reports a new active version and a change of LeaseHolder::clock_rates_differ.
   void ReportLeaseChanges();
 
   // Lease holder (config_replica_holder.cpp).
@@ -260,12 +271,12 @@
   // Lease holder.
   LeaseHolder holder_;
   DocumentCache documents_;
-  Version announced_version_ = 0;     // of the last VersionActivated
-  Version incompatible_version_ = 0;  // the newest that the owner could not apply
+  Version announced_version_ = 0;     // the version of the last VersionActivated
+  Version incompatible_version_ = 0;  // the newest version that the host could not apply
   Time last_grant_at_{}, last_renewal_at_{}, next_renewal_at_{};
-  bool clock_rates_differ_ = false;    // as last reported
-  raft::NodeId leader_;                // empty: unknown
-  bool leader_hint_is_fresh_ = false;  // NotLeader named leader_ after the last renewal
+  bool clock_rates_differ_ = false;    // as of the last report
+  raft::NodeId leader_;                // empty if unknown
+  bool leader_hint_is_fresh_ = false;  // a NotLeader response has named leader_ since the last renewal
   std::vector<raft::NodeId> voters_;   // as of the last grant
   std::size_t next_voter_ = 0;
   std::vector<Instance> peers_;
@@ -277,7 +288,7 @@
   // Voter.
   VoterAdmission admission_;
   std::unique_ptr<raft::Raft> raft_;      // null until the store is admitted
-  raft::PersistentState restored_state_;  // of the store, until raft_ takes it
+  raft::PersistentState restored_state_;  // the contents of the store until raft_ is created from them
   ConfigStateMachine state_machine_;
   Time next_hello_at_{}, admission_started_at_{};
   std::vector<DeferredMessage> deferred_messages_;
@@ -286,11 +297,11 @@
 
   // Leader.
   LeaseGrantor grantor_;
-  raft::Term leading_term_ = 0;     // 0: does not lead
-  Version activating_version_ = 0;  // proposed to be activated
+  raft::Term leading_term_ = 0;     // 0 while this voter is not the leader
+  Version activating_version_ = 0;  // the last version whose activation was proposed
   Version observed_latest_version_ = 0;
-  Time latest_version_since_{};
-  std::map<Version, Time> superseded_at_;  // when this leader found that a later version is active
+  Time latest_version_since_{};            // the time at which observed_latest_version_ was first seen
+  std::map<Version, Time> superseded_at_;  // the time at which this leader first saw a later version active
   std::optional<InFlightChange> in_flight_change_;
   std::optional<InFlightVoterChange> in_flight_voter_change_;
   Time next_admit_message_at_{};
--- a/src/replicated_config/config_replica_holder.cpp
+++ b/src/replicated_config/config_replica_holder.cpp
@@ -1,5 +1,5 @@
-// The lease holder in a ConfigReplica, which every proxy is: renews the lease, finds the leader, and fetches
-// the documents of versions.
+// The lease holder in a ConfigReplica: renews the lease, finds the leader, and fetches the documents of
+// versions. Every proxy is a lease holder.
 #include <algorithm>
 #include <utility>
 
@@ -11,14 +11,15 @@
 
 namespace {
 
-constexpr Span kRenewalRetryInterval = 120ms;    // without a response to the last renewal
-constexpr Span kLeaderHintRetryInterval = 20ms;  // between two requests that NotLeader redirects
+constexpr Span kRenewalRetryInterval = 120ms;  // while there was no recent grant
+constexpr Span kLeaderHintRetryInterval =
+    20ms;  // between a renewal and its retry at the leader of a NotLeader
 constexpr Span kFetchRetryInterval = 150ms;
 
 }  // namespace
 
 void ConfigReplica::RenewLease(Time now) {
-  // Without a recent grant another voter may lead by now, and the lease is about to expire.
+  // Without a recent grant, another voter may be the leader by now, and the lease is about to expire.
   const bool late = now > last_grant_at_ + options_.lease.renewal_interval * 3 / 2;
   if (late && !std::exchange(leader_hint_is_fresh_, false)) leader_.clear();
   last_renewal_at_ = now;
@@ -47,7 +48,8 @@
   const bool changed = leader_ != body.leader_hint;
   leader_ = body.leader_hint;
   if (!changed) return;
-  // Ask the new leader soon, but with a pause: without a leader, voters may name each other in a circle.
+  // Retry at the new leader soon, but not at once: while there is no leader, voters may name each other in a
+  // circle.
   leader_hint_is_fresh_ = true;
   const Time next = std::max(now, last_renewal_at_ + kLeaderHintRetryInterval);
   next_renewal_at_ = std::min(next_renewal_at_, next);
@@ -87,7 +89,7 @@
 void ConfigReplica::MarkPrepared(Time now, Version version) {
   documents_.MarkPrepared(version);
   holder_.MarkPrepared(version);
-  next_renewal_at_ = now;  // reports it at once, since the leader may be waiting for it
+  next_renewal_at_ = now;  // report it at once, since the leader may be waiting for it
   DispatchPendingOutputs(now);
 }
 
--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Span kValidationTimeout = 300ms;    // after which a change is proposed without missing responses
-constexpr Span kPreparationTimeout = 2000ms;  // after which a holder that lags loses its lease
+constexpr Span kValidationTimeout = 300ms;    // then a change is proposed without the missing responses
+constexpr Span kPreparationTimeout = 2000ms;  // then a holder that has not prepared a version gets no grants
 constexpr Span kAdmitVoterInterval = 200ms;
-constexpr int kClockRateMarginDivisor = 50;  // 1/50 of a span: more than clock rates may differ by
+constexpr int kClockRateMarginDivisor = 50;  // 1/50 of a duration exceeds the allowed clock rate difference
 constexpr std::size_t kMaxHolderInfo = 8192;
 
 std::string HolderKey(Instance instance) { return std::to_string(instance); }
@@ -51,16 +51,16 @@
   AbandonInFlight();
   grantor_.BeginLeadership(now, leading_term_);
   superseded_at_.clear();
-  EmitLogEvent(false, "leads in term " + std::to_string(leading_term_));
+  EmitLogEvent(false, "became the leader in term " + std::to_string(leading_term_));
 }
 
 void ConfigReplica::EndLeadership() {
   if (std::exchange(leading_term_, 0) == 0) return;
   AbandonInFlight();
-  EmitLogEvent(false, "no longer leads");
+  EmitLogEvent(false, "is no longer the leader");
 }
 
-// The proposers retry at the next leader.
+// Drops the changes in flight. Their proposers retry at the next leader.
 void ConfigReplica::AbandonInFlight() {
   in_flight_change_.reset();
   in_flight_voter_change_.reset();
@@ -92,7 +92,8 @@
   }
   if (holder_info_.size() >= kMaxHolderInfo) holder_info_.clear();
   holder_info_[from] = {message.sender, body.format};
-  // A proxy that cannot or does not prepare the latest version must not delay all others: its lease expires.
+  // A proxy that cannot or does not prepare the latest version must not delay the others. Its lease is not
+  // renewed, and expires.
   const Version latest_version = state_machine_.latest_version();
   const bool lags =
       latest_version > state_machine_.active_version() && body.renewal.prepared_version < latest_version;
@@ -135,7 +136,7 @@
   if (change.base_version != state_machine_.latest_version() &&
       options_.safety_checks.state_machine.compare_and_set)
     return reject({ChangeStatus::kConflict, {}});
-  if (in_flight_change_) return;  // the proposer retries, and conflicts with the version in flight
+  if (in_flight_change_) return;  // the proposer retries, and conflicts if the change in flight is committed
   if (auto checked = CheckProposal(now, change); !checked) return reject(std::move(checked.error()));
   auto validators = FindValidators(now, change.document);
   if (!validators) return reject(std::move(validators.error()));
@@ -149,7 +150,7 @@
     Send(holder, ValidateRequest{change.id, change.document});
 }
 
-// Checks what a leader can check by itself.
+// Performs the checks of a proposed change that need no other proxy.
 tl::expected<void, ConfigReplica::ChangeRejection> ConfigReplica::CheckProposal(
     Time now, const ConfigChange& change) const {
   const auto rejected = [](std::string reason) {
@@ -165,8 +166,8 @@
   return {};
 }
 
-// Checks a document against the latest version, and against each earlier one that an isolated proxy may still
-// act on.
+// Checks a document against the latest version and against each earlier version that an isolated proxy may
+// still act on.
 tl::expected<void, DocumentRejection> ConfigReplica::CheckAgainstUsableVersions(
     Time now, const std::string& document) const {
   if (state_machine_.versions().empty()) return document_checks_.check_successor(nullptr, document);
@@ -183,8 +184,8 @@
   return {};
 }
 
-// Returns the live lease holders that have to validate a document, unless this proxy or one of them is
-// already known to be unable to apply it.
+// Returns the live lease holders that must validate a document, or a rejection if this proxy or one of them
+// is already known to be unable to apply it.
 tl::expected<std::set<Instance>, ConfigReplica::ChangeRejection> ConfigReplica::FindValidators(
     Time now, const std::string& document) const {
   std::set<Instance> validators;
@@ -223,7 +224,7 @@
   const bool up_to_date = in_flight_change_->change.base_version == state_machine_.latest_version() ||
                           !options_.safety_checks.state_machine.compare_and_set;
   if (!Leads(now) || !up_to_date) {
-    in_flight_change_.reset();  // the proposer retries and receives the outcome then
+    in_flight_change_.reset();  // the proposer retries and then receives the outcome
     return;
   }
   const raft::ProposalResult proposed = raft_->Propose(now, EncodeEntry(in_flight_change_->change));
@@ -236,7 +237,8 @@
 
 // ---- Changes of the voters ----
 
-// Completes the voter change in flight once it is committed; until then tells the new voter that it may vote.
+// Completes the voter change in flight once it is committed. Until the log contains a voter to be added,
+// tells that voter periodically that its store is admitted.
 void ConfigReplica::AdvanceVoterChange(Time now) {
   const VoterChange& wanted = in_flight_voter_change_->change;
   if (Contains(raft_->voters(), wanted.voter) == wanted.add && raft_->AreVotersCommitted()) {
@@ -248,7 +250,7 @@
   }
   if (now < next_admit_message_at_) return;
   next_admit_message_at_ = now + kAdmitVoterInterval;
-  // Not once it is a voter: it may have acknowledged entries since, and must not vote with another store.
+  // A node that is already a voter may have acknowledged entries, so it must not vote with another store.
   if (wanted.add && !Contains(raft_->voters(), wanted.voter))
     Send(wanted.voter, AdmitVoter{in_flight_voter_change_->store_id});
 }
--- a/src/replicated_config/config_replica_requests.cpp
+++ b/src/replicated_config/config_replica_requests.cpp
@@ -1,4 +1,5 @@
-// The requests of operators in a ConfigReplica: sent to the leader until it answers or the deadline passes.
+// The requests of operators in a ConfigReplica. Each is sent to the leader until it responds or the deadline
+// passes.
 #include <utility>
 
 #include "replicated_config/config_replica.h"
--- a/src/replicated_config/config_replica_voter.cpp
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -1,4 +1,4 @@
-// The voter in a ConfigReplica: admits its store, and runs Raft on it.
+// The voter in a ConfigReplica: has its store admitted and runs Raft on it.
 #include <algorithm>
 #include <utility>
 
@@ -12,10 +12,11 @@
 namespace {
 
 constexpr Span kHelloInterval = 200ms;
-constexpr Span kEmptyStoreHelloInterval = 1000ms;               // while an operator has to add the voter
-constexpr Span kVoterAdmissionTimeout = 1000ms;                 // after which a majority of opinions suffices
-constexpr std::size_t kMaxLogEntries = 96;                      // before a snapshot
-constexpr std::uint64_t kMaxLogBytes = std::uint64_t{1} << 20;  // likewise
+constexpr Span kEmptyStoreHelloInterval = 1000ms;  // while the voter waits for an operator to add it
+constexpr Span kVoterAdmissionTimeout = 1000ms;    // then a majority without objections suffices
+// A log that exceeds one of these limits is compacted into a snapshot.
+constexpr std::size_t kMaxLogEntries = 96;
+constexpr std::uint64_t kMaxLogBytes = std::uint64_t{1} << 20;
 
 std::vector<NodeId> NamesOf(const BootstrapVoters& bootstrap_voters) {
   std::vector<NodeId> names;
@@ -78,8 +79,8 @@
 
 void ConfigReplica::StartVoting(Time now) {
   const BootstrapVoters& bootstrap_voters = admission_.bootstrap_voters();
-  // Before the first snapshot the log begins with the bootstrap voters. A voter that was added later learns
-  // the voters from the log.
+  // Before the first snapshot, the initial voters are the bootstrap voters. A voter that is added later
+  // learns the voters from the log.
   const bool log_is_complete = restored_state_.snapshot.index == 0 && restored_state_.snapshot.voters.empty();
   if (log_is_complete && bootstrap_voters.size() == options_.initial_voters.size())
     restored_state_.snapshot.voters = NamesOf(bootstrap_voters);
@@ -165,7 +166,7 @@
       else if (const auto* committed = std::get_if<raft::Committed>(&output))
         ApplyCommitted(committed->entry);
       else if (const auto* restored = std::get_if<raft::SnapshotInstalled>(&output))
-        // The leader's state machine wrote it; one that could not be decoded would leave the state as it is.
+        // The leader's state machine encoded the snapshot. If decoding failed, the state would not change.
         static_cast<void>(state_machine_.Restore(restored->snapshot.data));
     }
     CompactLog();
--- a/src/replicated_config/config_state_machine.cpp
+++ b/src/replicated_config/config_state_machine.cpp
@@ -77,7 +77,7 @@
   return outcome.value_or(std::nullopt);
 }
 
-// Drops the oldest first; never the active version or the latest one.
+// Drops the oldest outcomes and versions first, but never the active version or the latest one.
 void ConfigStateMachine::DropOldVersions() {
   for (; outcome_order_.size() > kMaxOutcomes; outcome_order_.pop_front())
     outcomes_.erase(outcome_order_.front());
@@ -87,7 +87,7 @@
     const bool exceeds_limit = bytes > kMaxStoredDocumentBytes || versions_.size() > kMaxVersions;
     if (!exceeds_limit) break;
     if (it->first >= active_version_) {
-      ++it;  // the active version, or one that may become active
+      ++it;  // this is the active version, or a version that may become active
       continue;
     }
     bytes -= it->second.document.size();
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -26,7 +26,7 @@
   });
 }
 
-// ---- Reading ----
+// ---- Parsing ----
 
 class DocumentParser {
  public:
@@ -87,7 +87,7 @@
     operator_config::ReadSpan(n, min, max, value, errors_);
     return value;
   }
-  // Reads the name of a block and returns its new entry; a duplicate is a fault.
+  // Parses the name of a block and returns the new override of that name. A duplicate name is a fault.
   template <typename Override>
   Override& AddOverride(const KdlNode& n, std::map<std::string, Override>& out) {
     KdlNode header = n;
@@ -181,7 +181,7 @@
   operator_config::Faults errors_;
 };
 
-// ---- Writing ----
+// ---- Serialization ----
 
 std::string Quoted(const std::string& name) { return "\"" + name + "\""; }
 std::string Format(double value) {
@@ -206,7 +206,7 @@
   return out;
 }
 
-// A document as key -> value: the common form behind its text and the differences of two.
+// A document or one of its blocks as a map of keys to values. SerializeDocument and Differences use it.
 using Lines = std::map<std::string, std::string>;
 
 template <typename T>
@@ -357,7 +357,7 @@
   return {};
 }
 
-// ---- Texts of errors ----
+// ---- Error messages ----
 
 std::string InvalidDocument::Text() const {
   std::string text;
--- a/src/replicated_config/document.h
+++ b/src/replicated_config/document.h
@@ -1,12 +1,8 @@
-// The fleet-wide configuration document: overrides of each proxy's own settings, manually ejected
-// engines, and what an isolated proxy may continue to do.
+// The fleet-wide configuration document: overrides of the proxies' own settings, the manually ejected
+// engines, and the requests that an isolated proxy may continue to send.
 //
-// Contract: plain values and pure functions; no I/O. A version of the replicated configuration is a
-// document's KDL text (docs/operating-rules.md); equal documents have one canonical text.
-//
-// Units: spans of time, cores, requests per second.
-//
-// Errors: all faults of a text are reported together.
+// The KDL text of a document (docs/operating-rules.md) is stored as a version of the replicated
+// configuration. Equal documents have the same canonical text.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 #define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_H_
 
@@ -25,12 +21,12 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr std::uint64_t kNewestDocumentFormat = 1;  // that this program reads
-inline constexpr std::size_t kMaxNames = 4096;  // of classes, tenants, teams and ejected engines each
+inline constexpr std::uint64_t kNewestDocumentFormat = 1;  // the newest format that this program reads
+inline constexpr std::size_t kMaxNames = 4096;  // each for classes, tenants, teams and ejected engines
 
 // An absent field leaves the proxy's own setting unchanged.
 struct ClassOverride {
-  std::optional<Effect> effect;  // whether a retry is safe
+  std::optional<Effect> effect;  // determines whether a retry is safe
   std::optional<RepeatGroup> group;
   std::optional<Span> repeat_window;
   bool operator==(const ClassOverride&) const = default;
@@ -45,15 +41,15 @@
   std::optional<std::size_t> threads, max_waiting;
   bool operator==(const TeamOverride&) const = default;
 };
-// Retries per proxy and window: `free`, and `ratio` of its requests.
+// Limits the retries of a proxy in each window to `free` plus `ratio` times the number of its requests.
 struct RetryBudget {
   double free = 0, ratio = 0;
   Span window{};
   bool operator==(const RetryBudget&) const = default;
 };
-// What a proxy may continue after its lease has expired: requests of these classes on these engines, for
-// `duration`. All others are rejected. A successor must not change the overrides of these classes, nor eject
-// these engines, because isolated proxies may still act on them.
+// The requests that a proxy may still send after its lease has expired: those of these classes to these
+// engines, for `duration`. All others are rejected. The next document must neither change the overrides of
+// these classes nor eject these engines, because isolated proxies may still act on this one.
 struct IsolationPolicy {
   std::set<std::string> classes, engines;
   Span duration{};
@@ -62,7 +58,7 @@
 
 struct Document {
   std::uint64_t format = 1;
-  std::optional<int> max_attempts;  // attempts per request
+  std::optional<int> max_attempts;  // per request
   std::optional<RetryBudget> retry_budget;
   std::optional<int> max_open_requests;
   std::map<std::string, ClassOverride> classes;
@@ -73,28 +69,28 @@
   bool operator==(const Document&) const = default;
 };
 
-// What is wrong with a text.
+// The errors of an invalid text, all reported together.
 struct InvalidDocument {
   struct Fault {
-    int line = 0, column = 0;  // from 1
+    int line = 0, column = 0;  // starting at 1
     std::string message;       // names the key and its value
   };
-  bool is_syntax_error = false;  // the text is not KDL; otherwise what it says is wrong
-  std::vector<Fault> faults;     // in the order found; one of a syntax error
-  // For an operator, a line each.
+  bool is_syntax_error = false;  // true if the text is not KDL, false if its content is invalid
+  std::vector<Fault> faults;     // in the order in which they were found; exactly one for a syntax error
+  // Returns a message for operators with one line per fault.
   std::string Text() const;
 };
 
-// Why a document must not follow another: proxies that are isolated may still act on the other.
+// The reason why a document must not follow the current one, on which isolated proxies may still act.
 struct SuccessorConflict {
   enum class Kind { kEjectsEngine, kChangesClass };
   Kind kind = Kind::kEjectsEngine;
   std::string name;           // of the engine or class
-  Span isolation_duration{};  // of the other document
+  Span isolation_duration{};  // of the current document
   std::string Text() const;
 };
 
-// Why a proxy cannot apply a document.
+// The reason why a proxy cannot apply a document.
 struct IncompatibleDocument {
   enum class Cause {
     kFormat,
@@ -106,29 +102,31 @@
     kUnknownTeam,
   };
   Cause cause = Cause::kFormat;
-  std::string name;             // of the unknown class, tenant or team
-  std::uint64_t supported = 0;  // by the proxy; with kFormat, kMaxAttempts and kMaxOpenRequests
-  std::uint64_t requested = 0;  // by the document; likewise
+  std::string name;  // of the unknown class, tenant or team
+  // The limit of the proxy and the value in the document. Set with kFormat, kMaxAttempts and
+  // kMaxOpenRequests.
+  std::uint64_t supported = 0;
+  std::uint64_t requested = 0;
   std::string Text() const;
 };
 
-// Parses and validates a text.
+// Parses and validates the text of a document.
 [[nodiscard]] tl::expected<Document, InvalidDocument> ParseDocument(std::string_view text);
 std::string SerializeDocument(const Document& document);
 
-// Checks that `to` may follow `from`.
+// Checks that the document `to` may follow the document `from`.
 [[nodiscard]] tl::expected<void, SuccessorConflict> CheckSuccessor(const Document& from, const Document& to);
 
-// Returns the differences, a line each: "~ class lookup effect: pure -> token". Lines begin with "+", "-" or
-// "~" for added, removed and changed.
+// Returns the differences as one line each, such as "~ class lookup effect: pure -> token". Lines start with
+// "+" (added), "-" (removed) or "~" (changed).
 std::vector<std::string> Differences(const Document& from, const Document& to);
 
-// Checks that a proxy with these settings can apply a document. `queue`: the settings of its admission queue;
-// null: it has none.
+// Checks that a proxy with these settings can apply a document. `queue` is null if the proxy has no admission
+// queue.
 [[nodiscard]] tl::expected<void, IncompatibleDocument> CheckCompatible(
     const Document& document, const settings::Site& own, const admission_queue::Settings* queue);
 
-// Returns a proxy's settings with the document's overrides. CheckCompatible must hold.
+// Returns a proxy's settings with the overrides of the document, for which CheckCompatible must succeed.
 settings::Site ApplyDocument(const Document& document, const settings::Site& own);
 admission_queue::Settings ApplyDocument(const Document& document, const admission_queue::Settings& own);
 
--- a/src/replicated_config/document_cache.h
+++ b/src/replicated_config/document_cache.h
@@ -1,13 +1,7 @@
-// The documents of versions that a proxy has fetched, and how far each has got: delivered to the owner
-// for validation, then prepared.
+// The documents of versions that a proxy has fetched, and their states: each is delivered to the host for
+// validation and, once validated, prepared.
 //
-// Contract: plain container; no I/O.
-//
-// Owner: a ConfigReplica.
-//
-// Thread safety: none.
-//
-// Errors: none.
+// Not thread-safe. Belongs to a ConfigReplica.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_CACHE_H_
 #define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_CACHE_H_
 
@@ -21,12 +15,12 @@
 
 class DocumentCache {
  public:
-  // Null where the document is not stored.
+  // Returns null if the document is not stored.
   const std::string* Find(Version version) const {
     const auto it = documents_.find(version);
     return it == documents_.end() ? nullptr : &it->second;
   }
-  // Stores a document. Returns whether it has to be delivered to the owner, which happens once.
+  // Stores a document. Returns true if it must be delivered to the host, which happens once per version.
   [[nodiscard]] bool Store(Version version, const std::string& document) {
     documents_[version] = document;
     return delivered_.insert(version).second;
@@ -34,10 +28,10 @@
   void MarkPrepared(Version version) { prepared_.insert(version); }
 
   bool IsDelivered(Version version) const { return delivered_.contains(version); }
-  // The owner has validated the document of that version, which is still stored.
+  // Returns true if the host has validated the document of that version, which is still stored.
   bool IsPrepared(Version version) const { return prepared_.contains(version); }
 
-  // Forgets all versions before `version`.
+  // Drops all versions before `version`.
   void DropBefore(Version version) {
     std::erase_if(documents_, [&](const auto& document) { return document.first < version; });
     std::erase_if(prepared_, [&](Version v) { return v < version; });
--- a/src/replicated_config/document_checks.h
+++ b/src/replicated_config/document_checks.h
@@ -1,7 +1,7 @@
-// What a ConfigReplica has to know about documents, which are opaque texts to it: whether one may become
-// the next version, and whether this proxy can apply it.
+// The checks that a ConfigReplica makes of documents, which are opaque texts to it.
 //
-// Contract: the owner supplies the functions; they are pure but for the proxy's current settings.
+// The host supplies the functions. Their results depend only on their arguments and on the proxy's current
+// settings.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_CHECKS_H_
 #define LEMONCROFT_REPLICATED_CONFIG_DOCUMENT_CHECKS_H_
 
@@ -15,7 +15,7 @@
 
 namespace lemoncroft::replicated_config {
 
-// Why a document is rejected.
+// The reason why a document is rejected.
 struct DocumentRejection {
   enum class Cause {
     kInvalid,       // it cannot be parsed
@@ -23,18 +23,19 @@
     kIncompatible,  // this proxy cannot apply it
   };
   Cause cause = Cause::kInvalid;
-  std::string reason;  // for an operator, never empty
+  std::string reason;  // shown to operators; never empty
 };
 
 struct DocumentChecks {
-  // Checks that a document is valid and may follow `from` (null: it is the first).
+  // Checks that a document is valid and may follow the version `from`, which is null for the first document.
   std::function<tl::expected<void, DocumentRejection>(const VersionRecord* from, const std::string& document)>
       check_successor;
   // Checks that this proxy can apply a document.
   std::function<tl::expected<void, DocumentRejection>(const std::string& document)> check_compatible;
-  // Returns the format that a program must know to read a document; 0 for an invalid one.
+  // Returns the format that a program must support to read a document, or 0 for an invalid document.
   std::function<std::uint64_t(const std::string& document)> required_format;
-  // Returns how long an isolated proxy may continue under a document; zero for an invalid one.
+  // Returns the duration for which an isolated proxy may continue to act on a document, or zero for an
+  // invalid document.
   std::function<Span(const std::string& document)> isolation_duration;
 };
 
--- a/src/replicated_config/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -34,7 +34,7 @@
   CompareClockRates(now, grant);
   latest_version_ = std::max(latest_version_, grant.latest_version);
   if (grant.active_version < active_version_ && options_.safety_checks.monotonic_versions)
-    return;  // from a former leader
+    return;  // the grant comes from a former leader
   active_version_ = grant.active_version;
   const Span lease = options_.safety_checks.allow_for_clock_rates
                          ? Scaled(options_.duration, 1 - options_.max_clock_rate_difference)
@@ -108,7 +108,8 @@
                                                       const LeaseRenewal& renewal, Version active_version,
                                                       Version latest_version) {
   if (!leads && options_.safety_checks.grant_only_while_leading) return std::nullopt;
-  // The holder counts from its request, which was earlier than now; its clock may be slower than this one.
+  // The holder's lease starts at its request, which is earlier than `now`, but its clock may be slower than
+  // this one.
   const Span lease = options_.safety_checks.allow_for_clock_rates
                          ? Scaled(options_.duration, 1 + options_.max_clock_rate_difference)
                          : options_.duration;
@@ -154,7 +155,7 @@
 }
 
 std::string LeaseGrantor::CanonicalState(Time now, const std::string& holder) const {
-  const Span longest = 2 * options_.duration;  // older differences have no effect
+  const Span longest = 2 * options_.duration;  // longer times have no further effect
   if (holder.empty())
     return std::to_string(std::min(longest, now - leading_since_).count()) + "," +
            std::to_string(leadership_epoch_);
--- a/src/replicated_config/messages.h
+++ b/src/replicated_config/messages.h
@@ -1,9 +1,9 @@
-// Messages between proxies about the replicated configuration, and their encoding. Raft's own messages
-// travel inside RaftMessage.
+// The messages between proxies about the replicated configuration, and their encoding. Raft's own messages
+// are sent inside RaftMessage.
 //
-// Contract: plain values; no I/O. Decoding is bounded; a message that is incomplete, malformed or of a
-// newer kind decodes to nothing. The order of MessageBody's alternatives and of their fields is the wire
-// format. Times are spans on the sender's monotonic clock.
+// The order of MessageBody's alternatives and of their fields is the wire format. Times are durations by the
+// sender's monotonic clock. Decoding is bounded; messages that are incomplete, malformed or of an unknown
+// kind are rejected.
 //
 // Design: docs/agreement.md.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_MESSAGES_H_
@@ -23,7 +23,7 @@
 
 namespace lemoncroft::replicated_config {
 
-// From voter to voter.
+// From a voter to another voter.
 struct RaftMessage {
   raft::Message message;
 };
@@ -32,19 +32,19 @@
 struct LeaseRequest {
   LeaseRenewal renewal;
   std::uint64_t format = 0;          // the newest document format that this program reads
-  Version incompatible_version = 0;  // the newest version that was received and cannot be applied here
+  Version incompatible_version = 0;  // the newest version that this proxy has received but cannot apply
 };
 struct LeaseResponse {
   LeaseGrant grant;
-  std::vector<raft::NodeId> voters;  // the current ones
+  std::vector<raft::NodeId> voters;  // the current voters
 };
 
-// The receiver of a request does not lead.
+// The response of a proxy that is not the leader to a request for the leader.
 struct NotLeader {
-  raft::NodeId leader_hint;  // empty: unknown
+  raft::NodeId leader_hint;  // empty if unknown
 };
 
-// Asks any proxy for the document of a version.
+// From a proxy to any other: requests the document of a version.
 struct DocumentRequest {
   Version version = 0;
 };
@@ -57,27 +57,28 @@
 struct ProposeRequest {
   ConfigChange change;
 };
-// Ends a ProposeRequest or a VoterChange.
+// From the leader to the proxy that sent a ProposeRequest or a VoterChange: the final outcome.
 struct ProposalResult {
   ChangeOutcome outcome;
 };
 
-// From the leader to each lease holder, before it proposes a change: can the document be applied there?
+// From the leader to each lease holder, before it proposes a change: asks whether the holder can apply the
+// document. `id` is the id of the change.
 struct ValidateRequest {
-  std::string id, document;  // the id of the change
+  std::string id, document;
 };
 struct ValidateResponse {
-  std::string id, reason;  // reason: why it cannot be applied; empty: it can
+  std::string id, reason;  // `reason` is empty if the holder can apply the document
 };
 
-// Adds or removes a voter; answered by ProposalResult.
+// From a proxy to the leader: adds or removes a voter. The response is a ProposalResult.
 struct VoterChange {
   std::string id;
   raft::NodeId voter;
   bool add = false;
 };
 
-// Linearizable read of the current versions and voters, answered by the leader.
+// From a proxy to the leader: a linearizable read of the current versions and voters.
 struct ReadRequest {
   std::string id;
 };
@@ -87,30 +88,30 @@
   std::vector<raft::NodeId> voters;
 };
 
-// From a voter that has opened its store to the other voters (voter_admission.h).
+// From a voter that has opened its store to the other voters; see voter_admission.h.
 struct StoreHello {
-  std::uint64_t store_id = 0;  // id of the store, drawn when it was created
+  std::uint64_t store_id = 0;  // drawn when the store was created
   bool bootstrapped = false;   // the store has voted before
   raft::Term term = 0, last_term = 0;
   raft::Index last_index = 0;
 };
-// What a voter knows about the store of another.
+// The responder's opinion about the store of the voter that sent a StoreHello.
 enum class StoreOpinion : std::uint8_t {
   kEmptyStore,      // the responder's store is empty, too
-  kNoObjection,     // nothing is known against it
-  kStaleStore,      // it acknowledged more to the responder than it holds now
+  kNoObjection,     // the responder knows no reason to exclude the store
+  kStaleStore,      // the store has acknowledged more to the responder than it contains now
   kBootstrapVoter,  // the fleet was bootstrapped with this store
   kUnknownStore,    // the fleet was bootstrapped without this store
 };
 struct StoreHelloResponse {
   std::uint64_t in_reply_to_store_id = 0, store_id = 0;
   StoreOpinion opinion = StoreOpinion::kEmptyStore;
-  std::map<raft::NodeId, std::uint64_t> bootstrap_voters;  // their stores; with kBootstrapVoter
+  std::map<raft::NodeId, std::uint64_t> bootstrap_voters;  // store ids by voter; set with kBootstrapVoter
 };
 
 // From the leader to a voter with an empty store that an operator has added.
 struct AdmitVoter {
-  std::uint64_t store_id = 0;  // the store that was added
+  std::uint64_t store_id = 0;  // the added store
 };
 
 using MessageBody =
@@ -118,12 +119,12 @@
                  ProposeRequest, ProposalResult, ValidateRequest, ValidateResponse, VoterChange, ReadRequest,
                  ReadResponse, StoreHello, StoreHelloResponse, AdmitVoter>;
 struct Message {
-  raft::NodeId sender;  // the name of the proxy
+  raft::NodeId sender;  // the name of the sending proxy
   MessageBody body;
 };
 
 std::string Encode(const Message& message);
-// Returns nullopt for anything that is not one complete, well-formed message.
+// Returns nullopt unless `bytes` is exactly one complete, well-formed message.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/notification_pacer.h
+++ b/src/replicated_config/notification_pacer.h
@@ -1,14 +1,12 @@
-// Spreads notifications that all members of a fleet have to publish at the same time, such as an
-// activated version or an expired lease. Published at once they would be a broadcast from everybody to
-// everybody.
+// Spreads over time the notifications of events that occur at all members of a fleet at once, such as the
+// activation of a version or the expiry of leases. Without a delay, every member would broadcast to all
+// others at the same time.
 //
-// Contract: no I/O, no clock, deterministic for a seed. A fleet publishes one notification per
-// kMeanNotificationInterval on average, however often its state changes; each member publishes only its
-// newest state.
+// A fleet publishes one notification per kMeanNotificationInterval on average, however often its state
+// changes; each member publishes only its newest state. The class does no I/O, reads no clock and is
+// deterministic for a seed.
 //
-// Thread safety: none.
-//
-// Errors: none.
+// Not thread-safe.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
 #define LEMONCROFT_REPLICATED_CONFIG_NOTIFICATION_PACER_H_
 
@@ -22,14 +20,14 @@
 
 namespace lemoncroft::replicated_config {
 
-inline constexpr Span kMeanNotificationInterval = std::chrono::milliseconds(250);  // fleet-wide
+inline constexpr Span kMeanNotificationInterval = std::chrono::milliseconds(250);  // of the entire fleet
 
 class NotificationPacer {
  public:
   explicit NotificationPacer(std::uint64_t seed) : random_(seed) {}
 
-  // Whether to publish now. `changed`: the state differs from the one published last. `members`: of the
-  // fleet.
+  // Returns true if the member must publish its state now. `changed` means that the state differs from the
+  // last published one; `members` is the number of members of the fleet.
   bool ShouldNotify(Time now, bool changed, std::size_t members) {
     if (!changed) {
       publish_at_.reset();
@@ -42,7 +40,8 @@
   }
 
  private:
-  // Uniform between zero and twice the mean, so that members which change together publish apart.
+  // Returns a delay drawn uniformly between zero and twice the mean, so that members whose states change
+  // together publish at different times.
   Span DrawDelay(std::size_t members) {
     const double mean =
         std::chrono::duration<double>(kMeanNotificationInterval).count() * static_cast<double>(members);
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -6,7 +6,7 @@
 namespace lemoncroft::replicated_config {
 
 namespace {
-constexpr std::size_t kMaxTrackedStores = 64;  // of voters without a vote
+constexpr std::size_t kMaxTrackedStores = 64;  // bounds unadmitted_stores_ and acknowledged_
 }
 
 void VoterAdmission::Open(std::uint64_t store_id, BootstrapVoters bootstrap_voters,
@@ -21,7 +21,7 @@
   other_voters_.insert(voters.begin(), voters.end());
   other_voters_.erase(self_);
   state_ = State::kQueryingVoters;
-  // There is no other voter to ask.
+  // Without other voters there is no response to wait for.
   if (hello_.bootstrapped && (voters.empty() || voters == std::vector<raft::NodeId>{self_}))
     state_ = State::kAdmitted;
   if (!hello_.bootstrapped && initial_voters_ == std::vector<raft::NodeId>{self_}) {
@@ -37,7 +37,7 @@
   if (!hello.bootstrapped &&
       (unadmitted_stores_.contains(from) || unadmitted_stores_.size() < kMaxTrackedStores)) {
     unadmitted_stores_[from] = hello.store_id;
-    acknowledged_.erase(from);  // it referred to another store
+    acknowledged_.erase(from);  // these acknowledgements were by another store
   }
   const auto bootstrap = bootstrap_voters_.find(from);
   if (hello.bootstrapped) {
@@ -101,8 +101,9 @@
   }
 }
 
-// Any single voter may be the only one that knows what this store has acknowledged, so all are waited for at
-// first. Later a majority has to do: two of three voters must be able to continue without the third.
+// A single voter may be the only one that knows what this store has acknowledged, so the admission first
+// waits for all voters. Later a majority suffices, because two of three voters must be able to continue
+// without the third.
 void VoterAdmission::Decide(bool wait_for_all) {
   if (!state_ || *state_ != State::kQueryingVoters || !hello_.bootstrapped) return;
   std::size_t without_objection = 0;
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -1,18 +1,16 @@
-// Decides whether a voter may vote with the store that it has just opened. It may not with an empty store
-// that the fleet was not bootstrapped with, nor with a store that holds less than it acknowledged before:
-// either could lose committed entries.
+// Decides whether a voter may vote with the store that it has just opened. Two kinds of stores are not
+// admitted, because either could lose committed entries: an empty store that the fleet was not bootstrapped
+// with, and a store that contains less than it acknowledged before.
 //
-// Contract: no I/O and no clock. The owner sends hello() to other_voters() periodically and passes the
-// responses on. A fleet is bootstrapped once, when all initial voters have empty stores; each then
-// persists the stores of all of them.
+// A fleet is bootstrapped once, when the stores of all initial voters are empty. Each voter then persists the
+// ids of all their stores.
 //
-// Thread safety: none.
+// The class does no I/O and reads no clock. The ConfigReplica that owns it sends hello() to other_voters()
+// periodically and passes on their responses; a response about another store is ignored.
 //
-// Owner: a ConfigReplica.
+// Not thread-safe.
 //
-// Errors: a response to another store is ignored.
-//
-// Design: docs/agreement.md, after the log-loss rules of Ongaro's thesis (2014), section 11.
+// Design: docs/agreement.md, based on the rules for log loss in Ongaro's thesis (2014), section 11.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_VOTER_ADMISSION_H_
 #define LEMONCROFT_REPLICATED_CONFIG_VOTER_ADMISSION_H_
 
@@ -27,59 +25,60 @@
 
 using BootstrapVoters = std::map<raft::NodeId, std::uint64_t>;  // store ids by voter
 
-// Disabled one at a time by mutation tests; nothing else changes them.
+// The rules that safety depends on. Mutation tests disable one at a time; everywhere else all are true.
 struct AdmissionSafetyChecks {
-  bool exclude_empty_store = true;  // an empty store that the fleet was not bootstrapped with
-  bool exclude_stale_store = true;  // a store that holds less than it acknowledged before
+  bool exclude_empty_store = true;  // excludes an empty store that the fleet was not bootstrapped with
+  bool exclude_stale_store = true;  // excludes a store that contains less than it acknowledged before
 };
 
 class VoterAdmission {
  public:
   enum class State {
     kQueryingVoters,
-    kBootstrapping,  // may vote once bootstrap_voters() is persisted
-    kAdmitted,       // may vote
-    kEmptyStore,     // the store is empty and the fleet exists: an operator has to add the voter
-    kStaleStore,     // the store holds less than it acknowledged: it has to be replaced
+    kBootstrapping,  // the voter may vote once bootstrap_voters() is persisted
+    kAdmitted,       // the voter may vote
+    kEmptyStore,     // the store is empty but the fleet is bootstrapped: an operator has to add the voter
+    kStaleStore,     // the store contains less than it acknowledged: it has to be replaced
   };
 
   VoterAdmission(raft::NodeId self, std::vector<raft::NodeId> initial_voters,
                  AdmissionSafetyChecks safety_checks = {})
       : self_(std::move(self)), initial_voters_(std::move(initial_voters)), safety_checks_(safety_checks) {}
 
-  // Starts admission for a store. `bootstrap_voters`: as persisted in it; empty where it never voted.
-  // `voters`: of its log.
+  // Starts the admission of a store. `bootstrap_voters` are those persisted in the store, empty if it has
+  // never voted; `voters` are those of its log.
   void Open(std::uint64_t store_id, BootstrapVoters bootstrap_voters, const std::vector<raft::NodeId>& voters,
             StoreHello hello);
   void Close() { state_.reset(); }
-  // Nullopt while no store is open.
+  // Returns nullopt while no store is open.
   const std::optional<State>& state() const { return state_; }
   const BootstrapVoters& bootstrap_voters() const { return bootstrap_voters_; }
   std::uint64_t store_id() const { return hello_.store_id; }
   const StoreHello& hello() const { return hello_; }
   const std::set<raft::NodeId>& other_voters() const { return other_voters_; }
 
-  // Answers the hello of another voter.
+  // Returns the response to the hello of another voter.
   StoreHelloResponse AnswerHello(const raft::NodeId& from, const StoreHello& hello);
-  // Handles another voter's answer to hello().
+  // Handles another voter's response to hello().
   void HandleResponse(const raft::NodeId& from, const StoreHelloResponse& response);
-  // Admits a store that has voted before if enough voters have no objection: all others with `wait_for_all`,
-  // otherwise a majority.
+  // Admits a store that has voted before if enough voters have no objection: with `wait_for_all` all other
+  // voters, otherwise a majority, in which this voter counts.
   void Decide(bool wait_for_all);
-  // An operator has added this voter.
+  // Handles the leader's message that an operator has added this voter.
   void HandleAdmitVoter(const AdmitVoter& admission);
-  // bootstrap_voters() is persisted.
+  // Reports that bootstrap_voters() is durable.
   void OnBootstrapVotersPersisted();
 
-  // Remembers what another voter has acknowledged to this process, to recognise a stale store of its later.
+  // Records what another voter acknowledges to this process, to detect later that the store of that voter is
+  // stale.
   void ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message);
-  // The store that a voter without a vote announced last.
+  // Returns the id of the store with which a node that is not admitted last sent a hello.
   std::optional<std::uint64_t> UnadmittedStore(const raft::NodeId& name) const;
 
  private:
   struct Acknowledged {
     raft::Term term = 0;
-    raft::Index match = 0;  // the highest in that term
+    raft::Index match = 0;  // the highest index acknowledged in that term
   };
 
   void HandleResponseToEmptyStore(const StoreHelloResponse& response);
--- a/src/replicated_config/voter_processes.h
+++ b/src/replicated_config/voter_processes.h
@@ -1,13 +1,7 @@
-// Which process of each voter is current. A message from a process that a later one has replaced must be
-// ignored: the later one may have another store.
+// Tracks the current process of each voter. Messages from a process that a later process of the same voter
+// has replaced must be ignored, because the later process may have another store.
 //
-// Contract: plain container, bounded.
-//
-// Owner: a ConfigReplica.
-//
-// Thread safety: none.
-//
-// Errors: none.
+// Memory is bounded. Not thread-safe. Belongs to a ConfigReplica.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_VOTER_PROCESSES_H_
 #define LEMONCROFT_REPLICATED_CONFIG_VOTER_PROCESSES_H_
 
@@ -25,11 +19,11 @@
 
 class VoterProcesses {
  public:
-  // Whether a later process of the same voter has said hello.
+  // Returns true if a later process of the same voter has sent a StoreHello.
   bool IsReplaced(Instance instance) const { return replaced_.contains(instance); }
-  // A process has sent a Raft message: it is the voter's first known one, or nothing changes.
+  // Records a process that has sent a Raft message, unless a process of this voter is already known.
   void Observe(const raft::NodeId& voter, Instance instance) { current_.try_emplace(voter, instance); }
-  // A process has opened its store: it replaces the voter's earlier one.
+  // Records a process that has opened its store. It replaces the voter's earlier process.
   void Replace(const raft::NodeId& voter, Instance instance) {
     const auto [it, first] = current_.try_emplace(voter, instance);
     if (first || it->second == instance) return;
