--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -11,14 +11,14 @@
 using namespace replicated_config;
 using namespace std::chrono_literals;
 
-Document Good(std::string_view text) {
-  const auto read = ParseDocument(text);
-  if (!read) ADD_FAILURE() << read.error().Text();
-  return read.value_or(Document());
+Document ParseValid(std::string_view text) {
+  const auto parsed = ParseDocument(text);
+  if (!parsed) ADD_FAILURE() << parsed.error().Text();
+  return parsed.value_or(Document());
 }
-std::string Wrong(std::string_view text) {
-  const auto read = ParseDocument(text);
-  return read ? "nothing is wrong" : read.error().Text();
+std::string ParseErrorText(std::string_view text) {
+  const auto parsed = ParseDocument(text);
+  return parsed ? "no error" : parsed.error().Text();
 }
 // The text of an error, empty for success.
 template <typename Checked>
@@ -37,30 +37,30 @@
 )";
 
 TEST(ConfigDocument, RoundTrip) {
-  const Document document = Good(kCompleteText);
-  EXPECT_EQ(Good(SerializeDocument(document)), document);
-  EXPECT_EQ(SerializeDocument(Good(SerializeDocument(document))), SerializeDocument(document));
+  const Document document = ParseValid(kCompleteText);
+  EXPECT_EQ(ParseValid(SerializeDocument(document)), document);
+  EXPECT_EQ(SerializeDocument(ParseValid(SerializeDocument(document))), SerializeDocument(document));
   EXPECT_EQ(document.classes.at("lookup").repeat_window, Span(1500us));
-  EXPECT_EQ(Good(""), Document());
+  EXPECT_EQ(ParseValid(""), Document());
 }
 
-TEST(ConfigDocument, InvalidText_ErrorNamesTheFault) {
-  EXPECT_NE(Wrong("attempts 0").find("not from 1 to 100"), std::string::npos);
-  EXPECT_NE(Wrong("colour 1").find("not known here"), std::string::npos);
-  EXPECT_NE(Wrong("class \"a\" { effect \"maybe\" }").find("none of those"), std::string::npos);
-  EXPECT_NE(Wrong("class \"a\" {}; class \"a\" {}").find("given twice"), std::string::npos);
-  EXPECT_NE(Wrong("out \"e1\"\ncut-off \"5s\" { class \"a\"; engine \"e1\" }").find("out by hand"),
+TEST(ConfigDocument, InvalidText_ErrorNamesFault) {
+  EXPECT_NE(ParseErrorText("attempts 0").find("not from 1 to 100"), std::string::npos);
+  EXPECT_NE(ParseErrorText("colour 1").find("not known here"), std::string::npos);
+  EXPECT_NE(ParseErrorText("class \"a\" { effect \"maybe\" }").find("none of those"), std::string::npos);
+  EXPECT_NE(ParseErrorText("class \"a\" {}; class \"a\" {}").find("given twice"), std::string::npos);
+  EXPECT_NE(ParseErrorText("out \"e1\"\ncut-off \"5s\" { class \"a\"; engine \"e1\" }").find("out by hand"),
             std::string::npos);
-  EXPECT_NE(Wrong("tenant \"two words\" {}").find("plain characters"), std::string::npos);
-  EXPECT_NE(Wrong(std::string(10 << 20, ' ')), "nothing is wrong") << "a document of 10 MB";
+  EXPECT_NE(ParseErrorText("tenant \"two words\" {}").find("plain characters"), std::string::npos);
+  EXPECT_NE(ParseErrorText(std::string(10 << 20, ' ')), "no error") << "a document of 10 MB";
   std::string many;
   for (int i = 0; i < 5000; ++i) many += "tenant \"t" + std::to_string(i) + "\" { quota 1 }\n";
-  EXPECT_NE(Wrong(many).find("at most 4096"), std::string::npos);
+  EXPECT_NE(ParseErrorText(many).find("at most 4096"), std::string::npos);
 }
 
-TEST(ConfigDocument, SuccessorChangesTheIsolationPolicy_Conflicts) {
-  const Document from = Good(kCompleteText);
-  EXPECT_EQ(ErrorText(CheckSuccessor(from, Good(std::string(kCompleteText) + "tenant \"b\" {}"))), "");
+TEST(ConfigDocument, SuccessorAffectsIsolatedProxies_Conflicts) {
+  const Document from = ParseValid(kCompleteText);
+  EXPECT_EQ(ErrorText(CheckSuccessor(from, ParseValid(std::string(kCompleteText) + "tenant \"b\" {}"))), "");
   Document out = from;
   out.ejected_engines.insert("e1");
   EXPECT_NE(ErrorText(CheckSuccessor(from, out)).find("engine 'e1'"), std::string::npos);
@@ -71,55 +71,58 @@
   EXPECT_NE(ErrorText(CheckSuccessor(from, changed)), "") << "taken from `cut-off` and changed at once";
 }
 
-TEST(ConfigDocument, DifferencesByLine) {
-  Document to = Good(kCompleteText);
+TEST(ConfigDocument, Differences_AreReportedByLine) {
+  Document to = ParseValid(kCompleteText);
   to.max_attempts = 4;
   to.ejected_engines = {"e8", "e9"};
-  EXPECT_EQ(Differences(Good(kCompleteText), to),
+  EXPECT_EQ(Differences(ParseValid(kCompleteText), to),
             (std::vector<std::string>{"~ attempts: 3 -> 4", "- out e7", "+ out e9"}));
 }
 
-TEST(ConfigDocument, ErrorsKeepPlaceAndCause) {
-  const auto syntax = ParseDocument("attempts 1\nclass \"a\" {");
-  ASSERT_FALSE(syntax.has_value());
-  EXPECT_TRUE(syntax.error().is_syntax_error);
-  ASSERT_EQ(syntax.error().faults.size(), 1u);
-  EXPECT_EQ(syntax.error().faults[0].line, 2);
-  EXPECT_EQ(syntax.error().Text().rfind("line 2, column ", 0), 0u) << syntax.error().Text();
-  const auto content = ParseDocument("attempts 0\n  colour 1");
-  ASSERT_FALSE(content.has_value());
-  EXPECT_FALSE(content.error().is_syntax_error);
-  ASSERT_EQ(content.error().faults.size(), 2u);
-  EXPECT_EQ(content.error().faults[1].line, 2);
-  EXPECT_NE(content.error().Text().find("\nrules:2:3: "), std::string::npos) << content.error().Text();
+TEST(ConfigDocument, Errors_ContainPlaceAndCause) {
+  const auto syntax_error = ParseDocument("attempts 1\nclass \"a\" {");
+  ASSERT_FALSE(syntax_error.has_value());
+  EXPECT_TRUE(syntax_error.error().is_syntax_error);
+  ASSERT_EQ(syntax_error.error().faults.size(), 1u);
+  EXPECT_EQ(syntax_error.error().faults[0].line, 2);
+  EXPECT_EQ(syntax_error.error().Text().rfind("line 2, column ", 0), 0u) << syntax_error.error().Text();
+  const auto content_error = ParseDocument("attempts 0\n  colour 1");
+  ASSERT_FALSE(content_error.has_value());
+  EXPECT_FALSE(content_error.error().is_syntax_error);
+  ASSERT_EQ(content_error.error().faults.size(), 2u);
+  EXPECT_EQ(content_error.error().faults[1].line, 2);
+  EXPECT_NE(content_error.error().Text().find("\nrules:2:3: "), std::string::npos)
+      << content_error.error().Text();
   settings::Site own;
   own.module.max_attempts = 3;
-  const auto incompatible = CheckCompatible(Good("attempts 4"), own, nullptr);
+  const auto incompatible = CheckCompatible(ParseValid("attempts 4"), own, nullptr);
   ASSERT_FALSE(incompatible.has_value());
   EXPECT_EQ(incompatible.error().cause, IncompatibleDocument::Cause::kMaxAttempts);
   EXPECT_EQ(incompatible.error().supported, 3u);
   EXPECT_EQ(incompatible.error().requested, 4u);
 }
 
-TEST(ConfigDocument, IncompatibleSettings_ErrorNamesTheCause) {
+TEST(ConfigDocument, IncompatibleSettings_ErrorNamesCause) {
   settings::Site own;
   own.classes = {"lookup"};
   own.tenants = {"acme"};
   own.module.classes.resize(1);
   own.module.tenants.resize(1);
   own.module.max_attempts = 3;
-  EXPECT_EQ(ErrorText(CheckCompatible(Good("attempts 3"), own, nullptr)), "");
-  EXPECT_NE(ErrorText(CheckCompatible(Good("attempts 4"), own, nullptr)).find("allow 3 attempts"),
+  EXPECT_EQ(ErrorText(CheckCompatible(ParseValid("attempts 3"), own, nullptr)), "");
+  EXPECT_NE(ErrorText(CheckCompatible(ParseValid("attempts 4"), own, nullptr)).find("allow 3 attempts"),
             std::string::npos);
-  EXPECT_NE(ErrorText(CheckCompatible(Good("format 2"), own, nullptr)).find("reads format 1"),
-            std::string::npos);
-  EXPECT_NE(ErrorText(CheckCompatible(Good("class \"report\" {}"), own, nullptr)).find("no class 'report'"),
+  EXPECT_NE(ErrorText(CheckCompatible(ParseValid("format 2"), own, nullptr)).find("reads format 1"),
             std::string::npos);
   EXPECT_NE(
-      ErrorText(CheckCompatible(Good("team \"acme\" { cores 1 }"), own, nullptr)).find("no waiting line"),
+      ErrorText(CheckCompatible(ParseValid("class \"report\" {}"), own, nullptr)).find("no class 'report'"),
       std::string::npos);
+  EXPECT_NE(ErrorText(CheckCompatible(ParseValid("team \"acme\" { cores 1 }"), own, nullptr))
+                .find("no waiting line"),
+            std::string::npos);
   const settings::Site applied = ApplyDocument(
-      Good("attempts 2\nclass \"lookup\" { effect \"side_effect\" }\ntenant \"acme\" { quota 7 }"), own);
+      ParseValid("attempts 2\nclass \"lookup\" { effect \"side_effect\" }\ntenant \"acme\" { quota 7 }"),
+      own);
   EXPECT_EQ(applied.module.max_attempts, 2);
   EXPECT_EQ(applied.module.classes[0].effect, Effect::kUnsafe);
   EXPECT_EQ(applied.module.tenants[0].quota_per_s, 7);
@@ -143,30 +146,32 @@
 }
 
 TEST(Linearizability, StaleReadOrLostUpdate_IsNotLinearizable) {
-  using K = Operation::Kind;
-  using E = Operation::Result;
-  const Operation first = Op(K::kChange, 0, 10, 0, E::kCommitted, 1);
-  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kRead, 20, 30, 0, E::kCommitted, 1)}),
+  using Kind = Operation::Kind;
+  using Result = Operation::Result;
+  const Operation first = Op(Kind::kChange, 0, 10, 0, Result::kCommitted, 1);
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kRead, 20, 30, 0, Result::kCommitted, 1)}),
             LinearizabilityResult::kLinearizable);
-  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kRead, 20, 30, 0, E::kCommitted, 0)}),
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kRead, 20, 30, 0, Result::kCommitted, 0)}),
             LinearizabilityResult::kNotLinearizable)
       << "a stale read";
-  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kRead, 5, 30, 0, E::kCommitted, 0)}),
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kRead, 5, 30, 0, Result::kCommitted, 0)}),
             LinearizabilityResult::kLinearizable)
       << "it overlaps";
-  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kChange, 5, 15, 0, E::kCommitted, 1)}),
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kChange, 5, 15, 0, Result::kCommitted, 1)}),
             LinearizabilityResult::kNotLinearizable)
       << "a lost edit";
-  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kChange, 20, 30, 0, E::kConflict, 1)}),
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kChange, 20, 30, 0, Result::kConflict, 1)}),
             LinearizabilityResult::kLinearizable);
-  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(K::kChange, 20, 30, 1, E::kConflict, 1)}),
+  EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kChange, 20, 30, 1, Result::kConflict, 1)}),
             LinearizabilityResult::kNotLinearizable);
-  const Operation unknown = Op(K::kChange, 20, -1, 1, E::kUnknown, 0);
-  EXPECT_EQ(fault_test::CheckLinearizability({first, unknown, Op(K::kRead, 30, 40, 0, E::kCommitted, 2)}),
-            LinearizabilityResult::kLinearizable);
-  EXPECT_EQ(fault_test::CheckLinearizability({first, unknown, Op(K::kRead, 30, 40, 0, E::kCommitted, 2),
-                                              Op(K::kRead, 50, 60, 0, E::kCommitted, 1)}),
-            LinearizabilityResult::kNotLinearizable)
+  const Operation unknown = Op(Kind::kChange, 20, -1, 1, Result::kUnknown, 0);
+  EXPECT_EQ(
+      fault_test::CheckLinearizability({first, unknown, Op(Kind::kRead, 30, 40, 0, Result::kCommitted, 2)}),
+      LinearizabilityResult::kLinearizable);
+  EXPECT_EQ(
+      fault_test::CheckLinearizability({first, unknown, Op(Kind::kRead, 30, 40, 0, Result::kCommitted, 2),
+                                        Op(Kind::kRead, 50, 60, 0, Result::kCommitted, 1)}),
+      LinearizabilityResult::kNotLinearizable)
       << "once seen it stays";
 }
 
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr Instant kMaxContradiction = 1200ms;  // T of docs/agreement.md
 
-TEST(LeaseHolder, LateGrant_LeaseRunsFromTheRequest) {
+TEST(LeaseHolder, LateGrant_LeaseStartsAtRequest) {
   LeaseHolder holder{LeaseOptions()};
   const Time start{1h};
   const LeaseRenewal first = holder.RequestRenewal(start);
@@ -32,7 +32,7 @@
   EXPECT_EQ(holder.UsableVersion(start + 995ms), std::nullopt) << "a renewal is answered once";
 }
 
-TEST(LeaseHolder, GrantForOlderVersion_KeepsTheNewerVersion) {
+TEST(LeaseHolder, GrantForOlderVersion_KeepsNewerVersion) {
   LeaseHolder holder{LeaseOptions()};
   const Time start{1h};
   holder.MarkPrepared(2);
@@ -51,7 +51,7 @@
   EXPECT_EQ(holder.UsableVersion(start), Version{2});
 }
 
-TEST(LeaseGrantor, ClockRatesWithinBound_RecordOutlastsTheLease) {
+TEST(LeaseGrantor, ClockRatesWithinBound_RecordOutlastsLease) {
   for (const double slow : {0.99, 0.995, 1.0}) {
     LeaseOptions options;
     LeaseGrantor grantor(options);
@@ -59,15 +59,15 @@
     const Time start{1h};
     grantor.BeginLeadership(start, 1);
     holder.MarkPrepared(1);
-    const LeaseRenewal asked = holder.RequestRenewal(start);
-    grantor.HandleRenewal(start, true, "p", asked, 1, 1);
-    holder.HandleGrant(start, {asked.sequence, 1, 1, 0ms, 1});
+    const LeaseRenewal renewal = holder.RequestRenewal(start);
+    grantor.HandleRenewal(start, true, "p", renewal, 1, 1);
+    holder.HandleGrant(start, {renewal.sequence, 1, 1, 0ms, 1});
     for (Span at{}; at < 2s; at += 1ms) {
-      const bool acts =
+      const bool usable =
           holder.UsableVersion(start + Span(static_cast<Span::rep>(static_cast<double>(at.count()) * slow)))
               .has_value();
-      const bool booked = !grantor.UnpreparedHolders(start + at, 2).empty();
-      EXPECT_TRUE(!acts || booked) << slow << " " << at.count();
+      const bool recorded = !grantor.UnpreparedHolders(start + at, 2).empty();
+      EXPECT_TRUE(!usable || recorded) << slow << " " << at.count();
     }
   }
 }
@@ -77,11 +77,11 @@
     LeaseHolder holder{LeaseOptions()};
     holder.MarkPrepared(1);
     Time now{1h};
-    Span leaders{};
+    Span leader_clock{};
     for (int i = 0; i < 20; ++i) {
-      holder.HandleGrant(now, {holder.RequestRenewal(now).sequence, 1, 1, leaders, 1});
+      holder.HandleGrant(now, {holder.RequestRenewal(now).sequence, 1, 1, leader_clock, 1});
       now += 250ms;
-      leaders += Span(static_cast<Span::rep>(250e6 * rate));
+      leader_clock += Span(static_cast<Span::rep>(250e6 * rate));
     }
     EXPECT_EQ(holder.clock_rates_differ(), rate != 1.005) << rate;
     EXPECT_EQ(holder.UsableVersion(now - 250ms).has_value(), rate == 1.005) << rate;
@@ -90,8 +90,9 @@
 
 // ---- Simulated fleets ----
 
-struct World : LeaseFleet {
-  explicit World(std::uint64_t seed = 1, const LeaseSafetyChecks& safety_checks = {}, std::size_t proxies = 7)
+struct TestFleet : LeaseFleet {
+  explicit TestFleet(std::uint64_t seed = 1, const LeaseSafetyChecks& safety_checks = {},
+                     std::size_t proxies = 7)
       : LeaseFleet([&] {
           Plan plan;
           plan.seed = seed;
@@ -110,149 +111,149 @@
   }
 };
 
-TEST(LeaseFleet, Proposal_ActiveEverywhereWithinARenewalAndADelivery) {
+TEST(LeaseFleet, Proposal_IsActiveEverywhereWithinRenewalAndDelivery) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    World world(seed);
-    const Instant since = world.now();
-    world.ProposeAndWait();
-    EXPECT_LE(world.now() - since, Instant(700ms)) << "to announce, prepare and activate: seed " << seed;
-    EXPECT_LE(world.contradiction(), Instant(300ms)) << "a renewal interval and a delivery: seed " << seed;
-    EXPECT_EQ(world.uses_without_document(), 0u);
+    TestFleet fleet(seed);
+    const Instant since = fleet.now();
+    fleet.ProposeAndWait();
+    EXPECT_LE(fleet.now() - since, Instant(700ms)) << "to announce, prepare and activate: seed " << seed;
+    EXPECT_LE(fleet.contradiction(), Instant(300ms)) << "a renewal interval and a delivery: seed " << seed;
+    EXPECT_EQ(fleet.uses_without_document(), 0u);
   }
 }
 
-TEST(LeaseFleet, IsolatedProxy_StopsWithinTheMaximumContradiction) {
-  World world;
+TEST(LeaseFleet, IsolatedProxy_StopsWithinMaximumContradiction) {
+  TestFleet fleet;
   for (std::size_t p = 0; p < 7; ++p)
     for (const std::size_t cut : {5u, 6u})
       if (p != cut) {
-        world.links().Cut(static_cast<simulation::Node>(p), static_cast<simulation::Node>(cut), true);
-        world.links().Cut(static_cast<simulation::Node>(cut), static_cast<simulation::Node>(p), true);
+        fleet.links().Cut(static_cast<simulation::Node>(p), static_cast<simulation::Node>(cut), true);
+        fleet.links().Cut(static_cast<simulation::Node>(cut), static_cast<simulation::Node>(p), true);
       }
-  world.RunFor(Instant(1200ms));
-  EXPECT_EQ(world.UsableVersion(5), std::nullopt);
-  world.Propose();
-  world.RunFor(5s);
-  EXPECT_EQ(world.UsableVersion(0), Version{2});
-  EXPECT_EQ(world.UsableVersion(5), std::nullopt);
-  world.links().Heal();
-  world.RunFor(2s);
-  EXPECT_TRUE(world.ActiveEverywhere(2));
-  EXPECT_LE(world.contradiction(), kMaxContradiction);
+  fleet.RunFor(Instant(1200ms));
+  EXPECT_EQ(fleet.UsableVersion(5), std::nullopt);
+  fleet.Propose();
+  fleet.RunFor(5s);
+  EXPECT_EQ(fleet.UsableVersion(0), Version{2});
+  EXPECT_EQ(fleet.UsableVersion(5), std::nullopt);
+  fleet.links().Heal();
+  fleet.RunFor(2s);
+  EXPECT_TRUE(fleet.ActiveEverywhere(2));
+  EXPECT_LE(fleet.contradiction(), kMaxContradiction);
 }
 
 TEST(LeaseFleet, RandomFaults_ContradictionStaysBounded) {
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
-    World world(seed, {}, 7);
+    TestFleet fleet(seed, {}, 7);
     std::mt19937_64 random(seed);
     const auto below = [&](std::uint64_t bound) { return static_cast<std::size_t>(random() % bound); };
     for (int i = 0; i < 30; ++i) {
-      const std::size_t who = below(7);
+      const std::size_t proxy = below(7);
       switch (below(8)) {
         case 0:
           for (std::size_t p = 0; p < 7; ++p)
-            world.links().Side(static_cast<simulation::Node>(p), static_cast<int>(below(2)));
+            fleet.links().Side(static_cast<simulation::Node>(p), static_cast<int>(below(2)));
           break;
         case 1:
-          world.links().Heal();
+          fleet.links().Heal();
           break;
         case 2:
-          world.Stall(who, Instant(1ms) * static_cast<int>(below(4000)));
+          fleet.Stall(proxy, Instant(1ms) * static_cast<int>(below(4000)));
           break;
         case 3:
-          if (who < 3 && world.voters().IsRunning(who)) world.CrashVoter(who);
+          if (proxy < 3 && fleet.voters().IsRunning(proxy)) fleet.CrashVoter(proxy);
           break;
         case 4:
-          if (who < 3) world.RestartVoter(who);
+          if (proxy < 3) fleet.RestartVoter(proxy);
           break;
         case 5:
-          world.links().Cut(static_cast<simulation::Node>(who), static_cast<simulation::Node>(below(7)),
+          fleet.links().Cut(static_cast<simulation::Node>(proxy), static_cast<simulation::Node>(below(7)),
                             true);
           break;
         case 6:
-          world.links().usual().loss = 0.05 * static_cast<double>(below(6));
-          world.links().usual().spread = Instant(1ms) * static_cast<int>(below(800));
+          fleet.links().usual().loss = 0.05 * static_cast<double>(below(6));
+          fleet.links().usual().spread = Instant(1ms) * static_cast<int>(below(800));
           break;
         default:
-          world.SetFetchDelay(who, Instant(1ms) * static_cast<int>(below(600)));
+          fleet.SetFetchDelay(proxy, Instant(1ms) * static_cast<int>(below(600)));
       }
-      world.Propose();
-      world.RunFor(Instant(1ms) * static_cast<int>(below(1500)));
+      fleet.Propose();
+      fleet.RunFor(Instant(1ms) * static_cast<int>(below(1500)));
     }
-    EXPECT_LE(world.contradiction(), kMaxContradiction) << "seed " << seed;
-    EXPECT_EQ(world.stale(), 0u) << "seed " << seed;
-    EXPECT_TRUE(world.voters().violations().empty()) << "seed " << seed;
+    EXPECT_LE(fleet.contradiction(), kMaxContradiction) << "seed " << seed;
+    EXPECT_EQ(fleet.stale(), 0u) << "seed " << seed;
+    EXPECT_TRUE(fleet.voters().violations().empty()) << "seed " << seed;
   }
 }
 
 // ---- Safety checks ----
 
-struct SwitchedCheck {
+struct SafetyCheckCase {
   const char* name;
-  bool LeaseSafetyChecks::*check_field;
-  std::function<bool(const LeaseSafetyChecks&)> keeps;
+  bool LeaseSafetyChecks::*check;
+  std::function<bool(const LeaseSafetyChecks&)> holds;
 };
 
-bool Keeps(const LeaseFleet& world) {
-  return world.contradiction() <= kMaxContradiction && world.stale() == 0 &&
-         world.uses_without_document() == 0;
+bool InvariantsHold(const LeaseFleet& fleet) {
+  return fleet.contradiction() <= kMaxContradiction && fleet.stale() == 0 &&
+         fleet.uses_without_document() == 0;
 }
 
-const SwitchedCheck kSwitchedChecks[] = {
+const SafetyCheckCase kSafetyCheckCases[] = {
     {"expiry is checked on use", &LeaseSafetyChecks::check_expiry_on_use,
      [](const LeaseSafetyChecks& safety_checks) {
-       World world(1, safety_checks);
-       world.Stall(6, 4s);
-       world.RunFor(2s);
-       world.Propose();
-       world.RunFor(4s);  // it is resumed, and acts before any of its timers has run
-       return world.stale() == 0 && world.contradiction() <= kMaxContradiction;
+       TestFleet fleet(1, safety_checks);
+       fleet.Stall(6, 4s);
+       fleet.RunFor(2s);
+       fleet.Propose();
+       fleet.RunFor(4s);  // it is resumed, and acts before any of its timers has run
+       return fleet.stale() == 0 && fleet.contradiction() <= kMaxContradiction;
      }},
     {"a lease runs from its request", &LeaseSafetyChecks::start_at_request,
      [](const LeaseSafetyChecks& safety_checks) {
-       World world(1, safety_checks);
+       TestFleet fleet(1, safety_checks);
        for (std::size_t v = 0; v < 3; ++v) {
          simulation::LinkFaults slow;
          slow.delay = 2s;
-         world.links().Set(static_cast<simulation::Node>(v), 6, slow);
+         fleet.links().Set(static_cast<simulation::Node>(v), 6, slow);
        }
-       world.RunFor(3s);
-       world.Propose();
-       world.RunFor(5s);
-       return Keeps(world);
+       fleet.RunFor(3s);
+       fleet.Propose();
+       fleet.RunFor(5s);
+       return InvariantsHold(fleet);
      }},
     {"grants only while leading", &LeaseSafetyChecks::grant_only_while_leading,
      [](const LeaseSafetyChecks& safety_checks) {
-       World world(1, safety_checks);
-       const std::size_t leader = *world.voters().Leader();
+       TestFleet fleet(1, safety_checks);
+       const std::size_t leader = *fleet.voters().Leader();
        for (std::size_t p = 0; p < 7; ++p)
-         world.links().Side(static_cast<simulation::Node>(p), p == leader || p > 4 ? 0 : 1);
+         fleet.links().Side(static_cast<simulation::Node>(p), p == leader || p > 4 ? 0 : 1);
        for (int i = 0; i < 8; ++i) {
-         world.RunFor(500ms);
-         if (const auto other = world.voters().Leader(); other && *other != leader) world.Propose();
+         fleet.RunFor(500ms);
+         if (const auto other = fleet.voters().Leader(); other && *other != leader) fleet.Propose();
        }
-       return Keeps(world);
+       return InvariantsHold(fleet);
      }},
     {"waits after an election", &LeaseSafetyChecks::wait_after_election,
      [](const LeaseSafetyChecks& safety_checks) {
        for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-         World world(seed, safety_checks);
-         world.SetFetchDelay(6, 900ms);
-         world.Propose();
-         world.RunFor(100ms);
-         world.voters().TransferLeadership(*world.voters().Leader());
-         world.RunFor(3s);
-         if (!Keeps(world)) return false;
+         TestFleet fleet(seed, safety_checks);
+         fleet.SetFetchDelay(6, 900ms);
+         fleet.Propose();
+         fleet.RunFor(100ms);
+         fleet.voters().TransferLeadership(*fleet.voters().Leader());
+         fleet.RunFor(3s);
+         if (!InvariantsHold(fleet)) return false;
        }
        return true;
      }},
     {"waits for all holders to prepare", &LeaseSafetyChecks::wait_for_all_prepared,
      [](const LeaseSafetyChecks& safety_checks) {
-       World world(1, safety_checks);
-       world.SetFetchDelay(6, 900ms);
-       world.Propose();
-       world.RunFor(3s);
-       return Keeps(world);
+       TestFleet fleet(1, safety_checks);
+       fleet.SetFetchDelay(6, 900ms);
+       fleet.Propose();
+       fleet.RunFor(3s);
+       return InvariantsHold(fleet);
      }},
     {"versions are monotonic", &LeaseSafetyChecks::monotonic_versions,
      [](const LeaseSafetyChecks& safety_checks) {
@@ -273,57 +274,57 @@
        LeaseHolder holder(options);
        const Time start{1h};
        holder.MarkPrepared(1);
-       const LeaseRenewal asked = holder.RequestRenewal(start);
-       grantor.HandleRenewal(start, true, "p", asked, 1, 1);
-       holder.HandleGrant(start, {asked.sequence, 1, 1, 0ms, 1});
+       const LeaseRenewal renewal = holder.RequestRenewal(start);
+       grantor.HandleRenewal(start, true, "p", renewal, 1, 1);
+       holder.HandleGrant(start, {renewal.sequence, 1, 1, 0ms, 1});
        for (Span at{}; at < 2s; at += 1ms) {
-         const Span slow = Span(static_cast<Span::rep>(static_cast<double>(at.count()) * 0.99));
-         if (holder.UsableVersion(start + slow) && grantor.UnpreparedHolders(start + at, 2).empty())
+         const Span holder_elapsed = Span(static_cast<Span::rep>(static_cast<double>(at.count()) * 0.99));
+         if (holder.UsableVersion(start + holder_elapsed) && grantor.UnpreparedHolders(start + at, 2).empty())
            return false;
        }
        return true;
      }},
 };
 
-TEST(LeaseSafetyChecks, Disabled_FaultIsFound) {
-  for (const SwitchedCheck& check : kSwitchedChecks) {
-    EXPECT_TRUE(check.keeps(LeaseSafetyChecks())) << check.name << ": fails with the check enabled";
-    LeaseSafetyChecks uses_without_document;
-    uses_without_document.*check.check_field = false;
-    EXPECT_FALSE(check.keeps(uses_without_document)) << check.name << ": disabled, and nothing fails";
+TEST(LeaseSafetyChecks, CheckDisabled_FailureIsFound) {
+  for (const SafetyCheckCase& check_case : kSafetyCheckCases) {
+    EXPECT_TRUE(check_case.holds(LeaseSafetyChecks())) << check_case.name << ": fails with the check enabled";
+    LeaseSafetyChecks without;
+    without.*check_case.check = false;
+    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": disabled, and nothing fails";
   }
 }
 
 // ---- Bounded search of all event orders ----
 
-TEST(LeaseModel, AllChecksEnabled_NoStateViolatesTheInvariant) {
-  const model_check::SearchResult found = model_check::SearchLeases({}, {}, 60'000);
-  EXPECT_EQ(found.violation, "");
-  EXPECT_GE(found.states, 60'000u);
+TEST(LeaseModel, AllChecksEnabled_InvariantsHold) {
+  const model_check::SearchResult result = model_check::SearchLeases({}, {}, 60'000);
+  EXPECT_EQ(result.violation, "");
+  EXPECT_GE(result.states, 60'000u);
 }
 
 TEST(LeaseModel, CheckDisabled_ViolationIsFound) {
   // Few events and many ticks: a version is activated some five ticks after its proposal.
-  const model_check::LeaseBudget one{.ticks = 12,
-                                     .renewals = 1,
-                                     .versions = 1,
-                                     .elections = 0,
-                                     .duplicates = 0,
-                                     .crashes = 0,
-                                     .in_transit = 1};
-  model_check::LeaseBudget two = one;
-  two.elections = 1;
-  const std::tuple<const char*, bool LeaseSafetyChecks::*, model_check::LeaseBudget> safety_checks[] = {
-      {"expiry is checked on use", &LeaseSafetyChecks::check_expiry_on_use, one},
-      {"a lease runs from its request", &LeaseSafetyChecks::start_at_request, one},
-      {"grants only while leading", &LeaseSafetyChecks::grant_only_while_leading, two}};
-  for (const auto& [name, check_field, budget] : safety_checks) {
-    LeaseSafetyChecks uses_without_document;
-    uses_without_document.*check_field = false;
-    const model_check::SearchResult found = model_check::SearchLeases(uses_without_document, budget, 600'000);
-    EXPECT_NE(found.violation, "") << name << ", " << found.states << " states";
-    const model_check::SearchResult with = model_check::SearchLeases({}, budget, 60'000);
-    EXPECT_EQ(with.violation, "") << name;
+  const model_check::LeaseBudget budget_without_election{.ticks = 12,
+                                                         .renewals = 1,
+                                                         .versions = 1,
+                                                         .elections = 0,
+                                                         .duplicates = 0,
+                                                         .crashes = 0,
+                                                         .in_transit = 1};
+  model_check::LeaseBudget budget_with_election = budget_without_election;
+  budget_with_election.elections = 1;
+  const std::tuple<const char*, bool LeaseSafetyChecks::*, model_check::LeaseBudget> cases[] = {
+      {"expiry is checked on use", &LeaseSafetyChecks::check_expiry_on_use, budget_without_election},
+      {"a lease runs from its request", &LeaseSafetyChecks::start_at_request, budget_without_election},
+      {"grants only while leading", &LeaseSafetyChecks::grant_only_while_leading, budget_with_election}};
+  for (const auto& [name, check, budget] : cases) {
+    LeaseSafetyChecks without;
+    without.*check = false;
+    const model_check::SearchResult result = model_check::SearchLeases(without, budget, 600'000);
+    EXPECT_NE(result.violation, "") << name << ", " << result.states << " states";
+    const model_check::SearchResult enabled_result = model_check::SearchLeases({}, budget, 60'000);
+    EXPECT_EQ(enabled_result.violation, "") << name;
   }
 }
 
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(Raft, HealthyCluster_ElectsALeaderAndCommits) {
+TEST(Raft, HealthyCluster_ElectsLeaderAndCommits) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect();
   EXPECT_EQ(cluster.Propose(leader, "x").error, ProposalError::kNone);
@@ -61,7 +61,7 @@
   EXPECT_TRUE(cluster.violations().empty());
 }
 
-TEST(Raft, LeaderCrash_AnotherLeadsWithinSeconds) {
+TEST(Raft, LeaderCrash_SuccessorIsElectedWithinSeconds) {
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Cluster cluster(seed);
@@ -144,7 +144,7 @@
   }
 }
 
-TEST(Raft, FollowerBehindTheCompactedLog_GetsASnapshot) {
+TEST(Raft, FollowerBehindCompactedLog_InstallsSnapshot) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect(), isolated = (leader + 1) % 3;
   cluster.Isolate(isolated, 3);
@@ -165,7 +165,7 @@
   EXPECT_TRUE(cluster.violations().empty());
 }
 
-TEST(Raft, RandomFaults_ViolateNoInvariantAndClusterRecovers) {
+TEST(Raft, RandomFaults_InvariantsHoldAndClusterRecovers) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     const std::size_t members = seed % 3 == 0 ? 5 : 3;
     Cluster cluster(seed, {}, members, members);
@@ -417,7 +417,7 @@
      }},
 };
 
-TEST(RaftSafetyChecks, EachDisabled_AFailureIsFound) {
+TEST(RaftSafetyChecks, CheckDisabled_FailureIsFound) {
   for (const SafetyCheckCase& check_case : kSafetyCheckCases) {
     EXPECT_TRUE(check_case.holds(SafetyChecks())) << check_case.name << ": fails with all checks enabled";
     SafetyChecks without;
@@ -426,7 +426,7 @@
   }
 }
 
-TEST(RaftModelCheck, AllStates_ViolateNoInvariant) {
+TEST(RaftModelCheck, AllChecksEnabled_InvariantsHold) {
   const model_check::SearchResult result = model_check::SearchRaftModel({}, {}, 60'000);
   EXPECT_EQ(result.violation, "");
   EXPECT_GE(result.states, 60'000u);
