--- a/tests/config_replica_test.cpp
+++ b/tests/config_replica_test.cpp
@@ -1,4 +1,5 @@
-// ConfigReplicas in simulated fleets, the state machine, the message encoding, and voter admission.
+// Tests of the replicated configuration: ConfigReplicas in simulated fleets with faults, the state machine,
+// the message encoding, and mutation tests that disable each safety check.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -14,7 +15,8 @@
 using simulation::Node;
 using namespace std::chrono_literals;
 
-constexpr Instant kMaxContradiction = 1200ms;  // T of docs/agreement.md
+// The longest time for which two proxies may act on different versions: T of docs/agreement.md.
+constexpr Instant kMaxContradiction = 1200ms;
 
 struct TestFleet : ConfigReplicaFleet {
   explicit TestFleet(std::uint64_t seed = 1, const ConfigReplicaSafetyChecks& safety_checks = {},
@@ -27,7 +29,7 @@
           return plan;
         }()) {
     for (int i = 0; i < 100 && !AllUse(0); ++i) RunFor(50ms);
-    EXPECT_TRUE(AllUse(0)) << "no lease, seed " << seed;
+    EXPECT_TRUE(AllUse(0)) << "some proxy has no lease, seed " << seed;
   }
   const ChangeOutcome& AwaitOutcome(const std::string& id) {
     for (int i = 0; i < 600 && !outcomes().contains(id); ++i) RunFor(10ms);
@@ -64,9 +66,9 @@
       if (!IsRunning(i)) continue;
       const ConfigReplica& r = replica(i);
       const auto& state = r.admission().state();
-      out += "\n" + ConfigReplicaFleet::NameOf(i) + " acts on " +
-             std::to_string(UsableVersion(i).value_or(9999)) + ", in force " +
-             std::to_string(r.holder().active_version()) + ", newest " +
+      out += "\n" + ConfigReplicaFleet::NameOf(i) + ": usable version " +
+             std::to_string(UsableVersion(i).value_or(9999)) + ", active " +
+             std::to_string(r.holder().active_version()) + ", latest " +
              std::to_string(r.holder().latest_version()) + ", prepared " +
              std::to_string(r.holder().prepared_version()) + ", leader " + r.leader() + ", admission " +
              (state ? std::to_string(static_cast<int>(*state)) : "none");
@@ -74,7 +76,7 @@
         out += ", role " + std::to_string(static_cast<int>(r.raft()->role())) + " term " +
                std::to_string(r.raft()->term()) + " commit " + std::to_string(r.raft()->commit_index()) +
                " of " + std::to_string(r.raft()->last_index()) +
-               (r.holder().clock_rates_differ() ? " apart" : "");
+               (r.holder().clock_rates_differ() ? ", clock rates differ" : "");
     }
     return out;
   }
@@ -96,6 +98,8 @@
   }
 }
 
+// In each run the leader crashes at another point of the change. The change must become active on all proxies
+// or on none, and a change that was reported as committed must not be lost.
 TEST(ConfigReplica, LeaderCrashDuringChange_ChangeIsAtomic) {
   int committed = 0, unknown = 0;
   for (int after = 0; after < 700; after += 9) {
@@ -118,13 +122,15 @@
       ++unknown;
       EXPECT_EQ(outcome.status, ChangeStatus::kUnknown) << after;
     }
-    EXPECT_TRUE(fleet.AllUse(now)) << after << ": complete or not at all";
+    EXPECT_TRUE(fleet.AllUse(now)) << after << ": the change is active on some proxies only";
     EXPECT_TRUE(fleet.InvariantsHold()) << after << " " << fleet.contradiction().count();
   }
-  EXPECT_GT(committed, 50) << "a change outlives its leader: it is retried under its id";
+  EXPECT_GT(committed, 50) << "the proposer retries a change under its id at the next leader";
   RecordProperty("unknown", unknown);
 }
 
+// The old leader is on the side of the minority. Only the change that is proposed on the other side may be
+// committed.
 TEST(ConfigReplica, ProposalsOnBothSidesOfPartition_MajorityCommits) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     TestFleet fleet(seed);
@@ -198,7 +204,7 @@
     }
     fleet.RunFor(8s);
     EXPECT_TRUE(fleet.AllUse(fleet.replica(0).holder().latest_version()))
-        << seed << ": settles again" << fleet.Describe();
+        << seed << ": the fleet does not converge after the faults" << fleet.Describe();
     for (const auto& [id, outcome] : fleet.outcomes()) {
       if (outcome.status != ChangeStatus::kCommitted || texts.at(id).empty()) continue;
       ++committed;
@@ -224,7 +230,8 @@
   EXPECT_EQ(fleet.Commit(2, 0, "right"), 1u);
 }
 
-// The proxy is unreachable during validation, and must not delay the next version.
+// A proxy that was unreachable during validation cannot apply the committed version. Its lease must expire
+// instead of delaying the activation at all other proxies.
 TEST(ConfigReplica, ProxyCannotPrepare_LeaseExpiresAndOthersContinue) {
   TestFleet fleet;
   fleet.Isolate(5);
@@ -239,12 +246,14 @@
   EXPECT_TRUE(fleet.AllUse(2));
 }
 
+// A follower that has lost its link to the other follower is replaced while a change is in flight. The
+// removed voter must not disturb the leader once the link is restored.
 TEST(ConfigReplica, VoterReplacedDuringChangeWithLinkCut_BothComplete) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     TestFleet fleet(seed);
     const std::size_t leader = fleet.Elect(), other = (leader + 1) % 3, out = (leader + 2) % 3;
     fleet.Cut(out, other);
-    fleet.disk(4).store = 77;  // it is to be one
+    fleet.disk(4).store = 77;  // a store, so that this proxy can become a voter
     fleet.Crash(4);
     fleet.Restart(4);
     fleet.RunFor(2s);
@@ -266,7 +275,8 @@
   }
 }
 
-// What it acknowledged before its removal must not be counted as stored by its new, empty store.
+// The leader must not count the entries that a voter acknowledged before its removal as contents of the empty
+// store with which that voter returns.
 TEST(ConfigReplica, VoterReaddedWithEmptyStore_CatchesUp) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     TestFleet fleet(seed);
@@ -284,14 +294,16 @@
     EXPECT_EQ(std::count(voters.begin(), voters.end(), ConfigReplicaFleet::NameOf(proxy)), 1)
         << seed << fleet.Describe();
     EXPECT_EQ(fleet.DocumentAt(proxy, 1), "one") << seed;
-    fleet.Crash((proxy + 1) % 3 == leader ? (proxy + 2) % 3
-                                          : (proxy + 1) % 3);  // the third: it is needed now
+    fleet.Crash((proxy + 1) % 3 == leader
+                    ? (proxy + 2) % 3
+                    : (proxy + 1) % 3);  // the third voter, so that the readded one is needed for a majority
     fleet.Commit(5, 1, "two");
     EXPECT_TRUE(fleet.InvariantsHold()) << seed;
   }
 }
 
-// Entries in a leader's own log count towards commitment, although it acknowledges them to nobody.
+// A leader counts its own log towards commitment but acknowledges its entries to no other voter. The others
+// must still detect that its store has lost some of these entries.
 TEST(ConfigReplica, LeaderRestartedWithStaleStore_IsNotAdmitted) {
   TestFleet fleet;
   const std::size_t leader = fleet.Elect();
@@ -330,7 +342,8 @@
   };
   EXPECT_EQ(state_machine.Apply(change("a", 0, "x"))->version, 1u);
   EXPECT_EQ(state_machine.Apply(change("b", 0, "y"))->status, ChangeStatus::kConflict);
-  EXPECT_EQ(state_machine.Apply(change("a", 0, "x"))->version, 1u) << "once under one id";
+  EXPECT_EQ(state_machine.Apply(change("a", 0, "x"))->version, 1u)
+      << "a change takes effect once under one id";
   EXPECT_EQ(state_machine.latest_version(), 1u);
   EXPECT_EQ(state_machine.Apply(EncodeEntry(Version{1})), std::nullopt);
   EXPECT_EQ(state_machine.Apply(EncodeEntry(Version{9})), std::nullopt);
@@ -338,7 +351,7 @@
   EXPECT_EQ(state_machine.Apply("garbage"), std::nullopt);
   for (Version v = 1; v < 200; ++v)
     state_machine.Apply(change("c" + std::to_string(v), v, std::string(10000, 'z')));
-  EXPECT_NE(state_machine.Find(1), nullptr) << "active";
+  EXPECT_NE(state_machine.Find(1), nullptr) << "the active version must be retained";
   EXPECT_NE(state_machine.Find(200), nullptr);
   EXPECT_LE(state_machine.versions().size(), kMaxVersions + 1);
   ConfigStateMachine restored;
@@ -366,12 +379,13 @@
 struct SafetyCheckCase {
   const char* name;
   bool& (*check)(ConfigReplicaSafetyChecks&);
+  // Runs a scenario and returns true if it finds no failure.
   std::function<bool(const ConfigReplicaSafetyChecks&)> holds;
 };
 
-// Commits a version with two of three voters, loses the store of one of them in one of two ways, and
-// continues with it and the third voter, which does not know the version. Returns whether the version
-// survives.
+// Commits a version with two of three voters, then replaces the store of one of them by an older copy
+// (`stale`) or by an empty store, and continues with this voter and the third one, which does not know the
+// version. Returns true if the version survives.
 bool SurvivesLostStore(const ConfigReplicaSafetyChecks& safety_checks, bool stale) {
   TestFleet fleet(3, safety_checks);
   const std::size_t leader = fleet.Elect(), restarted = (leader + 1) % 3, lagging = (leader + 2) % 3;
@@ -385,7 +399,7 @@
   else
     fleet.EraseDisk(restarted);
   fleet.Restart(restarted);
-  fleet.RunFor(stale ? 20ms : 3s);  // an old store is brought up to date soon, if it is let in
+  fleet.RunFor(stale ? 20ms : 3s);  // a stale store that is admitted catches up soon
   fleet.Crash(leader);
   fleet.Isolate(lagging, 7, false);
   fleet.Cut(lagging, leader);
@@ -444,7 +458,7 @@
         << check_case.name << ": fails with the check enabled";
     ConfigReplicaSafetyChecks without;
     check_case.check(without) = false;
-    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": disabled, and nothing fails";
+    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": disabled, but no failure is found";
   }
 }
 
--- a/tests/document_test.cpp
+++ b/tests/document_test.cpp
@@ -1,4 +1,5 @@
-// The configuration document: its text, successors and compatibility; and the fault tests' history checks.
+// Tests of the configuration document (text, successors, compatibility) and of the history checkers that
+// fault tests use.
 #include "replicated_config/document.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   const auto parsed = ParseDocument(text);
   return parsed ? "no error" : parsed.error().Text();
 }
-// The text of an error, empty for success.
+// Returns the text of an error, or an empty text for success.
 template <typename Checked>
 std::string ErrorText(const Checked& checked) {
   return checked ? std::string() : checked.error().Text();
@@ -68,7 +69,7 @@
   changed.classes["lookup"].effect = Effect::kSafe;
   EXPECT_NE(ErrorText(CheckSuccessor(from, changed)).find("class 'lookup'"), std::string::npos);
   changed.isolation = {};
-  EXPECT_NE(ErrorText(CheckSuccessor(from, changed)), "") << "taken from `cut-off` and changed at once";
+  EXPECT_NE(ErrorText(CheckSuccessor(from, changed)), "") << "removed from `cut-off` and changed in one step";
 }
 
 TEST(ConfigDocument, Differences_AreReportedByLine) {
@@ -128,7 +129,7 @@
   EXPECT_EQ(applied.module.tenants[0].quota_per_s, 7);
 }
 
-// ---- The checker of trials ----
+// ---- Checkers of the fault tests' histories ----
 
 using fault_test::LinearizabilityResult;
 using fault_test::Operation;
@@ -156,10 +157,10 @@
       << "a stale read";
   EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kRead, 5, 30, 0, Result::kCommitted, 0)}),
             LinearizabilityResult::kLinearizable)
-      << "it overlaps";
+      << "the read overlaps the change";
   EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kChange, 5, 15, 0, Result::kCommitted, 1)}),
             LinearizabilityResult::kNotLinearizable)
-      << "a lost edit";
+      << "a lost update";
   EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kChange, 20, 30, 0, Result::kConflict, 1)}),
             LinearizabilityResult::kLinearizable);
   EXPECT_EQ(fault_test::CheckLinearizability({first, Op(Kind::kChange, 20, 30, 1, Result::kConflict, 1)}),
@@ -172,7 +173,7 @@
       fault_test::CheckLinearizability({first, unknown, Op(Kind::kRead, 30, 40, 0, Result::kCommitted, 2),
                                         Op(Kind::kRead, 50, 60, 0, Result::kCommitted, 1)}),
       LinearizabilityResult::kNotLinearizable)
-      << "once seen it stays";
+      << "a change that one read has seen must be visible to all later reads";
 }
 
 TEST(LeaseHistory, StaleActionOrEjectedEngine_IsAViolation) {
@@ -191,7 +192,7 @@
   leases.RecordLogLine(0, line("again", 1, "e2", 1500));
   EXPECT_EQ(leases.Check(1200ms).stale_actions, 1u);
   leases.manual_ejections.push_back({"e1", true, 2});
-  EXPECT_EQ(leases.Check(2s).violations.size(), 1u) << "an act of version 2 went to e1";
+  EXPECT_EQ(leases.Check(2s).violations.size(), 1u) << "an action under version 2 used the ejected engine e1";
 }
 
 }  // namespace
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,5 +1,5 @@
-// Leases: holders and grantors alone, simulated fleets of holders under faults, and a search of all event
-// orders.
+// Tests of leases: single holders and grantors, simulated fleets of holders with faults, mutation tests that
+// disable each safety check, and a bounded search of event orders.
 #include "replicated_config/lease.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,8 @@
 using simulation::LeaseFleet;
 using namespace std::chrono_literals;
 
-constexpr Instant kMaxContradiction = 1200ms;  // T of docs/agreement.md
+// The longest time for which two proxies may act on different versions: T of docs/agreement.md.
+constexpr Instant kMaxContradiction = 1200ms;
 
 TEST(LeaseHolder, LateGrant_LeaseStartsAtRequest) {
   LeaseHolder holder{LeaseOptions()};
@@ -29,7 +30,7 @@
   EXPECT_EQ(holder.UsableVersion(start + 980ms), Version{1});
   EXPECT_EQ(holder.UsableVersion(start + 990ms), std::nullopt);
   holder.HandleGrant(start + 950ms, {first.sequence, 1, 1, 0ms, 1});
-  EXPECT_EQ(holder.UsableVersion(start + 995ms), std::nullopt) << "a renewal is answered once";
+  EXPECT_EQ(holder.UsableVersion(start + 995ms), std::nullopt) << "a renewal is granted only once";
 }
 
 TEST(LeaseHolder, GrantForOlderVersion_KeepsNewerVersion) {
@@ -191,7 +192,8 @@
 struct SafetyCheckCase {
   const char* name;
   bool LeaseSafetyChecks::*check;
-  std::function<bool(const LeaseSafetyChecks&)> holds;
+  std::function<bool(const LeaseSafetyChecks&)>
+      holds;  // runs a scenario; returns true if it finds no failure
 };
 
 bool InvariantsHold(const LeaseFleet& fleet) {
@@ -206,7 +208,7 @@
        fleet.Stall(6, 4s);
        fleet.RunFor(2s);
        fleet.Propose();
-       fleet.RunFor(4s);  // it is resumed, and acts before any of its timers has run
+       fleet.RunFor(4s);  // the process is resumed, and acts before any of its timers has run
        return fleet.stale() == 0 && fleet.contradiction() <= kMaxContradiction;
      }},
     {"a lease runs from its request", &LeaseSafetyChecks::start_at_request,
@@ -291,11 +293,11 @@
     EXPECT_TRUE(check_case.holds(LeaseSafetyChecks())) << check_case.name << ": fails with the check enabled";
     LeaseSafetyChecks without;
     without.*check_case.check = false;
-    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": disabled, and nothing fails";
+    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": disabled, but no failure is found";
   }
 }
 
-// ---- Bounded search of all event orders ----
+// ---- Bounded search of event orders ----
 
 TEST(LeaseModel, AllChecksEnabled_InvariantsHold) {
   const model_check::SearchResult result = model_check::SearchLeases({}, {}, 60'000);
@@ -304,7 +306,8 @@
 }
 
 TEST(LeaseModel, CheckDisabled_ViolationIsFound) {
-  // Few events and many ticks: a version is activated some five ticks after its proposal.
+  // The budgets allow few events and many ticks, since a version is activated some five ticks after its
+  // proposal.
   const model_check::LeaseBudget budget_without_election{.ticks = 12,
                                                          .renewals = 1,
                                                          .versions = 1,
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -1,4 +1,5 @@
-// Raft in virtual time with faults and in a search of its states, and each safety check disabled once.
+// Tests of Raft: simulated clusters with faults in virtual time, a bounded search of states, and mutation
+// tests that disable each safety check.
 #include "raft/raft.h"
 
 #include <gtest/gtest.h>
@@ -27,13 +28,13 @@
           plan.options.safety_checks = safety_checks;
           return plan;
         }()) {}
-  // Waits until a member leads.
+  // Runs the cluster until a member is the leader, and returns that member.
   std::size_t Elect() {
     for (int i = 0; i < 100 && !Leader(); ++i) RunFor(50ms);
     EXPECT_TRUE(Leader().has_value());
     return Leader().value_or(0);
   }
-  // Cuts a member off from the first `members` members.
+  // Disconnects a member from all others of the first `members` members.
   void Isolate(std::size_t isolated, std::size_t members) {
     for (std::size_t i = 0; i < members; ++i)
       if (i != isolated) Disconnect(isolated, i);
@@ -83,6 +84,7 @@
   EXPECT_TRUE(cluster.violations().empty());
 }
 
+// Without a transfer, the remaining voters would have no leader for at least the minimum election timeout.
 TEST(Raft, RemovedLeader_TransfersLeadership) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Cluster cluster(seed);
@@ -96,6 +98,7 @@
   }
 }
 
+// An entry must not be committed before a majority of the voters has stored it durably.
 TEST(Raft, SlowDisks_DelayCommitment) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect();
@@ -103,11 +106,12 @@
     if (i != leader) cluster.SlowDisk(i, 5s);
   cluster.Propose(leader, "x");
   cluster.RunFor(2s);
-  EXPECT_FALSE(cluster.IsCommitted("x")) << "no other voter has it on disk";
+  EXPECT_FALSE(cluster.IsCommitted("x")) << "no other voter has stored the entry";
   cluster.RunFor(15s);
   EXPECT_TRUE(cluster.violations().empty());
 }
 
+// Two of three voters are replaced, one change after the other, while messages are lost and processes stall.
 TEST(Raft, MembershipChangesUnderFaults_Complete) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Cluster cluster(seed, {}, 5, 3);
@@ -144,6 +148,8 @@
   }
 }
 
+// A follower that was disconnected while the leader compacted its log lacks entries that the leader no longer
+// has. It must catch up from a snapshot, and restart from it after a crash.
 TEST(Raft, FollowerBehindCompactedLog_InstallsSnapshot) {
   Cluster cluster;
   const std::size_t leader = cluster.Elect(), isolated = (leader + 1) % 3;
@@ -231,7 +237,7 @@
   Message message;
 };
 
-// Three voters whose messages pass only between two of them at a time, and whose timers fire on demand.
+// Three voters whose timers fire on demand. Messages are delivered between only two of them at a time.
 class ManualCluster {
  public:
   explicit ManualCluster(const Options& options) {
@@ -240,8 +246,8 @@
     for (const NodeId& id : initial.snapshot.voters) rafts_.emplace(id, Raft(options, id, initial, 1, kNow));
   }
 
-  // Fires the timer of `id`: a leader sends heartbeats, any other starts an election. Then delivers messages
-  // between it and `other` for so many rounds; all others are lost.
+  // Fires the timer of `id`: a leader sends heartbeats, any other voter starts an election. Then delivers the
+  // messages between `id` and `other` for `rounds` rounds; all other messages are lost.
   void Fire(const NodeId& id, const NodeId& other, int rounds) {
     rafts_.at(id).Tick(rafts_.at(id).NextDeadline());
     ProcessOutputs(id);
@@ -249,7 +255,7 @@
     in_flight_.clear();
   }
 
-  // Whether no index was committed with two different entries.
+  // Returns true unless two different entries were committed at the same index.
   bool StateMachineSafety() const { return safe_; }
 
  private:
@@ -285,7 +291,8 @@
   bool safe_ = true;
 };
 
-// The paper's figure 8: an entry of an earlier term that a majority holds may still be overwritten.
+// The scenario of the paper's figure 8: an entry of an earlier term that a majority has stored may still be
+// overwritten. Returns whether state machine safety holds.
 bool FigureEight(const SafetyChecks& safety_checks) {
   Options options;
   options.safety_checks = safety_checks;
@@ -294,14 +301,14 @@
   options.safety_checks.vote_delay_after_restart = false;
   options.max_batch_entries = 1;
   ManualCluster cluster(options);
-  cluster.Fire("A", "B", 2);   // A leads term 1; its entry reaches nobody
+  cluster.Fire("A", "B", 2);   // A leads term 1; its entry reaches no other voter
   cluster.Fire("C", "B", 2);   // B has voted in that term
-  cluster.Fire("C", "B", 2);   // C leads term 2 with an entry of its own
+  cluster.Fire("C", "B", 2);   // C leads term 2 and appends an entry of its own
   cluster.Fire("A", "B", 2);   // A learns of term 2
   cluster.Fire("A", "B", 2);   // A leads term 3
-  cluster.Fire("A", "B", 2);   // its old entry is on two of three voters, the new one on A alone
+  cluster.Fire("A", "B", 2);   // A's old entry is on two of three voters, its new entry only on A
   cluster.Fire("C", "B", 2);   // C learns of term 3
-  cluster.Fire("C", "B", 2);   // C leads term 4: its log ends in a later term than B's
+  cluster.Fire("C", "B", 2);   // C leads term 4, since its log ends in a later term than B's
   cluster.Fire("C", "B", 12);  // C replicates its log to B
   return cluster.StateMachineSafety();
 }
@@ -309,7 +316,7 @@
 struct SafetyCheckCase {
   const char* name;
   bool SafetyChecks::*check;
-  std::function<bool(const SafetyChecks&)> holds;  // whether a scenario finds no failure
+  std::function<bool(const SafetyChecks&)> holds;  // runs a scenario; returns true if it finds no failure
 };
 
 bool SearchHolds(const SafetyChecks& safety_checks, model_check::RaftModelBudget budget) {
@@ -386,7 +393,7 @@
      [](const SafetyChecks& safety_checks) {
        Cluster cluster(1, safety_checks);
        const std::size_t leader = cluster.Elect();
-       for (simulation::Node i = 0; i < 3; ++i)  // it does not hear its successor
+       for (simulation::Node i = 0; i < 3; ++i)  // the leader receives no message of its successor
          if (i != leader) cluster.links().Cut(i, static_cast<simulation::Node>(leader), true);
        cluster.TransferLeadership(leader);
        cluster.RunFor(2s);
@@ -422,7 +429,7 @@
     EXPECT_TRUE(check_case.holds(SafetyChecks())) << check_case.name << ": fails with all checks enabled";
     SafetyChecks without;
     without.*check_case.check = false;
-    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": taken isolated, and nothing fails";
+    EXPECT_FALSE(check_case.holds(without)) << check_case.name << ": disabled, but no failure is found";
   }
 }
 
