--- a/src/replicated_config/config_replica_voter.cpp
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -1,4 +1,4 @@
-// The voter in a ConfigReplica: admits its store, and runs Raft on it.
+// The voter in a ConfigReplica: has its store admitted and runs Raft on it.
 #include <algorithm>
 #include <utility>
 
@@ -12,14 +12,15 @@
 namespace {
 
 constexpr Duration kHelloInterval = 200ms;
-constexpr Duration kEmptyStoreHelloInterval = 1000ms;           // while an operator has to add the voter
-constexpr Duration kVoterAdmissionTimeout = 1000ms;             // after which a majority of opinions suffices
-constexpr std::size_t kMaxLogEntries = 96;                      // before a snapshot
-constexpr std::uint64_t kMaxLogBytes = std::uint64_t{1} << 20;  // likewise
+constexpr Duration kEmptyStoreHelloInterval = 1000ms;  // while the voter waits for an operator to add it
+constexpr Duration kVoterAdmissionTimeout = 1000ms;    // then a majority without objections suffices
+// A log that exceeds one of these limits is compacted into a snapshot.
+constexpr std::size_t kMaxLogEntries = 96;
+constexpr std::uint64_t kMaxLogBytes = std::uint64_t{1} << 20;
 
 std::vector<NodeId> NamesOf(const BootstrapVoters& bootstrap_voters) {
   std::vector<NodeId> names;
-  for (const auto& [name, store] : bootstrap_voters) names.push_back(name);
+  for (const auto& [name, store_id] : bootstrap_voters) names.push_back(name);
   return names;
 }
 
@@ -27,8 +28,8 @@
 
 // ---- Store and admission ----
 
-void ConfigReplica::OpenStore(Time now, StoredState stored) {
-  CloseStore();
+void ConfigReplica::OnStoreOpened(Time now, StoredState stored) {
+  OnStoreClosed();
   restored_state_ = std::move(stored.persistent_state);
   std::vector<NodeId> voters = restored_state_.snapshot.voters;
   for (const raft::Entry& entry : restored_state_.log)
@@ -40,7 +41,7 @@
       restored_state_.log.empty() ? restored_state_.snapshot.index : restored_state_.log.back().index;
   hello.last_term =
       restored_state_.log.empty() ? restored_state_.snapshot.term : restored_state_.log.back().term;
-  admission_.Open(stored.store, std::move(stored.bootstrap_voters), voters, hello);
+  admission_.Open(stored.store_id, std::move(stored.bootstrap_voters), voters, hello);
   if (admission_.state() == VoterAdmission::State::kBootstrapping)
     outputs_.push_back(PersistBootstrapVoters{admission_.bootstrap_voters()});
   next_hello_at_ = admission_started_at_ = now;
@@ -48,10 +49,10 @@
   DispatchPendingOutputs(now);
 }
 
-void ConfigReplica::CloseStore() {
+void ConfigReplica::OnStoreClosed() {
   raft_.reset();
   deferred_messages_.clear();
-  last_stored_update_ = 0;
+  persisted_sequence_ = 0;
   admission_.Close();
   AbandonInFlight();
   leading_term_ = 0;
@@ -70,16 +71,16 @@
   for (const NodeId& other : admission_.other_voters()) Send(other, admission_.hello());
 }
 
-void ConfigReplica::OnBootstrapVotersStored(Time now) {
-  admission_.OnBootstrapVotersStored();
+void ConfigReplica::OnBootstrapVotersPersisted(Time now) {
+  admission_.OnBootstrapVotersPersisted();
   RunAdmission(now);
   DispatchPendingOutputs(now);
 }
 
 void ConfigReplica::StartVoting(Time now) {
   const BootstrapVoters& bootstrap_voters = admission_.bootstrap_voters();
-  // Before the first snapshot the log begins with the bootstrap voters. A voter that was added later learns
-  // the voters from the log.
+  // Before the first snapshot, the initial voters are the bootstrap voters. A voter that is added later
+  // learns the voters from the log.
   const bool log_is_complete = restored_state_.snapshot.index == 0 && restored_state_.snapshot.voters.empty();
   if (log_is_complete && bootstrap_voters.size() == options_.initial_voters.size())
     restored_state_.snapshot.voters = NamesOf(bootstrap_voters);
@@ -88,8 +89,8 @@
     admission_.Close();
     return;
   }
-  raft_ =
-      std::make_unique<raft::Raft>(options_.log, options_.self, std::move(restored_state_), random_(), now);
+  raft_ = std::make_unique<raft::Raft>(options_.raft_options, options_.self, std::move(restored_state_),
+                                       random_(), now);
   restored_state_ = {};
   EmitLogEvent(false, "voter " + options_.self + " takes part, term " + std::to_string(raft_->term()) +
                           ", log up to " + std::to_string(raft_->last_index()));
@@ -130,18 +131,18 @@
 
 // ---- Raft ----
 
-void ConfigReplica::OnStored(Time now, std::uint64_t sequence) {
+void ConfigReplica::OnPersisted(Time now, std::uint64_t sequence) {
   if (!raft_) return;
-  last_stored_update_ = std::max(last_stored_update_, sequence);
+  persisted_sequence_ = std::max(persisted_sequence_, sequence);
   raft_->OnPersisted(now, sequence);
-  ReleaseStoredMessages(now);
+  SendDeferredMessages(now);
   DispatchPendingOutputs(now);
 }
 
-void ConfigReplica::ReleaseStoredMessages(Time now) {
+void ConfigReplica::SendDeferredMessages(Time now) {
   std::vector<DeferredMessage> ready;
   std::erase_if(deferred_messages_, [&](DeferredMessage& deferred) {
-    if (deferred.after_update > last_stored_update_) return false;
+    if (deferred.after_sequence > persisted_sequence_) return false;
     ready.push_back(std::move(deferred));
     return true;
   });
@@ -158,18 +159,18 @@
     const std::vector<raft::Output> outputs = raft_->TakeOutputs();
     if (outputs.empty()) return;
     for (const raft::Output& output : outputs) {
-      if (const auto* store = std::get_if<raft::StorageUpdate>(&output))
-        outputs_.push_back(Persist{*store});
+      if (const auto* update = std::get_if<raft::StorageUpdate>(&output))
+        outputs_.push_back(Persist{*update});
       else if (const auto* send = std::get_if<raft::SendMessage>(&output))
         deferred_messages_.push_back({send->to, send->message, send->after_sequence});
       else if (const auto* committed = std::get_if<raft::Committed>(&output))
         ApplyCommitted(committed->entry);
       else if (const auto* restored = std::get_if<raft::SnapshotInstalled>(&output))
-        // The leader's state machine wrote it; one that could not be decoded would leave the state as it is.
+        // The leader's state machine encoded the snapshot. If decoding failed, the state would not change.
         static_cast<void>(state_machine_.Restore(restored->snapshot.data));
     }
     CompactLog();
-    ReleaseStoredMessages(now);
+    SendDeferredMessages(now);
   }
 }
 
--- a/src/replicated_config/lease.cpp
+++ b/src/replicated_config/lease.cpp
@@ -6,14 +6,14 @@
 namespace lemoncroft::replicated_config {
 namespace {
 
-constexpr std::size_t kMaxPendingRenewals = 16;    // unanswered renewals
-constexpr std::size_t kExpirySweepThreshold = 64;  // records; above it, expired ones are dropped
-constexpr std::size_t kMaxClockSamples = 11;       // spans ten renewal intervals
-constexpr Duration kMessageDelayTolerance =
-    std::chrono::milliseconds(20);  // network jitter in a comparison of clocks
-
-Duration Scaled(Duration span, double by) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(span.count()) * by));
+constexpr std::size_t kMaxPendingRenewals = 16;    // renewals without a grant
+constexpr std::size_t kExpirySweepThreshold = 64;  // above this number of leases, expired ones are dropped
+constexpr std::size_t kMaxClockSamples = 11;       // 11 samples span ten renewal intervals
+// The network jitter that a comparison of clocks tolerates.
+constexpr Duration kMessageDelayTolerance = std::chrono::milliseconds(20);
+
+Duration Scaled(Duration span, double factor) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(span.count()) * factor));
 }
 
 }  // namespace
@@ -27,20 +27,20 @@
 }
 
 void LeaseHolder::HandleGrant(Time now, const LeaseGrant& grant) {
-  const auto asked = pending_renewals_.find(grant.sequence);
-  if (asked == pending_renewals_.end()) return;  // answered before, or dropped as too old
-  const Time since = options_.safety_checks.start_at_request ? asked->second : now;
-  pending_renewals_.erase(pending_renewals_.begin(), std::next(asked));
+  const auto renewal = pending_renewals_.find(grant.sequence);
+  if (renewal == pending_renewals_.end()) return;  // already granted, or dropped as too old
+  const Time start = options_.safety_checks.start_at_request ? renewal->second : now;
+  pending_renewals_.erase(pending_renewals_.begin(), std::next(renewal));
   CompareClockRates(now, grant);
   latest_version_ = std::max(latest_version_, grant.latest_version);
   if (grant.active_version < active_version_ && options_.safety_checks.monotonic_versions)
-    return;  // from a former leader
+    return;  // the grant comes from a former leader
   active_version_ = grant.active_version;
   const Duration lease = options_.safety_checks.allow_for_clock_rates
                              ? Scaled(options_.duration, 1 - options_.max_clock_rate_difference)
                              : options_.duration;
-  const Time ends = since + lease;
-  expiry_ = std::max(expiry_, ends);
+  const Time end = start + lease;
+  expiry_ = std::max(expiry_, end);
   unexpired_at_last_tick_ = true;
 }
 
@@ -52,8 +52,9 @@
   if (clock_samples_.size() < kMaxClockSamples) return;
   const Duration local = clock_samples_.back().local - clock_samples_.front().local;
   const Duration leader = clock_samples_.back().leader - clock_samples_.front().leader;
-  const Duration apart = local > leader ? local - leader : leader - local;
-  clock_rates_differ_ = apart > Scaled(local, options_.max_clock_rate_difference) + kMessageDelayTolerance;
+  const Duration difference = local > leader ? local - leader : leader - local;
+  clock_rates_differ_ =
+      difference > Scaled(local, options_.max_clock_rate_difference) + kMessageDelayTolerance;
 }
 
 void LeaseHolder::MarkPrepared(Version version) { prepared_version_ = std::max(prepared_version_, version); }
@@ -107,7 +108,8 @@
                                                       const LeaseRenewal& renewal, Version active_version,
                                                       Version latest_version) {
   if (!leads && options_.safety_checks.grant_only_while_leading) return std::nullopt;
-  // The holder counts from its request, which was earlier than now; its clock may be slower than this one.
+  // The holder's lease starts at its request, which is earlier than `now`, but its clock may be slower than
+  // this one.
   const Duration lease = options_.safety_checks.allow_for_clock_rates
                              ? Scaled(options_.duration, 1 + options_.max_clock_rate_difference)
                              : options_.duration;
@@ -126,11 +128,11 @@
   return !options_.safety_checks.wait_for_all_prepared || !AnyHolderBehind(now, version);
 }
 
-std::map<std::string, Version> LeaseGrantor::HoldersWithout(Time now, Version version) const {
-  std::map<std::string, Version> missing;
+std::map<std::string, Version> LeaseGrantor::UnpreparedHolders(Time now, Version version) const {
+  std::map<std::string, Version> unprepared;
   for (const auto& [name, lease] : leases_)
-    if (lease.expiry > now && lease.prepared_version < version) missing[name] = lease.prepared_version;
-  return missing;
+    if (lease.expiry > now && lease.prepared_version < version) unprepared[name] = lease.prepared_version;
+  return unprepared;
 }
 
 std::map<std::string, Version> LeaseGrantor::LiveHolders(Time now) const {
@@ -142,7 +144,7 @@
 
 // ---- For the model checker ----
 
-std::string LeaseHolder::StateText(Time now) const {
+std::string LeaseHolder::CanonicalState(Time now) const {
   const auto left = [now](Time at) { return std::to_string(std::max<Duration::rep>(0, (at - now).count())); };
   std::string out = std::to_string(last_sequence_) + "," + std::to_string(active_version_) + "," +
                     std::to_string(latest_version_) + "," + std::to_string(prepared_version_) + "," +
@@ -152,8 +154,8 @@
   return out;
 }
 
-std::string LeaseGrantor::StateText(Time now, const std::string& holder) const {
-  const Duration longest = 2 * options_.duration;  // older differences have no effect
+std::string LeaseGrantor::CanonicalState(Time now, const std::string& holder) const {
+  const Duration longest = 2 * options_.duration;  // longer times have no further effect
   if (holder.empty())
     return std::to_string(std::min(longest, now - leading_since_).count()) + "," +
            std::to_string(leadership_epoch_);
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr codec::MsgpackLimits kBounds{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
+constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
 
 template <typename V, MaybeConst<RaftMessage> E>
 void VisitFields(V& v, E& e) {
@@ -72,28 +72,28 @@
 }
 template <typename V, MaybeConst<StoreHello> E>
 void VisitFields(V& v, E& e) {
-  v(e.store), v(e.bootstrapped), v(e.term), v(e.last_term), v(e.last_index);
+  v(e.store_id), v(e.bootstrapped), v(e.term), v(e.last_term), v(e.last_index);
 }
 template <typename V, MaybeConst<StoreHelloResponse> E>
 void VisitFields(V& v, E& e) {
-  v(e.in_reply_to_store), v(e.store), v(e.opinion), v(e.bootstrap_voters);
+  v(e.in_reply_to_store_id), v(e.store_id), v(e.opinion), v(e.bootstrap_voters);
 }
 template <typename V, MaybeConst<AdmitVoter> E>
 void VisitFields(V& v, E& e) {
-  v(e.store);
+  v(e.store_id);
 }
 
-struct Packing : codec::FieldPacker {
+struct BodyPacker : codec::FieldPacker {
   using FieldPacker::operator();
   void operator()(Duration value) { to.pack(static_cast<std::int64_t>(value.count())); }
   void operator()(const raft::Message& message) { codec::PackBytes(to, raft::Encode(message)); }
   void operator()(const std::map<raft::NodeId, std::uint64_t>& stores) {
     to.pack_array(static_cast<std::uint32_t>(2 * stores.size()));
-    for (const auto& [name, store] : stores) (*this)(name), (*this)(store);
+    for (const auto& [name, store_id] : stores) (*this)(name), (*this)(store_id);
   }
 };
 
-struct Reading : codec::FieldReader {
+struct BodyReader : codec::FieldReader {
   using FieldReader::operator();
   void operator()(Duration& value) { value = Duration(in.Take<std::int64_t>()); }
   void operator()(raft::Message& message) {
@@ -102,10 +102,10 @@
     message = std::move(*read);
   }
   void operator()(std::map<raft::NodeId, std::uint64_t>& stores) {
-    MsgpackReader all(in.Next());
-    while (all.left() > 0) {
-      std::string name = all.Bytes();
-      stores[std::move(name)] = all.Take<std::uint64_t>();
+    MsgpackReader elements(in.Next());
+    while (elements.left() > 0) {
+      std::string name = elements.Bytes();
+      stores[std::move(name)] = elements.Take<std::uint64_t>();
     }
   }
 };
@@ -117,24 +117,24 @@
   MsgpackPacker to(body);
   std::visit(
       [&](const auto& b) {
-        codec::FieldCounter counting;
-        VisitFields(counting, b);
-        to.pack_array(counting.count + 2);
+        codec::FieldCounter counter;
+        VisitFields(counter, b);
+        to.pack_array(counter.count + 2);
         codec::PackBytes(to, message.sender);
         to.pack(static_cast<std::uint8_t>(message.body.index()));
-        Packing packing{{to}};
-        VisitFields(packing, b);
+        BodyPacker packer{{to}};
+        VisitFields(packer, b);
       },
       message.body);
   return {body.data(), body.size()};
 }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) {
-  return codec::UnpackArray(bytes, kBounds, [](MsgpackReader& in) {
+  return codec::UnpackArray(bytes, kDecodingLimits, [](MsgpackReader& in) {
     Message message;
     message.sender = in.Bytes();
     const auto index = in.Take<std::uint8_t>();
-    message.body = codec::ReadAlternative<Reading, MessageBody>(index, in);
+    message.body = codec::ReadAlternative<BodyReader, MessageBody>(index, in);
     return message;
   });
 }
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -6,13 +6,13 @@
 namespace lemoncroft::replicated_config {
 
 namespace {
-constexpr std::size_t kMaxTrackedStores = 64;  // of voters without a vote
+constexpr std::size_t kMaxTrackedStores = 64;  // bounds unadmitted_stores_ and acknowledged_
 }
 
-void VoterAdmission::Open(std::uint64_t store, BootstrapVoters bootstrap_voters,
+void VoterAdmission::Open(std::uint64_t store_id, BootstrapVoters bootstrap_voters,
                           const std::vector<raft::NodeId>& voters, StoreHello hello) {
   hello_ = hello;
-  hello_.store = store;
+  hello_.store_id = store_id;
   hello_.bootstrapped = !bootstrap_voters.empty();
   bootstrap_voters_ = std::move(bootstrap_voters);
   responses_.clear();
@@ -21,23 +21,23 @@
   other_voters_.insert(voters.begin(), voters.end());
   other_voters_.erase(self_);
   state_ = State::kQueryingVoters;
-  // There is no other voter to ask.
+  // Without other voters there is no response to wait for.
   if (hello_.bootstrapped && (voters.empty() || voters == std::vector<raft::NodeId>{self_}))
     state_ = State::kAdmitted;
   if (!hello_.bootstrapped && initial_voters_ == std::vector<raft::NodeId>{self_}) {
-    bootstrap_voters_ = {{self_, store}};
+    bootstrap_voters_ = {{self_, store_id}};
     state_ = State::kBootstrapping;
   }
 }
 
 StoreHelloResponse VoterAdmission::AnswerHello(const raft::NodeId& from, const StoreHello& hello) {
   StoreHelloResponse response;
-  response.in_reply_to_store = hello.store;
-  response.store = hello_.store;
+  response.in_reply_to_store_id = hello.store_id;
+  response.store_id = hello_.store_id;
   if (!hello.bootstrapped &&
       (unadmitted_stores_.contains(from) || unadmitted_stores_.size() < kMaxTrackedStores)) {
-    unadmitted_stores_[from] = hello.store;
-    acknowledged_.erase(from);  // it referred to another store
+    unadmitted_stores_[from] = hello.store_id;
+    acknowledged_.erase(from);  // these acknowledgements were by another store
   }
   const auto bootstrap = bootstrap_voters_.find(from);
   if (hello.bootstrapped) {
@@ -48,7 +48,7 @@
     response.opinion = stale ? StoreOpinion::kStaleStore : StoreOpinion::kNoObjection;
   } else if (bootstrap_voters_.empty()) {
     response.opinion = StoreOpinion::kEmptyStore;
-  } else if (bootstrap != bootstrap_voters_.end() && bootstrap->second == hello.store) {
+  } else if (bootstrap != bootstrap_voters_.end() && bootstrap->second == hello.store_id) {
     response.opinion = StoreOpinion::kBootstrapVoter;
     response.bootstrap_voters = bootstrap_voters_;
   } else {
@@ -60,7 +60,8 @@
 void VoterAdmission::HandleResponse(const raft::NodeId& from, const StoreHelloResponse& response) {
   const bool awaiting_responses =
       state_ && (*state_ == State::kQueryingVoters || *state_ == State::kEmptyStore);
-  if (!awaiting_responses || response.in_reply_to_store != hello_.store || !other_voters_.contains(from))
+  if (!awaiting_responses || response.in_reply_to_store_id != hello_.store_id ||
+      !other_voters_.contains(from))
     return;
   responses_[from] = response;
   if (hello_.bootstrapped) {
@@ -81,27 +82,28 @@
   } else if (response.opinion == StoreOpinion::kUnknownStore) {
     state_ = State::kEmptyStore;
     if (!safety_checks_.exclude_empty_store) {
-      bootstrap_voters_ = {{self_, hello_.store}};
+      bootstrap_voters_ = {{self_, hello_.store_id}};
       state_ = State::kBootstrapping;
     }
   } else {
-    BootstrapVoters all = {{self_, hello_.store}};
+    BootstrapVoters empty_stores = {{self_, hello_.store_id}};
     for (const raft::NodeId& name : initial_voters_) {
       const auto it = responses_.find(name);
       if (it != responses_.end() && it->second.opinion == StoreOpinion::kEmptyStore)
-        all[name] = it->second.store;
+        empty_stores[name] = it->second.store_id;
     }
     const bool is_initial_voter =
         std::find(initial_voters_.begin(), initial_voters_.end(), self_) != initial_voters_.end();
-    if (is_initial_voter && all.size() == initial_voters_.size()) {
-      bootstrap_voters_ = std::move(all);
+    if (is_initial_voter && empty_stores.size() == initial_voters_.size()) {
+      bootstrap_voters_ = std::move(empty_stores);
       state_ = State::kBootstrapping;
     }
   }
 }
 
-// Any single voter may be the only one that knows what this store has acknowledged, so all are waited for at
-// first. Later a majority has to do: two of three voters must be able to continue without the third.
+// A single voter may be the only one that knows what this store has acknowledged, so the admission first
+// waits for all voters. Later a majority suffices, because two of three voters must be able to continue
+// without the third.
 void VoterAdmission::Decide(bool wait_for_all) {
   if (!state_ || *state_ != State::kQueryingVoters || !hello_.bootstrapped) return;
   std::size_t without_objection = 0;
@@ -114,13 +116,13 @@
 }
 
 void VoterAdmission::HandleAdmitVoter(const AdmitVoter& admission) {
-  if (!state_ || hello_.bootstrapped || admission.store != hello_.store) return;
+  if (!state_ || hello_.bootstrapped || admission.store_id != hello_.store_id) return;
   if (*state_ != State::kQueryingVoters && *state_ != State::kEmptyStore) return;
-  bootstrap_voters_ = {{self_, hello_.store}};
+  bootstrap_voters_ = {{self_, hello_.store_id}};
   state_ = State::kBootstrapping;
 }
 
-void VoterAdmission::OnBootstrapVotersStored() {
+void VoterAdmission::OnBootstrapVotersPersisted() {
   hello_.bootstrapped = true;
   state_ = State::kAdmitted;
 }
