--- a/src/gossip/dissemination.cpp
+++ b/src/gossip/dissemination.cpp
@@ -37,7 +37,7 @@
   return update;
 }
 
-void MembershipView::SendDatagram(const Endpoint& to, InstanceId to_id, const DatagramBody& body,
+void MembershipView::SendDatagram(const PeerAddress& to, InstanceId to_id, const DatagramBody& body,
                                   std::vector<MemberUpdate> first) {
   Datagram d;
   d.sender = members_.own().record;
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -61,7 +61,7 @@
   if (claim) {
     first.push_back(NonAliveUpdate(Status::kFailed, probe.target, claim->incarnation, claim->reported_by));
   }
-  const Endpoint to = probe.address;
+  const PeerAddress to = probe.address;
   const InstanceId target = probe.target;
   probes_.emplace(sequence, probe);
   SendDatagram(to, target, Ping{sequence, target}, std::move(first));
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -28,7 +28,7 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-InstanceId MemberTable::FindByAddress(const Endpoint& address) const {
+InstanceId MemberTable::FindByAddress(const PeerAddress& address) const {
   const auto it = by_address_.find(address);
   return it == by_address_.end() || it->second.empty() ? kNoInstance : *it->second.begin();
 }
--- a/src/gossip/member_table.h
+++ b/src/gossip/member_table.h
@@ -52,7 +52,7 @@
   // Names that more than one live instance serves under.
   const std::set<std::string>& shared_names() const { return shared_names_; }
   // A live instance with this address, or kNoInstance.
-  InstanceId FindByAddress(const Endpoint& address) const;
+  InstanceId FindByAddress(const PeerAddress& address) const;
 
   // Adds a member; `confirmed`: this proxy received a datagram of it. Returns false when the table is full.
   bool Add(Time now, const MemberRecord& record, Status status, bool confirmed);
@@ -99,7 +99,7 @@
   std::vector<InstanceId> others_, failed_, unconfirmed_;
   std::map<std::string, std::size_t> serving_names_;
   std::set<std::string> shared_names_;
-  std::map<Endpoint, std::set<InstanceId>> by_address_;
+  std::map<PeerAddress, std::set<InstanceId>> by_address_;
   std::set<std::pair<Time, InstanceId>> deadlines_;
   struct FreedMember {
     std::uint64_t incarnation = 0;
--- a/src/gossip/membership_view.cpp
+++ b/src/gossip/membership_view.cpp
@@ -154,7 +154,7 @@
   const bool alone = members_.others().empty();
   if (settings_.seeds.empty() || (!alone && period_count_ % kSeedRetryIntervalPeriods != 0)) return;
   for (std::size_t tried = 0; tried < settings_.seeds.size(); ++tried) {
-    const Endpoint& seed = settings_.seeds[next_seed_++ % settings_.seeds.size()];
+    const PeerAddress& seed = settings_.seeds[next_seed_++ % settings_.seeds.size()];
     if (seed == members_.own().record.address || members_.FindByAddress(seed) != kNoInstance) continue;
     seed_ping_sequence_ = ++last_sequence_;
     SendDatagram(seed, kNoInstance, Ping{seed_ping_sequence_, kNoInstance});
--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -60,12 +60,12 @@
 };
 // Send this datagram. It may be lost.
 struct Transmit {
-  Endpoint to;
+  PeerAddress to;
   Datagram datagram;
 };
-// Open a stream to this endpoint and run a state sync over it.
+// Open a stream to this address and run a state sync over it.
 struct StateSync {
-  Endpoint to;
+  PeerAddress to;
 };
 using Output = std::variant<Event, Transmit, StateSync>;
 
@@ -125,7 +125,7 @@
   // A pending probe of this proxy.
   struct Probe {
     InstanceId target = kNoInstance;
-    Endpoint address;
+    PeerAddress address;
     std::uint64_t incarnation = 0;
     Time indirect_at{};  // kNever: indirect probes were sent
     Time deadline{};
@@ -134,7 +134,7 @@
   };
   // A pending probe on behalf of another member (PingRequest).
   struct RelayedProbe {
-    Endpoint requester;
+    PeerAddress requester;
     std::uint32_t sequence = 0;
     InstanceId target = kNoInstance;
     Time nack_at{}, deadline{};
@@ -196,7 +196,7 @@
   // The update that says why this view does not hold a member alive; sent to the member so that it can
   // refute.
   std::optional<MemberUpdate> StatusUpdateOf(InstanceId id) const;
-  void SendDatagram(const Endpoint& to, InstanceId to_id, const DatagramBody& body,
+  void SendDatagram(const PeerAddress& to, InstanceId to_id, const DatagramBody& body,
                     std::vector<MemberUpdate> first = {});
   // Different live members, at most `count`, without `except`.
   std::vector<InstanceId> PickMembers(std::size_t count, InstanceId except);
@@ -212,7 +212,7 @@
   void CompareDigest(Time now, const Datagram& d);
   void ForgetOldDigestMismatches(Time now);
   void StartDueSync(Time now);
-  void RequestSync(const Endpoint& with) { sync_target_ = with; }
+  void RequestSync(const PeerAddress& with) { sync_target_ = with; }
 
   std::size_t RandomBelow(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
 
@@ -241,7 +241,7 @@
   std::size_t next_seed_ = 0;
   std::uint32_t seed_ping_sequence_ = 0;
 
-  Endpoint sync_target_;
+  PeerAddress sync_target_;
   Time last_sync_;
   int digest_mismatches_ = 0;
   std::map<InstanceId, Time> diverged_;
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -31,7 +31,7 @@
   Span probe_interval = std::chrono::milliseconds(250);  // the protocol period; key `period`
   Span failed_retention = std::chrono::minutes(10);  // of failed members, which are retried; key `remember`
   std::size_t max_members = 2048;                    // key `most`
-  std::vector<Endpoint> seeds;
+  std::vector<PeerAddress> seeds;
   SafetyChecks safety_checks;
   bool operator==(const Settings&) const = default;
 };
--- a/src/gossip/types.h
+++ b/src/gossip/types.h
@@ -38,12 +38,12 @@
 // Size of the entries in one state sync message; further differences are left to the next sync.
 inline constexpr std::size_t kMaxSyncBytes = std::size_t{768} << 10;
 
-// An IPv4 address and port in host byte order. A default-constructed endpoint means "none".
-struct Endpoint {
+// An IPv4 address and port in host byte order. A default-constructed one means "none".
+struct PeerAddress {
   std::uint32_t host = 0;
   std::uint16_t port = 0;
-  bool operator==(const Endpoint&) const = default;
-  bool operator<(const Endpoint& other) const {
+  bool operator==(const PeerAddress&) const = default;
+  bool operator<(const PeerAddress& other) const {
     return std::tie(host, port) < std::tie(other.host, other.port);
   }
   explicit operator bool() const { return port != 0; }
@@ -62,7 +62,7 @@
 struct MemberRecord {
   InstanceId id = kNoInstance;
   std::string name;
-  Endpoint address;  // the advertised one
+  PeerAddress address;  // the advertised one
   std::string zone;
   Phase phase = Phase::kStarting;
   std::uint32_t generation = 1;  // numbers the processes of one name; a later process has a higher one
@@ -102,7 +102,7 @@
 struct PingRequest {
   std::uint32_t sequence = 0;
   InstanceId target = kNoInstance;
-  Endpoint address;
+  PeerAddress address;
 };
 // Answers Ping and PingRequest.
 struct Ack {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -93,7 +93,7 @@
     throw proxy::ConfigError(options.operator_file + ": has no `rules`");
   command.fleet = file.fleet->name;
   if (command.at.empty())
-    for (const gossip::Endpoint& listen : file.fleet->listen)
+    for (const gossip::PeerAddress& listen : file.fleet->listen)
       command.at.push_back(peer_transport::ToString(listen));
   if (command.store.empty()) command.store = file.replicated_config->store;
   if (command.who.empty()) command.who = config.name;
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -21,23 +21,24 @@
 // Probe intervals for which failed members are kept: a suspicion and its refutation take several.
 constexpr int kMinRetentionIntervals = 40;
 
-std::vector<gossip::Endpoint> ReadEndpoints(const KdlNode& node, std::size_t max, Faults& faults) {
-  std::vector<gossip::Endpoint> out;
+std::vector<gossip::PeerAddress> ReadPeerAddresses(const KdlNode& node, std::size_t max, Faults& faults) {
+  std::vector<gossip::PeerAddress> out;
   if (node.arguments.empty() || node.arguments.size() > max || !node.properties.empty() ||
       !node.children.empty()) {
     faults.AddAt(node, node.name + ": expected 1 to " + std::to_string(max) + " addresses");
     return out;
   }
   for (const KdlValue& value : node.arguments) {
-    const auto address =
+    const auto parsed =
         value.kind == KdlValue::Kind::kText ? runtime::Address::Parse(value.text) : std::nullopt;
-    const gossip::Endpoint endpoint = address ? peer_transport::ToEndpoint(*address) : gossip::Endpoint();
-    if (!endpoint)
+    const gossip::PeerAddress address =
+        parsed ? peer_transport::ToPeerAddress(*parsed) : gossip::PeerAddress();
+    if (!address)
       faults.AddAt(node, value, node.name + ": '" + value.text + "' is not an IPv4 address with a port");
-    else if (std::find(out.begin(), out.end(), endpoint) != out.end())
+    else if (std::find(out.begin(), out.end(), address) != out.end())
       faults.AddAt(node, value, node.name + ": '" + value.text + "' is given twice");
     else
-      out.push_back(endpoint);
+      out.push_back(address);
   }
   return out;
 }
@@ -59,7 +60,7 @@
     faults.AddAt(node, "fleet: needs `seeds`; the first proxy of a fleet names itself alone");
   if (fleet.advertise.size() != fleet.listen.size() && has_listen)
     faults.AddAt(node, "fleet: `advertise` needs an address for each of `listen`");
-  for (const gossip::Endpoint& advertised : fleet.advertise)
+  for (const gossip::PeerAddress& advertised : fleet.advertise)
     if (advertised.host == 0) faults.AddAt(node, "fleet: nobody can reach 0.0.0.0: give `advertise`");
   if (fleet.membership.max_members < 2) faults.AddAt(node, "most: a fleet has two members and more");
   if (fleet.membership.failed_retention < kMinRetentionIntervals * fleet.membership.probe_interval)
@@ -80,8 +81,8 @@
       read(n);
     };
   };
-  const auto addresses = [&faults, &noting](std::vector<gossip::Endpoint>& into, std::size_t max) {
-    return noting([&faults, &into, max](const KdlNode& n) { into = ReadEndpoints(n, max, faults); });
+  const auto addresses = [&faults, &noting](std::vector<gossip::PeerAddress>& into, std::size_t max) {
+    return noting([&faults, &into, max](const KdlNode& n) { into = ReadPeerAddresses(n, max, faults); });
   };
   gossip::Settings& membership = out.membership;
   const NodeReaders readers = {
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -47,9 +47,9 @@
 
 // Block `fleet`.
 struct FleetSettings {
-  std::string name;                         // of the fleet
-  std::vector<gossip::Endpoint> listen;     // the first that is free is used
-  std::vector<gossip::Endpoint> advertise;  // how peers reach each of `listen`
+  std::string name;                            // of the fleet
+  std::vector<gossip::PeerAddress> listen;     // the first that is free is used
+  std::vector<gossip::PeerAddress> advertise;  // how peers reach each of `listen`
   std::string zone;
   gossip::Settings membership;
   std::string state_file;  // the file that `lemoncroft peers` reads; empty: none is written
--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -68,7 +68,7 @@
   to.pack(static_cast<std::uint8_t>(body.index()));
   std::uint32_t sequence = 0;
   InstanceId id = kNoInstance;
-  Endpoint address;
+  PeerAddress address;
   std::visit(
       [&](const auto& b) {
         using B = std::decay_t<decltype(b)>;
@@ -137,7 +137,7 @@
   const auto kind = in.Take<std::uint8_t>();
   const auto sequence = in.Take<std::uint32_t>();
   const auto id = in.Take<std::uint64_t>();
-  Endpoint address;
+  PeerAddress address;
   address.host = in.Take<std::uint32_t>();
   address.port = in.Take<std::uint16_t>();
   switch (kind) {
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -38,7 +38,7 @@
 };
 
 // Binds the first address that is free for both. Another process of this proxy may still hold one.
-BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::Endpoint>& listen) {
+BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::PeerAddress>& listen) {
   for (std::size_t i = 0;; ++i) {
     try {
       const runtime::Address address = ToAddress(listen.at(i));
@@ -78,19 +78,19 @@
   return 0;
 }
 
-runtime::Address ToAddress(const gossip::Endpoint& endpoint) {
+runtime::Address ToAddress(const gossip::PeerAddress& peer_address) {
   runtime::Address address;
   address.raw.sin_family = AF_INET;
-  address.raw.sin_addr.s_addr = htonl(endpoint.host);
-  address.raw.sin_port = htons(endpoint.port);
+  address.raw.sin_addr.s_addr = htonl(peer_address.host);
+  address.raw.sin_port = htons(peer_address.port);
   return address;
 }
 
-gossip::Endpoint ToEndpoint(const runtime::Address& address) {
+gossip::PeerAddress ToPeerAddress(const runtime::Address& address) {
   return {ntohl(address.raw.sin_addr.s_addr), ntohs(address.raw.sin_port)};
 }
 
-std::string ToString(const gossip::Endpoint& endpoint) { return ToAddress(endpoint).Text(); }
+std::string ToString(const gossip::PeerAddress& peer_address) { return ToAddress(peer_address).Text(); }
 
 Link::Link(runtime::Loop& loop, const LinkOptions& options, std::uint64_t seed, EventHandler on_event)
     : loop_(loop),
@@ -249,7 +249,7 @@
   return fits;
 }
 
-void Link::Send(const gossip::Endpoint& to, Subsystem subsystem, std::string bytes) {
+void Link::Send(const gossip::PeerAddress& to, Subsystem subsystem, std::string bytes) {
   std::string frame = Encode(fleet_, AppMessage{view_.members().self(), subsystem, std::move(bytes)});
   ++metrics_.app_messages;
   metrics_.app_message_bytes += frame.size();
@@ -262,7 +262,7 @@
   }
 }
 
-Task<> Link::SendOverStream(gossip::Endpoint to, std::string frame) {
+Task<> Link::SendOverStream(gossip::PeerAddress to, std::string frame) {
   ++outbound_messages_;
   const Time deadline = Now() + kStreamTimeout;
   std::unique_ptr<runtime::Socket> socket;
@@ -334,14 +334,14 @@
   DispatchOutputs();
 }
 
-Task<> Link::RunStateSync(gossip::Endpoint to) {
+Task<> Link::RunStateSync(gossip::PeerAddress to) {
   ++outbound_syncs_;
   const bool done = co_await SyncWith(to, Now() + kStreamTimeout);
   ++(done ? metrics_.syncs : metrics_.syncs_failed);
   --outbound_syncs_;
 }
 
-Task<bool> Link::SyncWith(gossip::Endpoint to, Time deadline) {
+Task<bool> Link::SyncWith(gossip::PeerAddress to, Time deadline) {
   std::unique_ptr<runtime::Socket> socket;
   if (co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) != Io::kOk)
     co_return false;
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -27,7 +27,8 @@
 struct LinkOptions {
   std::string fleet;
   std::string name, zone;
-  std::vector<gossip::Endpoint> listen, advertise;  // of equal size; the first address that is free is bound
+  std::vector<gossip::PeerAddress> listen,
+      advertise;  // of equal size; the first address that is free is bound
   gossip::Settings membership;
 };
 
@@ -53,9 +54,9 @@
 };
 
 // Conversions between the protocol's and the socket layer's addresses.
-runtime::Address ToAddress(const gossip::Endpoint& endpoint);
-gossip::Endpoint ToEndpoint(const runtime::Address& address);
-std::string ToString(const gossip::Endpoint& endpoint);
+runtime::Address ToAddress(const gossip::PeerAddress& peer_address);
+gossip::PeerAddress ToPeerAddress(const runtime::Address& address);
+std::string ToString(const gossip::PeerAddress& peer_address);
 
 // Why no frame was read from a stream.
 enum class StreamError : std::uint8_t {
@@ -90,7 +91,7 @@
   bool SetAttribute(const std::string& key, const std::string& value);
   // Sends an application message once, as a datagram if it fits and over a stream of its own otherwise. It
   // may be lost.
-  void Send(const gossip::Endpoint& to, Subsystem subsystem, std::string bytes);
+  void Send(const gossip::PeerAddress& to, Subsystem subsystem, std::string bytes);
   // Announces that this process ends and allows two gossip rounds for it.
   runtime::Task<> Leave();
 
@@ -99,7 +100,7 @@
   // How long single turns of the view took.
   const LatencyHistogram& turns() const { return turns_; }
   // The address that was bound.
-  const gossip::Endpoint& listen_address() const { return listen_; }
+  const gossip::PeerAddress& listen_address() const { return listen_; }
 
  private:
   runtime::Task<> ReceiveDatagrams();
@@ -108,12 +109,12 @@
   runtime::Task<> ServeStream(std::unique_ptr<runtime::Socket> socket);
   runtime::Task<> ServeStateSync(runtime::Socket& socket, const gossip::SyncRequest& request,
                                  runtime::Time deadline);
-  runtime::Task<> RunStateSync(gossip::Endpoint to);
+  runtime::Task<> RunStateSync(gossip::PeerAddress to);
   // Returns whether the sync was completed.
-  runtime::Task<bool> SyncWith(gossip::Endpoint to, runtime::Time deadline);
+  runtime::Task<bool> SyncWith(gossip::PeerAddress to, runtime::Time deadline);
   void HandleDatagram(const Message& message);
   void CountError(FrameError error) { ++metrics_.frame_errors[static_cast<std::size_t>(error)]; }
-  runtime::Task<> SendOverStream(gossip::Endpoint to, std::string frame);
+  runtime::Task<> SendOverStream(gossip::PeerAddress to, std::string frame);
   runtime::Task<> HandleCall(std::unique_ptr<runtime::Socket> socket, std::string bytes);
   runtime::Task<tl::expected<std::string, StreamError>> ReadFrameCounted(runtime::Socket& socket,
                                                                          runtime::Time deadline);
@@ -123,7 +124,7 @@
 
   runtime::Loop& loop_;
   std::string fleet_;
-  gossip::Endpoint listen_;
+  gossip::PeerAddress listen_;
   std::unique_ptr<runtime::DatagramSocket> datagrams_;
   std::unique_ptr<runtime::Listener> streams_;
   gossip::MembershipView view_;
--- a/src/testing/benchmark/socket_fleet.cpp
+++ b/src/testing/benchmark/socket_fleet.cpp
@@ -30,7 +30,7 @@
 constexpr int kFirstPort = 20'000, kPorts = 10'000;  // below those that the system gives out
 
 std::string NameOf(std::size_t i) { return "h" + std::to_string(i); }
-gossip::Endpoint AddressOf(const SocketFleetPlan& plan, std::size_t i) {
+gossip::PeerAddress AddressOf(const SocketFleetPlan& plan, std::size_t i) {
   return {kFirstHost + static_cast<std::uint32_t>(i), plan.port};
 }
 double Milliseconds(runtime::Span span) { return std::chrono::duration<double, std::milli>(span).count(); }
--- a/src/testing/fault_test/member_forgery.cpp
+++ b/src/testing/fault_test/member_forgery.cpp
@@ -39,7 +39,7 @@
   gossip::Datagram datagram;
   datagram.sender.id = kSenderId;
   datagram.sender.name = kForgedSenderName;
-  datagram.sender.address = peer_transport::ToEndpoint(own);
+  datagram.sender.address = peer_transport::ToPeerAddress(own);
   datagram.body = gossip::Gossip{};
   for (int i = 0; i < kDatagrams; ++i) {
     datagram.updates.clear();
--- a/src/testing/simulation/peer_fleet.cpp
+++ b/src/testing/simulation/peer_fleet.cpp
@@ -19,7 +19,7 @@
 
 PeerFleet::PeerFleet(const Options& options) : options_(options), random_(options.seed), links_(random_()) {}
 
-Endpoint PeerFleet::AddressOf(Node machine, bool second) {
+PeerAddress PeerFleet::AddressOf(Node machine, bool second) {
   return {0x7f020000u + machine, static_cast<std::uint16_t>(kPort + (second ? 1 : 0))};
 }
 
--- a/src/testing/simulation/peer_fleet.h
+++ b/src/testing/simulation/peer_fleet.h
@@ -101,7 +101,7 @@
     std::unique_ptr<gossip::MembershipView> view;  // null: ended
     gossip::InstanceId id = gossip::kNoInstance;
     Node machine = 0;
-    gossip::Endpoint address;
+    gossip::PeerAddress address;
     double rate = 1;
     gossip::Time origin{};
     Instant paused_until{};
@@ -109,7 +109,7 @@
     SendTotals sent;
   };
 
-  static gossip::Endpoint AddressOf(Node machine, bool second);
+  static gossip::PeerAddress AddressOf(Node machine, bool second);
   gossip::Time LocalTime(const Running& r, Instant at) const;
   Instant TrueTime(const Running& r, gossip::Time local) const;
   void Schedule(Instant at, Kind kind, Process process, Process from = 0, std::string bytes = {});
@@ -126,7 +126,7 @@
   std::uint64_t order_ = 0, trace_ = 0;
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
   std::deque<Running> processes_;
-  std::map<gossip::Endpoint, Process> by_address_;
+  std::map<gossip::PeerAddress, Process> by_address_;
   std::map<gossip::InstanceId, Process> ids_;
   std::size_t live_count_ = 0;
 };
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -48,7 +48,7 @@
   const auto& d = std::get<Datagram>(read.value());
   EXPECT_EQ(d.sender, SomeRecord(7));
   EXPECT_EQ(d.digest, 0x1234567890abcdefu);
-  EXPECT_EQ(std::get<PingRequest>(d.body).address, (Endpoint{0x7f000002, 7100}));
+  EXPECT_EQ(std::get<PingRequest>(d.body).address, (PeerAddress{0x7f000002, 7100}));
   ASSERT_EQ(d.updates.size(), 2u);
   EXPECT_EQ(d.updates[0].record, SomeRecord(8, "n8"));
   EXPECT_EQ(d.updates[1].record.id, 9u);
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -180,7 +180,7 @@
   EXPECT_EQ(file.fleet->name, "hanul");
   EXPECT_EQ(file.fleet->listen.size(), 2u);
   EXPECT_EQ(file.fleet->advertise, file.fleet->listen) << "told as it is bound";
-  EXPECT_EQ(file.fleet->membership.seeds, (std::vector<gossip::Endpoint>{{0x7f000101, 7100}}))
+  EXPECT_EQ(file.fleet->membership.seeds, (std::vector<gossip::PeerAddress>{{0x7f000101, 7100}}))
       << "itself alone: the first";
   EXPECT_EQ(file.fleet->membership.probe_interval, std::chrono::milliseconds(100));
   EXPECT_EQ(file.fleet->membership.max_members, 500u);
