--- a/src/gossip/broadcast_queue.cpp
+++ b/src/gossip/broadcast_queue.cpp
@@ -25,20 +25,20 @@
   send_order_.clear();
 }
 
-void BroadcastQueue::Fill(std::vector<MemberUpdate>& into, std::size_t room, int limit) {
+void BroadcastQueue::Fill(std::vector<MemberUpdate>& updates, std::size_t free_bytes, int max_transmits) {
   std::vector<InstanceId> sent;
   for (const auto& [transmits, order, id] : send_order_) {
     const Queued& queued = queued_.at(id);
     const std::size_t size = MaxEncodedSize(queued.update);
-    if (size > room) break;  // in order: a large update must not starve
-    room -= size;
-    into.push_back(queued.update);
+    if (size > free_bytes) break;  // in order: a large update must not starve
+    free_bytes -= size;
+    updates.push_back(queued.update);
     sent.push_back(id);
   }
   for (const InstanceId id : sent) {
     Queued& queued = queued_.at(id);
     send_order_.erase({queued.transmits, queued.order, id});
-    if (++queued.transmits >= limit)
+    if (++queued.transmits >= max_transmits)
       queued_.erase(id);
     else
       send_order_.emplace(queued.transmits, queued.order, id);
--- a/src/gossip/broadcast_queue.h
+++ b/src/gossip/broadcast_queue.h
@@ -24,9 +24,9 @@
   // Queues an update in place of an earlier one of the same instance. When the queue is full, the update that
   // was sent most often is dropped.
   void Push(MemberUpdate update);
-  // Appends the updates that fit into `room` bytes to `into` and counts a transmission of each. An update is
-  // dropped after `limit` transmissions.
-  void Fill(std::vector<MemberUpdate>& into, std::size_t room, int limit);
+  // Appends the updates that fit into `free_bytes` bytes to `updates` and counts a transmission of each. An
+  // update is dropped after `max_transmits` transmissions.
+  void Fill(std::vector<MemberUpdate>& updates, std::size_t free_bytes, int max_transmits);
   void Clear();
   bool empty() const { return queued_.empty(); }
   std::size_t size() const { return queued_.size(); }
--- a/src/gossip/dissemination.cpp
+++ b/src/gossip/dissemination.cpp
@@ -38,20 +38,21 @@
 }
 
 void MembershipView::SendDatagram(const PeerAddress& to, InstanceId to_id, const DatagramBody& body,
-                                  std::vector<MemberUpdate> first) {
+                                  std::vector<MemberUpdate> leading_updates) {
   Datagram d;
   d.sender = members_.own().record;
   d.digest = members_.digest();
   d.body = body;
-  d.updates = std::move(first);
+  d.updates = std::move(leading_updates);
   if (to_id != kNoInstance)
     if (auto non_alive = StatusUpdateOf(to_id)) d.updates.push_back(std::move(*non_alive));
-  std::size_t used = kDatagramOverheadBytes + MaxEncodedSize(d.sender);
-  for (const MemberUpdate& update : d.updates) used += MaxEncodedSize(update);
-  const int limit = settings_.safety_checks.retransmit_limit
-                        ? 3 * static_cast<int>(std::ceil(std::log10(members_.live_count() + 1.0))) + 1
-                        : 1 << 30;
-  if (used < kMaxDatagramBytes) broadcasts_.Fill(d.updates, kMaxDatagramBytes - used, limit);
+  std::size_t used_bytes = kDatagramOverheadBytes + MaxEncodedSize(d.sender);
+  for (const MemberUpdate& update : d.updates) used_bytes += MaxEncodedSize(update);
+  const int max_transmits = settings_.safety_checks.retransmit_limit
+                                ? 3 * static_cast<int>(std::ceil(std::log10(members_.live_count() + 1.0))) + 1
+                                : 1 << 30;
+  if (used_bytes < kMaxDatagramBytes)
+    broadcasts_.Fill(d.updates, kMaxDatagramBytes - used_bytes, max_transmits);
   outputs_.push_back(Transmit{to, std::move(d)});
 }
 
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -30,7 +30,7 @@
 }
 
 std::optional<InstanceId> MembershipView::NextInRound(std::vector<InstanceId>& round, bool confirmed) {
-  const auto fits = [&](InstanceId id) {
+  const auto is_eligible = [&](InstanceId id) {
     const Member* member = members_.Find(id);
     return member != nullptr && member->is_live() && member->last_direct_contact.has_value() == confirmed;
   };
@@ -38,10 +38,10 @@
     while (!round.empty()) {
       const InstanceId id = round.back();
       round.pop_back();
-      if (fits(id)) return id;
+      if (is_eligible(id)) return id;
     }
     for (const InstanceId id : confirmed ? members_.others() : members_.unconfirmed())
-      if (fits(id)) round.push_back(id);
+      if (is_eligible(id)) round.push_back(id);
     for (std::size_t i = round.size(); i > 1; --i) std::swap(round[i - 1], round[RandomBelow(i)]);
   }
   return std::nullopt;
@@ -57,14 +57,15 @@
   probe.indirect_at = now + Periods(kAckTimeoutPeriods * (1 + local_health_));
   probe.deadline = now + settings_.probe_interval * (1 + local_health_);
   probe.verifies_claim = claim.has_value();
-  std::vector<MemberUpdate> first;
+  std::vector<MemberUpdate> leading_updates;
   if (claim) {
-    first.push_back(NonAliveUpdate(Status::kFailed, probe.target, claim->incarnation, claim->reported_by));
+    leading_updates.push_back(
+        NonAliveUpdate(Status::kFailed, probe.target, claim->incarnation, claim->reported_by));
   }
   const PeerAddress to = probe.address;
   const InstanceId target = probe.target;
   probes_.emplace(sequence, probe);
-  SendDatagram(to, target, Ping{sequence, target}, std::move(first));
+  SendDatagram(to, target, Ping{sequence, target}, std::move(leading_updates));
 }
 
 void MembershipView::CheckProbeTimeouts(Time now) {
@@ -79,9 +80,9 @@
     if (probe.indirect_at <= now) {
       probe.indirect_at = kNever;
       if (settings_.safety_checks.indirect_probes) {
-        for (const InstanceId helper : PickMembers(kMaxIndirectProbes, probe.target)) {
+        for (const InstanceId relay : PickMembers(kMaxIndirectProbes, probe.target)) {
           ++probe.indirect_probes;
-          SendDatagram(members_.Find(helper)->record.address, helper,
+          SendDatagram(members_.Find(relay)->record.address, relay,
                        PingRequest{it->first, probe.target, probe.address});
         }
       }
@@ -172,9 +173,9 @@
 void MembershipView::Handle(Time now, const Datagram& d, const WrongTarget& wrong_target) {
   const auto it = probes_.find(wrong_target.sequence);
   if (it == probes_.end() || it->second.address != d.sender.address) return;
-  const InstanceId gone = it->second.target;
+  const InstanceId absent = it->second.target;
   probes_.erase(it);
-  SuspectWithMinTimeout(now, gone);
+  SuspectWithMinTimeout(now, absent);
 }
 
 void MembershipView::Handle(Time, const Datagram& d, const Gossip&) {
--- a/src/gossip/member_state.cpp
+++ b/src/gossip/member_state.cpp
@@ -50,18 +50,18 @@
     ++rejected_;
     return;
   }
-  const Status before = member->status;
+  const Status previous_status = member->status;
   members_.Replace(record);
   members_.SetStatus(now, record.id, Status::kAlive);
   members_.ClearSuspectors(record.id);
   members_.SetDeadline(record.id, kNever);
   failure_claims_.erase(record.id);
   if (!bulk) broadcasts_.Push({Status::kAlive, record, kNoInstance});
-  const bool gone = before == Status::kFailed || before == Status::kLeft;
-  if (gone && direct) RequestSync(record.address);
-  EmitEvent(gone                         ? EventType::kReturned
-            : before == Status::kSuspect ? EventType::kRefuted
-                                         : EventType::kChanged,
+  const bool returned = previous_status == Status::kFailed || previous_status == Status::kLeft;
+  if (returned && direct) RequestSync(record.address);
+  EmitEvent(returned                              ? EventType::kReturned
+            : previous_status == Status::kSuspect ? EventType::kRefuted
+                                                  : EventType::kChanged,
             record);
 }
 
@@ -70,7 +70,7 @@
     ++rejected_;
     return;
   }
-  const auto tombstone = members_.Tombstone(now, record.id);
+  const auto tombstone = members_.FindTombstone(now, record.id);
   if (tombstone && record.incarnation <= *tombstone && !direct) {
     if (!bulk) broadcasts_.Push(NonAliveUpdate(Status::kFailed, record.id, *tombstone, members_.self()));
     return;
@@ -102,14 +102,17 @@
 Span MembershipView::SuspicionTimeout(const Member& member) const {
   if (!settings_.safety_checks.suspicion_timeout) return Span(0);
   const double n = static_cast<double>(members_.live_count());
-  const double least =
+  const double min_timeout =
       kSuspicionBasePeriods + kSuspicionPeriodsPerLog10Members * std::log10(std::max(1.0, n));
-  const double most = kMaxSuspicionFactor * least;
+  const double max_timeout = kMaxSuspicionFactor * min_timeout;
   // A small fleet has fewer members that could confirm.
-  const double wanted = std::min<double>(kSuspicionConfirmations, std::max(0.0, n - 2));
-  const double confirmed = std::min<double>(wanted, static_cast<double>(member.suspected_by.size()) - 1);
-  const double part = wanted <= 0 ? 1 : std::log(std::max(0.0, confirmed) + 1) / std::log(wanted + 1);
-  return Periods(most - (most - least) * part);
+  const double max_confirmations = std::min<double>(kSuspicionConfirmations, std::max(0.0, n - 2));
+  const double confirmations =
+      std::min<double>(max_confirmations, static_cast<double>(member.suspected_by.size()) - 1);
+  const double progress = max_confirmations <= 0
+                              ? 1
+                              : std::log(std::max(0.0, confirmations) + 1) / std::log(max_confirmations + 1);
+  return Periods(max_timeout - (max_timeout - min_timeout) * progress);
 }
 
 void MembershipView::UpdateSuspicionDeadline(Time now, InstanceId id) {
@@ -127,8 +130,8 @@
     ++rejected_;
     return;
   }
-  const bool fresh = member->status == Status::kAlive;
-  if (fresh) {
+  const bool newly_suspected = member->status == Status::kAlive;
+  if (newly_suspected) {
     if (incarnation > member->record.incarnation) members_.SetIncarnation(id, incarnation);
     members_.ClearSuspectors(id);
     members_.SetStatus(now, id, Status::kSuspect);
@@ -141,9 +144,10 @@
   if (!bulk) broadcasts_.Push(NonAliveUpdate(Status::kSuspect, id, member->record.incarnation, reported_by));
   // Some members probe the suspect themselves: it learns of the suspicion at once, and the verdict rests on
   // several observers.
-  const double part =
+  const double probability =
       kExpectedSuspectProbes / std::max<double>(1, static_cast<double>(members_.others().size()));
-  if (fresh && reported_by != members_.self() && static_cast<double>(random_() >> 11) * 0x1.0p-53 < part)
+  if (newly_suspected && reported_by != members_.self() &&
+      static_cast<double>(random_() >> 11) * 0x1.0p-53 < probability)
     StartProbe(now, *member, std::nullopt);
 }
 
@@ -152,10 +156,10 @@
   if (member == nullptr || !member->is_live()) return;
   ApplySuspect(now, id, member->record.incarnation, members_.self(), false);
   const double n = static_cast<double>(members_.live_count());
-  const Span least =
+  const Span min_timeout =
       Periods(kSuspicionBasePeriods + kSuspicionPeriodsPerLog10Members * std::log10(std::max(1.0, n)));
   if (member->status == Status::kSuspect)
-    members_.SetDeadline(id, std::max(now, std::min(member->deadline, member->status_since + least)));
+    members_.SetDeadline(id, std::max(now, std::min(member->deadline, member->status_since + min_timeout)));
 }
 
 void MembershipView::ApplyFailed(Time now, InstanceId id, std::uint64_t incarnation, InstanceId reported_by) {
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -40,9 +40,9 @@
   if (member.record.phase == Phase::kServing) CountServingName(member.record.name, sign == 1);
 }
 
-void MemberTable::CountServingName(const std::string& name, bool more) {
+void MemberTable::CountServingName(const std::string& name, bool added) {
   std::size_t& count = serving_names_[name];
-  count += more ? 1 : std::size_t(-1);
+  count += added ? 1 : std::size_t(-1);
   if (count > 1)
     shared_names_.insert(name);
   else
@@ -78,16 +78,16 @@
   }
 }
 
-bool MemberTable::MakeRoom(Time now, bool confirmed) {
+bool MemberTable::EvictIfFull(Time now, bool confirmed) {
   if (members_.size() < max_members_ || !safety_checks_.member_limit) return true;
   // Evicts the oldest member that failed or left; then, for a confirmed newcomer, the oldest unconfirmed one.
   const Member* candidate = nullptr;
   for (const auto& [id, member] : members_) {
     if (id == self_) continue;
     const bool not_live = !member.is_live(), unconfirmed = !member.last_direct_contact.has_value();
-    if (!not_live && safety_checks_.keep_confirmed && !(confirmed && unconfirmed)) continue;
+    if (!not_live && safety_checks_.protect_confirmed && !(confirmed && unconfirmed)) continue;
     const auto rank = [this](const Member& m) {
-      return std::tuple(m.is_live(), safety_checks_.keep_confirmed && m.last_direct_contact.has_value(),
+      return std::tuple(m.is_live(), safety_checks_.protect_confirmed && m.last_direct_contact.has_value(),
                         m.status_since);
     };
     if (candidate == nullptr || rank(member) < rank(*candidate)) candidate = &member;
@@ -98,7 +98,7 @@
 }
 
 bool MemberTable::Add(Time now, const MemberRecord& record, Status status, bool confirmed) {
-  if (!MakeRoom(now, confirmed)) return false;
+  if (!EvictIfFull(now, confirmed)) return false;
   Member& member = members_[record.id];
   member.record = record;
   member.status = status;
@@ -187,7 +187,7 @@
   }
 }
 
-std::optional<std::uint64_t> MemberTable::Tombstone(Time now, InstanceId id) {
+std::optional<std::uint64_t> MemberTable::FindTombstone(Time now, InstanceId id) {
   while (!tombstones_by_age_.empty()) {
     const auto oldest = tombstones_.find(tombstones_by_age_.front());
     if (oldest != tombstones_.end() && oldest->second.until > now) break;
--- a/src/gossip/member_table.h
+++ b/src/gossip/member_table.h
@@ -69,8 +69,8 @@
   void Reap(InstanceId id, Time until);
 
   // The incarnation that a member was reaped with, as long as its tombstone is kept.
-  std::optional<std::uint64_t> Tombstone(Time now, InstanceId id);
-  std::size_t tombstones() const { return tombstones_.size(); }
+  std::optional<std::uint64_t> FindTombstone(Time now, InstanceId id);
+  std::size_t tombstone_count() const { return tombstones_.size(); }
 
   // The earliest deadline and its member; {kNever, kNoInstance} if there is none.
   std::pair<Time, InstanceId> FirstDeadline() const;
@@ -84,9 +84,9 @@
   std::uint64_t change_count() const { return change_count_; }
 
  private:
-  bool MakeRoom(Time now, bool confirmed);
+  bool EvictIfFull(Time now, bool confirmed);
   void AddToCounters(const Member& member, std::uint64_t sign);  // sign: 1 or -1
-  void CountServingName(const std::string& name, bool more);
+  void CountServingName(const std::string& name, bool added);
   void UpdateLiveIndex(InstanceId id, bool live);
   static void Remove(std::vector<InstanceId>& from, InstanceId id);
   void Erase(InstanceId id);
@@ -101,11 +101,11 @@
   std::set<std::string> shared_names_;
   std::map<PeerAddress, std::set<InstanceId>> by_address_;
   std::set<std::pair<Time, InstanceId>> deadlines_;
-  struct FreedMember {
+  struct ReapedMember {
     std::uint64_t incarnation = 0;
     Time until{};
   };
-  std::unordered_map<InstanceId, FreedMember> tombstones_;
+  std::unordered_map<InstanceId, ReapedMember> tombstones_;
   std::deque<InstanceId> tombstones_by_age_;
   BucketSums bucket_sums_{};
   std::uint64_t change_count_ = 0;
--- a/src/gossip/membership_view.cpp
+++ b/src/gossip/membership_view.cpp
@@ -83,13 +83,13 @@
 // time. None of that is evidence against them.
 void MembershipView::DetectPause(Time now) {
   if (!settings_.safety_checks.pause_detection) return;
-  const Span late = now - expected_call_;
-  if (late <= Periods(kPauseThresholdPeriods)) return;
+  const Span lateness = now - expected_call_;
+  if (lateness <= Periods(kPauseThresholdPeriods)) return;
   AdjustLocalHealth(+1);
   probes_.clear();
   relayed_probes_.clear();
   failure_claims_.clear();
-  members_.DelaySuspicions(late);
+  members_.DelaySuspicions(lateness);
   broadcasts_.Clear();
   if (!left_) broadcasts_.Push({Status::kAlive, members_.own().record, kNoInstance});
   next_probe_ = next_gossip_ = next_periodic_ = now;
@@ -135,7 +135,7 @@
   PingFailedMember();
   PingSeed();
   StartDueSync(now);
-  ForgetOldDigestMismatches(now);
+  ExpireDigestMismatches(now);
   DetectNameConflicts();
 }
 
@@ -188,8 +188,8 @@
     ++rejected_;  // the table is full, or the record was not credible
     return;
   }
-  const bool first = !first_contact_.has_value() && sender->is_live();
-  if (first) {
+  const bool is_first_contact = !first_contact_.has_value() && sender->is_live();
+  if (is_first_contact) {
     first_contact_ = now;
     RequestSync(d.sender.address);
     next_periodic_ = now;
--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -197,7 +197,7 @@
   // refute.
   std::optional<MemberUpdate> StatusUpdateOf(InstanceId id) const;
   void SendDatagram(const PeerAddress& to, InstanceId to_id, const DatagramBody& body,
-                    std::vector<MemberUpdate> first = {});
+                    std::vector<MemberUpdate> leading_updates = {});
   // Different live members, at most `count`, without `except`.
   std::vector<InstanceId> PickMembers(std::size_t count, InstanceId except);
   void EmitEvent(EventType type, const MemberRecord& record, InstanceId reported_by = kNoInstance);
@@ -206,11 +206,11 @@
 
   // Of the buckets that differ, as many as one message can carry. Each is sent completely, so that it is
   // equal afterwards and the next sync continues with the others.
-  std::bitset<kDigestBuckets> SelectBuckets(const BucketSums& theirs) const;
-  std::vector<MemberUpdate> DifferingEntries(const BucketSums& theirs) const;
+  std::bitset<kDigestBuckets> SelectBuckets(const BucketSums& peer_sums) const;
+  std::vector<MemberUpdate> DifferingEntries(const BucketSums& peer_sums) const;
   void ApplyEntries(Time now, const SyncEntries& entries);
   void CompareDigest(Time now, const Datagram& d);
-  void ForgetOldDigestMismatches(Time now);
+  void ExpireDigestMismatches(Time now);
   void StartDueSync(Time now);
   void RequestSync(const PeerAddress& with) { sync_target_ = with; }
 
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -19,7 +19,7 @@
   bool claim_verification = true;      // probes a member that others call failed before it believes them
   bool incarnation_jump_limit = true;  // rejects updates that advance an incarnation too far
   bool member_limit = true;            // limits the number of members
-  bool keep_confirmed = true;          // evicts no member that was in direct contact for one that was not
+  bool protect_confirmed = true;       // evicts no member that was in direct contact for one that was not
   bool tombstones = true;              // remembers reaped members, so that old updates do not revive them
   bool state_sync = true;              // compares and repairs views that differ
   bool ping_target_check = true;       // answers only pings meant for this instance
--- a/src/gossip/state_sync.cpp
+++ b/src/gossip/state_sync.cpp
@@ -39,7 +39,7 @@
   digest_mismatches_ = 0;
 }
 
-void MembershipView::ForgetOldDigestMismatches(Time now) {
+void MembershipView::ExpireDigestMismatches(Time now) {
   std::erase_if(diverged_, [&](const auto& mismatch) {
     const Member* member = members_.Find(mismatch.first);
     return member == nullptr || !member->is_live() || now - mismatch.second > Periods(kSyncIntervalPeriods);
@@ -51,27 +51,28 @@
   return {members_.own().record, members_.bucket_sums()};
 }
 
-std::bitset<kDigestBuckets> MembershipView::SelectBuckets(const BucketSums& theirs) const {
-  std::array<std::size_t, kDigestBuckets> bytes{};
+std::bitset<kDigestBuckets> MembershipView::SelectBuckets(const BucketSums& peer_sums) const {
+  std::array<std::size_t, kDigestBuckets> bucket_bytes{};
   for (const auto& [id, member] : members_.all())
-    bytes[id % kDigestBuckets] += MaxEncodedSize(MemberUpdate{Status::kAlive, member.record, kNoInstance}) +
-                                  MaxEncodedSize(MemberUpdate{Status::kFailed, member.record, kNoInstance});
-  std::bitset<kDigestBuckets> tell;
-  std::size_t all = 0;
+    bucket_bytes[id % kDigestBuckets] +=
+        MaxEncodedSize(MemberUpdate{Status::kAlive, member.record, kNoInstance}) +
+        MaxEncodedSize(MemberUpdate{Status::kFailed, member.record, kNoInstance});
+  std::bitset<kDigestBuckets> selected;
+  std::size_t total_bytes = 0;
   for (std::size_t bucket = 0; bucket < kDigestBuckets; ++bucket) {
-    if (theirs[bucket] == members_.bucket_sums()[bucket]) continue;
-    if (tell.any() && all + bytes[bucket] > kMaxSyncBytes) break;
-    all += bytes[bucket];
-    tell.set(bucket);
+    if (peer_sums[bucket] == members_.bucket_sums()[bucket]) continue;
+    if (selected.any() && total_bytes + bucket_bytes[bucket] > kMaxSyncBytes) break;
+    total_bytes += bucket_bytes[bucket];
+    selected.set(bucket);
   }
-  return tell;
+  return selected;
 }
 
-std::vector<MemberUpdate> MembershipView::DifferingEntries(const BucketSums& theirs) const {
+std::vector<MemberUpdate> MembershipView::DifferingEntries(const BucketSums& peer_sums) const {
   std::vector<MemberUpdate> out;
-  const std::bitset<kDigestBuckets> tell = SelectBuckets(theirs);
+  const std::bitset<kDigestBuckets> selected = SelectBuckets(peer_sums);
   for (const auto& [id, member] : members_.all()) {
-    if (!tell.test(id % kDigestBuckets)) continue;
+    if (!selected.test(id % kDigestBuckets)) continue;
     if (id == members_.self() && left_) continue;
     if (out.size() + 2 > kMaxSyncEntries) break;
     if (member.is_live()) out.push_back({Status::kAlive, member.record, kNoInstance});
--- a/src/gossip/types.cpp
+++ b/src/gossip/types.cpp
@@ -8,7 +8,7 @@
 // MessagePack: a number takes 9 bytes at the most, a short text or array a header of up to 3.
 constexpr std::size_t kMaxNumberBytes = 9, kMaxHeaderBytes = 3;
 
-bool Printable(const std::string& text) {
+bool IsPrintable(const std::string& text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
@@ -16,13 +16,13 @@
 
 bool IsWithinLimits(const MemberRecord& record) {
   if (record.id == kNoInstance || !record.address) return false;
-  if (record.name.empty() || record.name.size() > kMaxNameBytes || !Printable(record.name)) return false;
-  if (record.zone.size() > kMaxZoneBytes || !Printable(record.zone)) return false;
+  if (record.name.empty() || record.name.size() > kMaxNameBytes || !IsPrintable(record.name)) return false;
+  if (record.zone.size() > kMaxZoneBytes || !IsPrintable(record.zone)) return false;
   if (record.phase > Phase::kDraining || record.incarnation > kMaxIncarnation) return false;
   if (record.attributes.size() > kMaxAttributes) return false;
   return std::all_of(record.attributes.begin(), record.attributes.end(), [](const Attribute& a) {
     return !a.key.empty() && a.key.size() <= kMaxAttributeKeyBytes &&
-           a.value.size() <= kMaxAttributeValueBytes && Printable(a.key);
+           a.value.size() <= kMaxAttributeValueBytes && IsPrintable(a.key);
   });
 }
 
--- a/src/hot_restart/ejection_store.cpp
+++ b/src/hot_restart/ejection_store.cpp
@@ -60,21 +60,21 @@
 
 }  // namespace
 
-std::optional<fs::path> EjectionStore::FileOf(const char* prefix, const std::string& engine_id) const {
+std::optional<fs::path> EjectionStore::PathOf(const char* prefix, const std::string& engine_id) const {
   if (engine_id.empty() || engine_id.size() > kMaxIdBytes) return std::nullopt;
   return folder_ / (prefix + ToHex(engine_id));
 }
 
 bool EjectionStore::SaveEjection(const std::string& engine_id) const {
-  const auto file = FileOf(kEjectedPrefix, engine_id);
+  const auto file = PathOf(kEjectedPrefix, engine_id);
   std::error_code error;
   fs::create_directories(folder_, error);
   return file && CreateFile(*file).get() >= 0;
 }
 
 bool EjectionStore::SaveReturn(const std::string& engine_id) const {
-  const auto ejected_file = FileOf(kEjectedPrefix, engine_id);
-  const auto returned_file = FileOf(kReturnedPrefix, engine_id);
+  const auto ejected_file = PathOf(kEjectedPrefix, engine_id);
+  const auto returned_file = PathOf(kReturnedPrefix, engine_id);
   if (!ejected_file) return false;
   // The return is written first: a reader between the two steps still finds the engine ejected.
   const runtime::Descriptor file = CreateFile(*returned_file);
@@ -120,7 +120,7 @@
   const auto ejections = Read();
   if (!ejections) return;
   for (const auto& [engine_id, returned_at] : ejections->returned_at) {
-    if (returned_at < before) fs::remove(*FileOf(kReturnedPrefix, engine_id), error);
+    if (returned_at < before) fs::remove(*PathOf(kReturnedPrefix, engine_id), error);
   }
 }
 
--- a/src/hot_restart/ejection_store.h
+++ b/src/hot_restart/ejection_store.h
@@ -50,7 +50,7 @@
 
  private:
   // The file of an engine; nullopt if the id is empty or too long.
-  std::optional<std::filesystem::path> FileOf(const char* prefix, const std::string& engine_id) const;
+  std::optional<std::filesystem::path> PathOf(const char* prefix, const std::string& engine_id) const;
 
   std::filesystem::path folder_;
   std::filesystem::file_time_type last_seen_change_{};
--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -20,10 +20,10 @@
 static_assert(gossip::kMaxSyncBytes + (std::size_t{16} << 10) < kMaxStreamMessageBytes,
               "room for the sender and the bucket sums");
 
-constexpr codec::MsgpackLimits kBounds{16384, 256, kMaxStreamMessageBytes, 8};
+constexpr codec::MsgpackLimits kMsgpackLimits{16384, 256, kMaxStreamMessageBytes, 8};
 
 // Message kinds on the wire: never renumber.
-enum class Kind : std::uint8_t { kDatagram = 0, kSyncRequest = 1, kSyncEntries = 2, kAppMessage = 3 };
+enum class MessageKind : std::uint8_t { kDatagram = 0, kSyncRequest = 1, kSyncEntries = 2, kAppMessage = 3 };
 
 void Pack(Packer& to, const MemberRecord& r) {
   to.pack_array(9);
@@ -110,22 +110,22 @@
   Reader in(from);
   std::vector<MemberUpdate> all;
   while (in.left() > 0) {
-    Reader one(in.Next());
+    Reader fields(in.Next());
     MemberUpdate update;
-    update.status = one.Enum(Status::kLeft);
+    update.status = fields.Enum(Status::kLeft);
     if (update.status == Status::kAlive) {
-      update.record = ReadRecord(one.Next());
+      update.record = ReadRecord(fields.Next());
     } else {
-      update.record.id = one.Take<std::uint64_t>();
-      update.record.incarnation = one.Take<std::uint64_t>();
-      update.reported_by = one.Take<std::uint64_t>();
+      update.record.id = fields.Take<std::uint64_t>();
+      update.record.incarnation = fields.Take<std::uint64_t>();
+      update.reported_by = fields.Take<std::uint64_t>();
     }
     all.push_back(std::move(update));
   }
   return all;
 }
 
-BucketSums ReadSums(const Object& from) {
+BucketSums ReadBucketSums(const Object& from) {
   Reader in(from);
   BucketSums bucket_sums{};
   for (std::uint64_t& sum : bucket_sums) sum = in.Take<std::uint64_t>();
@@ -211,40 +211,41 @@
   if (sum != XXH3_64bits(body.data(), body.size())) return tl::make_unexpected(FrameError::kCorrupt);
   if (static_cast<std::uint8_t>(frame[2]) != kMajorVersion)
     return tl::make_unexpected(FrameError::kVersionMismatch);
-  auto decoded = codec::UnpackArray(body, kBounds, [&](Reader& in) -> tl::expected<Message, FrameError> {
-    if (in.Take<std::string>() != fleet) return tl::make_unexpected(FrameError::kWrongFleet);
-    switch (in.Enum(Kind::kAppMessage)) {
-      case Kind::kDatagram: {
-        Datagram d;
-        d.sender = ReadRecord(in.Next());
-        d.digest = in.Take<std::uint64_t>();
-        d.body = ReadBody(in.Next());
-        d.updates = ReadUpdates(in.Next());
-        return Message(std::move(d));
-      }
-      case Kind::kSyncRequest: {
-        SyncRequest request;
-        request.sender = ReadRecord(in.Next());
-        request.bucket_sums = ReadSums(in.Next());
-        return Message(std::move(request));
-      }
-      case Kind::kSyncEntries: {
-        SyncEntries entries;
-        entries.sender = ReadRecord(in.Next());
-        entries.bucket_sums = ReadSums(in.Next());
-        entries.entries = ReadUpdates(in.Next());
-        return Message(std::move(entries));
-      }
-      case Kind::kAppMessage: {
-        AppMessage app;
-        app.sender = in.Take<std::uint64_t>();
-        app.subsystem = in.Enum(Subsystem::kEndpointLists);
-        app.bytes = in.Bytes();
-        return Message(std::move(app));
-      }
-    }
-    return tl::make_unexpected(FrameError::kMalformed);
-  });
+  auto decoded =
+      codec::UnpackArray(body, kMsgpackLimits, [&](Reader& in) -> tl::expected<Message, FrameError> {
+        if (in.Take<std::string>() != fleet) return tl::make_unexpected(FrameError::kWrongFleet);
+        switch (in.Enum(MessageKind::kAppMessage)) {
+          case MessageKind::kDatagram: {
+            Datagram d;
+            d.sender = ReadRecord(in.Next());
+            d.digest = in.Take<std::uint64_t>();
+            d.body = ReadBody(in.Next());
+            d.updates = ReadUpdates(in.Next());
+            return Message(std::move(d));
+          }
+          case MessageKind::kSyncRequest: {
+            SyncRequest request;
+            request.sender = ReadRecord(in.Next());
+            request.bucket_sums = ReadBucketSums(in.Next());
+            return Message(std::move(request));
+          }
+          case MessageKind::kSyncEntries: {
+            SyncEntries entries;
+            entries.sender = ReadRecord(in.Next());
+            entries.bucket_sums = ReadBucketSums(in.Next());
+            entries.entries = ReadUpdates(in.Next());
+            return Message(std::move(entries));
+          }
+          case MessageKind::kAppMessage: {
+            AppMessage app;
+            app.sender = in.Take<std::uint64_t>();
+            app.subsystem = in.Enum(Subsystem::kEndpointLists);
+            app.bytes = in.Bytes();
+            return Message(std::move(app));
+          }
+        }
+        return tl::make_unexpected(FrameError::kMalformed);
+      });
   if (!decoded) return tl::make_unexpected(FrameError::kMalformed);
   return std::move(*decoded);
 }
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -151,7 +151,7 @@
     if (view_.NextDeadline() > now) continue;
     view_.Tick(now);
     DispatchOutputs();
-    turns_.Add(Now() - now);
+    turn_durations_.Add(Now() - now);
     co_await loop_.NextTurn();
   }
 }
@@ -175,10 +175,10 @@
 
 void Link::HandleDatagram(const Message& message) {
   if (const auto* datagram = std::get_if<gossip::Datagram>(&message)) {
-    const Time begun = Now();
-    view_.Receive(begun, *datagram);
+    const Time start = Now();
+    view_.Receive(start, *datagram);
     DispatchOutputs();
-    turns_.Add(Now() - begun);
+    turn_durations_.Add(Now() - start);
     return;
   }
   const auto* app_message = std::get_if<AppMessage>(&message);
@@ -244,9 +244,9 @@
 // ---- Application messages ----
 
 bool Link::SetAttribute(const std::string& key, const std::string& value) {
-  const bool fits = view_.SetAttribute(Now(), key, value);
+  const bool accepted = view_.SetAttribute(Now(), key, value);
   DispatchOutputs();
-  return fits;
+  return accepted;
 }
 
 void Link::Send(const gossip::PeerAddress& to, Subsystem subsystem, std::string bytes) {
@@ -266,12 +266,12 @@
   ++outbound_messages_;
   const Time deadline = Now() + kStreamTimeout;
   std::unique_ptr<runtime::Socket> socket;
-  std::string end;
+  std::string unused;
   bool sent =
       co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == Io::kOk;
   if (sent) sent = co_await WriteFrame(*socket, frame, deadline);
   if (sent)
-    co_await socket->Read(end, 1, deadline);  // until the peer has read it and closes
+    co_await socket->Read(unused, 1, deadline);  // until the peer has read it and closes
   else
     ++metrics_.app_messages_dropped;
   --outbound_messages_;
@@ -279,9 +279,9 @@
 
 Task<> Link::HandleCall(std::unique_ptr<runtime::Socket> socket, std::string bytes) {
   ++active_calls_;
-  std::string answer = co_await on_call(std::move(bytes));
+  std::string response = co_await on_call(std::move(bytes));
   const std::string frame =
-      Encode(fleet_, AppMessage{view_.members().self(), Subsystem::kOperatorCall, std::move(answer)});
+      Encode(fleet_, AppMessage{view_.members().self(), Subsystem::kOperatorCall, std::move(response)});
   co_await WriteFrame(*socket, frame, Now() + kStreamTimeout);
   --active_calls_;
 }
@@ -321,10 +321,10 @@
 }
 
 Task<> Link::ServeStateSync(runtime::Socket& socket, const gossip::SyncRequest& request, Time deadline) {
-  const std::string answer = Encode(fleet_, view_.HandleSyncRequest(Now(), request));
-  metrics_.sync_bytes += answer.size();
+  const std::string response = Encode(fleet_, view_.HandleSyncRequest(Now(), request));
+  metrics_.sync_bytes += response.size();
   DispatchOutputs();
-  if (!co_await WriteFrame(socket, answer, deadline)) co_return;
+  if (!co_await WriteFrame(socket, response, deadline)) co_return;
   const auto frame = co_await ReadFrameCounted(socket, deadline);
   if (!frame) co_return;
   const auto message = DecodeCounted(*frame, kMaxStreamMessageBytes);
@@ -336,8 +336,8 @@
 
 Task<> Link::RunStateSync(gossip::PeerAddress to) {
   ++outbound_syncs_;
-  const bool done = co_await SyncWith(to, Now() + kStreamTimeout);
-  ++(done ? metrics_.syncs : metrics_.syncs_failed);
+  const bool completed = co_await SyncWith(to, Now() + kStreamTimeout);
+  ++(completed ? metrics_.syncs : metrics_.syncs_failed);
   --outbound_syncs_;
 }
 
@@ -358,8 +358,8 @@
   DispatchOutputs();
   if (!co_await WriteFrame(*socket, closing, deadline)) co_return false;
   // Waits until the peer has read it; closing earlier could discard unread bytes.
-  std::string end;
-  co_await socket->Read(end, 1, deadline);
+  std::string unused;
+  co_await socket->Read(unused, 1, deadline);
   co_return true;
 }
 
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -98,7 +98,7 @@
   const gossip::MembershipView& view() const { return view_; }
   const LinkMetrics& metrics() const { return metrics_; }
   // How long single turns of the view took.
-  const LatencyHistogram& turns() const { return turns_; }
+  const LatencyHistogram& turn_durations() const { return turn_durations_; }
   // The address that was bound.
   const gossip::PeerAddress& listen_address() const { return listen_; }
 
@@ -130,7 +130,7 @@
   gossip::MembershipView view_;
   EventHandler on_event_;
   LinkMetrics metrics_;
-  LatencyHistogram turns_;
+  LatencyHistogram turn_durations_;
   runtime::Gate wake_timer_;
   runtime::Time timer_deadline_ = runtime::kNever;
   std::size_t inbound_streams_ = 0, outbound_syncs_ = 0, outbound_messages_ = 0, active_calls_ = 0;
--- a/src/proxy/fleet_state.cpp
+++ b/src/proxy/fleet_state.cpp
@@ -112,7 +112,7 @@
                       {"place", serving_rank.rank},
                       {"health", view.local_health()},
                       {"views_differ", view.diverged_count()},
-                      {"turn_us_p99", link.turns().Percentile(0.99)},
+                      {"turn_us_p99", link.turn_durations().Percentile(0.99)},
                       {"contested", view.name_conflicts()},
                       {"members", ordered_json::array()}};
   for (const Member* member : members) out["members"].push_back(MemberJson(view, *member, now));
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -517,7 +517,7 @@
        world.fleet.RunFor(kPeriod);
        return world.fleet.view(2).members().all().size() <= 64;
      }},
-    {"confirmed members stay", &SafetyChecks::keep_confirmed,
+    {"confirmed members stay", &SafetyChecks::protect_confirmed,
      [](const SafetyChecks& safety_checks) {
        Settings settings;
        settings.max_members = 64;
