--- a/src/gossip/broadcast_queue.cpp
+++ b/src/gossip/broadcast_queue.cpp
@@ -30,7 +30,7 @@
   for (const auto& [transmits, order, id] : send_order_) {
     const Queued& queued = queued_.at(id);
     const std::size_t size = MaxEncodedSize(queued.update);
-    if (size > free_bytes) break;  // in order: a large update must not starve
+    if (size > free_bytes) break;  // not skipped, so that a large update does not starve
     free_bytes -= size;
     updates.push_back(queued.update);
     sent.push_back(id);
--- a/src/gossip/broadcast_queue.h
+++ b/src/gossip/broadcast_queue.h
@@ -1,5 +1,6 @@
 // Queue of updates to piggyback on outgoing datagrams. It holds the newest update of each instance, sends
-// those first that were sent least often, and drops an update after a limited number of transmissions.
+// the updates with the fewest transmissions first, and drops an update after a limited number of
+// transmissions.
 //
 // No I/O, no clock. Owned by a MembershipView.
 // Source: SWIM, section 4.1 (infection-style dissemination); memberlist's TransmitLimitedQueue.
@@ -21,11 +22,11 @@
  public:
   explicit BroadcastQueue(std::size_t max_updates) : max_updates_(max_updates) {}
 
-  // Queues an update in place of an earlier one of the same instance. When the queue is full, the update that
+  // Queues an update and removes an earlier one of the same instance. If the queue is full, the update that
   // was sent most often is dropped.
   void Push(MemberUpdate update);
-  // Appends the updates that fit into `free_bytes` bytes to `updates` and counts a transmission of each. An
-  // update is dropped after `max_transmits` transmissions.
+  // Appends queued updates to `updates` until the next one does not fit into `free_bytes`, and counts a
+  // transmission of each. An update is dropped after `max_transmits` transmissions.
   void Fill(std::vector<MemberUpdate>& updates, std::size_t free_bytes, int max_transmits);
   void Clear();
   bool empty() const { return queued_.empty(); }
@@ -35,9 +36,9 @@
   struct Queued {
     MemberUpdate update;
     int transmits = 0;
-    std::uint64_t order = 0;  // the newest update has the lowest
+    std::uint64_t order = 0;  // lowest for the newest update
   };
-  using SendOrder = std::tuple<int, std::uint64_t, InstanceId>;  // transmits, order, instance
+  using SendOrder = std::tuple<int, std::uint64_t, InstanceId>;  // transmits, order, instance id
 
   void Remove(InstanceId id);
 
--- a/src/gossip/dissemination.cpp
+++ b/src/gossip/dissemination.cpp
@@ -1,4 +1,4 @@
-// Dissemination in MembershipView: datagrams with piggybacked updates, and whom to send them to.
+// Dissemination in MembershipView: datagrams with piggybacked updates, and the choice of their receivers.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -8,12 +8,12 @@
 namespace lemoncroft::gossip {
 namespace {
 
-constexpr std::size_t kDatagramOverheadBytes = 48;  // beside the sender and the updates
+constexpr std::size_t kDatagramOverheadBytes = 48;  // without the sender and the updates
 
 }  // namespace
 
-// One of them is a recent contact, so that the datagram is likely to arrive even if this proxy can reach only
-// few members.
+// Tries a recent contact first, so that at least one datagram is likely to arrive even if this proxy can
+// reach only a few members.
 std::vector<InstanceId> MembershipView::PickMembers(std::size_t count, InstanceId except) {
   std::vector<InstanceId> picked;
   const auto take = [&](InstanceId id) {
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -1,5 +1,5 @@
-// The failure detector of MembershipView: direct and indirect probes, probes relayed for others, verification
-// of failures that others report, and local health.
+// The failure detector of MembershipView: direct and indirect probes, probes on behalf of other members,
+// verification of failures that other members report, and local health.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -18,8 +18,8 @@
     local_health_ = std::clamp(local_health_ + delta, 0, kMaxLocalHealth);
 }
 
-// Probes one confirmed member, as SWIM does, and some unconfirmed ones besides: forged members then neither
-// delay the probes of the others nor stay for long.
+// Probes one confirmed member, as in SWIM, and up to kUnconfirmedProbesPerPeriod unconfirmed ones. Forged
+// members then neither delay the probes of confirmed members nor stay in the table for long.
 void MembershipView::StartNextProbes(Time now) {
   next_probe_ = now + settings_.probe_interval * (1 + local_health_);
   if (left_) return;
@@ -112,7 +112,8 @@
 void MembershipView::VerifyFailureClaims(Time now) {
   for (std::size_t i = 0;
        i < kClaimsVerifiedPerRound && !failure_claims_.empty() && probes_.size() < kMaxProbes; ++i) {
-    // A random one: many members may have the same claims and should not all verify the same one first.
+    // Picks a random claim, since many members may have the same claims and should not all verify
+    // the same one first.
     auto it = failure_claims_.lower_bound(random_());
     if (it == failure_claims_.end()) it = failure_claims_.begin();
     const auto [id, claim] = *it;
@@ -158,7 +159,7 @@
     return SendDatagram(relayed.requester, kNoInstance, Ack{relayed.sequence, relayed.target},
                         {{Status::kAlive, d.sender, kNoInstance}});
   }
-  // A seed that was no live member so far: sync with it at once.
+  // The seed was not a live member when it was pinged: sync with it at once.
   if (ack.sequence == seed_ping_sequence_ && seed_ping_sequence_ != 0) {
     seed_ping_sequence_ = 0;
     RequestSync(d.sender.address);
@@ -179,7 +180,7 @@
 }
 
 void MembershipView::Handle(Time, const Datagram& d, const Gossip&) {
-  // The sender is not alive in this view: tell it, so that it refutes.
+  // If the sender is not alive in this view, the reply carries its status, so that the sender can refute it.
   if (StatusUpdateOf(d.sender.id).has_value()) SendDatagram(d.sender.address, d.sender.id, Gossip{});
 }
 
--- a/src/gossip/member_state.cpp
+++ b/src/gossip/member_state.cpp
@@ -1,4 +1,4 @@
-// The member states of MembershipView: which updates win, suspicion and its timeout, refutation.
+// The member states of MembershipView: precedence of updates, suspicion and its timeout, refutation.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -37,11 +37,11 @@
   const Member* member = members_.Find(record.id);
   if (member == nullptr) return AddMember(now, record, direct, bulk);
   const MemberRecord& known = member->record;
-  // Until the first direct contact its record may have been forged; its own record replaces that one.
+  // Until the first direct contact, the known record may be forged; the member's own record replaces it.
   const bool corrected = direct && !member->last_direct_contact && record.incarnation < known.incarnation;
   if (record.incarnation < known.incarnation && !corrected) return;
   if (record.incarnation == known.incarnation) {
-    // Others still hold it alive: gossip the failure, so that they learn of it and the member can refute.
+    // Other members consider it alive: gossip the failure to inform them and to let the member refute it.
     if (member->status == Status::kFailed && !direct && !bulk) broadcasts_.Push(*StatusUpdateOf(record.id));
     return;
   }
@@ -80,13 +80,13 @@
     ++rejected_;
     return;
   }
-  // Inserted at a random position of the current round (SWIM, section 4.3).
+  // Inserts the member at a random position of the current round (SWIM, section 4.3).
   std::vector<InstanceId>& round = direct ? probe_round_ : unconfirmed_round_;
   round.push_back(record.id);
   std::swap(round.back(), round[RandomBelow(round.size())]);
   if (!bulk) broadcasts_.Push({Status::kAlive, record, kNoInstance});
   EmitEvent(EventType::kJoined, record);
-  // An address belongs to one process at a time: the instance that had it before has ended.
+  // An address belongs to one process at a time: the previous instance at it has ended.
   if (settings_.safety_checks.ping_target_check && direct && previous_owner != kNoInstance &&
       previous_owner != members_.self())
     SuspectWithMinTimeout(now, previous_owner);
@@ -102,10 +102,11 @@
 Span MembershipView::SuspicionTimeout(const Member& member) const {
   if (!settings_.safety_checks.suspicion_timeout) return Span(0);
   const double n = static_cast<double>(members_.live_count());
+  // Timeouts in protocol periods.
   const double min_timeout =
       kSuspicionBasePeriods + kSuspicionPeriodsPerLog10Members * std::log10(std::max(1.0, n));
   const double max_timeout = kMaxSuspicionFactor * min_timeout;
-  // A small fleet has fewer members that could confirm.
+  // A small fleet has fewer members that can confirm a suspicion.
   const double max_confirmations = std::min<double>(kSuspicionConfirmations, std::max(0.0, n - 2));
   const double confirmations =
       std::min<double>(max_confirmations, static_cast<double>(member.suspected_by.size()) - 1);
@@ -142,8 +143,8 @@
   if (!members_.AddSuspector(id, reported_by)) return;
   UpdateSuspicionDeadline(now, id);
   if (!bulk) broadcasts_.Push(NonAliveUpdate(Status::kSuspect, id, member->record.incarnation, reported_by));
-  // Some members probe the suspect themselves: it learns of the suspicion at once, and the verdict rests on
-  // several observers.
+  // Some members probe the suspect themselves, so that it learns of the suspicion at once and the decision
+  // rests on several observers.
   const double probability =
       kExpectedSuspectProbes / std::max<double>(1, static_cast<double>(members_.others().size()));
   if (newly_suspected && reported_by != members_.self() &&
@@ -170,7 +171,8 @@
     ++rejected_;
     return;
   }
-  // Not suspected here: after a partition each side declares the other failed, so verify it first.
+  // This proxy does not suspect the member. After a partition each side declares the other failed, so the
+  // claim is verified first.
   if (member->status == Status::kAlive && settings_.safety_checks.claim_verification) {
     if (failure_claims_.size() < kMaxFailureClaims)
       failure_claims_[id] = {member->record.incarnation, reported_by};
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -80,7 +80,8 @@
 
 bool MemberTable::EvictIfFull(Time now, bool confirmed) {
   if (members_.size() < max_members_ || !safety_checks_.member_limit) return true;
-  // Evicts the oldest member that failed or left; then, for a confirmed newcomer, the oldest unconfirmed one.
+  // Evicts the oldest member that failed or left, unconfirmed ones first. If there is none, a confirmed new
+  // member replaces the oldest live unconfirmed one.
   const Member* candidate = nullptr;
   for (const auto& [id, member] : members_) {
     if (id == self_) continue;
@@ -206,7 +207,7 @@
 void MemberTable::DelaySuspicions(Span by) {
   for (auto& [id, member] : members_) {
     if (member.status != Status::kSuspect || member.deadline == kNever) continue;
-    member.status_since += by;  // later confirmations shorten the timeout from here, too
+    member.status_since += by;  // further confirmations recompute the deadline from it
     SetDeadline(id, member.deadline + by);
   }
 }
--- a/src/gossip/member_table.h
+++ b/src/gossip/member_table.h
@@ -1,9 +1,9 @@
 // The members that this proxy knows, with the indexes and digests derived from them, and tombstones of the
 // members that were reaped.
 //
-// No I/O, no clock; times are passed by the caller. It stores what the protocol decides and only decides
-// itself which member is evicted when the table is full. The proxy itself is a member and is never evicted.
-// Owned by a MembershipView.
+// No I/O, no clock; times are passed by the caller. It stores the decisions of the protocol; its only
+// own decision is which member to evict when the table is full. The proxy itself is a member and is never
+// evicted. Owned by a MembershipView.
 #ifndef LEMONCROFT_GOSSIP_MEMBER_TABLE_H_
 #define LEMONCROFT_GOSSIP_MEMBER_TABLE_H_
 
@@ -24,10 +24,10 @@
 struct Member {
   MemberRecord record;
   Status status = Status::kAlive;
-  Time status_since{};                      // when it entered this status
-  std::optional<Time> last_direct_contact;  // its last datagram; none: only known through others
+  Time status_since{};                      // when the member entered this status
+  std::optional<Time> last_direct_contact;  // its last datagram; nullopt: known only through others
   std::vector<InstanceId> suspected_by;
-  Time deadline = kNever;  // end of the suspicion, or when it is reaped
+  Time deadline = kNever;  // end of the suspicion, or when the member is reaped
 
   // Suspected members count as live.
   bool is_live() const { return status == Status::kAlive || status == Status::kSuspect; }
@@ -42,39 +42,41 @@
   const Member* Find(InstanceId id) const;
   const std::map<InstanceId, Member>& all() const { return members_; }
   std::size_t live_count() const { return live_.size(); }  // this proxy included
-  // The live members without this proxy, in order of insertion; a removal moves the last one into the gap.
+  // The live members other than this proxy, in insertion order, except that a removal moves the last one into
+  // the gap.
   const std::vector<InstanceId>& others() const { return others_; }
   const std::vector<InstanceId>& failed() const { return failed_; }
-  // Those of others() that this proxy never had a datagram from.
+  // The members of others() from which this proxy has never received a datagram.
   const std::vector<InstanceId>& unconfirmed() const { return unconfirmed_; }
-  // Names of the live serving instances with the number of instances each.
+  // Names of the live serving instances, each with its number of instances.
   const std::map<std::string, std::size_t>& serving_names() const { return serving_names_; }
-  // Names that more than one live instance serves under.
+  // Names under which more than one live instance serves.
   const std::set<std::string>& shared_names() const { return shared_names_; }
-  // A live instance with this address, or kNoInstance.
+  // Returns a live instance with this address, or kNoInstance.
   InstanceId FindByAddress(const PeerAddress& address) const;
 
-  // Adds a member; `confirmed`: this proxy received a datagram of it. Returns false when the table is full.
+  // Adds a member; `confirmed`: this proxy received a datagram from it. Returns false if the table is full
+  // and no member may be evicted.
   bool Add(Time now, const MemberRecord& record, Status status, bool confirmed);
   // Replaces the record of a known member.
   void Replace(const MemberRecord& record);
   void SetStatus(Time now, InstanceId id, Status status);
   void SetIncarnation(InstanceId id, std::uint64_t incarnation);
   void SetDeadline(InstanceId id, Time deadline);
-  // Returns false if the suspector is known already or more of them would not count.
+  // Returns false if the suspector is already recorded or further suspectors would not count.
   bool AddSuspector(InstanceId id, InstanceId suspector);
   void ClearSuspectors(InstanceId id);
   void RecordDirectContact(Time now, InstanceId id);
-  // Removes a member and keeps a tombstone of it until `until`.
+  // Removes a member and stores a tombstone of it that expires at `until`.
   void Reap(InstanceId id, Time until);
 
-  // The incarnation that a member was reaped with, as long as its tombstone is kept.
+  // Returns the incarnation with which a member was reaped, or nullopt if no tombstone of it is stored.
   std::optional<std::uint64_t> FindTombstone(Time now, InstanceId id);
   std::size_t tombstone_count() const { return tombstones_.size(); }
 
-  // The earliest deadline and its member; {kNever, kNoInstance} if there is none.
+  // Returns the earliest deadline and its member, or {kNever, kNoInstance} if there is none.
   std::pair<Time, InstanceId> FirstDeadline() const;
-  // Postpones all suspicion deadlines by the time that this proxy was paused.
+  // Postpones all suspicion deadlines by the duration of a pause of this proxy.
   void DelaySuspicions(Span by);
 
   // Sums and digest of the ids and incarnations of the live members.
@@ -84,6 +86,7 @@
   std::uint64_t change_count() const { return change_count_; }
 
  private:
+  // Returns false if the table is full and no member may be evicted for the new one.
   bool EvictIfFull(Time now, bool confirmed);
   void AddToCounters(const Member& member, std::uint64_t sign);  // sign: 1 or -1
   void CountServingName(const std::string& name, bool added);
--- a/src/gossip/membership_view.cpp
+++ b/src/gossip/membership_view.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxRecentContacts = 8;
-constexpr std::size_t kLeaveFanout = 8;  // members that a leave is sent to at once
+constexpr std::size_t kLeaveFanout = 8;  // members that a leave is sent to directly
 
 }  // namespace
 
@@ -139,8 +139,8 @@
   DetectNameConflicts();
 }
 
-// Not a probe: a missing answer has no consequence. The datagram carries the failure, so that a member that
-// lives refutes it.
+// Not a probe: a missing Ack has no consequence. The datagram carries the failure, so that a member that is
+// alive refutes it.
 void MembershipView::PingFailedMember() {
   const std::vector<InstanceId>& failed = members_.failed();
   if (!settings_.safety_checks.reconnect_failed || failed.empty()) return;
@@ -149,7 +149,7 @@
   SendDatagram(members_.Find(id)->record.address, id, Ping{++last_sequence_, id});
 }
 
-// Pings the next seed that is no live member.
+// Pings the next seed that is not a live member.
 void MembershipView::PingSeed() {
   const bool alone = members_.others().empty();
   if (settings_.seeds.empty() || (!alone && period_count_ % kSeedRetryIntervalPeriods != 0)) return;
@@ -162,7 +162,8 @@
   }
 }
 
-// Reports instances that serve under this proxy's name for kNameConflictPeriods.
+// Reports the other instances that serve under this proxy's name once a conflict has lasted
+// kNameConflictPeriods.
 void MembershipView::DetectNameConflicts() {
   if (std::exchange(conflicts_checked_at_, members_.change_count()) != members_.change_count()) {
     std::erase_if(conflict_since_, [&](const auto& c) { return !members_.shared_names().contains(c.first); });
--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -2,12 +2,13 @@
 // dissemination, and state sync by digest.
 //
 // A deterministic state machine without I/O or a clock. The owner passes the time of one monotonic clock to
-// every call, calls Tick at NextDeadline(), passes received messages in, and carries out the outputs in
+// every call, calls Tick at NextDeadline(), passes in received messages, and carries out the outputs in
 // order. The same settings, seed and calls give the same outputs. A call that comes much later than
-// NextDeadline() means that this process was paused; the view then discards what it could not observe.
+// NextDeadline() indicates that this process was paused; the view then discards its pending probes and
+// failure claims and postpones suspicions.
 //
-// Not thread-safe. Messages from the network may contain anything: those that are not credible or exceed a
-// limit are counted in rejected() and have no other effect (frames that can't be decoded never get here).
+// Not thread-safe. Messages from the network may have any content: those that are not credible or exceed a
+// limit are counted in rejected() and have no other effect. The caller drops frames that it cannot decode.
 // docs/gossip.md describes the protocol.
 //
 // The implementation is split by concern: membership_view.cpp (timers, own record), failure_detector.cpp
@@ -35,44 +36,44 @@
 
 namespace lemoncroft::gossip {
 
-// What happened to a member, or to this proxy itself.
+// The type of an event that concerns a member or this proxy itself.
 enum class EventType {
   kJoined,
-  kChanged,  // it announced a new record
+  kChanged,  // the member announced a new record
   kSuspected,
   kRefuted,
   kFailed,
-  kReturned,  // it had failed or left and is alive again
+  kReturned,  // the member had failed or left and is alive again
   kLeft,
-  kReaped,        // "freed": removed from the table after it failed or left
-  kNameConflict,  // "contested": another instance serves under this proxy's name
-  kPaused,        // "held": this process was paused and discarded what it could not observe
-  kRefutedOwn,    // "answered": this proxy refuted an update about itself
+  kReaped,        // logged as "freed": the member was removed from the table after it failed or left
+  kNameConflict,  // logged as "contested": another instance serves under this proxy's name
+  kPaused,        // logged as "held": this process was paused and discarded its probes
+  kRefutedOwn,    // logged as "answered": this proxy refuted an update about itself
 };
-// The name of an event in the log; part of the log's format.
+// Returns the name of an event in the log, which is part of the log's format.
 const char* NameOf(EventType type);
 
-// A change of the view, for the owner.
+// Notifies the owner of a change of the view.
 struct Event {
   EventType type = EventType::kJoined;
   MemberRecord record;
-  InstanceId reported_by = kNoInstance;  // the instance that suspects it or declared it failed
+  InstanceId reported_by = kNoInstance;  // the instance that suspects the member or declared it failed
 };
-// Send this datagram. It may be lost.
+// Tells the owner to send a datagram, which may be lost.
 struct Transmit {
   PeerAddress to;
   Datagram datagram;
 };
-// Open a stream to this address and run a state sync over it.
+// Tells the owner to open a stream to this address and run a state sync over it.
 struct StateSync {
   PeerAddress to;
 };
 using Output = std::variant<Event, Transmit, StateSync>;
 
-// The number of names that serve, and the rank of this proxy's name among them in alphabetical order.
+// The number of serving names, and the rank of this proxy's name among them in alphabetical order.
 struct ServingRank {
   int serving_count = 0;
-  int rank = -1;  // -1: this proxy does not serve
+  int rank = -1;  // 0-based; -1: this proxy does not serve
   bool operator==(const ServingRank&) const = default;
 };
 
@@ -82,10 +83,10 @@
 
   // Runs the timers that are due.
   void Tick(Time now);
-  // When Tick should be called next.
+  // Returns the time at which Tick is due next.
   Time NextDeadline() const;
   void Receive(Time now, const Datagram& datagram);
-  // Removes and returns the outputs of the calls since the last one.
+  // Removes and returns the outputs of all calls since the previous TakeOutputs().
   std::vector<Output> TakeOutputs();
 
   // State sync. The initiator sends StartSync(); the responder passes it to HandleSyncRequest() and sends the
@@ -100,24 +101,25 @@
   void SetPhase(Time now, Phase phase);
   // Returns false if the record would exceed its limits or this proxy has left.
   bool SetAttribute(Time now, const std::string& key, const std::string& value);
-  // Announces that this process ends on purpose. No later change of the record is sent.
+  // Announces that this process leaves the fleet intentionally. Later changes of the record are not sent.
   void Leave(Time now);
 
   const MemberTable& members() const { return members_; }
   ServingRank serving_rank() const;
-  // Names that several instances have served under for kNameConflictPeriods.
+  // Names under which several instances have served for at least kNameConflictPeriods.
   std::vector<std::string> name_conflicts() const;
-  // Lifeguard's local health: 0 is healthy; the probe interval and timeouts are multiplied by 1 + it.
+  // Lifeguard's local health; 0 is healthy. The probe interval and timeouts are multiplied by
+  // 1 + local_health().
   int local_health() const { return local_health_; }
-  // Messages and updates that were well formed but not credible, or exceeded a limit.
+  // The number of messages and updates that were well formed but not credible, or exceeded a limit.
   std::uint64_t rejected() const { return rejected_; }
   std::size_t queued_updates() const { return broadcasts_.size(); }
-  // Live members whose last digest differed from that of this view.
+  // The number of live members whose last digest differed from that of this view.
   std::size_t diverged_count() const { return diverged_.size(); }
   bool HasDiverged(InstanceId id) const { return diverged_.contains(id); }
 
  private:
-  // A failure that another member reported and this proxy has yet to verify.
+  // A failure that another member reported and that this proxy has not verified yet.
   struct FailureClaim {
     std::uint64_t incarnation = 0;
     InstanceId reported_by = kNoInstance;
@@ -127,7 +129,7 @@
     InstanceId target = kNoInstance;
     PeerAddress address;
     std::uint64_t incarnation = 0;
-    Time indirect_at{};  // kNever: indirect probes were sent
+    Time indirect_at{};  // kNever: indirect probes are no longer due
     Time deadline{};
     std::size_t indirect_probes = 0, nacks = 0;
     bool verifies_claim = false;  // started because of a FailureClaim
@@ -156,8 +158,8 @@
   // ---- Failure detector (failure_detector.cpp) ----
 
   void StartNextProbes(Time now);
-  // The next member of a probe round, with or without direct contact. An empty round is refilled and
-  // shuffled.
+  // Returns the next member of a probe round, among those with direct contact if `confirmed` and among the
+  // others if not. Refills and shuffles an empty round.
   std::optional<InstanceId> NextInRound(std::vector<InstanceId>& round, bool confirmed);
   void StartProbe(Time now, const Member& member, std::optional<FailureClaim> claim);
   void CheckProbeTimeouts(Time now);
@@ -173,8 +175,8 @@
 
   // ---- Member state (member_state.cpp) ----
   //
-  // `direct`: the record came from the member itself. `bulk`: part of a large state sync, whose entries are
-  // not gossiped on.
+  // `direct`: the record came from the member itself. `bulk`: the update is part of a large state sync,
+  // whose entries are not gossiped further.
 
   void ApplyUpdate(Time now, const MemberUpdate& update, bool bulk);
   void ApplyAlive(Time now, const MemberRecord& record, bool direct, bool bulk);
@@ -183,9 +185,9 @@
   void ApplyFailed(Time now, InstanceId id, std::uint64_t incarnation, InstanceId reported_by);
   void ApplyLeft(Time now, InstanceId id, std::uint64_t incarnation);
   void Refute(Time now, std::uint64_t incarnation);
-  // Suspects a member on strong evidence, with the shortest timeout.
+  // Suspects a member on strong evidence, with the minimum timeout.
   void SuspectWithMinTimeout(Time now, InstanceId id);
-  // Lifeguard's dynamic timeout: shrinks with independent confirmations.
+  // Lifeguard's dynamic timeout, which shrinks with independent confirmations.
   Span SuspicionTimeout(const Member& member) const;
   void UpdateSuspicionDeadline(Time now, InstanceId id);
   bool ExceedsIncarnationJump(std::uint64_t incarnation, std::uint64_t known) const;
@@ -193,19 +195,20 @@
   // ---- Dissemination (dissemination.cpp) ----
 
   void SendGossip();
-  // The update that says why this view does not hold a member alive; sent to the member so that it can
-  // refute.
+  // Returns the update with a member's status if this view knows the member and it is not alive. The update
+  // is sent to the member so that it can refute it.
   std::optional<MemberUpdate> StatusUpdateOf(InstanceId id) const;
+  // Sends a datagram with `leading_updates`, the status of `to_id` if it is not alive, and queued updates.
   void SendDatagram(const PeerAddress& to, InstanceId to_id, const DatagramBody& body,
                     std::vector<MemberUpdate> leading_updates = {});
-  // Different live members, at most `count`, without `except`.
+  // Picks at most `count` distinct live members other than `except`.
   std::vector<InstanceId> PickMembers(std::size_t count, InstanceId except);
   void EmitEvent(EventType type, const MemberRecord& record, InstanceId reported_by = kNoInstance);
 
   // ---- State sync (state_sync.cpp) ----
 
-  // Of the buckets that differ, as many as one message can carry. Each is sent completely, so that it is
-  // equal afterwards and the next sync continues with the others.
+  // Selects as many differing buckets as one message can carry. Each of them is sent completely, so that it
+  // is equal afterwards and the next sync continues with the others.
   std::bitset<kDigestBuckets> SelectBuckets(const BucketSums& peer_sums) const;
   std::vector<MemberUpdate> DifferingEntries(const BucketSums& peer_sums) const;
   void ApplyEntries(Time now, const SyncEntries& entries);
@@ -223,7 +226,7 @@
   std::vector<Output> outputs_;
 
   Time next_probe_, next_gossip_, next_periodic_;
-  Time expected_call_;  // when the next call was expected at the latest
+  Time expected_call_;  // the latest time at which the next call was expected
   int call_depth_ = 0;  // nested public calls
   std::uint64_t period_count_ = 0;
   int local_health_ = 0;
@@ -231,22 +234,22 @@
   bool left_ = false;
   std::optional<Time> first_contact_;
 
-  // Members that the current rounds of probes have still to reach.
+  // Members that the current probe rounds have not probed yet.
   std::vector<InstanceId> probe_round_, unconfirmed_round_;
   std::uint32_t last_sequence_;
   std::map<std::uint32_t, Probe> probes_;
   std::map<std::uint32_t, RelayedProbe> relayed_probes_;
   std::map<InstanceId, FailureClaim> failure_claims_;
-  std::deque<InstanceId> recent_contacts_;  // members whose datagrams came last
+  std::deque<InstanceId> recent_contacts_;  // senders of the latest datagrams, the last one at the back
   std::size_t next_seed_ = 0;
   std::uint32_t seed_ping_sequence_ = 0;
 
   PeerAddress sync_target_;
   Time last_sync_;
   int digest_mismatches_ = 0;
-  std::map<InstanceId, Time> diverged_;
-  std::map<std::string, std::uint64_t> conflict_since_;  // in period_count_
-  std::uint64_t conflicts_checked_at_ = 0;               // members_.change_count() of the last check
+  std::map<InstanceId, Time> diverged_;  // by member: when its last differing digest was received
+  std::map<std::string, std::uint64_t> conflict_since_;  // by name: period_count_ at its start
+  std::uint64_t conflicts_checked_at_ = 0;               // members_.change_count() at the last check
 };
 
 }  // namespace lemoncroft::gossip
--- a/src/gossip/membership_view_call_scope.h
+++ b/src/gossip/membership_view_call_scope.h
@@ -8,8 +8,8 @@
 
 namespace lemoncroft::gossip {
 
-// Lives during each public call. The outermost one detects a pause before the call and sets when the next
-// call is expected after it.
+// The scope of a public call. The outermost scope detects a pause at its start and, at its end, records when
+// the next call is expected.
 class MembershipView::CallScope {
  public:
   CallScope(MembershipView& view, Time now) : view_(view), now_(now) {
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -8,28 +8,28 @@
 
 namespace lemoncroft::gossip {
 
-// Safety checks of the protocol. Disabled one at a time by mutation tests; everything else leaves them on.
+// Safety checks of the protocol. Mutation tests disable them one at a time; they are enabled everywhere else.
 struct SafetyChecks {
-  bool refutation = true;              // answers updates that call this proxy suspected, failed or left
-  bool suspicion_timeout = true;       // suspects a member before it declares it failed
-  bool local_health = true;            // stretches timeouts while this proxy is slow (Lifeguard)
-  bool indirect_probes = true;         // asks other members to probe a member that does not answer
-  bool reconnect_failed = true;        // pings failed members, so that a healed partition merges
-  bool pause_detection = true;         // discards state of probes and suspicions after this proxy was paused
-  bool claim_verification = true;      // probes a member that others call failed before it believes them
-  bool incarnation_jump_limit = true;  // rejects updates that advance an incarnation too far
+  bool refutation = true;          // refutes updates that declare this proxy suspected, failed or left
+  bool suspicion_timeout = true;   // suspects a member before declaring it failed
+  bool local_health = true;        // lengthens timeouts while this proxy is slow (Lifeguard)
+  bool indirect_probes = true;     // asks other members to probe a member that does not answer
+  bool reconnect_failed = true;    // pings failed members, so that the sides of a healed partition merge
+  bool pause_detection = true;     // discards probes and postpones suspicions after this proxy was paused
+  bool claim_verification = true;  // probes a member that others report as failed before declaring it failed
+  bool incarnation_jump_limit = true;  // rejects updates that exceed kMaxIncarnationJump
   bool member_limit = true;            // limits the number of members
-  bool protect_confirmed = true;       // evicts no member that was in direct contact for one that was not
-  bool tombstones = true;              // remembers reaped members, so that old updates do not revive them
-  bool state_sync = true;              // compares and repairs views that differ
-  bool ping_target_check = true;       // answers only pings meant for this instance
-  bool retransmit_limit = true;        // limits how often an update is sent
+  bool protect_confirmed = true;  // evicts live members only if unconfirmed, and only for a confirmed one
+  bool tombstones = true;         // remembers reaped members, so that old updates do not add them again
+  bool state_sync = true;         // compares views and repairs differences
+  bool ping_target_check = true;  // answers only pings meant for this instance
+  bool retransmit_limit = true;   // limits how often an update is sent
   bool operator==(const SafetyChecks&) const = default;
 };
 
 struct Settings {
   Span probe_interval = std::chrono::milliseconds(250);  // the protocol period; key `period`
-  Span failed_retention = std::chrono::minutes(10);  // of failed members, which are retried; key `remember`
+  Span failed_retention = std::chrono::minutes(10);  // of failed members, which are pinged; key `remember`
   std::size_t max_members = 2048;                    // key `most`
   std::vector<PeerAddress> seeds;
   SafetyChecks safety_checks;
@@ -38,44 +38,46 @@
 
 // ---- Probes, in protocol periods ----
 
-inline constexpr double kAckTimeoutPeriods = 0.4;   // then indirect probes are sent
-inline constexpr double kNackTimeoutPeriods = 0.3;  // then a relaying member answers with a Nack
+inline constexpr double kAckTimeoutPeriods = 0.4;   // without an Ack by then, indirect probes are sent
+inline constexpr double kNackTimeoutPeriods = 0.3;  // without an Ack by then, a relaying member sends a Nack
 inline constexpr std::size_t kMaxIndirectProbes = 3;
 inline constexpr std::size_t kMaxProbes = 32;                  // pending at a time
 inline constexpr std::size_t kMaxRelayedProbes = 64;           // pending on behalf of other members
 inline constexpr std::size_t kUnconfirmedProbesPerPeriod = 3;  // of members without direct contact
 inline constexpr int kMaxLocalHealth = 8;
-inline constexpr double kPauseThresholdPeriods = 1;  // a call that comes this late means a pause
+inline constexpr double kPauseThresholdPeriods = 1;  // a call that is later than this indicates a pause
 
 // ---- Suspicion ----
 
 // Minimum timeout: kSuspicionBasePeriods + kSuspicionPeriodsPerLog10Members * log10(n). The base covers three
-// periods of lateness and one for the suspicion to arrive, the logarithm its spreading both ways.
+// periods of lateness and one in which the suspicion arrives; the logarithmic term covers its dissemination
+// in both directions.
 inline constexpr double kSuspicionBasePeriods = 4;
 inline constexpr double kSuspicionPeriodsPerLog10Members = 1.1;
 inline constexpr double kMaxSuspicionFactor = 3;           // maximum timeout as a multiple of the minimum
-inline constexpr std::size_t kSuspicionConfirmations = 3;  // reduce the maximum to the minimum
-inline constexpr double kExpectedSuspectProbes = 3;        // members of the fleet that probe a new suspect
-inline constexpr std::size_t kMaxFailureClaims = 2048;     // waiting to be verified
+inline constexpr std::size_t kSuspicionConfirmations = 3;  // reduce the timeout to the minimum
+inline constexpr double kExpectedSuspectProbes = 3;     // expected number of members that probe a new suspect
+inline constexpr std::size_t kMaxFailureClaims = 2048;  // awaiting verification
 
 // ---- Dissemination ----
 
 inline constexpr int kGossipRoundsPerPeriod = 5;
-inline constexpr std::size_t kGossipFanout = 3;  // members that one gossip round sends to
+inline constexpr std::size_t kGossipFanout = 3;  // receivers of one gossip round
 inline constexpr std::size_t kMaxQueuedUpdates = 512;
 
 // ---- State sync and reconnection, in protocol periods ----
 
 inline constexpr int kFailedRetryIntervalPeriods = 2;  // one failed member is pinged
-inline constexpr int kSeedRetryIntervalPeriods = 8;    // a seed that is no member is pinged
-inline constexpr int kSyncIntervalPeriods = 40;        // without a known difference
+inline constexpr int kSeedRetryIntervalPeriods = 8;    // one seed that is not a live member is pinged
+inline constexpr int kSyncIntervalPeriods = 40;        // between two syncs without a known difference
 inline constexpr int kMinSyncIntervalPeriods = 2;      // between two syncs that this proxy initiates
 inline constexpr int kDigestMismatchesBeforeSync = 3;
 
 // ---- Members, in protocol periods ----
 
-inline constexpr int kJoinWindowPeriods = 8;  // after the first contact: takes a new generation of its name
-inline constexpr int kNameConflictPeriods = 20;          // two instances serve under one name for this long
+// Time after the first contact in which this proxy takes the next generation of its name.
+inline constexpr int kJoinWindowPeriods = 8;
+inline constexpr int kNameConflictPeriods = 20;  // several instances serve under one name for this long
 inline constexpr int kUnconfirmedRetentionPeriods = 40;  // of a failed member without direct contact
 inline constexpr std::size_t kMaxTombstones = 4096;
 
--- a/src/gossip/state_sync.cpp
+++ b/src/gossip/state_sync.cpp
@@ -9,7 +9,7 @@
 namespace lemoncroft::gossip {
 namespace {
 
-constexpr std::size_t kMaxRebroadcastEntries = 64;  // a larger sync is not gossiped on
+constexpr std::size_t kMaxRebroadcastEntries = 64;  // the entries of a larger sync are not gossiped further
 constexpr std::size_t kMaxSyncEntries = 8192;       // in one message
 
 }  // namespace
@@ -26,7 +26,7 @@
   if (++digest_mismatches_ >= kDigestMismatchesBeforeSync && !sync_target_) RequestSync(d.sender.address);
 }
 
-// Initiates a state sync with the requested target, or now and then with a random member.
+// Initiates a state sync with the requested target, or every kSyncIntervalPeriods with a random member.
 void MembershipView::StartDueSync(Time now) {
   const std::vector<InstanceId>& others = members_.others();
   if (!settings_.safety_checks.state_sync || others.empty()) return;
@@ -76,7 +76,7 @@
     if (id == members_.self() && left_) continue;
     if (out.size() + 2 > kMaxSyncEntries) break;
     if (member.is_live()) out.push_back({Status::kAlive, member.record, kNoInstance});
-    // The failure of an unconfirmed member is not passed on.
+    // The failure or leave of an unconfirmed member is not passed on.
     if (member.status != Status::kAlive && (member.is_live() || member.last_direct_contact))
       out.push_back(*StatusUpdateOf(id));
   }
--- a/src/gossip/types.cpp
+++ b/src/gossip/types.cpp
@@ -5,7 +5,7 @@
 namespace lemoncroft::gossip {
 namespace {
 
-// MessagePack: a number takes 9 bytes at the most, a short text or array a header of up to 3.
+// In MessagePack, a number takes at most 9 bytes, and the header of a short string or array at most 3.
 constexpr std::size_t kMaxNumberBytes = 9, kMaxHeaderBytes = 3;
 
 bool IsPrintable(const std::string& text) {
--- a/src/gossip/types.h
+++ b/src/gossip/types.h
@@ -29,16 +29,16 @@
 // Limits of a member record.
 inline constexpr std::size_t kMaxNameBytes = 64, kMaxZoneBytes = 32;
 inline constexpr std::size_t kMaxAttributes = 8, kMaxAttributeKeyBytes = 32, kMaxAttributeValueBytes = 64;
-// How far one message may advance an incarnation. Without the limit a single forged message could exhaust
-// the incarnations that are left to refute with.
+// Maximum advance of an incarnation by one message. Without the limit, a single forged message could use up
+// the incarnations that remain for refutations.
 inline constexpr std::uint64_t kMaxIncarnationJump = std::uint64_t{1} << 20;
 inline constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 60;
-// Size of one datagram, including its frame.
+// Maximum size of a datagram, including its framing.
 inline constexpr std::size_t kMaxDatagramBytes = 1400;
-// Size of the entries in one state sync message; further differences are left to the next sync.
+// Maximum size of the entries in one state sync message. Further differences are left to the next sync.
 inline constexpr std::size_t kMaxSyncBytes = std::size_t{768} << 10;
 
-// An IPv4 address and port in host byte order. A default-constructed one means "none".
+// An IPv4 address and port in host byte order. A default-constructed PeerAddress means "none".
 struct PeerAddress {
   std::uint32_t host = 0;
   std::uint16_t port = 0;
@@ -49,7 +49,7 @@
   explicit operator bool() const { return port != 0; }
 };
 
-// Where a process is in its life cycle, as it announces itself.
+// The stage of its life cycle that a process announces.
 enum class Phase : std::uint8_t { kStarting, kServing, kDraining };
 
 // A key and value that an instance publishes about itself.
@@ -62,10 +62,10 @@
 struct MemberRecord {
   InstanceId id = kNoInstance;
   std::string name;
-  PeerAddress address;  // the advertised one
+  PeerAddress address;  // the advertised address
   std::string zone;
   Phase phase = Phase::kStarting;
-  std::uint32_t generation = 1;  // numbers the processes of one name; a later process has a higher one
+  std::uint32_t generation = 1;  // of the processes with this name; a later process has a higher one
   std::uint64_t incarnation = 1;
   std::vector<Attribute> attributes;
   bool operator==(const MemberRecord&) const = default;
@@ -77,15 +77,15 @@
 // A member's state in the local view.
 enum class Status : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
 
-// A gossiped change of one member's state. With kAlive the whole record is valid, otherwise only its id and
-// incarnation.
+// A gossiped change of one member's state. With kAlive the complete record is valid, otherwise only its id
+// and incarnation.
 struct MemberUpdate {
   Status status = Status::kAlive;
   MemberRecord record;
-  InstanceId reported_by = kNoInstance;  // the instance that suspects it or declared it failed
+  InstanceId reported_by = kNoInstance;  // the instance that suspects the member or declared it failed
 };
 
-// An update of a member that is not alive.
+// Returns an update with a status other than kAlive.
 [[nodiscard]] MemberUpdate NonAliveUpdate(Status status, InstanceId id, std::uint64_t incarnation,
                                           InstanceId reported_by);
 
@@ -126,7 +126,7 @@
 // One message of the failure detector, with updates piggybacked on it.
 struct Datagram {
   MemberRecord sender;
-  std::uint64_t digest = 0;  // of the members that the sender holds live; 0: not given
+  std::uint64_t digest = 0;  // of the members that are live in the sender's view; 0: not given
   DatagramBody body;
   std::vector<MemberUpdate> updates;
 };
@@ -135,7 +135,7 @@
 // SyncEntries, and the initiator closes with SyncEntries of its own.
 
 inline constexpr std::size_t kDigestBuckets = 32;
-// Hash sums of the live members by id modulo kDigestBuckets; equal sums mean equal buckets.
+// Sums of the hashes of the live members, by id modulo kDigestBuckets. Equal sums mean equal buckets.
 using BucketSums = std::array<std::uint64_t, kDigestBuckets>;
 
 // Opens a state sync.
@@ -143,7 +143,7 @@
   MemberRecord sender;
   BucketSums bucket_sums{};
 };
-// Answers or closes a state sync.
+// Answers a SyncRequest, or closes the state sync.
 struct SyncEntries {
   MemberRecord sender;
   BucketSums bucket_sums{};
--- a/src/hot_restart/ejection_store.cpp
+++ b/src/hot_restart/ejection_store.cpp
@@ -45,7 +45,7 @@
   return text;
 }
 
-// When a regular file was last changed; nullopt for anything else.
+// Returns the time of the last change of a regular file, or nullopt for anything else.
 std::optional<UnixTime> ModificationTimeOf(const fs::path& path) {
   struct stat status {};
   if (::lstat(path.c_str(), &status) != 0 || !S_ISREG(status.st_mode)) return std::nullopt;
--- a/src/hot_restart/ejection_store.h
+++ b/src/hot_restart/ejection_store.h
@@ -1,12 +1,13 @@
-// The engines that an operator has ejected, as files in $TMPDIR that outlive a process: the processes that
-// replace each other in a hot restart share them.
+// Stores the engines that an operator has ejected as files in $TMPDIR. The files outlive a process and are
+// shared by the processes that replace each other in a hot restart.
 //
-// Contract. One file per engine and state, created and removed as a whole, so that concurrent writers can't
-// lose each other's calls and nothing can be torn. Names hold the engine's id in hex; other files in the
-// folder are ignored. The folder's name carries the version of this form, which is shared with other versions
-// of the program. Calls block for the time of a few local file operations. Owner: one thread per process.
-// Units: Unix time. Errors: a write that fails holds for this process only; a folder that can't be read gives
-// nothing, and what was known before stays valid.
+// Each engine has one file per state. The files are empty, and each is created or removed in one step, so
+// that concurrent writers cannot lose each other's changes and no reader sees a partial one. File names
+// contain the engine's id in hex; other files in the folder are ignored. The folder's name contains the
+// version of this format, which is shared with other versions of the program. Calls block for the time of a
+// few local file operations. A store is used by one thread; several processes may use the same folder. Times
+// are Unix time. A change that cannot be written takes effect in this process only. If the folder cannot be
+// read, Read returns nullopt, and the state read before stays valid.
 #ifndef LEMONCROFT_HOT_RESTART_EJECTION_STORE_H_
 #define LEMONCROFT_HOT_RESTART_EJECTION_STORE_H_
 
@@ -34,22 +35,22 @@
 
   explicit EjectionStore(const std::filesystem::path& tmpdir) : folder_(tmpdir / "lemoncroft-hand-1") {}
 
-  // Record that the engine was ejected or returned to service, now: the file's modification time is the time
-  // of the return. False if that could not be stored.
+  // Store that the engine was ejected or returned to service now. The modification time of a file is the time
+  // of the return. Return false if the change could not be stored.
   [[nodiscard]] bool SaveEjection(const std::string& engine_id) const;
   [[nodiscard]] bool SaveReturn(const std::string& engine_id) const;
 
-  // Reads the whole store; nullopt if the folder can't be read to its end.
+  // Reads the complete store. Returns nullopt if the folder cannot be read completely.
   [[nodiscard]] std::optional<ManualEjections> Read() const;
 
-  // True if the store may have changed since the last call. Costs one stat call.
+  // Returns true if the store may have changed since the last call. Costs one stat call.
   [[nodiscard]] bool MayHaveChanged();
 
-  // Removes returns older than `before`: those engines have finished their slow start.
+  // Removes the returns before `before`, whose engines have finished their slow start.
   void RemoveReturnsBefore(UnixTime before) const;
 
  private:
-  // The file of an engine; nullopt if the id is empty or too long.
+  // Returns the path of an engine's file, or nullopt if the id is empty or too long.
   std::optional<std::filesystem::path> PathOf(const char* prefix, const std::string& engine_id) const;
 
   std::filesystem::path folder_;
--- a/src/hot_restart/process_limits.cpp
+++ b/src/hot_restart/process_limits.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr std::size_t kMinEngineConnections = 16;
-// Connections that may come up before the usage of the other processes is read again.
+// Connections that other processes may open before their usage is read again.
 constexpr std::size_t kConnectionMargin = 16;
-// Each further process may hold this part of the client connections, whatever the others hold.
+// Each further process may have 1 / kMinClientsDivisor of the client connections, whatever the others use.
 constexpr std::size_t kMinClientsDivisor = 4;
 
 std::size_t SaturatingSubtract(std::size_t from, std::size_t amount) { return from - std::min(from, amount); }
--- a/src/hot_restart/process_limits.h
+++ b/src/hot_restart/process_limits.h
@@ -1,7 +1,7 @@
-// Divides the limits of one proxy between its processes: during a hot restart two or more live side by side.
+// Divides the limits of one proxy between its processes; during a hot restart, two or more run at once.
 //
-// Contract. Pure arithmetic: no I/O, no clock. Owner: none. Units: connections and descriptors. Errors: none;
-// a process always gets enough connections to make progress, even where the limits are exceeded by it.
+// Pure functions without I/O or a clock. Limits count connections and descriptors. A process always gets
+// enough connections to make progress, even if the proxy's limits are exceeded.
 #ifndef LEMONCROFT_HOT_RESTART_PROCESS_LIMITS_H_
 #define LEMONCROFT_HOT_RESTART_PROCESS_LIMITS_H_
 
@@ -10,7 +10,7 @@
 
 namespace lemoncroft::hot_restart {
 
-// What one process uses, as it publishes it. The registry's file holds this struct byte for byte.
+// The usage that one process publishes. The registry's file contains this struct byte for byte.
 struct ConnectionUsage {
   std::uint32_t clients = 0;  // connections of clients
   std::uint32_t engines = 0;  // connections to engines
@@ -23,11 +23,11 @@
   ConnectionUsage usage;  // summed over them
 };
 
-// The limits of the proxy as a whole.
+// The limits of the proxy, over all of its processes.
 struct ProxyLimits {
   std::size_t descriptors = 0;           // open at once, over all processes
   std::size_t clients = 0;               // connections of clients, over all processes
-  std::size_t reserved_per_process = 0;  // descriptors that each process needs beside its connections
+  std::size_t reserved_per_process = 0;  // descriptors that each process needs besides its connections
 };
 
 // The part of ProxyLimits that one process may use now.
@@ -36,13 +36,13 @@
   std::size_t engines = 0;
 };
 
-// The number of processes between which rate budgets are divided: those that accept clients, this one
-// included. A process that doesn't serve (starting or draining)
-// divides by 1.
+// Returns the number of processes between which rate budgets are divided: those that accept clients,
+// including this one. Returns 1 for a process that does not serve (starting or draining).
 [[nodiscard]] int ProcessCount(const ConnectionUsage& own, const PeerProcesses& others);
 
-// The connections that this process may hold. Alone it gets all of them. Beside others it gets what they
-// don't use, and at least a minimum; the part for engines leaves room for clients that may still come.
+// Returns the connections that this process may have open. A single process gets all of them. One of several
+// gets those that the others do not use, but at least a minimum; the limit for engines reserves descriptors
+// for clients that may still connect.
 [[nodiscard]] ProcessLimits DivideLimits(const ProxyLimits& limits, const ConnectionUsage& own,
                                          const PeerProcesses& others);
 
--- a/src/hot_restart/process_registry.cpp
+++ b/src/hot_restart/process_registry.cpp
@@ -10,7 +10,7 @@
 
 constexpr const char* kFileName = "lemoncroft-census-1";
 constexpr mode_t kFileMode = 0600;
-// A larger number of connections in a slot is taken for damage.
+// A larger number of connections in a slot is considered corrupt and is reduced to this limit.
 constexpr std::uint32_t kMaxConnections = 1 << 20;
 
 off_t SlotOffset(int slot) { return static_cast<off_t>(slot) * static_cast<off_t>(sizeof(ConnectionUsage)); }
@@ -38,7 +38,7 @@
 
 void ProcessRegistry::Publish(const ConnectionUsage& usage) const {
   if (slot_ < 0) return;
-  // If the write fails the others go on with the minimum that DivideLimits gives them.
+  // If the write fails, the other processes continue with the minimum that DivideLimits gives them.
   static_cast<void>(!::pwrite(file_.get(), &usage, sizeof usage, SlotOffset(slot_)));
 }
 
--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -18,11 +18,11 @@
 
 constexpr char kMagic[] = {'L', 'C'};
 static_assert(gossip::kMaxSyncBytes + (std::size_t{16} << 10) < kMaxStreamMessageBytes,
-              "room for the sender and the bucket sums");
+              "a stream message needs space for the sender and the bucket sums");
 
 constexpr codec::MsgpackLimits kMsgpackLimits{16384, 256, kMaxStreamMessageBytes, 8};
 
-// Message kinds on the wire: never renumber.
+// Message kinds. The values are part of the wire format and must not change.
 enum class MessageKind : std::uint8_t { kDatagram = 0, kSyncRequest = 1, kSyncEntries = 2, kAppMessage = 3 };
 
 void Pack(Packer& to, const MemberRecord& r) {
--- a/src/peer_transport/frame.h
+++ b/src/peer_transport/frame.h
@@ -1,7 +1,8 @@
 // Framing of messages between proxies: magic bytes, versions, a checksum, and the message in MessagePack.
 //
 // No I/O, no state. Input from the network is unpacked under limits on lengths, counts and depth; anything
-// that is not one complete message of this fleet and major version is a FrameError, never an exception.
+// that is not one complete message of this fleet and major version results in a FrameError, never in an
+// exception.
 // Elements that a later minor version appends are ignored. docs/gossip.md describes the format.
 // Source: the MessagePack specification; XXH3 (xxHash).
 #ifndef LEMONCROFT_PEER_TRANSPORT_FRAME_H_
@@ -18,17 +19,17 @@
 
 namespace lemoncroft::peer_transport {
 
-// Why a frame was not decoded.
+// The reason for which a frame was not decoded.
 enum class FrameError : std::uint8_t {
-  kTruncated,        // shorter than a header
+  kTruncated,        // no longer than a header
   kTooLong,          // longer than the caller accepts
   kCorrupt,          // wrong magic bytes or checksum
   kVersionMismatch,  // another major version
-  kWrongFleet,       // another fleet's name
-  kMalformed         // the checksum is right and the body is no valid message
+  kWrongFleet,       // the name of another fleet
+  kMalformed         // the checksum is correct, but the body is not a valid message
 };
 inline constexpr std::size_t kFrameErrorCount = 6;
-// The error's name in logs and metrics: cut, too long, garbled, version, foreign, malformed.
+// Returns the error's name in logs and metrics: cut, too long, garbled, version, foreign, malformed.
 const char* NameOf(FrameError error);
 
 inline constexpr std::uint8_t kMajorVersion = 1, kMinorVersion = 0;
@@ -36,13 +37,13 @@
 inline constexpr std::size_t kMaxStreamMessageBytes = std::size_t{1} << 20;  // of one message on a stream
 inline constexpr std::size_t kMaxFleetNameBytes = 48;
 
-// The part of the program that an AppMessage is for. Numbers on the wire: never renumber.
+// The subsystem that receives an AppMessage. The values are part of the wire format and must not change.
 enum class Subsystem : std::uint8_t {
   kReplicatedConfig = 0,  // messages of the replicated configuration
-  kOperatorCall = 1,      // a request of an operator; the response comes back on the same stream
+  kOperatorCall = 1,      // a call of an operator; the response is sent on the same stream
   kEndpointLists = 2,     // endpoint lists
 };
-// A message of another part of the program, opaque to this layer.
+// A message of a subsystem, opaque to this layer.
 struct AppMessage {
   gossip::InstanceId sender = gossip::kNoInstance;
   Subsystem subsystem = Subsystem::kReplicatedConfig;
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -20,12 +20,12 @@
 constexpr std::size_t kDatagramsPerTurn = 32;  // read before other tasks on the loop run
 constexpr std::size_t kMaxInboundStreams = 16, kMaxOutboundSyncs = 2, kMaxOutboundMessages = 16,
                       kMaxCalls = 8;
-constexpr std::size_t kLengthBytes = 4;      // the length before each frame of a stream
-constexpr auto kStreamTimeout = 2000ms;      // of a complete state sync
+constexpr std::size_t kLengthBytes = 4;      // length prefix of each frame on a stream
+constexpr auto kStreamTimeout = 2000ms;      // of a complete state sync or message
 constexpr auto kAcceptRetryInterval = 10ms;  // after a failed accept
-constexpr int kLeaveGossipRounds = 2;        // in which a leave is sent
+constexpr int kLeaveGossipRounds = 2;        // that disseminate a leave
 
-// Random whatever the configured seed is: ids must never repeat.
+// Does not depend on the configured seed: ids must never repeat.
 std::uint64_t GenerateInstanceId() {
   std::random_device device;
   return (std::uint64_t{device()} << 32 | device()) | 1;
@@ -37,7 +37,7 @@
   std::size_t index = 0;
 };
 
-// Binds the first address that is free for both. Another process of this proxy may still hold one.
+// Binds the first address that is free for both sockets. Another process of this proxy may use one.
 BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::PeerAddress>& listen) {
   for (std::size_t i = 0;; ++i) {
     try {
@@ -188,7 +188,7 @@
     CountError(FrameError::kMalformed);
 }
 
-// ---- Streams: each frame follows its length, four bytes in little-endian order ----
+// ---- Streams: each frame has a length prefix of four bytes in little-endian order ----
 
 Task<tl::expected<std::string, StreamError>> ReadFrame(runtime::Socket& socket, Time deadline) {
   std::string head;
@@ -201,7 +201,7 @@
   std::string frame;
   while (frame.size() < size)
     if (co_await socket.Read(frame, size - frame.size(), deadline) != Io::kOk) {
-      // The error metrics have always counted a stream that ends after this many bytes as a frame too long.
+      // The error metrics have always counted a frame that ends after exactly this many bytes as too long.
       const bool counts_as_too_long = frame.size() == kLengthBytes;
       co_return tl::make_unexpected(counts_as_too_long ? StreamError::kFrameTooLong : StreamError::kClosed);
     }
@@ -271,7 +271,7 @@
       co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == Io::kOk;
   if (sent) sent = co_await WriteFrame(*socket, frame, deadline);
   if (sent)
-    co_await socket->Read(unused, 1, deadline);  // until the peer has read it and closes
+    co_await socket->Read(unused, 1, deadline);  // until the peer has read the message and closes
   else
     ++metrics_.app_messages_dropped;
   --outbound_messages_;
@@ -357,7 +357,7 @@
   metrics_.sync_bytes += closing.size();
   DispatchOutputs();
   if (!co_await WriteFrame(*socket, closing, deadline)) co_return false;
-  // Waits until the peer has read it; closing earlier could discard unread bytes.
+  // Waits until the peer has read the entries and closes; closing earlier could discard unread bytes.
   std::string unused;
   co_await socket->Read(unused, 1, deadline);
   co_return true;
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -1,10 +1,10 @@
 // Connects a MembershipView to the network: datagrams carry probes and gossip, streams carry state sync and
 // large application messages.
 //
-// Runs on one event loop and belongs to the proxy's wiring. Nothing waits for a peer except in a task of its
-// own with a deadline. Datagrams that cannot be sent at once are dropped; streams are limited in number; a
-// bounded number of datagrams is read in one turn of the loop. Invalid input is counted in LinkMetrics.
-// docs/gossip.md describes the protocol.
+// Runs on one event loop and is owned by the code that assembles the proxy. Code waits for a peer only in a
+// separate task with a deadline. Datagrams that cannot be sent at once are dropped, the number of streams is
+// limited, and at most a fixed number of datagrams is read in one turn of the loop. Invalid input is counted
+// in LinkMetrics. docs/gossip.md describes the protocol.
 #ifndef LEMONCROFT_PEER_TRANSPORT_LINK_H_
 #define LEMONCROFT_PEER_TRANSPORT_LINK_H_
 
@@ -23,12 +23,12 @@
 
 namespace lemoncroft::peer_transport {
 
-// What a Link is created with.
 struct LinkOptions {
   std::string fleet;
   std::string name, zone;
-  std::vector<gossip::PeerAddress> listen,
-      advertise;  // of equal size; the first address that is free is bound
+  // Of equal size. The first free address of `listen` is bound; `advertise` has the announced one at its
+  // index.
+  std::vector<gossip::PeerAddress> listen, advertise;
   gossip::Settings membership;
 };
 
@@ -37,12 +37,12 @@
   std::uint64_t sent = 0, sent_bytes = 0, send_failures = 0;  // datagrams
   std::uint64_t received = 0, syncs = 0, syncs_failed = 0;
   std::uint64_t sync_bytes = 0;                              // sent as initiator and as responder
-  std::uint64_t app_messages = 0, app_messages_dropped = 0;  // sent; of these, not sent after all
+  std::uint64_t app_messages = 0, app_messages_dropped = 0;  // passed to Send(); of these, not sent
   std::uint64_t app_message_bytes = 0;
   std::array<std::uint64_t, kFrameErrorCount> frame_errors{};
 };
 
-// Histogram of how long the view occupies the event loop, in buckets of powers of two microseconds.
+// Histogram of the time that the view occupies the event loop, in buckets of powers of two microseconds.
 class LatencyHistogram {
  public:
   void Add(runtime::Span duration);
@@ -58,18 +58,18 @@
 gossip::PeerAddress ToPeerAddress(const runtime::Address& address);
 std::string ToString(const gossip::PeerAddress& peer_address);
 
-// Why no frame was read from a stream.
+// The reason for which no frame was read from a stream.
 enum class StreamError : std::uint8_t {
   kClosed,        // the stream ended or failed, or the deadline passed
-  kFrameTooLong,  // its length exceeds kMaxStreamMessageBytes
+  kFrameTooLong,  // the frame's length exceeds kMaxStreamMessageBytes
 };
 
-// Why a call to a peer has no response.
+// The reason for which a call to a peer has no response.
 enum class CallError : std::uint8_t {
   kConnectFailed,
   kSendFailed,
   kNoResponse,       // the stream ended, or the deadline passed
-  kInvalidResponse,  // the response was no application message of this fleet
+  kInvalidResponse,  // the response was not an application message of this fleet
 };
 
 // A proxy's connection to its fleet. It must outlive the tasks that Start() spawns.
@@ -80,24 +80,24 @@
   // Throws std::system_error if none of the addresses can be bound.
   Link(runtime::Loop& loop, const LinkOptions& options, std::uint64_t seed, EventHandler on_event);
 
-  // Receives application messages, and answers calls of operators. Set both before Start().
+  // Handlers of application messages and of operators' calls. Set both before Start().
   std::function<void(const AppMessage&)> on_app_message;
   std::function<runtime::Task<std::string>(std::string)> on_call;
 
-  // Spawns the tasks that receive, accept and run the timer.
+  // Spawns the tasks that receive datagrams, accept streams and run the timer.
   void Start();
   void SetPhase(gossip::Phase phase);
   // See MembershipView::SetAttribute.
   bool SetAttribute(const std::string& key, const std::string& value);
-  // Sends an application message once, as a datagram if it fits and over a stream of its own otherwise. It
-  // may be lost.
+  // Sends an application message once, as a datagram if it fits into one and over a separate stream
+  // otherwise. The message may be lost.
   void Send(const gossip::PeerAddress& to, Subsystem subsystem, std::string bytes);
-  // Announces that this process ends and allows two gossip rounds for it.
+  // Announces that this process leaves and waits for two gossip rounds that disseminate the announcement.
   runtime::Task<> Leave();
 
   const gossip::MembershipView& view() const { return view_; }
   const LinkMetrics& metrics() const { return metrics_; }
-  // How long single turns of the view took.
+  // The durations of single turns of the view.
   const LatencyHistogram& turn_durations() const { return turn_durations_; }
   // The address that was bound.
   const gossip::PeerAddress& listen_address() const { return listen_; }
@@ -110,7 +110,7 @@
   runtime::Task<> ServeStateSync(runtime::Socket& socket, const gossip::SyncRequest& request,
                                  runtime::Time deadline);
   runtime::Task<> RunStateSync(gossip::PeerAddress to);
-  // Returns whether the sync was completed.
+  // Returns true if the sync was completed.
   runtime::Task<bool> SyncWith(gossip::PeerAddress to, runtime::Time deadline);
   void HandleDatagram(const Message& message);
   void CountError(FrameError error) { ++metrics_.frame_errors[static_cast<std::size_t>(error)]; }
@@ -136,10 +136,11 @@
   std::size_t inbound_streams_ = 0, outbound_syncs_ = 0, outbound_messages_ = 0, active_calls_ = 0;
 };
 
-// Reads one frame, which follows its length.
+// Reads a frame and the length before it.
 runtime::Task<tl::expected<std::string, StreamError>> ReadFrame(runtime::Socket& socket,
                                                                 runtime::Time deadline);
-// Writes one frame after its length. Returns false if the frame is too long or was not written completely.
+// Writes a frame's length and the frame. Returns false if the frame is too long or was not written
+// completely.
 runtime::Task<bool> WriteFrame(runtime::Socket& socket, std::string_view frame, runtime::Time deadline);
 // Sends an operator's call to a proxy of the fleet and returns its response.
 runtime::Task<tl::expected<std::string, CallError>> CallPeer(
