--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr Span kPeriod = 250ms;
 
-MemberRecord SomeRecord(InstanceId id, const std::string& name = "n1") {
+MemberRecord MakeRecord(InstanceId id, const std::string& name = "n1") {
   MemberRecord r;
   r.id = id;
   r.name = name;
@@ -30,45 +30,45 @@
   return r;
 }
 
-Datagram SomeDatagram() {
+Datagram MakeDatagram() {
   Datagram d;
-  d.sender = SomeRecord(7);
+  d.sender = MakeRecord(7);
   d.digest = 0x1234567890abcdef;
   d.body = PingRequest{5, 9, {0x7f000002, 7100}};
-  d.updates.push_back({Status::kAlive, SomeRecord(8, "n8"), kNoInstance});
-  d.updates.push_back({Status::kSuspect, SomeRecord(9), 7});
+  d.updates.push_back({Status::kAlive, MakeRecord(8, "n8"), kNoInstance});
+  d.updates.push_back({Status::kSuspect, MakeRecord(9), 7});
   return d;
 }
 
 // ---- Frames ----
 
 TEST(GossipFrame, EncodeThenDecode_KeepsAllFields) {
-  const std::string frame = peer_transport::Encode("f", SomeDatagram());
+  const std::string frame = peer_transport::Encode("f", MakeDatagram());
   const auto read = peer_transport::Decode("f", frame, kMaxDatagramBytes);
   const auto& d = std::get<Datagram>(read.value());
-  EXPECT_EQ(d.sender, SomeRecord(7));
+  EXPECT_EQ(d.sender, MakeRecord(7));
   EXPECT_EQ(d.digest, 0x1234567890abcdefu);
   EXPECT_EQ(std::get<PingRequest>(d.body).address, (PeerAddress{0x7f000002, 7100}));
   ASSERT_EQ(d.updates.size(), 2u);
-  EXPECT_EQ(d.updates[0].record, SomeRecord(8, "n8"));
+  EXPECT_EQ(d.updates[0].record, MakeRecord(8, "n8"));
   EXPECT_EQ(d.updates[1].record.id, 9u);
   EXPECT_EQ(d.updates[1].reported_by, 7u);
-  SyncEntries entries{SomeRecord(1), {}, d.updates};
+  SyncEntries entries{MakeRecord(1), {}, d.updates};
   entries.bucket_sums[31] = 5;
-  const auto again = peer_transport::Decode("f", peer_transport::Encode("f", entries),
-                                            peer_transport::kMaxStreamMessageBytes);
-  EXPECT_EQ(std::get<SyncEntries>(again.value()).bucket_sums, entries.bucket_sums);
+  const auto decoded_entries = peer_transport::Decode("f", peer_transport::Encode("f", entries),
+                                                      peer_transport::kMaxStreamMessageBytes);
+  EXPECT_EQ(std::get<SyncEntries>(decoded_entries.value()).bucket_sums, entries.bucket_sums);
 }
 
 TEST(GossipFrame, MaxEncodedSize_IsAnUpperBound) {
-  const Datagram d = SomeDatagram();
-  std::size_t most = 48 + MaxEncodedSize(d.sender);
-  for (const MemberUpdate& update : d.updates) most += MaxEncodedSize(update);
-  EXPECT_LE(peer_transport::Encode("a-name-of-a-fleet-that-is", d).size(), most + 32);
+  const Datagram d = MakeDatagram();
+  std::size_t max_bytes = 48 + MaxEncodedSize(d.sender);
+  for (const MemberUpdate& update : d.updates) max_bytes += MaxEncodedSize(update);
+  EXPECT_LE(peer_transport::Encode("a-name-of-a-fleet-that-is", d).size(), max_bytes + 32);
 }
 
 TEST(GossipFrame, TruncatedOrBitFlipped_IsRejected) {
-  const std::string frame = peer_transport::Encode("f", SomeDatagram());
+  const std::string frame = peer_transport::Encode("f", MakeDatagram());
   for (std::size_t size = 0; size < frame.size(); ++size) {
     const auto read = peer_transport::Decode("f", std::string_view(frame).substr(0, size), kMaxDatagramBytes);
     EXPECT_FALSE(read.has_value()) << size;
@@ -82,12 +82,12 @@
 }
 
 TEST(GossipFrame, InvalidFrame_ReportsItsError) {
-  const std::string frame = peer_transport::Encode("f", SomeDatagram());
+  const std::string frame = peer_transport::Encode("f", MakeDatagram());
   const auto error_of = [](const std::string& bytes, std::size_t max_bytes = kMaxDatagramBytes) {
     const auto decoded = peer_transport::Decode("f", bytes, max_bytes);
     return decoded ? std::nullopt : std::optional(decoded.error());
   };
-  EXPECT_EQ(error_of(peer_transport::Encode("g", SomeDatagram())), peer_transport::FrameError::kWrongFleet);
+  EXPECT_EQ(error_of(peer_transport::Encode("g", MakeDatagram())), peer_transport::FrameError::kWrongFleet);
   EXPECT_EQ(error_of(frame, 20), peer_transport::FrameError::kTooLong);
   EXPECT_EQ(error_of("LC"), peer_transport::FrameError::kTruncated);
   std::string later = frame;
@@ -98,19 +98,19 @@
 
 // ---- Updates ----
 
-TEST(BroadcastQueue, Fill_SendsTheNewestUpdateOfEachUpToTheLimit) {
+TEST(BroadcastQueue, Fill_SendsNewestUpdateOfEachInstanceUpToTheLimit) {
   BroadcastQueue queue(4);
-  for (InstanceId id = 1; id <= 6; ++id) queue.Push({Status::kAlive, SomeRecord(id), kNoInstance});
+  for (InstanceId id = 1; id <= 6; ++id) queue.Push({Status::kAlive, MakeRecord(id), kNoInstance});
   EXPECT_EQ(queue.size(), 4u);
-  MemberRecord newer = SomeRecord(6);
+  MemberRecord newer = MakeRecord(6);
   newer.incarnation = 9;
   queue.Push({Status::kAlive, newer, kNoInstance});
   EXPECT_EQ(queue.size(), 4u);
   std::map<InstanceId, int> sent;
   for (int i = 0; i < 100; ++i) {
-    std::vector<MemberUpdate> some;
-    queue.Fill(some, 150, 3);
-    for (const MemberUpdate& update : some) {
+    std::vector<MemberUpdate> updates;
+    queue.Fill(updates, 150, 3);
+    for (const MemberUpdate& update : updates) {
       ++sent[update.record.id];
       if (update.record.id == 6) EXPECT_EQ(update.record.incarnation, 9u);
     }
@@ -119,9 +119,9 @@
   for (const auto& [id, times] : sent) EXPECT_EQ(times, 3) << id;
 }
 
-// A later record would revoke the leave, and others would declare the member failed.
+// A later record would revoke the leave, and the other members would declare this one failed.
 TEST(MembershipView, AfterLeave_OwnRecordDoesNotChange) {
-  MembershipView view(Settings(), SomeRecord(7), 1, Time(1h));
+  MembershipView view(Settings(), MakeRecord(7), 1, Time(1h));
   EXPECT_TRUE(view.SetAttribute(Time(1h), "rules", "1"));
   view.Leave(Time(1h) + 1ms);
   const std::uint64_t last = view.members().own().record.incarnation;
@@ -151,18 +151,18 @@
     fleet.RunFor(10 * kPeriod);
     events.clear();
   }
-  int Count(EventType change, std::optional<Process> by = std::nullopt) const {
+  int Count(EventType type, std::optional<Process> by = std::nullopt) const {
     return static_cast<int>(std::count_if(events.begin(), events.end(), [&](const auto& seen) {
-      return seen.event.type == change && (!by || seen.process == *by);
+      return seen.event.type == type && (!by || seen.process == *by);
     }));
   }
-  double PeriodsToConverge(double client_timeout = 60) {
-    const auto took = fleet.ConvergeWithin(Span(static_cast<Span::rep>(client_timeout * 0.25e9)));
+  double PeriodsToConverge(double timeout_periods = 60) {
+    const auto took = fleet.ConvergeWithin(Span(static_cast<Span::rep>(timeout_periods * 0.25e9)));
     return took ? std::chrono::duration<double>(*took).count() / 0.25 : 1e9;
   }
 
   PeerFleet fleet;
-  int false_failures = 0;  // live members declared failed
+  int false_failures = 0;  // declarations that a running process failed
   std::vector<PeerFleet::ObservedEvent> events;
 };
 
@@ -176,21 +176,25 @@
   }
 }
 
+// Guards against false failures: a member that is late by less than the suspicion timeout refutes its
+// suspicion.
 TEST(Gossip, LateOrLossyMember_IsNeverDeclaredFailed) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     World world(50, seed);
     world.fleet.links().usual().loss = 0.02;
     std::mt19937_64 random(seed);
-    for (int i = 0; i < 60; ++i) {  // one in fifty, repeatedly late by up to three periods
+    for (int i = 0; i < 60; ++i) {  // one member of 50 is repeatedly late by up to three periods
       world.fleet.Pause(
           7, Span(static_cast<Span::rep>(random() % static_cast<std::uint64_t>(3 * kPeriod.count()))));
       world.fleet.RunFor(6 * kPeriod);
     }
     EXPECT_EQ(world.false_failures, 0) << "seed " << seed;
-    EXPECT_GT(world.Count(EventType::kSuspected), 0) << "the lateness was never noticed";
+    EXPECT_GT(world.Count(EventType::kSuspected), 0) << "no delay was long enough for a suspicion";
   }
 }
 
+// Guards against views that stay divided: processes crash, leave and join during the partition, and the sides
+// declare each other failed.
 TEST(Gossip, HealedPartition_Converges) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     for (const Instant length : {Instant(2s), Instant(60s)}) {
@@ -204,7 +208,7 @@
       world.fleet.Start(30, "n30", {0, 1});
       world.fleet.RunFor(length / 2);
       world.fleet.links().Heal();
-      // Crashes of the last moments take as long as any crash.
+      // A crash just before the partition heals takes as long to detect as any other crash.
       EXPECT_LE(world.PeriodsToConverge(), 20) << "seed " << seed << " length " << length.count();
       world.fleet.RunFor(20 * kPeriod);
       EXPECT_TRUE(world.fleet.Converged());
@@ -226,6 +230,8 @@
   EXPECT_LE(world.PeriodsToConverge(), 12);
 }
 
+// Guards against a resumed process that declares others failed: its probes and suspicions expired while it
+// could not receive their answers.
 TEST(Gossip, PausedProcess_DiscardsItsStateWhenItResumes) {
   World world(16);
   world.fleet.Pause(5, 20 * kPeriod);
@@ -235,7 +241,7 @@
   EXPECT_LE(world.PeriodsToConverge(), 12);
   world.fleet.RunFor(20 * kPeriod);
   EXPECT_TRUE(world.fleet.Converged());
-  EXPECT_EQ(world.Count(EventType::kFailed), before) << "it reported what it concluded from the pause";
+  EXPECT_EQ(world.Count(EventType::kFailed), before) << "the resumed process declared others failed";
   EXPECT_EQ(world.Count(EventType::kPaused, 5), 1);
 }
 
@@ -261,21 +267,22 @@
   EXPECT_EQ(world.false_failures, 0);
 }
 
-TEST(Gossip, AllSeedsDown_ReconnectsWhenOneReturns) {
+TEST(Gossip, AllSeedsDown_ReconnectsWhenOneRestarts) {
   World world(8);
   world.fleet.Kill(0);
   world.fleet.Kill(1);
   EXPECT_LE(world.PeriodsToConverge(), 30);
-  const Process late = world.fleet.Start(20, "n20", {0, 1});
+  const Process late_joiner = world.fleet.Start(20, "n20", {0, 1});
   world.fleet.RunFor(10 * kPeriod);
-  EXPECT_EQ(world.fleet.view(late).members().live_count(), 1u) << "it has no way to learn of others";
+  EXPECT_EQ(world.fleet.view(late_joiner).members().live_count(), 1u)
+      << "without a running seed it cannot find the others";
   world.fleet.Start(1, "n1", {0, 1});
   EXPECT_LE(world.PeriodsToConverge(), 20) << "the fleet reconnects to a restarted seed";
 }
 
 TEST(Gossip, Restart_TakesTheNextGeneration) {
   World world(6);
-  world.fleet.Pause(2, 3 * kPeriod);  // refutations raise the incarnation of the old one
+  world.fleet.Pause(2, 3 * kPeriod);  // refutations raise the incarnation of the old process
   world.fleet.RunFor(20 * kPeriod);
   world.fleet.Kill(2);
   const Process fresh = world.fleet.Start(2, "n2", {0, 1});
@@ -292,6 +299,8 @@
   EXPECT_EQ(world.false_failures, 0);
 }
 
+// Guards against a hot restart that looks like a name conflict or a failure: two processes of one name run
+// side by side until the old one leaves.
 TEST(Gossip, HotRestart_TwoGenerationsThenOne) {
   World world(6);
   const Process fresh = world.fleet.Start(2, "n2", {0, 1}, true);
@@ -303,10 +312,10 @@
   EXPECT_LE(world.PeriodsToConverge(), 12);
   EXPECT_EQ(world.Count(EventType::kLeft), 6);
   EXPECT_EQ(world.Count(EventType::kFailed), 0);
-  // A successor that crashes at once, and a leave that no member receives.
-  const Process dies = world.fleet.Start(4, "n4", {0, 1}, true);
+  // A successor that crashes soon after its start, and a leave that no member receives.
+  const Process crashing = world.fleet.Start(4, "n4", {0, 1}, true);
   world.fleet.RunFor(kPeriod);
-  world.fleet.Kill(dies);
+  world.fleet.Kill(crashing);
   EXPECT_LE(world.PeriodsToConverge(), 15);
   world.fleet.links().usual().cut = true;
   world.fleet.Leave(4);
@@ -399,11 +408,11 @@
   }
 }
 
-// ---- Safety checks: the property that each protects holds with it and fails without it ----
+// ---- Safety checks: the property that each check protects holds with it and fails without it ----
 
 std::string ForgedDatagram(const std::vector<MemberUpdate>& updates) {
   Datagram d;
-  d.sender = SomeRecord(0x11e5, "liar");
+  d.sender = MakeRecord(0x11e5, "liar");
   d.body = Gossip{};
   d.updates = updates;
   return peer_transport::Encode("trial", d);
@@ -413,7 +422,7 @@
   std::vector<MemberUpdate> updates;
   for (std::uint64_t i = 0; i < count; ++i)
     updates.push_back(
-        {Status::kAlive, SomeRecord(1000 + from + i, "lie" + std::to_string(from + i)), kNoInstance});
+        {Status::kAlive, MakeRecord(1000 + from + i, "lie" + std::to_string(from + i)), kNoInstance});
   return updates;
 }
 
@@ -442,7 +451,7 @@
      [](const SafetyChecks& safety_checks) {
        World world(16, 1, safety_checks);
        simulation::LinkFaults slow;
-       slow.delay = kPeriod * 6 / 10;  // a round trip of more than a period: all its probes time out
+       slow.delay = kPeriod * 6 / 10;  // a round trip longer than a period: all probes of process 3 time out
        for (simulation::Node i = 0; i < 16; ++i)
          world.fleet.links().Set(i, 3, slow), world.fleet.links().Set(3, i, slow);
        world.fleet.RunFor(200 * kPeriod);
@@ -466,7 +475,7 @@
        PeerFleet fleet({1, settings, 0.01});
        for (simulation::Node i = 0; i < 8; ++i) fleet.Start(i, "n" + std::to_string(i), {0});
        fleet.RunFor(20 * kPeriod);
-       // The side of the seed loses it before the partition heals.
+       // The seed crashes before the partition heals.
        for (simulation::Node i = 0; i < 8; ++i) fleet.links().Side(i, i < 4 ? 0 : 1);
        fleet.Kill(0);
        fleet.RunFor(60 * kPeriod);
@@ -479,7 +488,7 @@
          World world(8, seed, safety_checks);
          world.fleet.Pause(3, 4 * kPeriod);
          world.fleet.RunFor(3 * kPeriod);
-         world.fleet.Pause(5, 30 * kPeriod);  // it suspects process 3, or is about to
+         world.fleet.Pause(5, 30 * kPeriod);  // process 5 suspects process 3, or is about to
          world.fleet.RunFor(60 * kPeriod);
          if (world.Count(EventType::kFailed, 5) > 0) return false;
        }
@@ -517,7 +526,7 @@
        world.fleet.RunFor(kPeriod);
        return world.fleet.view(2).members().all().size() <= 64;
      }},
-    {"confirmed members stay", &SafetyChecks::protect_confirmed,
+    {"protection of confirmed members", &SafetyChecks::protect_confirmed,
      [](const SafetyChecks& safety_checks) {
        Settings settings;
        settings.max_members = 64;
@@ -536,14 +545,14 @@
        Settings settings;
        settings.failed_retention = 15s;
        World world(8, 1, safety_checks, settings);
-       const MemberRecord dead = world.fleet.view(3).members().own().record;
+       const MemberRecord failed_record = world.fleet.view(3).members().own().record;
        world.fleet.Kill(3);
        world.fleet.RunFor(25s);
-       if (world.fleet.view(0).members().Find(dead.id) != nullptr) return false;  // not reaped yet
+       if (world.fleet.view(0).members().Find(failed_record.id) != nullptr) return false;  // not reaped yet
        world.events.clear();
-       world.fleet.Inject(0, ForgedDatagram({{Status::kAlive, dead, kNoInstance}}));
+       world.fleet.Inject(0, ForgedDatagram({{Status::kAlive, failed_record, kNoInstance}}));
        world.fleet.RunFor(kPeriod);
-       return world.fleet.view(0).members().Find(dead.id) == nullptr;
+       return world.fleet.view(0).members().Find(failed_record.id) == nullptr;
      }},
     {"state sync", &SafetyChecks::state_sync,
      [](const SafetyChecks& safety_checks) {
@@ -562,7 +571,7 @@
      [](const SafetyChecks& safety_checks) {
        World world(8, 1, safety_checks);
        world.fleet.Kill(3);
-       world.fleet.Start(3, "other", {});  // it has no seeds and answers every ping
+       world.fleet.Start(3, "other", {});  // it has no seeds and answers the pings to its predecessor
        world.fleet.RunFor(20 * kPeriod);
        return !world.fleet.view(0).members().Find(world.fleet.id(3))->is_live();
      }},
@@ -575,15 +584,20 @@
      }},
 };
 
-TEST(GossipSafetyChecks, EachIsNecessary) {
+// Guards against a safety check that no case depends on: each case must hold with the check and fail without
+// it.
+TEST(GossipSafetyChecks, EachCheck_WhenDisabled_BreaksItsProperty) {
   for (const SafetyCheckCase& test_case : kSafetyCheckCases) {
-    EXPECT_TRUE(test_case.holds(SafetyChecks())) << test_case.name << ": fails with the check in place";
+    EXPECT_TRUE(test_case.holds(SafetyChecks()))
+        << test_case.name << ": the property fails with the check enabled";
     SafetyChecks without;
     without.*test_case.check = false;
-    EXPECT_FALSE(test_case.holds(without)) << test_case.name << ": disabled, and nothing fails";
+    EXPECT_FALSE(test_case.holds(without))
+        << test_case.name << ": the property holds with the check disabled";
   }
 }
 
+// Guards against a flood of forged members that evicts real ones or delays their probes.
 TEST(GossipLimits, ForgedMembers_DoNotHideACrash) {
   World world(16);
   for (std::uint64_t i = 0; i < 1000; ++i)
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,4 @@
-// State that the processes of one proxy share during a hot restart: ejected engines, and the division of
-// limits.
+// State that the processes of one proxy share during a hot restart: ejected engines and divided limits.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -59,21 +58,22 @@
   EXPECT_FALSE(store.SaveEjection(std::string(EjectionStore::kMaxIdBytes + 1, 'x')));
 }
 
-TEST_F(HotRestart, EjectionStore_FolderThatCantBeCreated_IsReported) {
+TEST_F(HotRestart, EjectionStore_FolderCannotBeCreated_IsReported) {
   std::ofstream(dir_ / "lemoncroft-hand-1") << "a file where the folder should be";
   EjectionStore store(dir_);
   EXPECT_FALSE(store.SaveEjection("a"));
-  EXPECT_FALSE(store.Read()) << "nothing is known, so nothing is lifted";
+  EXPECT_FALSE(store.Read())
+      << "an unreadable store must not look like an empty one, which would lift all ejections";
 }
 
-TEST(ProcessLimits, SumStaysWithinTheProxysLimits) {
+TEST(ProcessLimits, TwoProcesses_UsingTheirLimits_StayWithinTheProxyLimits) {
   for (std::size_t sockets : {384u, 512u, 1024u}) {
     const hot_restart::ProxyLimits limits{sockets, sockets * 2 / 5, 57};
     const hot_restart::ProcessLimits alone = DivideLimits(limits, {}, {});
     EXPECT_EQ(alone.clients, limits.clients);
     EXPECT_EQ(alone.clients + alone.engines + limits.reserved_per_process, sockets);
-    // Each in turn takes all that it may as it sees the other, from a start at which one has all or few
-    // clients.
+    // The processes take turns: each uses all that its limits allow, given the usage of the other. At the
+    // start one has no, a few or all clients.
     for (const std::uint32_t clients : {0u, 30u, static_cast<std::uint32_t>(alone.clients)}) {
       ConnectionUsage usage[2] = {{clients, static_cast<std::uint32_t>(alone.engines)}, {}};
       for (int turn = 0; turn < 10; ++turn) {
@@ -89,18 +89,18 @@
   }
 }
 
-TEST(ProcessLimits, ConnectionsThatOthersDoNotUse_AreAvailable) {
+TEST(ProcessLimits, UnusedConnectionsOfOthers_AreAvailable) {
   const hot_restart::ProxyLimits limits{384, 153, 57};
   const auto share = DivideLimits(limits, {20, 5}, {1, {30, 40}});
   EXPECT_EQ(share.clients, 123u);
   EXPECT_EQ(share.engines, 88u) << "384 - 2 x 57 - 50 - 76 = 144, less 40 and a margin of 16";
 }
 
-TEST(ProcessLimits, BudgetsAreDividedBetweenServingProcesses) {
+TEST(ProcessLimits, RateBudgets_AreDividedBetweenServingProcesses) {
   const ConnectionUsage serving{1, 1, 1}, draining{1, 1, 0};
   EXPECT_EQ(ProcessCount(serving, {}), 1);
   EXPECT_EQ(ProcessCount(serving, {1, serving}), 2);
-  EXPECT_EQ(ProcessCount(serving, {1, draining}), 1) << "an old one that only draining takes nothing new";
+  EXPECT_EQ(ProcessCount(serving, {1, draining}), 1) << "a draining process accepts no new clients";
   EXPECT_EQ(ProcessCount(draining, {1, serving}), 1);
 }
 
@@ -119,7 +119,7 @@
     EXPECT_EQ(one.ReadPeers().processes, 2u);
     EXPECT_EQ(third.ReadPeers().usage.clients, 7u);
   }
-  EXPECT_EQ(one.ReadPeers().processes, 0u) << "what the dead have left counts for nothing";
+  EXPECT_EQ(one.ReadPeers().processes, 0u) << "the slots of ended processes must not count";
 }
 
 TEST_F(HotRestart, ProcessRegistry_WithoutAFile_SeesNoProcess) {
