--- a/src/gossip/dissemination.cpp
+++ b/src/gossip/dissemination.cpp
@@ -1,4 +1,4 @@
-// Dissemination in MembershipView: datagrams with piggybacked updates, and whom to send them to.
+// Dissemination in MembershipView: datagrams with piggybacked updates, and the choice of their receivers.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -8,12 +8,12 @@
 namespace lemoncroft::gossip {
 namespace {
 
-constexpr std::size_t kDatagramOverheadBytes = 48;  // beside the sender and the updates
+constexpr std::size_t kDatagramOverheadBytes = 48;  // without the sender and the updates
 
 }  // namespace
 
-// One of them is a recent contact, so that the datagram is likely to arrive even if this proxy can reach only
-// few members.
+// Tries a recent contact first, so that at least one datagram is likely to arrive even if this proxy can
+// reach only a few members.
 std::vector<InstanceId> MembershipView::PickMembers(std::size_t count, InstanceId except) {
   std::vector<InstanceId> picked;
   const auto take = [&](InstanceId id) {
@@ -37,21 +37,22 @@
   return update;
 }
 
-void MembershipView::SendDatagram(const Endpoint& to, InstanceId to_id, const DatagramBody& body,
-                                  std::vector<MemberUpdate> first) {
+void MembershipView::SendDatagram(const PeerAddress& to, InstanceId to_id, const DatagramBody& body,
+                                  std::vector<MemberUpdate> leading_updates) {
   Datagram d;
   d.sender = members_.own().record;
   d.digest = members_.digest();
   d.body = body;
-  d.updates = std::move(first);
+  d.updates = std::move(leading_updates);
   if (to_id != kNoInstance)
     if (auto non_alive = StatusUpdateOf(to_id)) d.updates.push_back(std::move(*non_alive));
-  std::size_t used = kDatagramOverheadBytes + MaxEncodedSize(d.sender);
-  for (const MemberUpdate& update : d.updates) used += MaxEncodedSize(update);
-  const int limit = settings_.safety_checks.retransmit_limit
-                        ? 3 * static_cast<int>(std::ceil(std::log10(members_.live_count() + 1.0))) + 1
-                        : 1 << 30;
-  if (used < kMaxDatagramBytes) broadcasts_.Fill(d.updates, kMaxDatagramBytes - used, limit);
+  std::size_t used_bytes = kDatagramOverheadBytes + MaxEncodedSize(d.sender);
+  for (const MemberUpdate& update : d.updates) used_bytes += MaxEncodedSize(update);
+  const int max_transmits = settings_.safety_checks.retransmit_limit
+                                ? 3 * static_cast<int>(std::ceil(std::log10(members_.live_count() + 1.0))) + 1
+                                : 1 << 30;
+  if (used_bytes < kMaxDatagramBytes)
+    broadcasts_.Fill(d.updates, kMaxDatagramBytes - used_bytes, max_transmits);
   outputs_.push_back(Transmit{to, std::move(d)});
 }
 
