--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -94,7 +94,7 @@
     const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
     state.server.set_connections(share.clients);
     state.engines.pool().set_max_connections(share.engines);
-    const int process_count = ProcessCount(own, others);
+    const int process_count = hot_restart::ProcessCount(own, others);
     if (std::exchange(known_process_count, process_count) != process_count)
       state.broker.SetProcessCount(process_count);
     if (std::exchange(known_peers, others.processes) == others.processes) continue;
