--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -48,7 +48,7 @@
   ClassSettings lookup, report, load;
   lookup.latency_objective = 600 * kMs;
   lookup.latency_objective_stretch = 2;
-  lookup.deadline = 3000 * kMs;
+  lookup.client_timeout = 3000 * kMs;
   report.latency_objective = 1500 * kMs;
   report.latency_objective_stretch = 2.5;
   report.priority_weight = 10;
@@ -56,7 +56,7 @@
   load.latency_objective_stretch = 3;
   load.priority_weight = 12;
   load.effect = Effect::kKeyed;
-  report.deadline = load.deadline = load.repeat_window = 20'000 * kMs;
+  report.client_timeout = load.client_timeout = load.repeat_window = 20'000 * kMs;
   report.threads = load.threads = 2;
   lookup.late_weight_share = report.late_weight_share = load.late_weight_share = 0.3;
   s.classes = {lookup, report, load};
