--- a/include/lemoncroft/settings.h
+++ b/include/lemoncroft/settings.h
@@ -96,7 +96,7 @@
   // stopped running. The module itself never sends a hedged attempt.
   bool may_hedge = false;
   bool may_message_peers = false;
-  bool may_send_retry_after = false;  // a rejected client is told when to retry
+  bool may_send_retry_after = false;  // rejections carry a retry-after
   bool honors_memory_grants = false;
   bool honors_priorities = false;
   bool reports_cost = false;  // responses report the work that a query took
