--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -238,7 +238,7 @@
 // ---- Changes of the voters ----
 
 // Completes the voter change in flight once it is committed. Until the log contains a voter to be added,
-// tells that voter periodically that its store is admitted.
+// sends AdmitVoter to that voter periodically.
 void ConfigReplica::AdvanceVoterChange(Time now) {
   const VoterChange& wanted = in_flight_voter_change_->change;
   if (Contains(raft_->voters(), wanted.voter) == wanted.add && raft_->AreVotersCommitted()) {
--- a/src/replicated_config/config_state_machine.h
+++ b/src/replicated_config/config_state_machine.h
@@ -90,7 +90,7 @@
   const ChangeOutcome* FindOutcome(const std::string& id) const;
 
   std::string Snapshot() const;
-  // Replaces the state by the state in a snapshot; an empty snapshot stands for the initial state. Returns
+  // Replaces the state by the state in a snapshot; an empty snapshot is the initial state. Returns
   // false and changes nothing if the snapshot cannot be decoded.
   [[nodiscard]] bool Restore(std::string_view snapshot);
   bool operator==(const ConfigStateMachine& other) const { return Snapshot() == other.Snapshot(); }
--- a/src/replicated_config/document.h
+++ b/src/replicated_config/document.h
@@ -103,8 +103,8 @@
   };
   Cause cause = Cause::kFormat;
   std::string name;  // of the unknown class, tenant or team
-  // The limit of the proxy and the value in the document. Set with kFormat, kMaxAttempts and
-  // kMaxOpenRequests.
+  // The greatest value that the proxy supports and the value in the document. Set with kFormat, kMaxAttempts
+  // and kMaxOpenRequests.
   std::uint64_t supported = 0;
   std::uint64_t requested = 0;
   std::string Text() const;
--- a/src/replicated_config/lease.h
+++ b/src/replicated_config/lease.h
@@ -5,8 +5,8 @@
 // These classes do no I/O and read no clock: each call is passed the monotonic time of its own process. The
 // clock rates of two processes differ by at most LeaseOptions::max_clock_rate_difference. UsableVersion must
 // be called in the same turn of the event loop as the action that it permits, because the process may be
-// suspended at any point between two turns. A grantor grants leases only while the Raft log confirms its
-// leadership.
+// suspended at any point between the call and the action. A grantor grants leases only while the Raft log
+// confirms its leadership.
 //
 // Not thread-safe: each object belongs to one thread.
 //
@@ -29,18 +29,17 @@
 
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Span>;
-using Version = std::uint64_t;  // 0 stands for the state before the first configuration
+using Version = std::uint64_t;  // version 0 precedes the first configuration
 
 // The rules that safety depends on. Mutation tests disable one at a time; everywhere else all are true.
 struct LeaseSafetyChecks {
   bool check_expiry_on_use = true;  // each use compares the expiry with the clock instead of using a timer
   bool start_at_request = true;     // a lease starts at its request, not at the arrival of the grant
   bool wait_after_election = true;  // a new leader waits until its predecessor's leases have expired
-  bool grant_only_while_leading =
-      true;                           // grants and activations require that the leader holds its Raft lease
-  bool wait_for_all_prepared = true;  // a version is activated only once all holders have prepared it
-  bool monotonic_versions = true;     // a holder never returns to an older version
-  bool allow_for_clock_rates = true;  // a lease expires earlier for its holder and later for the grantor
+  bool grant_only_while_leading = true;  // grants and activations require the leader's own Raft lease
+  bool wait_for_all_prepared = true;     // a version is activated only once all holders have prepared it
+  bool monotonic_versions = true;        // a holder never returns to an older version
+  bool allow_for_clock_rates = true;     // a lease expires earlier for its holder and later for the grantor
 };
 
 struct LeaseOptions {
@@ -124,7 +123,7 @@
   // have expired.
   void BeginLeadership(Time now, std::uint64_t leadership_epoch);
   // Records and returns a lease for the holder `from`, or returns nullopt if none may be granted. `leads`
-  // must be true only if the leader holds its own Raft lease at `now`.
+  // means that the leader holds its own Raft lease at `now`.
   std::optional<LeaseGrant> HandleRenewal(Time now, bool leads, const std::string& from,
                                           const LeaseRenewal& renewal, Version active_version,
                                           Version latest_version);
