--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -246,7 +246,7 @@
       throw KdlError(place, "'" + word + "' looks like a number: put it in quotes");
     for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"}) {
       if (word == keyword)
-        throw KdlError(place, "write the keyword as #" + word + ", or the string '" + word + "' in quotes");
+        throw KdlError(place, word + " is a keyword: write #" + word + ", or put the string in quotes");
     }
   }
 
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -68,7 +68,7 @@
       {"a {\n  b", "line 2, column 4: unclosed '{'"},
       {"a }", "line 1, column 3: unmatched '}'"},
       {"a \"x\ny\"", "line 1, column 3: unterminated string"},
-      {"a true", "line 1, column 3: write the keyword as #true, or the string 'true' in quotes"},
+      {"a true", "line 1, column 3: true is a keyword: write #true, or put the string in quotes"},
       {"a #yes", "line 1, column 3: #yes is not a keyword"},
       {"a 1.", "line 1, column 3: '1.' is not a number"},
       {"a 12x", "line 1, column 3: '12x' is not a number"},
