--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -139,7 +139,7 @@
     const int few = std::max(1, plan_.gateways / 10);
     Member& member = gateways_[static_cast<std::size_t>(i)];
     Settings own = base_;
-    own.self = i;
+    own.gateway_index = i;
     member = Member();
     member.gateway = std::make_unique<Gateway>(own, random_());
     if (!plan_.skewed)
