--- a/src/decision/limits/key_queues.h
+++ b/src/decision/limits/ordering_key_queues.h
@@ -4,8 +4,8 @@
 // Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
 // backwards. A key is kept while it has requests or is paused. Owner: the decision module. Errors: none;
 // removing what isn't queued does nothing.
-#ifndef LEMONCROFT_LIMITS_KEY_QUEUES_H_
-#define LEMONCROFT_LIMITS_KEY_QUEUES_H_
+#ifndef LEMONCROFT_LIMITS_ORDERING_KEY_QUEUES_H_
+#define LEMONCROFT_LIMITS_ORDERING_KEY_QUEUES_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace lemoncroft::limits {
 
-class KeyQueues {
+class OrderingKeyQueues {
  public:
   using Key = std::uint64_t;
 
@@ -72,4 +72,4 @@
 
 }  // namespace lemoncroft::limits
 
-#endif  // LEMONCROFT_LIMITS_KEY_QUEUES_H_
+#endif  // LEMONCROFT_LIMITS_ORDERING_KEY_QUEUES_H_
--- a/src/decision/request_state.h
+++ b/src/decision/request_state.h
@@ -12,10 +12,10 @@
 namespace lemoncroft::decision {
 
 enum class RequestPhase {
-  kPending,    // may be sent to an engine
-  kBehindKey,  // waits for an earlier request with its ordering key
-  kInFlight,   // an attempt runs
-  kDone,       // has ended, but an attempt of it still runs
+  kPending,                // may be sent to an engine
+  kWaitingForOrderingKey,  // waits for an earlier request with its ordering key
+  kInFlight,               // an attempt runs
+  kDone,                   // has ended, but an attempt of it still runs
 };
 
 struct RequestState {
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -74,7 +74,7 @@
   if (!change.settings) return;
   settings_ = *change.settings;
   ApplySettings(change.inherits_estimates_from);
-  RebuildKeyQueues(change.inherits_estimates_from);
+  RebuildOrderingKeyQueues(change.inherits_estimates_from);
   // Requests that wait for a retry which is no longer allowed.
   std::vector<RequestId> exhausted;
   for (const auto& [key, group] : pending_.groups())
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -36,7 +36,7 @@
 #include "decision/estimates/class_estimates.h"
 #include "decision/estimates/running_mix.h"
 #include "decision/limits/capacity_credit.h"
-#include "decision/limits/key_queues.h"
+#include "decision/limits/ordering_key_queues.h"
 #include "decision/limits/retry_budget.h"
 #include "decision/limits/token_bucket.h"
 #include "decision/pending_requests.h"
@@ -99,10 +99,10 @@
   void AddPending(RequestState& request);
   void RemovePending(const RequestState& request);
   double CurrentWeight(const RequestState& request) const;
-  void RebuildKeyQueues(const std::vector<int>& inherits_estimates_from);
+  void RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from);
   // Makes the first request of the key pending, if the key isn't paused.
-  void AdvanceKey(std::uint64_t key);
-  void LeaveKey(const RequestState& request);
+  void AdvanceOrderingKey(std::uint64_t key);
+  void RemoveFromOrderingKey(const RequestState& request);
   // Ends the request without a response from an engine: as rejected if no attempt can have had an effect or
   // repeats do no harm, else as failed. An attempt in flight is cancelled.
   void RejectOrFail(RequestState& request);
@@ -260,7 +260,7 @@
   // Requests.
   std::unordered_map<RequestId, RequestState> requests_;  // walked only into an ordered set
   PendingRequests pending_;
-  limits::KeyQueues keys_;
+  limits::OrderingKeyQueues ordering_key_queues_;
   RequestTimers timers_;
   std::vector<Nanos> last_attempt_at_;  // for each class
   limits::RetryBudget retries_;
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -126,7 +126,7 @@
     if (engine != engines_.end()) request->may_have_run_on = engine->second.entry;
   }
   if (MayStillRun(end.outcome) && request->ordered)
-    keys_.PauseUntil(request->spec.ordering_key, now_ + settings_.ordering_key_pause);
+    ordering_key_queues_.PauseUntil(request->spec.ordering_key, now_ + settings_.ordering_key_pause);
   if (end.request_finished || request->phase == RequestPhase::kDone) return Finish(*request);
   RetryOrEnd(*request);
 }
--- a/src/decision/scheduler_deadlines.cpp
+++ b/src/decision/scheduler_deadlines.cpp
@@ -21,7 +21,7 @@
         CheckRunaway(request);
         break;
       case RequestPhase::kPending:
-      case RequestPhase::kBehindKey:
+      case RequestPhase::kWaitingForOrderingKey:
         OnLatestStartPassed(request);
         break;
       case RequestPhase::kDone:
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -7,7 +7,7 @@
 namespace lemoncroft::decision {
 
 void Scheduler::DispatchPending() {
-  for (const std::uint64_t key : keys_.TakeResumed(now_)) AdvanceKey(key);
+  for (const std::uint64_t key : ordering_key_queues_.TakeResumed(now_)) AdvanceOrderingKey(key);
   if (pending_.empty()) return;
   if (AllManuallyEjected()) return RejectOrFailAllPending();
   std::vector<RequestId> sent;
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -27,7 +27,7 @@
   credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
   if (settings_.retry_budget) retries_.RecordRequest(now_);
   request.ordered = class_settings.in_order && spec.ordering_key != 0;
-  if (request.ordered) keys_.Append(spec.ordering_key, spec.id);
+  if (request.ordered) ordering_key_queues_.Append(spec.ordering_key, spec.id);
   Enqueue(request);
 }
 
@@ -47,9 +47,9 @@
 
 void Scheduler::Enqueue(RequestState& request) {
   if (!request.ordered) return AddPending(request);
-  request.phase = RequestPhase::kBehindKey;
+  request.phase = RequestPhase::kWaitingForOrderingKey;
   ScheduleCheck(request, LatestStart(request));
-  AdvanceKey(request.spec.ordering_key);
+  AdvanceOrderingKey(request.spec.ordering_key);
 }
 
 void Scheduler::AddPending(RequestState& request) {
@@ -74,7 +74,7 @@
 // ---- Order by key ----
 
 // Open requests of a class that now keeps an order take part in it, so that later ones wait for them.
-void Scheduler::RebuildKeyQueues(const std::vector<int>& inherits_estimates_from) {
+void Scheduler::RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from) {
   std::set<RequestId> ordered;  // in the order of arrival
   for (auto& [id, request] : requests_) {
     for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.ordering_key != 0; ++i) {
@@ -83,27 +83,27 @@
     }
     if (request.ordered) ordered.insert(id);
   }
-  keys_.Clear();
-  for (RequestId id : ordered) keys_.Append(requests_.at(id).spec.ordering_key, id);
+  ordering_key_queues_.Clear();
+  for (RequestId id : ordered) ordering_key_queues_.Append(requests_.at(id).spec.ordering_key, id);
   for (RequestId id : ordered) {
     RequestState& request = requests_.at(id);
     if (request.phase == RequestPhase::kPending) RemovePending(request);
-    if (request.phase == RequestPhase::kPending || request.phase == RequestPhase::kBehindKey)
+    if (request.phase == RequestPhase::kPending || request.phase == RequestPhase::kWaitingForOrderingKey)
       Enqueue(request);
   }
 }
 
-void Scheduler::AdvanceKey(std::uint64_t key) {
-  const std::optional<RequestId> first = keys_.Front(key, now_);
+void Scheduler::AdvanceOrderingKey(std::uint64_t key) {
+  const std::optional<RequestId> first = ordering_key_queues_.Front(key, now_);
   if (!first) return;
   RequestState& request = requests_.at(*first);
-  if (request.phase == RequestPhase::kBehindKey) AddPending(request);
+  if (request.phase == RequestPhase::kWaitingForOrderingKey) AddPending(request);
 }
 
-void Scheduler::LeaveKey(const RequestState& request) {
+void Scheduler::RemoveFromOrderingKey(const RequestState& request) {
   if (!request.ordered) return;
-  keys_.Remove(request.spec.ordering_key, request.spec.id);
-  AdvanceKey(request.spec.ordering_key);
+  ordering_key_queues_.Remove(request.spec.ordering_key, request.spec.id);
+  AdvanceOrderingKey(request.spec.ordering_key);
 }
 
 // ---- End ----
@@ -125,7 +125,7 @@
   if (request.attempt_in_flight) return CancelAttempt(request);
   const RequestState finished = request;
   requests_.erase(finished.spec.id);
-  LeaveKey(finished);
+  RemoveFromOrderingKey(finished);
 }
 
 void Scheduler::Handle(const Shutdown&) {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "decision/limits/circuit_breaker.h"
-#include "decision/limits/key_queues.h"
+#include "decision/limits/ordering_key_queues.h"
 #include "decision/limits/sent_load.h"
 
 namespace lemoncroft {
@@ -50,8 +50,8 @@
   EXPECT_EQ(load.recent() + load.backlog(), 0);
 }
 
-TEST(KeyQueues, HandOutTheRequestsOfAKeyInTheirOrder) {
-  limits::KeyQueues queues;
+TEST(OrderingKeyQueues, HandOutTheRequestsOfAKeyInTheirOrder) {
+  limits::OrderingKeyQueues queues;
   queues.Append(7, 1);
   queues.Append(7, 2);
   queues.Append(8, 3);
@@ -64,20 +64,20 @@
   EXPECT_EQ(queues.Front(8, 0), std::nullopt);
 }
 
-TEST(KeyQueues, AKeyThatRestsIsToldOnceItsRestIsOver) {
-  limits::KeyQueues queues;
+TEST(OrderingKeyQueues, AKeyThatRestsIsToldOnceItsRestIsOver) {
+  limits::OrderingKeyQueues queues;
   queues.PauseUntil(7, kSecond);
   queues.Append(7, 1);
   EXPECT_TRUE(queues.TakeResumed(2 * kSecond).empty()) << "nobody asked for it";
   EXPECT_EQ(queues.Front(7, kSecond - 1), std::nullopt);
   EXPECT_TRUE(queues.TakeResumed(kSecond - 1).empty());
-  EXPECT_EQ(queues.TakeResumed(kSecond), std::vector<limits::KeyQueues::Key>{7});
+  EXPECT_EQ(queues.TakeResumed(kSecond), std::vector<limits::OrderingKeyQueues::Key>{7});
   EXPECT_TRUE(queues.TakeResumed(kSecond).empty());
   EXPECT_EQ(queues.Front(7, kSecond), std::optional<RequestId>(1));
 }
 
-TEST(KeyQueues, ARestOutlivesAnEmptyQueue) {
-  limits::KeyQueues queues;
+TEST(OrderingKeyQueues, ARestOutlivesAnEmptyQueue) {
+  limits::OrderingKeyQueues queues;
   queues.Append(7, 1);
   queues.PauseUntil(7, kSecond);
   queues.Remove(7, 1);
