--- a/src/decision/estimates/class_estimates.cpp
+++ b/src/decision/estimates/class_estimates.cpp
@@ -13,7 +13,7 @@
 constexpr double kExploratoryWeight = 0.4;  // the recent pace, of an exploratory request
 
 constexpr double kMaxSampleFactor = 3;           // times the recent pace, that one sample counts at most
-constexpr double kBestPaceGrowth = 1.001;        // per sample, so that an outdated best pace is forgotten
+constexpr double kBestSlowdownGrowth = 1.001;    // per sample, so that an outdated best pace is forgotten
 constexpr double kMemoryMarginDeviations = 1.5;  // mean errors that are added to the expected memory
 constexpr double kMinSlope = 0.2;                // of the regression; the greatest is 1
 
@@ -32,12 +32,12 @@
 
 double ClassEstimates::ExpectedTime(double work) const {
   if (responses_ == 0) return work;
-  return recent_pace_ * (cost_reported_ ? work : work / std::max(1e-6, mean_work_));
+  return recent_slowdown_ * (cost_reported_ ? work : work / std::max(1e-6, mean_work_));
 }
 
 double ClassEstimates::BestTime(double work) const {
   if (responses_ == 0) return work;
-  return best_pace_ * (cost_reported_ ? work : work / std::max(1e-6, mean_work_));
+  return best_slowdown_ * (cost_reported_ ? work : work / std::max(1e-6, mean_work_));
 }
 
 double ClassEstimates::ExpectedMemoryMb(double estimate_mb) const {
@@ -45,25 +45,27 @@
   if (cost_reported_ || memory_samples_ > 0 || responses_ == 0)
     return estimate_mb *
            std::exp(log_memory_ratio_mean_ + kMemoryMarginDeviations * log_memory_ratio_deviation_);
-  const double off = std::log(estimate_mb) - log_memory_estimate_mean_;
-  return std::exp(log_memory_estimate_mean_ + Slope() * off + kMemoryMarginDeviations * deviation_);
+  const double log_difference = std::log(estimate_mb) - log_memory_estimate_mean_;
+  return std::exp(log_memory_estimate_mean_ + Slope() * log_difference +
+                  kMemoryMarginDeviations * deviation_);
 }
 
 double ClassEstimates::Learn(const Response& response) {
   if (response.reported_memory_mb > 0 && response.estimated_memory_mb > 0)
     LearnMemory(response.estimated_memory_mb, response.reported_memory_mb);
   if (response.reported_work > 0) {
-    if (!std::exchange(cost_reported_, true)) ForgetPace();
+    if (!std::exchange(cost_reported_, true)) ResetSlowdown();
     if (response.estimated_work > 0) LearnWork(response.estimated_work, response.reported_work);
     Blend(mean_work_, response.reported_work, std::max(kSlowWeight, 1.0 / (responses_ + 2)));
-    return LearnPace(response.time / std::max(response.reported_work, 1e-3), response.exploratory);
+    return LearnSlowdown(response.time / std::max(response.reported_work, 1e-3), response.exploratory);
   }
   if (cost_reported_)
-    return LearnPace(response.time / std::max(ExpectedWork(response.estimated_work), 1e-3),
-                     response.exploratory);
+    return LearnSlowdown(response.time / std::max(ExpectedWork(response.estimated_work), 1e-3),
+                         response.exploratory);
   // The time over the relative work scatters less than the time itself.
-  const double ratio = LearnPace(response.time / RelativeWork(response.estimated_work), response.exploratory);
-  mean_work_ = best_pace_;
+  const double ratio =
+      LearnSlowdown(response.time / RelativeWork(response.estimated_work), response.exploratory);
+  mean_work_ = best_slowdown_;
   LearnTime(response.estimated_work, std::max(response.time, 1e-4));
   if (response.estimated_memory_mb > 0) {
     const double log_memory = std::log(response.estimated_memory_mb);
@@ -85,12 +87,12 @@
 // Only the slope of the regression is used here. Its level is that of the pace: if each were learnt from
 // times over the other, both would drift.
 void ClassEstimates::LearnTime(double estimate, double time) {
-  const double off = std::log(time / RelativeWork(estimate)) - mean_log_time_;
-  if (responses_ == 1) mean_log_time_ += off;
+  const double log_difference = std::log(time / RelativeWork(estimate)) - mean_log_time_;
+  if (responses_ == 1) mean_log_time_ += log_difference;
   const double weight = std::max(kSlowWeight, 1.0 / (responses_ + 3));
   if (responses_ > 1) {
-    Blend(deviation_, std::abs(off), weight);
-    mean_log_time_ += std::max(kRecentWeight, 1.0 / responses_) * off;
+    Blend(deviation_, std::abs(log_difference), weight);
+    mean_log_time_ += std::max(kRecentWeight, 1.0 / responses_) * log_difference;
   }
   if (estimate <= 0) return;
   ++work_samples_;
@@ -113,28 +115,29 @@
 }
 
 // From now on the pace is the time over the work, no longer the time.
-void ClassEstimates::ForgetPace() {
-  recent_pace_ = 0;
-  best_pace_ = 0;
+void ClassEstimates::ResetSlowdown() {
+  recent_slowdown_ = 0;
+  best_slowdown_ = 0;
   responses_ = 0;
   work_samples_ = 0;
 }
 
-double ClassEstimates::LearnPace(double sample, bool exploratory) {
-  if (responses_ == 0) recent_pace_ = cost_reported_ ? sample : mean_work_;
+double ClassEstimates::LearnSlowdown(double sample, bool exploratory) {
+  if (responses_ == 0) recent_slowdown_ = cost_reported_ ? sample : mean_work_;
   ++responses_;
   const double weight = exploratory ? kExploratoryWeight : std::max(kRecentWeight, 1.0 / (responses_ + 2));
-  Blend(recent_pace_, std::min(sample, kMaxSampleFactor * recent_pace_), weight);
-  best_pace_ = known() ? std::min(best_pace_ * kBestPaceGrowth, recent_pace_) : recent_pace_;
-  return sample / std::max(best_pace_, 1e-6);
+  Blend(recent_slowdown_, std::min(sample, kMaxSampleFactor * recent_slowdown_), weight);
+  best_slowdown_ = best_slowdown_known() ? std::min(best_slowdown_ * kBestSlowdownGrowth, recent_slowdown_)
+                                         : recent_slowdown_;
+  return sample / std::max(best_slowdown_, 1e-6);
 }
 
 void ClassEstimates::LearnMemory(double estimate_mb, double reported_mb) {
-  const double off = std::log(reported_mb / estimate_mb) - log_memory_ratio_mean_;
+  const double log_difference = std::log(reported_mb / estimate_mb) - log_memory_ratio_mean_;
   ++memory_samples_;
   const double weight = std::max(kSlowWeight, 1.0 / (memory_samples_ + 2));
-  log_memory_ratio_mean_ += weight * off;
-  Blend(log_memory_ratio_deviation_, std::abs(off), weight);
+  log_memory_ratio_mean_ += weight * log_difference;
+  Blend(log_memory_ratio_deviation_, std::abs(log_difference), weight);
 }
 
 }  // namespace lemoncroft::estimates
--- a/src/decision/estimates/class_estimates.h
+++ b/src/decision/estimates/class_estimates.h
@@ -51,7 +51,7 @@
   double mean_work() const { return mean_work_; }  // thread seconds
   double deviation() const { return deviation_; }  // mean error of the log of the expected work
   // Whether enough responses have come for a best pace.
-  bool known() const { return responses_ >= kMinResponses; }
+  bool best_slowdown_known() const { return responses_ >= kMinResponses; }
 
  private:
   double Slope() const { return covariance_ / log_estimate_variance_; }
@@ -60,8 +60,8 @@
   void LearnWork(double estimate, double reported);
   void LearnTime(double estimate, double time);
   void LearnRegression(double log_estimate, double log_work, double weight);
-  double LearnPace(double sample, bool exploratory);
-  void ForgetPace();
+  double LearnSlowdown(double sample, bool exploratory);
+  void ResetSlowdown();
   void LearnMemory(double estimate_mb, double reported_mb);
 
   // Regression of the log of the work (or of the time, where the work isn't reported) on that of its
@@ -75,8 +75,8 @@
   bool cost_reported_ = false;  // by some response, whatever the settings say
   double mean_log_time_ = 0;    // recent, of the time over the relative work; where the work isn't reported
   double mean_work_;
-  double recent_pace_ = 0;  // recent mean of the time, over the work where it is reported
-  double best_pace_ = 0;    // least recent pace seen
+  double recent_slowdown_ = 0;  // recent mean of the time, over the work where it is reported
+  double best_slowdown_ = 0;    // least recent pace seen
   // Log of the memory needed over its estimate.
   double log_memory_ratio_mean_ = 0;
   double log_memory_ratio_deviation_ = 0.2;
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -50,9 +50,9 @@
 // that is expected to run longer than that isn't cancelled at all.
 Nanos Scheduler::KeyedRunawayTimeout(const RequestState& request, double factor) const {
   const auto engine = engines_.find(request.engine_id);
-  const bool pace_known =
-      Estimates(request).known() && engine != engines_.end() && !InSlowStart(engine->second);
-  const double keyed_factor = pace_known ? std::max(factor, kMinRunawayFactorKeyed) : HUGE_VAL;
+  const bool durations_known =
+      Estimates(request).best_slowdown_known() && engine != engines_.end() && !InSlowStart(engine->second);
+  const double keyed_factor = durations_known ? std::max(factor, kMinRunawayFactorKeyed) : HUGE_VAL;
   const Nanos last = LastSafeCancel(request) - request.sent_at;
   if (FromSeconds(ExpectedSeconds(request)) > last) return 0;
   return std::min(FromSeconds(ExpectedSeconds(request) * keyed_factor), last);
--- a/tests/class_estimates_test.cpp
+++ b/tests/class_estimates_test.cpp
@@ -13,7 +13,7 @@
   EXPECT_NEAR(estimates.ExpectedWork(0), 0.25, 1e-9);
   EXPECT_NEAR(estimates.ExpectedWork(0.4), 0.4, 1e-9);
   EXPECT_NEAR(estimates.ExpectedTime(0.4), 0.4, 1e-9);
-  EXPECT_FALSE(estimates.known());
+  EXPECT_FALSE(estimates.best_slowdown_known());
 }
 
 TEST(ClassEstimates, ToldCostsCorrectEstimatesThatLieByClass) {
@@ -28,11 +28,11 @@
 }
 
 // Times that scatter by themselves and with their estimates, on a fleet of a given pace.
-void LearnTimes(ClassEstimates& estimates, int answers, double pace) {
+void LearnTimes(ClassEstimates& estimates, int answers, double slowdown) {
   for (int i = 0; i < answers; ++i) {
     const double work = 0.2 * std::exp(0.3 * (i % 5 - 2));
     const double estimate = 3 * work * std::exp(0.6 * (i % 7 - 3));
-    estimates.Learn({.estimated_work = estimate, .time = pace * work});
+    estimates.Learn({.estimated_work = estimate, .time = slowdown * work});
   }
 }
 
@@ -89,7 +89,7 @@
 TEST(ClassEstimates, AnAnswerIsSetAgainstTheBestRecentMean) {
   ClassEstimates estimates(0.25, false);
   for (int i = 0; i < 200; ++i) estimates.Learn({.reported_work = 0.1, .time = 0.1});
-  EXPECT_TRUE(estimates.known());
+  EXPECT_TRUE(estimates.best_slowdown_known());
   EXPECT_NEAR(estimates.Learn({.reported_work = 0.1, .time = 0.3}), 3, 0.1);
 }
 
