--- a/src/decision/constants.h
+++ b/src/decision/constants.h
@@ -27,7 +27,8 @@
 
 // ---- Health checks of engines whose load is unknown ----
 
-inline constexpr std::size_t kMinInformedEngines = 2;  // with a fresh load report, before engines are probed
+inline constexpr std::size_t kMinEnginesWithKnownLoad =
+    2;  // with a fresh load report, before engines are probed
 inline constexpr Nanos kProbeInterval = 250 * kMillisecond;
 inline constexpr Nanos kProbeTimeout = 100 * kMillisecond;  // heavy requests wait this long for a result
 inline constexpr Nanos kSilentProbeInterval = 20 * kProbeInterval;  // of engines that send no reports
@@ -78,7 +79,7 @@
 inline constexpr double kHeavyProjectionShare = 0.4;
 inline constexpr double kMinProgress = 0.002;     // share done that a projection rests on
 inline constexpr double kProjectionMargin = 0.9;  // of the projected remaining time
-inline constexpr double kMinSecondsBeforeGivingUp = 0.4;
+inline constexpr double kMinSecondsBeforeAbandoning = 0.4;
 
 // ---- Choice of engine ----
 
--- a/src/decision/estimates/class_estimates.cpp
+++ b/src/decision/estimates/class_estimates.cpp
@@ -56,7 +56,7 @@
   if (response.reported_work > 0) {
     if (!std::exchange(cost_reported_, true)) ResetSlowdown();
     if (response.estimated_work > 0) LearnWork(response.estimated_work, response.reported_work);
-    Blend(mean_work_, response.reported_work, std::max(kSlowWeight, 1.0 / (responses_ + 2)));
+    UpdateMovingMean(mean_work_, response.reported_work, std::max(kSlowWeight, 1.0 / (responses_ + 2)));
     return LearnSlowdown(response.time / std::max(response.reported_work, 1e-3), response.exploratory);
   }
   if (cost_reported_)
@@ -71,7 +71,7 @@
     const double log_memory = std::log(response.estimated_memory_mb);
     ++memory_estimate_samples_;
     const double weight = std::max(kSlowWeight, 1.0 / memory_estimate_samples_);
-    Blend(log_memory_estimate_mean_, log_memory, weight);
+    UpdateMovingMean(log_memory_estimate_mean_, log_memory, weight);
   }
   return ratio;
 }
@@ -80,7 +80,7 @@
   ++work_samples_;
   const double weight = std::max(kSlowWeight, 1.0 / (work_samples_ + 3));
   const double log_work = std::log(reported);
-  Blend(deviation_, std::abs(log_work - std::log(ExpectedWork(estimate))), weight);
+  UpdateMovingMean(deviation_, std::abs(log_work - std::log(ExpectedWork(estimate))), weight);
   LearnRegression(std::log(estimate), log_work, weight);
 }
 
@@ -91,7 +91,7 @@
   if (responses_ == 1) mean_log_time_ += log_difference;
   const double weight = std::max(kSlowWeight, 1.0 / (responses_ + 3));
   if (responses_ > 1) {
-    Blend(deviation_, std::abs(log_difference), weight);
+    UpdateMovingMean(deviation_, std::abs(log_difference), weight);
     mean_log_time_ += std::max(kRecentWeight, 1.0 / responses_) * log_difference;
   }
   if (estimate <= 0) return;
@@ -106,11 +106,11 @@
     log_estimate_mean_ = log_estimate;
     log_work_mean_ = log_work;
   }
-  Blend(log_estimate_mean_, log_estimate, weight);
-  Blend(log_work_mean_, log_work, weight);
+  UpdateMovingMean(log_estimate_mean_, log_estimate, weight);
+  UpdateMovingMean(log_work_mean_, log_work, weight);
   if (work_samples_ == 1) return;
-  Blend(log_estimate_variance_, dx * dx, weight);
-  Blend(covariance_, dx * dy, weight);
+  UpdateMovingMean(log_estimate_variance_, dx * dx, weight);
+  UpdateMovingMean(covariance_, dx * dy, weight);
   covariance_ = std::clamp(covariance_, kMinSlope * log_estimate_variance_, log_estimate_variance_);
 }
 
@@ -126,7 +126,7 @@
   if (responses_ == 0) recent_slowdown_ = cost_reported_ ? sample : mean_work_;
   ++responses_;
   const double weight = exploratory ? kExploratoryWeight : std::max(kRecentWeight, 1.0 / (responses_ + 2));
-  Blend(recent_slowdown_, std::min(sample, kMaxSampleFactor * recent_slowdown_), weight);
+  UpdateMovingMean(recent_slowdown_, std::min(sample, kMaxSampleFactor * recent_slowdown_), weight);
   best_slowdown_ = best_slowdown_known() ? std::min(best_slowdown_ * kBestSlowdownGrowth, recent_slowdown_)
                                          : recent_slowdown_;
   return sample / std::max(best_slowdown_, 1e-6);
@@ -137,7 +137,7 @@
   ++memory_samples_;
   const double weight = std::max(kSlowWeight, 1.0 / (memory_samples_ + 2));
   log_memory_ratio_mean_ += weight * log_difference;
-  Blend(log_memory_ratio_deviation_, std::abs(log_difference), weight);
+  UpdateMovingMean(log_memory_ratio_deviation_, std::abs(log_difference), weight);
 }
 
 }  // namespace lemoncroft::estimates
--- a/src/decision/estimates/class_estimates.h
+++ b/src/decision/estimates/class_estimates.h
@@ -13,7 +13,7 @@
 namespace lemoncroft::estimates {
 
 // Moves a mean towards its newest sample.
-inline void Blend(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
+inline void UpdateMovingMean(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
 // A response to one request.
 struct Response {
--- a/src/decision/estimates/running_mix.h
+++ b/src/decision/estimates/running_mix.h
@@ -14,9 +14,9 @@
  public:
   // An attempt has ended. `weight` of the sample grows with the time that it ran.
   void Record(double work, double threads, double memory_mb, double weight) {
-    Blend(remaining_work_, work / 2, weight);  // it is found half done, on average
-    Blend(threads_, threads, weight);
-    Blend(memory_mb_, memory_mb, weight);
+    UpdateMovingMean(remaining_work_, work / 2, weight);  // it is found half done, on average
+    UpdateMovingMean(threads_, threads, weight);
+    UpdateMovingMean(memory_mb_, memory_mb, weight);
   }
 
   double remaining_work() const { return remaining_work_; }  // thread seconds
--- a/src/decision/limits/placement.h
+++ b/src/decision/limits/placement.h
@@ -22,15 +22,16 @@
   return within(settings.zones, engine.zone) && within(settings.kinds, engine.kind);
 }
 
-// Whether `engine` recognises repeats of a request that may have run on `ran`.
-inline bool SharesRepeats(RepeatGroup group, const EngineEntry& ran, const EngineEntry& engine) {
+// Whether `engine` recognises repeats of a request that may have run on `may_have_run_on`.
+inline bool RecognizesRepeats(RepeatGroup group, const EngineEntry& may_have_run_on,
+                              const EngineEntry& engine) {
   switch (group) {
     case RepeatGroup::kAll:
       return true;
     case RepeatGroup::kZone:
-      return ran.zone == engine.zone;
+      return may_have_run_on.zone == engine.zone;
     case RepeatGroup::kCell:
-      return ran.cell == engine.cell;
+      return may_have_run_on.cell == engine.cell;
   }
   return false;
 }
--- a/src/decision/limits/sent_load.h
+++ b/src/decision/limits/sent_load.h
@@ -30,11 +30,11 @@
     recent_ += charge.work;
   }
 
-  // `may_run_on`: the attempt ended without a response. An engine may act on a cancellation late or never.
-  void RecordEnd(const AttemptCharge& charge, bool may_run_on) {
+  // `may_still_run`: the attempt ended without a response. An engine may act on a cancellation late or never.
+  void RecordEnd(const AttemptCharge& charge, bool may_still_run) {
     threads_[charge.light] -= charge.threads;
     memory_mb_ -= charge.memory_mb;
-    if (may_run_on) backlog_ += charge.work;
+    if (may_still_run) backlog_ += charge.work;
   }
 
   // Lets `seconds` go by. `rate`: thread seconds a second in which the engine works off the backlog.
--- a/src/decision/pending_requests.h
+++ b/src/decision/pending_requests.h
@@ -20,11 +20,12 @@
 class PendingRequests {
  public:
   struct GroupKey {
-    double weight = 0;
+    double priority_weight = 0;
     std::uint16_t class_id = 0;
 
     bool operator<(const GroupKey& other) const {
-      return weight != other.weight ? weight > other.weight : class_id < other.class_id;
+      return priority_weight != other.priority_weight ? priority_weight > other.priority_weight
+                                                      : class_id < other.class_id;
     }
   };
   using Group = std::set<std::pair<double, RequestId>>;  // work and request
--- a/src/decision/reports/reported_load.h
+++ b/src/decision/reports/reported_load.h
@@ -23,7 +23,7 @@
   bool in_responses = false;            // else in the results of probes alone
 
   static ReportLayout FromSettings(const Settings& settings);
-  bool tells_load() const { return inflight.has_value(); }
+  bool reports_load() const { return inflight.has_value(); }
 };
 
 class ReportedLoad {
@@ -42,7 +42,7 @@
   double other_requests() const { return other_requests_; }
   // The same now. Each other gateway that shares the engine has read the same report, and is assumed to have
   // sent as much since as this one, which now has `own` requests there.
-  double OtherRequests(double own, double gateways) const {
+  double OtherRequestsNow(double own, double gateways) const {
     return std::max(0.0, other_requests_ + (own - own_requests_) * (gateways - 1));
   }
   // The share of the engine's memory that is granted now, by the same assumption; none if unreported.
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -19,11 +19,11 @@
 
 void Scheduler::Step(Nanos now, std::span<const Event> events, std::vector<Action>& actions) {
   const bool first = now_ < 0;
-  const double passed = first ? 0 : ToSeconds(std::max<Nanos>(0, now - now_));
+  const double elapsed_seconds = first ? 0 : ToSeconds(std::max<Nanos>(0, now - now_));
   now_ = std::max(now_, now);
   if (first) first_step_at_ = now;
   actions_ = &actions;
-  AdvanceTime(passed);
+  AdvanceTime(elapsed_seconds);
   if (first && settings_.list_on_request) actions_->push_back(WatchEngineList{true});
   for (const Event& event : events) std::visit([this](const auto& concrete) { Handle(concrete); }, event);
   RunTimers();
@@ -85,12 +85,12 @@
   for (const auto& [engine_id, engine] : engines_) {
     for (RequestId id : engine.in_flight) {
       RequestState& request = requests_.at(id);
-      if (!RetryMayLeave(request)) CancelAttempt(request);
+      if (!MayRetryNow(request)) CancelAttempt(request);
     }
   }
 }
 
-void Scheduler::Handle(const ProcessCount& count) { process_parts_ = std::max(1, count.processes); }
+void Scheduler::Handle(const ProcessCount& count) { process_count_ = std::max(1, count.processes); }
 
 void Scheduler::Handle(const FleetSize& fleet_size) {
   fleet_size_ = fleet_size;
@@ -143,7 +143,7 @@
   engine.concurrency_limit.Start(SeedConcurrencyLimit(engine), now_);
   // A predecessor or a second process of this gateway may have spent the budget of the last window.
   const Nanos accrue_from = std::max({entry.started_at, now_ - settings_.overload_window, first_step_at_});
-  engine.slow_start.AccrueFrom(process_parts_ > 1 ? now_ : accrue_from);
+  engine.slow_start.AccrueFrom(process_count_ > 1 ? now_ : accrue_from);
 }
 
 void Scheduler::ChooseSubset() {
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -68,10 +68,10 @@
   void Handle(const Request& request);
   void Handle(const AttemptEnded& end);
   void Handle(const StreamStarted& start);
-  void Handle(const RequestCancelled& gone);
+  void Handle(const RequestCancelled& cancelled);
   void Handle(const DeadlineReached& reached);
   void Handle(const ProgressNotice& notice);
-  void Handle(const ProbeEnded& probed);
+  void Handle(const ProbeEnded& probe);
   void Handle(const PeerMessage&) {}
   void Handle(const TimerFired&) {}
 
@@ -98,7 +98,7 @@
   void Enqueue(RequestState& request);
   void AddPending(RequestState& request);
   void RemovePending(const RequestState& request);
-  double CurrentWeight(const RequestState& request) const;
+  double CurrentPriorityWeight(const RequestState& request) const;
   void RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from);
   // Makes the first request of the key pending, if the key isn't paused.
   void AdvanceOrderingKey(std::uint64_t key);
@@ -126,7 +126,7 @@
   bool CanTake(const RequestState& request, EngineState& engine);
   bool Available(const EngineState& engine) const;
   bool MayRunOn(const RequestState& request, const EngineState& engine) const;
-  bool RunsLoadOfTables(const RequestState& request, const EngineState& engine) const;
+  bool RunsLoadOfTableGroup(const RequestState& request, const EngineState& engine) const;
   static bool FailedOn(const RequestState& request, const EngineState& engine);
   bool OtherEngineAvailable(const RequestState& request) const;
   bool BypassesCredit(const RequestState& request) const;
@@ -145,7 +145,7 @@
   EngineState* ChooseEngine(const RequestState& request);
   std::vector<EngineState*> Candidates(const RequestState& request);
   void KeepEnginesForTables(const RequestState& request, std::vector<EngineState*>& candidates);
-  bool KeepInformedEngines(std::vector<EngineState*>& candidates);
+  bool KeepEnginesWithKnownLoad(std::vector<EngineState*>& candidates);
   void SendProbe(const std::vector<EngineState*>& engines, Nanos& next_at, Nanos interval);
   EngineState* ShortestDelay(const RequestState& request, std::vector<EngineState*>& candidates);
   bool PreferredEngineHasRoom(const EngineState& engine, double work) const;
@@ -165,7 +165,7 @@
   bool RetryBudgetAllows(const RequestState& request);
   // The last moment at which a retry may leave for an engine without risk of a double effect.
   Nanos RetryDeadline(const RequestState& request) const;
-  bool RetryMayLeave(const RequestState& request) const { return now_ <= RetryDeadline(request); }
+  bool MayRetryNow(const RequestState& request) const { return now_ <= RetryDeadline(request); }
   void Dispatch(RequestState& request, EngineState& engine);
   void GrantResources(const RequestState& request, const EngineState& engine, double memory_mb);
   int EnginePriority(const RequestState& request) const;
@@ -192,7 +192,7 @@
   void RecordReport(EngineState& engine, const LoadReport& report, ReportExpectation expectation);
   void RecordSuccess(const RequestState& request, EngineState& engine, const AttemptEnded& end);
   void RecordHung(EngineState& engine, bool hung);
-  void BlameFailedEngines(const RequestState& request);
+  void RecordErrorsOnOtherEngines(const RequestState& request);
   // Ejects the engine if too many of its attempts have failed.
   void RecordFailure(EngineState& engine, double weight);
   void AdjustConcurrencyLimits();
@@ -221,8 +221,8 @@
   double RelativeSpeed(const EngineState& engine) const;
   // Requests of other gateways at the engine, from its last load report.
   double OtherGatewaysRequests(const EngineState& engine) const {
-    return engine.reported_load.OtherRequests(static_cast<double>(engine.in_flight.size()),
-                                              max_gateways_per_engine_);
+    return engine.reported_load.OtherRequestsNow(static_cast<double>(engine.in_flight.size()),
+                                                 max_gateways_per_engine_);
   }
   // Threads at the engine, of all gateways as far as known.
   double ThreadsInUse(const EngineState& engine) const {
@@ -238,7 +238,7 @@
   Settings settings_;
   reports::ReportLayout report_layout_;
   std::optional<FleetSize> fleet_size_;  // none: the settings tell
-  int process_parts_ = 1;                // that budgets are divided by
+  int process_count_ = 1;                // that budgets are divided by
   bool loads_block_readers_ = false;     // some class waits for loads of its table group
 
   // Step under way.
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -14,11 +14,11 @@
   const ClassSettings& class_settings = Class(request);
   if (!limits::PlacementAllows(class_settings, engine.entry)) return false;
   if (class_settings.effect != Effect::kKeyed || request.may_have_run_at < 0) return true;
-  return limits::SharesRepeats(class_settings.repeat_group, request.may_have_run_on, engine.entry);
+  return limits::RecognizesRepeats(class_settings.repeat_group, request.may_have_run_on, engine.entry);
 }
 
 // A second load of a table group would wait at the engine, its memory granted, until the first has ended.
-inline bool Scheduler::RunsLoadOfTables(const RequestState& request, const EngineState& engine) const {
+inline bool Scheduler::RunsLoadOfTableGroup(const RequestState& request, const EngineState& engine) const {
   if (!Class(request).holds_tables) return false;
   return std::any_of(engine.in_flight.begin(), engine.in_flight.end(), [&](RequestId id) {
     const RequestState& other = requests_.at(id);
@@ -49,7 +49,7 @@
   if (credit_.HasCredit()) return true;
   if (Class(request).holds_tables && WeightRate(request.spec.class_id) >= best_heavy_weight_rate_)
     return true;
-  if (!report_layout_.tells_load() || engine.reported_load.IsSilent())
+  if (!report_layout_.reports_load() || engine.reported_load.IsSilent())
     return fleet_latency_ratio_ < kSlowFleetLatencyRatio;
   if (!engine.reported_load.IsFresh(now_)) return settings_.may_probe;  // probed before the request is sent
   return ThreadsInUse(engine) + request.threads <= kIdleThreadsPerCore * engine.cores;
@@ -109,7 +109,7 @@
   if (!InSlowStart(engine)) return true;
   const Nanos window = settings_.overload_window;
   const double rate = SlowStartRate(engine);
-  engine.slow_start.Accrue(rate * SlowStartShare(engine) / process_parts_, window, now_);
+  engine.slow_start.Accrue(rate * SlowStartShare(engine) / process_count_, window, now_);
   if (engine.slow_start.ThresholdExpired(window, now_)) engine.slow_start.SetThreshold(RandomUniform(), now_);
   return engine.slow_start.Covers(SlowStartCharge(request, rate));
 }
@@ -127,7 +127,7 @@
 
 bool Scheduler::CanTake(const RequestState& request, EngineState& engine) {
   if (!Available(engine)) return false;
-  if (!MayRunOn(request, engine) || RunsLoadOfTables(request, engine)) return false;
+  if (!MayRunOn(request, engine) || RunsLoadOfTableGroup(request, engine)) return false;
   if (!SlowStartAllows(request, engine)) return false;
   // An engine that fails fast looks idle while others are busy: it must not get again all that it has failed.
   if (FailedOn(request, engine) && OtherEngineAvailable(request)) return false;
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -104,11 +104,11 @@
   const double remaining = (projected - elapsed) * kProjectionMargin;
   const bool misses_deadline = now_ + FromSeconds(remaining) > request->deadline;
   const bool runaway = misses_deadline || projected > ExpectedSeconds(*request) * kRunawayFactorProgress;
-  const bool heavy_itself =
+  const bool request_is_heavy =
       request->runaway_cancels > 0 && projected > kHeavyProjectionShare * request->projected_seconds;
-  if (runaway && !heavy_itself && CancelAndRetry(*request)) {
+  if (runaway && !request_is_heavy && CancelAndRetry(*request)) {
     request->projected_seconds = projected;
-  } else if (misses_deadline && elapsed > kMinSecondsBeforeGivingUp) {
+  } else if (misses_deadline && elapsed > kMinSecondsBeforeAbandoning) {
     RejectOrFail(*request);
   }
 }
@@ -136,7 +136,7 @@
   const bool in_time = now_ < request.deadline - kResponseMargin - run;
   const bool exhausted =
       request.attempts >= settings_.max_attempts || request.failed_on.size() >= kMaxEnginesInError;
-  if (!in_time || exhausted || !RetryMayLeave(request)) return RejectOrFail(request);
+  if (!in_time || exhausted || !MayRetryNow(request)) return RejectOrFail(request);
   request.late = request.late || now_ > request.objective_at;
   Enqueue(request);
 }
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -46,7 +46,7 @@
 
 bool Scheduler::RetryBudgetAllows(const RequestState& request) {
   if (request.attempts == 0 || !settings_.retry_budget) return true;
-  return retries_.Allows(*settings_.retry_budget, process_parts_, kTimerInterval, now_);
+  return retries_.Allows(*settings_.retry_budget, process_count_, kTimerInterval, now_);
 }
 
 Nanos Scheduler::RetryDeadline(const RequestState& request) const {
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -7,7 +7,7 @@
 
 namespace lemoncroft::decision {
 
-using estimates::Blend;
+using estimates::UpdateMovingMean;
 
 // ---- Outcomes ----
 
@@ -34,7 +34,7 @@
   switch (end.outcome) {
     case Outcome::kOk:
       RecordSuccess(request, engine, end);
-      BlameFailedEngines(request);
+      RecordErrorsOnOtherEngines(request);
       if (request.charge.light) RecordHung(engine, false);
       break;
     case Outcome::kFull:
@@ -58,7 +58,7 @@
       const bool runaway = request.runaway_cancels > 0 && request.phase != RequestPhase::kDone;
       if (!runaway) break;
       const double sample = std::min(kMaxLatencyRatio, kHungLatencyFactor * engine.latency_ratio);
-      Blend(engine.latency_ratio, sample, kFastWeight);
+      UpdateMovingMean(engine.latency_ratio, sample, kFastWeight);
       RecordFailure(engine, kErrorWeight);
       if (request.charge.light) RecordHung(engine, true);
       break;
@@ -80,27 +80,27 @@
                                                .exploratory = request.exploratory});
   const double sample = std::min(ratio, kMaxLatencyRatio);
   ++engine.responses;
-  Blend(engine.latency_ratio, sample, std::max(kFastWeight, 1.0 / (engine.responses + 3)));
-  Blend(fleet_latency_ratio_, sample, kFastWeight);
+  UpdateMovingMean(engine.latency_ratio, sample, std::max(kFastWeight, 1.0 / (engine.responses + 3)));
+  UpdateMovingMean(fleet_latency_ratio_, sample, kFastWeight);
   engine.concurrency_limit.RecordResponse(reported_work > 0 ? reported_work : request.work, ratio);
 }
 
 void Scheduler::RecordHung(EngineState& engine, bool hung) {
-  Blend(engine.hung_share, hung, kHungWeight);
-  Blend(fleet_hung_share_, hung, kFleetHungWeight);
+  UpdateMovingMean(engine.hung_share, hung, kHungWeight);
+  UpdateMovingMean(fleet_hung_share_, hung, kFleetHungWeight);
 }
 
 // ---- Load reports ----
 
-void Scheduler::Handle(const ProbeEnded& probed) {
-  const auto engine = engines_.find(probed.engine);
-  if (engine != engines_.end()) RecordReport(engine->second, probed.load_report, ReportExpectation::kDue);
+void Scheduler::Handle(const ProbeEnded& probe) {
+  const auto engine = engines_.find(probe.engine);
+  if (engine != engines_.end()) RecordReport(engine->second, probe.load_report, ReportExpectation::kDue);
 }
 
 void Scheduler::RecordReport(EngineState& engine, const LoadReport& report, ReportExpectation expectation) {
   const auto own = static_cast<double>(engine.in_flight.size());
   if (engine.reported_load.Update(report_layout_, report, own, now_)) {
-    Blend(mean_other_requests_, engine.reported_load.other_requests(), kFastWeight);
+    UpdateMovingMean(mean_other_requests_, engine.reported_load.other_requests(), kFastWeight);
     any_engine_reported_ = true;
   } else if (expectation == ReportExpectation::kDue) {
     engine.reported_load.RecordMissing();
@@ -111,7 +111,7 @@
 
 // An error counts against its engine only once another engine has served the request: a request that no
 // engine can serve must eject none.
-void Scheduler::BlameFailedEngines(const RequestState& request) {
+void Scheduler::RecordErrorsOnOtherEngines(const RequestState& request) {
   for (auto& [id, engine] : engines_)
     if (id != request.engine_id && FailedOn(request, engine)) RecordFailure(engine, kErrorWeight);
 }
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -54,16 +54,16 @@
 
 void Scheduler::AddPending(RequestState& request) {
   request.phase = RequestPhase::kPending;
-  pending_.Add({CurrentWeight(request), request.spec.class_id}, request.work, request.spec.id);
+  pending_.Add({CurrentPriorityWeight(request), request.spec.class_id}, request.work, request.spec.id);
   const Nanos retry_deadline = request.attempts > 0 ? RetryDeadline(request) : kNoLimit;
   ScheduleCheck(request, std::min(LatestStart(request), retry_deadline));
 }
 
 void Scheduler::RemovePending(const RequestState& request) {
-  pending_.Remove({CurrentWeight(request), request.spec.class_id}, request.work, request.spec.id);
+  pending_.Remove({CurrentPriorityWeight(request), request.spec.class_id}, request.work, request.spec.id);
 }
 
-double Scheduler::CurrentWeight(const RequestState& request) const {
+double Scheduler::CurrentPriorityWeight(const RequestState& request) const {
   return request.priority_weight * (request.late ? Class(request).late_weight_share : 1);
 }
 
@@ -140,8 +140,8 @@
   if (it != requests_.end() && it->second.phase != RequestPhase::kDone) RejectOrFail(it->second);
 }
 
-void Scheduler::Handle(const RequestCancelled& gone) {
-  const auto it = requests_.find(gone.id);
+void Scheduler::Handle(const RequestCancelled& cancelled) {
+  const auto it = requests_.find(cancelled.id);
   if (it == requests_.end() || it->second.phase == RequestPhase::kDone) return;
   RemovePending(it->second);
   Finish(it->second);
--- a/src/decision/scheduler_selection.cpp
+++ b/src/decision/scheduler_selection.cpp
@@ -9,7 +9,7 @@
 namespace lemoncroft::decision {
 
 EngineState* Scheduler::ChooseEngine(const RequestState& request) {
-  if (!RetryMayLeave(request)) return nullptr;
+  if (!MayRetryNow(request)) return nullptr;
   std::vector<EngineState*> candidates = Candidates(request);
   if (candidates.empty()) return nullptr;
   KeepEnginesForTables(request, candidates);
@@ -19,7 +19,7 @@
     });
   }
   if (candidates.empty()) return nullptr;
-  if (!IsLight(request) && !KeepInformedEngines(candidates)) return nullptr;
+  if (!IsLight(request) && !KeepEnginesWithKnownLoad(candidates)) return nullptr;
   return ShortestDelay(request, candidates);
 }
 
@@ -63,8 +63,8 @@
 // Keeps the engines whose load is known, and probes others where these are too few. Engines that send no
 // reports although the settings promise them are kept as they are, and probed from time to time. Returns
 // whether the request may go now.
-bool Scheduler::KeepInformedEngines(std::vector<EngineState*>& candidates) {
-  if (!settings_.may_probe || !report_layout_.tells_load()) return true;
+bool Scheduler::KeepEnginesWithKnownLoad(std::vector<EngineState*>& candidates) {
+  if (!settings_.may_probe || !report_layout_.reports_load()) return true;
   const std::vector<EngineState*> all = candidates;
   std::vector<EngineState*> unknown;
   std::vector<EngineState*> silent;
@@ -75,7 +75,7 @@
   std::erase_if(candidates, [this](const EngineState* engine) {
     return !engine->reported_load.IsFresh(now_) && !engine->reported_load.IsSilent();
   });
-  if (candidates.size() < kMinInformedEngines && !unknown.empty())
+  if (candidates.size() < kMinEnginesWithKnownLoad && !unknown.empty())
     SendProbe(unknown, next_probe_at_, kProbeInterval);
   if (!silent.empty() && !report_layout_.in_responses)
     SendProbe(silent, next_silent_probe_at_, kSilentProbeInterval);
@@ -85,10 +85,10 @@
   const bool probe_under_way = now_ < next_probe_at_ - kProbeInterval + kProbeTimeout;
   const bool many_pending = pending_.HasGroupLargerThan(kMaxFailedPlacements);
   const bool affordable = credit_.HasCredit() || fleet_latency_ratio_ < kSlowFleetLatencyRatio;
-  const bool go_uninformed = candidates.empty() && !probe_under_way && many_pending && affordable;
+  const bool send_without_report = candidates.empty() && !probe_under_way && many_pending && affordable;
   // Until any engine has reported, the first one found silent must not get every request.
   const bool none_ever_reported = !silent.empty() && !any_engine_reported_;
-  if (go_uninformed || none_ever_reported) candidates = all;
+  if (send_without_report || none_ever_reported) candidates = all;
   return !candidates.empty();
 }
 
--- a/src/decision/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -45,8 +45,8 @@
 
  private:
   const std::vector<Engine*>& Ordered(std::map<EngineId, Engine>& engines, std::uint64_t key) {
-    const auto known = orders_.find(key);
-    if (known != orders_.end()) return known->second;
+    const auto cached = orders_.find(key);
+    if (cached != orders_.end()) return cached->second;
     if (entries_ + engines.size() > kMaxCachedEntries) Clear();
     const std::vector<Engine*>& order = orders_.emplace(key, Sorted(engines, key)).first->second;
     entries_ += order.size();
--- a/src/decision/subset/subset.cpp
+++ b/src/decision/subset/subset.cpp
@@ -28,17 +28,18 @@
   return std::min(engines, std::max(kMinSubsetSize, static_cast<std::size_t>(wanted)));
 }
 
-std::vector<EngineId> SubsetByHash(const std::vector<EngineId>& engines, int gateways, int self) {
-  std::vector<EngineId> ranked = RankByHash(engines, Mix(static_cast<std::uint64_t>(self) + 1));
+std::vector<EngineId> SubsetByHash(const std::vector<EngineId>& engines, int gateways, int gateway_index) {
+  std::vector<EngineId> ranked = RankByHash(engines, Mix(static_cast<std::uint64_t>(gateway_index) + 1));
   ranked.resize(SubsetSize(ranked.size(), gateways));
   return ranked;
 }
 
-std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways, int place) {
+std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways,
+                                             int gateway_index) {
   const std::vector<EngineId> ring = RankByHash(engines, 0);
   std::vector<EngineId> window;
   const std::size_t all = static_cast<std::size_t>(std::max(1, gateways));
-  const std::size_t first = static_cast<std::size_t>(std::max(0, place)) * ring.size() / all;
+  const std::size_t first = static_cast<std::size_t>(std::max(0, gateway_index)) * ring.size() / all;
   for (std::size_t i = 0; i < SubsetSize(ring.size(), gateways); ++i)
     window.push_back(ring[(first + i) % ring.size()]);
   return window;
--- a/src/decision/subset/subset.h
+++ b/src/decision/subset/subset.h
@@ -30,12 +30,13 @@
 
 // The subset by rendezvous hashing of the gateway's number. An engine that comes or goes changes few subsets,
 // but the number of gateways of one engine is random.
-std::vector<EngineId> SubsetByHash(const std::vector<EngineId>& engines, int gateways, int self);
+std::vector<EngineId> SubsetByHash(const std::vector<EngineId>& engines, int gateways, int gateway_index);
 
 // The subset by the gateway's rank among the live gateways: a window on the ring of engines. The numbers of
 // gateways of any two engines differ by at most one; an engine or a gateway that comes or goes moves each
 // window by at most one engine.
-std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways, int place);
+std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways,
+                                             int gateway_index);
 
 // The greatest number of gateways that have one engine in their windows.
 int MaxGatewaysPerEngine(std::size_t engines, int gateways);
