--- a/src/decision/constants.h
+++ b/src/decision/constants.h
@@ -1,8 +1,8 @@
-// Fixed parameters of the scheduler that no setting changes. Those of a part with a class of its own stand
-// with that class.
+// Constants of the scheduler that no setting changes. The constants of limits, estimates, load reports and
+// subsets are defined beside the classes that use them.
 //
-// Terms. The latency ratio of an engine is the latency of its recent responses over the best mean latency of
-// their classes: 1 = as fast as ever. Work is in thread seconds. Weights are those of the newest sample in a
+// The latency ratio of an engine is the latency of its recent responses divided by the best mean latency of
+// their classes: 1 = as fast as ever. Work is in thread seconds. A weight is that of the newest sample in a
 // moving mean.
 #ifndef LEMONCROFT_DECISION_CONSTANTS_H_
 #define LEMONCROFT_DECISION_CONSTANTS_H_
@@ -15,97 +15,118 @@
 
 // ---- Capacity of an engine ----
 
-inline constexpr double kIdleThreadsPerCore = 1;       // up to this an engine counts as idle
-inline constexpr double kCrowdedThreadsPerCore = 1.5;  // past this an engine takes no first heavy request
-inline constexpr double kPressureLatencyRatio = 2.5;   // past this latency ratio concurrency limits apply
-// Past this mean latency ratio the fleet counts as slow.
+inline constexpr double kIdleThreadsPerCore = 1;  // an engine counts as idle up to this
+// Past this, an engine that runs nothing of this gateway takes no first heavy request.
+inline constexpr double kCrowdedThreadsPerCore = 1.5;
+inline constexpr double kPressureLatencyRatio = 2.5;  // past this latency ratio, concurrency limits apply
+// Past this mean latency ratio, the fleet counts as slow.
 inline constexpr double kSlowFleetLatencyRatio = 1.3;
-inline constexpr double kMaxHeavyMemoryShare = 0.85;    // of an engine's memory, to heavy requests
-inline constexpr double kUnestimatedGrantFactor = 1.5;  // times the usual need, granted without an estimate
-inline constexpr double kLightWorkShare = 0.25;         // of the heaviest class's mean work: light up to this
-inline constexpr double kMinRelativeSpeed = 0.08;       // floor of an engine's speed against the fleet's
+inline constexpr double kMaxHeavyMemoryShare = 0.85;  // of an engine's memory, granted to heavy requests
+// Grant of a request without an estimate, as a multiple of its usual need.
+inline constexpr double kUnestimatedGrantFactor = 1.5;
+// A class is light if its mean work is at most this share of that of the heaviest class.
+inline constexpr double kLightWorkShare = 0.25;
+inline constexpr double kMinRelativeSpeed = 0.08;  // lower bound of an engine's speed relative to the fleet's
 
 // ---- Health checks of engines whose load is unknown ----
 
-inline constexpr std::size_t kMinEnginesWithKnownLoad =
-    2;  // with a fresh load report, before engines are probed
+// Other engines are probed while fewer candidates than this have a known load.
+inline constexpr std::size_t kMinEnginesWithKnownLoad = 2;
 inline constexpr Nanos kProbeInterval = 250 * kMillisecond;
 inline constexpr Nanos kProbeTimeout = 100 * kMillisecond;  // heavy requests wait this long for a result
-inline constexpr Nanos kSilentProbeInterval = 20 * kProbeInterval;  // of engines that send no reports
+inline constexpr Nanos kSilentProbeInterval = 20 * kProbeInterval;  // for engines that send no reports
 
 // ---- Weights in moving means ----
 
-inline constexpr double kFastWeight = 0.1;   // latency ratios, reported load
-inline constexpr double kSlowWeight = 0.03;  // mix of running requests, for each second that one ran
-inline constexpr double kMaxMixWeight = 0.3;
-inline constexpr double kHungWeight = 0.02;  // share of light attempts that hang, of one engine
-inline constexpr double kFleetHungWeight = kHungWeight / 4;  // likewise, of the fleet
-inline constexpr double kMaxLatencyRatio = 20;               // of one sample
-inline constexpr double kHungLatencyFactor = 3;  // times the engine's latency ratio: sample of a hung attempt
+inline constexpr double kFastWeight = 0.1;    // for latency ratios and reported load
+inline constexpr double kSlowWeight = 0.03;   // for the mix of running requests, per second run
+inline constexpr double kMaxMixWeight = 0.3;  // for the mix of running requests, at most
+inline constexpr double kHungWeight = 0.02;   // for an engine's share of hung light attempts
+inline constexpr double kFleetHungWeight = kHungWeight / 4;  // for the fleet's share of hung light attempts
+inline constexpr double kMaxLatencyRatio = 20;               // upper bound of one sample
+// The sample of a hung attempt, as a multiple of its engine's latency ratio.
+inline constexpr double kHungLatencyFactor = 3;
 
 // ---- Outlier detection ----
 
-inline constexpr double kErrorWeight = 0.15;            // of an attempt's outcome in the share that failed
-inline constexpr double kBrokenConnectionWeight = 0.4;  // likewise of a lost connection or a silent engine
-inline constexpr double kLostResponseWeight = 0.05;     // likewise of a response lost on the way
-inline constexpr std::size_t kMaxEnginesInError = 3;  // after errors at so many engines a request is given up
-inline constexpr Nanos kFullBackoff = 500 * kMillisecond;  // of an engine that reports itself full
-inline constexpr double kMaxEjectedShare = 0.5;            // of the fleet
-inline constexpr double kMinEjectionJitter = 0.8;          // ejection times vary from this factor ...
-inline constexpr double kEjectionJitterRange = 0.4;        // ... by so much
-inline constexpr double kHungShareNoise = 0.015;           // excess over the fleet's share that is chance
-inline constexpr double kHungCostFactor = 60;  // times its expected time: cost of a hung heavy attempt
+// Weights of an attempt's outcome in the share of failed attempts.
+inline constexpr double kErrorWeight = 0.15;
+inline constexpr double kBrokenConnectionWeight = 0.4;  // a lost connection, or an engine without a response
+inline constexpr double kLostResponseWeight = 0.05;     // a response that was lost on the way
+
+inline constexpr std::size_t kMaxEnginesInError = 3;  // a request is ended after errors at this many engines
+inline constexpr Nanos kFullBackoff = 500 * kMillisecond;  // for an engine that reports itself full
+inline constexpr double kMaxEjectedShare = 0.5;            // of the listed engines
+// An ejection time is multiplied by a random factor between kMinEjectionJitter and
+// kMinEjectionJitter + kEjectionJitterRange.
+inline constexpr double kMinEjectionJitter = 0.8;
+inline constexpr double kEjectionJitterRange = 0.4;
+// An engine's share of hung attempts may exceed the fleet's by this much through chance.
+inline constexpr double kHungShareNoise = 0.015;
+// Cost of a hung heavy attempt, as a multiple of its expected time.
+inline constexpr double kHungCostFactor = 60;
 
 // ---- Slow start ----
 
-inline constexpr double kSlowStartSafetyFactor = 0.75;  // of the permitted budget
-inline constexpr double kSlowStartDeviations = 3;       // of random arrivals that the budget has room for
-inline constexpr double kUnreportedCostFactor = 2;  // weight of a heavy request where costs aren't reported
-// Of the budget, to gateways with the engine in their subset.
+inline constexpr double kSlowStartSafetyFactor = 0.75;  // share of the permitted budget that is used
+// Standard deviations of random arrivals that the budget has room for.
+inline constexpr double kSlowStartDeviations = 3;
+// Multiplies the charge of a heavy request where costs aren't reported.
+inline constexpr double kUnreportedCostFactor = 2;
+// Share of the budget for the gateways that have the engine in their subsets.
 inline constexpr double kSubsetSlowStartShare = 0.8;
 
-// ---- Runaway attempts: cancelled and retried elsewhere ----
+// ---- Runaway attempts: cancelled, and retried at another engine ----
 
-inline constexpr double kMinRunawayFactor = 2.5;        // times the expected duration
-inline constexpr double kMaxRunawayFactor = 8;          // likewise
-inline constexpr double kMinMaxRunawayFactorLight = 4;  // the maximum of a light class with little scatter
-inline constexpr double kMinRunawayFactorKeyed = 4;     // of a keyed class
-// Times the expected duration, as projected from progress.
+// Bounds of the runaway timeout, as multiples of the expected duration.
+inline constexpr double kMinRunawayFactor = 2.5;
+inline constexpr double kMaxRunawayFactor = 8;
+inline constexpr double kMinMaxRunawayFactorLight = 4;  // a light class has at least this upper bound
+inline constexpr double kMinRunawayFactorKeyed = 4;     // lower bound for a class with idempotency keys
+// An attempt whose duration, projected from its progress, exceeds this multiple of the expected duration is a
+// runaway.
 inline constexpr double kRunawayFactorProgress = 5;
-inline constexpr double kRunawayDeviations = 2.5;    // of the log of work
-inline constexpr double kRunawaySpreadFactor = 1.5;  // times that spread
-inline constexpr int kMaxRunawayCancels = 2;         // of one request; then the request itself is heavy
-// A second projection above this share of the first: heavy.
+inline constexpr double kRunawayDeviations = 2.5;    // deviations of the log of the work that a spread covers
+inline constexpr double kRunawaySpreadFactor = 1.5;  // runaway timeout over that spread
+// Most runaway cancels of one request. If its next attempt is a runaway too, the request itself is heavy.
+inline constexpr int kMaxRunawayCancels = 2;
+// After a runaway cancel, a request whose projected duration exceeds this share of the former projection is
+// heavy itself.
 inline constexpr double kHeavyProjectionShare = 0.4;
-inline constexpr double kMinProgress = 0.002;     // share done that a projection rests on
-inline constexpr double kProjectionMargin = 0.9;  // of the projected remaining time
+inline constexpr double kMinProgress = 0.002;     // least share of the work that a projection assumes as done
+inline constexpr double kProjectionMargin = 0.9;  // share of the projected remaining time that is counted on
+// An attempt runs this long before its request is ended because its projection misses the deadline.
 inline constexpr double kMinSecondsBeforeAbandoning = 0.4;
 
 // ---- Choice of engine ----
 
-inline constexpr double kWarmWorkSaving = 0.5;       // of a request's work, by a warm table group
-inline constexpr std::size_t kPreferredEngines = 2;  // that keep a table group warm for all gateways
-// Times the mean load, up to which they are preferred.
+inline constexpr double kWarmWorkSaving = 0.5;  // share of a request's work that a warm table group saves
+// Number of engines that all gateways prefer for a table group, and so keep warm for it.
+inline constexpr std::size_t kPreferredEngines = 2;
+// Preferred engines are preferred at least up to this multiple of the mean load.
 inline constexpr double kMinPreferredLoadFactor = 1.25;
-inline constexpr double kOverdueFactor = 2;           // times its expected time: an attempt is overdue
-inline constexpr double kMinRemainingShare = 0.3;     // of its work, that any running request still counts
-inline constexpr double kLoadEngineShare = 0.5;       // of the engines, for the loads of a table group
-inline constexpr std::size_t kMinEnginesToSplit = 4;  // below this, loads and readers use the same engines
+inline constexpr double kOverdueFactor = 2;  // an attempt is overdue past this multiple of its expected time
+inline constexpr double kMinRemainingShare = 0.3;  // least share of its work that a running request counts
+inline constexpr double kLoadEngineShare = 0.5;    // of the engines, for the loads of a table group
+// With fewer engines than this, loads and readers use the same engines.
+inline constexpr std::size_t kMinEnginesToSplit = 4;
 
 // ---- Pending requests ----
 
-inline constexpr int kMaxFailedPlacements = 4;       // of one group of pending requests in one step
-inline constexpr int kExplorationsPerObjective = 4;  // of one class, in the time of its latency objective
-inline constexpr double kMinLateWeightShare = 0.15;  // below this share no request waits past its objective
-inline constexpr Nanos kTimerInterval =
-    20 * kMillisecond;  // longest time between two steps while requests are open
-// Reserved before a deadline for the response to reach the client: two timer intervals.
+inline constexpr int kMaxFailedPlacements = 4;  // of one group of pending requests in one step
+// Exploratory requests of one class, at most, per latency objective of the class.
+inline constexpr int kExplorationsPerObjective = 4;
+// Requests whose late_weight_share is less than this don't wait past their latency objectives.
+inline constexpr double kMinLateWeightShare = 0.15;
+// Longest time between two steps while requests are open.
+inline constexpr Nanos kTimerInterval = 20 * kMillisecond;
+// Time reserved before a deadline for the response to reach the client: two timer intervals.
 inline constexpr Nanos kResponseMargin = 40 * kMillisecond;
-inline constexpr double kMinWork = 1e-4;  // thread seconds that any request needs
+inline constexpr double kMinWork = 1e-4;  // least work of a request, in thread seconds
 
 // ---- Tenants ----
 
-inline constexpr double kQuotaBurstSeconds = 2;  // of a tenant's quota, that may come at once
+inline constexpr double kQuotaBurstSeconds = 2;  // seconds of a tenant's quota that may be used at once
 
 // ---- Priorities on an engine ----
 
--- a/src/decision/engine_state.h
+++ b/src/decision/engine_state.h
@@ -1,6 +1,4 @@
-// What the scheduler keeps about one engine.
-//
-// Contract. Plain data, changed by the scheduler alone. Errors: none.
+// The scheduler's state of one engine. Only the scheduler changes it.
 #ifndef LEMONCROFT_DECISION_ENGINE_STATE_H_
 #define LEMONCROFT_DECISION_ENGINE_STATE_H_
 
@@ -17,12 +15,12 @@
 
 namespace lemoncroft::decision {
 
-// What has been learnt about one incarnation of an engine; lost when the engine restarts.
+// The state of one incarnation of an engine. It is reset when the engine restarts.
 struct IncarnationState {
   reports::ReportedLoad reported_load;
-  double latency_ratio = 1;  // recent mean, against the best of each class
+  double latency_ratio = 1;  // recent mean, relative to the best latency of each class
   int responses = 0;
-  double hung_share = 0;  // of light attempts: had to be cancelled as runaways
+  double hung_share = 0;  // share of light attempts that were cancelled as runaways
   limits::CircuitBreaker breaker;
   limits::SlowStartBudget slow_start;
   limits::ConcurrencyLimit concurrency_limit;
@@ -32,14 +30,14 @@
 struct EngineState : IncarnationState {
   EngineEntry entry;
   bool listed = false;
-  bool in_subset = true;  // of the engines that this gateway sends to
+  bool in_subset = true;  // in the subset of engines that this gateway sends to
   double cores = 1;
   double memory_mb = 0;  // 0 = unknown
   std::set<RequestId> in_flight;
   limits::SentLoad sent_load;
   std::size_t rank = 0;  // in the rendezvous order for the request being placed
 
-  // Listed and neither draining nor manually ejected.
+  // Returns true if the engine is listed and neither draining nor manually ejected.
   bool Serving() const { return listed && entry.readiness == Readiness::kReady; }
 };
 
--- a/src/decision/module_clock.h
+++ b/src/decision/module_clock.h
@@ -1,7 +1,8 @@
-// The one place where the program's durations and points in time meet the module's Nanos.
+// Conversions between the program's durations and points in time and the module's Nanos. No other code
+// converts between them.
 //
-// The module's clock is the Unix time at this process's start plus what the steady clock has counted since:
-// it never runs backwards, and the Unix times of the control feed need no further offset.
+// The module's clock is the Unix time at the start of this process plus the time on the steady clock since
+// then. It never runs backwards, and the Unix times of the control feed need no further offset.
 #ifndef LEMONCROFT_DECISION_MODULE_CLOCK_H_
 #define LEMONCROFT_DECISION_MODULE_CLOCK_H_
 
--- a/src/decision/pending_requests.h
+++ b/src/decision/pending_requests.h
@@ -1,8 +1,7 @@
 // The requests that wait to be sent, grouped by priority weight and class.
 //
-// Contract. Groups are visited in order of weight, highest first, then of class; within a group the request
-// with the least work comes first, then the oldest. Owner: the scheduler. Errors: none; removing what isn't
-// there does nothing.
+// Groups are ordered by priority weight, highest first, and then by class. Within a group, the request with
+// the least work comes first; among equal ones, the oldest.
 #ifndef LEMONCROFT_DECISION_PENDING_REQUESTS_H_
 #define LEMONCROFT_DECISION_PENDING_REQUESTS_H_
 
@@ -28,11 +27,11 @@
                                                       : class_id < other.class_id;
     }
   };
-  using Group = std::set<std::pair<double, RequestId>>;  // work and request
+  using Group = std::set<std::pair<double, RequestId>>;  // pairs of work and request
 
   void Add(const GroupKey& key, double work, RequestId id) { groups_[key].emplace(work, id); }
 
-  // Ends iterators into the group of the request.
+  // Does nothing if the request isn't pending. Invalidates iterators into the group of the request.
   void Remove(const GroupKey& key, double work, RequestId id) {
     const auto group = groups_.find(key);
     if (group == groups_.end()) return;
@@ -50,7 +49,7 @@
   }
 
  private:
-  std::map<GroupKey, Group> groups_;  // none is empty
+  std::map<GroupKey, Group> groups_;  // without empty groups
 };
 
 }  // namespace lemoncroft::decision
--- a/src/decision/request_timers.h
+++ b/src/decision/request_timers.h
@@ -1,7 +1,5 @@
-// Points in time at which requests are to be checked.
-//
-// Contract. No clock: the time is passed. Timers can't be cancelled; the owner ignores one that its request
-// no longer expects. Owner: the scheduler. Errors: none.
+// Timers of requests. The caller passes the current time. A timer can't be cancelled: the scheduler ignores a
+// timer that its request no longer expects.
 #ifndef LEMONCROFT_DECISION_REQUEST_TIMERS_H_
 #define LEMONCROFT_DECISION_REQUEST_TIMERS_H_
 
@@ -24,7 +22,7 @@
 
   void Schedule(Nanos due, RequestId id) { timers_.emplace(due, id); }
 
-  // Removes the earliest timer, if it is due.
+  // Removes and returns the earliest timer if it is due.
   std::optional<Timer> PopDue(Nanos now) {
     if (timers_.empty() || timers_.top().first > now) return std::nullopt;
     const auto [due, id] = timers_.top();
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -1,23 +1,24 @@
-// The scheduler behind lemoncroft::Gateway: decides which request goes to which engine, when, with which
-// memory and priority, when an attempt is cancelled, and when a request is ended without a response from an
-// engine.
+// The scheduler behind lemoncroft::Gateway. It decides which request goes to which engine, when, and with
+// which memory and priority; when an attempt is cancelled; and when a request is ended without a response
+// from an engine.
 //
-// Concept. The number of threads at each engine is limited (limits::ConcurrencyLimit) while the engine is
-// under pressure; what exceeds the limit is kept pending here, ordered by priority weight. docs/design.md has
-// the design and the sources.
+// While an engine is under pressure, the number of threads at it is limited (limits::ConcurrencyLimit).
+// Requests beyond the limit stay pending here, ordered by priority weight. docs/design.md describes the
+// design and its sources.
 //
-// A request's path: Handle(Request) -> Enqueue -> pending -> DispatchPending -> ChooseEngine -> Dispatch ->
-// in flight -> Handle(AttemptEnded) -> Finish, or Enqueue again for a retry, or RejectOrFail.
+// A request passes through Handle(Request), Enqueue, DispatchPending, ChooseEngine, Dispatch and
+// Handle(AttemptEnded). Then Finish or RejectOrFail ends it, or Enqueue makes it pending again for a retry.
 //
-// Contract. No clock, no I/O; one thread. The same settings, seed and steps give the same actions: all
-// containers that are walked are ordered, and random draws happen in the order of the walk. Owner: Gateway.
-// Errors: none; events about unknown ids are ignored.
+// The scheduler reads no clock, does no I/O and is used by one thread. The same settings, seed and steps give
+// the same actions: iteration is always in a defined order, and random numbers are drawn in that order.
+// Events with unknown ids are ignored.
 //
-// Files: scheduler.cpp (step, settings, endpoint list), scheduler_requests.cpp (arrival, order by key, end),
-// scheduler_deadlines.cpp (objectives, deadlines, timers), scheduler_admission.cpp (may an engine take a
-// request now), scheduler_selection.cpp (which of those engines), scheduler_dispatch.cpp (sending pending
-// requests, retry rules), scheduler_attempts.cpp (runaway attempts, progress, outcomes) and
-// scheduler_learning.cpp (estimates, load reports, outlier detection, limits).
+// The implementation is in scheduler.cpp (steps, settings, endpoint list), scheduler_requests.cpp (arrival,
+// ordering keys, end of a request), scheduler_deadlines.cpp (latency objectives, deadlines, timers),
+// scheduler_admission.cpp (which engines may take a request now), scheduler_selection.cpp (choice among these
+// engines), scheduler_dispatch.cpp (sending of pending requests, retry rules), scheduler_attempts.cpp
+// (runaway attempts, progress, outcomes) and scheduler_learning.cpp (estimates, load reports, outlier
+// detection, concurrency limits).
 #ifndef LEMONCROFT_DECISION_SCHEDULER_H_
 #define LEMONCROFT_DECISION_SCHEDULER_H_
 
@@ -82,47 +83,48 @@
   void ApplyEntry(const EngineEntry& entry);
   void ChooseSubset();
   double SeedConcurrencyLimit(const EngineState& engine) const;
-  // Gateways that send to one engine, on average.
+  // Returns the mean number of gateways that send to one engine.
   double GatewaysPerEngine() const;
 
   // ---- Time ----
-  // Brings everything that decays or accrues up to date, `seconds` after the last step.
+  // Updates all quantities that decay or accrue over time, `seconds` after the last step.
   void AdvanceTime(double seconds);
   limits::FleetCapacity AdvanceEngines(double seconds);
-  // Finds the work of the heaviest class and the best weight rate of the heavy ones.
+  // Updates the mean work of the heaviest class and the best weight rate of the heavy classes.
   void UpdateHeaviestClass();
 
   // ---- Requests ----
   bool IsOverQuota(const Request& request);
-  // Makes the request pending, or lets it wait for its turn behind its ordering key.
+  // Makes the request pending, or queues it behind earlier requests with its ordering key.
   void Enqueue(RequestState& request);
   void AddPending(RequestState& request);
   void RemovePending(const RequestState& request);
   double CurrentPriorityWeight(const RequestState& request) const;
   void RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from);
-  // Makes the first request of the key pending, if the key isn't paused.
+  // Makes the first request with the ordering key pending, unless the key is paused.
   void AdvanceOrderingKey(std::uint64_t key);
   void RemoveFromOrderingKey(const RequestState& request);
-  // Ends the request without a response from an engine: as rejected if no attempt can have had an effect or
-  // repeats do no harm, else as failed. An attempt in flight is cancelled.
+  // Ends the request without a response from an engine. It is rejected if no attempt can have had an effect
+  // or repeats do no harm; otherwise it fails. An attempt in flight is cancelled.
   void RejectOrFail(RequestState& request);
-  // Drops the request's state, or keeps it until the outcome of an attempt in flight.
+  // Removes the request's state, or retains it until the outcome of an attempt in flight.
   void Finish(RequestState& request);
   void RejectOrFailAllPending();
-  // The request of which attempt number `attempt` is in flight; null: none.
+  // Returns the request if its attempt number `attempt` is in flight; otherwise null.
   RequestState* FindAttempt(RequestId id, int attempt);
 
   // ---- Objectives and deadlines ----
   void RunTimers();
   void ScheduleCheck(RequestState& request, Nanos due);
-  // The last moment to send a request so that it meets its latency objective, or once late its deadline.
+  // Returns the latest time at which the request can be sent and still meet its latency objective or, once it
+  // is late, its deadline.
   Nanos LatestStart(const RequestState& request) const;
   void OnLatestStartPassed(RequestState& request);
-  // Whether the request may go although the recent pace rules out its objective; at most one does in an
-  // interval.
+  // Returns true if the request may be sent as an exploratory request, although the recent latency of its
+  // class rules out its objective. At most one request of a class may, in an interval.
   bool TakeExploration(const RequestState& request);
 
-  // ---- Admission: whether an engine may take a request now ----
+  // ---- Admission: the conditions under which an engine may take a request now ----
   bool CanTake(const RequestState& request, EngineState& engine);
   bool Available(const EngineState& engine) const;
   bool MayRunOn(const RequestState& request, const EngineState& engine) const;
@@ -138,7 +140,7 @@
   bool SlowStartAllows(const RequestState& request, EngineState& engine);
   double SlowStartShare(const EngineState& engine) const;
   double SlowStartRate(const EngineState& engine) const;
-  // What the request takes from a slow-start budget of `rate`.
+  // Returns the request's charge to a slow-start budget that accrues at `rate`.
   double SlowStartCharge(const RequestState& request, double rate) const;
 
   // ---- Choice among the engines that can take a request ----
@@ -149,21 +151,21 @@
   void SendProbe(const std::vector<EngineState*>& engines, Nanos& next_at, Nanos interval);
   EngineState* ShortestDelay(const RequestState& request, std::vector<EngineState*>& candidates);
   bool PreferredEngineHasRoom(const EngineState& engine, double work) const;
-  // Seconds until a response, as far as it can be expected.
+  // Returns the expected time to a response, in seconds, with penalties for engines that may fail.
   double ExpectedDelay(const RequestState& request, const EngineState& engine) const;
   struct InFlightLoad {
     double remaining_work = 0;  // thread seconds
-    int overdue = 0;            // attempts far past their expected duration
+    int overdue = 0;            // number of attempts far past their expected duration
   };
   InFlightLoad LoadInFlight(const EngineState& engine) const;
 
   // ---- Dispatch ----
   void DispatchPending();
-  // Sends pending requests of one group; adds those sent to `sent`.
+  // Sends pending requests of one group and appends them to `sent`.
   void DispatchGroup(const PendingRequests::Group& group, std::vector<RequestId>& sent);
   bool AllManuallyEjected() const;
   bool RetryBudgetAllows(const RequestState& request);
-  // The last moment at which a retry may leave for an engine without risk of a double effect.
+  // Returns the latest time at which a retry may be sent without risk of a double effect.
   Nanos RetryDeadline(const RequestState& request) const;
   bool MayRetryNow(const RequestState& request) const { return now_ <= RetryDeadline(request); }
   void Dispatch(RequestState& request, EngineState& engine);
@@ -172,14 +174,15 @@
 
   // ---- Attempts in flight ----
   void CheckRunaway(RequestState& request);
-  // How long after its send an attempt counts as a runaway; 0: never.
+  // Returns the time after its send at which an attempt counts as a runaway; 0 = never.
   Nanos RunawayTimeout(const RequestState& request) const;
   Nanos KeyedRunawayTimeout(const RequestState& request, double factor) const;
   double RunawayFactor(const RequestState& request) const;
-  // The last moment to cancel a keyed attempt and still have its retry recognised as a repeat.
+  // Returns the latest time at which an attempt with an idempotency key can be cancelled so that its retry is
+  // still recognised as a repeat.
   Nanos LastSafeCancel(const RequestState& request) const;
   bool MayCancelAndRetry(const RequestState& request) const;
-  // Returns whether the attempt was cancelled.
+  // Returns true if the attempt was cancelled.
   bool CancelAndRetry(RequestState& request);
   void CancelAttempt(RequestState& request);
   void RetryOrEnd(RequestState& request);
@@ -193,38 +196,38 @@
   void RecordSuccess(const RequestState& request, EngineState& engine, const AttemptEnded& end);
   void RecordHung(EngineState& engine, bool hung);
   void RecordErrorsOnOtherEngines(const RequestState& request);
-  // Ejects the engine if too many of its attempts have failed.
+  // Adds a failed attempt, and ejects the engine if too many of its attempts have failed.
   void RecordFailure(EngineState& engine, double weight);
   void AdjustConcurrencyLimits();
 
-  // ---- Figures of classes, requests and engines ----
+  // ---- Properties of classes, requests and engines ----
   const ClassSettings& Class(const RequestState& request) const {
     return settings_.classes[request.spec.class_id];
   }
   const estimates::ClassEstimates& Estimates(const RequestState& request) const {
     return estimates_[request.spec.class_id];
   }
-  // Light classes need little work against the heaviest one. They are counted apart from heavy ones, so that
-  // a few long requests don't shut out many short ones.
+  // Returns true if the class needs little work relative to the heaviest class. Light and heavy requests are
+  // counted separately, so that a few long requests don't block many short ones.
   bool IsLight(std::size_t class_id) const;
   bool IsLight(const RequestState& request) const { return IsLight(request.spec.class_id); }
-  // Priority weight for a thread second of the class.
+  // Returns the priority weight that the class earns per thread second.
   double WeightRate(std::size_t class_id) const;
-  // Duration of an attempt at the fleet's present pace.
+  // Returns the expected duration of an attempt at the recent slowdown of its class.
   double ExpectedSeconds(const RequestState& request) const {
     return Estimates(request).ExpectedTime(request.work) / request.threads;
   }
   double MemoryNeed(const RequestState& request) const {
     return Estimates(request).ExpectedMemoryMb(request.spec.estimated_memory_mb);
   }
-  // Speed of the engine's responses against the fleet's, at most 1.
+  // Returns the speed of the engine's responses relative to the fleet's, at most 1.
   double RelativeSpeed(const EngineState& engine) const;
-  // Requests of other gateways at the engine, from its last load report.
+  // Estimates the requests of other gateways at the engine from its last load report.
   double OtherGatewaysRequests(const EngineState& engine) const {
     return engine.reported_load.OtherRequestsNow(static_cast<double>(engine.in_flight.size()),
                                                  max_gateways_per_engine_);
   }
-  // Threads at the engine, of all gateways as far as known.
+  // Returns the threads in use at the engine, including those of other gateways if its load report is fresh.
   double ThreadsInUse(const EngineState& engine) const {
     const double others =
         engine.reported_load.IsFresh(now_) ? OtherGatewaysRequests(engine) * running_mix_.threads() : 0;
@@ -237,11 +240,11 @@
   // Configuration.
   Settings settings_;
   reports::ReportLayout report_layout_;
-  std::optional<FleetSize> fleet_size_;  // none: the settings tell
-  int process_count_ = 1;                // that budgets are divided by
-  bool loads_block_readers_ = false;     // some class waits for loads of its table group
+  std::optional<FleetSize> fleet_size_;  // none: as in the settings
+  int process_count_ = 1;                // divisor of budgets
+  bool loads_block_readers_ = false;     // true if a class waits for loads of its table group
 
-  // Step under way.
+  // The current step.
   Nanos now_ = -1;
   Nanos first_step_at_ = -1;
   std::vector<Action>* actions_ = nullptr;
@@ -250,32 +253,32 @@
   // Engines.
   std::map<EngineId, EngineState> engines_;
   subset::RankingCache<EngineState> rankings_;
-  double subset_share_ = 1;          // of the serving engines, in the subset
-  int max_gateways_per_engine_ = 1;  // that have one engine in their subsets
+  double subset_share_ = 1;          // share of the serving engines that are in the subset
+  int max_gateways_per_engine_ = 1;  // that have the same engine in their subsets
   bool any_engine_reported_ = false;
-  double mean_other_requests_ = 0;  // of other gateways, at an engine
+  double mean_other_requests_ = 0;  // mean number of requests of other gateways at an engine
   double fleet_latency_ratio_ = 1;
   double fleet_hung_share_ = 0;
 
   // Requests.
-  std::unordered_map<RequestId, RequestState> requests_;  // walked only into an ordered set
+  std::unordered_map<RequestId, RequestState> requests_;  // iterated only into ordered sets
   PendingRequests pending_;
   limits::OrderingKeyQueues ordering_key_queues_;
   RequestTimers timers_;
-  std::vector<Nanos> last_attempt_at_;  // for each class
+  std::vector<Nanos> last_attempt_at_;  // by class
   limits::RetryBudget retries_;
-  std::vector<limits::TokenBucket> quotas_;  // for each tenant
+  std::vector<limits::TokenBucket> quotas_;  // by tenant
 
   // Estimates and load.
-  std::vector<estimates::ClassEstimates> estimates_;  // for each class
+  std::vector<estimates::ClassEstimates> estimates_;  // by class
   estimates::RunningMix running_mix_;
   limits::CapacityCredit credit_;
-  double heaviest_class_work_ = 0;     // mean work, thread seconds
-  double best_heavy_weight_rate_ = 0;  // of the classes that aren't light
-  double recent_work_ = 0;             // thread seconds sent lately
-  double preferred_load_factor_ = 0;   // share of the recent work that one core of a preferred engine may get
+  double heaviest_class_work_ = 0;     // mean work, in thread seconds
+  double best_heavy_weight_rate_ = 0;  // among the classes that aren't light
+  double recent_work_ = 0;             // work sent recently, in thread seconds
+  double preferred_load_factor_ = 0;   // share of the recent work allowed per core of a preferred engine
 
-  // Since the last review of concurrency limits.
+  // The pressure since the last adjustment of concurrency limits.
   limits::Pressure pressure_;
   Nanos pressure_reset_at_ = 0;
 
@@ -284,7 +287,7 @@
   Nanos next_wake_at_ = -1;
 };
 
-// Small functions that every decision calls for many engines.
+// Inline because every decision calls them for many engines.
 
 inline bool Scheduler::Available(const EngineState& engine) const {
   return engine.Serving() && !engine.breaker.IsOpen(now_);
--- a/src/decision/time_units.h
+++ b/src/decision/time_units.h
@@ -1,6 +1,4 @@
-// Units of time and conversions between the module's nanoseconds and seconds, in which it computes.
-//
-// Contract. Pure functions. Errors: none.
+// Units of time, and conversions between the module's nanoseconds and the seconds that it computes with.
 #ifndef LEMONCROFT_DECISION_TIME_UNITS_H_
 #define LEMONCROFT_DECISION_TIME_UNITS_H_
 
@@ -15,7 +13,7 @@
 
 inline double ToSeconds(Nanos nanos) { return static_cast<double>(nanos) / kSecond; }
 
-// Negative durations become 0, those of more than three years are cut off.
+// Negative durations become 0. Durations are limited to 1e8 seconds, which is more than three years.
 inline Nanos FromSeconds(double seconds) {
   constexpr double kMaxSeconds = 1e8;
   return static_cast<Nanos>(std::clamp(seconds, 0.0, kMaxSeconds) * kSecond);
