--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -1,4 +1,4 @@
-// The step, settings and the endpoint list.
+// Steps, settings and the endpoint list.
 #include "decision/scheduler.h"
 
 #include <algorithm>
@@ -63,7 +63,8 @@
       estimates_.push_back(before[static_cast<std::size_t>(former)]);
       continue;
     }
-    // A latency objective leaves room: a third of it is assumed as the duration until responses tell.
+    // Latency objectives leave headroom: until there are responses, a third of the objective is assumed as
+    // the duration.
     const ClassSettings& class_settings = settings_.classes[i];
     estimates_.emplace_back(ToSeconds(class_settings.latency_objective) / 3 * class_settings.threads,
                             settings_.reports_cost);
@@ -75,13 +76,14 @@
   settings_ = *change.settings;
   ApplySettings(change.inherits_estimates_from);
   RebuildOrderingKeyQueues(change.inherits_estimates_from);
-  // Requests that wait for a retry which is no longer allowed.
+  // Ends requests that wait for a retry which is no longer allowed.
   std::vector<RequestId> exhausted;
   for (const auto& [key, group] : pending_.groups())
     for (const auto& [work, id] : group)
       if (requests_.at(id).attempts >= std::max(1, settings_.max_attempts)) exhausted.push_back(id);
   for (RequestId id : exhausted) RejectOrFail(requests_.at(id));
-  // Retries that the host has been told to send, but may not have sent yet.
+  // Cancels retries that are no longer allowed. The host has been told to send them, but may not have done
+  // so.
   for (const auto& [engine_id, engine] : engines_) {
     for (RequestId id : engine.in_flight) {
       RequestState& request = requests_.at(id);
@@ -115,7 +117,7 @@
     return;
   }
   if (list.kind != ListKind::kChange) {
-    for (auto& [id, engine] : engines_) engine.listed = false;  // unless the list has it
+    for (auto& [id, engine] : engines_) engine.listed = false;  // set again by ApplyEntry
   }
   for (const EngineEntry& entry : *list.entries) ApplyEntry(entry);
   std::erase_if(engines_, [](const auto& entry) {
@@ -141,7 +143,7 @@
   engine.memory_mb = kind.memory_mb;
   if (!added && !restarted) return;
   engine.concurrency_limit.Start(SeedConcurrencyLimit(engine), now_);
-  // A predecessor or a second process of this gateway may have spent the budget of the last window.
+  // A previous process or a second process of this gateway may have spent the budget of the last window.
   const Nanos accrue_from = std::max({entry.started_at, now_ - settings_.overload_window, first_step_at_});
   engine.slow_start.AccrueFrom(process_count_ > 1 ? now_ : accrue_from);
 }
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -1,5 +1,5 @@
-// Admission: whether an engine may take a request now. Placement, health, slow start, credit, memory,
-// concurrency.
+// Admission: the conditions under which an engine may take a request now. They concern placement, health,
+// slow start, credit, memory and concurrency.
 #include <algorithm>
 
 #include "decision/constants.h"
@@ -17,7 +17,8 @@
   return limits::RecognizesRepeats(class_settings.repeat_group, request.may_have_run_on, engine.entry);
 }
 
-// A second load of a table group would wait at the engine, its memory granted, until the first has ended.
+// A second load of a table group would wait at the engine until the first load ends, and hold its memory
+// grant while it waits.
 inline bool Scheduler::RunsLoadOfTableGroup(const RequestState& request, const EngineState& engine) const {
   if (!Class(request).holds_tables) return false;
   return std::any_of(engine.in_flight.begin(), engine.in_flight.end(), [&](RequestId id) {
@@ -39,25 +40,25 @@
 
 // ---- Credit ----
 
-// Light requests don't wait for credit, unless a heavy class earns more for a thread second.
+// Light requests don't wait for credit, unless a heavy class earns more per thread second.
 bool Scheduler::BypassesCredit(const RequestState& request) const {
   return IsLight(request) && WeightRate(request.spec.class_id) >= best_heavy_weight_rate_;
 }
 
-// Without credit a heavy request needs an idle engine, or without load reports a fleet at its best.
+// Without credit, a heavy request needs an idle engine or, without load reports, a fleet that isn't slow.
 bool Scheduler::CreditAllows(const RequestState& request, const EngineState& engine) const {
   if (credit_.HasCredit()) return true;
   if (Class(request).holds_tables && WeightRate(request.spec.class_id) >= best_heavy_weight_rate_)
     return true;
   if (!report_layout_.reports_load() || engine.reported_load.IsSilent())
     return fleet_latency_ratio_ < kSlowFleetLatencyRatio;
-  if (!engine.reported_load.IsFresh(now_)) return settings_.may_probe;  // probed before the request is sent
+  if (!engine.reported_load.IsFresh(now_)) return settings_.may_probe;  // the engine is probed first
   return ThreadsInUse(engine) + request.threads <= kIdleThreadsPerCore * engine.cores;
 }
 
 // ---- Memory and concurrency ----
 
-// Heavy requests leave memory to light ones, which would otherwise queue behind them or spill.
+// Heavy requests leave memory for light requests, which would otherwise queue behind them or spill.
 bool Scheduler::MemoryAllows(const RequestState& request, const EngineState& engine) const {
   const bool light = IsLight(request);
   const auto own = static_cast<double>(engine.in_flight.size());
@@ -74,7 +75,8 @@
 
 bool Scheduler::ConcurrencyAllows(const RequestState& request, const EngineState& engine) const {
   if (!UnderPressure(request, engine)) return true;
-  // An engine that runs nothing of this gateway may always take a request, unless others crowd it.
+  // An engine that runs nothing of this gateway may always take a request, unless the requests of other
+  // gateways crowd it.
   if (engine.in_flight.empty()) {
     const double in_use = ThreadsInUse(engine);
     return IsLight(request) || in_use <= 0 ||
@@ -92,8 +94,8 @@
 
 // ---- Slow start ----
 
-// The gateways that have the engine in their subsets divide most of its budget, evenly or by their traffic;
-// all others divide the rest.
+// The gateways that have the engine in their subsets divide most of its budget, evenly or in proportion to
+// their traffic. All other gateways divide the rest.
 inline double Scheduler::SlowStartShare(const EngineState& engine) const {
   if (fleet_size_) {
     return engine.in_subset ? kSubsetSlowStartShare / max_gateways_per_engine_
@@ -114,8 +116,8 @@
   return engine.slow_start.Covers(SlowStartCharge(request, rate));
 }
 
-// No request is charged less than the mean of its class, or the lightest would all leave first. Where costs
-// aren't reported that mean is a guess.
+// A request is charged at least the mean work of its class; otherwise the lightest requests would always be
+// sent first. Where costs aren't reported, that mean is uncertain.
 double Scheduler::SlowStartCharge(const RequestState& request, double rate) const {
   const double guess_factor = settings_.reports_cost || IsLight(request) ? 1 : kUnreportedCostFactor;
   const double work = std::max(request.work, Estimates(request).mean_work()) * guess_factor;
@@ -129,7 +131,8 @@
   if (!Available(engine)) return false;
   if (!MayRunOn(request, engine) || RunsLoadOfTableGroup(request, engine)) return false;
   if (!SlowStartAllows(request, engine)) return false;
-  // An engine that fails fast looks idle while others are busy: it must not get again all that it has failed.
+  // An engine that fails fast looks idle while other engines are busy. It must not get back all the requests
+  // that it has failed.
   if (FailedOn(request, engine) && OtherEngineAvailable(request)) return false;
   if (engine.breaker.IsHalfOpen() && !engine.in_flight.empty()) return false;
   if (!BypassesCredit(request) && !CreditAllows(request, engine)) return false;
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts in flight: runaways, progress, and what follows their outcome.
+// Attempts in flight: runaway attempts, progress and outcomes.
 #include <algorithm>
 #include <cmath>
 
@@ -12,7 +12,7 @@
   return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
 
-// Whether the engine may still be running the attempt.
+// Returns true if the engine may still be running the attempt.
 bool MayStillRun(Outcome outcome) {
   return MayHaveRun(outcome) && outcome != Outcome::kOk && outcome != Outcome::kError;
 }
@@ -29,8 +29,8 @@
 
 // ---- Runaway attempts ----
 
-// An attempt that runs far longer than its request should need is cancelled and retried elsewhere while that
-// can be in time. In an overload this throws work away.
+// An attempt that runs far longer than its request should need is cancelled and retried at another engine, as
+// long as the retry can end in time. In an overload, this wastes work.
 void Scheduler::CheckRunaway(RequestState& request) {
   const Nanos timeout = RunawayTimeout(request);
   if (timeout <= 0) return;
@@ -40,14 +40,15 @@
 
 Nanos Scheduler::RunawayTimeout(const RequestState& request) const {
   if (!settings_.may_cancel || !MayCancelAndRetry(request)) return 0;
-  if (settings_.progress_interval > 0 && !IsLight(request)) return 0;  // its progress tells
+  if (settings_.progress_interval > 0 && !IsLight(request)) return 0;  // detected by its progress
   const double factor = RunawayFactor(request);
   if (Class(request).effect == Effect::kKeyed) return KeyedRunawayTimeout(request, factor);
   return FromSeconds(ExpectedSeconds(request) * factor);
 }
 
-// Cancelling a keyed attempt costs much. While durations are unknown it runs as long as a retry allows; one
-// that is expected to run longer than that isn't cancelled at all.
+// Cancelling an attempt with an idempotency key is expensive. While durations are unknown, such an attempt
+// runs until the latest time that still permits a retry. An attempt that is expected to run longer than that
+// isn't cancelled at all.
 Nanos Scheduler::KeyedRunawayTimeout(const RequestState& request, double factor) const {
   const auto engine = engines_.find(request.engine_id);
   const bool durations_known =
--- a/src/decision/scheduler_deadlines.cpp
+++ b/src/decision/scheduler_deadlines.cpp
@@ -1,4 +1,4 @@
-// Latency objectives and deadlines: the checks that are due at a point in time.
+// Latency objectives and deadlines: timed checks of requests.
 #include <algorithm>
 
 #include "decision/constants.h"
@@ -38,8 +38,8 @@
   return end - FromSeconds(seconds);
 }
 
-// The request waits on, at the weight of a late one, only if that is worth it, or as an exploration of its
-// class's latency; else it is ended at once.
+// The request continues to wait, with the priority weight of a late request, only if its class earns enough
+// for late responses, or as an exploratory request. Otherwise it is ended at once.
 void Scheduler::OnLatestStartPassed(RequestState& request) {
   pressure_.objective_missed = true;
   const bool waits = !request.late && Class(request).late_weight_share >= kMinLateWeightShare;
@@ -53,8 +53,8 @@
   ScheduleCheck(request, LatestStart(request));
 }
 
-// A class that sends nothing because its recent latency rules out the objective would never see the latency
-// recover. Like a half-open circuit breaker it lets a request through from time to time.
+// A class that sends nothing because its recent latency rules out its objective would never observe that the
+// latency has recovered. Like a half-open circuit breaker, it lets a request through from time to time.
 bool Scheduler::TakeExploration(const RequestState& request) {
   if (request.exploratory) return false;
   Nanos& last_attempt_at = last_attempt_at_[request.spec.class_id];
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -1,4 +1,4 @@
-// Dispatch: sends pending requests, highest priority weight first, as long as engines can take them.
+// Dispatch: sends pending requests, highest priority weight first, while engines can take them.
 #include <algorithm>
 
 #include "decision/constants.h"
@@ -21,7 +21,7 @@
   for (const auto& [work, id] : group) {
     if (failed_placements >= kMaxFailedPlacements) return;
     RequestState& request = requests_.at(id);
-    if (!RetryBudgetAllows(request)) continue;  // doesn't hold up first attempts
+    if (!RetryBudgetAllows(request)) continue;  // first attempts don't wait for retries
     EngineState* const engine = ChooseEngine(request);
     if (engine == nullptr) {
       ++failed_placements;
@@ -32,7 +32,8 @@
   }
 }
 
-// Nobody knows when operators will include an engine again, so that requests don't wait for it.
+// Returns true if no engine serves and at least one is manually ejected. Requests don't wait then, since it
+// is unknown when an operator will include an engine again.
 bool Scheduler::AllManuallyEjected() const {
   bool any_ejected = false;
   for (const auto& [id, engine] : engines_) {
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -1,4 +1,5 @@
-// What outcomes and load reports teach: estimates of classes, load and health of engines, concurrency limits.
+// Learning from outcomes and load reports: estimates of classes, load and health of engines, and concurrency
+// limits.
 #include <algorithm>
 #include <string>
 
@@ -47,7 +48,7 @@
     case Outcome::kLost:
       RecordFailure(engine, kLostResponseWeight);
       break;
-    case Outcome::kTimeout:  // at the request's deadline it says nothing about the engine
+    case Outcome::kTimeout:  // a timeout at the request's deadline says nothing about the engine
       if (now_ < request.deadline - kResponseMargin) RecordFailure(engine, kBrokenConnectionWeight);
       break;
     case Outcome::kConnectFailed:
@@ -109,15 +110,15 @@
 
 // ---- Outlier detection ----
 
-// An error counts against its engine only once another engine has served the request: a request that no
-// engine can serve must eject none.
+// An error counts against its engine only once another engine has served the request. A request that no
+// engine can serve must not eject any engine.
 void Scheduler::RecordErrorsOnOtherEngines(const RequestState& request) {
   for (auto& [id, engine] : engines_)
     if (id != request.engine_id && FailedOn(request, engine)) RecordFailure(engine, kErrorWeight);
 }
 
-// An engine that fails fast looks idle and would draw requests. After its backoff it is ejected again by its
-// next failure, until successes have brought the share of failures down.
+// An engine that fails fast looks idle and would attract requests. After its backoff, its next failure ejects
+// it again, until successes have reduced its share of failures.
 void Scheduler::RecordFailure(EngineState& engine, double weight) {
   if (!engine.breaker.RecordFailure(weight, now_)) return;
   double ejected = 1;  // this engine
@@ -127,7 +128,7 @@
     ++listed;
     if (other.breaker.IsOpen(now_)) ++ejected;
   }
-  if (ejected > kMaxEjectedShare * listed) return;  // a fault of the whole fleet
+  if (ejected > kMaxEjectedShare * listed) return;  // the whole fleet fails
   engine.breaker.Open(now_, kMinEjectionJitter + kEjectionJitterRange * RandomUniform());
   actions_->push_back(LogLine{"engine " + std::to_string(engine.entry.engine) + " ejected: attempts fail"});
 }
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -1,4 +1,4 @@
-// Requests: arrival, quotas, order by key, and their end.
+// Requests: arrival, quotas, ordering keys and end.
 #include <algorithm>
 #include <optional>
 #include <set>
@@ -23,7 +23,8 @@
   request.deadline = now_ + spec.client_timeout;
   request.priority_weight =
       class_settings.priority_weight * (IsOverQuota(spec) ? settings_.over_quota_weight_share : 1);
-  // Work that can't be done within the timeout is no demand, however large the client's estimate is.
+  // Work that can't be done within the client's timeout doesn't count as demand, however large the client's
+  // estimate is.
   credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
   if (settings_.retry_budget) retries_.RecordRequest(now_);
   request.ordered = class_settings.in_order && spec.ordering_key != 0;
@@ -31,8 +32,8 @@
   Enqueue(request);
 }
 
-// Each gateway gets an even part of a tenant's quota; while the number of gateways isn't known from the
-// membership view, a part by its share of the fleet's usual traffic.
+// Each gateway gets an equal part of a tenant's quota. While the number of gateways isn't known from the
+// membership view, the part depends on the gateway's share of the fleet's usual traffic.
 bool Scheduler::IsOverQuota(const Request& spec) {
   if (spec.tenant >= quotas_.size()) return false;
   const double quota_per_s = settings_.tenants[spec.tenant].quota_per_s;
@@ -71,9 +72,9 @@
   while (!pending_.empty()) RejectOrFail(requests_.at(pending_.front()));
 }
 
-// ---- Order by key ----
+// ---- Ordering keys ----
 
-// Open requests of a class that now keeps an order take part in it, so that later ones wait for them.
+// Open requests of a class that now has ordering keys are queued too, so that later requests wait for them.
 void Scheduler::RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from) {
   std::set<RequestId> ordered;  // in the order of arrival
   for (auto& [id, request] : requests_) {
@@ -149,8 +150,7 @@
 
 void Scheduler::Handle(const StreamStarted& start) {
   const auto it = requests_.find(start.id);
-  if (it != requests_.end())
-    it->second.next_check_at = 0;  // its response has begun: no runaway check any more
+  if (it != requests_.end()) it->second.next_check_at = 0;  // no runaway checks once the response has begun
 }
 
 }  // namespace lemoncroft::decision
--- a/src/decision/scheduler_selection.cpp
+++ b/src/decision/scheduler_selection.cpp
@@ -1,5 +1,6 @@
-// Choice among the engines that can take a request: the power of two random choices, joined by the engines
-// that are preferred for the request's table group.
+// Choice among the engines that can take a request. The engine with the shortest expected delay is chosen
+// from two random candidates (power of two choices) and the engines that are preferred for the request's
+// table group.
 #include <algorithm>
 
 #include "decision/constants.h"
@@ -13,7 +14,7 @@
   std::vector<EngineState*> candidates = Candidates(request);
   if (candidates.empty()) return nullptr;
   KeepEnginesForTables(request, candidates);
-  if (request.attempts > 0 && candidates.size() > 1) {  // a retry goes elsewhere
+  if (request.attempts > 0 && candidates.size() > 1) {  // a retry uses another engine
     std::erase_if(candidates, [&request](const EngineState* engine) {
       return engine->entry.engine == request.engine_id;
     });
@@ -23,7 +24,7 @@
   return ShortestDelay(request, candidates);
 }
 
-// Engines beyond the subset are used only when none in it can take the request.
+// Engines outside the subset are used only if no engine in it can take the request.
 std::vector<EngineState*> Scheduler::Candidates(const RequestState& request) {
   std::vector<EngineState*> candidates;
   for (const bool in_subset : {true, false}) {
@@ -36,8 +37,8 @@
 
 // ---- Table groups ----
 
-// All gateways rank the engines alike for a table group. Readers keep the first ones warm; where readers wait
-// for loads, loads use the last ones.
+// All gateways rank the engines in the same order for a table group. Readers keep the first engines warm.
+// Where readers wait for loads, loads use the last engines.
 void Scheduler::KeepEnginesForTables(const RequestState& request, std::vector<EngineState*>& candidates) {
   const std::size_t ranked =
       rankings_.Rank(engines_, subset::Mix(request.spec.table_group),
@@ -50,7 +51,8 @@
                   [&](const EngineState* engine) { return load == (engine->rank < reader_engines); });
   }
   if (!load) return;
-  // Loads of one group wait for each other: each gateway starts with engines that no other one starts with.
+  // Loads of one table group wait for each other. Each gateway therefore tries first the engines that no
+  // other gateway tries first.
   const auto of_other_gateways = [this](const EngineState* engine) {
     return (engine->rank + settings_.gateway_index) % settings_.gateway_count != 0;
   };
@@ -60,9 +62,9 @@
 
 // ---- Load reports ----
 
-// Keeps the engines whose load is known, and probes others where these are too few. Engines that send no
-// reports although the settings promise them are kept as they are, and probed from time to time. Returns
-// whether the request may go now.
+// Keeps the candidates whose load is known, and probes other candidates if these are too few. Engines that
+// send no reports although the settings promise reports remain candidates, and are probed from time to time.
+// Returns true if the request may be sent now.
 bool Scheduler::KeepEnginesWithKnownLoad(std::vector<EngineState*>& candidates) {
   if (!settings_.may_probe || !report_layout_.reports_load()) return true;
   const std::vector<EngineState*> all = candidates;
@@ -80,13 +82,13 @@
   if (!silent.empty() && !report_layout_.in_responses)
     SendProbe(silent, next_silent_probe_at_, kSilentProbeInterval);
 
-  // With many heavy requests pending one probe an interval is too little: without a probe under way they go
-  // as they would without load reports.
+  // With many heavy requests pending, one probe per interval is too few. While no probe is in flight,
+  // requests are then sent as they would be without load reports.
   const bool probe_under_way = now_ < next_probe_at_ - kProbeInterval + kProbeTimeout;
   const bool many_pending = pending_.HasGroupLargerThan(kMaxFailedPlacements);
   const bool affordable = credit_.HasCredit() || fleet_latency_ratio_ < kSlowFleetLatencyRatio;
   const bool send_without_report = candidates.empty() && !probe_under_way && many_pending && affordable;
-  // Until any engine has reported, the first one found silent must not get every request.
+  // Until an engine has reported, the first engine found to be silent must not get all requests.
   const bool none_ever_reported = !silent.empty() && !any_engine_reported_;
   if (send_without_report || none_ever_reported) candidates = all;
   return !candidates.empty();
@@ -101,7 +103,7 @@
 // ---- Expected delay ----
 
 EngineState* Scheduler::ShortestDelay(const RequestState& request, std::vector<EngineState*>& candidates) {
-  // Two random candidates come first.
+  // Moves two random candidates to the front.
   std::swap(candidates[0], candidates[RandomIndex(candidates.size())]);
   if (candidates.size() > 1) std::swap(candidates[1], candidates[1 + RandomIndex(candidates.size() - 1)]);
   EngineState* best = nullptr;
@@ -122,7 +124,7 @@
 }
 
 // Consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2018): a preferred engine gets at
-// most so many times its part of this gateway's recent work.
+// most a bounded multiple of its part of this gateway's recent work.
 bool Scheduler::PreferredEngineHasRoom(const EngineState& engine, double work) const {
   return engine.sent_load.recent() + work <= preferred_load_factor_ * recent_work_ * engine.cores;
 }
@@ -136,7 +138,8 @@
   const bool preferred = engine.rank < kPreferredEngines && !Class(request).holds_tables;
   const bool warm = engine.warm_tables.Holds(request.spec.table_group) || preferred;
   const double own = request.work / request.threads * (warm ? 1 - kWarmWorkSaving : 1);
-  // An engine that hangs some attempts responds fast to the others; heavy requests lose most by hanging.
+  // An engine on which some attempts hang may respond fast to the others. Heavy requests lose most by
+  // hanging.
   const double excess_hung = engine.hung_share - fleet_hung_share_ - kHungShareNoise;
   const double hung_cost = IsLight(request) ? 0 : kHungCostFactor * std::max(0.0, excess_hung);
   // Overdue attempts reveal a failing engine before its responses do.
