--- a/src/decision/estimates/class_estimates.cpp
+++ b/src/decision/estimates/class_estimates.cpp
@@ -8,14 +8,15 @@
 namespace {
 
 // Weights of the newest sample in a moving mean.
-constexpr double kSlowWeight = 0.03;        // means of the class
-constexpr double kRecentWeight = 0.05;      // the recent pace
-constexpr double kExploratoryWeight = 0.4;  // the recent pace, of an exploratory request
+constexpr double kSlowWeight = 0.03;        // for the means of the class
+constexpr double kRecentWeight = 0.05;      // for the recent slowdown
+constexpr double kExploratoryWeight = 0.4;  // for the recent slowdown, with an exploratory request
 
-constexpr double kMaxSampleFactor = 3;           // times the recent pace, that one sample counts at most
-constexpr double kBestSlowdownGrowth = 1.001;    // per sample, so that an outdated best pace is forgotten
-constexpr double kMemoryMarginDeviations = 1.5;  // mean errors that are added to the expected memory
-constexpr double kMinSlope = 0.2;                // of the regression; the greatest is 1
+constexpr double kMaxSampleFactor = 3;  // upper bound of a sample, as a multiple of the recent slowdown
+// Growth of the best slowdown per sample, so that an outdated best slowdown is forgotten.
+constexpr double kBestSlowdownGrowth = 1.001;
+constexpr double kMemoryMarginDeviations = 1.5;  // margin of the expected memory, in mean errors
+constexpr double kMinSlope = 0.2;  // lower bound of the slope of the regression; the upper bound is 1
 
 }  // namespace
 
@@ -62,7 +63,7 @@
   if (cost_reported_)
     return LearnSlowdown(response.time / std::max(ExpectedWork(response.estimated_work), 1e-3),
                          response.exploratory);
-  // The time over the relative work scatters less than the time itself.
+  // The time divided by the relative work scatters less than the time itself.
   const double ratio =
       LearnSlowdown(response.time / RelativeWork(response.estimated_work), response.exploratory);
   mean_work_ = best_slowdown_;
@@ -84,8 +85,8 @@
   LearnRegression(std::log(estimate), log_work, weight);
 }
 
-// Only the slope of the regression is used here. Its level is that of the pace: if each were learnt from
-// times over the other, both would drift.
+// Only the slope of the regression is used if the work isn't reported. Its level is that of the slowdown: if
+// each were learnt from times divided by the other, both would drift.
 void ClassEstimates::LearnTime(double estimate, double time) {
   const double log_difference = std::log(time / RelativeWork(estimate)) - mean_log_time_;
   if (responses_ == 1) mean_log_time_ += log_difference;
@@ -114,7 +115,7 @@
   covariance_ = std::clamp(covariance_, kMinSlope * log_estimate_variance_, log_estimate_variance_);
 }
 
-// From now on the pace is the time over the work, no longer the time.
+// Discards the slowdown. From now on it is the time divided by the work, no longer by the relative work.
 void ClassEstimates::ResetSlowdown() {
   recent_slowdown_ = 0;
   best_slowdown_ = 0;
--- a/src/decision/estimates/running_mix.h
+++ b/src/decision/estimates/running_mix.h
@@ -1,8 +1,6 @@
-// The mean of the requests that are found running at a random moment, from those that this gateway has run:
-// each counts for as long as it ran. Stands for requests of other gateways, of which only the number is
-// known.
-//
-// Contract. No clock, no I/O. Owner: the decision module. Errors: none.
+// The mean of the requests that run at a random moment, learnt from the requests of this gateway. Each is
+// weighted by the time that it ran. The mean stands for requests of other gateways, of which only the number
+// is known.
 #ifndef LEMONCROFT_ESTIMATES_RUNNING_MIX_H_
 #define LEMONCROFT_ESTIMATES_RUNNING_MIX_H_
 
@@ -12,14 +10,14 @@
 
 class RunningMix {
  public:
-  // An attempt has ended. `weight` of the sample grows with the time that it ran.
+  // Records an ended attempt. `weight` grows with the time that the attempt ran.
   void Record(double work, double threads, double memory_mb, double weight) {
-    UpdateMovingMean(remaining_work_, work / 2, weight);  // it is found half done, on average
+    UpdateMovingMean(remaining_work_, work / 2, weight);  // half of the work remains on average
     UpdateMovingMean(threads_, threads, weight);
     UpdateMovingMean(memory_mb_, memory_mb, weight);
   }
 
-  double remaining_work() const { return remaining_work_; }  // thread seconds
+  double remaining_work() const { return remaining_work_; }  // in thread seconds
   double threads() const { return threads_; }
   double memory_mb() const { return memory_mb_; }
 
--- a/src/decision/limits/capacity_credit.cpp
+++ b/src/decision/limits/capacity_credit.cpp
@@ -8,8 +8,10 @@
 namespace lemoncroft::limits {
 namespace {
 
-constexpr double kDemandTimeConstantSeconds = 8;  // that demand is averaged over
-constexpr double kMaxCreditSeconds = 2;  // of the gateway's part; or so many requests of the heaviest class
+constexpr double kDemandTimeConstantSeconds = 8;  // of the average of demand
+// The credit is limited to the gateway's part over this time, or to the work of as many requests of the
+// heaviest class if that is more.
+constexpr double kMaxCreditSeconds = 2;
 
 }  // namespace
 
@@ -19,8 +21,8 @@
   demand_ *= std::exp(-seconds / kDemandTimeConstantSeconds);
   if (!started_) demand_ = kAssumedLoad * fleet.listed_cores / fleet.gateways;
   load_ = demand_ / std::max(1.0, fleet.subset_cores);
-  // In an overload the demands of all gateways, retries of clients included, add up to more than the fleet
-  // has; then responses are slow.
+  // In an overload, the demands of all gateways, including retries of clients, add up to more than the
+  // capacity of the fleet, and responses are slow.
   demand_share_ = std::min(1.0, load_ / std::max(1.0, fleet.latency_ratio));
   const double rate = ConcurrencyLimit::kSeedThreadsPerCore * demand_;
   const double max_credit = kMaxCreditSeconds * std::max(rate, fleet.heaviest_class_work);
--- a/src/decision/limits/capacity_credit.h
+++ b/src/decision/limits/capacity_credit.h
@@ -1,49 +1,49 @@
-// One gateway's part of the capacity of the fleet, held on average over time: a credit in thread seconds that
-// grows with the gateway's own demand and is charged for what its attempts take.
+// Limits one gateway to its part of the fleet's capacity, on average over time. The credit, in thread
+// seconds, grows with the gateway's own demand and is charged for what its attempts take.
 //
-// With many gateways the part of one engine's concurrency limit that falls to each is less than one request,
-// so that the limit can only hold over the whole fleet and over time. A gateway without credit waits after a
-// burst of its own even if engines have capacity left.
+// With many gateways, each gateway's part of an engine's concurrency limit is less than one request. The
+// limit can therefore only hold over the whole fleet and over time. A gateway without credit waits after a
+// burst of its own, even if engines have spare capacity.
 //
-// Contract. No clock: `Advance` is passed the time that has gone by. Units: thread seconds; demand in thread
-// seconds a second. Owner: the decision module, one for each gateway. Errors: none.
+// The decision module has one CapacityCredit for each gateway. It reads no clock: `Advance` is passed the
+// elapsed time. Demand is in thread seconds per second.
 #ifndef LEMONCROFT_LIMITS_CAPACITY_CREDIT_H_
 #define LEMONCROFT_LIMITS_CAPACITY_CREDIT_H_
 
 namespace lemoncroft::limits {
 
-// The fleet as the gateway sees it now.
+// The gateway's current view of the fleet.
 struct FleetCapacity {
   double listed_cores = 0;
   double subset_cores = 0;         // of the engines in the gateway's subset
-  int gateways = 1;                // that share the fleet
-  double latency_ratio = 1;        // of recent responses
+  int gateways = 1;                // number of gateways that share the fleet
+  double latency_ratio = 1;        // mean of recent responses
   double heaviest_class_work = 0;  // mean work of the heaviest class
 };
 
 class CapacityCredit {
  public:
-  static constexpr double kAssumedLoad = 0.85;  // of the fleet's cores, before any demand has been seen
+  static constexpr double kAssumedLoad = 0.85;  // of the fleet's cores, until there is demand
 
-  // A request that needs `work` has come.
+  // Records the arrival of a request that needs `work`.
   void RecordDemand(double work);
 
-  // Credits `seconds` of the gateway's part. Until the first engine is listed demand is assumed and the
-  // credit is `initial_fill` of the most, from 0 to 1: drawn at random it keeps gateways from starting in
-  // step.
+  // Adds the credit of `seconds`. Until the first engine is listed, the demand is assumed, and the credit is
+  // the share `initial_fill` of its maximum, from 0 to 1. A random `initial_fill` keeps gateways from
+  // starting in step.
   void Advance(double seconds, const FleetCapacity& fleet, double initial_fill);
-  // Whether an engine has been listed, so that `initial_fill` has no effect any more.
+  // Returns true once an engine has been listed. `initial_fill` has no effect from then on.
   bool started() const { return started_; }
 
   bool HasCredit() const { return credit_ > 0; }
-  // Charges an attempt, by what it is expected to take.
+  // Charges an attempt with the thread seconds that it is expected to take.
   void Reserve(double expected) { credit_ -= expected; }
-  // Corrects the charge of an ended attempt to what it took.
+  // Corrects the charge of an ended attempt to the thread seconds that it took.
   void Settle(double reserved, double taken) { credit_ += reserved - taken; }
 
-  // The gateway's demand over the cores of its subset.
+  // Returns the gateway's demand divided by the cores of its subset.
   double load() const { return load_; }
-  // The gateway's part of the fleet's usual traffic, 0 to 1.
+  // Returns the gateway's share of the fleet's usual traffic, from 0 to 1.
   double demand_share() const { return demand_share_; }
 
  private:
--- a/src/decision/limits/concurrency_limit.cpp
+++ b/src/decision/limits/concurrency_limit.cpp
@@ -5,11 +5,11 @@
 namespace lemoncroft::limits {
 namespace {
 
-constexpr double kStepShare = 1.0 / 6;     // of the seed, that one step raises or lowers the limit by
+constexpr double kStepShare = 1.0 / 6;     // size of a step, as a share of the seed
 constexpr double kMinStep = 1;             // threads
-constexpr double kMinThreads = 1;          // of any limit
-constexpr double kChangeThreshold = 0.05;  // share by which throughput or latency must differ to count
-constexpr double kPeriodJitter = 0.3;      // share of the period
+constexpr double kMinThreads = 1;          // lower bound of any limit
+constexpr double kChangeThreshold = 0.05;  // relative change of throughput or latency that counts
+constexpr double kPeriodJitter = 0.3;      // as a share of the period
 constexpr double kNanosPerSecond = 1'000'000'000;
 
 }  // namespace
@@ -39,7 +39,7 @@
   const bool gained = throughput >= last_throughput_ * (1 + kChangeThreshold);
   const bool slower = last_latency_ > 0 && latency > last_latency_ * (1 + kChangeThreshold);
   const double floor = !pressure.objective_missed && !period_.full ? seed : kMinThreads;
-  if (raised_ && (!gained || period_.full)) {  // the raise didn't pay: taken back, whatever is pending
+  if (raised_ && (!gained || period_.full)) {  // reverts a raise without a gain, even with requests pending
     threads_ = std::max(kMinThreads, threads_ - step);
     raised_ = false;
   } else if (pressure.had_pending && !period_.full) {
--- a/src/decision/limits/ordering_key_queues.h
+++ b/src/decision/limits/ordering_key_queues.h
@@ -1,9 +1,8 @@
-// Requests that run one at a time for each ordering key, in order of arrival. After an attempt that may still
-// run the key is paused.
+// Queues of the requests that run one at a time for each ordering key, in order of arrival. A key is paused
+// after an attempt that may still run.
 //
-// Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. A key is kept while it has requests or is paused. Owner: the decision module. Errors: none;
-// removing what isn't queued does nothing.
+// The caller passes the current time, in nanoseconds of the decision module's clock, which never runs
+// backwards. A key is stored while it has requests or is paused.
 #ifndef LEMONCROFT_LIMITS_ORDERING_KEY_QUEUES_H_
 #define LEMONCROFT_LIMITS_ORDERING_KEY_QUEUES_H_
 
@@ -26,20 +25,21 @@
 
   void Append(Key key, RequestId id) { queues_[key].order.push_back(id); }
 
+  // Does nothing if the request isn't queued.
   void Remove(Key key, RequestId id) {
     const auto it = queues_.find(key);
     if (it != queues_.end()) std::erase(it->second.order, id);
   }
 
-  // Empties all queues; paused keys stay paused.
+  // Empties all queues. Paused keys remain paused.
   void Clear() {
     for (auto& [key, queue] : queues_) queue.order.clear();
   }
 
   void PauseUntil(Key key, Nanos until) { queues_[key].paused_until = until; }
 
-  // The request whose turn it is. None if the key has no request or is paused; in the latter case TakeResumed
-  // will return the key.
+  // Returns the first request of the key, or nothing if the key has no request or is paused. If it is paused,
+  // TakeResumed will return the key.
   std::optional<RequestId> Front(Key key, Nanos now) {
     const auto it = queues_.find(key);
     if (it == queues_.end()) return std::nullopt;
@@ -53,7 +53,7 @@
     return std::nullopt;
   }
 
-  // Keys for which Front was called while they were paused and whose pause is over; each is returned once.
+  // Returns each key for which Front was called during its pause, once, after the pause is over.
   std::vector<Key> TakeResumed(Nanos now) {
     std::vector<Key> keys;
     for (; !paused_.empty() && paused_.begin()->first <= now; paused_.erase(paused_.begin()))
--- a/src/decision/limits/placement.h
+++ b/src/decision/limits/placement.h
@@ -1,7 +1,5 @@
-// Where a request may run: the zones and kinds of engines that its class is restricted to, and the engines
-// that recognise its repeats.
-//
-// Contract. Pure functions. Errors: none.
+// Restrictions on the engines that a request may run on: the zones and kinds that its class allows, and the
+// engines that recognise its repeats.
 #ifndef LEMONCROFT_LIMITS_PLACEMENT_H_
 #define LEMONCROFT_LIMITS_PLACEMENT_H_
 
@@ -14,7 +12,8 @@
 
 namespace lemoncroft::limits {
 
-// Whether requests of the class may run on the engine. A class without zones or kinds isn't restricted.
+// Returns true if requests of the class may run on the engine. A class without zones or kinds isn't
+// restricted.
 inline bool PlacementAllows(const ClassSettings& settings, const EngineEntry& engine) {
   const auto within = [](const std::vector<std::uint16_t>& places, std::uint16_t place) {
     return places.empty() || std::find(places.begin(), places.end(), place) != places.end();
@@ -22,7 +21,7 @@
   return within(settings.zones, engine.zone) && within(settings.kinds, engine.kind);
 }
 
-// Whether `engine` recognises repeats of a request that may have run on `may_have_run_on`.
+// Returns true if `engine` recognises repeats of a request that may have run on `may_have_run_on`.
 inline bool RecognizesRepeats(RepeatGroup group, const EngineEntry& may_have_run_on,
                               const EngineEntry& engine) {
   switch (group) {
--- a/src/decision/limits/retry_budget.h
+++ b/src/decision/limits/retry_budget.h
@@ -1,8 +1,8 @@
-// A retry budget: the retries in any `window` may number `free` plus `ratio` for each request received
-// in it.
+// A retry budget: in any `window`, there are at most `free` retries plus `ratio` times the number of requests
+// received in it.
 //
-// Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. Owner: the decision module. Errors: none.
+// The caller passes the current time, in nanoseconds of the decision module's clock, which never runs
+// backwards.
 #ifndef LEMONCROFT_LIMITS_RETRY_BUDGET_H_
 #define LEMONCROFT_LIMITS_RETRY_BUDGET_H_
 
@@ -18,8 +18,8 @@
   void RecordRequest(Nanos now) { requests_.push_back(now); }
   void RecordRetry(Nanos now) { retries_.push_back(now); }
 
-  // Whether one more retry fits. `free` is divided by `parts`. Retries count for `margin` longer than
-  // requests, since engines measure the window at the arrival of retries.
+  // Returns true if the budget allows one more retry. `free` is divided by `parts`. Retries count for
+  // `margin` longer than requests, since engines measure the window at the arrival of retries.
   bool Allows(const RetryBudgetSettings& budget, int parts, Nanos margin, Nanos now) {
     DropThrough(retries_, now - budget.window - margin);
     DropThrough(requests_, now - budget.window);
@@ -32,8 +32,8 @@
     while (!times.empty() && times.front() <= until) times.pop_front();
   }
 
-  std::deque<Nanos> requests_;  // times, oldest first
-  std::deque<Nanos> retries_;   // likewise
+  std::deque<Nanos> requests_;  // arrival times, oldest first
+  std::deque<Nanos> retries_;   // send times, oldest first
 };
 
 }  // namespace lemoncroft::limits
--- a/src/decision/limits/sent_load.h
+++ b/src/decision/limits/sent_load.h
@@ -1,9 +1,8 @@
-// The load that one gateway has put on one engine: what runs there now, what was sent recently, and the
+// The load that one gateway has put on one engine: its attempts in flight, the work sent recently, and the
 // backlog of attempts that were abandoned and may still run.
 //
-// Contract. No clock, no I/O. Work in thread seconds (seconds times the threads that a request runs), memory
-// in MB. RecordEnd is called once for each RecordSend, with the same charge. Owner: the decision module, one
-// for each engine. Errors: none.
+// Work is in thread seconds: seconds times the threads that a request uses. RecordEnd is called once for each
+// RecordSend, with the same charge.
 #ifndef LEMONCROFT_LIMITS_SENT_LOAD_H_
 #define LEMONCROFT_LIMITS_SENT_LOAD_H_
 
@@ -14,15 +13,15 @@
 namespace lemoncroft::limits {
 
 struct AttemptCharge {
-  bool light = false;  // light and heavy classes are counted apart
+  bool light = false;  // light and heavy classes are counted separately
   double threads = 0;
   double memory_mb = 0;
-  double work = 0;  // expected
+  double work = 0;  // expected work
 };
 
 class SentLoad {
  public:
-  static constexpr double kRecentTimeConstantSeconds = 8;  // of the recent work
+  static constexpr double kRecentTimeConstantSeconds = 8;  // of the decay of the recent work
 
   void RecordSend(const AttemptCharge& charge) {
     threads_[charge.light] += charge.threads;
@@ -30,20 +29,21 @@
     recent_ += charge.work;
   }
 
-  // `may_still_run`: the attempt ended without a response. An engine may act on a cancellation late or never.
+  // `may_still_run`: the attempt ended without a response, and the engine may act on a cancellation late or
+  // never. Its work is then added to the backlog.
   void RecordEnd(const AttemptCharge& charge, bool may_still_run) {
     threads_[charge.light] -= charge.threads;
     memory_mb_ -= charge.memory_mb;
     if (may_still_run) backlog_ += charge.work;
   }
 
-  // Lets `seconds` go by. `rate`: thread seconds a second in which the engine works off the backlog.
+  // Advances the time by `seconds`. The engine works off the backlog at `rate`, in thread seconds per second.
   void Advance(double seconds, double rate) {
     recent_ *= std::exp(-seconds / kRecentTimeConstantSeconds);
     backlog_ = std::max(0.0, backlog_ - rate * seconds);
   }
 
-  // The engine has restarted: nothing that its former process ran is left.
+  // Resets the recent work and the backlog after a restart of the engine.
   void ResetForRestart() {
     recent_ = 0;
     backlog_ = 0;
--- a/src/decision/limits/token_bucket.h
+++ b/src/decision/limits/token_bucket.h
@@ -1,7 +1,7 @@
-// A token bucket: `rate` tokens a second, at most `depth` seconds of them saved up; full at first.
+// A token bucket. It gains `rate` tokens per second, holds at most `depth` seconds' worth of tokens, and is
+// full at first.
 //
-// Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. Owner: whoever limits a rate. Errors: none.
+// The caller passes the current time in nanoseconds, which never runs backwards.
 #ifndef LEMONCROFT_LIMITS_TOKEN_BUCKET_H_
 #define LEMONCROFT_LIMITS_TOKEN_BUCKET_H_
 
@@ -26,7 +26,7 @@
 
  private:
   double tokens_ = 0;
-  std::int64_t updated_at_ = -1;  // -1: never
+  std::int64_t updated_at_ = -1;  // -1 = never
 };
 
 }  // namespace lemoncroft::limits
--- a/src/decision/reports/reported_load.h
+++ b/src/decision/reports/reported_load.h
@@ -1,9 +1,8 @@
-// The load of an engine by its own load reports: how many requests of other gateways it runs, how old that
-// figure is, and whether reports come at all.
+// The load of one engine according to its load reports: the number of requests of other gateways that it
+// runs, the age of that number, and whether the engine sends reports at all.
 //
-// Contract. No clock: each call is passed the time, in nanoseconds of the decision module, which never runs
-// backwards. Units: requests. Owner: the decision module, one for each engine. Errors: none; a report without
-// a usable value counts as missing.
+// The caller passes the current time, in nanoseconds of the decision module's clock, which never runs
+// backwards. A report without a usable value counts as missing.
 #ifndef LEMONCROFT_REPORTS_REPORTED_LOAD_H_
 #define LEMONCROFT_REPORTS_REPORTED_LOAD_H_
 
@@ -16,11 +15,11 @@
 
 namespace lemoncroft::reports {
 
-// Which usable figures the settings promise in a load report, and where they stand.
+// The positions of the usable values that a load report contains according to the settings.
 struct ReportLayout {
-  std::optional<std::size_t> inflight;  // position of the requests in flight; none: no usable reports
-  std::optional<std::size_t> memory;    // position of the share of memory granted
-  bool in_responses = false;            // else in the results of probes alone
+  std::optional<std::size_t> inflight;  // number of requests in flight; none: no usable reports
+  std::optional<std::size_t> memory;    // share of memory granted
+  bool in_responses = false;            // otherwise only in the results of probes
 
   static ReportLayout FromSettings(const Settings& settings);
   bool reports_load() const { return inflight.has_value(); }
@@ -28,29 +27,31 @@
 
 class ReportedLoad {
  public:
-  // Takes the report of a response or a probe. `own`: requests of this gateway at the engine now. Returns
-  // whether the report had the requests in flight.
+  // Applies the report of a response or a probe. `own` is the current number of requests of this gateway at
+  // the engine. Returns true if the report has the number of requests in flight.
   bool Update(const ReportLayout& layout, const LoadReport& report, double own, Nanos now);
-  // A report was due and none came.
+  // Records that a report was due and is missing.
   void RecordMissing() { missing_reports_ += missing_reports_ < kMaxMissingReports; }
 
-  // Whether the last report is recent enough to decide by.
+  // Returns true if the last report is recent enough for decisions.
   bool IsFresh(Nanos now) const { return reported_at_ >= 0 && now - reported_at_ < kFreshDuration; }
-  // Whether the engine sends no reports although the settings promise them.
+  // Returns true if the engine sends no reports although the settings promise them.
   bool IsSilent() const { return missing_reports_ >= kMaxMissingReports; }
-  // Requests of other gateways at the time of the last report.
+  // Returns the number of requests of other gateways at the time of the last report.
   double other_requests() const { return other_requests_; }
-  // The same now. Each other gateway that shares the engine has read the same report, and is assumed to have
-  // sent as much since as this one, which now has `own` requests there.
+  // Estimates the current number of requests of other gateways. Each other gateway that shares the engine has
+  // read the same report, and is assumed to have sent as many requests since then as this gateway, which now
+  // has `own` requests there.
   double OtherRequestsNow(double own, double gateways) const {
     return std::max(0.0, other_requests_ + (own - own_requests_) * (gateways - 1));
   }
-  // The share of the engine's memory that is granted now, by the same assumption; none if unreported.
+  // Estimates the share of the engine's memory that is granted now, with the same assumption; none if it
+  // isn't reported.
   std::optional<double> GrantedMemoryShare(double own, double gateways) const;
 
  private:
-  static constexpr Nanos kFreshDuration = 1'000'000'000;  // of a report
-  static constexpr int kMaxMissingReports = 3;            // in a row
+  static constexpr Nanos kFreshDuration = 1'000'000'000;  // a report is fresh for 1 s
+  static constexpr int kMaxMissingReports = 3;            // consecutive
 
   Nanos reported_at_ = -1;
   double other_requests_ = 0;
--- a/src/decision/subset/ranking_cache.h
+++ b/src/decision/subset/ranking_cache.h
@@ -1,10 +1,10 @@
-// Cache of the rendezvous order of the listed engines, by key. Engines are ranked for the table group of each
-// request, while table groups and engines change rarely.
+// A cache of the rendezvous order of the listed engines by key (Thaler and Ravishankar, "Using name-based
+// mappings to increase hit rates", 1998). Engines are ranked for the table group of each request, while table
+// groups and engines change rarely.
 //
-// Contract. The result of Rank() depends only on the engines, the key and `allowed`. The owner calls Clear()
-// whenever an engine is added or removed or changes its `listed`, since the cache points to the engines. It
-// holds at most kMaxCachedEntries pointers. Owner: the decision module; one thread. Errors: none. Source:
-// Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998).
+// The result of Rank() depends only on the engines, the key and `allowed`. The cache holds pointers to
+// engines, at most kMaxCachedEntries. The owner calls Clear() whenever an engine is added, is removed or
+// changes its `listed`. The cache is used by one thread.
 #ifndef LEMONCROFT_SUBSET_RANKING_CACHE_H_
 #define LEMONCROFT_SUBSET_RANKING_CACHE_H_
 
@@ -25,14 +25,15 @@
 template <typename Engine>
 class RankingCache {
  public:
-  static constexpr std::size_t kMaxCachedEntries = std::size_t{1} << 20;  // 8 MB
+  static constexpr std::size_t kMaxCachedEntries = std::size_t{1} << 20;  // pointers; 8 MB
 
   void Clear() {
     orders_.clear();
     entries_ = 0;
   }
 
-  // Sets the `rank` of each listed engine that is allowed, 0 for the highest hash. Returns their number.
+  // Sets the `rank` of each listed engine that is allowed; 0 is the highest hash. Returns the number of these
+  // engines.
   template <typename Allowed>
   std::size_t Rank(std::map<EngineId, Engine>& engines, std::uint64_t key, const Allowed& allowed) {
     std::size_t ranked = 0;
@@ -66,7 +67,7 @@
   }
 
   std::unordered_map<std::uint64_t, std::vector<Engine*>> orders_;
-  std::size_t entries_ = 0;  // in all orders
+  std::size_t entries_ = 0;  // pointers in all orders
 };
 
 }  // namespace lemoncroft::subset
--- a/src/decision/subset/subset.cpp
+++ b/src/decision/subset/subset.cpp
@@ -7,8 +7,8 @@
 namespace lemoncroft::subset {
 namespace {
 
-constexpr double kGatewaysPerEngine = 25;   // wanted; enough to smooth out their bursts
-constexpr std::size_t kMinSubsetSize = 10;  // engines; some of them may be warming up or failing
+constexpr double kGatewaysPerEngine = 25;   // target; enough to smooth out the bursts of gateways
+constexpr std::size_t kMinSubsetSize = 10;  // engines, some of which may be warming up or failing
 
 }  // namespace
 
@@ -48,7 +48,8 @@
 int MaxGatewaysPerEngine(std::size_t engines, int gateways) {
   if (engines == 0) return 1;
   const std::size_t all = SubsetSize(engines, gateways) * static_cast<std::size_t>(std::max(1, gateways));
-  // Windows start at rounded positions of the ring: an engine may be in one more than the mean.
+  // Windows start at rounded positions of the ring, so that an engine may be in one window more than the
+  // mean.
   const std::size_t mean = (all + engines - 1) / engines;
   return static_cast<int>(std::min<std::size_t>(mean + 1, static_cast<std::size_t>(std::max(1, gateways))));
 }
--- a/src/decision/subset/warm_tables.h
+++ b/src/decision/subset/warm_tables.h
@@ -1,6 +1,4 @@
-// The table groups that an engine is assumed to have in memory: those that it has read last.
-//
-// Contract. No clock, no I/O. Owner: the decision module, one for each engine. Errors: none.
+// The table groups that one engine is assumed to have in memory: those that it has read most recently.
 #ifndef LEMONCROFT_SUBSET_WARM_TABLES_H_
 #define LEMONCROFT_SUBSET_WARM_TABLES_H_
 
@@ -13,7 +11,7 @@
 
 class WarmTables {
  public:
-  // A request for this group goes to the engine. The group read longest ago is dropped.
+  // Records that a request for this group is sent to the engine. The least recently read group is evicted.
   void RecordRead(std::uint32_t group) {
     std::erase(groups_, group);
     groups_.push_front(group);
