--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -10,25 +10,27 @@
 
 namespace {
 
-constexpr Duration kUpdateInterval = 50ms;  // of charges, rates and forecasts
-constexpr Duration kBacklogInterval = 5ms;  // between steps while reviews are due at once
-// Retry-After of a full queue: when about this many of the tenant's requests have left, or a fraction of the
-// estimated wait has passed.
-constexpr int kPlacesBeforeRetry = 8;
+constexpr Duration kUpdateInterval = 50ms;  // between updates of charges, rates and forecasts
+constexpr Duration kBacklogInterval = 5ms;  // between steps while the review backlog is not empty
+// A request that is rejected because its tenant's queue is full may retry after the estimated time in which
+// about kDispatchesBeforeRetry of the tenant's requests are dispatched. A request that is rejected because
+// the queue of all tenants is full may retry after 1/kQueueFullWaitDivisor of its estimated wait.
+constexpr int kDispatchesBeforeRetry = 8;
 constexpr int kQueueFullWaitDivisor = 8;
-constexpr Duration kImmediateStartTolerance = 100ms;  // allowed for a start without waiting
-constexpr double kVirtualTimeRateWindowSeconds = 4;
-constexpr double kEstimateBiasWeight = 0.03;  // of the newest response
-constexpr double kMaxEstimateError = 1.4;     // of the logarithm: limits the effect of an outlier
-constexpr double kMaxEstimateBias = 2.0;      // of the logarithm
-constexpr double kMinWorkSeconds = 1e-6;      // avoids a division by zero
-constexpr double kMaxVirtualTimeRate = 20;    // per second: limits the effect of a jump
-constexpr double kMaxEstimateRatio = 200;     // to the default work of the class
+// The latest start of an admitted request is at least this far ahead, unless its deadline is earlier.
+constexpr Duration kImmediateStartTolerance = 100ms;
+constexpr double kVirtualTimeRateTimeConstantSeconds = 4;
+constexpr double kWorkBiasWeight = 0.03;    // weight of the newest response
+constexpr double kMaxWorkError = 1.4;       // logarithm of a ratio; limits the effect of an outlier
+constexpr double kMaxWorkBias = 2.0;        // logarithm of a ratio
+constexpr double kMinWorkSeconds = 1e-6;    // avoids a division by zero
+constexpr double kMaxVirtualTimeRate = 20;  // seconds per second; limits the effect of a jump
+constexpr double kMaxEstimateRatio = 200;   // ratio of an estimate to the default work of the class
 
 }  // namespace
 
 AdmissionQueue::AdmissionQueue(Settings settings) : settings_(std::move(settings)), running_(ledger_) {
-  estimate_bias_.assign(settings_.classes.size(), 0);
+  work_estimate_bias_.assign(settings_.classes.size(), 0);
   Configure(settings_, Time{});
 }
 
@@ -36,7 +38,7 @@
   const ClassPolicy& c = settings_.classes[request.class_id];
   const Work default_work = std::max<Work>(1us, c.default_work);
   if (request.estimated_work <= Work::zero()) return default_work;
-  const double corrected = Seconds(request.estimated_work) * std::exp(estimate_bias_[request.class_id]);
+  const double corrected = Seconds(request.estimated_work) * std::exp(work_estimate_bias_[request.class_id]);
   return std::clamp<Work>(FromSeconds(corrected), 1us,
                           FromSeconds(Seconds(default_work) * kMaxEstimateRatio));
 }
@@ -76,9 +78,9 @@
                                                          const WaitEstimate& estimate, Time now) {
   const std::size_t waiting = tenants_[r.tenant].size();
   const std::size_t max_waiting = settings_.tenants[r.tenant].max_waiting;
-  // Places in a full queue become free at the rate that the estimate assumes.
+  // The queue of a tenant is assumed to drain at the rate on which the estimate is based.
   if (max_waiting > 0 && waiting >= max_waiting) {
-    const Duration retry_after = estimate.wait / static_cast<int>(1 + waiting / kPlacesBeforeRetry);
+    const Duration retry_after = estimate.wait / static_cast<int>(1 + waiting / kDispatchesBeforeRetry);
     return MakeReject(request, RejectReason::kTenantQueueFull, retry_after);
   }
   if (waiting_count_ >= settings_.max_waiting)
@@ -97,7 +99,7 @@
   tenant.waiting_work[lane] += r.work;
   ++tenant.waiting_count[lane];
   ++waiting_count_;
-  r.announced_start = now + estimate.wait;
+  r.reported_start = now + estimate.wait;
   Request& entry = requests_.emplace(request.id, r).first->second;
   ScheduleReview(request.id, entry, now, estimate.wait);
   next_step_ = now;
@@ -114,8 +116,8 @@
   r.raw_wait = RawWait(r, now);
   const WaitEstimate estimate = CorrectedEstimate(r, r.raw_wait);
   if (const auto rejected = RejectIfFullOrLate(request, r, estimate, now)) return {rejected, {}, {}};
-  // A request expected to run past its deadline is still tried if it can start at once: the expected run time
-  // is only an estimate.
+  // A request that is expected to run past its deadline is still admitted if it can start at once, since the
+  // expected run time is only an estimate.
   r.latest_start = std::max(r.latest_start, std::min(request.deadline, now + kImmediateStartTolerance));
   Enqueue(request, r, estimate, now);
   return {std::nullopt, estimate, r.latest_start};
@@ -143,9 +145,9 @@
       ++requests_.at(other).overtaken_by;
     }
     RemoveFromDispatched(id, r);
-    lane.pacer.Started(r.work);
+    lane.rate_meter.AddStarted(r.work);
     lane.start_rate.Add(1);
-    lane.accuracy.Learn(r.raw_wait, now - r.submitted_at);
+    lane.accuracy.AddSample(r.raw_wait, now - r.submitted_at);
   }
   ++r.running_attempts;
   running_.Begin({id, attempt, r.tenant, settings_.classes[r.class_id].threads,
@@ -155,8 +157,9 @@
   next_step_ = std::min(next_step_, now);
 }
 
-void AdmissionQueue::OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool executed, Time now) {
-  const auto ended = running_.End(id, attempt, reported_work, executed, now);
+void AdmissionQueue::OnAttemptEnded(RequestId id, int attempt, Work reported_work, bool may_have_run,
+                                    Time now) {
+  const auto ended = running_.End(id, attempt, reported_work, may_have_run, now);
   if (!ended) return;
   next_step_ = std::min(next_step_, now);
   const auto it = requests_.find(id);
@@ -165,9 +168,9 @@
   if (it == requests_.end() || reported_work <= Work::zero()) return;
   const Request& r = it->second;
   const double error = std::log(Seconds(reported_work) / std::max(kMinWorkSeconds, Seconds(r.work)));
-  double& bias = estimate_bias_[r.class_id];
-  bias = std::clamp(bias + kEstimateBiasWeight * std::clamp(error, -kMaxEstimateError, kMaxEstimateError),
-                    -kMaxEstimateBias, kMaxEstimateBias);
+  double& bias = work_estimate_bias_[r.class_id];
+  bias = std::clamp(bias + kWorkBiasWeight * std::clamp(error, -kMaxWorkError, kMaxWorkError), -kMaxWorkBias,
+                    kMaxWorkBias);
 }
 
 void AdmissionQueue::OnRequestCompleted(RequestId id, Time now) {
@@ -179,7 +182,7 @@
   if (r.dispatched)
     tenants_[r.tenant].threads += (r.running_attempts - 1) * settings_.classes[r.class_id].threads;
   if (r.dispatched) threads_by_lane_[LaneOf(r.class_id)] -= settings_.classes[r.class_id].threads;
-  if (r.charged > Work::zero()) ledger_.Charge(r.tenant, -r.charged);  // dispatched, never started
+  if (r.charged > Work::zero()) ledger_.Charge(r.tenant, -r.charged);  // it never started
   requests_.erase(it);
   next_step_ = std::min(next_step_, now);
 }
@@ -208,19 +211,19 @@
   running_.ChargeOverruns(now);
   const double cores = AvailableCores();
   for (LaneState& lane : lanes_) {
-    lane.pacer.Close(window, lane.had_waiting, fleet_cores_ > 0 ? cores : 0);
-    lane.start_rate.Close(Seconds(window), true);
-    lane.had_waiting = true;  // until DispatchLane finds that none waits
+    lane.rate_meter.EndWindow(window, lane.had_waiting, fleet_cores_ > 0 ? cores : 0);
+    lane.start_rate.EndWindow(Seconds(window), true);
+    lane.had_waiting = true;  // until DispatchLane finds no waiting request
     lane.forecast_stale = true;
   }
   for (TenantQueue& tenant : tenants_) {
-    for (RateEstimator& rate : tenant.arrival_rates) rate.Close(Seconds(window), true);
+    for (RateEstimator& rate : tenant.arrival_rates) rate.EndWindow(Seconds(window), true);
   }
   for (TenantId t = 0; t < tenants_.size(); ++t) ledger_.SetCompeting(t, IsCompeting(t));
-  const double moved = std::max(0.0, ledger_.virtual_time() - last_virtual_time_) / Seconds(window);
+  const double advance_rate = std::max(0.0, ledger_.virtual_time() - last_virtual_time_) / Seconds(window);
   last_virtual_time_ = ledger_.virtual_time();
-  virtual_time_rate_ += (1 - std::exp(-Seconds(window) / kVirtualTimeRateWindowSeconds)) *
-                        (std::min(moved, kMaxVirtualTimeRate) - virtual_time_rate_);
+  virtual_time_rate_ += (1 - std::exp(-Seconds(window) / kVirtualTimeRateTimeConstantSeconds)) *
+                        (std::min(advance_rate, kMaxVirtualTimeRate) - virtual_time_rate_);
 }
 
 std::size_t AdmissionQueue::memory_bytes() const {
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -23,7 +23,7 @@
 constexpr Nanos kFileTimeTolerance = 1'000'000'000;
 
 std::string TextOr(const Json& json, const std::string& absent) {
-  return json.Is(Json::Kind::kText) ? json.text : absent;
+  return json.Is(Json::Kind::kString) ? json.text : absent;
 }
 
 Nanos NanosOf(EndpointDirectory::UnixTime at) {
@@ -90,7 +90,7 @@
 std::optional<EngineList> EndpointDirectory::ApplyEvent(const Json& update) {
   const Json& list = update[feed::kEndpoints];
   if (!list.Is(Json::Kind::kArray)) return std::nullopt;
-  const bool complete = update[feed::kIsCompleteList].True();
+  const bool complete = update[feed::kIsCompleteList].IsTrue();
   std::vector<EngineEntry> entries;
   for (const Json& json : list.items) {
     if (auto entry = ApplyEndpoint(json)) entries.push_back(*entry);
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -1,5 +1,5 @@
-// The failure detector of MembershipView: direct and indirect probes, probes relayed for others, verification
-// of failures that others report, and local health.
+// The failure detector of MembershipView: direct and indirect probes, probes on behalf of other members,
+// verification of failures that other members report, and local health.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -18,8 +18,8 @@
     local_health_ = std::clamp(local_health_ + delta, 0, kMaxLocalHealth);
 }
 
-// Probes one confirmed member, as SWIM does, and some unconfirmed ones besides: forged members then neither
-// delay the probes of the others nor stay for long.
+// Probes one confirmed member, as in SWIM, and up to kUnconfirmedProbesPerPeriod unconfirmed ones. Forged
+// members then neither delay the probes of confirmed members nor stay in the table for long.
 void MembershipView::StartNextProbes(Time now) {
   next_probe_ = now + settings_.probe_interval * (1 + local_health_);
   if (left_) return;
@@ -30,7 +30,7 @@
 }
 
 std::optional<InstanceId> MembershipView::NextInRound(std::vector<InstanceId>& round, bool confirmed) {
-  const auto fits = [&](InstanceId id) {
+  const auto is_eligible = [&](InstanceId id) {
     const Member* member = members_.Find(id);
     return member != nullptr && member->is_live() && member->last_direct_contact.has_value() == confirmed;
   };
@@ -38,10 +38,10 @@
     while (!round.empty()) {
       const InstanceId id = round.back();
       round.pop_back();
-      if (fits(id)) return id;
+      if (is_eligible(id)) return id;
     }
     for (const InstanceId id : confirmed ? members_.others() : members_.unconfirmed())
-      if (fits(id)) round.push_back(id);
+      if (is_eligible(id)) round.push_back(id);
     for (std::size_t i = round.size(); i > 1; --i) std::swap(round[i - 1], round[RandomBelow(i)]);
   }
   return std::nullopt;
@@ -57,14 +57,15 @@
   probe.indirect_at = now + Periods(kAckTimeoutPeriods * (1 + local_health_));
   probe.deadline = now + settings_.probe_interval * (1 + local_health_);
   probe.verifies_claim = claim.has_value();
-  std::vector<MemberUpdate> first;
+  std::vector<MemberUpdate> leading_updates;
   if (claim) {
-    first.push_back(NonAliveUpdate(Status::kFailed, probe.target, claim->incarnation, claim->reported_by));
+    leading_updates.push_back(
+        NonAliveUpdate(Status::kFailed, probe.target, claim->incarnation, claim->reported_by));
   }
-  const Endpoint to = probe.address;
+  const PeerAddress to = probe.address;
   const InstanceId target = probe.target;
   probes_.emplace(sequence, probe);
-  SendDatagram(to, target, Ping{sequence, target}, std::move(first));
+  SendDatagram(to, target, Ping{sequence, target}, std::move(leading_updates));
 }
 
 void MembershipView::CheckProbeTimeouts(Time now) {
@@ -79,9 +80,9 @@
     if (probe.indirect_at <= now) {
       probe.indirect_at = kNever;
       if (settings_.safety_checks.indirect_probes) {
-        for (const InstanceId helper : PickMembers(kMaxIndirectProbes, probe.target)) {
+        for (const InstanceId relay : PickMembers(kMaxIndirectProbes, probe.target)) {
           ++probe.indirect_probes;
-          SendDatagram(members_.Find(helper)->record.address, helper,
+          SendDatagram(members_.Find(relay)->record.address, relay,
                        PingRequest{it->first, probe.target, probe.address});
         }
       }
@@ -111,7 +112,8 @@
 void MembershipView::VerifyFailureClaims(Time now) {
   for (std::size_t i = 0;
        i < kClaimsVerifiedPerRound && !failure_claims_.empty() && probes_.size() < kMaxProbes; ++i) {
-    // A random one: many members may have the same claims and should not all verify the same one first.
+    // Picks a random claim, since many members may have the same claims and should not all verify
+    // the same one first.
     auto it = failure_claims_.lower_bound(random_());
     if (it == failure_claims_.end()) it = failure_claims_.begin();
     const auto [id, claim] = *it;
@@ -157,7 +159,7 @@
     return SendDatagram(relayed.requester, kNoInstance, Ack{relayed.sequence, relayed.target},
                         {{Status::kAlive, d.sender, kNoInstance}});
   }
-  // A seed that was no live member so far: sync with it at once.
+  // The seed was not a live member when it was pinged: sync with it at once.
   if (ack.sequence == seed_ping_sequence_ && seed_ping_sequence_ != 0) {
     seed_ping_sequence_ = 0;
     RequestSync(d.sender.address);
@@ -172,13 +174,13 @@
 void MembershipView::Handle(Time now, const Datagram& d, const WrongTarget& wrong_target) {
   const auto it = probes_.find(wrong_target.sequence);
   if (it == probes_.end() || it->second.address != d.sender.address) return;
-  const InstanceId gone = it->second.target;
+  const InstanceId absent = it->second.target;
   probes_.erase(it);
-  SuspectWithMinTimeout(now, gone);
+  SuspectWithMinTimeout(now, absent);
 }
 
 void MembershipView::Handle(Time, const Datagram& d, const Gossip&) {
-  // The sender is not alive in this view: tell it, so that it refutes.
+  // If the sender is not alive in this view, the reply carries its status, so that the sender can refute it.
   if (StatusUpdateOf(d.sender.id).has_value()) SendDatagram(d.sender.address, d.sender.id, Gossip{});
 }
 
--- a/src/gossip/membership_view.cpp
+++ b/src/gossip/membership_view.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxRecentContacts = 8;
-constexpr std::size_t kLeaveFanout = 8;  // members that a leave is sent to at once
+constexpr std::size_t kLeaveFanout = 8;  // members that a leave is sent to directly
 
 }  // namespace
 
@@ -83,13 +83,13 @@
 // time. None of that is evidence against them.
 void MembershipView::DetectPause(Time now) {
   if (!settings_.safety_checks.pause_detection) return;
-  const Duration late = now - expected_call_;
-  if (late <= Periods(kPauseThresholdPeriods)) return;
+  const Duration lateness = now - expected_call_;
+  if (lateness <= Periods(kPauseThresholdPeriods)) return;
   AdjustLocalHealth(+1);
   probes_.clear();
   relayed_probes_.clear();
   failure_claims_.clear();
-  members_.DelaySuspicions(late);
+  members_.DelaySuspicions(lateness);
   broadcasts_.Clear();
   if (!left_) broadcasts_.Push({Status::kAlive, members_.own().record, kNoInstance});
   next_probe_ = next_gossip_ = next_periodic_ = now;
@@ -135,12 +135,12 @@
   PingFailedMember();
   PingSeed();
   StartDueSync(now);
-  ForgetOldDigestMismatches(now);
+  ExpireDigestMismatches(now);
   DetectNameConflicts();
 }
 
-// Not a probe: a missing answer has no consequence. The datagram carries the failure, so that a member that
-// lives refutes it.
+// Not a probe: a missing Ack has no consequence. The datagram carries the failure, so that a member that is
+// alive refutes it.
 void MembershipView::PingFailedMember() {
   const std::vector<InstanceId>& failed = members_.failed();
   if (!settings_.safety_checks.reconnect_failed || failed.empty()) return;
@@ -149,12 +149,12 @@
   SendDatagram(members_.Find(id)->record.address, id, Ping{++last_sequence_, id});
 }
 
-// Pings the next seed that is no live member.
+// Pings the next seed that is not a live member.
 void MembershipView::PingSeed() {
   const bool alone = members_.others().empty();
   if (settings_.seeds.empty() || (!alone && period_count_ % kSeedRetryIntervalPeriods != 0)) return;
   for (std::size_t tried = 0; tried < settings_.seeds.size(); ++tried) {
-    const Endpoint& seed = settings_.seeds[next_seed_++ % settings_.seeds.size()];
+    const PeerAddress& seed = settings_.seeds[next_seed_++ % settings_.seeds.size()];
     if (seed == members_.own().record.address || members_.FindByAddress(seed) != kNoInstance) continue;
     seed_ping_sequence_ = ++last_sequence_;
     SendDatagram(seed, kNoInstance, Ping{seed_ping_sequence_, kNoInstance});
@@ -162,7 +162,8 @@
   }
 }
 
-// Reports instances that serve under this proxy's name for kNameConflictPeriods.
+// Reports the other instances that serve under this proxy's name once a conflict has lasted
+// kNameConflictPeriods.
 void MembershipView::DetectNameConflicts() {
   if (std::exchange(conflicts_checked_at_, members_.change_count()) != members_.change_count()) {
     std::erase_if(conflict_since_, [&](const auto& c) { return !members_.shared_names().contains(c.first); });
@@ -188,8 +189,8 @@
     ++rejected_;  // the table is full, or the record was not credible
     return;
   }
-  const bool first = !first_contact_.has_value() && sender->is_live();
-  if (first) {
+  const bool is_first_contact = !first_contact_.has_value() && sender->is_live();
+  if (is_first_contact) {
     first_contact_ = now;
     RequestSync(d.sender.address);
     next_periodic_ = now;
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -20,12 +20,12 @@
 constexpr std::size_t kDatagramsPerTurn = 32;  // read before other tasks on the loop run
 constexpr std::size_t kMaxInboundStreams = 16, kMaxOutboundSyncs = 2, kMaxOutboundMessages = 16,
                       kMaxCalls = 8;
-constexpr std::size_t kLengthBytes = 4;      // the length before each frame of a stream
-constexpr auto kStreamTimeout = 2000ms;      // of a complete state sync
+constexpr std::size_t kLengthBytes = 4;      // length prefix of each frame on a stream
+constexpr auto kStreamTimeout = 2000ms;      // of a complete state sync or message
 constexpr auto kAcceptRetryInterval = 10ms;  // after a failed accept
-constexpr int kLeaveGossipRounds = 2;        // in which a leave is sent
+constexpr int kLeaveGossipRounds = 2;        // that disseminate a leave
 
-// Random whatever the configured seed is: ids must never repeat.
+// Does not depend on the configured seed: ids must never repeat.
 std::uint64_t GenerateInstanceId() {
   std::random_device device;
   return (std::uint64_t{device()} << 32 | device()) | 1;
@@ -37,8 +37,8 @@
   std::size_t index = 0;
 };
 
-// Binds the first address that is free for both. Another process of this proxy may still hold one.
-BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::Endpoint>& listen) {
+// Binds the first address that is free for both sockets. Another process of this proxy may use one.
+BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::PeerAddress>& listen) {
   for (std::size_t i = 0;; ++i) {
     try {
       const runtime::Address address = ToAddress(listen.at(i));
@@ -78,19 +78,19 @@
   return 0;
 }
 
-runtime::Address ToAddress(const gossip::Endpoint& endpoint) {
+runtime::Address ToAddress(const gossip::PeerAddress& peer_address) {
   runtime::Address address;
   address.raw.sin_family = AF_INET;
-  address.raw.sin_addr.s_addr = htonl(endpoint.host);
-  address.raw.sin_port = htons(endpoint.port);
+  address.raw.sin_addr.s_addr = htonl(peer_address.host);
+  address.raw.sin_port = htons(peer_address.port);
   return address;
 }
 
-gossip::Endpoint ToEndpoint(const runtime::Address& address) {
+gossip::PeerAddress ToPeerAddress(const runtime::Address& address) {
   return {ntohl(address.raw.sin_addr.s_addr), ntohs(address.raw.sin_port)};
 }
 
-std::string ToString(const gossip::Endpoint& endpoint) { return ToAddress(endpoint).ToString(); }
+std::string ToString(const gossip::PeerAddress& peer_address) { return ToAddress(peer_address).ToString(); }
 
 Link::Link(runtime::Loop& loop, const LinkOptions& options, std::uint64_t seed, EventHandler on_event)
     : loop_(loop),
@@ -151,7 +151,7 @@
     if (view_.NextDeadline() > now) continue;
     view_.Tick(now);
     DispatchOutputs();
-    turns_.Add(Now() - now);
+    turn_durations_.Add(Now() - now);
     co_await loop_.NextTurn();
   }
 }
@@ -175,10 +175,10 @@
 
 void Link::HandleDatagram(const Message& message) {
   if (const auto* datagram = std::get_if<gossip::Datagram>(&message)) {
-    const Time begun = Now();
-    view_.Receive(begun, *datagram);
+    const Time start = Now();
+    view_.Receive(start, *datagram);
     DispatchOutputs();
-    turns_.Add(Now() - begun);
+    turn_durations_.Add(Now() - start);
     return;
   }
   const auto* app_message = std::get_if<AppMessage>(&message);
@@ -188,7 +188,7 @@
     CountError(FrameError::kMalformed);
 }
 
-// ---- Streams: each frame follows its length, four bytes in little-endian order ----
+// ---- Streams: each frame has a length prefix of four bytes in little-endian order ----
 
 Task<tl::expected<std::string, StreamError>> ReadFrame(runtime::Socket& socket, Time deadline) {
   std::string head;
@@ -201,7 +201,7 @@
   std::string frame;
   while (frame.size() < size)
     if (co_await socket.Read(frame, size - frame.size(), deadline) != IoResult::kOk) {
-      // The error metrics have always counted a stream that ends after this many bytes as a frame too long.
+      // The error metrics have always counted a frame that ends after exactly this many bytes as too long.
       const bool counts_as_too_long = frame.size() == kLengthBytes;
       co_return tl::make_unexpected(counts_as_too_long ? StreamError::kFrameTooLong : StreamError::kClosed);
     }
@@ -244,12 +244,12 @@
 // ---- Application messages ----
 
 bool Link::SetAttribute(const std::string& key, const std::string& value) {
-  const bool fits = view_.SetAttribute(Now(), key, value);
+  const bool accepted = view_.SetAttribute(Now(), key, value);
   DispatchOutputs();
-  return fits;
+  return accepted;
 }
 
-void Link::Send(const gossip::Endpoint& to, Subsystem subsystem, std::string bytes) {
+void Link::Send(const gossip::PeerAddress& to, Subsystem subsystem, std::string bytes) {
   std::string frame = Encode(fleet_, AppMessage{view_.members().self(), subsystem, std::move(bytes)});
   ++metrics_.app_messages;
   metrics_.app_message_bytes += frame.size();
@@ -262,16 +262,16 @@
   }
 }
 
-Task<> Link::SendOverStream(gossip::Endpoint to, std::string frame) {
+Task<> Link::SendOverStream(gossip::PeerAddress to, std::string frame) {
   ++outbound_messages_;
   const Time deadline = Now() + kStreamTimeout;
   std::unique_ptr<runtime::Socket> socket;
-  std::string end;
+  std::string unused;
   bool sent =
       co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) == IoResult::kOk;
   if (sent) sent = co_await WriteFrame(*socket, frame, deadline);
   if (sent)
-    co_await socket->Read(end, 1, deadline);  // until the peer has read it and closes
+    co_await socket->Read(unused, 1, deadline);  // until the peer has read the message and closes
   else
     ++metrics_.app_messages_dropped;
   --outbound_messages_;
@@ -279,9 +279,9 @@
 
 Task<> Link::HandleCall(std::unique_ptr<runtime::Socket> socket, std::string bytes) {
   ++active_calls_;
-  std::string answer = co_await on_call(std::move(bytes));
+  std::string response = co_await on_call(std::move(bytes));
   const std::string frame =
-      Encode(fleet_, AppMessage{view_.members().self(), Subsystem::kOperatorCall, std::move(answer)});
+      Encode(fleet_, AppMessage{view_.members().self(), Subsystem::kOperatorCall, std::move(response)});
   co_await WriteFrame(*socket, frame, Now() + kStreamTimeout);
   --active_calls_;
 }
@@ -321,10 +321,10 @@
 }
 
 Task<> Link::ServeStateSync(runtime::Socket& socket, const gossip::SyncRequest& request, Time deadline) {
-  const std::string answer = Encode(fleet_, view_.HandleSyncRequest(Now(), request));
-  metrics_.sync_bytes += answer.size();
+  const std::string response = Encode(fleet_, view_.HandleSyncRequest(Now(), request));
+  metrics_.sync_bytes += response.size();
   DispatchOutputs();
-  if (!co_await WriteFrame(socket, answer, deadline)) co_return;
+  if (!co_await WriteFrame(socket, response, deadline)) co_return;
   const auto frame = co_await ReadFrameCounted(socket, deadline);
   if (!frame) co_return;
   const auto message = DecodeCounted(*frame, kMaxStreamMessageBytes);
@@ -334,14 +334,14 @@
   DispatchOutputs();
 }
 
-Task<> Link::RunStateSync(gossip::Endpoint to) {
+Task<> Link::RunStateSync(gossip::PeerAddress to) {
   ++outbound_syncs_;
-  const bool done = co_await SyncWith(to, Now() + kStreamTimeout);
-  ++(done ? metrics_.syncs : metrics_.syncs_failed);
+  const bool completed = co_await SyncWith(to, Now() + kStreamTimeout);
+  ++(completed ? metrics_.syncs : metrics_.syncs_failed);
   --outbound_syncs_;
 }
 
-Task<bool> Link::SyncWith(gossip::Endpoint to, Time deadline) {
+Task<bool> Link::SyncWith(gossip::PeerAddress to, Time deadline) {
   std::unique_ptr<runtime::Socket> socket;
   if (co_await Connect(loop_, ToAddress(to), deadline, nullptr, socket, ToAddress(listen_)) != IoResult::kOk)
     co_return false;
@@ -357,9 +357,9 @@
   metrics_.sync_bytes += closing.size();
   DispatchOutputs();
   if (!co_await WriteFrame(*socket, closing, deadline)) co_return false;
-  // Waits until the peer has read it; closing earlier could discard unread bytes.
-  std::string end;
-  co_await socket->Read(end, 1, deadline);
+  // Waits until the peer has read the entries and closes; closing earlier could discard unread bytes.
+  std::string unused;
+  co_await socket->Read(unused, 1, deadline);
   co_return true;
 }
 
--- a/src/replicated_config/config_replica.cpp
+++ b/src/replicated_config/config_replica.cpp
@@ -43,21 +43,21 @@
   if (!voters_.empty()) Send(voters_[next_voter_++ % voters_.size()], std::move(body));
 }
 
-ConfigReplica::Time ConfigReplica::due() const {
-  Time due = next_renewal_at_;
+ConfigReplica::Time ConfigReplica::NextDeadline() const {
+  Time next = next_renewal_at_;
   for (const auto& [id, request] : pending_requests_)
-    due = std::min({due, request.next_attempt, request.deadline});
+    next = std::min({next, request.next_attempt, request.deadline});
   const auto& state = admission_.state();
   if (state &&
       (*state == VoterAdmission::State::kQueryingVoters || *state == VoterAdmission::State::kEmptyStore))
-    due = std::min(due, next_hello_at_);
-  if (raft_) due = std::min(due, raft_->NextDeadline());
-  if (in_flight_change_ && !in_flight_change_->proposed) due = std::min(due, in_flight_change_->deadline);
-  if (in_flight_voter_change_) due = std::min(due, next_admit_message_at_);
-  return due;
+    next = std::min(next, next_hello_at_);
+  if (raft_) next = std::min(next, raft_->NextDeadline());
+  if (in_flight_change_ && !in_flight_change_->proposed) next = std::min(next, in_flight_change_->deadline);
+  if (in_flight_voter_change_) next = std::min(next, next_admit_message_at_);
+  return next;
 }
 
-void ConfigReplica::Step(Time now) {
+void ConfigReplica::Tick(Time now) {
   if (raft_ && now >= raft_->NextDeadline()) raft_->Tick(now);
   RunAdmission(now);
   if (now >= next_renewal_at_) RenewLease(now);
@@ -70,7 +70,7 @@
   DispatchPendingOutputs(now);
 }
 
-void ConfigReplica::Resign(Time now) {
+void ConfigReplica::TransferLeadership(Time now) {
   if (!raft_) return;
   raft_->TransferLeadership(now);
   DispatchPendingOutputs(now);
@@ -80,9 +80,9 @@
   for (int round = 0; round < kMaxDispatchRounds; ++round) {
     DrainRaftOutputs(now);
     RunLeaderDuties(now);
-    std::vector<Message> own = std::exchange(messages_to_self_, {});
-    if (own.empty()) break;
-    for (const Message& message : own)
+    std::vector<Message> messages = std::exchange(messages_to_self_, {});
+    if (messages.empty()) break;
+    for (const Message& message : messages)
       std::visit([&](const auto& body) { Handle(now, self_, message, body); }, message.body);
   }
   DrainRaftOutputs(now);
--- a/tests/golden_stream_test.cpp
+++ b/tests/golden_stream_test.cpp
@@ -1,4 +1,4 @@
-// Pins what goes over sockets and has no encoder of its own: replies to operators, and the length in front of
+// Pins the bytes on sockets that have no encoder of their own: replies to operators, and the length prefix of
 // each frame on a stream between proxies.
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 
 runtime::Address AnyPort() { return *runtime::Address::Parse("127.0.0.1:0"); }
 
-// An address that was free a moment ago.
+// Returns an address with a port that was just released.
 runtime::Address FreeAddress(runtime::Loop& loop) { return runtime::Listener(loop, AnyPort()).address(); }
 
 Task<> Write(runtime::Socket& socket, std::string bytes) {
@@ -23,7 +23,7 @@
   co_await socket.Write(bytes, written, Now() + 1s);
 }
 
-// What a caller of the management address reads up to the end.
+// Returns all bytes that a caller of the management address receives.
 std::string ReplyTo(const std::string& call, const admin::Reply& reply) {
   runtime::Loop loop;
   const runtime::Address address = FreeAddress(loop);
@@ -56,32 +56,32 @@
   EXPECT_EQ(ReplyTo(std::string(300, 'a'), {true, "", ""}), "NAK the call is too long\n");
 }
 
-// A call and its answer on a stream: the length in four bytes, the lowest first, then the frame.
-TEST(PeerStream_CallAndAnswer, HaveGoldenBytes) {
+// A call and its response on a stream: the length in four little-endian bytes, then the frame.
+TEST(PeerStream_CallAndResponse, HaveGoldenBytes) {
   auto golden = golden::ReadFixture("peer_streams.txt");
   runtime::Loop loop;
   runtime::Listener listener(loop, AnyPort());
   const std::string answer = golden::FromHex(golden["answer"]);
-  std::string heard;
-  std::optional<std::string> got;
+  std::string received;
+  std::optional<std::string> response;
   const auto serve = [&]() -> Task<> {
     std::unique_ptr<runtime::Socket> socket;
     if (co_await listener.Accept(socket) != runtime::IoResult::kOk) co_return;
-    while (heard.size() < golden["call"].size() / 2)
-      if (co_await socket->Read(heard, 4096, Now() + 1s) != runtime::IoResult::kOk) break;
+    while (received.size() < golden["call"].size() / 2)
+      if (co_await socket->Read(received, 4096, Now() + 1s) != runtime::IoResult::kOk) break;
     co_await Write(*socket, answer);
   };
   const auto ask = [&]() -> Task<> {
-    const auto answered = co_await peer_transport::CallPeer(loop, "north", listener.address(),
-                                                            R"({"call":"status"})", Now() + 2s);
-    if (answered) got = *answered;
+    const auto received_response = co_await peer_transport::CallPeer(loop, "north", listener.address(),
+                                                                     R"({"call":"status"})", Now() + 2s);
+    if (received_response) response = *received_response;
     loop.Stop();
   };
   loop.Spawn(serve());
   loop.Spawn(ask());
   loop.Run();
-  EXPECT_EQ(golden::ToHex(heard), golden["call"]);
-  EXPECT_EQ(got, std::string(300, 'x'));
+  EXPECT_EQ(golden::ToHex(received), golden["call"]);
+  EXPECT_EQ(response, std::string(300, 'x'));
 }
 
 }  // namespace
