--- a/tests/class_estimates_test.cpp
+++ b/tests/class_estimates_test.cpp
@@ -8,7 +8,7 @@
 namespace lemoncroft::estimates {
 namespace {
 
-TEST(ClassEstimates, BeforeAnyAnswerEstimatesAndTheAssumedWorkAreTaken) {
+TEST(ClassEstimates, WithoutResponses_ClientEstimatesAndAssumedWorkAreUsed) {
   const ClassEstimates estimates(0.25, false);
   EXPECT_NEAR(estimates.ExpectedWork(0), 0.25, 1e-9);
   EXPECT_NEAR(estimates.ExpectedWork(0.4), 0.4, 1e-9);
@@ -16,27 +16,27 @@
   EXPECT_FALSE(estimates.best_slowdown_known());
 }
 
-TEST(ClassEstimates, ToldCostsCorrectEstimatesThatLieByClass) {
+TEST(ClassEstimates, ReportedCosts_CorrectBiasedEstimates) {
   ClassEstimates estimates(0.25, true);
   for (int i = 0; i < 300; ++i) {
     const double work = 0.05 * std::exp(0.1 * (i % 10));
     estimates.Learn({.estimated_work = 3 * work, .reported_work = work, .time = 2 * work});
   }
   EXPECT_NEAR(estimates.ExpectedWork(0.3), 0.1, 0.02);
-  EXPECT_NEAR(estimates.ExpectedTime(0.1), 0.2, 0.01);  // twice its work, as all answers took
+  EXPECT_NEAR(estimates.ExpectedTime(0.1), 0.2, 0.01);  // twice its work, as all responses took
   EXPECT_LT(estimates.deviation(), 0.1);
 }
 
 // Times that scatter by themselves and with their estimates, on a fleet of a given pace.
-void LearnTimes(ClassEstimates& estimates, int answers, double slowdown) {
-  for (int i = 0; i < answers; ++i) {
+void LearnTimes(ClassEstimates& estimates, int responses, double slowdown) {
+  for (int i = 0; i < responses; ++i) {
     const double work = 0.2 * std::exp(0.3 * (i % 5 - 2));
     const double estimate = 3 * work * std::exp(0.6 * (i % 7 - 3));
     estimates.Learn({.estimated_work = estimate, .time = slowdown * work});
   }
 }
 
-TEST(ClassEstimates, WhereCostsAreUntoldTimesTellWhatEstimatesAreWorth) {
+TEST(ClassEstimates, WithoutReportedCosts_TimesCorrectEstimates) {
   ClassEstimates estimates(1, false);
   LearnTimes(estimates, 350, 1);
   EXPECT_NEAR(estimates.ExpectedWork(0.6), 0.2, 0.05);
@@ -47,7 +47,7 @@
 }
 
 // A fixed margin over a raw estimate is too little for many requests, which spill.
-TEST(ClassEstimates, MemoryThatIsNeverToldIsExpectedAsRoughlyAsWorkIsEstimated) {
+TEST(ClassEstimates, UnreportedMemory_IsExpectedWithErrorOfWorkEstimates) {
   ClassEstimates estimates(1, false);
   for (int i = 0; i < 350; ++i) {
     const double scatter = std::exp(i % 2 == 0 ? 1 : -1);  // says nothing of the time
@@ -61,13 +61,13 @@
   EXPECT_EQ(estimates.ExpectedMemoryMb(0), 0) << "no estimate: the engine's own choice";
 }
 
-TEST(ClassEstimates, WithNoEstimatesTheSpreadOfTimesIsTheDeviation) {
+TEST(ClassEstimates, WithoutEstimates_DeviationIsSpreadOfTimes) {
   ClassEstimates estimates(1, false);
   for (int i = 0; i < 200; ++i) estimates.Learn({.time = 0.1 * std::exp(i % 2 == 0 ? 1.2 : -1.2)});
   EXPECT_NEAR(estimates.deviation(), 1.2, 0.15);
 }
 
-TEST(ClassEstimates, ASlowFleetLengthensTimesAndLeavesWorkAsItWas) {
+TEST(ClassEstimates, SlowFleet_IncreasesTimesAndNotWork) {
   ClassEstimates estimates(1, false);
   LearnTimes(estimates, 350, 1);
   const double work = estimates.ExpectedWork(0.6);
@@ -77,23 +77,23 @@
 }
 
 // Times over reported work and times alone are different units, which a class must not mix.
-TEST(ClassEstimates, CostsThatAFewAnswersTellAreNotMixedWithTimes) {
-  for (const bool settings_tell : {true, false}) {
-    ClassEstimates estimates(0.25, settings_tell);
+TEST(ClassEstimates, CostsReportedByFewResponses_AreNotMixedWithTimes) {
+  for (const bool settings_report : {true, false}) {
+    ClassEstimates estimates(0.25, settings_report);
     for (int i = 0; i < 30; ++i) estimates.Learn({.time = 8});
     for (int i = 0; i < 200; ++i) estimates.Learn({.reported_work = i % 3 == 0 ? 4.0 : 0.0, .time = 8});
-    EXPECT_NEAR(estimates.ExpectedTime(4), 8, 0.8) << settings_tell;
+    EXPECT_NEAR(estimates.ExpectedTime(4), 8, 0.8) << settings_report;
   }
 }
 
-TEST(ClassEstimates, AnAnswerIsSetAgainstTheBestRecentMean) {
+TEST(ClassEstimates, Response_IsComparedWithBestRecentMean) {
   ClassEstimates estimates(0.25, false);
   for (int i = 0; i < 200; ++i) estimates.Learn({.reported_work = 0.1, .time = 0.1});
   EXPECT_TRUE(estimates.best_slowdown_known());
   EXPECT_NEAR(estimates.Learn({.reported_work = 0.1, .time = 0.3}), 3, 0.1);
 }
 
-TEST(ClassEstimates, MemoryIsExpectedWithAMarginThatFewAnswersNarrow) {
+TEST(ClassEstimates, ExpectedMemory_MarginNarrowsWithResponses) {
   ClassEstimates estimates(0.25, false);
   EXPECT_GT(estimates.ExpectedMemoryMb(100), 120);
   for (int i = 0; i < 100; ++i)
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -16,7 +16,7 @@
 void MakeBusy(Host& host, RequestId first, int n) {
   for (int i = 0; i < n; ++i) {
     RequestId id = first + static_cast<RequestId>(i);
-    host.Step({Ask(id)});
+    host.Step({MakeRequest(id)});
     AttemptEnded e;
     e.id = id;
     e.engine = host.engine_of.at(id);
@@ -29,107 +29,107 @@
   }
 }
 
-TEST(Rule3, NothingNewGoesToADrainingOrGoneEngine) {
-  Host host(SomeSettings());
-  EngineEntry draining = Ready(1);
+TEST(EndpointList, DrainingOrRemovedEngine_GetsNoNewAttempts) {
+  Host host(DefaultSettings());
+  EngineEntry draining = ReadyEngine(1);
   draining.readiness = Readiness::kDraining;
-  host.List({Ready(1), Ready(2)});
-  host.List({draining}, ListKind::kChange);
-  for (RequestId id = 1; id <= 10; ++id) host.Step({Ask(id)});
-  host.List({Ready(3)}, ListKind::kFull);
-  for (RequestId id = 11; id <= 20; ++id) host.Step({Ask(id)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
+  host.DeliverList({draining}, ListKind::kChange);
+  for (RequestId id = 1; id <= 10; ++id) host.Step({MakeRequest(id)});
+  host.DeliverList({ReadyEngine(3)}, ListKind::kFull);
+  for (RequestId id = 11; id <= 20; ++id) host.Step({MakeRequest(id)});
   for (const Host::Sent& s : host.sends) EXPECT_EQ(s.engine, s.id <= 10 ? 2u : 3u);
 }
 
-TEST(Rule3, WithEveryEngineOutByHandWhatIsHeldAndWhatComesIsRefusedAtOnce) {
-  Host host(SomeSettings());
-  EngineEntry out = Ready(1), draining = Ready(2);
-  out.readiness = Readiness::kExcluded;
+TEST(EndpointList, AllEnginesManuallyEjected_RequestsAreRejectedAtOnce) {
+  Host host(DefaultSettings());
+  EngineEntry ejected = ReadyEngine(1), draining = ReadyEngine(2);
+  ejected.readiness = Readiness::kExcluded;
   draining.readiness = Readiness::kDraining;
-  host.List({draining});
-  host.Step({Ask(1)});
+  host.DeliverList({draining});
+  host.Step({MakeRequest(1)});
   EXPECT_FALSE(host.rejected.contains(1)) << "the feed's engines come and go by themselves";
-  host.List({out}, ListKind::kChange);
+  host.DeliverList({ejected}, ListKind::kChange);
   EXPECT_TRUE(host.rejected.contains(1));
-  host.Step({Ask(2)});
+  host.Step({MakeRequest(2)});
   EXPECT_TRUE(host.rejected.contains(2));
   EXPECT_EQ(host.retry_after[2], 2 * kSecond);
-  host.List({Ready(1)}, ListKind::kChange);
-  host.Step({Ask(3)});
+  host.DeliverList({ReadyEngine(1)}, ListKind::kChange);
+  host.Step({MakeRequest(3)});
   EXPECT_EQ(host.Attempts(3), 1);
 }
 
-TEST(Rule6, PlacementHoldsOnEveryAttempt) {
-  Settings s = SomeSettings();
+TEST(Placement, EveryAttempt_StaysInAllowedZone) {
+  Settings s = DefaultSettings();
   s.classes[0].zones = {1};
   Host host(s);
-  EngineEntry mine = Ready(2);
-  mine.zone = 1;
-  host.List({Ready(1), mine});
-  host.Step({Ask(1)});
+  EngineEntry allowed = ReadyEngine(2);
+  allowed.zone = 1;
+  host.DeliverList({ReadyEngine(1), allowed});
+  host.Step({MakeRequest(1)});
   EXPECT_EQ(host.engine_of[1], 2u);
-  host.End(1, Outcome::kConnectFailed);
-  host.List({Ready(1)});
-  host.Step({Ask(2)});
+  host.EndAttempt(1, Outcome::kConnectFailed);
+  host.DeliverList({ReadyEngine(1)});
+  host.Step({MakeRequest(2)});
   for (const Host::Sent& x : host.sends) EXPECT_EQ(x.engine, 2u);
 }
 
-TEST(Rule7, FurtherAttemptsStayWithinTheBudget) {
-  Settings s = SomeSettings();
+TEST(RetryBudget, Retries_StayWithinBudget) {
+  Settings s = DefaultSettings();
   s.retry_budget = RetryBudgetSettings{1, 0.1, 10 * kSecond};
   Host host(s);
-  host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4)});
   for (RequestId id = 1; id <= 20; ++id) {
-    host.Step({Ask(id)});
-    host.End(id, Outcome::kFull);
+    host.Step({MakeRequest(id)});
+    host.EndAttempt(id, Outcome::kFull);
     host.RunUntil(host.now + 510 * kMs);  // an engine that said full rests for half a second
   }
-  int further = static_cast<int>(host.sends.size()) - 20;
-  EXPECT_GE(further, 1);
-  EXPECT_LE(further, 4) << "1 + 0.1 x 20, over a little more than one window";
+  int retries = static_cast<int>(host.sends.size()) - 20;
+  EXPECT_GE(retries, 1);
+  EXPECT_LE(retries, 4) << "1 + 0.1 x 20, over a little more than one window";
 }
 
-TEST(Release, HighestWorthFirst) {
-  Settings s = SomeSettings();
-  s.classes = {SomeClass(1), SomeClass(5)};
+TEST(DispatchOrder, HighestPriorityWeightFirst) {
+  Settings s = DefaultSettings();
+  s.classes = {DefaultClass(1), DefaultClass(5)};
   Host host(s);
-  host.Step({Ask(1, 0), Ask(2, 1), Ask(3, 0), Ask(4, 1)});
-  host.List({Ready(1)});
+  host.Step({MakeRequest(1, 0), MakeRequest(2, 1), MakeRequest(3, 0), MakeRequest(4, 1)});
+  host.DeliverList({ReadyEngine(1)});
   ASSERT_EQ(host.sends.size(), 4u);
   EXPECT_EQ(host.sends[0].id, 2u);
   EXPECT_EQ(host.sends[1].id, 4u);
 }
 
-TEST(Release, LighterFirstAtTheSameWorth) {
-  Host host(SomeSettings());
-  host.Step({Ask(1, 0, 4 * kSecond, 300 * kMs), Ask(2, 0, 4 * kSecond, 50 * kMs)});
-  host.List({Ready(1)});
+TEST(DispatchOrder, EqualPriorityWeights_LeastWorkFirst) {
+  Host host(DefaultSettings());
+  host.Step({MakeRequest(1, 0, 4 * kSecond, 300 * kMs), MakeRequest(2, 0, 4 * kSecond, 50 * kMs)});
+  host.DeliverList({ReadyEngine(1)});
   ASSERT_EQ(host.sends.size(), 2u);
   EXPECT_EQ(host.sends[0].id, 2u);
 }
 
-TEST(Bound, BindsOnlyUnderPressureAndStartsFromTheSeed) {
-  Host calm(SomeSettings());
-  calm.List({Ready(1)});
-  for (RequestId id = 1; id <= 40; ++id) calm.Step({Ask(id)});
+TEST(ConcurrencyLimit, Limit_AppliesOnlyUnderPressureAndStartsFromSeed) {
+  Host calm(DefaultSettings());
+  calm.DeliverList({ReadyEngine(1)});
+  for (RequestId id = 1; id <= 40; ++id) calm.Step({MakeRequest(id)});
   EXPECT_EQ(calm.sends.size(), 12u) << "1.5 threads x 8 cores are pressure in themselves";
 
-  Host busy(SomeSettings());
-  busy.List({Ready(1)});
+  Host busy(DefaultSettings());
+  busy.DeliverList({ReadyEngine(1)});
   MakeBusy(busy, 100, 1);
   busy.sends.clear();
-  for (RequestId id = 1; id <= 40; ++id) busy.Step({Ask(id)});
+  for (RequestId id = 1; id <= 40; ++id) busy.Step({MakeRequest(id)});
   EXPECT_EQ(busy.sends.size(), 6u) << "1.5 threads x 8 cores / 2 gateways";
 }
 
 // Many gateways that each add a first heavy request to a full engine overload it together.
-TEST(Bound, NoFirstHeavyQueryOnAnEngineThatOthersCrowd) {
-  Settings s = SomeSettings();
-  s.classes = {SomeClass(1), SomeClass(5)};
+TEST(ConcurrencyLimit, HeavyRequest_OnEngineCrowdedByOtherGateways_Waits) {
+  Settings s = DefaultSettings();
+  s.classes = {DefaultClass(1), DefaultClass(5)};
   s.reports_cost = true;
   Host host(s);
-  host.List({Ready(1)});
-  host.Step({Ask(1, 1, 4 * kSecond, 2 * kSecond)});
+  host.DeliverList({ReadyEngine(1)});
+  host.Step({MakeRequest(1, 1, 4 * kSecond, 2 * kSecond)});
   AttemptEnded e;
   e.id = 1;
   e.engine = 1;
@@ -138,27 +138,27 @@
   e.load_report.count = 2;
   e.load_report.values = {30, 0.5f};
   host.Step({e});
-  host.Step({Ask(2, 1, 4 * kSecond, 2 * kSecond)});
+  host.Step({MakeRequest(2, 1, 4 * kSecond, 2 * kSecond)});
   EXPECT_EQ(host.Attempts(2), 0);
   host.RunUntil(host.now + 2500 * kMs);
-  host.Step({Ask(3, 1, 4 * kSecond, 2 * kSecond)});
+  host.Step({MakeRequest(3, 1, 4 * kSecond, 2 * kSecond)});
   EXPECT_EQ(host.Attempts(3), 1) << "the report is no longer fresh";
 }
 
-// While requests are pending the limit is raised; without a gain in throughput the step is taken back. While
-// latency objectives are met it doesn't fall below its seed.
-TEST(Bound, StepsUpAndTakesBackAStepThatDidNotPay) {
-  Settings s = SomeSettings();
+// While requests are pending, the limit is raised; without a gain in throughput, the step is reverted. While
+// latency objectives are met, the limit doesn't fall below its seed.
+TEST(ConcurrencyLimit, Raise_WithoutThroughputGain_IsReverted) {
+  Settings s = DefaultSettings();
   s.classes[0].latency_objective = s.classes[0].client_timeout = 60 * kSecond;
   s.reports_cost = true;
   Host host(s);
-  host.List({Ready(1)});
+  host.DeliverList({ReadyEngine(1)});
   MakeBusy(host, 1000, 1);
   std::vector<Event> many;
-  for (RequestId id = 1; id <= 400; ++id) many.emplace_back(Ask(id, 0, 60 * kSecond));
+  for (RequestId id = 1; id <= 400; ++id) many.emplace_back(MakeRequest(id, 0, 60 * kSecond));
   host.Step(many);
-  std::size_t ended = 1, least = 100, most = 0;  // MakeBusy's own request has ended
-  bool up = false, back = false;
+  std::size_t ended = 1, min_running = 100, max_running = 0;  // MakeBusy's own request has ended
+  bool raised = false, reverted = false;
   for (std::size_t next = 1; host.now < 110 * kSecond; ++next) {
     host.RunUntil(host.now + 50 * kMs);
     AttemptEnded e;
@@ -171,70 +171,71 @@
     host.Step({e});
     ++ended;
     const std::size_t running = host.sends.size() - ended;
-    least = std::min(least, running);
-    most = std::max(most, running);
-    back = back || (up && running == 6);
-    up = up || running == 7;
+    min_running = std::min(min_running, running);
+    max_running = std::max(max_running, running);
+    reverted = reverted || (raised && running == 6);
+    raised = raised || running == 7;
   }
-  EXPECT_TRUE(up);
-  EXPECT_TRUE(back);
-  EXPECT_EQ(least, 6u);
-  EXPECT_LE(most, 8u);
+  EXPECT_TRUE(raised);
+  EXPECT_TRUE(reverted);
+  EXPECT_EQ(min_running, 6u);
+  EXPECT_LE(max_running, 8u);
 }
 
 // Many short requests must not wait for heavy ones.
-TEST(Bound, LightQueriesAreCountedApart) {
-  Settings s = SomeSettings();
-  s.classes = {SomeClass(1), SomeClass(5, 4)};
+TEST(ConcurrencyLimit, LightRequests_AreCountedSeparately) {
+  Settings s = DefaultSettings();
+  s.classes = {DefaultClass(1), DefaultClass(5, 4)};
   s.classes[0].latency_objective = 100 * kMs;
   Host host(s);
-  host.List({Ready(1)});
-  for (RequestId id = 1; id <= 20; ++id) host.Step({Ask(id, 1, 4 * kSecond, kSecond)});
+  host.DeliverList({ReadyEngine(1)});
+  for (RequestId id = 1; id <= 20; ++id) host.Step({MakeRequest(id, 1, 4 * kSecond, kSecond)});
   std::size_t heavy = host.sends.size();
   EXPECT_LT(heavy, 20u);
-  host.Step({Ask(100, 0, 4 * kSecond, 10 * kMs)});
+  host.Step({MakeRequest(100, 0, 4 * kSecond, 10 * kMs)});
   EXPECT_EQ(host.Attempts(100), 1);
 }
 
-TEST(Choice, TheLighterEngineGetsMore) {
-  Host host(SomeSettings());
-  host.List({Ready(1), Ready(2)});
-  for (RequestId id = 1; id <= 40; ++id) host.Step({Ask(id)});
+TEST(EngineChoice, LessLoadedEngine_GetsMoreRequests) {
+  Host host(DefaultSettings());
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
+  for (RequestId id = 1; id <= 40; ++id) host.Step({MakeRequest(id)});
   std::map<EngineId, int> count;
   for (const Host::Sent& x : host.sends) ++count[x.engine];
   EXPECT_NEAR(count[1], 20, 8);
 }
 
 // A request that can't meet its latency objective at the recent pace is rejected, not sent to be late.
-TEST(Release, NothingIsSentThatCannotMeetItsAimAtThePresentPace) {
-  Settings s = SomeSettings();
+TEST(LatencyObjective, Request_ThatCannotMeetIt_IsRejected) {
+  Settings s = DefaultSettings();
   s.classes[0].late_weight_share = 0;
   s.reports_cost = true;
   Host host(s);
-  host.List({Ready(1)});
+  host.DeliverList({ReadyEngine(1)});
   for (RequestId id = 1; id <= 60; ++id) {  // ten times the time of an idle engine
-    host.Step({Ask(id)});
+    host.Step({MakeRequest(id)});
     if (host.rejected.contains(id)) continue;
-    host.End(id, Outcome::kOk, kSecond, 100 * kMs);
+    host.EndAttempt(id, Outcome::kOk, kSecond, 100 * kMs);
   }
-  host.List({});
-  host.Step({Ask(100)});
+  host.DeliverList({});
+  host.Step({MakeRequest(100)});
   host.RunUntil(host.now + 500 * kMs);
   EXPECT_TRUE(host.rejected.contains(100));
 }
 
 // A reader would wait at an engine for the load of another gateway that holds its table group.
-TEST(Choice, LoadsAndReadersOfATableGroupNeverShareAnEngine) {
-  Settings s = SomeSettings();
-  s.classes = {SomeClass(1), SomeClass(5, 2)};
+TEST(EngineChoice, LoadsAndReadersOfTableGroup_UseDifferentEngines) {
+  Settings s = DefaultSettings();
+  s.classes = {DefaultClass(1), DefaultClass(5, 2)};
   s.classes[0].blocked_by_loads = true;
   s.classes[1].holds_tables = true;
   for (std::uint32_t tables = 0; tables < 40; ++tables) {
     std::set<EngineId> readers, loads;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       Host host(s, seed);
-      host.List({Ready(1), Ready(2), Ready(3), Ready(4), Ready(5), Ready(6)});
-      Request reader = Ask(1, 0), load = Ask(2, 1);
+      host.DeliverList(
+          {ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4), ReadyEngine(5), ReadyEngine(6)});
+      Request reader = MakeRequest(1, 0), load = MakeRequest(2, 1);
       reader.table_group = load.table_group = tables;
       host.Step({reader, load});
       ASSERT_EQ(host.sends.size(), 2u) << "each side has an engine";
--- a/tests/gateway_health_test.cpp
+++ b/tests/gateway_health_test.cpp
@@ -9,144 +9,145 @@
 namespace lemoncroft {
 namespace {
 
-TEST(Health, AnEngineThatFailsFastIsEjectedAndComesBackByTrials) {
-  Host host(SomeSettings());
-  host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
+TEST(Health, FastFailingEngine_IsEjectedAndRecoversAfterBackoff) {
+  Host host(DefaultSettings());
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4)});
   RequestId id = 1;
-  auto to_bad = [&](int n, bool bad) {
+  auto requests_to_failing = [&](int n, bool failing) {
     int count = 0;
     for (int i = 0; i < n; ++i, ++id) {
-      host.Step({Ask(id)});
+      host.Step({MakeRequest(id)});
       count += host.engine_of[id] == 1;
-      while (bad && host.engine_of[id] == 1 && host.Attempts(id) < 3) host.End(id, Outcome::kError);
-      host.End(id, Outcome::kOk);
+      while (failing && host.engine_of[id] == 1 && host.Attempts(id) < 3)
+        host.EndAttempt(id, Outcome::kError);
+      host.EndAttempt(id, Outcome::kOk);
       host.now += 2 * kMs;
     }
     return count;
   };
-  to_bad(60, true);
-  EXPECT_EQ(to_bad(100, true), 0) << "ejected: its fast failures are no low load";
+  requests_to_failing(60, true);
+  EXPECT_EQ(requests_to_failing(100, true), 0) << "ejected: its fast failures are no low load";
   host.now += 10 * kSecond;
-  to_bad(200, false);
-  EXPECT_GT(to_bad(100, false), 10);
+  requests_to_failing(200, false);
+  EXPECT_GT(requests_to_failing(100, false), 10);
 }
 
 // A request that no engine can serve must not eject them all.
-TEST(Health, AQueryThatIsAnErrorEverywhereEjectsNoEngine) {
-  Settings s = SomeSettings();
+TEST(Health, Request_FailingOnAllEngines_EjectsNoEngine) {
+  Settings s = DefaultSettings();
   s.max_attempts = 5;
   Host host(s);
-  host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4)});
   RequestId id = 1;
   for (; id <= 40; ++id) {
-    host.Step({Ask(id)});
-    while (!host.rejected.contains(id)) host.End(id, Outcome::kError);
+    host.Step({MakeRequest(id)});
+    while (!host.rejected.contains(id)) host.EndAttempt(id, Outcome::kError);
     EXPECT_EQ(host.Attempts(id), 3) << "three engines agree";
   }
   std::set<EngineId> used;
   for (; id <= 80; ++id) {
-    host.Step({Ask(id)});
+    host.Step({MakeRequest(id)});
     ASSERT_TRUE(host.engine_of.contains(id));
     used.insert(host.engine_of[id]);
-    host.End(id, Outcome::kOk);
+    host.EndAttempt(id, Outcome::kOk);
   }
   EXPECT_EQ(used.size(), 4u);
 }
 
 // An engine that fails most attempts within milliseconds looks idle. Requests that it failed must not go
 // there again while another engine is left, or it would never be blamed.
-TEST(Health, AQueryThatAnEngineFailedWaitsForAnother) {
-  Settings s = SomeSettings();
+TEST(Health, FailedRequest_WaitsForAnotherEngine) {
+  Settings s = DefaultSettings();
   s.report_fields.clear();
   s.kinds = {{1, 16384}};
   Host host(s);
-  host.List({Ready(1), Ready(2)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   RequestId id = 1;
-  const auto bound_binds = [&] { return host.Attempts(id - 1) == 0; };
+  const auto limit_reached = [&] { return host.Attempts(id - 1) == 0; };
   do {
-    host.Step({Ask(id++)});
-  } while (!bound_binds());  // both are full now, and this one waits
-  const RequestId waits = id - 1;
+    host.Step({MakeRequest(id++)});
+  } while (!limit_reached());  // both engines are full now, and this request waits
+  const RequestId waiting = id - 1;
   RequestId at_first = 1, at_second = 1;
   while (host.engine_of[at_first] != 1) ++at_first;
   while (host.engine_of[at_second] != 2) ++at_second;
-  host.End(at_first, Outcome::kOk, 100 * kMs);
-  ASSERT_EQ(host.Attempts(waits), 1);
-  ASSERT_EQ(host.engine_of[waits], 1u);
-  host.End(waits, Outcome::kError);
-  EXPECT_EQ(host.Attempts(waits), 1) << "not there again, though it has room";
-  host.End(at_second, Outcome::kOk, 100 * kMs);
-  EXPECT_EQ(host.Attempts(waits), 2);
-  EXPECT_EQ(host.engine_of[waits], 2u);
+  host.EndAttempt(at_first, Outcome::kOk, 100 * kMs);
+  ASSERT_EQ(host.Attempts(waiting), 1);
+  ASSERT_EQ(host.engine_of[waiting], 1u);
+  host.EndAttempt(waiting, Outcome::kError);
+  EXPECT_EQ(host.Attempts(waiting), 1) << "not there again, though it has room";
+  host.EndAttempt(at_second, Outcome::kOk, 100 * kMs);
+  EXPECT_EQ(host.Attempts(waiting), 2);
+  EXPECT_EQ(host.engine_of[waiting], 2u);
 }
 
 // Without another engine the request is retried at the same one.
-TEST(Health, AQueryThatTheOnlyEngineFailedGoesThereAgain) {
-  Host host(SomeSettings());
-  host.List({Ready(1)});
-  host.Step({Ask(1)});
-  host.End(1, Outcome::kError);
+TEST(Health, FailedRequest_WithOnlyOneEngine_IsRetriedThere) {
+  Host host(DefaultSettings());
+  host.DeliverList({ReadyEngine(1)});
+  host.Step({MakeRequest(1)});
+  host.EndAttempt(1, Outcome::kError);
   EXPECT_EQ(host.Attempts(1), 2);
 }
 
 // Lost responses concern all engines alike. They eject one only if it loses nearly all.
-TEST(Health, LostAnswersEjectOnlyAnEngineThatLosesMost) {
+TEST(Health, LostResponses_EjectOnlyEngineThatLosesMost) {
   for (const int one_in : {5, 1}) {
-    Host host(SomeSettings());
-    host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
-    int late = 0;
+    Host host(DefaultSettings());
+    host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4)});
+    int late_requests = 0;
     for (RequestId id = 1; id <= 200; ++id) {
-      host.Step({Ask(id)});
-      late += id > 100 && host.engine_of[id] == 1;
-      if (host.engine_of[id] == 1 && id % one_in == 0) host.End(id, Outcome::kLost);
-      host.End(id, Outcome::kOk);
+      host.Step({MakeRequest(id)});
+      late_requests += id > 100 && host.engine_of[id] == 1;
+      if (host.engine_of[id] == 1 && id % one_in == 0) host.EndAttempt(id, Outcome::kLost);
+      host.EndAttempt(id, Outcome::kOk);
       host.now += 2 * kMs;
     }
-    EXPECT_EQ(late > 10, one_in == 5) << late;
+    EXPECT_EQ(late_requests > 10, one_in == 5) << late_requests;
   }
 }
 
 // A silent engine delays each attempt for long, so that two are enough to eject it.
-TEST(Health, AnEngineGoneSilentIsEjected) {
-  Host host(SomeSettings());
-  host.List({Ready(1), Ready(2), Ready(3), Ready(4)});
-  int to_silent = 0;
+TEST(Health, UnresponsiveEngine_IsEjected) {
+  Host host(DefaultSettings());
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4)});
+  int to_unresponsive = 0;
   for (RequestId id = 1; id <= 100; ++id) {
-    host.Step({Ask(id)});
-    to_silent += host.engine_of[id] == 1;
-    if (host.engine_of[id] == 1) host.End(id, Outcome::kTimeout);
-    host.End(id, Outcome::kOk);
+    host.Step({MakeRequest(id)});
+    to_unresponsive += host.engine_of[id] == 1;
+    if (host.engine_of[id] == 1) host.EndAttempt(id, Outcome::kTimeout);
+    host.EndAttempt(id, Outcome::kOk);
     host.now += 2 * kMs;
   }
-  EXPECT_LE(to_silent, 3);
+  EXPECT_LE(to_unresponsive, 3);
 }
 
 // A hung keyed attempt is cancelled and retried elsewhere while its repeats are still recognised.
-TEST(Health, AHungLoadIsTriedElsewhereWellWithinItsDeadline) {
-  Settings s = SomeSettings();
+TEST(Health, HungKeyedAttempt_IsRetriedAtAnotherEngineBeforeDeadline) {
+  Settings s = DefaultSettings();
   s.reports_cost = true;
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].client_timeout = s.classes[0].repeat_window = 20 * kSecond;
   Host host(s);
-  host.List({Ready(1), Ready(2)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   for (RequestId id = 1; id <= 40; ++id) {
-    host.Step({Ask(id)});
-    host.End(id, Outcome::kOk, 100 * kMs, 100 * kMs);
+    host.Step({MakeRequest(id)});
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs, 100 * kMs);
   }
-  host.Step({Ask(99, 0, 20 * kSecond)});
+  host.Step({MakeRequest(99, 0, 20 * kSecond)});
   host.RunUntil(host.now + 380 * kMs);
   EXPECT_FALSE(host.cancels.contains(99));
   host.RunUntil(host.now + kSecond);
   ASSERT_TRUE(host.cancels.contains(99));
   const EngineId hung = host.engine_of[99];
-  host.End(99, Outcome::kCancelled);
+  host.EndAttempt(99, Outcome::kCancelled);
   EXPECT_EQ(host.Attempts(99), 2);
   EXPECT_NE(host.engine_of[99], hung);
 }
 
 // During slow start a load takes long without hanging. Cancelling it would lose its work.
-TEST(Health, ALoadOnAColdEngineIsLeftToRun) {
-  Settings s = SomeSettings();
+TEST(Health, KeyedAttempt_OnColdEngine_IsNotCancelled) {
+  Settings s = DefaultSettings();
   s.reports_cost = true;
   s.slow_start_initial_share = 0.3;
   s.slow_start_duration = 14 * kSecond;
@@ -155,81 +156,82 @@
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].client_timeout = s.classes[0].repeat_window = 20 * kSecond;
   Host host(s);
-  host.List({Ready(1)});
+  host.DeliverList({ReadyEngine(1)});
   for (RequestId id = 1; id <= 40; ++id) {
-    host.Step({Ask(id)});
-    host.End(id, Outcome::kOk, 100 * kMs, 100 * kMs);
+    host.Step({MakeRequest(id)});
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs, 100 * kMs);
   }
-  host.List({Ready(2, host.now)});
-  host.Step({Ask(99, 0, 20 * kSecond)});
+  host.DeliverList({ReadyEngine(2, host.now)});
+  host.Step({MakeRequest(99, 0, 20 * kSecond)});
   host.RunUntil(host.now + 3 * kSecond);
   ASSERT_EQ(host.engine_of[99], 2u);
   EXPECT_FALSE(host.cancels.contains(99));
 }
 
 // An engine that hangs some requests responds fast to the others. Heavy requests, which lose most, avoid it.
-TEST(Health, HeavyQueriesKeepAwayFromAnEngineThatHangsSome) {
-  Settings s = SomeSettings();
+TEST(Health, HeavyRequests_AvoidEngineWithHungAttempts) {
+  Settings s = DefaultSettings();
   s.reports_cost = true;
   s.report_fields.clear();
-  s.classes = {SomeClass(1), SomeClass(10, 2)};
+  s.classes = {DefaultClass(1), DefaultClass(10, 2)};
   Host host(s);
-  host.List({Ready(1), Ready(2), Ready(3)});
-  int heavy_to_sick = 0, heavy = 0, lights_to_sick = 0;
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3)});
+  int heavy_to_hanging = 0, heavy = 0, light_to_hanging = 0;
   for (RequestId id = 1; id <= 900; ++id) {
-    const bool report = id % 5 == 0;
-    const Nanos work = report ? 2 * kSecond : 100 * kMs;
-    host.Step({Ask(id, report, 4 * kSecond, work)});
-    heavy += report && id > 300;
-    heavy_to_sick += report && id > 300 && host.engine_of[id] == 1;
-    if (!report && host.engine_of[id] == 1 && ++lights_to_sick % 10 == 0) {  // cancelled once it is overdue
+    const bool is_heavy = id % 5 == 0;
+    const Nanos work = is_heavy ? 2 * kSecond : 100 * kMs;
+    host.Step({MakeRequest(id, is_heavy, 4 * kSecond, work)});
+    heavy += is_heavy && id > 300;
+    heavy_to_hanging += is_heavy && id > 300 && host.engine_of[id] == 1;
+    if (!is_heavy && host.engine_of[id] == 1 &&
+        ++light_to_hanging % 10 == 0) {  // cancelled once it is overdue
       host.RunUntil(host.now + 900 * kMs);
-      if (host.cancels.contains(id)) host.End(id, Outcome::kCancelled);
+      if (host.cancels.contains(id)) host.EndAttempt(id, Outcome::kCancelled);
     }
-    const Nanos waited = work / (report ? 2 : 1);
-    host.End(id, Outcome::kOk, host.engine_of[id] == 1 ? waited * 2 / 3 : waited, work);
+    const Nanos waited = work / (is_heavy ? 2 : 1);
+    host.EndAttempt(id, Outcome::kOk, host.engine_of[id] == 1 ? waited * 2 / 3 : waited, work);
     host.now += 5 * kMs;
   }
-  EXPECT_LT(heavy_to_sick, heavy / 8) << heavy;
+  EXPECT_LT(heavy_to_hanging, heavy / 8) << heavy;
 }
 
 // An engine that accepts requests and never responds shows only by its overdue attempts.
-TEST(Health, OverdueAttemptsWeighOnTheirEngine) {
-  Settings s = SomeSettings();
+TEST(Health, EngineWithOverdueAttempt_GetsNoRequests) {
+  Settings s = DefaultSettings();
   s.may_cancel = false;
   s.reports_cost = true;
   Host host(s);
-  host.List({Ready(1)});
-  host.Step({Ask(1)});
+  host.DeliverList({ReadyEngine(1)});
+  host.Step({MakeRequest(1)});
   host.now += 900 * kMs;
-  host.List({Ready(1), Ready(2)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   for (RequestId id = 2; host.engine_of[id - 1] != 2; ++id) {
-    host.Step({Ask(id, 0, 4 * kSecond, 150 * kMs)});
-    if (host.engine_of[id] == 1) host.End(id, Outcome::kOk, 150 * kMs, 150 * kMs);
+    host.Step({MakeRequest(id, 0, 4 * kSecond, 150 * kMs)});
+    if (host.engine_of[id] == 1) host.EndAttempt(id, Outcome::kOk, 150 * kMs, 150 * kMs);
   }
   int to_hung = 0;
   for (RequestId id = 100; id < 134; ++id) {
-    host.Step({Ask(id)});
+    host.Step({MakeRequest(id)});
     to_hung += host.engine_of[id] == 1;
-    host.End(id, Outcome::kOk, 100 * kMs, 100 * kMs);
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs, 100 * kMs);
   }
   EXPECT_EQ(to_hung, 0);
 }
 
 // Estimates may be biased and scatter. Honest attempts must not be cancelled for it and their work done
 // twice.
-TEST(Health, WhereCostsAreUntoldTheTimesTellHowFarAnHonestAttemptMayStray) {
-  Settings s = SomeSettings();
+TEST(Health, RunawayTimeout_WithoutReportedCosts_AllowsForSpreadOfTimes) {
+  Settings s = DefaultSettings();
   s.classes[0].client_timeout = 60 * kSecond;
   s.may_cancel = true;
   Host host(s);
-  host.List({Ready(1), Ready(2)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   for (RequestId id = 1; id <= 60; ++id) {  // neither is the other's hint
     const double scatter = id % 2 == 0 ? 2.7 : 1 / 2.7;
-    host.Step({Ask(id, 0, 50 * kSecond, id % 4 < 2 ? 20 * kMs : 150 * kMs)});
-    host.End(id, Outcome::kOk, static_cast<Nanos>(scatter * 100 * kMs));
+    host.Step({MakeRequest(id, 0, 50 * kSecond, id % 4 < 2 ? 20 * kMs : 150 * kMs)});
+    host.EndAttempt(id, Outcome::kOk, static_cast<Nanos>(scatter * 100 * kMs));
   }
-  host.Step({Ask(100, 0, 50 * kSecond, 20 * kMs)});
+  host.Step({MakeRequest(100, 0, 50 * kSecond, 20 * kMs)});
   host.RunUntil(host.now + 400 * kMs);
   EXPECT_FALSE(host.cancels.contains(100)) << "others took nearly as long";
   host.RunUntil(host.now + 3 * kSecond);
@@ -238,58 +240,58 @@
 
 // A class that turns heavy while a light attempt of it runs loses its runaway timeout. The check of that
 // attempt must not come due again and again within one step.
-TEST(Health, AClassThatTurnsHeavyLeavesNoEndlessCheck) {
-  Settings s = SomeSettings();
-  s.classes = {SomeClass(1), SomeClass(5)};
+TEST(Health, ClassTurningHeavy_DoesNotRepeatCheckEndlessly) {
+  Settings s = DefaultSettings();
+  s.classes = {DefaultClass(1), DefaultClass(5)};
   s.classes[1].latency_objective = 8 * kSecond;
   s.progress_interval = 500 * kMs;
   s.reports_cost = true;
   Host host(s);
-  host.List({Ready(1), Ready(2)});
-  host.Step({Ask(1)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
+  host.Step({MakeRequest(1)});
   for (RequestId id = 2; id <= 40; ++id) {
-    host.Step({Ask(id, 1)});
-    host.End(id, Outcome::kOk, 100 * kMs, 100 * kMs);
+    host.Step({MakeRequest(id, 1)});
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs, 100 * kMs);
   }
   host.RunUntil(host.now + 3 * kSecond);
-  host.End(1, Outcome::kOk, 3 * kSecond, 3 * kSecond);
+  host.EndAttempt(1, Outcome::kOk, 3 * kSecond, 3 * kSecond);
   EXPECT_EQ(host.Attempts(1), 1);
 }
 
 // Attempts rejected as full must not be retried at the same engine at once: each rejection is work for it.
-TEST(Health, AnEngineThatSaidFullRests) {
-  Settings s = SomeSettings();
+TEST(Health, FullEngine_IsNotRetriedBeforeBackoff) {
+  Settings s = DefaultSettings();
   s.max_attempts = 6;
   Host host(s);
-  host.List({Ready(1)});
-  host.Step({Ask(1)});
-  host.End(1, Outcome::kFull);
+  host.DeliverList({ReadyEngine(1)});
+  host.Step({MakeRequest(1)});
+  host.EndAttempt(1, Outcome::kFull);
   host.RunUntil(host.now + 400 * kMs);
   EXPECT_EQ(host.Attempts(1), 1);
   host.RunUntil(host.now + 200 * kMs);
   EXPECT_EQ(host.Attempts(1), 2);
 }
 
-// An ejected engine must come back even if every class is keyed.
-TEST(Health, AnEngineOfKeyedClassesComesBackFromProbation) {
-  Settings s = SomeSettings();
+// An ejected engine must be used again after its backoff even if all classes have idempotency keys.
+TEST(Health, EjectedEngine_WithKeyedClassesOnly_RecoversAfterBackoff) {
+  Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
   Host host(s);
-  host.List({Ready(1), Ready(2), Ready(3)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3)});
   RequestId id = 1;
   for (; id <= 60; ++id) {
-    host.Step({Ask(id)});
-    if (host.engine_of[id] == 1) host.End(id, Outcome::kReset);
-    host.End(id, Outcome::kOk, 100 * kMs);
+    host.Step({MakeRequest(id)});
+    if (host.engine_of[id] == 1) host.EndAttempt(id, Outcome::kReset);
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs);
   }
   host.now += 10 * kSecond;
-  int back = 0;
+  int recovered = 0;
   for (; id <= 160; ++id) {
-    host.Step({Ask(id)});
-    back += host.engine_of[id] == 1;
-    host.End(id, Outcome::kOk, 100 * kMs);
+    host.Step({MakeRequest(id)});
+    recovered += host.engine_of[id] == 1;
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs);
   }
-  EXPECT_GT(back, 5);
+  EXPECT_GT(recovered, 5);
 }
 
 }  // namespace
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -46,11 +46,11 @@
     now = at;
   }
   // Delivers an endpoint list.
-  void List(std::vector<EngineEntry> entries, ListKind kind = ListKind::kFull) {
+  void DeliverList(std::vector<EngineEntry> entries, ListKind kind = ListKind::kFull) {
     Step({EngineList{kind, std::make_shared<const std::vector<EngineEntry>>(std::move(entries))}});
   }
   // Ends the last attempt of the request.
-  void End(RequestId id, Outcome outcome, Nanos waited = kMs, Nanos work = 0, bool finished = false) {
+  void EndAttempt(RequestId id, Outcome outcome, Nanos waited = kMs, Nanos work = 0, bool finished = false) {
     AttemptEnded e;
     e.id = id;
     e.attempt = attempts_[id] - 1;
@@ -99,7 +99,7 @@
   std::multiset<Nanos> wakes_;
 };
 
-inline ClassSettings SomeClass(double priority_weight = 1, int threads = 1) {
+inline ClassSettings DefaultClass(double priority_weight = 1, int threads = 1) {
   ClassSettings c;
   c.latency_objective = kSecond;
   c.latency_objective_stretch = 1;
@@ -111,10 +111,10 @@
   return c;
 }
 
-inline Settings SomeSettings() {
+inline Settings DefaultSettings() {
   Settings s;
   s.gateway_count = 2;
-  s.classes = {SomeClass()};
+  s.classes = {DefaultClass()};
   s.kinds = {{8, 16384}};
   s.drain_grace = 250 * kMs;
   s.may_cancel = true;
@@ -126,15 +126,15 @@
   return s;
 }
 
-inline EngineEntry Ready(EngineId id, Nanos started_at = 0) {
+inline EngineEntry ReadyEngine(EngineId id, Nanos started_at = 0) {
   EngineEntry e;
   e.engine = id;
   e.started_at = started_at;
   return e;
 }
 
-inline Request Ask(RequestId id, std::uint16_t class_id = 0, Nanos client_timeout = 4 * kSecond,
-                   Nanos work = 100 * kMs) {
+inline Request MakeRequest(RequestId id, std::uint16_t class_id = 0, Nanos client_timeout = 4 * kSecond,
+                           Nanos work = 100 * kMs) {
   Request r;
   r.id = id;
   r.class_id = class_id;
--- a/tests/gateway_requests_test.cpp
+++ b/tests/gateway_requests_test.cpp
@@ -10,80 +10,80 @@
 namespace lemoncroft {
 namespace {
 
-TEST(Rule1, AHeldRequestIsAnsweredBeforeItsDeadline) {
-  Host host(SomeSettings());
-  host.List({});
-  host.Step({Ask(1, 0, 2 * kSecond)});
+TEST(RequestEnd, PendingRequest_WithoutEngines_IsRejectedBeforeItsDeadline) {
+  Host host(DefaultSettings());
+  host.DeliverList({});
+  host.Step({MakeRequest(1, 0, 2 * kSecond)});
   host.RunUntil(host.now + 2 * kSecond - kMs);
   ASSERT_TRUE(host.rejected.contains(1));
   EXPECT_TRUE(host.sends.empty());
   EXPECT_EQ(host.retry_after[1], 2 * kSecond);
 }
 
-TEST(Rule1, ATimeoutAtTheDeadlineIsAnswered) {
-  Host host(SomeSettings());
-  host.List({Ready(1)});
-  host.Step({Ask(1)});
+TEST(RequestEnd, AttemptTimeout_AtDeadline_EndsRequest) {
+  Host host(DefaultSettings());
+  host.DeliverList({ReadyEngine(1)});
+  host.Step({MakeRequest(1)});
   host.RunUntil(host.now + 4 * kSecond);
-  host.End(1, Outcome::kTimeout, 4 * kSecond);
+  host.EndAttempt(1, Outcome::kTimeout, 4 * kSecond);
   EXPECT_EQ(host.rejected.count(1) + host.failed.count(1), 1u);
 }
 
-TEST(Rule1, NothingIsSentOnceTheClientIsGone) {
-  Host host(SomeSettings());
-  host.List({});
-  host.Step({Ask(1)});
+TEST(RequestEnd, PendingRequest_Cancelled_IsNotSent) {
+  Host host(DefaultSettings());
+  host.DeliverList({});
+  host.Step({MakeRequest(1)});
   host.Step({RequestCancelled{1}});
-  host.List({Ready(1)});
+  host.DeliverList({ReadyEngine(1)});
   EXPECT_TRUE(host.sends.empty());
 }
 
-TEST(Rule2, AnUnsafeRequestThatMayHaveRunFails) {
-  Settings s = SomeSettings();
+TEST(Repeats, UnsafeRequest_ThatMayHaveRun_Fails) {
+  Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kUnsafe;
   Host host(s);
-  host.List({Ready(1), Ready(2)});
-  host.Step({Ask(1)});
-  host.End(1, Outcome::kConnectFailed);
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
+  host.Step({MakeRequest(1)});
+  host.EndAttempt(1, Outcome::kConnectFailed);
   EXPECT_EQ(host.Attempts(1), 2) << "never ran, so it may be tried again";
-  host.End(1, Outcome::kReset);
+  host.EndAttempt(1, Outcome::kReset);
   EXPECT_EQ(host.Attempts(1), 2);
   EXPECT_TRUE(host.failed.contains(1));
   EXPECT_FALSE(host.rejected.contains(1));
 }
 
-TEST(Rule2, AKeyedRequestStaysInItsGroupAndWindow) {
-  Settings s = SomeSettings();
+TEST(Repeats, KeyedRequest_Retried_StaysInRepeatGroupAndWindow) {
+  Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].repeat_group = RepeatGroup::kZone;
   s.classes[0].repeat_window = kSecond;
   Host host(s);
-  EngineEntry other = Ready(3);
+  EngineEntry other = ReadyEngine(3);
   other.zone = 1;
-  host.List({Ready(1), Ready(2), other});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), other});
   for (RequestId id = 1; id <= 30; ++id) {
-    host.Step({Ask(id)});
+    host.Step({MakeRequest(id)});
     EngineId first = host.engine_of[id];
-    host.End(id, Outcome::kError);
+    host.EndAttempt(id, Outcome::kError);
     if (host.Attempts(id) == 2) {
       EXPECT_EQ(first == 3, host.engine_of[id] == 3);
     }
-    host.End(id, Outcome::kOk);
+    host.EndAttempt(id, Outcome::kOk);
   }
-  host.Step({Ask(99)});
+  host.Step({MakeRequest(99)});
   host.now += 2 * kSecond;
-  host.End(99, Outcome::kReset);
+  host.EndAttempt(99, Outcome::kReset);
   EXPECT_EQ(host.Attempts(99), 1) << "the window has passed";
   EXPECT_TRUE(host.failed.contains(99));
 }
 
-TEST(Rule5, OneKeyRunsOneAtATimeAndRestsAfterAnUnknownEnd) {
-  Settings s = SomeSettings();
+TEST(OrderingKey, Requests_OfOneKey_RunOneAtATimeWithPauseAfterUnknownEnd) {
+  Settings s = DefaultSettings();
   s.classes[0].in_order = true;
   s.ordering_key_pause = 300 * kMs;
   Host host(s);
-  host.List({Ready(1), Ready(2), Ready(3)});
-  Request a = Ask(1), b = Ask(2), c = Ask(3);
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3)});
+  Request a = MakeRequest(1), b = MakeRequest(2), c = MakeRequest(3);
   a.ordering_key = b.ordering_key = 5;
   c.ordering_key = 6;
   host.Step({a, b, c});
@@ -91,7 +91,7 @@
   EXPECT_EQ(host.Attempts(2), 0);
   host.Step({RequestCancelled{1}});
   EXPECT_EQ(host.Attempts(2), 0) << "the attempt is still out";
-  host.End(1, Outcome::kCancelled, kMs, 0, true);
+  host.EndAttempt(1, Outcome::kCancelled, kMs, 0, true);
   Nanos ended = host.now;
   host.RunUntil(ended + 299 * kMs);
   EXPECT_EQ(host.Attempts(2), 0) << "the key rests";
@@ -100,76 +100,76 @@
 }
 
 // A keyed attempt without a response is cancelled near the end of its repeat window, not before.
-TEST(Rule2, ASilentKeyedAttemptIsRepeatedAtTheEndOfItsWindow) {
-  Settings s = SomeSettings();
+TEST(Repeats, KeyedAttempt_WithoutResponse_IsRetriedAtEndOfRepeatWindow) {
+  Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].client_timeout = 20 * kSecond;
   s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
-  host.List({Ready(1), Ready(2)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   const Nanos start = host.now;
-  host.Step({Ask(1, 0, 20 * kSecond)});
+  host.Step({MakeRequest(1, 0, 20 * kSecond)});
   host.RunUntil(start + 4500 * kMs);
   EXPECT_FALSE(host.cancels.contains(1)) << "a load cut short is much work lost";
   host.RunUntil(start + 4920 * kMs);
   ASSERT_TRUE(host.cancels.contains(1));
-  host.End(1, Outcome::kCancelled);
+  host.EndAttempt(1, Outcome::kCancelled);
   ASSERT_EQ(host.Attempts(1), 2);
   EXPECT_LE(host.sends.back().at, start + s.classes[0].repeat_window);
 }
 
 // A slow connection must not delay a repeat beyond the window in which engines recognise it.
-TEST(Rule2, AKeyedRepeatLeavesWithinItsWindowCountedFromTheFirstSend) {
-  Settings s = SomeSettings();
+TEST(Repeats, KeyedRetry_IsLimitedToRepeatWindowOfFirstSend) {
+  Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].repeat_window = kSecond;
   Host host(s);
-  host.List({Ready(1), Ready(2)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   const Nanos start = host.now;
-  host.Step({Ask(1)});
+  host.Step({MakeRequest(1)});
   EXPECT_EQ(host.sends.back().not_after, kNoLimit) << "nothing has run yet";
   host.now += 200 * kMs;
-  host.End(1, Outcome::kReset);
+  host.EndAttempt(1, Outcome::kReset);
   ASSERT_EQ(host.Attempts(1), 2);
   EXPECT_GT(host.sends.back().not_after, host.now);
   EXPECT_LT(host.sends.back().not_after, start + kSecond);
   const Nanos first = host.sends.back().not_after;
   host.now += 200 * kMs;
-  host.End(1, Outcome::kNotSent);  // an attempt that never left starts no window of its own
+  host.EndAttempt(1, Outcome::kNotSent);  // an attempt that never left starts no window of its own
   ASSERT_EQ(host.Attempts(1), 3);
   EXPECT_EQ(host.sends.back().not_after, first);
 }
 
-TEST(Rule2, ASafeRepeatMayLeaveAtAnyTime) {
-  Host host(SomeSettings());
-  host.List({Ready(1), Ready(2)});
-  host.Step({Ask(1)});
-  host.End(1, Outcome::kReset);
+TEST(Repeats, SafeRetry_IsSentWithoutTimeLimit) {
+  Host host(DefaultSettings());
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
+  host.Step({MakeRequest(1)});
+  host.EndAttempt(1, Outcome::kReset);
   ASSERT_EQ(host.Attempts(1), 2);
   EXPECT_EQ(host.sends.back().not_after, kNoLimit);
 }
 
 // A load that is expected to outlast its repeat window is no runaway at the window's end.
-TEST(Rule2, AKeyedAttemptExpectedToOutlastItsWindowIsLeftToRun) {
-  Settings s = SomeSettings();
+TEST(Repeats, KeyedAttempt_ExpectedToOutlastRepeatWindow_IsNotCancelled) {
+  Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].repeat_window = kSecond;
   s.classes[0].client_timeout = 20 * kSecond;
   s.classes[0].latency_objective = 10 * kSecond;
   Host host(s);
-  host.List({Ready(1), Ready(2)});
-  host.Step({Ask(1, 0, 20 * kSecond, 5 * kSecond)});
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
+  host.Step({MakeRequest(1, 0, 20 * kSecond, 5 * kSecond)});
   host.RunUntil(host.now + 4 * kSecond);
   EXPECT_FALSE(host.cancels.contains(1));
 }
 
-TEST(Determinism, TheSameEventsGiveTheSameActions) {
+TEST(Determinism, SameEvents_GiveSameActions) {
   auto run = [] {
-    Host host(SomeSettings(), 11);
-    host.List({Ready(1), Ready(2), Ready(3)});
+    Host host(DefaultSettings(), 11);
+    host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3)});
     for (RequestId id = 1; id <= 200; ++id) {
-      host.Step({Ask(id)});
-      if (id % 3 == 0) host.End(id, id % 2 ? Outcome::kError : Outcome::kOk);
+      host.Step({MakeRequest(id)});
+      if (id % 3 == 0) host.EndAttempt(id, id % 2 ? Outcome::kError : Outcome::kOk);
       host.RunUntil(host.now + 3 * kMs);
     }
     std::vector<std::pair<RequestId, EngineId>> out;
@@ -179,15 +179,15 @@
   EXPECT_EQ(run(), run());
 }
 
-TEST(OddInput, IsIgnored) {
-  Host host(SomeSettings());
+TEST(InvalidEvents, UnknownIds_AreIgnored) {
+  Host host(DefaultSettings());
   host.Step({});
-  AttemptEnded stray;
-  stray.id = 77;
-  host.Step({stray, RequestCancelled{78}, ProgressNotice{79, 0, NoticeKind::kProgress, 0.5}, ProbeEnded{},
-             TimerFired{5}, EngineList{ListKind::kFailed, nullptr}});
+  AttemptEnded unknown_attempt;
+  unknown_attempt.id = 77;
+  host.Step({unknown_attempt, RequestCancelled{78}, ProgressNotice{79, 0, NoticeKind::kProgress, 0.5},
+             ProbeEnded{}, TimerFired{5}, EngineList{ListKind::kFailed, nullptr}});
   EXPECT_TRUE(host.sends.empty());
-  host.Step({Ask(1, 9)});
+  host.Step({MakeRequest(1, 9)});
   EXPECT_TRUE(host.failed.contains(1)) << "a class that the settings do not have";
 }
 
--- a/tests/gateway_slow_start_test.cpp
+++ b/tests/gateway_slow_start_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Settings WithColdEngines() {
-  Settings s = SomeSettings();
+  Settings s = DefaultSettings();
   s.slow_start_initial_share = 0.3;
   s.slow_start_duration = 15 * kSecond;
   s.overload_factor = 2.5;
@@ -16,13 +16,13 @@
   return s;
 }
 
-TEST(Rule4, AColdEngineGetsItsShareOfTheBudgetInEveryWindow) {
+TEST(SlowStart, ColdEngine_UnderLoad_GetsGatewaysShareOfBudget) {
   Settings s = WithColdEngines();
   Host host(s);
-  host.List({Ready(1, host.now), Ready(2)});
+  host.DeliverList({ReadyEngine(1, host.now), ReadyEngine(2)});
   for (RequestId id = 1; id <= 400; ++id) {
-    host.Step({Ask(id)});
-    host.End(id, Outcome::kOk, 100 * kMs);  // as long as its estimate says
+    host.Step({MakeRequest(id)});
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs);  // as long as its estimate says
     host.now += kMs;
   }
   double sent = 0;
@@ -31,17 +31,17 @@
   EXPECT_LE(sent, 2.5 * 0.35 * 8 * 1.5 / s.gateway_count) << "half of what all gateways may send";
 }
 
-TEST(Rule4, TwoProcessesOfAGatewayDivideWhatAColdEngineTakes) {
+TEST(SlowStart, TwoProcesses_OfOneGateway_DivideBudget) {
   Settings s = WithColdEngines();
   const auto sent = [&s](int parts) {
     double total = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Host host(s, seed);
       host.Step({ProcessCount{parts}});
-      host.List({Ready(1, host.now), Ready(2)});
+      host.DeliverList({ReadyEngine(1, host.now), ReadyEngine(2)});
       for (RequestId id = 1; id <= 400; ++id) {
-        host.Step({Ask(id)});
-        host.End(id, Outcome::kOk, 100 * kMs);  // as long as its estimate says
+        host.Step({MakeRequest(id)});
+        host.EndAttempt(id, Outcome::kOk, 100 * kMs);  // as long as its estimate says
         host.now += kMs;
       }
       for (const Host::Sent& x : host.sends) total += x.engine == 1;
@@ -53,8 +53,8 @@
 
 // Work beyond the client's timeout is no demand: otherwise a huge estimate would give this gateway the whole
 // slow-start budget of an engine.
-TEST(Rule4, AHugeEstimateIsNoDemand) {
-  Settings s = SomeSettings();
+TEST(SlowStart, HugeEstimate_IsNotCountedAsDemand) {
+  Settings s = DefaultSettings();
   s.slow_start_initial_share = 0.3;
   s.slow_start_duration = 10 * kSecond;
   s.overload_factor = 4;
@@ -62,11 +62,11 @@
   std::array<std::size_t, 2> sent{};
   for (const bool huge : {false, true}) {
     Host host(s);
-    host.List({Ready(1, host.now)});
-    if (huge) host.Step({Ask(1000, 0, 2 * kSecond, 2'000'000 * kSecond)});
+    host.DeliverList({ReadyEngine(1, host.now)});
+    if (huge) host.Step({MakeRequest(1000, 0, 2 * kSecond, 2'000'000 * kSecond)});
     for (RequestId id = 1; id <= 400; ++id) {
-      host.Step({Ask(id, 0, 4 * kSecond, 100 * kMs)});
-      if (host.engine_of.contains(id)) host.End(id, Outcome::kOk, 100 * kMs, 100 * kMs);
+      host.Step({MakeRequest(id, 0, 4 * kSecond, 100 * kMs)});
+      if (host.engine_of.contains(id)) host.EndAttempt(id, Outcome::kOk, 100 * kMs, 100 * kMs);
       host.now += 5 * kMs;
     }
     sent[huge] = host.sends.size();
@@ -76,8 +76,8 @@
 
 // Credit must not be saved up at every gateway for an engine that was left alone. All gateways together send
 // no more than its budget in any window, and still send something.
-TEST(Rule4, AllGatewaysTogetherKeepAColdEnginesBudget) {
-  Settings s = SomeSettings();
+TEST(SlowStart, AllGateways_AfterIdleTime_KeepToBudgetTogether) {
+  Settings s = DefaultSettings();
   s.gateway_count = 100;
   s.slow_start_initial_share = 0.3;
   s.slow_start_duration = 15 * kSecond;
@@ -86,9 +86,9 @@
   double sent = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Host host(s, seed);
-    host.List({Ready(1, host.now)});
+    host.DeliverList({ReadyEngine(1, host.now)});
     host.now += 10 * kSecond;
-    for (RequestId id = 1; id <= 5; ++id) host.Step({Ask(id)});
+    for (RequestId id = 1; id <= 5; ++id) host.Step({MakeRequest(id)});
     sent += 0.1 * static_cast<double>(host.sends.size());
   }
   EXPECT_GT(sent, 0);
@@ -96,16 +96,16 @@
 }
 
 // Its predecessor may have spent the budget of the window a moment ago.
-TEST(Rule4, ARestartedGatewayHasNothingToSpendOnAColdEngineAtFirst) {
+TEST(SlowStart, RestartedGateway_HasNoCreditAtFirst) {
   Settings s = WithColdEngines();
   int at_once = 0, later = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Host host(s, seed);
-    host.List({Ready(1, host.now - 5 * kSecond)});
-    for (RequestId id = 1; id <= 5; ++id) host.Step({Ask(id)});
+    host.DeliverList({ReadyEngine(1, host.now - 5 * kSecond)});
+    for (RequestId id = 1; id <= 5; ++id) host.Step({MakeRequest(id)});
     at_once += static_cast<int>(host.sends.size());
     host.RunUntil(host.now + kSecond);
-    host.Step({Ask(9)});
+    host.Step({MakeRequest(9)});
     later += static_cast<int>(host.sends.size());
   }
   EXPECT_EQ(at_once, 0);
@@ -114,8 +114,8 @@
 
 // The slow-start budget is divided by the number of live gateways: all together keep it, even if each of them
 // is overloaded and would take the whole demand for its own.
-TEST(FleetSize, TogetherKeepWithinAColdEnginesBudget) {
-  Settings s = SomeSettings();
+TEST(FleetSize, OverloadedGateways_KeepToSlowStartBudgetTogether) {
+  Settings s = DefaultSettings();
   s.overload_window = kSecond;
   s.overload_factor = 4;
   s.slow_start_initial_share = 0.3;
@@ -126,11 +126,11 @@
     Host host(s, 5 + place);
     host.Step({FleetSize{kGateways, place}});
     host.now = kSecond;
-    EngineEntry cold = Ready(1);
+    EngineEntry cold = ReadyEngine(1);
     cold.started_at = host.now;
-    host.List({cold});
+    host.DeliverList({cold});
     for (RequestId id = 1; id <= 200; ++id) {
-      host.Step({Ask(id, 0, 4 * kSecond, 100 * kMs)});
+      host.Step({MakeRequest(id, 0, 4 * kSecond, 100 * kMs)});
       host.RunUntil(host.now + 5 * kMs);
     }
     work += 0.1 * static_cast<double>(host.sends.size());
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr Nanos kSecond = 1'000'000'000;
 
-TEST(CircuitBreaker, OpensByTheShareThatFailsAndBacksOffLonger) {
+TEST(CircuitBreaker, RepeatedFailures_OpenItWithLongerBackoff) {
   limits::CircuitBreaker breaker;
   EXPECT_FALSE(breaker.RecordFailure(0.15, 0));
   EXPECT_TRUE(breaker.RecordFailure(0.15, 0));
@@ -30,7 +30,7 @@
   EXPECT_FALSE(breaker.IsHalfOpen());
 }
 
-TEST(SentLoad, KeepsWhatMayRunOnUntilTheEngineHasWorkedItOff) {
+TEST(SentLoad, AttemptThatMayStillRun_StaysInBacklogUntilWorkedOff) {
   limits::SentLoad load;
   const limits::AttemptCharge charge{true, 2, 100, 6};
   load.RecordSend(charge);
@@ -50,7 +50,7 @@
   EXPECT_EQ(load.recent() + load.backlog(), 0);
 }
 
-TEST(OrderingKeyQueues, HandOutTheRequestsOfAKeyInTheirOrder) {
+TEST(OrderingKeyQueues, Requests_OfOneKey_AreReturnedInOrder) {
   limits::OrderingKeyQueues queues;
   queues.Append(7, 1);
   queues.Append(7, 2);
@@ -64,7 +64,7 @@
   EXPECT_EQ(queues.Front(8, 0), std::nullopt);
 }
 
-TEST(OrderingKeyQueues, AKeyThatRestsIsToldOnceItsRestIsOver) {
+TEST(OrderingKeyQueues, PausedKey_IsReturnedOnceAfterPause) {
   limits::OrderingKeyQueues queues;
   queues.PauseUntil(7, kSecond);
   queues.Append(7, 1);
@@ -76,7 +76,7 @@
   EXPECT_EQ(queues.Front(7, kSecond), std::optional<RequestId>(1));
 }
 
-TEST(OrderingKeyQueues, ARestOutlivesAnEmptyQueue) {
+TEST(OrderingKeyQueues, Pause_OutlastsEmptyQueue) {
   limits::OrderingKeyQueues queues;
   queues.Append(7, 1);
   queues.PauseUntil(7, kSecond);
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -15,40 +15,41 @@
 namespace lemoncroft {
 namespace {
 
-// The engines that gateway number `self` sends to.
-std::set<EngineId> EnginesUsed(Settings s, int self, int engines) {
-  s.gateway_index = self;
+// The engines that gateway number `gateway` sends to.
+std::set<EngineId> EnginesUsed(Settings s, int gateway, int engines) {
+  s.gateway_index = gateway;
   s.report_fields = {};
   Host host(s);
   std::vector<EngineEntry> fleet;
-  for (EngineId id = 1; id <= static_cast<EngineId>(engines); ++id) fleet.push_back(Ready(id));
-  host.List(fleet);
+  for (EngineId id = 1; id <= static_cast<EngineId>(engines); ++id) fleet.push_back(ReadyEngine(id));
+  host.DeliverList(fleet);
   std::set<EngineId> used;
   for (RequestId id = 1; id <= 300; ++id) {
-    Request ask = Ask(id, 0, 4 * kSecond, kMs);
-    ask.table_group = static_cast<std::uint32_t>(id);  // a group each: no engine is a home
-    host.Step({ask});
-    if (host.engine_of.contains(id)) used.insert(host.engine_of[id]), host.End(id, Outcome::kOk, kMs, kMs);
+    Request request = MakeRequest(id, 0, 4 * kSecond, kMs);
+    request.table_group = static_cast<std::uint32_t>(id);  // a group each: no engine is a home
+    host.Step({request});
+    if (host.engine_of.contains(id))
+      used.insert(host.engine_of[id]), host.EndAttempt(id, Outcome::kOk, kMs, kMs);
   }
   return used;
 }
 
-TEST(Subset, EachOfManyGatewaysSendsToAPartOfTheFleet) {
-  Settings s = SomeSettings();
+TEST(Subset, EachOfManyGateways_SendsToPartOfFleet) {
+  Settings s = DefaultSettings();
   s.gateway_count = 100;
   std::map<EngineId, int> sharing;
-  for (int self = 0; self < 100; ++self) {
-    const std::set<EngineId> used = EnginesUsed(s, self, 60);
-    EXPECT_GE(used.size(), 5u) << "gateway " << self;
-    EXPECT_LE(used.size(), 15u) << "gateway " << self << ": sixty engines by twenty-five gateways each";
+  for (int gateway = 0; gateway < 100; ++gateway) {
+    const std::set<EngineId> used = EnginesUsed(s, gateway, 60);
+    EXPECT_GE(used.size(), 5u) << "gateway " << gateway;
+    EXPECT_LE(used.size(), 15u) << "gateway " << gateway << ": sixty engines by twenty-five gateways each";
     for (EngineId id : used) ++sharing[id];
   }
   EXPECT_EQ(sharing.size(), 60u) << "no engine is left out of all subsets";
   for (const auto& [id, gateways] : sharing) EXPECT_LE(gateways, 50) << "engine " << id;
 }
 
-TEST(Subset, FewGatewaysUseTheWholeFleet) {
-  Settings s = SomeSettings();
+TEST(Subset, FewGateways_UseWholeFleet) {
+  Settings s = DefaultSettings();
   EXPECT_GT(EnginesUsed(s, 1, 60).size(), 30u) << "two gateways share every engine";
 }
 
@@ -79,7 +80,7 @@
   return listed;
 }
 
-TEST(RankingCache, RanksAsRendezvousHashingDoesForEveryKey) {
+TEST(RankingCache, Ranks_ForEveryKey_MatchRendezvousHashing) {
   RankedEngines engines = EnginesTo(200);
   subset::RankingCache<RankedEngine> cache;
   for (const std::uint64_t key : {1u, 2u, 1u, 3u, 2u}) {
@@ -88,7 +89,7 @@
   }
 }
 
-TEST(RankingCache, RanksTheAllowedAlone) {
+TEST(RankingCache, Ranks_WithFilter_IncludeOnlyAllowedEngines) {
   RankedEngines engines = EnginesTo(200);
   subset::RankingCache<RankedEngine> cache;
   const auto is_even = [&](EngineId id) { return id % 2 == 0; };
@@ -102,7 +103,7 @@
   EXPECT_EQ(ByRank(engines, ranked), subset::RankByHash(even, 7));
 }
 
-TEST(RankingCache, RanksAnewOnceCleared) {
+TEST(RankingCache, Ranks_AfterClear_AreComputedAgain) {
   RankedEngines engines = EnginesTo(200);
   subset::RankingCache<RankedEngine> cache;
   const auto all = [](const RankedEngine&) { return true; };
@@ -114,7 +115,7 @@
   EXPECT_EQ(ByRank(engines, ranked), subset::RankByHash(Listed(engines), 7));
 }
 
-TEST(RankingCache, IsBoundedHoweverManyKeysThereAre) {
+TEST(RankingCache, ManyKeys_DoNotExceedBound) {
   RankedEngines engines = EnginesTo(4400);
   subset::RankingCache<RankedEngine> cache;
   const std::size_t keys = 2 * cache.kMaxCachedEntries / engines.size();
@@ -125,30 +126,30 @@
 }
 
 // Loads go only to the last half of the order. An engine that is listed later must get its rank.
-TEST(RankingCache, TheModuleRanksAnewWhenTheListChanges) {
-  Settings s = SomeSettings();
+TEST(RankingCache, EndpointListChange_RanksEnginesAgain) {
+  Settings s = DefaultSettings();
   s.gateway_count = 1;
-  ClassSettings load = SomeClass(), reader = SomeClass();
+  ClassSettings load = DefaultClass(), reader = DefaultClass();
   load.holds_tables = true;
   reader.blocked_by_loads = true;
   s.classes = {load, reader};
   Host host(s);
-  host.List({Ready(1), Ready(2)});
-  Request first = Ask(1), second = Ask(2);
+  host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
+  Request first = MakeRequest(1), second = MakeRequest(2);
   first.table_group = second.table_group = 5;
   host.Step({first});
   ASSERT_TRUE(host.engine_of.contains(1));
-  host.End(1, Outcome::kOk);
+  host.EndAttempt(1, Outcome::kOk);
   std::vector<EngineEntry> changed;
-  for (EngineId id = 1; id <= 10; ++id) changed.push_back(Ready(id));
+  for (EngineId id = 1; id <= 10; ++id) changed.push_back(ReadyEngine(id));
   changed[0].readiness = changed[1].readiness = Readiness::kDraining;
-  host.List(changed);
+  host.DeliverList(changed);
   host.Step({second});
   EXPECT_TRUE(host.engine_of.contains(2)) << "three of the five that take loads are ready";
 }
 
 // Subsets by membership rank spread evenly, and an engine or gateway that comes or goes changes little.
-TEST(Subset, ByPlaceIsEvenAndMovesLittle) {
+TEST(Subset, ByMembershipRank_IsEvenAndChangesLittle) {
   std::vector<EngineId> engines;
   for (EngineId id = 1; id <= 80; ++id) engines.push_back(id * 977);
   for (const int gateways : {1, 2, 7, 100, 299, 300}) {
@@ -156,22 +157,24 @@
     for (const EngineId id : engines) sharing[id] = 0;
     std::size_t moved_by_gateway = 0, moved_by_engine = 0;
     std::vector<EngineId> fewer(engines.begin() + 1, engines.end());
-    for (int place = 0; place < gateways; ++place) {
-      const auto own = subset::SubsetByMembershipRank(engines, gateways, place);
+    for (int index = 0; index < gateways; ++index) {
+      const auto own = subset::SubsetByMembershipRank(engines, gateways, index);
       EXPECT_EQ(own.size(), subset::SubsetSize(engines.size(), gateways));
       for (const EngineId id : own) ++sharing[id];
       const std::set<EngineId> now(own.begin(), own.end());
       EXPECT_EQ(now.size(), own.size());
-      for (const EngineId id : subset::SubsetByMembershipRank(engines, gateways + 1, place))
+      for (const EngineId id : subset::SubsetByMembershipRank(engines, gateways + 1, index))
         moved_by_gateway += !now.contains(id);
-      for (const EngineId id : subset::SubsetByMembershipRank(fewer, gateways, place))
+      for (const EngineId id : subset::SubsetByMembershipRank(fewer, gateways, index))
         moved_by_engine += !now.contains(id);
     }
-    int least = gateways, most = 0;
-    for (const auto& [id, count] : sharing) least = std::min(least, count), most = std::max(most, count);
-    EXPECT_LE(most - least, gateways <= 25 ? 0 : static_cast<int>(subset::SubsetSize(80, gateways) / 5 + 1))
+    int min_count = gateways, max_count = 0;
+    for (const auto& [id, count] : sharing)
+      min_count = std::min(min_count, count), max_count = std::max(max_count, count);
+    EXPECT_LE(max_count - min_count,
+              gateways <= 25 ? 0 : static_cast<int>(subset::SubsetSize(80, gateways) / 5 + 1))
         << gateways;
-    EXPECT_LE(most, subset::MaxGatewaysPerEngine(engines.size(), gateways)) << gateways;
+    EXPECT_LE(max_count, subset::MaxGatewaysPerEngine(engines.size(), gateways)) << gateways;
     if (gateways < 100) continue;
     EXPECT_LE(moved_by_gateway, 2u * static_cast<std::size_t>(gateways)) << "a gateway more";
     EXPECT_LE(moved_by_engine, 2u * static_cast<std::size_t>(gateways)) << "an engine less";
