--- a/tests/class_estimates_test.cpp
+++ b/tests/class_estimates_test.cpp
@@ -1,4 +1,4 @@
-// What responses teach about a class of requests.
+// Estimates for a class of requests, learnt from responses.
 #include "decision/estimates/class_estimates.h"
 
 #include <gtest/gtest.h>
@@ -23,11 +23,12 @@
     estimates.Learn({.estimated_work = 3 * work, .reported_work = work, .time = 2 * work});
   }
   EXPECT_NEAR(estimates.ExpectedWork(0.3), 0.1, 0.02);
-  EXPECT_NEAR(estimates.ExpectedTime(0.1), 0.2, 0.01);  // twice its work, as all responses took
+  EXPECT_NEAR(estimates.ExpectedTime(0.1), 0.2, 0.01);  // all responses took twice their work
   EXPECT_LT(estimates.deviation(), 0.1);
 }
 
-// Times that scatter by themselves and with their estimates, on a fleet of a given pace.
+// Learns from times that scatter on their own and whose estimates scatter too, on a fleet with the given
+// slowdown.
 void LearnTimes(ClassEstimates& estimates, int responses, double slowdown) {
   for (int i = 0; i < responses; ++i) {
     const double work = 0.2 * std::exp(0.3 * (i % 5 - 2));
@@ -40,25 +41,25 @@
   ClassEstimates estimates(1, false);
   LearnTimes(estimates, 350, 1);
   EXPECT_NEAR(estimates.ExpectedWork(0.6), 0.2, 0.05);
-  EXPECT_GT(estimates.ExpectedWork(0.06), 0.08) << "a scattered estimate is drawn towards the mean";
+  EXPECT_GT(estimates.ExpectedWork(0.06), 0.08) << "an inaccurate estimate is corrected towards the mean";
   EXPECT_LT(estimates.ExpectedWork(6), 0.6);
   EXPECT_GT(estimates.deviation(), 0.2);
   EXPECT_LT(estimates.deviation(), 0.5);
 }
 
-// A fixed margin over a raw estimate is too little for many requests, which spill.
+// With a fixed margin over the client's estimate, many requests would get too little memory and spill.
 TEST(ClassEstimates, UnreportedMemory_IsExpectedWithErrorOfWorkEstimates) {
   ClassEstimates estimates(1, false);
   for (int i = 0; i < 350; ++i) {
-    const double scatter = std::exp(i % 2 == 0 ? 1 : -1);  // says nothing of the time
+    const double scatter = std::exp(i % 2 == 0 ? 1 : -1);  // uncorrelated with the time
     estimates.Learn({.estimated_work = 0.2 * scatter,
                      .time = 0.2 * std::exp(i % 4 < 2 ? 0.6 : -0.6),
                      .estimated_memory_mb = 200 * scatter});
   }
   EXPECT_GT(estimates.ExpectedMemoryMb(200 / 2.7), 300)
-      << "drawn to the mean of 200, and a margin of its scatter";
+      << "corrected towards the mean of 200, plus a margin for the scatter";
   EXPECT_LT(estimates.ExpectedMemoryMb(200 * 2.7), 800);
-  EXPECT_EQ(estimates.ExpectedMemoryMb(0), 0) << "no estimate: the engine's own choice";
+  EXPECT_EQ(estimates.ExpectedMemoryMb(0), 0) << "without an estimate, the engine chooses the grant";
 }
 
 TEST(ClassEstimates, WithoutEstimates_DeviationIsSpreadOfTimes) {
@@ -76,7 +77,7 @@
   EXPECT_NEAR(estimates.ExpectedTime(work), 3 * work, 0.6 * work);
 }
 
-// Times over reported work and times alone are different units, which a class must not mix.
+// Times divided by reported work and plain times have different units. A class must not mix them.
 TEST(ClassEstimates, CostsReportedByFewResponses_AreNotMixedWithTimes) {
   for (const bool settings_report : {true, false}) {
     ClassEstimates estimates(0.25, settings_report);
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Engines in slow start under the load of a whole fleet of gateways, in virtual time: 20, 30 and 300 modules,
-// which share nothing, with equal and with skewed traffic, and with restarts of most of them at once.
+// Engines in slow start under the load of a whole fleet of gateways, in virtual time: 20, 30 and 300 gateways
+// that share no state, with equal and with skewed traffic, and with restarts of most of them at once.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -119,7 +119,7 @@
   };
   struct SimulatedGateway {
     std::unique_ptr<Gateway> gateway;
-    double rate = 0;  // requests a second
+    double rate = 0;  // requests per second
     std::map<RequestId, double> work;
     std::map<RequestId, std::uint16_t> class_id;
     std::map<RequestId, int> attempts;
@@ -133,7 +133,7 @@
     return EngineList{ListKind::kFull, std::make_shared<const std::vector<EngineEntry>>(engines_)};
   }
 
-  // Starts gateway number `i`, or starts it anew without its state.
+  // Starts the gateway with the index `i`, or restarts it without its state.
   void StartGateway(int i) {
     const double rate = plan_.load * 12 * plan_.engines / mean_work_;
     const int busy_gateways = std::max(1, plan_.gateways / 10);
@@ -200,7 +200,8 @@
       Observe(plan_.work_factor * kClasses[simulated.class_id.at(send.id)].work / mean_work_, now);
   }
 
-  // Counts what the observed engine gets, in requests of mean work, against what it may get.
+  // Adds `requests`, in requests of mean work, to the load of the observed engine and compares it with the
+  // limit.
   void Observe(double requests, Nanos now) {
     window_.emplace_back(now, requests);
     in_window_ += requests;
@@ -226,12 +227,14 @@
   std::vector<SimulatedGateway> gateways_;
   RequestId next_id_ = 1;
   std::vector<Action> actions_;
-  std::deque<std::pair<Nanos, double>> window_;  // sends to the observed engine
+  std::deque<std::pair<Nanos, double>>
+      window_;  // sends to the observed engine: time and requests of mean work
   double in_window_ = 0;
   Outcomes result_;
 };
 
-// Every combination of traffic, of restarts, and of whether there are warm engines to go to.
+// Checks the budget for all combinations of traffic, of restarts, and of fleets with and without warm
+// engines.
 void ExpectWithinBudget(Plan plan, const std::vector<double>& loads, const std::vector<bool>& cold) {
   plan.engines = std::max(8, plan.gateways / 10);
   for (const bool all_cold : cold) {
@@ -247,7 +250,7 @@
           const std::string description = "load " + std::to_string(load) + (all_cold ? ", all cold" : "") +
                                           (skewed ? ", skewed" : "") + (restart < 0 ? "" : ", restarted");
           EXPECT_LE(outcomes.max_budget_use, 1) << description;
-          EXPECT_GT(outcomes.sent, 0) << description << ": nothing warms the engine";
+          EXPECT_GT(outcomes.sent, 0) << description << ": the engine gets no requests and never warms up";
         }
       }
     }
@@ -260,7 +263,8 @@
 TEST(ColdFleet, ThirtyGateways_KeepToBudgetTogether) {
   ExpectWithinBudget(Plan{30}, {0.7, 1.3}, {false, true});
 }
-// Most gateways have the engine outside their subsets, and use it only if none inside has room.
+// Most gateways have the engine outside their subsets, and use it only if no engine in the subset has
+// capacity.
 TEST(ColdFleet, ThreeHundredGateways_KeepToBudgetTogether) {
   Plan plan{300};
   plan.warm_up = 1500 * kMs;
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -1,4 +1,4 @@
-// A hung engine: it accepts attempts, responds to none, and may go on working after a cancellation.
+// A hung engine accepts attempts, responds to none, and may continue to work after a cancellation.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,10 +23,11 @@
   return settings;
 }
 
-// Plays so many requests, one in 20 ms; the hung engine responds to none. Returns its attempts.
+// Sends `requests` requests, one per 20 ms, of which the hung engine responds to none. Returns the number of
+// its cancelled attempts.
 int SendWithHungEngine(Host& host, RequestId first, int requests) {
   int hung = 0;
-  std::map<RequestId, Nanos> responses;  // that come later
+  std::map<RequestId, Nanos> responses;  // delivered later
   for (int i = 0; i < requests; ++i) {
     const RequestId id = first + static_cast<RequestId>(i);
     host.Step({MakeRequest(id, 0, 4 * kSecond, kWork)});
@@ -36,7 +37,7 @@
       if (host.engine_of[open] == kHungEngine && host.Attempts(open) == 1) cancelled.push_back(open);
     for (const RequestId open : cancelled) {
       ++hung;
-      host.EndAttempt(open, Outcome::kCancelled);  // goes on at another engine
+      host.EndAttempt(open, Outcome::kCancelled);  // is retried at another engine
       if (host.engine_of[open] != kHungEngine) host.EndAttempt(open, Outcome::kOk, kWork);
     }
     if (host.engine_of[id] != kHungEngine) host.EndAttempt(id, Outcome::kOk, kWork);
@@ -49,7 +50,8 @@
   host.DeliverList(Engines(4));
   SendWithHungEngine(host, 1, 200);
   const auto before = host.sends.size();
-  SendWithHungEngine(host, 1000, 400);  // 8 s: two openings of 4 s, each with one attempt for its trial
+  SendWithHungEngine(host, 1000,
+                     400);  // 8 s: two openings of the circuit breaker of 4 s, each followed by one attempt
   int late_attempts = 0;
   for (std::size_t i = before; i < host.sends.size(); ++i)
     late_attempts += host.sends[i].engine == kHungEngine;
@@ -77,7 +79,7 @@
   EXPECT_EQ(sent_to_loaded, 0);
 }
 
-// All gateways prefer the same engines for a table group, and each sees only its own part of their load.
+// All gateways prefer the same engines for a table group, and each knows only its own part of their load.
 TEST(HungEngine, PreferredEngine_IsPreferredOnlyUpToItsCapacity) {
   // After the warm-up, the demand that a gateway assumes at its start has no effect.
   constexpr int kRequests = 1000, kWarmUpRequests = 3000;
@@ -88,7 +90,7 @@
   std::map<EngineId, int> sent;
   for (RequestId id = 1; id <= kWarmUpRequests + kRequests; ++id) {
     Request request = MakeRequest(id);
-    request.table_group = 7;  // all of one group
+    request.table_group = 7;  // the same for all requests
     host.Step({request});
     if (id > kWarmUpRequests) ++sent[host.engine_of[id]];
     host.EndAttempt(id, Outcome::kOk, kWork);
@@ -96,9 +98,11 @@
   }
   int max_count = 0;
   for (const auto& [engine, count] : sent) max_count = std::max(max_count, count);
-  // 100 requests a second and gateway of 0.1 s: 8 x 10 of 160 cores, so that twice the mean fills an engine.
+  // Each gateway sends 100 requests per second of 0.1 s each. Together they use 8 x 10 of 160 cores, so that
+  // twice the mean load fills an engine.
   EXPECT_LE(max_count, 2.5 * kRequests / 20);
-  EXPECT_GE(max_count, 1.5 * kRequests / 20) << "a home is preferred, by more than where engines are full";
+  EXPECT_GE(max_count, 1.5 * kRequests / 20)
+      << "preferred engines get more than they would in a fully loaded fleet";
 }
 
 }  // namespace
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -1,4 +1,4 @@
-// Heavy requests: the capacity credit, load reports, memory and exploration.
+// Heavy requests: capacity credit, load reports, memory and exploratory requests.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -9,8 +9,8 @@
 namespace lemoncroft {
 namespace {
 
-// With hundreds of gateways one heavy request of each at every engine is an overload. Heavy requests are
-// charged to the gateway's credit; without credit none leaves unless an engine is idle.
+// With hundreds of gateways, one heavy request of each gateway at every engine is an overload. Heavy requests
+// are charged to the gateway's credit. Without credit, they are sent only to an idle engine.
 TEST(CapacityCredit, HeavyRequests_StayWithinGatewaysPartOfFleet) {
   Settings s = DefaultSettings();
   s.gateway_count = 100;
@@ -24,7 +24,7 @@
   for (RequestId id = 1; id <= 50; ++id) many.emplace_back(MakeRequest(id, 0, 30 * kSecond, 2 * kSecond));
   host.Step(many);
   EXPECT_GE(host.sends.size(), 1u);
-  EXPECT_LE(host.sends.size(), 8u) << "twenty engines run none of ours, but the share is of all gateways";
+  EXPECT_LE(host.sends.size(), 8u) << "20 engines run no request of this gateway, but its part is one of 100";
 }
 
 // Returns the number of attempts of a request that takes `time`, of a class with `class_settings`, at one of
@@ -47,21 +47,22 @@
     if (host.Attempts(id) > 0) host.EndAttempt(id, Outcome::kOk, duration);
   };
   for (int i = 0; i < 30; ++i) run_request(0, time, time), run_request(1, kSecond, kSecond);
-  for (int i = 0; i < 8; ++i) run_request(1, 5 * kSecond, kSecond);  // slow now, ...
-  host.Step({MakeRequest(500, 1, 50 * kSecond, 30 * kSecond)});      // ... and the credit is spent
+  for (int i = 0; i < 8; ++i) run_request(1, 5 * kSecond, kSecond);  // the fleet becomes slow
+  host.Step({MakeRequest(500, 1, 50 * kSecond, 30 * kSecond)});      // spends the credit
   host.Step({MakeRequest(1000, 0, 50 * kSecond, time)});
   return host.Attempts(1000);
 }
 
-// Light requests may be half of the load. If they always went first, requests of a heavy class with a higher
-// weight for a thread second would wait behind them.
+// Light requests may be half of the load. If they were always sent first, requests of a heavy class with a
+// higher priority weight per thread second would wait behind them.
 TEST(CapacityCredit, LightRequest_WithoutCredit_IsSentUnlessHeavyClassEarnsMore) {
   EXPECT_EQ(AttemptsWithoutCredit(DefaultClass(2), 100 * kMs), 1);
-  EXPECT_EQ(AttemptsWithoutCredit(DefaultClass(1), 100 * kMs), 0) << "the heavy class earns a fifth more";
+  EXPECT_EQ(AttemptsWithoutCredit(DefaultClass(1), 100 * kMs), 0)
+      << "the heavy class earns 20 % more per thread second";
 }
 
-// Loads that leave without credit spend it for all heavy classes, also for those with a higher weight for a
-// thread second.
+// Loads that are sent without credit spend the credit of all heavy classes, including those with a higher
+// priority weight per thread second.
 TEST(CapacityCredit, TableLoad_WithoutCredit_IsSentUnlessHeavyClassEarnsMore) {
   ClassSettings load = DefaultClass(13);
   load.holds_tables = true;
@@ -70,7 +71,8 @@
   EXPECT_EQ(AttemptsWithoutCredit(load, kSecond), 0);
 }
 
-// With many gateways nearly all load is that of others, so that a heavy request waits for a load report.
+// With many gateways, nearly all load at an engine is that of other gateways, so that a heavy request waits
+// for a load report.
 TEST(CapacityCredit, HeavyRequest_WithoutLoadReport_WaitsForProbe) {
   Settings s = DefaultSettings();
   s.gateway_count = 100;
@@ -81,16 +83,16 @@
   host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   host.Step({MakeRequest(1, 1, 4 * kSecond, kSecond), MakeRequest(2, 0, 4 * kSecond, 10 * kMs)});
   EXPECT_EQ(host.Attempts(1), 0);
-  EXPECT_EQ(host.Attempts(2), 1) << "a light query doesn't wait";
+  EXPECT_EQ(host.Attempts(2), 1) << "a light request doesn't wait";
   ASSERT_EQ(host.probes.size(), 1u);
   ProbeEnded full;
   full.engine = host.probes[0];
   full.load_report.count = 2;
   full.load_report.values = {40, 1.0f};
   host.Step({full});
-  EXPECT_EQ(host.Attempts(1), 0) << "others fill it";
+  EXPECT_EQ(host.Attempts(1), 0) << "requests of other gateways fill the engine";
   host.RunUntil(host.now + 300 * kMs);
-  ASSERT_EQ(host.probes.size(), 2u) << "another look, a beat later";
+  ASSERT_EQ(host.probes.size(), 2u) << "the second probe follows after the probe interval";
   ProbeEnded idle = full;
   idle.engine = host.probes[1];
   idle.load_report.values = {0, 0.0f};
@@ -115,7 +117,7 @@
   return s;
 }
 
-// All gateways see an engine as idle in the same report, and all send to it before the next one.
+// All gateways see the same report of an idle engine, and all send to it before the next report.
 TEST(LoadReports, OtherGateways_AreAssumedToSendAsMuchSinceReport) {
   Settings s = WithReports();
   Host host(s);
@@ -125,10 +127,10 @@
   for (RequestId id = 1; id <= 20; ++id) requests.push_back(MakeRequest(id));
   host.Step(requests);
   EXPECT_GE(host.sends.size(), 3u);
-  EXPECT_LE(host.sends.size(), 4u) << "four gateways share 12 threads: one and a half a core";
+  EXPECT_LE(host.sends.size(), 4u) << "four gateways share 12 threads: 1.5 threads per core";
 }
 
-// Engines admit requests beyond their memory, and then all that run there come to a standstill.
+// Engines admit requests beyond their memory, and then all of their requests make no progress.
 TEST(LoadReports, EngineWithAllMemoryGranted_GetsNoRequest) {
   Settings s = WithReports();
   s.memory_shortage_policy = MemoryShortagePolicy::kSwap;
@@ -143,8 +145,8 @@
   EXPECT_EQ(host.Attempts(1), 1);
 }
 
-// A class whose recent responses missed its latency objective is rejected at once. Without an exploratory
-// request now and then no response would show that the engines have become idle.
+// Requests of a class whose recent responses missed the latency objective are rejected at once. Without
+// occasional exploratory requests, no response would show that the engines have become idle.
 TEST(LoadReports, ClassWithSlowResponses_SendsExploratoryRequests) {
   Settings s = DefaultSettings();
   s.classes[0].late_weight_share = 0;
@@ -161,9 +163,9 @@
   for (int i = 0; i < 20; ++i) many.push_back(MakeRequest(++id, 0, 4 * kSecond));
   const std::size_t before = host.sends.size();
   host.Step(many);
-  ASSERT_EQ(host.sends.size(), before + 1) << "one tries, nineteen are turned away";
+  ASSERT_EQ(host.sends.size(), before + 1) << "one exploratory request is sent and 19 requests are rejected";
   host.EndAttempt(host.sends.back().id, Outcome::kOk, 50 * kMs);
-  const auto count_served = [&] {  // of a second's twenty requests, at engines that are fast again
+  const auto count_served = [&] {  // of 20 requests in one second, with engines that are fast again
     int count = 0;
     for (int i = 0; i < 20; ++i) {
       host.Step({MakeRequest(++id, 0, 4 * kSecond)});
@@ -175,10 +177,10 @@
     return count;
   };
   for (int i = 0; i < 3; ++i) count_served();
-  EXPECT_EQ(count_served(), 20) << "trials have shown the pace";
+  EXPECT_EQ(count_served(), 20) << "exploratory requests have shown that the engines are fast";
 }
 
-// A small gateway has only a dozen responses to learn a class's bias from.
+// A gateway with little traffic has only a dozen responses from which to learn the bias of a class.
 TEST(MemoryGrant, BiasedEstimates_AreCorrectedAfterFewResponses) {
   Settings s = DefaultSettings();
   s.honors_memory_grants = true;
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -1,4 +1,4 @@
-// Dispatch: which engine, in which order, and the concurrency limits.
+// Dispatch: choice of engine, order of requests and concurrency limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace lemoncroft {
 namespace {
 
-// Makes every engine of the host report itself busy, so that the concurrency limits apply.
+// Makes the engines of the host report themselves busy, so that the concurrency limits apply.
 void MakeBusy(Host& host, RequestId first, int n) {
   for (int i = 0; i < n; ++i) {
     RequestId id = first + static_cast<RequestId>(i);
@@ -48,7 +48,7 @@
   draining.readiness = Readiness::kDraining;
   host.DeliverList({draining});
   host.Step({MakeRequest(1)});
-  EXPECT_FALSE(host.rejected.contains(1)) << "the feed's engines come and go by themselves";
+  EXPECT_FALSE(host.rejected.contains(1)) << "engines of the feed are added and removed without an operator";
   host.DeliverList({ejected}, ListKind::kChange);
   EXPECT_TRUE(host.rejected.contains(1));
   host.Step({MakeRequest(2)});
@@ -82,11 +82,11 @@
   for (RequestId id = 1; id <= 20; ++id) {
     host.Step({MakeRequest(id)});
     host.EndAttempt(id, Outcome::kFull);
-    host.RunUntil(host.now + 510 * kMs);  // an engine that said full rests for half a second
+    host.RunUntil(host.now + 510 * kMs);  // the backoff of a full engine is 500 ms
   }
   int retries = static_cast<int>(host.sends.size()) - 20;
   EXPECT_GE(retries, 1);
-  EXPECT_LE(retries, 4) << "1 + 0.1 x 20, over a little more than one window";
+  EXPECT_LE(retries, 4) << "1 + 0.1 x 20 retries, over slightly more than one window";
 }
 
 TEST(DispatchOrder, HighestPriorityWeightFirst) {
@@ -112,7 +112,7 @@
   Host calm(DefaultSettings());
   calm.DeliverList({ReadyEngine(1)});
   for (RequestId id = 1; id <= 40; ++id) calm.Step({MakeRequest(id)});
-  EXPECT_EQ(calm.sends.size(), 12u) << "1.5 threads x 8 cores are pressure in themselves";
+  EXPECT_EQ(calm.sends.size(), 12u) << "1.5 threads x 8 cores already put the engine under pressure";
 
   Host busy(DefaultSettings());
   busy.DeliverList({ReadyEngine(1)});
@@ -122,7 +122,7 @@
   EXPECT_EQ(busy.sends.size(), 6u) << "1.5 threads x 8 cores / 2 gateways";
 }
 
-// Many gateways that each add a first heavy request to a full engine overload it together.
+// Many gateways that each send a first heavy request to a full engine would overload it together.
 TEST(ConcurrencyLimit, HeavyRequest_OnEngineCrowdedByOtherGateways_Waits) {
   Settings s = DefaultSettings();
   s.classes = {DefaultClass(1), DefaultClass(5)};
@@ -157,7 +157,7 @@
   std::vector<Event> many;
   for (RequestId id = 1; id <= 400; ++id) many.emplace_back(MakeRequest(id, 0, 60 * kSecond));
   host.Step(many);
-  std::size_t ended = 1, min_running = 100, max_running = 0;  // MakeBusy's own request has ended
+  std::size_t ended = 1, min_running = 100, max_running = 0;  // the request of MakeBusy has ended
   bool raised = false, reverted = false;
   for (std::size_t next = 1; host.now < 110 * kSecond; ++next) {
     host.RunUntil(host.now + 50 * kMs);
@@ -182,7 +182,7 @@
   EXPECT_LE(max_running, 8u);
 }
 
-// Many short requests must not wait for heavy ones.
+// A few heavy requests must not make many light requests wait.
 TEST(ConcurrencyLimit, LightRequests_AreCountedSeparately) {
   Settings s = DefaultSettings();
   s.classes = {DefaultClass(1), DefaultClass(5, 4)};
@@ -205,14 +205,15 @@
   EXPECT_NEAR(count[1], 20, 8);
 }
 
-// A request that can't meet its latency objective at the recent pace is rejected, not sent to be late.
+// A request that can't meet its latency objective at the recent slowdown must be rejected instead of being
+// sent too late.
 TEST(LatencyObjective, Request_ThatCannotMeetIt_IsRejected) {
   Settings s = DefaultSettings();
   s.classes[0].late_weight_share = 0;
   s.reports_cost = true;
   Host host(s);
   host.DeliverList({ReadyEngine(1)});
-  for (RequestId id = 1; id <= 60; ++id) {  // ten times the time of an idle engine
+  for (RequestId id = 1; id <= 60; ++id) {  // ten times the response time of an idle engine
     host.Step({MakeRequest(id)});
     if (host.rejected.contains(id)) continue;
     host.EndAttempt(id, Outcome::kOk, kSecond, 100 * kMs);
@@ -223,7 +224,7 @@
   EXPECT_TRUE(host.rejected.contains(100));
 }
 
-// A reader would wait at an engine for the load of another gateway that holds its table group.
+// At a shared engine, a reader would wait for the load of another gateway that holds its table group.
 TEST(EngineChoice, LoadsAndReadersOfTableGroup_UseDifferentEngines) {
   Settings s = DefaultSettings();
   s.classes = {DefaultClass(1), DefaultClass(5, 2)};
@@ -238,11 +239,11 @@
       Request reader = MakeRequest(1, 0), load = MakeRequest(2, 1);
       reader.table_group = load.table_group = tables;
       host.Step({reader, load});
-      ASSERT_EQ(host.sends.size(), 2u) << "each side has an engine";
+      ASSERT_EQ(host.sends.size(), 2u) << "there is an engine for the reader and one for the load";
       readers.insert(host.engine_of[1]);
       loads.insert(host.engine_of[2]);
     }
-    for (EngineId id : loads) EXPECT_FALSE(readers.contains(id)) << "tables " << tables;
+    for (EngineId id : loads) EXPECT_FALSE(readers.contains(id)) << "table group " << tables;
   }
 }
 
--- a/tests/gateway_health_test.cpp
+++ b/tests/gateway_health_test.cpp
@@ -1,4 +1,4 @@
-// Health: ejection of outliers, cancelled runaways, requests that fail everywhere.
+// Health: ejection of outliers, cancelled runaway attempts, and requests that fail at all engines.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -26,13 +26,14 @@
     return count;
   };
   requests_to_failing(60, true);
-  EXPECT_EQ(requests_to_failing(100, true), 0) << "ejected: its fast failures are no low load";
+  EXPECT_EQ(requests_to_failing(100, true), 0)
+      << "the engine is ejected: fast failures don't count as low load";
   host.now += 10 * kSecond;
   requests_to_failing(200, false);
   EXPECT_GT(requests_to_failing(100, false), 10);
 }
 
-// A request that no engine can serve must not eject them all.
+// A request that no engine can serve must not eject any engine.
 TEST(Health, Request_FailingOnAllEngines_EjectsNoEngine) {
   Settings s = DefaultSettings();
   s.max_attempts = 5;
@@ -42,7 +43,7 @@
   for (; id <= 40; ++id) {
     host.Step({MakeRequest(id)});
     while (!host.rejected.contains(id)) host.EndAttempt(id, Outcome::kError);
-    EXPECT_EQ(host.Attempts(id), 3) << "three engines agree";
+    EXPECT_EQ(host.Attempts(id), 3) << "the request ends after errors at three engines";
   }
   std::set<EngineId> used;
   for (; id <= 80; ++id) {
@@ -54,8 +55,8 @@
   EXPECT_EQ(used.size(), 4u);
 }
 
-// An engine that fails most attempts within milliseconds looks idle. Requests that it failed must not go
-// there again while another engine is left, or it would never be blamed.
+// An engine that fails most attempts within milliseconds looks idle. Its failed requests must not be sent to
+// it again while another engine is available; otherwise the errors would never count against it.
 TEST(Health, FailedRequest_WaitsForAnotherEngine) {
   Settings s = DefaultSettings();
   s.report_fields.clear();
@@ -75,13 +76,13 @@
   ASSERT_EQ(host.Attempts(waiting), 1);
   ASSERT_EQ(host.engine_of[waiting], 1u);
   host.EndAttempt(waiting, Outcome::kError);
-  EXPECT_EQ(host.Attempts(waiting), 1) << "not there again, though it has room";
+  EXPECT_EQ(host.Attempts(waiting), 1) << "not retried at the same engine, although it has capacity";
   host.EndAttempt(at_second, Outcome::kOk, 100 * kMs);
   EXPECT_EQ(host.Attempts(waiting), 2);
   EXPECT_EQ(host.engine_of[waiting], 2u);
 }
 
-// Without another engine the request is retried at the same one.
+// Without another engine, the request is retried at the same one.
 TEST(Health, FailedRequest_WithOnlyOneEngine_IsRetriedThere) {
   Host host(DefaultSettings());
   host.DeliverList({ReadyEngine(1)});
@@ -90,7 +91,8 @@
   EXPECT_EQ(host.Attempts(1), 2);
 }
 
-// Lost responses concern all engines alike. They eject one only if it loses nearly all.
+// Responses are lost on the way from all engines. They eject an engine only if nearly all of its responses
+// are lost.
 TEST(Health, LostResponses_EjectOnlyEngineThatLosesMost) {
   for (const int one_in : {5, 1}) {
     Host host(DefaultSettings());
@@ -107,7 +109,7 @@
   }
 }
 
-// A silent engine delays each attempt for long, so that two are enough to eject it.
+// An unresponsive engine delays each attempt for a long time, so that two attempts are enough to eject it.
 TEST(Health, UnresponsiveEngine_IsEjected) {
   Host host(DefaultSettings());
   host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4)});
@@ -122,7 +124,8 @@
   EXPECT_LE(to_unresponsive, 3);
 }
 
-// A hung keyed attempt is cancelled and retried elsewhere while its repeats are still recognised.
+// A hung attempt with an idempotency key is cancelled and retried at another engine while its repeats are
+// still recognised.
 TEST(Health, HungKeyedAttempt_IsRetriedAtAnotherEngineBeforeDeadline) {
   Settings s = DefaultSettings();
   s.reports_cost = true;
@@ -145,7 +148,7 @@
   EXPECT_NE(host.engine_of[99], hung);
 }
 
-// During slow start a load takes long without hanging. Cancelling it would lose its work.
+// During slow start, a table load takes long without hanging. Cancelling it would waste its work.
 TEST(Health, KeyedAttempt_OnColdEngine_IsNotCancelled) {
   Settings s = DefaultSettings();
   s.reports_cost = true;
@@ -168,7 +171,8 @@
   EXPECT_FALSE(host.cancels.contains(99));
 }
 
-// An engine that hangs some requests responds fast to the others. Heavy requests, which lose most, avoid it.
+// An engine on which some requests hang responds fast to the others. Heavy requests lose most by hanging and
+// must avoid it.
 TEST(Health, HeavyRequests_AvoidEngineWithHungAttempts) {
   Settings s = DefaultSettings();
   s.reports_cost = true;
@@ -195,7 +199,7 @@
   EXPECT_LT(heavy_to_hanging, heavy / 8) << heavy;
 }
 
-// An engine that accepts requests and never responds shows only by its overdue attempts.
+// An engine that accepts requests and never responds is detected only by its overdue attempts.
 TEST(Health, EngineWithOverdueAttempt_GetsNoRequests) {
   Settings s = DefaultSettings();
   s.may_cancel = false;
@@ -218,28 +222,28 @@
   EXPECT_EQ(to_hung, 0);
 }
 
-// Estimates may be biased and scatter. Honest attempts must not be cancelled for it and their work done
-// twice.
+// Estimates may be biased and scatter. Normal attempts must not be cancelled for that reason, since their
+// work would be done twice.
 TEST(Health, RunawayTimeout_WithoutReportedCosts_AllowsForSpreadOfTimes) {
   Settings s = DefaultSettings();
   s.classes[0].client_timeout = 60 * kSecond;
   s.may_cancel = true;
   Host host(s);
   host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
-  for (RequestId id = 1; id <= 60; ++id) {  // neither is the other's hint
+  for (RequestId id = 1; id <= 60; ++id) {  // time and estimate are uncorrelated
     const double scatter = id % 2 == 0 ? 2.7 : 1 / 2.7;
     host.Step({MakeRequest(id, 0, 50 * kSecond, id % 4 < 2 ? 20 * kMs : 150 * kMs)});
     host.EndAttempt(id, Outcome::kOk, static_cast<Nanos>(scatter * 100 * kMs));
   }
   host.Step({MakeRequest(100, 0, 50 * kSecond, 20 * kMs)});
   host.RunUntil(host.now + 400 * kMs);
-  EXPECT_FALSE(host.cancels.contains(100)) << "others took nearly as long";
+  EXPECT_FALSE(host.cancels.contains(100)) << "other attempts took nearly as long";
   host.RunUntil(host.now + 3 * kSecond);
-  EXPECT_TRUE(host.cancels.contains(100)) << "it hangs";
+  EXPECT_TRUE(host.cancels.contains(100)) << "the attempt hangs";
 }
 
-// A class that turns heavy while a light attempt of it runs loses its runaway timeout. The check of that
-// attempt must not come due again and again within one step.
+// When a class becomes heavy while an attempt of it is in flight, the attempt loses its runaway timeout. The
+// check of that attempt must not become due repeatedly within one step.
 TEST(Health, ClassTurningHeavy_DoesNotRepeatCheckEndlessly) {
   Settings s = DefaultSettings();
   s.classes = {DefaultClass(1), DefaultClass(5)};
@@ -258,7 +262,7 @@
   EXPECT_EQ(host.Attempts(1), 1);
 }
 
-// Attempts rejected as full must not be retried at the same engine at once: each rejection is work for it.
+// Attempts rejected by a full engine must not be retried there at once, since each rejection is work for it.
 TEST(Health, FullEngine_IsNotRetriedBeforeBackoff) {
   Settings s = DefaultSettings();
   s.max_attempts = 6;
--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -1,5 +1,5 @@
-// A host for tests of one Gateway: it keeps the time, records actions and delivers events. Also settings,
-// engines and requests to start from.
+// A host for tests of one Gateway, which keeps the time, delivers events and records actions; and functions
+// that make default settings, engines and requests.
 #ifndef LEMONCROFT_TESTS_GATEWAY_HOST_H_
 #define LEMONCROFT_TESTS_GATEWAY_HOST_H_
 
@@ -17,7 +17,7 @@
 inline constexpr Nanos kMs = 1'000'000;
 inline constexpr Nanos kSecond = 1000 * kMs;
 
-// Drives one Gateway in virtual time. Records actions instead of carrying them out.
+// Drives one Gateway in virtual time. It records actions instead of performing them.
 class Host {
  public:
   explicit Host(Settings settings, std::uint64_t seed = 7) : gateway_(std::move(settings), seed) {}
@@ -36,7 +36,7 @@
     gateway_.Step(now, events, actions);
     for (const Action& action : actions) Record(action);
   }
-  // Lets time pass until `at` and fires the timers that come due.
+  // Advances the time to `at` and fires the timers that become due.
   void RunUntil(Nanos at) {
     while (!wakes_.empty() && *wakes_.begin() <= at) {
       now = *wakes_.begin();
@@ -65,13 +65,13 @@
 
   Nanos now = 100 * kSecond;
   std::vector<Sent> sends;
-  std::map<RequestId, EngineId> engine_of;  // of the last attempt
-  std::map<RequestId, Nanos> rejected;      // when
-  std::map<RequestId, Nanos> failed;        // when
-  std::map<RequestId, Nanos> retry_after;   // of rejected requests
+  std::map<RequestId, EngineId> engine_of;  // the engine of the last attempt
+  std::map<RequestId, Nanos> rejected;      // the time of the rejection
+  std::map<RequestId, Nanos> failed;        // the time of the failure
+  std::map<RequestId, Nanos> retry_after;   // for rejected requests
   std::set<RequestId> cancels;
   std::vector<EngineId> probes;
-  std::map<RequestId, ResourceGrant> grants;  // the last one
+  std::map<RequestId, ResourceGrant> grants;  // the last grant
 
  private:
   void Record(const Action& action) {
--- a/tests/gateway_requests_test.cpp
+++ b/tests/gateway_requests_test.cpp
@@ -1,4 +1,4 @@
-// Requests from arrival to response: deadlines, retries that could repeat an effect, order by key.
+// Requests from arrival to response: deadlines, retries that could repeat an effect, and ordering keys.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -45,7 +45,7 @@
   host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   host.Step({MakeRequest(1)});
   host.EndAttempt(1, Outcome::kConnectFailed);
-  EXPECT_EQ(host.Attempts(1), 2) << "never ran, so it may be tried again";
+  EXPECT_EQ(host.Attempts(1), 2) << "the attempt never ran, so that a retry is safe";
   host.EndAttempt(1, Outcome::kReset);
   EXPECT_EQ(host.Attempts(1), 2);
   EXPECT_TRUE(host.failed.contains(1));
@@ -73,7 +73,7 @@
   host.Step({MakeRequest(99)});
   host.now += 2 * kSecond;
   host.EndAttempt(99, Outcome::kReset);
-  EXPECT_EQ(host.Attempts(99), 1) << "the window has passed";
+  EXPECT_EQ(host.Attempts(99), 1) << "the repeat window has passed";
   EXPECT_TRUE(host.failed.contains(99));
 }
 
@@ -90,16 +90,17 @@
   ASSERT_EQ(host.sends.size(), 2u);
   EXPECT_EQ(host.Attempts(2), 0);
   host.Step({RequestCancelled{1}});
-  EXPECT_EQ(host.Attempts(2), 0) << "the attempt is still out";
+  EXPECT_EQ(host.Attempts(2), 0) << "the attempt is still in flight";
   host.EndAttempt(1, Outcome::kCancelled, kMs, 0, true);
   Nanos ended = host.now;
   host.RunUntil(ended + 299 * kMs);
-  EXPECT_EQ(host.Attempts(2), 0) << "the key rests";
+  EXPECT_EQ(host.Attempts(2), 0) << "the ordering key is paused";
   host.RunUntil(ended + 400 * kMs);
   EXPECT_EQ(host.Attempts(2), 1);
 }
 
-// A keyed attempt without a response is cancelled near the end of its repeat window, not before.
+// An attempt with an idempotency key and without a response is cancelled near the end of its repeat window
+// and not earlier.
 TEST(Repeats, KeyedAttempt_WithoutResponse_IsRetriedAtEndOfRepeatWindow) {
   Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
@@ -110,7 +111,7 @@
   const Nanos start = host.now;
   host.Step({MakeRequest(1, 0, 20 * kSecond)});
   host.RunUntil(start + 4500 * kMs);
-  EXPECT_FALSE(host.cancels.contains(1)) << "a load cut short is much work lost";
+  EXPECT_FALSE(host.cancels.contains(1)) << "cancelling a table load wastes much work";
   host.RunUntil(start + 4920 * kMs);
   ASSERT_TRUE(host.cancels.contains(1));
   host.EndAttempt(1, Outcome::kCancelled);
@@ -118,7 +119,8 @@
   EXPECT_LE(host.sends.back().at, start + s.classes[0].repeat_window);
 }
 
-// A slow connection must not delay a repeat beyond the window in which engines recognise it.
+// A slow connection must not delay a retry beyond the repeat window, in which engines recognise it as a
+// repeat.
 TEST(Repeats, KeyedRetry_IsLimitedToRepeatWindowOfFirstSend) {
   Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
@@ -127,7 +129,7 @@
   host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   const Nanos start = host.now;
   host.Step({MakeRequest(1)});
-  EXPECT_EQ(host.sends.back().not_after, kNoLimit) << "nothing has run yet";
+  EXPECT_EQ(host.sends.back().not_after, kNoLimit) << "no attempt has run yet";
   host.now += 200 * kMs;
   host.EndAttempt(1, Outcome::kReset);
   ASSERT_EQ(host.Attempts(1), 2);
@@ -135,7 +137,7 @@
   EXPECT_LT(host.sends.back().not_after, start + kSecond);
   const Nanos first = host.sends.back().not_after;
   host.now += 200 * kMs;
-  host.EndAttempt(1, Outcome::kNotSent);  // an attempt that never left starts no window of its own
+  host.EndAttempt(1, Outcome::kNotSent);  // an attempt that was never sent doesn't start a repeat window
   ASSERT_EQ(host.Attempts(1), 3);
   EXPECT_EQ(host.sends.back().not_after, first);
 }
@@ -149,7 +151,8 @@
   EXPECT_EQ(host.sends.back().not_after, kNoLimit);
 }
 
-// A load that is expected to outlast its repeat window is no runaway at the window's end.
+// A table load that is expected to run longer than its repeat window isn't a runaway at the end of the
+// window.
 TEST(Repeats, KeyedAttempt_ExpectedToOutlastRepeatWindow_IsNotCancelled) {
   Settings s = DefaultSettings();
   s.classes[0].effect = Effect::kKeyed;
@@ -188,7 +191,7 @@
              ProbeEnded{}, TimerFired{5}, EngineList{ListKind::kFailed, nullptr}});
   EXPECT_TRUE(host.sends.empty());
   host.Step({MakeRequest(1, 9)});
-  EXPECT_TRUE(host.failed.contains(1)) << "a class that the settings do not have";
+  EXPECT_TRUE(host.failed.contains(1)) << "the settings have no such class";
 }
 
 }  // namespace
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -1,4 +1,4 @@
-// Changes under way: new settings, shutdown, size of the fleet of gateways.
+// Changes at run time: new settings, shutdown, and the size of the fleet of gateways.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -24,7 +24,7 @@
   host.Step({SettingsChanged{std::make_shared<const Settings>(after), {0, 0}}});
   host.Step({MakeRequest(3, 1)});
   host.EndAttempt(3, Outcome::kReset);
-  EXPECT_TRUE(host.failed.contains(3)) << "its class allows no repeat";
+  EXPECT_TRUE(host.failed.contains(3)) << "its class doesn't allow retries";
   host.EndAttempt(1, Outcome::kReset);
   EXPECT_EQ(host.Attempts(1), 2);
   EngineEntry draining = ReadyEngine(1);
@@ -34,7 +34,7 @@
   EXPECT_FALSE(host.rejected.contains(2));
   after.max_attempts = 1;
   host.Step({SettingsChanged{std::make_shared<const Settings>(after), {0, 1}}});
-  EXPECT_TRUE(host.rejected.contains(2)) << "held for an attempt that is no more allowed";
+  EXPECT_TRUE(host.rejected.contains(2)) << "it waited for a retry that is no longer allowed";
 }
 
 TEST(GatewayShutdown, OpenRequests_AreFailedOnlyIfTheyMayHaveRun) {
@@ -52,11 +52,11 @@
   host.Step({Shutdown{}});
   EXPECT_TRUE(host.rejected.contains(1));
   EXPECT_TRUE(host.failed.contains(2)) << "it may have run";
-  EXPECT_TRUE(host.rejected.contains(3)) << "held: it never ran";
+  EXPECT_TRUE(host.rejected.contains(3)) << "it was pending and never ran";
   EXPECT_EQ(host.cancels, (std::set<RequestId>{1, 2}));
 }
 
-// The repeat may still wait for its connection when its class becomes unsafe.
+// A retry may still be waiting for its connection when its class becomes unsafe.
 TEST(ApplySettings, Retry_NoLongerAllowed_IsCancelled) {
   Settings before = DefaultSettings();
   Host host(before);
@@ -69,9 +69,9 @@
   after.classes[0].effect = Effect::kUnsafe;
   host.Step({SettingsChanged{std::make_shared<const Settings>(after), {0}}});
   EXPECT_TRUE(host.cancels.contains(1));
-  EXPECT_FALSE(host.cancels.contains(2)) << "a first attempt is no repeat";
+  EXPECT_FALSE(host.cancels.contains(2)) << "a first attempt is not a retry";
   host.EndAttempt(1, Outcome::kNotSent);
-  EXPECT_TRUE(host.failed.contains(1)) << "the attempt before may have run";
+  EXPECT_TRUE(host.failed.contains(1)) << "the previous attempt may have run";
 }
 
 TEST(FleetSize, Event_ReplacesSettings_AlsoAfterReload) {
--- a/tests/gateway_slow_start_test.cpp
+++ b/tests/gateway_slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: the work that an engine gets while it warms up, from one gateway and from all.
+// Slow start: the work that an engine gets while it warms up, from one gateway and from all gateways.
 #include <gtest/gtest.h>
 
 #include "gateway_host.h"
@@ -22,13 +22,13 @@
   host.DeliverList({ReadyEngine(1, host.now), ReadyEngine(2)});
   for (RequestId id = 1; id <= 400; ++id) {
     host.Step({MakeRequest(id)});
-    host.EndAttempt(id, Outcome::kOk, 100 * kMs);  // as long as its estimate says
+    host.EndAttempt(id, Outcome::kOk, 100 * kMs);  // as estimated
     host.now += kMs;
   }
   double sent = 0;
   for (const Host::Sent& x : host.sends) sent += x.engine == 1 ? 0.1 : 0;
   EXPECT_GT(sent, 0);
-  EXPECT_LE(sent, 2.5 * 0.35 * 8 * 1.5 / s.gateway_count) << "half of what all gateways may send";
+  EXPECT_LE(sent, 2.5 * 0.35 * 8 * 1.5 / s.gateway_count) << "half of what both gateways may send together";
 }
 
 TEST(SlowStart, TwoProcesses_OfOneGateway_DivideBudget) {
@@ -41,7 +41,7 @@
       host.DeliverList({ReadyEngine(1, host.now), ReadyEngine(2)});
       for (RequestId id = 1; id <= 400; ++id) {
         host.Step({MakeRequest(id)});
-        host.EndAttempt(id, Outcome::kOk, 100 * kMs);  // as long as its estimate says
+        host.EndAttempt(id, Outcome::kOk, 100 * kMs);  // as estimated
         host.now += kMs;
       }
       for (const Host::Sent& x : host.sends) total += x.engine == 1;
@@ -51,8 +51,8 @@
   EXPECT_LT(sent(2), 0.65 * sent(1));
 }
 
-// Work beyond the client's timeout is no demand: otherwise a huge estimate would give this gateway the whole
-// slow-start budget of an engine.
+// Work beyond the client's timeout must not count as demand. Otherwise a huge estimate would give this
+// gateway the whole slow-start budget of an engine.
 TEST(SlowStart, HugeEstimate_IsNotCountedAsDemand) {
   Settings s = DefaultSettings();
   s.slow_start_initial_share = 0.3;
@@ -74,8 +74,8 @@
   EXPECT_LE(sent[1], sent[0] + sent[0] / 4) << sent[0];
 }
 
-// Credit must not be saved up at every gateway for an engine that was left alone. All gateways together send
-// no more than its budget in any window, and still send something.
+// Gateways must not accumulate credit for an engine that receives nothing. All gateways together send at most
+// its budget in any window, and more than nothing.
 TEST(SlowStart, AllGateways_AfterIdleTime_KeepToBudgetTogether) {
   Settings s = DefaultSettings();
   s.gateway_count = 100;
@@ -92,10 +92,10 @@
     sent += 0.1 * static_cast<double>(host.sends.size());
   }
   EXPECT_GT(sent, 0);
-  EXPECT_LE(sent, 2.5 * 0.76 * 8 * 1.5) << "multiple x present share x cores x window";
+  EXPECT_LE(sent, 2.5 * 0.76 * 8 * 1.5) << "overload factor x current capacity share x cores x window";
 }
 
-// Its predecessor may have spent the budget of the window a moment ago.
+// The previous process of the gateway may just have spent the budget of the window.
 TEST(SlowStart, RestartedGateway_HasNoCreditAtFirst) {
   Settings s = WithColdEngines();
   int at_once = 0, later = 0;
@@ -109,11 +109,11 @@
     later += static_cast<int>(host.sends.size());
   }
   EXPECT_EQ(at_once, 0);
-  EXPECT_GT(later, 40) << "a window's worth is earned within the window";
+  EXPECT_GT(later, 40) << "within a window, the gateway accrues the credit of one window";
 }
 
-// The slow-start budget is divided by the number of live gateways: all together keep it, even if each of them
-// is overloaded and would take the whole demand for its own.
+// The slow-start budget is divided by the number of live gateways, so that they keep to it together even if
+// each of them is overloaded and assumes that the whole demand is its own.
 TEST(FleetSize, OverloadedGateways_KeepToSlowStartBudgetTogether) {
   Settings s = DefaultSettings();
   s.overload_window = kSecond;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the decision module that limit (src/decision/limits/).
+// The limits of the decision module (src/decision/limits/).
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -23,7 +23,7 @@
   EXPECT_FALSE(breaker.IsOpen(limits::CircuitBreaker::kMinBackoff));
   EXPECT_TRUE(breaker.IsHalfOpen());
   const Nanos later = kSecond;
-  EXPECT_TRUE(breaker.RecordFailure(0.15, later)) << "the trial failed";
+  EXPECT_TRUE(breaker.RecordFailure(0.15, later)) << "the attempt of the half-open circuit breaker failed";
   breaker.Open(later, 1);
   EXPECT_TRUE(breaker.IsOpen(later + 2 * limits::CircuitBreaker::kMinBackoff - 1));
   for (int i = 0; i < 10; ++i) breaker.RecordSuccess(0.15);
@@ -68,7 +68,7 @@
   limits::OrderingKeyQueues queues;
   queues.PauseUntil(7, kSecond);
   queues.Append(7, 1);
-  EXPECT_TRUE(queues.TakeResumed(2 * kSecond).empty()) << "nobody asked for it";
+  EXPECT_TRUE(queues.TakeResumed(2 * kSecond).empty()) << "Front was not called during the pause";
   EXPECT_EQ(queues.Front(7, kSecond - 1), std::nullopt);
   EXPECT_TRUE(queues.TakeResumed(kSecond - 1).empty());
   EXPECT_EQ(queues.TakeResumed(kSecond), std::vector<limits::OrderingKeyQueues::Key>{7});
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -1,4 +1,4 @@
-// Subsets of the fleet and the rendezvous ranking of engines.
+// Subsets of the fleet, and the rendezvous order of engines.
 #include "decision/subset/subset.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace lemoncroft {
 namespace {
 
-// The engines that gateway number `gateway` sends to.
+// Returns the engines that the gateway with the index `gateway` sends to.
 std::set<EngineId> EnginesUsed(Settings s, int gateway, int engines) {
   s.gateway_index = gateway;
   s.report_fields = {};
@@ -26,7 +26,8 @@
   std::set<EngineId> used;
   for (RequestId id = 1; id <= 300; ++id) {
     Request request = MakeRequest(id, 0, 4 * kSecond, kMs);
-    request.table_group = static_cast<std::uint32_t>(id);  // a group each: no engine is a home
+    request.table_group =
+        static_cast<std::uint32_t>(id);  // one group per request, so that no engine is preferred for all
     host.Step({request});
     if (host.engine_of.contains(id))
       used.insert(host.engine_of[id]), host.EndAttempt(id, Outcome::kOk, kMs, kMs);
@@ -41,16 +42,16 @@
   for (int gateway = 0; gateway < 100; ++gateway) {
     const std::set<EngineId> used = EnginesUsed(s, gateway, 60);
     EXPECT_GE(used.size(), 5u) << "gateway " << gateway;
-    EXPECT_LE(used.size(), 15u) << "gateway " << gateway << ": sixty engines by twenty-five gateways each";
+    EXPECT_LE(used.size(), 15u) << "gateway " << gateway << ": 60 engines with 25 gateways each";
     for (EngineId id : used) ++sharing[id];
   }
-  EXPECT_EQ(sharing.size(), 60u) << "no engine is left out of all subsets";
+  EXPECT_EQ(sharing.size(), 60u) << "each engine is in at least one subset";
   for (const auto& [id, gateways] : sharing) EXPECT_LE(gateways, 50) << "engine " << id;
 }
 
 TEST(Subset, FewGateways_UseWholeFleet) {
   Settings s = DefaultSettings();
-  EXPECT_GT(EnginesUsed(s, 1, 60).size(), 30u) << "two gateways share every engine";
+  EXPECT_GT(EnginesUsed(s, 1, 60).size(), 30u) << "both gateways send to all engines";
 }
 
 struct RankedEngine {
@@ -65,7 +66,7 @@
   return engines;
 }
 
-// The engines in the order of their ranks.
+// Returns the ranked engines in the order of their ranks.
 std::vector<EngineId> ByRank(const RankedEngines& engines, std::size_t ranked) {
   std::vector<EngineId> order(ranked);
   for (const auto& [id, engine] : engines)
@@ -125,7 +126,7 @@
   }
 }
 
-// Loads go only to the last half of the order. An engine that is listed later must get its rank.
+// Table loads use only the last half of the order. An engine that is listed later must get its rank.
 TEST(RankingCache, EndpointListChange_RanksEnginesAgain) {
   Settings s = DefaultSettings();
   s.gateway_count = 1;
@@ -145,10 +146,11 @@
   changed[0].readiness = changed[1].readiness = Readiness::kDraining;
   host.DeliverList(changed);
   host.Step({second});
-  EXPECT_TRUE(host.engine_of.contains(2)) << "three of the five that take loads are ready";
+  EXPECT_TRUE(host.engine_of.contains(2)) << "at least three of the five engines for table loads are ready";
 }
 
-// Subsets by membership rank spread evenly, and an engine or gateway that comes or goes changes little.
+// Subsets by membership rank must be spread evenly and change little when an engine or a gateway is added or
+// removed.
 TEST(Subset, ByMembershipRank_IsEvenAndChangesLittle) {
   std::vector<EngineId> engines;
   for (EngineId id = 1; id <= 80; ++id) engines.push_back(id * 977);
@@ -176,8 +178,8 @@
         << gateways;
     EXPECT_LE(max_count, subset::MaxGatewaysPerEngine(engines.size(), gateways)) << gateways;
     if (gateways < 100) continue;
-    EXPECT_LE(moved_by_gateway, 2u * static_cast<std::size_t>(gateways)) << "a gateway more";
-    EXPECT_LE(moved_by_engine, 2u * static_cast<std::size_t>(gateways)) << "an engine less";
+    EXPECT_LE(moved_by_gateway, 2u * static_cast<std::size_t>(gateways)) << "one more gateway";
+    EXPECT_LE(moved_by_engine, 2u * static_cast<std::size_t>(gateways)) << "one engine fewer";
   }
 }
 
