--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -196,7 +196,7 @@
   void RecordSuccess(const RequestState& request, EngineState& engine, const AttemptEnded& end);
   void RecordHung(EngineState& engine, bool hung);
   void RecordErrorsOnOtherEngines(const RequestState& request);
-  // Adds a failed attempt, and ejects the engine if too many of its attempts have failed.
+  // Records a failed attempt, and ejects the engine if too many of its attempts have failed.
   void RecordFailure(EngineState& engine, double weight);
   void AdjustConcurrencyLimits();
 
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -50,8 +50,8 @@
   host.DeliverList(Engines(4));
   SendWithHungEngine(host, 1, 200);
   const auto before = host.sends.size();
-  SendWithHungEngine(host, 1000,
-                     400);  // 8 s: two openings of the circuit breaker of 4 s, each followed by one attempt
+  // 8 s: the circuit breaker opens twice for 4 s, each time followed by one attempt.
+  SendWithHungEngine(host, 1000, 400);
   int late_attempts = 0;
   for (std::size_t i = before; i < host.sends.size(); ++i)
     late_attempts += host.sends[i].engine == kHungEngine;
