--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts in flight: runaways, progress, and what follows their outcome.
+// Attempts in flight: runaway attempts, progress and outcomes.
 #include <algorithm>
 #include <cmath>
 
@@ -12,7 +12,7 @@
   return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
 
-// Whether the engine may still be running the attempt.
+// Returns true if the engine may still be running the attempt.
 bool MayStillRun(Outcome outcome) {
   return MayHaveRun(outcome) && outcome != Outcome::kOk && outcome != Outcome::kError;
 }
@@ -29,8 +29,8 @@
 
 // ---- Runaway attempts ----
 
-// An attempt that runs far longer than its request should need is cancelled and retried elsewhere while that
-// can be in time. In an overload this throws work away.
+// An attempt that runs far longer than its request should need is cancelled and retried at another engine, as
+// long as the retry can end in time. In an overload, this wastes work.
 void Scheduler::CheckRunaway(RequestState& request) {
   const Nanos timeout = RunawayTimeout(request);
   if (timeout <= 0) return;
@@ -40,19 +40,20 @@
 
 Nanos Scheduler::RunawayTimeout(const RequestState& request) const {
   if (!settings_.may_cancel || !MayCancelAndRetry(request)) return 0;
-  if (settings_.progress_interval > 0 && !IsLight(request)) return 0;  // its progress tells
+  if (settings_.progress_interval > 0 && !IsLight(request)) return 0;  // detected by its progress
   const double factor = RunawayFactor(request);
   if (Class(request).effect == Effect::kKeyed) return KeyedRunawayTimeout(request, factor);
   return FromSeconds(ExpectedSeconds(request) * factor);
 }
 
-// Cancelling a keyed attempt costs much. While durations are unknown it runs as long as a retry allows; one
-// that is expected to run longer than that isn't cancelled at all.
+// Cancelling an attempt with an idempotency key is expensive. While durations are unknown, such an attempt
+// runs until the latest time that still permits a retry. An attempt that is expected to run longer than that
+// isn't cancelled at all.
 Nanos Scheduler::KeyedRunawayTimeout(const RequestState& request, double factor) const {
   const auto engine = engines_.find(request.engine_id);
-  const bool pace_known =
-      Estimates(request).known() && engine != engines_.end() && !InSlowStart(engine->second);
-  const double keyed_factor = pace_known ? std::max(factor, kMinRunawayFactorKeyed) : HUGE_VAL;
+  const bool durations_known =
+      Estimates(request).best_slowdown_known() && engine != engines_.end() && !InSlowStart(engine->second);
+  const double keyed_factor = durations_known ? std::max(factor, kMinRunawayFactorKeyed) : HUGE_VAL;
   const Nanos last = LastSafeCancel(request) - request.sent_at;
   if (FromSeconds(ExpectedSeconds(request)) > last) return 0;
   return std::min(FromSeconds(ExpectedSeconds(request) * keyed_factor), last);
@@ -104,11 +105,11 @@
   const double remaining = (projected - elapsed) * kProjectionMargin;
   const bool misses_deadline = now_ + FromSeconds(remaining) > request->deadline;
   const bool runaway = misses_deadline || projected > ExpectedSeconds(*request) * kRunawayFactorProgress;
-  const bool heavy_itself =
+  const bool request_is_heavy =
       request->runaway_cancels > 0 && projected > kHeavyProjectionShare * request->projected_seconds;
-  if (runaway && !heavy_itself && CancelAndRetry(*request)) {
+  if (runaway && !request_is_heavy && CancelAndRetry(*request)) {
     request->projected_seconds = projected;
-  } else if (misses_deadline && elapsed > kMinSecondsBeforeGivingUp) {
+  } else if (misses_deadline && elapsed > kMinSecondsBeforeAbandoning) {
     RejectOrFail(*request);
   }
 }
@@ -126,7 +127,7 @@
     if (engine != engines_.end()) request->may_have_run_on = engine->second.entry;
   }
   if (MayStillRun(end.outcome) && request->ordered)
-    keys_.PauseUntil(request->spec.ordering_key, now_ + settings_.ordering_key_pause);
+    ordering_key_queues_.PauseUntil(request->spec.ordering_key, now_ + settings_.ordering_key_pause);
   if (end.request_finished || request->phase == RequestPhase::kDone) return Finish(*request);
   RetryOrEnd(*request);
 }
@@ -136,7 +137,7 @@
   const bool in_time = now_ < request.deadline - kResponseMargin - run;
   const bool exhausted =
       request.attempts >= settings_.max_attempts || request.failed_on.size() >= kMaxEnginesInError;
-  if (!in_time || exhausted || !RetryMayLeave(request)) return RejectOrFail(request);
+  if (!in_time || exhausted || !MayRetryNow(request)) return RejectOrFail(request);
   request.late = request.late || now_ > request.objective_at;
   Enqueue(request);
 }
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -1,4 +1,4 @@
-// Dispatch: sends pending requests, highest priority weight first, as long as engines can take them.
+// Dispatch: sends pending requests, highest priority weight first, while engines can take them.
 #include <algorithm>
 
 #include "decision/constants.h"
@@ -7,7 +7,7 @@
 namespace lemoncroft::decision {
 
 void Scheduler::DispatchPending() {
-  for (const std::uint64_t key : keys_.TakeResumed(now_)) AdvanceKey(key);
+  for (const std::uint64_t key : ordering_key_queues_.TakeResumed(now_)) AdvanceOrderingKey(key);
   if (pending_.empty()) return;
   if (AllManuallyEjected()) return RejectOrFailAllPending();
   std::vector<RequestId> sent;
@@ -21,7 +21,7 @@
   for (const auto& [work, id] : group) {
     if (failed_placements >= kMaxFailedPlacements) return;
     RequestState& request = requests_.at(id);
-    if (!RetryBudgetAllows(request)) continue;  // doesn't hold up first attempts
+    if (!RetryBudgetAllows(request)) continue;  // first attempts don't wait for retries
     EngineState* const engine = ChooseEngine(request);
     if (engine == nullptr) {
       ++failed_placements;
@@ -32,7 +32,8 @@
   }
 }
 
-// Nobody knows when operators will include an engine again, so that requests don't wait for it.
+// Returns true if no engine serves and at least one is manually ejected. Requests don't wait then, since it
+// is unknown when an operator will include an engine again.
 bool Scheduler::AllManuallyEjected() const {
   bool any_ejected = false;
   for (const auto& [id, engine] : engines_) {
@@ -46,7 +47,7 @@
 
 bool Scheduler::RetryBudgetAllows(const RequestState& request) {
   if (request.attempts == 0 || !settings_.retry_budget) return true;
-  return retries_.Allows(*settings_.retry_budget, process_parts_, kTimerInterval, now_);
+  return retries_.Allows(*settings_.retry_budget, process_count_, kTimerInterval, now_);
 }
 
 Nanos Scheduler::RetryDeadline(const RequestState& request) const {
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -1,4 +1,5 @@
-// What outcomes and load reports teach: estimates of classes, load and health of engines, concurrency limits.
+// Learning from outcomes and load reports: estimates of classes, load and health of engines, and concurrency
+// limits.
 #include <algorithm>
 #include <string>
 
@@ -7,7 +8,7 @@
 
 namespace lemoncroft::decision {
 
-using estimates::Blend;
+using estimates::UpdateMovingMean;
 
 // ---- Outcomes ----
 
@@ -34,7 +35,7 @@
   switch (end.outcome) {
     case Outcome::kOk:
       RecordSuccess(request, engine, end);
-      BlameFailedEngines(request);
+      RecordErrorsOnOtherEngines(request);
       if (request.charge.light) RecordHung(engine, false);
       break;
     case Outcome::kFull:
@@ -47,7 +48,7 @@
     case Outcome::kLost:
       RecordFailure(engine, kLostResponseWeight);
       break;
-    case Outcome::kTimeout:  // at the request's deadline it says nothing about the engine
+    case Outcome::kTimeout:  // a timeout at the request's deadline says nothing about the engine
       if (now_ < request.deadline - kResponseMargin) RecordFailure(engine, kBrokenConnectionWeight);
       break;
     case Outcome::kConnectFailed:
@@ -58,7 +59,7 @@
       const bool runaway = request.runaway_cancels > 0 && request.phase != RequestPhase::kDone;
       if (!runaway) break;
       const double sample = std::min(kMaxLatencyRatio, kHungLatencyFactor * engine.latency_ratio);
-      Blend(engine.latency_ratio, sample, kFastWeight);
+      UpdateMovingMean(engine.latency_ratio, sample, kFastWeight);
       RecordFailure(engine, kErrorWeight);
       if (request.charge.light) RecordHung(engine, true);
       break;
@@ -80,27 +81,27 @@
                                                .exploratory = request.exploratory});
   const double sample = std::min(ratio, kMaxLatencyRatio);
   ++engine.responses;
-  Blend(engine.latency_ratio, sample, std::max(kFastWeight, 1.0 / (engine.responses + 3)));
-  Blend(fleet_latency_ratio_, sample, kFastWeight);
+  UpdateMovingMean(engine.latency_ratio, sample, std::max(kFastWeight, 1.0 / (engine.responses + 3)));
+  UpdateMovingMean(fleet_latency_ratio_, sample, kFastWeight);
   engine.concurrency_limit.RecordResponse(reported_work > 0 ? reported_work : request.work, ratio);
 }
 
 void Scheduler::RecordHung(EngineState& engine, bool hung) {
-  Blend(engine.hung_share, hung, kHungWeight);
-  Blend(fleet_hung_share_, hung, kFleetHungWeight);
+  UpdateMovingMean(engine.hung_share, hung, kHungWeight);
+  UpdateMovingMean(fleet_hung_share_, hung, kFleetHungWeight);
 }
 
 // ---- Load reports ----
 
-void Scheduler::Handle(const ProbeEnded& probed) {
-  const auto engine = engines_.find(probed.engine);
-  if (engine != engines_.end()) RecordReport(engine->second, probed.load_report, ReportExpectation::kDue);
+void Scheduler::Handle(const ProbeEnded& probe) {
+  const auto engine = engines_.find(probe.engine);
+  if (engine != engines_.end()) RecordReport(engine->second, probe.load_report, ReportExpectation::kDue);
 }
 
 void Scheduler::RecordReport(EngineState& engine, const LoadReport& report, ReportExpectation expectation) {
   const auto own = static_cast<double>(engine.in_flight.size());
   if (engine.reported_load.Update(report_layout_, report, own, now_)) {
-    Blend(mean_other_requests_, engine.reported_load.other_requests(), kFastWeight);
+    UpdateMovingMean(mean_other_requests_, engine.reported_load.other_requests(), kFastWeight);
     any_engine_reported_ = true;
   } else if (expectation == ReportExpectation::kDue) {
     engine.reported_load.RecordMissing();
@@ -109,15 +110,15 @@
 
 // ---- Outlier detection ----
 
-// An error counts against its engine only once another engine has served the request: a request that no
-// engine can serve must eject none.
-void Scheduler::BlameFailedEngines(const RequestState& request) {
+// An error counts against its engine only once another engine has served the request. A request that no
+// engine can serve must not eject any engine.
+void Scheduler::RecordErrorsOnOtherEngines(const RequestState& request) {
   for (auto& [id, engine] : engines_)
     if (id != request.engine_id && FailedOn(request, engine)) RecordFailure(engine, kErrorWeight);
 }
 
-// An engine that fails fast looks idle and would draw requests. After its backoff it is ejected again by its
-// next failure, until successes have brought the share of failures down.
+// An engine that fails fast looks idle and would attract requests. After its backoff, its next failure ejects
+// it again, until successes have reduced its share of failures.
 void Scheduler::RecordFailure(EngineState& engine, double weight) {
   if (!engine.breaker.RecordFailure(weight, now_)) return;
   double ejected = 1;  // this engine
@@ -127,7 +128,7 @@
     ++listed;
     if (other.breaker.IsOpen(now_)) ++ejected;
   }
-  if (ejected > kMaxEjectedShare * listed) return;  // a fault of the whole fleet
+  if (ejected > kMaxEjectedShare * listed) return;  // the whole fleet fails
   engine.breaker.Open(now_, kMinEjectionJitter + kEjectionJitterRange * RandomUniform());
   actions_->push_back(LogLine{"engine " + std::to_string(engine.entry.engine) + " ejected: attempts fail"});
 }
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -1,4 +1,4 @@
-// Requests: arrival, quotas, order by key, and their end.
+// Requests: arrival, quotas, ordering keys and end.
 #include <algorithm>
 #include <optional>
 #include <set>
@@ -23,16 +23,17 @@
   request.deadline = now_ + spec.client_timeout;
   request.priority_weight =
       class_settings.priority_weight * (IsOverQuota(spec) ? settings_.over_quota_weight_share : 1);
-  // Work that can't be done within the timeout is no demand, however large the client's estimate is.
+  // Work that can't be done within the client's timeout doesn't count as demand, however large the client's
+  // estimate is.
   credit_.RecordDemand(std::min(request.work, request.threads * ToSeconds(spec.client_timeout)));
   if (settings_.retry_budget) retries_.RecordRequest(now_);
   request.ordered = class_settings.in_order && spec.ordering_key != 0;
-  if (request.ordered) keys_.Append(spec.ordering_key, spec.id);
+  if (request.ordered) ordering_key_queues_.Append(spec.ordering_key, spec.id);
   Enqueue(request);
 }
 
-// Each gateway gets an even part of a tenant's quota; while the number of gateways isn't known from the
-// membership view, a part by its share of the fleet's usual traffic.
+// Each gateway gets an equal part of a tenant's quota. While the number of gateways isn't known from the
+// membership view, the part depends on the gateway's share of the fleet's usual traffic.
 bool Scheduler::IsOverQuota(const Request& spec) {
   if (spec.tenant >= quotas_.size()) return false;
   const double quota_per_s = settings_.tenants[spec.tenant].quota_per_s;
@@ -47,23 +48,23 @@
 
 void Scheduler::Enqueue(RequestState& request) {
   if (!request.ordered) return AddPending(request);
-  request.phase = RequestPhase::kBehindKey;
+  request.phase = RequestPhase::kWaitingForOrderingKey;
   ScheduleCheck(request, LatestStart(request));
-  AdvanceKey(request.spec.ordering_key);
+  AdvanceOrderingKey(request.spec.ordering_key);
 }
 
 void Scheduler::AddPending(RequestState& request) {
   request.phase = RequestPhase::kPending;
-  pending_.Add({CurrentWeight(request), request.spec.class_id}, request.work, request.spec.id);
+  pending_.Add({CurrentPriorityWeight(request), request.spec.class_id}, request.work, request.spec.id);
   const Nanos retry_deadline = request.attempts > 0 ? RetryDeadline(request) : kNoLimit;
   ScheduleCheck(request, std::min(LatestStart(request), retry_deadline));
 }
 
 void Scheduler::RemovePending(const RequestState& request) {
-  pending_.Remove({CurrentWeight(request), request.spec.class_id}, request.work, request.spec.id);
+  pending_.Remove({CurrentPriorityWeight(request), request.spec.class_id}, request.work, request.spec.id);
 }
 
-double Scheduler::CurrentWeight(const RequestState& request) const {
+double Scheduler::CurrentPriorityWeight(const RequestState& request) const {
   return request.priority_weight * (request.late ? Class(request).late_weight_share : 1);
 }
 
@@ -71,10 +72,10 @@
   while (!pending_.empty()) RejectOrFail(requests_.at(pending_.front()));
 }
 
-// ---- Order by key ----
+// ---- Ordering keys ----
 
-// Open requests of a class that now keeps an order take part in it, so that later ones wait for them.
-void Scheduler::RebuildKeyQueues(const std::vector<int>& inherits_estimates_from) {
+// Open requests of a class that now has ordering keys are queued too, so that later requests wait for them.
+void Scheduler::RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from) {
   std::set<RequestId> ordered;  // in the order of arrival
   for (auto& [id, request] : requests_) {
     for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.ordering_key != 0; ++i) {
@@ -83,27 +84,27 @@
     }
     if (request.ordered) ordered.insert(id);
   }
-  keys_.Clear();
-  for (RequestId id : ordered) keys_.Append(requests_.at(id).spec.ordering_key, id);
+  ordering_key_queues_.Clear();
+  for (RequestId id : ordered) ordering_key_queues_.Append(requests_.at(id).spec.ordering_key, id);
   for (RequestId id : ordered) {
     RequestState& request = requests_.at(id);
     if (request.phase == RequestPhase::kPending) RemovePending(request);
-    if (request.phase == RequestPhase::kPending || request.phase == RequestPhase::kBehindKey)
+    if (request.phase == RequestPhase::kPending || request.phase == RequestPhase::kWaitingForOrderingKey)
       Enqueue(request);
   }
 }
 
-void Scheduler::AdvanceKey(std::uint64_t key) {
-  const std::optional<RequestId> first = keys_.Front(key, now_);
+void Scheduler::AdvanceOrderingKey(std::uint64_t key) {
+  const std::optional<RequestId> first = ordering_key_queues_.Front(key, now_);
   if (!first) return;
   RequestState& request = requests_.at(*first);
-  if (request.phase == RequestPhase::kBehindKey) AddPending(request);
+  if (request.phase == RequestPhase::kWaitingForOrderingKey) AddPending(request);
 }
 
-void Scheduler::LeaveKey(const RequestState& request) {
+void Scheduler::RemoveFromOrderingKey(const RequestState& request) {
   if (!request.ordered) return;
-  keys_.Remove(request.spec.ordering_key, request.spec.id);
-  AdvanceKey(request.spec.ordering_key);
+  ordering_key_queues_.Remove(request.spec.ordering_key, request.spec.id);
+  AdvanceOrderingKey(request.spec.ordering_key);
 }
 
 // ---- End ----
@@ -125,7 +126,7 @@
   if (request.attempt_in_flight) return CancelAttempt(request);
   const RequestState finished = request;
   requests_.erase(finished.spec.id);
-  LeaveKey(finished);
+  RemoveFromOrderingKey(finished);
 }
 
 void Scheduler::Handle(const Shutdown&) {
@@ -140,8 +141,8 @@
   if (it != requests_.end() && it->second.phase != RequestPhase::kDone) RejectOrFail(it->second);
 }
 
-void Scheduler::Handle(const RequestCancelled& gone) {
-  const auto it = requests_.find(gone.id);
+void Scheduler::Handle(const RequestCancelled& cancelled) {
+  const auto it = requests_.find(cancelled.id);
   if (it == requests_.end() || it->second.phase == RequestPhase::kDone) return;
   RemovePending(it->second);
   Finish(it->second);
@@ -149,8 +150,7 @@
 
 void Scheduler::Handle(const StreamStarted& start) {
   const auto it = requests_.find(start.id);
-  if (it != requests_.end())
-    it->second.next_check_at = 0;  // its response has begun: no runaway check any more
+  if (it != requests_.end()) it->second.next_check_at = 0;  // no runaway checks once the response has begun
 }
 
 }  // namespace lemoncroft::decision
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the decision module that limit (src/decision/limits/).
+// The limits of the decision module (src/decision/limits/).
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "decision/limits/circuit_breaker.h"
-#include "decision/limits/key_queues.h"
+#include "decision/limits/ordering_key_queues.h"
 #include "decision/limits/sent_load.h"
 
 namespace lemoncroft {
@@ -14,7 +14,7 @@
 
 constexpr Nanos kSecond = 1'000'000'000;
 
-TEST(CircuitBreaker, OpensByTheShareThatFailsAndBacksOffLonger) {
+TEST(CircuitBreaker, RepeatedFailures_OpenItWithLongerBackoff) {
   limits::CircuitBreaker breaker;
   EXPECT_FALSE(breaker.RecordFailure(0.15, 0));
   EXPECT_TRUE(breaker.RecordFailure(0.15, 0));
@@ -23,14 +23,14 @@
   EXPECT_FALSE(breaker.IsOpen(limits::CircuitBreaker::kMinBackoff));
   EXPECT_TRUE(breaker.IsHalfOpen());
   const Nanos later = kSecond;
-  EXPECT_TRUE(breaker.RecordFailure(0.15, later)) << "the trial failed";
+  EXPECT_TRUE(breaker.RecordFailure(0.15, later)) << "the attempt of the half-open circuit breaker failed";
   breaker.Open(later, 1);
   EXPECT_TRUE(breaker.IsOpen(later + 2 * limits::CircuitBreaker::kMinBackoff - 1));
   for (int i = 0; i < 10; ++i) breaker.RecordSuccess(0.15);
   EXPECT_FALSE(breaker.IsHalfOpen());
 }
 
-TEST(SentLoad, KeepsWhatMayRunOnUntilTheEngineHasWorkedItOff) {
+TEST(SentLoad, AttemptThatMayStillRun_StaysInBacklogUntilWorkedOff) {
   limits::SentLoad load;
   const limits::AttemptCharge charge{true, 2, 100, 6};
   load.RecordSend(charge);
@@ -50,8 +50,8 @@
   EXPECT_EQ(load.recent() + load.backlog(), 0);
 }
 
-TEST(KeyQueues, HandOutTheRequestsOfAKeyInTheirOrder) {
-  limits::KeyQueues queues;
+TEST(OrderingKeyQueues, Requests_OfOneKey_AreReturnedInOrder) {
+  limits::OrderingKeyQueues queues;
   queues.Append(7, 1);
   queues.Append(7, 2);
   queues.Append(8, 3);
@@ -64,20 +64,20 @@
   EXPECT_EQ(queues.Front(8, 0), std::nullopt);
 }
 
-TEST(KeyQueues, AKeyThatRestsIsToldOnceItsRestIsOver) {
-  limits::KeyQueues queues;
+TEST(OrderingKeyQueues, PausedKey_IsReturnedOnceAfterPause) {
+  limits::OrderingKeyQueues queues;
   queues.PauseUntil(7, kSecond);
   queues.Append(7, 1);
-  EXPECT_TRUE(queues.TakeResumed(2 * kSecond).empty()) << "nobody asked for it";
+  EXPECT_TRUE(queues.TakeResumed(2 * kSecond).empty()) << "Front was not called during the pause";
   EXPECT_EQ(queues.Front(7, kSecond - 1), std::nullopt);
   EXPECT_TRUE(queues.TakeResumed(kSecond - 1).empty());
-  EXPECT_EQ(queues.TakeResumed(kSecond), std::vector<limits::KeyQueues::Key>{7});
+  EXPECT_EQ(queues.TakeResumed(kSecond), std::vector<limits::OrderingKeyQueues::Key>{7});
   EXPECT_TRUE(queues.TakeResumed(kSecond).empty());
   EXPECT_EQ(queues.Front(7, kSecond), std::optional<RequestId>(1));
 }
 
-TEST(KeyQueues, ARestOutlivesAnEmptyQueue) {
-  limits::KeyQueues queues;
+TEST(OrderingKeyQueues, Pause_OutlastsEmptyQueue) {
+  limits::OrderingKeyQueues queues;
   queues.Append(7, 1);
   queues.PauseUntil(7, kSecond);
   queues.Remove(7, 1);
