--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -267,7 +267,7 @@
   if (Contains(raft_->voters(), body.voter) == body.add && raft_->AreVotersCommitted())
     return Send(from, ProposalResult{{body.id, ChangeStatus::kCommitted, state_machine_.latest_version(),
                                       body.add ? "it votes already" : "it has no vote"}});
-  if (body.add && !admission_.UnadmittedStore(body.voter))
+  if (body.add && !admission_.UnadmittedStoreId(body.voter))
     return reject(body.voter + " has not told of an empty store: is it running, with a `store`?");
   if (!body.add && raft_->voters().size() == 1) return reject("it is the last voter");
   if (in_flight_voter_change_ && in_flight_voter_change_->change.id != body.id)
@@ -275,7 +275,7 @@
   raft_->ChangeVoters(now, body.voter, body.add);
   if (!in_flight_voter_change_)
     in_flight_voter_change_ =
-        InFlightVoterChange{body, from, admission_.UnadmittedStore(body.voter).value_or(0)};
+        InFlightVoterChange{body, from, admission_.UnadmittedStoreId(body.voter).value_or(0)};
   in_flight_voter_change_->reply_to = from;
   next_admit_message_at_ = now;
 }
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -42,9 +42,9 @@
   const auto bootstrap = bootstrap_voters_.find(from);
   if (hello.bootstrapped) {
     const auto it = acknowledged_.find(from);
-    const bool stale =
-        it != acknowledged_.end() && (hello.term < it->second.term ||
-                                      (hello.term == it->second.term && hello.last_index < it->second.match));
+    const bool stale = it != acknowledged_.end() &&
+                       (hello.term < it->second.term ||
+                        (hello.term == it->second.term && hello.last_index < it->second.match_index));
     response.opinion = stale ? StoreOpinion::kStaleStore : StoreOpinion::kNoObjection;
   } else if (bootstrap_voters_.empty()) {
     response.opinion = StoreOpinion::kEmptyStore;
@@ -129,26 +129,26 @@
 
 void VoterAdmission::ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message) {
   raft::Term term = 0;
-  raft::Index match = 0;
+  raft::Index match_index = 0;
   if (const auto* appended = std::get_if<raft::AppendEntriesResponse>(&message)) {
     term = appended->term;
-    match = appended->success ? appended->match_index : 0;
+    match_index = appended->success ? appended->match_index : 0;
   } else if (const auto* vote = std::get_if<raft::VoteResponse>(&message)) {
     if (vote->pre_vote) return;
     term = vote->term;
   } else if (const auto* append = std::get_if<raft::AppendEntriesRequest>(&message)) {
     term = append->term;
-    match = append->leader_durable_index;
+    match_index = append->leader_durable_index;
   } else {
     return;
   }
   Acknowledged& acknowledged = acknowledged_[from];
   if (term > acknowledged.term) acknowledged = {term, 0};
-  if (term == acknowledged.term) acknowledged.match = std::max(acknowledged.match, match);
+  if (term == acknowledged.term) acknowledged.match_index = std::max(acknowledged.match_index, match_index);
   if (acknowledged_.size() > kMaxTrackedStores) acknowledged_.erase(acknowledged_.begin());
 }
 
-std::optional<std::uint64_t> VoterAdmission::UnadmittedStore(const raft::NodeId& name) const {
+std::optional<std::uint64_t> VoterAdmission::UnadmittedStoreId(const raft::NodeId& name) const {
   const auto it = unadmitted_stores_.find(name);
   return it == unadmitted_stores_.end() ? std::nullopt : std::optional(it->second);
 }
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -73,12 +73,12 @@
   // stale.
   void ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message);
   // Returns the id of the store with which a node that is not admitted last sent a hello.
-  std::optional<std::uint64_t> UnadmittedStore(const raft::NodeId& name) const;
+  std::optional<std::uint64_t> UnadmittedStoreId(const raft::NodeId& name) const;
 
  private:
   struct Acknowledged {
     raft::Term term = 0;
-    raft::Index match = 0;  // the highest index acknowledged in that term
+    raft::Index match_index = 0;  // the highest index acknowledged in that term
   };
 
   void HandleResponseToEmptyStore(const StoreHelloResponse& response);
