--- a/src/replicated_config/config_replica_holder.cpp
+++ b/src/replicated_config/config_replica_holder.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr Span kRenewalRetryInterval = 120ms;  // while there was no recent grant
-constexpr Span kLeaderHintRetryInterval =
-    20ms;  // between a renewal and its retry at the leader of a NotLeader
+constexpr Span kRenewalRetryInterval = 120ms;  // used while there is no recent grant
+// The minimum time between two renewals that NotLeader redirects.
+constexpr Span kLeaderHintRetryInterval = 20ms;
 constexpr Span kFetchRetryInterval = 150ms;
 
 }  // namespace
