--- a/tests/config_replica_test.cpp
+++ b/tests/config_replica_test.cpp
@@ -335,7 +335,7 @@
 
 // ---- The state machine ----
 
-TEST(ConfigStateMachine, ManyChanges_ActiveAndLatestVersionsAreRetained) {
+TEST(ConfigStateMachine, Apply_CompareAndSetIdempotenceAndRetention_Hold) {
   ConfigStateMachine state_machine;
   const auto change = [](const std::string& id, Version from, const std::string& text) {
     return EncodeEntry(ConfigChange{id, from, text, "by", 1});
