--- a/src/replicated_config/config_replica_holder.cpp
+++ b/src/replicated_config/config_replica_holder.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr Duration kRenewalRetryInterval = 120ms;  // while there was no recent grant
-constexpr Duration kLeaderHintRetryInterval =
-    20ms;  // between a renewal and its retry at the leader of a NotLeader
+constexpr Duration kRenewalRetryInterval = 120ms;  // used while there is no recent grant
+// The minimum time between two renewals that NotLeader redirects.
+constexpr Duration kLeaderHintRetryInterval = 20ms;
 constexpr Duration kFetchRetryInterval = 150ms;
 
 }  // namespace
