--- a/src/backend/attempt.h
+++ b/src/backend/attempt.h
@@ -1,4 +1,4 @@
-// One attempt of a request at one engine, and what came of it.
+// One attempt of a request at one engine, and its result.
 #ifndef LEMONCROFT_BACKEND_ATTEMPT_H_
 #define LEMONCROFT_BACKEND_ATTEMPT_H_
 
@@ -13,16 +13,17 @@
 struct Attempt {
   const request::ForwardedFields* forwarded = nullptr;  // outlives the attempt
   EngineId engine = 0;
-  // The query is given up by then. The end of an exclusive attempt may be reported later, once its
-  // cancellation is confirmed.
+  // The query is abandoned at this time at the latest. The end of an exclusive attempt may be reported later,
+  // once its cancellation is confirmed.
   runtime::Time deadline{};
-  // The statement must not be sent after this: past its window the engine would execute a repeat.
+  // The statement must not be sent after this time: the engine would execute a repeat of it once the repeat
+  // window has passed.
   runtime::Time not_after = runtime::kNever;
-  double grant_mb = 0;  // memory; 0: the engine chooses
+  double grant_mb = 0;  // memory grant; 0: the engine chooses
   int priority = 1;
-  bool may_have_run = false;  // an earlier attempt may have been executed, or still be
-  // Must not run beside another attempt, or beside the next request with its ordering key: the attempt ends
-  // only once the engine surely no longer runs it.
+  bool may_have_run = false;  // an earlier attempt may have been executed, or may still be running
+  // The attempt must not run concurrently with another attempt of its request, or with the next request that
+  // has the same ordering key. It therefore ends only when the engine certainly no longer runs it.
   bool exclusive = false;
 };
 
@@ -30,11 +31,11 @@
   Outcome outcome = Outcome::kReset;
   runtime::Duration work{};  // CPU time of the query; zero: unknown
   double memory_mb = 0;      // peak memory of the query; 0: unknown
-  LoadReport load;           // the newest that came with a response; empty if none did
-  std::string rows;          // if the outcome is kOk
+  LoadReport load;           // the newest one received with a response; empty if there was none
+  std::string rows;          // set if the outcome is kOk
 };
 
-// What one health check found.
+// The result of one probe.
 struct ProbeResult {
   Outcome outcome = Outcome::kConnectFailed;
   LoadReport load;
--- a/src/backend/connection_pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// An idle connection has to be silent for this long before it is reused. Bytes that an engine sends after a
-// complete response may come a moment later, and must not be taken for the next response.
+// An idle connection must be silent for this long before it is reused. Excess bytes that an engine sends
+// after a complete response may arrive slightly later, and must not be mistaken for the next response.
 constexpr auto kQuietPeriod = 25ms;
 constexpr auto kExpiryCheckInterval = 500ms;
 
@@ -83,9 +83,9 @@
   if (open_connections_ >= limits_.max_connections && !EvictOne()) co_return IoResult::kNoDescriptors;
   const std::uint64_t incarnation = endpoint->incarnation;
   std::unique_ptr<runtime::Socket> socket;
-  ++open_connections_;  // before the connect, so that concurrent ones can't exceed the limit
+  ++open_connections_;  // before the connect, so that concurrent connects can't exceed the limit
   IoResult io = co_await Connect(loop_, endpoint->address, deadline, cancel, socket);
-  // The endpoint list may have changed during the connect: the address may be another engine's now.
+  // The endpoint list may have changed during the connect: the address may now belong to another engine.
   endpoint = directory_.Find(engine);
   if (io == IoResult::kOk && (endpoint == nullptr || endpoint->incarnation != incarnation))
     io = IoResult::kClosed;
@@ -112,7 +112,7 @@
   }
 }
 
-// Closes the connection that has been idle longest of the engine with the most idle connections.
+// Chooses the engine with the most idle connections, and closes the one that has been idle longest.
 bool ConnectionPool::EvictOne() {
   std::deque<IdleConnection>* most = nullptr;
   for (auto& [id, idle] : idle_) {
--- a/src/backend/connection_pool.h
+++ b/src/backend/connection_pool.h
@@ -1,10 +1,12 @@
-// HTTP connections to the engines, reused between calls.
+// A pool of HTTP connections to the engines, which are reused between calls.
 //
-// The pool is keyed by engine id and incarnation, not by address: a new engine may have the address of one
-// that has left. Connections of an incarnation that has ended are closed when they are returned.
+// The pool is keyed by engine id and incarnation, not by address, because a new engine may have the address
+// of an engine that has left. Connections to an incarnation that has ended are closed when they are
+// returned.
 //
-// Owner: Engines. Callers: Engines; the proxy's wiring changes the limits. Every PooledConnection is
-// destroyed before the pool. Thread safety: none; used on the event loop's thread.
+// Engines owns and uses the pool; the code that assembles the proxy changes its limits. Every
+// PooledConnection must be destroyed before the pool. The pool is not thread-safe; it is used on the event
+// loop's thread.
 #ifndef LEMONCROFT_BACKEND_CONNECTION_POOL_H_
 #define LEMONCROFT_BACKEND_CONNECTION_POOL_H_
 
@@ -23,7 +25,7 @@
 
 class ConnectionPool;
 
-// A connection acquired from the pool, or none. Returns it to the pool when destroyed.
+// A connection that was acquired from the pool, or none. The destructor returns it to the pool.
 class PooledConnection {
  public:
   PooledConnection() = default;
@@ -34,9 +36,9 @@
   http::Connection& operator*() const { return *connection_; }
   http::Connection* operator->() const { return connection_.get(); }
   explicit operator bool() const { return connection_ != nullptr; }
-  // True if it carried calls before it was acquired.
+  // Returns true if the connection was already used for calls before it was acquired.
   bool reused() const { return reused_; }
-  // Returns it to the pool, which keeps it if another call can use it.
+  // Returns the connection to the pool, which keeps it if another call can use it.
   void Return();
 
  private:
@@ -52,31 +54,32 @@
  public:
   struct Limits {
     std::size_t max_connections = 512;  // to all engines together, idle ones included
-    runtime::Duration idle_timeout{};   // shorter than the engines' own, so that the pool closes first
+    runtime::Duration idle_timeout{};   // shorter than the engines' timeout, so that the pool closes first
     codec::HttpParser::Limits response{16 * 1024, 16 * 1024};
   };
 
-  // Whether Acquire may return a connection that carried calls before.
+  // Selects whether Acquire may return a connection that was already used for calls.
   enum class Reuse { kIfIdle, kNever };
 
   ConnectionPool(runtime::Loop& loop, const discovery::EndpointDirectory& directory, Limits limits)
       : loop_(loop), directory_(directory), limits_(limits) {}
 
-  // Acquires a connection to an engine into `out`; `out` is unchanged on failure. kNoDescriptors: the limit
-  // is reached and no idle connection can be closed, or the process has no descriptors. kClosed: the engine
-  // isn't listed, or changed during the connect. Others as in runtime::Connect.
+  // Acquires a connection to an engine and stores it in `out`, which is unchanged on failure. Returns
+  // kNoDescriptors if the limit is reached and no idle connection can be closed, or if the process has no
+  // descriptors left; kClosed if the engine isn't listed, or if its entry changed during the connect. The
+  // other results are those of runtime::Connect.
   runtime::Task<runtime::IoResult> Acquire(EngineId engine, runtime::Time deadline,
                                            runtime::Cancellation* cancel, PooledConnection& out,
                                            Reuse reuse = Reuse::kIfIdle);
   // Closes the idle connections to an engine.
   void CloseIdle(EngineId engine);
-  // Closes connections that have been idle for too long, for as long as the loop runs.
+  // Closes connections that exceed the idle timeout. Runs until the loop stops.
   runtime::Task<> CloseExpired();
 
-  // Changes the limit; closes idle connections that exceed it.
+  // Changes the limit, and closes idle connections while it is exceeded.
   void set_max_connections(std::size_t max_connections);
   void set_idle_timeout(runtime::Duration idle_timeout) { limits_.idle_timeout = idle_timeout; }
-  // Connections that are open or being opened, idle ones included.
+  // The number of connections that are open or being opened, idle ones included.
   std::size_t open_connections() const { return open_connections_; }
 
  private:
@@ -90,15 +93,17 @@
   void Lend(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection, Origin origin,
             PooledConnection& out);
   void TakeBack(PooledConnection& connection);
-  // Closes one idle connection; false if there is none.
+  // Closes one idle connection. Returns false if there is none.
   bool EvictOne();
-  // The engine's most recently used idle connection that is fit for use; null if there is none.
+  // Removes and returns the engine's most recently used idle connection that is reusable; null if there is
+  // none.
   std::unique_ptr<http::Connection> TakeIdle(EngineId engine);
 
   runtime::Loop& loop_;
   const discovery::EndpointDirectory& directory_;
   Limits limits_;
-  // Per engine, the most recently used last. Has no entries of engines that have left.
+  // The idle connections to each engine, the most recently used one last. Has no entries of engines that have
+  // left.
   std::map<EngineId, std::deque<IdleConnection>> idle_;
   std::size_t open_connections_ = 0;
 };
--- a/src/backend/engine_fields.h
+++ b/src/backend/engine_fields.h
@@ -1,11 +1,12 @@
-// The words of the engines' HTTP protocol, and the terms that the program uses for them. Nothing behind
-// engine_protocol.cpp knows the words.
+// The names in the engines' HTTP protocol, as constants named after the terms of this program. Only
+// engine_protocol.cpp uses them.
 #ifndef LEMONCROFT_BACKEND_ENGINE_FIELDS_H_
 #define LEMONCROFT_BACKEND_ENGINE_FIELDS_H_
 
 namespace lemoncroft::backend::engine_fields {
 
-// Paths. A query is kQueriesPath/REQUEST-ID, one page of its result kQueriesPath/REQUEST-ID/NUMBER.
+// Paths. The path of a query is kQueriesPath/REQUEST-ID; that of one page of its result is
+// kQueriesPath/REQUEST-ID/NUMBER.
 inline constexpr const char* kQueriesPath = "/v2/q";
 inline constexpr const char* kHealthPath = "/healthz";
 inline constexpr const char* kStatsPath = "/stats";  // like kHealthPath, with a load report
@@ -20,7 +21,7 @@
 inline constexpr const char* kRequestId = "X-Txn";
 inline constexpr const char* kClassName = "X-Lane";
 inline constexpr const char* kTimeoutMs = "X-Limit-Ms";
-inline constexpr const char* kIdempotencyKey = "X-Dedupe";  // absent: none
+inline constexpr const char* kIdempotencyKey = "X-Dedupe";  // absent: no key
 inline constexpr const char* kMemoryGrantMb = "Pool-Mb";    // absent: the engine chooses
 inline constexpr const char* kPriority = "Pool-Rank";
 
@@ -28,7 +29,7 @@
 inline constexpr const char* kLoadReport = "X-Gauges";  // see load_report.h
 inline constexpr const char* kNotExecuted = "X-Unrun";  // "1": the statement was not executed
 inline constexpr const char* kPageCount = "Chunks";     // with the first page
-inline constexpr const char* kPageNumber = "Chunk";     // with each further page; the first one is 0
+inline constexpr const char* kPageNumber = "Chunk";     // with each further page; the first page is number 0
 inline constexpr const char* kWorkMs = "Elapsed-Work";  // CPU time
 inline constexpr const char* kPeakMemoryMb = "High-Water";
 
@@ -37,9 +38,9 @@
 // Statuses of a response.
 inline constexpr int kDone = 200;      // with the first page
 inline constexpr int kRunning = 202;   // poll again
-inline constexpr int kError = 500;     // failed, or the engine doesn't know the query
-inline constexpr int kRejected = 503;  // no capacity, if kNotExecuted; else failed
-inline constexpr int kTimedOut = 504;  // before it was executed, if kNotExecuted; else failed
+inline constexpr int kError = 500;     // the query failed, or the engine doesn't know it
+inline constexpr int kRejected = 503;  // with kNotExecuted: no capacity; otherwise the query failed
+inline constexpr int kTimedOut = 504;  // with kNotExecuted: before execution; otherwise the query failed
 
 }  // namespace lemoncroft::backend::engine_fields
 
--- a/src/backend/engine_protocol.cpp
+++ b/src/backend/engine_protocol.cpp
@@ -18,7 +18,7 @@
 constexpr int kMaxPages = 256;
 constexpr std::size_t kMaxPageBytes = 6000;
 constexpr std::size_t kColumns = 3;
-// Larger values are no measurements.
+// Reported values are clamped to these bounds; larger ones can't be measurements.
 constexpr double kMaxWorkMs = 1e9;
 constexpr double kMaxMemoryMb = 1e6;
 
@@ -26,7 +26,7 @@
   return std::string(fields::kQueriesPath) + "/" + request_id;
 }
 
-// Whether a page consists of complete rows of text. Rules out pages that were cut or overwritten.
+// Returns true if a page consists of complete rows of text. Detects pages that were truncated or overwritten.
 bool HasCompleteRows(std::string_view page) {
   if (page.size() > kMaxPageBytes || (!page.empty() && page.back() != '\n')) return false;
   std::size_t columns = 1;
--- a/src/backend/engine_protocol.h
+++ b/src/backend/engine_protocol.h
@@ -1,7 +1,7 @@
-// The engines' HTTP protocol: calls as HTTP requests, and the meaning of HTTP responses. engine_fields.h
-// lists its words; docs/requests.md describes the exchange.
+// The engines' HTTP protocol: builds the HTTP requests of calls, and interprets the HTTP responses.
+// engine_fields.h lists the names of the protocol; docs/requests.md describes the exchange.
 //
-// Pure functions without I/O or state.
+// All functions are pure.
 #ifndef LEMONCROFT_BACKEND_ENGINE_PROTOCOL_H_
 #define LEMONCROFT_BACKEND_ENGINE_PROTOCOL_H_
 
@@ -18,50 +18,54 @@
 
 // ---- Calls ----
 
-// Submits the statement of an attempt. The call refers to the attempt's forwarded fields.
+// Submits the statement of an attempt. The call refers to the attempt's forwarded fields, which must outlive
+// it.
 codec::HttpRequest SubmitCall(const Attempt& attempt, runtime::Duration remaining_time);
-// Asks for one page of a query's result. Page 0 comes once the query is done; until then it is its status.
+// Requests one page of a query's result. Until the query is done, the response to a poll for page 0 is the
+// status of the query.
 codec::HttpRequest PollCall(const std::string& request_id, int page);
-// Asks for the engine's health, and with `kWithLoadReport` for a load report.
+// Requests the engine's health, and with kWithLoadReport also a load report.
 enum class ProbeKind { kHealthOnly, kWithLoadReport };
 codec::HttpRequest ProbeCall(ProbeKind kind);
 
-// A call that changes a query and whose response has no content. Owns its texts.
+// A call that changes a query and whose response has no content. Owns the request id and the body.
 struct QueryCommand {
-  std::string_view method;  // a literal
+  std::string_view method;  // refers to a string literal
   std::string request_id;
   std::string body;
 };
 QueryCommand CancelCommand(const std::string& request_id);
 QueryCommand SetPriorityCommand(const std::string& request_id, int priority);
-// The call refers to the command.
+// The call refers to the command, which must outlive it.
 codec::HttpRequest CommandCall(const QueryCommand& command);
 
 // ---- Responses ----
 
-// What a valid response to a poll of page 0 says of the query.
+// The status of a query, according to a valid response to a poll for page 0.
 enum class QueryStatus {
-  kDone,  // the response has the first page
+  kDone,  // the response contains the first page
   kRunning,
   kRejected,        // not executed: the engine has no capacity
-  kExpired,         // not executed: its time ran out
+  kExpired,         // not executed: its timeout expired
   kFailed,          // may have been executed
-  kErrorOrUnknown,  // failed, or the engine doesn't know the query
+  kErrorOrUnknown,  // the query failed, or the engine doesn't know it
 };
 QueryStatus QueryStatusOf(const codec::HttpResponse& response);
 
-// Whether a response can be the engine's answer to a poll of this page, and is no damaged or foreign one.
+// Returns true if this can be the engine's response to a poll for the page, and is neither damaged nor the
+// response to another call.
 bool IsValidResponse(const codec::HttpResponse& response, int page);
-// Whether a valid response has a page.
+// Returns true if a valid response contains a page.
 bool HasPage(const codec::HttpResponse& response);
-// The number of pages of a query that is done.
+// Returns the number of pages of a query that is done.
 int PageCountOf(const codec::HttpResponse& response);
-// CPU time and peak memory of a query that is done; zero where the engine doesn't say.
+// Return the CPU time and the peak memory of a query that is done; zero if the engine doesn't report them.
 runtime::Duration WorkOf(const codec::HttpResponse& response);
 double PeakMemoryMbOf(const codec::HttpResponse& response);
-// The load report in a response, empty if there is none. `field_names` as in ParseLoadReport.
+// Returns the load report in a response; it is empty if there is none. `field_names` are the names for
+// ParseLoadReport.
 LoadReport LoadReportOf(const codec::HttpResponse& response, const std::vector<std::string>& field_names);
-// Whether the response to a probe says that the engine is healthy.
+// Returns true if the response to a probe says that the engine is healthy.
 bool IsHealthy(const codec::HttpResponse& response);
 
 }  // namespace lemoncroft::backend
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -13,33 +13,36 @@
 
 namespace {
 
-// An engine responds to a poll for the status within 250 ms, and with a page at once. Polling again too early
-// costs a call, too late the latency objective of a short query.
+// An engine responds to a poll for the status within 250 ms, and to a poll for a further page immediately. A
+// timeout that is too short wastes calls; one that is too long makes short queries miss their latency
+// objective.
 constexpr auto kStatusTimeout = 300ms;
-constexpr auto kPageTimeout = 100ms;  // times the number of the poll
-constexpr int kMaxPolls = 4;          // for one page
-// New connections of one submission that may break before a byte has been sent.
+constexpr auto kPageTimeout = 100ms;  // multiplied by the number of the poll, from 1
+constexpr int kMaxPolls = 4;          // per page
+// A submission fails at the latest when this many new connections have failed before a byte was sent. Reused
+// connections are not counted.
 constexpr int kMaxBrokenConnections = 2;
-// Between the lease's refusal and the end of the attempt: the decision module may retry at once.
+// Delay between the refusal by the lease and the end of the attempt, because the decision module may retry
+// immediately.
 constexpr auto kLeaseRefusalDelay = 10ms;
-// An engine ends a query that nobody has polled for within this time; the margin covers calls under way.
+// An engine abandons a query that has not been polled for this long. The margin covers calls in flight.
 constexpr auto kEngineAbandonTimeout = 2000ms, kEngineAbandonMargin = 100ms;
 constexpr auto kMinCancelBackoff = 50ms, kMaxCancelBackoff = 400ms;
-constexpr auto kLateResponseTimeout = 400ms;  // for a response that no longer matters
+constexpr auto kLateResponseTimeout = 400ms;  // for a response that is discarded
 constexpr std::size_t kMaxResultBytes = 64 * 1024;
 
-// The outcome of an attempt whose connection failed before anything was sent.
+// Returns the outcome of an attempt whose connect failed.
 Outcome OutcomeOfFailedConnect(IoResult io) {
   switch (io) {
     case IoResult::kCancelled:
-    case IoResult::kNoDescriptors:  // this process's own shortage, not the engine's fault
+    case IoResult::kNoDescriptors:  // a shortage in this process, not a fault of the engine
       return Outcome::kNotSent;
     default:
       return Outcome::kConnectFailed;
   }
 }
 
-// Whether polling ends after an attempt to reconnect, and with which outcome; nothing if it goes on.
+// Returns the outcome with which polling ends after an attempt to reconnect, or nothing if polling continues.
 std::optional<Outcome> OutcomeOfReconnect(IoResult io, runtime::Time deadline) {
   if (io == IoResult::kCancelled) return Outcome::kCancelled;
   if (Now() >= deadline) return Outcome::kTimeout;
@@ -48,7 +51,7 @@
   return Outcome::kReset;
 }
 
-// Counts something for as long as it lives.
+// Increments a count during the lifetime of this object.
 class ScopedCount {
  public:
   explicit ScopedCount(int& count) : count_(count) { ++count_; }
@@ -69,12 +72,12 @@
   PooledConnection connection;
   codec::HttpResponse response;  // the newest
   Result result;
-  bool lost_response = false;   // a response was lost or damaged: the engine may know the query or not
-  bool done = false;            // the engine has said that the query is done
-  runtime::Time last_called{};  // when a call that keeps the query running was last under way
+  bool lost_response = false;   // a response was lost or damaged: the engine may or may not know the query
+  bool done = false;            // the engine has reported that the query is done
+  runtime::Time last_called{};  // the last time at which a call that keeps the query running was in flight
 
   const std::string& request_id() const { return attempt.forwarded->request_id; }
-  // The time `timeout` from now, or the attempt's deadline if that is earlier.
+  // Returns the end of `timeout` from now, or the attempt's deadline if that is earlier.
   runtime::Time TimeLimit(runtime::Duration timeout) const {
     return std::min(attempt.deadline, Now() + timeout);
   }
@@ -97,9 +100,10 @@
   co_return std::move(query.result);
 }
 
-// The next attempt may go to the same engine under the same id. The attempt therefore ends only after the
-// cancellation, which would hit the next one else. There is no next one after the deadline. After a reset the
-// engine has most likely ended: only an exclusive attempt, which must be sure, tries to cancel there.
+// The next attempt may be sent to the same engine under the same request id, where a late cancellation would
+// cancel it. The attempt therefore ends only after the call that cancels its query. After the deadline there
+// is no next attempt, and the call is not awaited. After a reset, the engine has most likely exited: only an
+// exclusive attempt, which must be certain that the query has ended, cancels it in this case.
 Task<> Engines::CancelIfRunning(Query& query, Outcome outcome) {
   const Attempt& attempt = query.attempt;
   const bool should_cancel =
@@ -123,10 +127,10 @@
     const IoResult connected =
         co_await pool_.Acquire(attempt.engine, connect_by, &query.cancel, query.connection);
     if (Now() >= attempt.not_after) co_return Outcome::kNotSent;
-    // A reset during the connect may be this connection's alone; a refusal is the engine's.
+    // A reset during the connect may concern this connection only; a refusal concerns the engine.
     if (connected == IoResult::kClosed && ++broken_connections < kMaxBrokenConnections) continue;
     if (connected != IoResult::kOk) co_return OutcomeOfFailedConnect(connected);
-    // The engine may have begun to drain, or the request have ended, during the connect.
+    // During the connect, the engine may have begun to drain, or the attempt may have been cancelled.
     if (query.cancel.cancelled() || !directory_.MaySend(attempt.engine)) co_return Outcome::kNotSent;
     const runtime::Duration remaining_time = attempt.deadline - Now();
     if (remaining_time <= runtime::Duration::zero()) co_return Outcome::kNotSent;
@@ -142,19 +146,19 @@
     if (sent == IoResult::kOk || query.connection->sent_any_bytes()) {
       query.last_called = Now();
       if (sent == IoResult::kCancelled) co_return Outcome::kCancelled;
-      // The engine may execute the statement although its response is damaged, late or lost: poll for it.
+      // The response is damaged, late or lost, but the engine may execute the statement: poll for the query.
       query.lost_response = true;
       query.connection = PooledConnection();
       co_return co_await Poll(query, 0);
     }
     if (sent == IoResult::kCancelled) co_return Outcome::kNotSent;
-    // Nothing was sent. A reused connection may have been closed by the engine meanwhile: take another one.
+    // Nothing was sent. The engine may have closed a reused connection in the meantime: use another one.
     if (!query.connection.reused() && ++broken_connections >= kMaxBrokenConnections)
       co_return Outcome::kConnectFailed;
   }
 }
 
-// This process may have been stopped since the request was submitted, for longer than its lease.
+// This process may have been stopped, since the request was submitted, for longer than its lease is valid.
 bool Engines::LeasePermits(const Attempt& attempt) const {
   return lease_fence_ == nullptr || lease_fence_->PermitAndRecordSend(attempt.forwarded->class_name,
                                                                       attempt.engine, attempt.may_have_run);
@@ -171,7 +175,7 @@
   co_return co_await query.connection->Receive(respond_by, &query.cancel, query.response);
 }
 
-// The newest report is kept: the pages that follow may come without one.
+// Stores the newest report: the responses with further pages may have none.
 void Engines::StoreLoadReport(Query& query) const {
   const LoadReport report = LoadReportOf(query.response, report_fields_);
   if (report.count > 0) query.result.load = report;
@@ -182,7 +186,7 @@
   bool engine_reacted = false;
   Outcome outcome = Outcome::kLost;
   for (int poll = 1; poll <= kMaxPolls; ++poll) {
-    // A connection that the engine closes, or on which more than a response has come, is given up.
+    // Drops a connection that the engine has closed, or that has received more than one response.
     if (query.connection && !query.connection->Reusable()) query.connection = PooledConnection();
     if (!query.connection) {
       const IoResult connected = co_await Reconnect(query);
@@ -208,7 +212,7 @@
   co_return outcome;
 }
 
-// After a lost response only a new connection will do: a reused one may be lost as well.
+// After a lost response only a new connection is used: a reused one may have failed as well.
 Task<IoResult> Engines::Reconnect(Query& query) {
   const runtime::Time connect_by = std::min(query.attempt.deadline, Now() + connect_timeout_);
   const auto reuse = query.lost_response ? ConnectionPool::Reuse::kNever : ConnectionPool::Reuse::kIfIdle;
@@ -237,7 +241,8 @@
   }
 }
 
-// All pages are here, in order, before the response begins: a client never sees half a result.
+// Fetches all pages, in order, before the response to the client begins, so that a client never receives a
+// partial result.
 Task<Outcome> Engines::FetchPages(Query& query) {
   Result& result = query.result;
   const int page_count = PageCountOf(query.response);
@@ -273,8 +278,8 @@
   co_await SendCommand(engine, std::move(command));
 }
 
-// An engine that responds has cancelled the query. Any other one may run it on, even if it refuses
-// connections, until it abandons a query that nobody polls for.
+// An engine that responds has cancelled the query. Any other engine, even one that refuses connections, may
+// continue to run the query until it abandons it because of missing polls.
 Task<> Engines::CancelAndConfirm(Query& query) {
   query.connection = PooledConnection();
   const runtime::Time abandoned_by = query.last_called + kEngineAbandonTimeout + kEngineAbandonMargin;
--- a/src/backend/load_report.cpp
+++ b/src/backend/load_report.cpp
@@ -18,7 +18,7 @@
   return text.substr(from, text.find_last_not_of(" \t") - from + 1);
 }
 
-// A finite value of at least 0 that a float can hold.
+// Parses a finite, non-negative value that a float can represent. Returns nothing for other texts.
 std::optional<float> ParseValue(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -28,7 +28,7 @@
   return static_cast<float>(value);
 }
 
-// Removes the text up to the next semicolon, and the semicolon, from the front of `rest`.
+// Removes the text up to the next semicolon, and the semicolon, from the front of `rest`. Returns the text.
 std::string_view TakeItem(std::string_view& rest) {
   const std::size_t end = std::min(rest.find(';'), rest.size());
   const std::string_view item = rest.substr(0, end);
--- a/src/backend/load_report.h
+++ b/src/backend/load_report.h
@@ -1,6 +1,4 @@
-// Parses the load reports that engines write into a header: `inflight:7;util:0.61`.
-//
-// Pure function without I/O or state.
+// Parses the load reports that engines send in a header, such as `inflight:7;util:0.61`.
 #ifndef LEMONCROFT_BACKEND_LOAD_REPORT_H_
 #define LEMONCROFT_BACKEND_LOAD_REPORT_H_
 
@@ -12,9 +10,9 @@
 
 namespace lemoncroft::backend {
 
-// Parses the values that `names` lists, in that order. Names that are not listed are skipped; a value that is
-// missing, negative or not a number is NaN. A text without a usable value gives an empty report (count 0).
-// Names after the first kMaxReportFields are ignored.
+// Returns the values of the fields that `names` lists, in that order. Fields that are not listed are skipped.
+// A value that is missing, negative or not a number is NaN in the report. If the text has no usable value,
+// the report is empty (count 0). Names after the first kMaxReportFields are ignored. Pure function.
 LoadReport ParseLoadReport(std::string_view text, const std::vector<std::string>& names);
 
 }  // namespace lemoncroft::backend
