--- a/src/broker/active_request.cpp
+++ b/src/broker/active_request.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-// Time before the client's deadline that the decision module has for a final decision.
+// The time between DecisionDeadline and the client's deadline, in which the decision module makes its final
+// decision.
 constexpr auto kDecisionMargin = 12ms;
-// Time after the client's deadline at which the broker fails the request by itself.
+// The time between the client's deadline and ResponseDeadline, at which the broker itself fails the request.
 constexpr auto kResponseGrace = 8ms;
 
 }  // namespace
--- a/src/broker/active_request.h
+++ b/src/broker/active_request.h
@@ -1,7 +1,7 @@
 // The state of one request between its admission and the end of its last attempt.
 //
-// Created by Broker::Submit. Shared by the broker's table, the request's coroutine and the coroutines of its
-// attempts. Thread safety: none; used on the event loop's thread.
+// Broker::Submit creates it; the broker's table, the request's coroutine and the coroutines of its attempts
+// share its ownership. It is not thread-safe and is used on the event loop's thread.
 #ifndef LEMONCROFT_BROKER_ACTIVE_REQUEST_H_
 #define LEMONCROFT_BROKER_ACTIVE_REQUEST_H_
 
@@ -26,10 +26,11 @@
   backend::Result result;
 };
 
-// The client no longer waits for a response.
+// The client has left or has cancelled the request.
 struct CancelledByClient {};
 
-// The time that the request's coroutine waited for has come: first DecisionDeadline, then ResponseDeadline.
+// The deadline that the request's coroutine waited for has passed: first DecisionDeadline, then
+// ResponseDeadline.
 struct DeadlinePassed {};
 
 // The admission queue has rejected the request after queueing it.
@@ -37,8 +38,9 @@
   runtime::Duration retry_after{};
 };
 
-// What a request's coroutine reacts to, in order of arrival: actions of the decision module, decisions of the
-// admission queue, ends of attempts, the client and the clock.
+// An event that a request's coroutine reacts to: an action of the decision module, a decision of the
+// admission queue, the end of an attempt, a cancellation by the client, or a deadline. Events are handled in
+// order of arrival.
 using RequestEvent =
     std::variant<ResourceGrant, Send, Cancel, RejectRequest, FailRequest, AttemptFinished, CancelledByClient,
                  DeadlinePassed, admission_queue::Dispatch, RejectedByQueue, request::WaitNotice>;
@@ -48,7 +50,7 @@
   EngineId engine = 0;
   runtime::Time started{};
   bool running = true;
-  bool may_have_run = false;  // set when it ends
+  bool may_have_run = false;  // set when the attempt ends
   runtime::Cancellation cancel;
 };
 
@@ -57,9 +59,9 @@
   runtime::Time submitted{};
   request::ClientRequest client_request;
   std::unique_ptr<request::ResponseSink> sink;  // null once the request is complete
-  ResourceGrant grant;                          // for further attempts
+  ResourceGrant grant;                          // applies to further attempts
   std::vector<std::unique_ptr<AttemptRecord>> attempts;
-  bool deadline_reported = false;  // to the decision module
+  bool deadline_reported = false;  // DeadlineReached was posted to the decision module
   std::deque<RequestEvent> inbox;
   runtime::ConditionVariable inbox_filled;
 
@@ -73,13 +75,13 @@
     inbox_filled.Notify();
   }
   bool HasRunningAttempts() const;
-  // Whether an engine may have executed the request, or may be executing it.
+  // Returns true if an engine may have executed the request, or may be executing it.
   bool MayHaveRun() const;
 
-  // When the decision module is told that time is up: early enough for it to decide before the client stops
-  // waiting. Attempts are given up by then.
+  // The time at which the decision module is notified that the deadline is reached: early enough for it to
+  // decide before the client stops waiting. Attempts are abandoned at this time at the latest.
   runtime::Time DecisionDeadline() const;
-  // When the request fails whatever the decision module and its attempts do.
+  // The time at which the request fails, regardless of the decision module and of its attempts.
   runtime::Time ResponseDeadline() const;
 };
 using ActiveRequestPtr = std::shared_ptr<ActiveRequest>;
--- a/src/broker/admission_queue_host.h
+++ b/src/broker/admission_queue_host.h
@@ -1,8 +1,8 @@
-// Runs the admission queue on the event loop: steps it after each event and when it is due, and passes its
-// decisions on. Keeps the cores of the ready engines from the endpoint lists that the decision module gets
-// too.
+// Runs the admission queue on the event loop: steps it after each event and when a step is due, and passes on
+// its decisions. Tracks the cores of the ready engines, from the same endpoint lists that the decision module
+// receives.
 //
-// Owns the queue. Used by the event loop's thread only.
+// Owns the queue. It is not thread-safe and is used on the event loop's thread.
 #ifndef LEMONCROFT_BROKER_ADMISSION_QUEUE_HOST_H_
 #define LEMONCROFT_BROKER_ADMISSION_QUEUE_HOST_H_
 
@@ -20,7 +20,7 @@
 
 class AdmissionQueueHost {
  public:
-  // `apply_decision` gets every decision except log lines, in order.
+  // `apply_decision` is called with every decision except log events, in order.
   AdmissionQueueHost(runtime::Loop& loop, admission_queue::Settings settings, std::vector<KindSettings> kinds,
                      std::function<void(const admission_queue::Decision&)> apply_decision)
       : loop_(loop),
@@ -29,17 +29,17 @@
         kinds_(std::move(kinds)),
         apply_decision_(std::move(apply_decision)) {}
 
-  // Steps the queue for as long as the loop runs.
+  // Steps the queue until the loop stops.
   runtime::Task<> Run();
-  // Applies a full endpoint list or a change.
+  // Applies a complete endpoint list or a change to it.
   void UpdateEndpoints(const EngineList& list);
   void set_kinds(std::vector<KindSettings> kinds) { kinds_ = std::move(kinds); }
-  // Replaces the settings; the share set by SetProxyCount stays.
+  // Replaces the settings. A budget share that was set by SetProxyCount is retained.
   void Configure(admission_queue::Settings settings);
-  // Divides the budgets among `proxy_count` proxies, in place of the settings' share.
+  // Divides the budgets among `proxy_count` proxies, instead of using the budget share of the settings.
   void SetProxyCount(int proxy_count);
 
-  // As in AdmissionQueue, at the current time.
+  // These functions call those of AdmissionQueue with the current time.
   admission_queue::AdmissionQueue::SubmitResult Submit(const admission_queue::QueuedRequest& request);
   void OnAttemptStarted(RequestId id, int attempt, int priority);
   void OnAttemptEnded(RequestId id, int attempt, admission_queue::Work reported_work, bool may_have_run);
@@ -56,7 +56,7 @@
   admission_queue::AdmissionQueue queue_;
   std::vector<KindSettings> kinds_;
   std::function<void(const admission_queue::Decision&)> apply_decision_;
-  std::map<EngineId, double> ready_cores_;  // by ready engine
+  std::map<EngineId, double> ready_cores_;  // of each ready engine
   runtime::ConditionVariable work_pending_;
 };
 
--- a/src/broker/attempts.cpp
+++ b/src/broker/attempts.cpp
@@ -1,4 +1,5 @@
-// The attempts of a request: started, run, reported to the decision module and the admission queue.
+// The attempts of a request: starts and runs them, and reports them to the decision module and the admission
+// queue.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -16,7 +17,7 @@
 
 namespace {
 
-// Whether an engine may have executed the statement of an attempt that ended like this.
+// Returns true if an engine may have executed the statement of an attempt with this outcome.
 bool MayHaveRun(Outcome outcome) {
   return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
@@ -53,8 +54,8 @@
 
 Task<> Broker::RunAttempt(ActiveRequestPtr request, int number, backend::Attempt attempt) {
   AttemptRecord& record = request->attempt(number);
-  // The module must get an outcome whatever goes wrong. After an exception that is kReset, the default of a
-  // Result: the attempt may have run.
+  // The decision module must receive an outcome in every case. After an exception, the outcome is kReset, the
+  // default of Result: the attempt may have run.
   AttemptFinished finished{number, {}};
   try {
     finished.result = co_await engines_.Run(attempt, record.cancel);
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -1,13 +1,14 @@
-// Runs every request from its submission to its one final response, in terms of no wire protocol.
+// Runs every request from its submission to its final response, independently of any wire protocol.
 //
-// A front end submits a ClientRequest with a ResponseSink. The decision module says where attempts are sent
-// and when a request is rejected or failed; the back end runs the attempts; an admission queue, if enabled,
-// says when the decision module gets the request. Each request has a coroutine of its own (RunRequest), which
-// reacts to one event at a time.
+// A front end submits a ClientRequest with a ResponseSink. The decision module decides where attempts are
+// sent and when a request is rejected or failed; the back end runs the attempts; an admission queue, if
+// enabled, decides when a request is passed to the decision module. Each request has its own coroutine
+// (RunRequest), which reacts to one event at a time.
 //
-// Contract: a submitted request gets exactly one response, unless it is cancelled; each attempt that the
-// decision module asks for is reported to it exactly once. Owner: the proxy's wiring; all arguments of the
-// constructor outlive the broker. Thread safety: none; used on the event loop's thread.
+// A submitted request gets exactly one response, unless it is cancelled. The end of each attempt that the
+// decision module requests is reported to it exactly once. The code that assembles the proxy owns the broker;
+// all arguments of the constructor must outlive it. The broker is not thread-safe; it is used on the event
+// loop's thread.
 //
 // The implementation is in broker.cpp (settings, endpoint list, dispatch of decisions), submission.cpp,
 // request_lifecycle.cpp and attempts.cpp.
@@ -38,21 +39,22 @@
 
 class Broker {
  public:
-  // Further requests are rejected. A request is open until its final response, and active until its last
-  // attempt has ended as well.
+  // Requests beyond these limits are rejected. A request is open until its final response, and active until
+  // its last attempt has ended as well.
   struct Limits {
-    std::size_t max_requests = 4096;                // active
-    std::size_t max_bytes = std::size_t{48} << 20;  // forwarded fields of open requests
+    std::size_t max_requests = 4096;                // active requests
+    std::size_t max_bytes = std::size_t{48} << 20;  // total size of the forwarded fields of open requests
   };
 
   Broker(runtime::Loop& loop, const settings::ActiveSettings& site, std::uint64_t seed,
          backend::Engines& engines, metrics::Counters& counters, Limits limits);
 
-  // Holds requests in an admission queue ahead of the decision module. Call before Start. Without it,
-  // requests go to the module on arrival.
+  // Places an admission queue in front of the decision module. Must be called before Start. Without an
+  // admission queue, requests are passed to the module on arrival.
   void EnableAdmissionQueue(admission_queue::Settings settings);
   AdmissionQueueHost* admission_queue() { return queue_.get(); }  // null if not enabled
-  // Fences requests with the configuration lease; set before Start. Null: every action is permitted.
+  // Fences requests with the configuration lease. Must be called before Start. Null: every action is
+  // permitted.
   void set_lease_fence(request::LeaseFence* lease_fence) {
     lease_fence_ = lease_fence;
     engines_.set_lease_fence(lease_fence);
@@ -60,45 +62,46 @@
   // Starts the decision module and the admission queue on the loop.
   void Start();
 
-  // Submits a request. `sink` may get the response within the call. Returns the number to cancel the request
-  // by; 0 if it has been rejected or failed already.
+  // Submits a request. `sink` may receive the response during the call. Returns the id with which the request
+  // can be cancelled, or 0 if the request was rejected or failed during the call.
   RequestId Submit(request::ClientRequest client_request, std::unique_ptr<request::ResponseSink> sink);
-  // Cancels a request whose client no longer waits: its sink gets nothing more. Ignores unknown numbers.
+  // Cancels a request whose client no longer waits. Its sink receives nothing more. Unknown ids are ignored.
   void CancelRequest(RequestId id);
 
-  // Applies a new endpoint list or a change of it.
+  // Applies a new endpoint list or a change to it.
   void UpdateEndpoints(EngineList list);
-  // Applies the active settings after a change. `inherits_estimates_from` as in SettingsChanged;
-  // `max_requests` replaces the one of Limits.
+  // Applies the active settings after a change. `inherits_estimates_from` has the same meaning as in
+  // SettingsChanged; `max_requests` replaces Limits::max_requests.
   void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests);
-  // The number of processes that share this proxy's budgets, during a hot restart.
+  // Sets the number of processes that share this proxy's budgets during a hot restart.
   void SetProcessCount(int process_count) { host_.Post(ProcessCount{process_count}); }
-  // The number of proxies that serve, and this one's rank among them.
+  // Sets the number of serving proxies, and the 0-based index of this proxy among them.
   void SetFleetSize(int proxy_count, int rank);
 
-  // Rejects all requests submitted from now on: the process is about to end.
+  // Rejects all requests that are submitted from now on, because the process is about to exit.
   void RejectNewRequests() { rejects_new_requests_ = true; }
-  // Makes the decision module complete all open requests at once.
+  // Makes the decision module end all open requests in its next step.
   void CompleteAllRequests() { host_.Post(Shutdown{}); }
 
-  // Classes and tenants of active requests, which a change of settings has to keep.
+  // Returns the classes and tenants of active requests, which a change of settings must retain.
   settings::ReferencedNumbers NumbersInUse() const;
-  // Requests without a final response.
+  // The number of requests without a final response.
   std::size_t open_requests() const { return open_requests_; }
-  // True if no attempt runs and no engine is still to be told of a cancellation.
+  // Returns true if there is no active request, and no cancellation or change of priority is being sent to an
+  // engine.
   bool idle() const { return active_requests_.empty() && !engines_.has_pending_commands(); }
-  // Engines that the decision module avoids by its own choice.
+  // Returns the engines that the decision module currently ejects as outliers.
   std::vector<EngineId> EjectedEngines() const { return host_.EjectedEngines(); }
 
  private:
-  // kCompleted: the request has had its final response, or its client has cancelled it.
+  // kCompleted: the request has got its final response, or its client has cancelled it.
   enum class Progress { kOpen, kCompleted };
 
   // Submission (submission.cpp).
 
-  // The response to a request that can't be admitted; nothing if it can.
+  // Returns the response to a request that can't be admitted, or nothing if it can be admitted.
   std::optional<request::Response> CheckAdmission(const request::ClientRequest& client_request) const;
-  // Submits a request to the admission queue; returns the response if the queue rejects it.
+  // Submits a request to the admission queue. Returns the response if the queue rejects the request.
   std::optional<request::Response> SubmitToQueue(RequestId id, const request::ClientRequest& client_request,
                                                  request::ResponseSink& sink);
   runtime::Duration MaxRetryAfter() const;
@@ -108,7 +111,8 @@
   runtime::Task<> RunRequest(ActiveRequestPtr request);
   // Reacts to events until the request is complete.
   runtime::Task<> RunUntilCompleted(const ActiveRequestPtr& request);
-  // Cancels what still runs after completion and reports its end to the decision module, which waits for it.
+  // Cancels the attempts that still run after completion and reports their ends to the decision module, which
+  // waits for them.
   runtime::Task<> AwaitCancelledAttempts(ActiveRequest& request);
   runtime::Task<RequestEvent> NextEvent(ActiveRequest& request, runtime::Time deadline);
 
@@ -133,14 +137,15 @@
 
   void StartAttempt(const ActiveRequestPtr& request, const Send& send);
   runtime::Task<> RunAttempt(ActiveRequestPtr request, int number, backend::Attempt attempt);
-  // Adds a record to the request and tells the admission queue. Returns the attempt's number.
+  // Adds a record to the request and notifies the admission queue. Returns the attempt's number.
   int AddAttempt(ActiveRequest& request, EngineId engine);
-  // Whether the lease forbids to send and the request can still be rejected, since nothing of it has run.
+  // Returns true if the lease doesn't permit the send and the request can still be rejected, because none of
+  // its attempts can have run.
   bool MustRejectForLease(const ActiveRequest& request, const Send& send) const;
-  // Reports an attempt that the decision module asked for and that isn't made.
+  // Reports an attempt that the decision module requested and that is not made.
   void ReportNotSent(ActiveRequest& request, const Send& send, Progress progress);
   void ReportAttemptEnded(const ActiveRequest& request, const AttemptFinished& finished, Progress progress);
-  // Grants resources to further attempts, and changes the priority of running ones.
+  // Applies a grant to further attempts, and its priority also to running ones.
   void ApplyGrant(ActiveRequest& request, const ResourceGrant& grant);
 
   // Decisions (broker.cpp).
@@ -161,7 +166,7 @@
   std::unordered_map<std::string, RequestId> ids_by_client_id_;  // of the active requests
   RequestId next_id_ = 1;
   std::size_t open_requests_ = 0;
-  std::size_t open_bytes_ = 0;  // forwarded fields of the open requests
+  std::size_t open_bytes_ = 0;  // total size of the forwarded fields of the open requests
   bool rejects_new_requests_ = false;
   request::LeaseFence* lease_fence_ = nullptr;
 };
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Events and actions are logged one a line at level trace. Tests compare these lines.
+// Events and actions are logged at level trace, one per line. Tests compare these lines with a stored trace,
+// so that the texts are fixed.
 void Trace(const Event& event) {
   std::visit(Overloaded{
                  [](const EngineList& list) {
@@ -79,7 +80,7 @@
   const runtime::Time now = runtime::Now();
   CollectFiredTimers(now);
   std::vector<Event> events;
-  events.swap(events_);  // actions may post events for the next step
+  events.swap(events_);  // applying the actions may post events for the next step
   actions_.clear();
   gateway_.Step(clock_.At(now), events, actions_);
   if (spdlog::should_log(spdlog::level::trace)) {
--- a/src/broker/module_host.h
+++ b/src/broker/module_host.h
@@ -1,9 +1,10 @@
 // Runs the decision module on the event loop: passes events to it and applies its actions.
 //
-// Events are collected and passed together in one step, at most one step per tick of the settings. Timers
-// that the module asks for are kept here and come back to it as events.
+// Events are collected and passed together in one step, with at most one step per tick of the settings. The
+// host stores the timers that the module requests, and passes them back as events when they fire.
 //
-// Owns the module. Owner: Broker. Thread safety: none; used on the event loop's thread.
+// The host owns the module, and the broker owns the host. It is not thread-safe and is used on the event
+// loop's thread.
 #ifndef LEMONCROFT_BROKER_MODULE_HOST_H_
 #define LEMONCROFT_BROKER_MODULE_HOST_H_
 
@@ -21,7 +22,7 @@
 
 class ModuleHost {
  public:
-  // `apply_action` gets every action except WakeAt, in order, within the step that produced it.
+  // `apply_action` is called with every action except WakeAt, in order, within the step that produced it.
   ModuleHost(runtime::Loop& loop, const Settings& settings, std::uint64_t seed,
              std::function<void(const Action&)> apply_action)
       : loop_(loop),
@@ -29,14 +30,14 @@
         gateway_(settings, seed),
         apply_action_(std::move(apply_action)) {}
 
-  // Steps the module for as long as the loop runs.
+  // Steps the module until the loop stops.
   runtime::Task<> Run();
   // Queues an event for the next step.
   void Post(Event event);
-  // Queues a change of settings; its tick applies at once.
+  // Queues a change of settings. Their tick applies immediately.
   void ApplySettings(SettingsChanged change);
 
-  // The steady clock's time for a time of the module.
+  // Converts a time of the module to the steady clock.
   runtime::Time ToTime(Nanos at) const { return clock_.ToTime(at); }
   std::vector<EngineId> EjectedEngines() const { return gateway_.EjectedEngines(clock_.At(runtime::Now())); }
 
@@ -47,12 +48,12 @@
   void CollectFiredTimers(runtime::Time now);
 
   runtime::Loop& loop_;
-  runtime::Duration tick_;  // least time between two steps
+  runtime::Duration tick_;  // the minimum time between two steps
   decision::ModuleClock clock_;
   Gateway gateway_;
   std::function<void(const Action&)> apply_action_;
   std::vector<Event> events_;    // for the next step
-  std::vector<Action> actions_;  // of the last step; kept for its capacity
+  std::vector<Action> actions_;  // of the last step; a member so that its capacity is reused
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   runtime::ConditionVariable events_pending_;
 };
--- a/src/broker/overloaded.h
+++ b/src/broker/overloaded.h
@@ -1,4 +1,4 @@
-// Makes one visitor for std::visit out of several lambdas.
+// Combines several lambdas into one visitor for std::visit.
 #ifndef LEMONCROFT_BROKER_OVERLOADED_H_
 #define LEMONCROFT_BROKER_OVERLOADED_H_
 
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// The request as the decision module gets it.
+// Returns the request in the form that is passed to the decision module.
 Request DescribeForModule(const ActiveRequest& request) {
   const request::ClientRequest& client_request = request.client_request;
   Request described;
@@ -34,7 +34,8 @@
   return described;
 }
 
-// kShed counts rejected requests; cancelled ones are counted as kWithdrawn where the client leaves.
+// Returns the counter for a request that got a response. Cancelled requests are counted as kWithdrawn
+// elsewhere.
 metrics::End CountedAs(ResponseStatus status) {
   switch (status) {
     case ResponseStatus::kServed:
@@ -74,7 +75,8 @@
 
 Task<> Broker::AwaitCancelledAttempts(ActiveRequest& request) {
   for (const auto& attempt : request.attempts) attempt->cancel.Cancel();
-  // The module may have decided on an attempt before it heard of the completion; its Send is still to come.
+  // The module may have decided on an attempt before it was notified of the completion. The Send of that
+  // attempt is then handled here.
   while (request.HasRunningAttempts() || !request.inbox.empty()) {
     const RequestEvent event = co_await NextEvent(request, runtime::kNever);
     if (const auto* finished = std::get_if<AttemptFinished>(&event))
@@ -155,7 +157,7 @@
   return Progress::kOpen;
 }
 
-// The request never ran, and the decision module never heard of it.
+// The request has not run, and was not passed to the decision module.
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const RejectedByQueue& rejected) {
   const Duration retry_after = site_->module.may_send_retry_after ? rejected.retry_after : Duration::zero();
   Respond(*request, {ResponseStatus::kRejected, retry_after, {}});
@@ -177,7 +179,8 @@
   Respond(request.class_name(), *request.sink, response);
 }
 
-// The queue's estimate, if there is a queue, is closer than the longest wait that the settings allow.
+// The estimate of the admission queue, if enabled, is more accurate than the longest wait that the settings
+// allow.
 Duration Broker::RetryAfter(const ActiveRequest& request, const RejectRequest& reject) {
   if (!queue_ || reject.retry_after <= 0) return ToDuration(reject.retry_after);
   return queue_->RetryAfter(request.client_request.tenant, request.client_request.class_id);
--- a/src/broker/submission.cpp
+++ b/src/broker/submission.cpp
@@ -1,4 +1,4 @@
-// Submission: admission limits, the admission queue, the table of active requests.
+// The submission of requests: admission limits, the admission queue and the table of active requests.
 #include <utility>
 
 #include "broker/broker.h"
@@ -46,9 +46,9 @@
   if (rejects_new_requests_ || !lease_admits || !has_capacity) {
     return Response{ResponseStatus::kRejected, MaxRetryAfter(), {}};
   }
-  // Engines know a query by the client's id alone, so that two requests under one id would be mistaken for
-  // each other. The second one fails while the first is open. Once the first only waits for its attempts to
-  // end, the second is rejected instead: it may be sent again.
+  // Engines identify a query only by the client's request id, so that two requests with the same id would be
+  // confused. The second request fails while the first is open. When the first only waits for its attempts to
+  // end, the second is rejected instead, because it may be retried.
   const auto duplicate = ids_by_client_id_.find(forwarded.request_id);
   if (duplicate == ids_by_client_id_.end()) return std::nullopt;
   const bool is_open = active_requests_.at(duplicate->second)->sink != nullptr;
