--- a/src/broker/attempts.cpp
+++ b/src/broker/attempts.cpp
@@ -26,11 +26,13 @@
 
 void LogAttemptEnded(const ActiveRequest& request, const AttemptRecord& attempt, const AttemptEnded& event) {
   const request::ClientRequest& client_request = request.client_request;
-  spdlog::debug("request {} {} group {}: attempt {} at {} ended {} after {} ms, held {} ms, work {} of {} ms",
-                request.client_request_id(), request.class_name(), client_request.table_group, event.attempt,
-                event.engine, static_cast<int>(event.outcome), Milliseconds(event.elapsed),
-                Milliseconds(ToNanos(attempt.started - request.submitted)), Milliseconds(event.work),
-                Milliseconds(ToNanos(client_request.estimated_work)));
+  spdlog::debug(
+      "request {} (class {}, table group {}): attempt {} at engine {} ended with outcome {} after {} ms; "
+      "started {} ms after submission, work {} ms, estimated {} ms",
+      request.client_request_id(), request.class_name(), client_request.table_group, event.attempt,
+      event.engine, static_cast<int>(event.outcome), Milliseconds(event.elapsed),
+      Milliseconds(ToNanos(attempt.started - request.submitted)), Milliseconds(event.work),
+      Milliseconds(ToNanos(client_request.estimated_work)));
 }
 
 }  // namespace
@@ -60,7 +62,8 @@
   try {
     finished.result = co_await engines_.Run(attempt, record.cancel);
   } catch (const std::exception& e) {
-    spdlog::error("request {}: attempt {} broke off: {}", request->client_request_id(), number, e.what());
+    spdlog::error("request {}: attempt {} ended with an exception: {}", request->client_request_id(), number,
+                  e.what());
   }
   record.may_have_run = MayHaveRun(finished.result.outcome);
   record.running = false;
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -146,7 +146,8 @@
     host_.Post(DeadlineReached{request->id});
     return Progress::kOpen;
   }
-  spdlog::warn("request {}: failed after its deadline, without a decision", request->client_request_id());
+  spdlog::warn("request {}: failed after its deadline, because the decision module made no final decision",
+               request->client_request_id());
   Respond(*request, {ResponseStatus::kFailed, {}, {}});
   host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
