--- a/src/backend/connection_pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -18,7 +18,7 @@
 
 PooledConnection& PooledConnection::operator=(PooledConnection&& other) noexcept {
   if (this != &other) {
-    Return();
+    ReturnToPool();
     pool_ = std::exchange(other.pool_, nullptr);
     engine_ = other.engine_;
     incarnation_ = other.incarnation_;
@@ -28,15 +28,15 @@
   return *this;
 }
 
-void PooledConnection::Return() {
-  if (pool_ != nullptr) pool_->TakeBack(*this);
+void PooledConnection::ReturnToPool() {
+  if (pool_ != nullptr) pool_->Return(*this);
   pool_ = nullptr;
   connection_.reset();
 }
 
-void ConnectionPool::Lend(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection,
-                          Origin origin, PooledConnection& out) {
-  out.Return();
+void ConnectionPool::Assign(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection,
+                            Origin origin, PooledConnection& out) {
+  out.ReturnToPool();
   out.pool_ = this;
   out.engine_ = endpoint.effective.engine;
   out.incarnation_ = endpoint.incarnation;
@@ -44,7 +44,7 @@
   out.connection_ = std::move(connection);
 }
 
-void ConnectionPool::TakeBack(PooledConnection& connection) {
+void ConnectionPool::Return(PooledConnection& connection) {
   const discovery::Endpoint* endpoint = directory_.Find(connection.engine_);
   const bool same_incarnation = endpoint != nullptr && endpoint->incarnation == connection.incarnation_;
   if (same_incarnation && connection->Reusable()) {
@@ -76,11 +76,12 @@
   if (endpoint == nullptr) co_return IoResult::kClosed;
   if (reuse == Reuse::kIfIdle) {
     if (auto connection = TakeIdle(engine)) {
-      Lend(*endpoint, std::move(connection), Origin::kReused, out);
+      Assign(*endpoint, std::move(connection), Origin::kReused, out);
       co_return IoResult::kOk;
     }
   }
-  if (open_connections_ >= limits_.max_connections && !EvictOne()) co_return IoResult::kNoDescriptors;
+  if (open_connections_ >= limits_.max_connections && !EvictIdleConnection())
+    co_return IoResult::kNoDescriptors;
   const std::uint64_t incarnation = endpoint->incarnation;
   std::unique_ptr<runtime::Socket> socket;
   ++open_connections_;  // before the connect, so that concurrent connects can't exceed the limit
@@ -95,7 +96,7 @@
   }
   auto connection =
       std::make_unique<http::Connection>(std::move(socket), endpoint->host_port, limits_.response);
-  Lend(*endpoint, std::move(connection), Origin::kNew, out);
+  Assign(*endpoint, std::move(connection), Origin::kNew, out);
   co_return IoResult::kOk;
 }
 
@@ -108,18 +109,18 @@
 
 void ConnectionPool::set_max_connections(std::size_t max_connections) {
   limits_.max_connections = max_connections;
-  while (open_connections_ > max_connections && EvictOne()) {
+  while (open_connections_ > max_connections && EvictIdleConnection()) {
   }
 }
 
 // Chooses the engine with the most idle connections, and closes the one that has been idle longest.
-bool ConnectionPool::EvictOne() {
-  std::deque<IdleConnection>* most = nullptr;
+bool ConnectionPool::EvictIdleConnection() {
+  std::deque<IdleConnection>* largest = nullptr;
   for (auto& [id, idle] : idle_) {
-    if (!idle.empty() && (most == nullptr || idle.size() > most->size())) most = &idle;
+    if (!idle.empty() && (largest == nullptr || idle.size() > largest->size())) largest = &idle;
   }
-  if (most == nullptr) return false;
-  most->pop_front();
+  if (largest == nullptr) return false;
+  largest->pop_front();
   --open_connections_;
   return true;
 }
--- a/src/backend/connection_pool.h
+++ b/src/backend/connection_pool.h
@@ -31,7 +31,7 @@
   PooledConnection() = default;
   PooledConnection(PooledConnection&& other) noexcept { *this = std::move(other); }
   PooledConnection& operator=(PooledConnection&& other) noexcept;
-  ~PooledConnection() { Return(); }
+  ~PooledConnection() { ReturnToPool(); }
 
   http::Connection& operator*() const { return *connection_; }
   http::Connection* operator->() const { return connection_.get(); }
@@ -39,7 +39,7 @@
   // Returns true if the connection was already used for calls before it was acquired.
   bool reused() const { return reused_; }
   // Returns the connection to the pool, which keeps it if another call can use it.
-  void Return();
+  void ReturnToPool();
 
  private:
   friend class ConnectionPool;
@@ -90,11 +90,11 @@
     runtime::Time since;
   };
 
-  void Lend(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection, Origin origin,
-            PooledConnection& out);
-  void TakeBack(PooledConnection& connection);
+  void Assign(const discovery::Endpoint& endpoint, std::unique_ptr<http::Connection> connection,
+              Origin origin, PooledConnection& out);
+  void Return(PooledConnection& connection);
   // Closes one idle connection. Returns false if there is none.
-  bool EvictOne();
+  bool EvictIdleConnection();
   // Removes and returns the engine's most recently used idle connection that is reusable; null if there is
   // none.
   std::unique_ptr<http::Connection> TakeIdle(EngineId engine);
--- a/src/backend/engine_protocol.cpp
+++ b/src/backend/engine_protocol.cpp
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-codec::HttpRequest SubmitCall(const Attempt& attempt, runtime::Duration remaining_time) {
+codec::HttpRequest MakeSubmitCall(const Attempt& attempt, runtime::Duration remaining_time) {
   const request::ForwardedFields& forwarded = *attempt.forwarded;
   const auto timeout_ms = std::chrono::ceil<std::chrono::milliseconds>(remaining_time).count();
   const auto grant_mb = static_cast<std::int64_t>(std::ceil(attempt.grant_mb));
@@ -75,27 +75,27 @@
   return call;
 }
 
-codec::HttpRequest PollCall(const std::string& request_id, int page) {
+codec::HttpRequest MakePollCall(const std::string& request_id, int page) {
   codec::HttpRequest call;
   call.method = fields::kPoll;
   call.path = QueryPath(request_id) + "/" + std::to_string(page);
   return call;
 }
 
-codec::HttpRequest ProbeCall(ProbeKind kind) {
+codec::HttpRequest MakeProbeCall(ProbeKind kind) {
   codec::HttpRequest call;
   call.method = fields::kPoll;
   call.path = kind == ProbeKind::kWithLoadReport ? fields::kStatsPath : fields::kHealthPath;
   return call;
 }
 
-QueryCommand CancelCommand(const std::string& request_id) { return {fields::kCancel, request_id, {}}; }
+QueryCommand MakeCancelCommand(const std::string& request_id) { return {fields::kCancel, request_id, {}}; }
 
-QueryCommand SetPriorityCommand(const std::string& request_id, int priority) {
+QueryCommand MakeSetPriorityCommand(const std::string& request_id, int priority) {
   return {fields::kSetPriority, request_id, std::to_string(priority)};
 }
 
-codec::HttpRequest CommandCall(const QueryCommand& command) {
+codec::HttpRequest MakeCommandCall(const QueryCommand& command) {
   codec::HttpRequest call;
   call.method = command.method;
   call.path = QueryPath(command.request_id);
--- a/src/backend/engine_protocol.h
+++ b/src/backend/engine_protocol.h
@@ -20,13 +20,13 @@
 
 // Submits the statement of an attempt. The call refers to the attempt's forwarded fields, which must outlive
 // it.
-codec::HttpRequest SubmitCall(const Attempt& attempt, runtime::Duration remaining_time);
+codec::HttpRequest MakeSubmitCall(const Attempt& attempt, runtime::Duration remaining_time);
 // Requests one page of a query's result. Until the query is done, the response to a poll for page 0 is the
 // status of the query.
-codec::HttpRequest PollCall(const std::string& request_id, int page);
+codec::HttpRequest MakePollCall(const std::string& request_id, int page);
 // Requests the engine's health, and with kWithLoadReport also a load report.
 enum class ProbeKind { kHealthOnly, kWithLoadReport };
-codec::HttpRequest ProbeCall(ProbeKind kind);
+codec::HttpRequest MakeProbeCall(ProbeKind kind);
 
 // A call that changes a query and whose response has no content. Owns the request id and the body.
 struct QueryCommand {
@@ -34,10 +34,10 @@
   std::string request_id;
   std::string body;
 };
-QueryCommand CancelCommand(const std::string& request_id);
-QueryCommand SetPriorityCommand(const std::string& request_id, int priority);
+QueryCommand MakeCancelCommand(const std::string& request_id);
+QueryCommand MakeSetPriorityCommand(const std::string& request_id, int priority);
 // The call refers to the command, which must outlive it.
-codec::HttpRequest CommandCall(const QueryCommand& command);
+codec::HttpRequest MakeCommandCall(const QueryCommand& command);
 
 // ---- Responses ----
 
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -52,12 +52,12 @@
 }
 
 // Increments a count during the lifetime of this object.
-class ScopedCount {
+class ScopedIncrement {
  public:
-  explicit ScopedCount(int& count) : count_(count) { ++count_; }
-  ~ScopedCount() { --count_; }
-  ScopedCount(const ScopedCount&) = delete;
-  ScopedCount& operator=(const ScopedCount&) = delete;
+  explicit ScopedIncrement(int& count) : count_(count) { ++count_; }
+  ~ScopedIncrement() { --count_; }
+  ScopedIncrement(const ScopedIncrement&) = delete;
+  ScopedIncrement& operator=(const ScopedIncrement&) = delete;
 
  private:
   int& count_;
@@ -72,13 +72,13 @@
   PooledConnection connection;
   codec::HttpResponse response;  // the newest
   Result result;
-  bool lost_response = false;   // a response was lost or damaged: the engine may or may not know the query
-  bool done = false;            // the engine has reported that the query is done
-  runtime::Time last_called{};  // the last time at which a call that keeps the query running was in flight
+  bool lost_response = false;      // a response was lost or damaged: the engine may or may not know the query
+  bool done = false;               // the engine has reported that the query is done
+  runtime::Time last_call_time{};  // the last time at which a call that keeps the query running was in flight
 
   const std::string& request_id() const { return attempt.forwarded->request_id; }
   // Returns the end of `timeout` from now, or the attempt's deadline if that is earlier.
-  runtime::Time TimeLimit(runtime::Duration timeout) const {
+  runtime::Time DeadlineAfter(runtime::Duration timeout) const {
     return std::min(attempt.deadline, Now() + timeout);
   }
   bool HasValidResponse(int page) const {
@@ -108,13 +108,13 @@
   const Attempt& attempt = query.attempt;
   const bool should_cancel =
       outcome == Outcome::kCancelled || outcome == Outcome::kTimeout || outcome == Outcome::kLost;
-  const bool in_doubt = (should_cancel || outcome == Outcome::kReset) && !query.done;
-  if (in_doubt && attempt.exclusive) {
+  const bool may_still_run = (should_cancel || outcome == Outcome::kReset) && !query.done;
+  if (may_still_run && attempt.exclusive) {
     co_await CancelAndConfirm(query);
   } else if (should_cancel && Now() >= attempt.deadline) {
-    loop_.Spawn(TrySendCommand(attempt.engine, CancelCommand(query.request_id())));
+    loop_.Spawn(TrySendCommand(attempt.engine, MakeCancelCommand(query.request_id())));
   } else if (should_cancel) {
-    co_await TrySendCommand(attempt.engine, CancelCommand(query.request_id()));
+    co_await TrySendCommand(attempt.engine, MakeCancelCommand(query.request_id()));
   }
 }
 
@@ -144,7 +144,7 @@
       co_return Outcome::kOk;
     }
     if (sent == IoResult::kOk || query.connection->sent_any_bytes()) {
-      query.last_called = Now();
+      query.last_call_time = Now();
       if (sent == IoResult::kCancelled) co_return Outcome::kCancelled;
       // The response is damaged, late or lost, but the engine may execute the statement: poll for the query.
       query.lost_response = true;
@@ -165,10 +165,10 @@
 }
 
 Task<IoResult> Engines::SendStatement(Query& query, runtime::Duration remaining_time) {
-  const codec::HttpRequest call = SubmitCall(query.attempt, remaining_time);
-  const runtime::Time respond_by = query.TimeLimit(kStatusTimeout);
+  const codec::HttpRequest call = MakeSubmitCall(query.attempt, remaining_time);
+  const runtime::Time respond_by = query.DeadlineAfter(kStatusTimeout);
   const runtime::Time send_by = std::min(respond_by, query.attempt.not_after);
-  query.last_called = Now();
+  query.last_call_time = Now();
   const IoResult sent = co_await query.connection->Send(call, send_by, &query.cancel);
   if (sent != IoResult::kOk) co_return sent;
   counters_.CountAttempt();
@@ -182,7 +182,7 @@
 }
 
 Task<Outcome> Engines::Poll(Query& query, int page) {
-  const codec::HttpRequest call = PollCall(query.request_id(), page);
+  const codec::HttpRequest call = MakePollCall(query.request_id(), page);
   bool engine_reacted = false;
   Outcome outcome = Outcome::kLost;
   for (int poll = 1; poll <= kMaxPolls; ++poll) {
@@ -196,8 +196,8 @@
     }
     const runtime::Duration timeout = page == 0 ? kStatusTimeout : kPageTimeout * poll;
     const IoResult called =
-        co_await query.connection->Call(call, query.TimeLimit(timeout), &query.cancel, query.response);
-    query.last_called = Now();
+        co_await query.connection->Call(call, query.DeadlineAfter(timeout), &query.cancel, query.response);
+    query.last_call_time = Now();
     if (called == IoResult::kOk && query.HasValidResponse(page)) {
       StoreLoadReport(query);
       co_return Outcome::kOk;
@@ -265,11 +265,11 @@
 }
 
 Task<IoResult> Engines::SendCommand(EngineId engine, QueryCommand command) {
-  const ScopedCount pending(pending_commands_);
+  const ScopedIncrement pending(pending_commands_);
   PooledConnection connection;
   const IoResult connected = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, connection);
   if (connected != IoResult::kOk) co_return connected;
-  const codec::HttpRequest call = CommandCall(command);
+  const codec::HttpRequest call = MakeCommandCall(command);
   codec::HttpResponse ignored;
   co_return co_await connection->Call(call, Now() + connect_timeout_, nullptr, ignored);
 }
@@ -282,10 +282,10 @@
 // continue to run the query until it abandons it because of missing polls.
 Task<> Engines::CancelAndConfirm(Query& query) {
   query.connection = PooledConnection();
-  const runtime::Time abandoned_by = query.last_called + kEngineAbandonTimeout + kEngineAbandonMargin;
+  const runtime::Time abandoned_by = query.last_call_time + kEngineAbandonTimeout + kEngineAbandonMargin;
   runtime::Duration backoff = kMinCancelBackoff;
   while (Now() < abandoned_by) {
-    const IoResult io = co_await SendCommand(query.attempt.engine, CancelCommand(query.request_id()));
+    const IoResult io = co_await SendCommand(query.attempt.engine, MakeCancelCommand(query.request_id()));
     if (io == IoResult::kOk) co_return;
     co_await loop_.SleepUntil(std::min(abandoned_by, Now() + backoff));
     backoff = std::min<runtime::Duration>(2 * backoff, kMaxCancelBackoff);
@@ -293,7 +293,7 @@
 }
 
 void Engines::UpdatePriority(EngineId engine, const std::string& request_id, int priority) {
-  loop_.Spawn(TrySendCommand(engine, SetPriorityCommand(request_id, priority)));
+  loop_.Spawn(TrySendCommand(engine, MakeSetPriorityCommand(request_id, priority)));
 }
 
 Task<ProbeResult> Engines::Probe(EngineId engine) {
@@ -302,7 +302,7 @@
   const IoResult connected = co_await pool_.Acquire(engine, Now() + connect_timeout_, nullptr, connection);
   if (connected != IoResult::kOk) co_return result;
   const codec::HttpRequest call =
-      ProbeCall(report_fields_.empty() ? ProbeKind::kHealthOnly : ProbeKind::kWithLoadReport);
+      MakeProbeCall(report_fields_.empty() ? ProbeKind::kHealthOnly : ProbeKind::kWithLoadReport);
   codec::HttpResponse response;
   const IoResult called = co_await connection->Call(call, Now() + connect_timeout_, nullptr, response);
   if (called != IoResult::kOk) {
--- a/src/backend/load_report.cpp
+++ b/src/backend/load_report.cpp
@@ -41,21 +41,22 @@
 LoadReport ParseLoadReport(std::string_view text, const std::vector<std::string>& names) {
   LoadReport report;
   report.values.fill(kMissing);
-  const std::size_t fields = std::min(names.size(), kMaxReportFields);
+  const std::size_t field_count = std::min(names.size(), kMaxReportFields);
   bool has_value = false;
   while (!text.empty()) {
     const std::string_view item = TakeItem(text);
     const std::size_t colon = item.find(':');
     if (colon == std::string_view::npos) continue;
     const std::string_view name = Trim(item.substr(0, colon));
-    const auto known = std::find(names.begin(), names.begin() + static_cast<std::ptrdiff_t>(fields), name);
-    const auto index = static_cast<std::size_t>(known - names.begin());
+    const auto found =
+        std::find(names.begin(), names.begin() + static_cast<std::ptrdiff_t>(field_count), name);
+    const auto index = static_cast<std::size_t>(found - names.begin());
     const std::optional<float> value = ParseValue(Trim(item.substr(colon + 1)));
-    if (index >= fields || !value) continue;
+    if (index >= field_count || !value) continue;
     report.values[index] = *value;
     has_value = true;
   }
-  report.count = has_value ? static_cast<std::uint8_t>(fields) : 0;
+  report.count = has_value ? static_cast<std::uint8_t>(field_count) : 0;
   return report;
 }
 
