--- a/src/broker/attempts.cpp
+++ b/src/broker/attempts.cpp
@@ -46,7 +46,7 @@
   attempt.forwarded = &request->client_request.forwarded;
   attempt.engine = send.engine;
   attempt.deadline = send.timeout > 0 ? std::min(latest_end, started + ToDuration(send.timeout)) : latest_end;
-  attempt.not_after = host_.ToTime(send.not_after);
+  attempt.not_after = module_host_.ToTime(send.not_after);
   attempt.grant_mb = request->grant.grant_mb;
   attempt.priority = request->grant.priority;
   attempt.exclusive = !site_->module.may_hedge || request->client_request.ordering_key != 0;
@@ -108,7 +108,7 @@
   event.memory_mb = result.memory_mb;
   event.load_report = result.load;
   LogAttemptEnded(request, record, event);
-  host_.Post(event);
+  module_host_.Post(event);
   if (queue_) queue_->OnAttemptEnded(request.id, finished.attempt, result.work, MayHaveRun(result.outcome));
 }
 
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -20,7 +20,7 @@
       engines_(engines),
       counters_(counters),
       limits_(limits),
-      host_(loop, site->module, seed, [this](const Action& action) { Apply(action); }) {}
+      module_host_(loop, site->module, seed, [this](const Action& action) { Apply(action); }) {}
 
 void Broker::EnableAdmissionQueue(admission_queue::Settings settings) {
   queue_ = std::make_unique<AdmissionQueueHost>(
@@ -29,26 +29,26 @@
 }
 
 void Broker::Start() {
-  loop_.Spawn(host_.Run());
+  loop_.Spawn(module_host_.Run());
   if (queue_) loop_.Spawn(queue_->Run());
 }
 
 void Broker::UpdateEndpoints(EngineList list) {
   if (queue_) queue_->UpdateEndpoints(list);
-  host_.Post(std::move(list));
+  module_host_.Post(std::move(list));
 }
 
 void Broker::ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests) {
   limits_.max_requests = max_requests;
   const auto site = site_.snapshot();
   if (queue_) queue_->set_kinds(site->module.kinds);
-  host_.ApplySettings(
+  module_host_.ApplySettings(
       {std::shared_ptr<const Settings>(site, &site->module), std::move(inherits_estimates_from)});
 }
 
-void Broker::SetFleetSize(int proxy_count, int rank) {
+void Broker::SetFleetSize(int proxy_count, int proxy_index) {
   if (queue_) queue_->SetProxyCount(proxy_count);
-  host_.Post(FleetSize{proxy_count, rank});
+  module_host_.Post(FleetSize{proxy_count, proxy_index});
 }
 
 settings::ReferencedNumbers Broker::NumbersInUse() const {
@@ -98,7 +98,7 @@
   probed.outcome = result.outcome;
   probed.load_report = result.load;
   probed.elapsed = ToNanos(Now() - started);
-  host_.Post(probed);
+  module_host_.Post(probed);
 }
 
 }  // namespace lemoncroft::broker
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -74,14 +74,14 @@
   // SettingsChanged; `max_requests` replaces Limits::max_requests.
   void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests);
   // Sets the number of processes that share this proxy's budgets during a hot restart.
-  void SetProcessCount(int process_count) { host_.Post(ProcessCount{process_count}); }
+  void SetProcessCount(int process_count) { module_host_.Post(ProcessCount{process_count}); }
   // Sets the number of serving proxies, and the 0-based index of this proxy among them.
-  void SetFleetSize(int proxy_count, int rank);
+  void SetFleetSize(int proxy_count, int proxy_index);
 
   // Rejects all requests that are submitted from now on, because the process is about to exit.
   void RejectNewRequests() { rejects_new_requests_ = true; }
   // Makes the decision module end all open requests in its next step.
-  void CompleteAllRequests() { host_.Post(Shutdown{}); }
+  void CompleteAllRequests() { module_host_.Post(Shutdown{}); }
 
   // Returns the classes and tenants of active requests, which a change of settings must retain.
   settings::ReferencedNumbers NumbersInUse() const;
@@ -91,7 +91,7 @@
   // engine.
   bool idle() const { return active_requests_.empty() && !engines_.has_pending_commands(); }
   // Returns the engines that the decision module currently ejects as outliers.
-  std::vector<EngineId> EjectedEngines() const { return host_.EjectedEngines(); }
+  std::vector<EngineId> EjectedEngines() const { return module_host_.EjectedEngines(); }
 
  private:
   // kCompleted: the request has got its final response, or its client has cancelled it.
@@ -160,7 +160,7 @@
   backend::Engines& engines_;
   metrics::Counters& counters_;
   Limits limits_;
-  ModuleHost host_;
+  ModuleHost module_host_;
   std::unique_ptr<AdmissionQueueHost> queue_;  // null if not enabled
   std::unordered_map<RequestId, ActiveRequestPtr> active_requests_;
   std::unordered_map<std::string, RequestId> ids_by_client_id_;  // of the active requests
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -23,7 +23,7 @@
                    spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended.id, ended.attempt,
                                  static_cast<int>(ended.outcome), ended.request_finished, ended.work);
                  },
-                 [](const RequestCancelled& gone) { spdlog::trace("told gone {}", gone.id); },
+                 [](const RequestCancelled& cancelled) { spdlog::trace("told gone {}", cancelled.id); },
                  [](const auto&) {},
              },
              event);
@@ -63,9 +63,9 @@
       const runtime::Time next_timer = timers_.empty() ? runtime::kNever : timers_.top().first;
       co_await runtime::Waiter(loop_, &events_pending_, next_timer);
     }
-    const runtime::Time stepped = runtime::Now();
+    const runtime::Time step_time = runtime::Now();
     Step();
-    co_await loop_.SleepUntil(stepped + tick_);
+    co_await loop_.SleepUntil(step_time + tick_);
   }
 }
 
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -36,7 +36,7 @@
 
 // Returns the counter for a request that got a response. Cancelled requests are counted as kWithdrawn
 // elsewhere.
-metrics::End CountedAs(ResponseStatus status) {
+metrics::End MetricsEndOf(ResponseStatus status) {
   switch (status) {
     case ResponseStatus::kServed:
       return metrics::End::kOk;
@@ -53,7 +53,7 @@
 void Broker::CancelRequest(RequestId id) { Deliver(id, CancelledByClient{}); }
 
 Task<> Broker::RunRequest(ActiveRequestPtr request) {
-  if (!queue_) host_.Post(DescribeForModule(*request));
+  if (!queue_) module_host_.Post(DescribeForModule(*request));
   co_await RunUntilCompleted(request);
   if (queue_) queue_->OnRequestCompleted(request->id);
   --open_requests_;
@@ -107,7 +107,7 @@
   }
   ReportNotSent(*request, send, Progress::kOpen);
   Respond(*request, {ResponseStatus::kRejected, MaxRetryAfter(), {}});
-  host_.Post(RequestCancelled{request->id});
+  module_host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
@@ -137,24 +137,24 @@
 
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const CancelledByClient&) {
   counters_.CountEnded(request->class_name(), metrics::End::kWithdrawn);
-  host_.Post(RequestCancelled{request->id});
+  module_host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const DeadlinePassed&) {
   if (!std::exchange(request->deadline_reported, true)) {
-    host_.Post(DeadlineReached{request->id});
+    module_host_.Post(DeadlineReached{request->id});
     return Progress::kOpen;
   }
   spdlog::warn("request {}: failed after its deadline, because the decision module made no final decision",
                request->client_request_id());
   Respond(*request, {ResponseStatus::kFailed, {}, {}});
-  host_.Post(RequestCancelled{request->id});
+  module_host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
 
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const admission_queue::Dispatch&) {
-  host_.Post(DescribeForModule(*request));
+  module_host_.Post(DescribeForModule(*request));
   return Progress::kOpen;
 }
 
@@ -172,7 +172,7 @@
 
 void Broker::Respond(const std::string& class_name, request::ResponseSink& sink,
                      const request::Response& response) {
-  counters_.CountEnded(class_name, CountedAs(response.status));
+  counters_.CountEnded(class_name, MetricsEndOf(response.status));
   sink.Complete(response);
 }
 
