--- a/tests/backend_test.cpp
+++ b/tests/backend_test.cpp
@@ -1,5 +1,6 @@
 // Tests of backend::Engines on real sockets, one attempt at a time: slow connects, and responses that are
-// damaged, late or doubled. The tests act as the engine, so that each race is forced.
+// damaged, late or duplicated. The tests act as the engine, so that they control the order of events in each
+// race.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -20,8 +21,8 @@
 using runtime::Descriptor;
 using runtime::Now;
 
-// An engine's listening socket. With Backlog::kFull connects don't complete until Accept: the backlog is
-// filled with connections of its own.
+// An engine's listening socket. With Backlog::kFull, connects don't complete before Accept is called, because
+// the socket fills its backlog with its own connections.
 class ListeningSocket {
  public:
   enum class Backlog { kFree, kFull };
@@ -45,7 +46,7 @@
   }
 
  private:
-  // Connects once more; false if that does not complete, since the backlog is full.
+  // Opens one more connection. Returns false if the connect does not complete because the backlog is full.
   bool FillOne() {
     Descriptor filler(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     static_cast<void>(::connect(filler.get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_));
@@ -60,7 +61,7 @@
   std::vector<Descriptor> fillers_;
 };
 
-// Receives on the engine's side of a connection until nothing has come for `quiet`.
+// Receives on the engine's side of a connection until no bytes have arrived for `quiet`.
 std::string ReceiveUntilQuiet(int fd, std::chrono::milliseconds quiet) {
   std::string in;
   char bytes[4096];
@@ -94,7 +95,7 @@
     ended_ = true;
     loop_.Stop();
   }
-  // Runs the loop until the attempt has ended.
+  // Runs the attempt, and the loop until the attempt has ended.
   void RunToEnd(const backend::Attempt& attempt) {
     loop_.Spawn(Run(attempt));
     loop_.Run();
@@ -112,8 +113,8 @@
   bool ended_ = false;
 };
 
-// The engine discards a repeat only within its window. A repeat must not be sent after that, and the outcome
-// must not blame the engine.
+// The engine discards a repeat only within its repeat window. The connect completes only after the window has
+// passed: the repeat must not be sent, and the outcome must not be counted as a fault of the engine.
 TEST_F(EnginesTest, Repeat_ConnectedAfterItsWindow_IsNotSent) {
   ListeningSocket listener(ListeningSocket::Backlog::kFull);
   ListEngine(listener.host_port());
@@ -122,10 +123,12 @@
   RunToEnd(attempt);
   ASSERT_TRUE(ended_);
   EXPECT_EQ(result_.outcome, Outcome::kNotSent);
-  EXPECT_LT(Now(), attempt.not_after + 500ms) << "told as soon as it is out of the question";
+  EXPECT_LT(Now(), attempt.not_after + 500ms) << "the attempt ends as soon as the repeat window has passed";
   EXPECT_EQ(counters_.attempts(), 0u);
 }
 
+// The repeat window has already passed when the attempt starts, and the engine accepts connections: no byte
+// of the repeat must reach the engine.
 TEST_F(EnginesTest, Repeat_StartedAfterItsWindow_SendsNothing) {
   ListeningSocket listener(ListeningSocket::Backlog::kFree);
   ListEngine(listener.host_port());
@@ -133,33 +136,34 @@
   attempt.not_after = Now() - 1ms;
   RunToEnd(attempt);
   EXPECT_EQ(result_.outcome, Outcome::kNotSent);
-  const Descriptor side = listener.Accept();
-  if (side) {
-    EXPECT_EQ(ReceiveUntilQuiet(side.get(), 100ms), "");
+  const Descriptor connection = listener.Accept();
+  if (connection) {
+    EXPECT_EQ(ReceiveUntilQuiet(connection.get(), 100ms), "");
   }
 }
 
+// The client leaves while the connect is in progress: the attempt must end soon, and must not be sent.
 TEST_F(EnginesTest, Attempt_CancelledDuringConnect_IsNotSent) {
   ListeningSocket listener(ListeningSocket::Backlog::kFull);
   ListEngine(listener.host_port());
-  const auto leave = [&]() -> runtime::Task<> {
+  const auto cancel_later = [&]() -> runtime::Task<> {
     co_await loop_.Sleep(30ms);
     cancel_.Cancel();
   };
-  loop_.Spawn(leave());
+  loop_.Spawn(cancel_later());
   const runtime::Time from = Now();
   RunToEnd(MakeAttempt());
   EXPECT_EQ(result_.outcome, Outcome::kNotSent);
-  EXPECT_LT(Now() - from, 100ms + 30ms) << "the bound on attempts after a client has left";
+  EXPECT_LT(Now() - from, 100ms + 30ms) << "the limit on the end of an attempt after its client has left";
   EXPECT_EQ(counters_.attempts(), 0u);
 }
 
-// An engine on the same loop. `answer` gets each call's bytes and the connection that it came on.
+// An engine on the same loop. `handler` receives the bytes of each call, and the connection to respond on.
 class FakeEngine {
  public:
-  using Answer = std::function<runtime::Task<>(const std::string& call, runtime::Socket& socket)>;
-  FakeEngine(runtime::Loop& loop, Answer answer)
-      : loop_(loop), answer_(std::move(answer)), listener_(loop, *runtime::Address::Parse("127.0.0.1:0")) {
+  using CallHandler = std::function<runtime::Task<>(const std::string& call, runtime::Socket& socket)>;
+  FakeEngine(runtime::Loop& loop, CallHandler handler)
+      : loop_(loop), handler_(std::move(handler)), listener_(loop, *runtime::Address::Parse("127.0.0.1:0")) {
     loop_.Spawn(AcceptAll());
   }
   std::string host_port() const { return listener_.address().ToString(); }
@@ -183,18 +187,18 @@
       const std::size_t body = sized < head ? std::stoul(in.substr(sized + 16)) : 0;
       if (in.size() < head + 4 + body) continue;
       const std::string call = std::exchange(in, {});
-      co_await answer_(call, *socket);
-      if (closes) co_return;
+      co_await handler_(call, *socket);
+      if (closes_connection) co_return;
     }
   }
 
   runtime::Loop& loop_;
-  Answer answer_;
+  CallHandler handler_;
   runtime::Listener listener_;
   int connections_ = 0;
 
  public:
-  bool closes = false;  // after the current answer
+  bool closes_connection = false;  // after the current call
 };
 
 runtime::Task<> Write(runtime::Socket& socket, std::string text) {
@@ -208,7 +212,8 @@
 
 class EngineResponseTest : public EnginesTest {};
 
-// The engine is polled for a response that was cut, and the statement isn't sent again.
+// The response to the statement is truncated, at each possible byte. The engine must be polled for the
+// response, and the statement must not be sent again.
 TEST_F(EngineResponseTest, Response_CutAtAnyByte_IsPolledForAgain) {
   const std::string response = PageResponse("x\ty\tz\n");
   std::size_t cut = 0;
@@ -217,14 +222,14 @@
   FakeEngine engine(loop_, [&](const std::string& call, runtime::Socket& socket) -> runtime::Task<> {
     const bool post = call.starts_with("POST ");
     posts += post;
-    self->closes = post;
+    self->closes_connection = post;
     std::string text = response;
     if (post) text.resize(cut);
     co_await Write(socket, std::move(text));
   });
   self = &engine;
   ListEngine(engine.host_port());
-  const auto all = [&]() -> runtime::Task<> {
+  const auto run_all = [&]() -> runtime::Task<> {
     for (cut = 0; cut < response.size(); ++cut) {
       const auto attempt = MakeAttempt();
       result_ = co_await engines_.Run(attempt, cancel_);
@@ -233,62 +238,63 @@
     }
     loop_.Stop();
   };
-  loop_.Spawn(all());
+  loop_.Spawn(run_all());
   loop_.Run();
-  EXPECT_EQ(posts, static_cast<int>(response.size())) << "a statement goes out once";
+  EXPECT_EQ(posts, static_cast<int>(response.size())) << "each statement is sent once";
 }
 
-// The parameter: true, byte after byte, each in time but never complete; false, a body without end.
+// The engine sends a response that is never complete. With the parameter true it sends one byte at a time,
+// each before the stall timeout; with false it sends an endless body at a high rate.
 class EndlessResponseTest : public EngineResponseTest, public testing::WithParamInterface<bool> {};
 
 TEST_P(EndlessResponseTest, Response_NeverComplete_IsAbandonedInTime) {
-  const bool trickles = GetParam();
+  const bool sends_single_bytes = GetParam();
   {
     FakeEngine engine(loop_, [&](const std::string& call, runtime::Socket& socket) -> runtime::Task<> {
       if (!call.starts_with("POST ")) co_return co_await Write(socket, PageResponse("x\ty\tz\n"));
       co_await Write(socket, "HTTP/1.1 200 OK\r\nChunks: 1\r\n\r\n");
       for (std::size_t written = 1; written > 0;) {
-        const std::string more(trickles ? 1 : 64 * 1024, 'x');
+        const std::string more(sends_single_bytes ? 1 : 64 * 1024, 'x');
         if (co_await socket.Write(more, written, Now() + 1s) != runtime::IoResult::kOk) co_return;
-        co_await loop_.Sleep(trickles ? 20ms : 1ms);
+        co_await loop_.Sleep(sends_single_bytes ? 20ms : 1ms);
       }
     });
     ListEngine(engine.host_port());
     const runtime::Time from = Now();
-    const auto one = [&]() -> runtime::Task<> {
+    const auto run_one = [&]() -> runtime::Task<> {
       const auto attempt = MakeAttempt();
       result_ = co_await engines_.Run(attempt, cancel_);
       loop_.Stop();
     };
-    loop_.Spawn(one());
+    loop_.Spawn(run_one());
     loop_.Run();
     EXPECT_EQ(result_.outcome, Outcome::kOk);
     EXPECT_EQ(result_.rows, "x\ty\tz\n");
-    EXPECT_LT(Now() - from, 700ms) << "300 ms for the news, and a question anew";
+    EXPECT_LT(Now() - from, 700ms) << "300 ms for the status timeout, then one poll";
   }
 }
 INSTANTIATE_TEST_SUITE_P(TricklesOrFloods, EndlessResponseTest, testing::Values(true, false));
 
-// Nothing in page 0 names its query: a second copy of a response that came after the next query's call would
-// be taken for that query's result.
-TEST_F(EngineResponseTest, Response_SentTwice_IsNotTakenForTheNextQuerys) {
+// The engine sends a response twice, and the second copy arrives after the next query's call. Page 0 doesn't
+// identify its query, so that the copy must not be mistaken for the result of the next query.
+TEST_F(EngineResponseTest, Response_SentTwice_IsNotAttributedToNextQuery) {
   int posts = 0;
-  const auto late = [&](runtime::Socket& socket, std::string text) -> runtime::Task<> {
+  const auto write_late = [&](runtime::Socket& socket, std::string text) -> runtime::Task<> {
     co_await loop_.Sleep(12ms);
     co_await Write(socket, std::move(text));
   };
   FakeEngine engine(loop_, [&](const std::string& call, runtime::Socket& socket) -> runtime::Task<> {
     if (call.starts_with("POST ") && ++posts % 2 == 1) {
       co_await Write(socket, PageResponse("first\ty\tz\n"));
-      loop_.Spawn(late(socket, PageResponse("first\ty\tz\n")));  // the same once more
+      loop_.Spawn(write_late(socket, PageResponse("first\ty\tz\n")));  // the second copy
       co_return;
     }
-    co_await loop_.Sleep(20ms);  // so that the second one is there before it
+    co_await loop_.Sleep(20ms);  // so that the second copy arrives before this response
     co_await Write(socket, PageResponse("next\ty\tz\n"));
   });
   ListEngine(engine.host_port());
-  const auto both = [&]() -> runtime::Task<> {
-    for (int tries = 0; tries < 50; ++tries) {
+  const auto run_both = [&]() -> runtime::Task<> {
+    for (int round = 0; round < 50; ++round) {
       forwarded_.request_id = "00000000000000aa";
       const auto first = MakeAttempt();
       co_await engines_.Run(first, cancel_);
@@ -296,51 +302,52 @@
       co_await loop_.Sleep(6ms);
       forwarded_.request_id = "00000000000000bb";
       const auto next = MakeAttempt();
-      const bool crossed = Now() - ended < 12ms;  // else the machine held it up, and it is tried again
+      // The next call must precede the second copy. If this process was delayed, both queries are repeated.
+      const bool precedes_copy = Now() - ended < 12ms;
       result_ = co_await engines_.Run(next, cancel_);
-      if (crossed) break;
+      if (precedes_copy) break;
       result_ = backend::Result();
     }
     loop_.Stop();
   };
-  loop_.Spawn(both());
+  loop_.Spawn(run_both());
   loop_.Run();
   EXPECT_EQ(result_.outcome, Outcome::kOk);
   EXPECT_EQ(result_.rows, "next\ty\tz\n");
 }
 
-// The bytes of the calls to an engine, except for the remaining time of a request.
+// Tests the bytes of the calls to an engine, except for the remaining time of a request.
 class EngineCallTest : public EngineResponseTest {
  protected:
-  // Runs until `count` calls have come, or for 3 s. Returns the calls.
+  // Runs the loop until `count` calls have arrived, for at most 3 s. Returns the calls.
   std::vector<std::string> ReceiveCalls(std::size_t count, const std::function<runtime::Task<>()>& act) {
     std::vector<std::string> calls;
     FakeEngine engine(loop_, [&](const std::string& call, runtime::Socket& socket) -> runtime::Task<> {
       calls.push_back(std::regex_replace(call, host_, "HOST"));
-      co_await Answer(call, socket);
+      co_await Respond(call, socket);
       if (calls.size() == count) loop_.Stop();
     });
     host_ = engine.host_port();
     ListEngine(engine.host_port());
-    const auto give_up = [&]() -> runtime::Task<> {
+    const auto stop_after_timeout = [&]() -> runtime::Task<> {
       co_await loop_.Sleep(3s);
       loop_.Stop();
     };
     loop_.Spawn(act());
-    loop_.Spawn(give_up());
+    loop_.Spawn(stop_after_timeout());
     loop_.Run();
     return calls;
   }
 
  private:
-  runtime::Task<> Answer(const std::string& call, runtime::Socket& socket) {
+  runtime::Task<> Respond(const std::string& call, runtime::Socket& socket) {
     constexpr const char* kNoContent = "HTTP/1.1 204 X\r\n\r\n";
     constexpr const char* kAccepted = "HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n";
     constexpr const char* kFirstPage = "HTTP/1.1 200 X\r\nChunks: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
     constexpr const char* kSecondPage = "HTTP/1.1 200 X\r\nChunk: 1\r\nContent-Length: 6\r\n\r\nd\te\tf\n";
     if (call.starts_with("POST ")) co_return co_await Write(socket, kAccepted);
     if (!call.starts_with("GET /v2")) co_return co_await Write(socket, kNoContent);
-    if (cancels_) co_return cancel_.Cancel();
+    if (cancels_on_poll_) co_return cancel_.Cancel();
     const bool first = call.starts_with("GET /v2/q/00000000000000aa/0 ");
     co_await Write(socket, first ? kFirstPage : kSecondPage);
   }
@@ -348,18 +355,18 @@
   std::regex host_;
 
  protected:
-  bool cancels_ = false;  // the client cancels while its request runs
+  bool cancels_on_poll_ = false;  // the client cancels while its request runs
 };
 
-// Replaces the value of X-Limit-Ms by N if it is one that an attempt of 3 s can have.
+// Replaces the value of X-Limit-Ms by N if the value is possible for an attempt with a timeout of 3 s.
 std::string WithoutTimeout(const std::string& call) {
   std::smatch limit;
-  const bool told = std::regex_search(call, limit, std::regex("X-Limit-Ms: ([0-9]{1,4})\r\n"));
-  if (!told || std::stoi(limit[1]) < 1 || std::stoi(limit[1]) > 3000) return call;
+  const bool has_timeout = std::regex_search(call, limit, std::regex("X-Limit-Ms: ([0-9]{1,4})\r\n"));
+  if (!has_timeout || std::stoi(limit[1]) < 1 || std::stoi(limit[1]) > 3000) return call;
   return limit.prefix().str() + "X-Limit-Ms: N\r\n" + limit.suffix().str();
 }
 
-TEST_F(EngineCallTest, SubmitAndPoll_AllFieldsSet_HaveTheseBytes) {
+TEST_F(EngineCallTest, SubmitAndPoll_AllFieldsSet_MatchExpectedBytes) {
   const auto act = [&]() -> runtime::Task<> {
     forwarded_.idempotency_key = "5c0f";
     auto attempt = MakeAttempt();
@@ -379,8 +386,8 @@
   EXPECT_EQ(calls[2], "GET /v2/q/00000000000000aa/1 HTTP/1.1\r\nHost: HOST\r\n\r\n");
 }
 
-TEST_F(EngineCallTest, SubmitAndCancel_FewestFieldsSet_HaveTheseBytes) {
-  cancels_ = true;
+TEST_F(EngineCallTest, SubmitAndCancel_FewestFieldsSet_MatchExpectedBytes) {
+  cancels_on_poll_ = true;
   const auto act = [&]() -> runtime::Task<> {
     const auto attempt = MakeAttempt();
     result_ = co_await engines_.Run(attempt, cancel_);
@@ -393,7 +400,7 @@
   EXPECT_EQ(calls[2], "DELETE /v2/q/00000000000000aa HTTP/1.1\r\nHost: HOST\r\n\r\n");
 }
 
-TEST_F(EngineCallTest, ProbesAndPriority_WithAndWithoutLoadReport_HaveTheseBytes) {
+TEST_F(EngineCallTest, ProbesAndPriority_WithAndWithoutLoadReport_MatchExpectedBytes) {
   const auto act = [&]() -> runtime::Task<> {
     co_await engines_.Probe(engine_);
     engines_.set_report_fields({"inflight"});
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -1,5 +1,5 @@
-// Tests of broker::Broker where a cancellation races a decision: every attempt that the decision module asks
-// for must be reported to it once, whichever came first.
+// Tests of broker::Broker in which a cancellation races with a decision. Each attempt that the decision
+// module requests must be reported to it exactly once, in either order of the two.
 #include "broker/broker.h"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
         std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::ostream_sink_st>(log_));
     spdlog::set_default_logger(logger);
     spdlog::set_level(spdlog::level::trace);
-    // Nobody listens on port 9, so that connections are refused at once.
+    // No server listens on port 9, so that connections are refused immediately.
     directory_.Apply(
         codec::Json::Parse(R"({"n":1,"events":[{"n":1,"members":{"complete":true,"members":[{"id":"s",)"
                            R"("host_port":"127.0.0.1:9","phase":"Ready","up_since_ms":0}]}}]})"),
@@ -65,7 +65,7 @@
     request.deadline = runtime::Now() + 2s;
     return request;
   }
-  // How often a text occurs in the log.
+  // Returns the number of occurrences of a text in the log.
   int CountLogged(const std::string& text) const {
     const std::string all = log_.str();
     int n = 0;
@@ -85,25 +85,28 @@
   int responses_ = 0;
 };
 
-// The module decides on an attempt in the turn in which the cancellation is on its way to it. The attempt
-// isn't made; unless the module is told so, it counts the attempt as running for ever.
+// The module decides on an attempt in the turn in which the cancellation is on its way to the module. The
+// attempt is not made. If that were not reported to the module, it would count the attempt as running
+// forever.
 TEST_F(BrokerTest, Attempt_DecidedWhileClientCancels_IsReportedAsNotSent) {
   const auto drive = [&]() -> runtime::Task<> {
     const RequestId id = broker_.Submit(MakeRequest(), std::make_unique<CountingSink>(responses_));
-    co_await loop_.NextTurn();  // the module has the request, and has not decided yet
+    co_await loop_.NextTurn();  // the module has received the request, and has not decided yet
     broker_.CancelRequest(id);
     co_await loop_.Sleep(100ms);
     loop_.Stop();
   };
   loop_.Spawn(drive());
   loop_.Run();
-  EXPECT_EQ(CountLogged("says send"), 1) << "the crossing has to come about";
+  EXPECT_EQ(CountLogged("says send"), 1) << "the decision and the cancellation must cross";
   EXPECT_EQ(CountLogged("told ended"), 1) << log_.str();
   EXPECT_EQ(counters_.attempts(), 0u);
   EXPECT_EQ(responses_, 0);
   EXPECT_TRUE(broker_.idle());
 }
 
+// The request is cancelled twice, in each of the first turns after its submission. An attempt must neither be
+// reported twice nor remain unreported.
 TEST_F(BrokerTest, Attempt_RequestCancelledTwiceAtAnyTurn_IsReportedOnce) {
   const auto drive = [&]() -> runtime::Task<> {
     for (int turns = 0; turns < 12; ++turns) {
