--- a/src/backend/engine_protocol.h
+++ b/src/backend/engine_protocol.h
@@ -18,13 +18,13 @@
 
 // ---- Calls ----
 
-// Submits the statement of an attempt. The call refers to the attempt's forwarded fields, which must outlive
-// it.
+// Makes the call that submits the statement of an attempt. The call refers to the attempt's forwarded fields,
+// which must outlive it.
 codec::HttpRequest MakeSubmitCall(const Attempt& attempt, runtime::Duration remaining_time);
-// Requests one page of a query's result. Until the query is done, the response to a poll for page 0 is the
-// status of the query.
+// Makes the call that polls for one page of a query's result. Until the query is done, the response to a poll
+// for page 0 is the status of the query.
 codec::HttpRequest MakePollCall(const std::string& request_id, int page);
-// Requests the engine's health, and with kWithLoadReport also a load report.
+// A probe requests the engine's health, and with kWithLoadReport also a load report.
 enum class ProbeKind { kHealthOnly, kWithLoadReport };
 codec::HttpRequest MakeProbeCall(ProbeKind kind);
 
@@ -36,7 +36,7 @@
 };
 QueryCommand MakeCancelCommand(const std::string& request_id);
 QueryCommand MakeSetPriorityCommand(const std::string& request_id, int priority);
-// The call refers to the command, which must outlive it.
+// Makes the call that sends a command. The call refers to the command, which must outlive it.
 codec::HttpRequest MakeCommandCall(const QueryCommand& command);
 
 // ---- Responses ----
