--- a/src/broker/attempts.cpp
+++ b/src/broker/attempts.cpp
@@ -1,4 +1,5 @@
-// The attempts of a request: started, run, reported to the decision module and the admission queue.
+// The attempts of a request: starts and runs them, and reports them to the decision module and the admission
+// queue.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -16,7 +17,7 @@
 
 namespace {
 
-// Whether an engine may have executed the statement of an attempt that ended like this.
+// Returns true if an engine may have executed the statement of an attempt with this outcome.
 bool MayHaveRun(Outcome outcome) {
   return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
@@ -25,11 +26,13 @@
 
 void LogAttemptEnded(const ActiveRequest& request, const AttemptRecord& attempt, const AttemptEnded& event) {
   const request::ClientRequest& client_request = request.client_request;
-  spdlog::debug("request {} {} group {}: attempt {} at {} ended {} after {} ms, held {} ms, work {} of {} ms",
-                request.client_request_id(), request.class_name(), client_request.table_group, event.attempt,
-                event.engine, static_cast<int>(event.outcome), Milliseconds(event.elapsed),
-                Milliseconds(ToNanos(attempt.started - request.submitted)), Milliseconds(event.work),
-                Milliseconds(ToNanos(client_request.estimated_work)));
+  spdlog::debug(
+      "request {} (class {}, table group {}): attempt {} at engine {} ended with outcome {} after {} ms; "
+      "started {} ms after submission, work {} ms, estimated {} ms",
+      request.client_request_id(), request.class_name(), client_request.table_group, event.attempt,
+      event.engine, static_cast<int>(event.outcome), Milliseconds(event.elapsed),
+      Milliseconds(ToNanos(attempt.started - request.submitted)), Milliseconds(event.work),
+      Milliseconds(ToNanos(client_request.estimated_work)));
 }
 
 }  // namespace
@@ -43,7 +46,7 @@
   attempt.forwarded = &request->client_request.forwarded;
   attempt.engine = send.engine;
   attempt.deadline = send.timeout > 0 ? std::min(latest_end, started + ToDuration(send.timeout)) : latest_end;
-  attempt.not_after = host_.ToTime(send.not_after);
+  attempt.not_after = module_host_.ToTime(send.not_after);
   attempt.grant_mb = request->grant.grant_mb;
   attempt.priority = request->grant.priority;
   attempt.exclusive = !site_->module.may_hedge || request->client_request.ordering_key != 0;
@@ -53,13 +56,14 @@
 
 Task<> Broker::RunAttempt(ActiveRequestPtr request, int number, backend::Attempt attempt) {
   AttemptRecord& record = request->attempt(number);
-  // The module must get an outcome whatever goes wrong. After an exception that is kReset, the default of a
-  // Result: the attempt may have run.
+  // The decision module must receive an outcome in every case. After an exception, the outcome is kReset, the
+  // default of Result: the attempt may have run.
   AttemptFinished finished{number, {}};
   try {
     finished.result = co_await engines_.Run(attempt, record.cancel);
   } catch (const std::exception& e) {
-    spdlog::error("request {}: attempt {} broke off: {}", request->client_request_id(), number, e.what());
+    spdlog::error("request {}: attempt {} ended with an exception: {}", request->client_request_id(), number,
+                  e.what());
   }
   record.may_have_run = MayHaveRun(finished.result.outcome);
   record.running = false;
@@ -104,7 +108,7 @@
   event.memory_mb = result.memory_mb;
   event.load_report = result.load;
   LogAttemptEnded(request, record, event);
-  host_.Post(event);
+  module_host_.Post(event);
   if (queue_) queue_->OnAttemptEnded(request.id, finished.attempt, result.work, MayHaveRun(result.outcome));
 }
 
