--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -15,15 +15,15 @@
 
 namespace request_class = fields::request_class;
 
-constexpr std::size_t kMaxNameLength = 64;          // characters
-constexpr std::size_t kMaxNames = 16'384;           // of one kind; they are numbered with 16 bits
+constexpr std::size_t kMaxNameLength = 64;  // characters
+constexpr std::size_t kMaxNames = 16'384;   // of classes or of tenants, which are numbered with 16 bits
 constexpr Nanos kMaxDeadline = 86'400'000'000'000;  // a day
 constexpr Nanos kMaxTick = 1'000'000'000;
 constexpr double kMaxValue = 1e9;
 constexpr int kMaxAttempts = 100;
-constexpr std::size_t kMaxUnknownKeysListed = 16;  // keys that nothing reads, named one by one
+constexpr std::size_t kMaxUnknownKeysListed = 16;
 
-// Fields of each class, of each tenant, and the other keys that are read.
+// The fields of each class, the fields of each tenant, and the other keys that are read.
 constexpr const char* kClassFields[] = {request_class::kName,
                                         request_class::kLatencyObjective,
                                         request_class::kDeadline,
@@ -47,7 +47,7 @@
     fields::kDecisionInterval,
     fields::kListMode,
     fields::kClassCount,
-    fields::kTenants,  // an empty list is a plain value
+    fields::kTenants,  // an empty list is flattened to a single empty value
     fields::kTenantCount,
     fields::kOverQuotaWeightShare,
     fields::kReportSource,
@@ -88,7 +88,7 @@
     fields::kReportsCost,
 };
 
-// Every key of docs/settings.md, with [] in the place of a member's number.
+// Returns all keys of docs/settings.md, with [] in place of the index of a list item.
 std::set<std::string> KnownKeys() {
   std::set<std::string> keys(std::begin(kOtherKeys), std::end(kOtherKeys));
   for (const char* field : kClassFields) keys.insert(fields::AnyClassPath(field));
@@ -97,7 +97,7 @@
   return keys;
 }
 
-// Writes requestClasses.3.name as requestClasses[].name.
+// Replaces each index by []: requestClasses.3.name becomes requestClasses[].name.
 std::string WithoutNumbers(const std::string& path) {
   std::string out;
   for (std::size_t from = 0; from <= path.size();) {
@@ -111,7 +111,7 @@
   return out;
 }
 
-// Names are sent in frames and headers and appear in metrics.
+// Returns true if a name can be used in frames, headers and metrics.
 bool IsName(const std::string& name) {
   return !name.empty() && name.size() <= kMaxNameLength &&
          std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 0x7f && c != '='; });
@@ -144,7 +144,7 @@
   void Add(Severity severity, std::string text) {
     findings_.push_back({severity, "settings." + std::move(text)});
   }
-  // `where` names the setting: its key, with the name of its class or tenant ahead of it.
+  // `where` identifies the setting: its key, preceded by the name of its class or tenant, if any.
   void Warn(const std::string& where, const std::string& text) {
     Add(Severity::kWarning, where + ": " + text);
   }
@@ -170,7 +170,7 @@
     Add(severity, where + ": '" + word + "' is unknown, and taken as " + taken_as);
   }
 
-  // How findings name a setting of a class or tenant.
+  // Return how findings identify a setting of a class or tenant.
   std::string ClassSetting(std::size_t i, const char* field) const {
     return std::string(fields::kClasses) + " '" + site_.classes[i] + "' " + field;
   }
@@ -233,7 +233,8 @@
           in_.List(fields::kMachineKinds).size(), site_.kinds, "machine kind");
   }
 
-  // A zone or machine kind that the settings don't list may still come up in the endpoint list.
+  // Checks the zones or machine kinds that a class is bound to. Those that the settings don't list may still
+  // appear in the endpoint list.
   void Bound(const std::string& key, const std::string& where, const std::vector<std::uint16_t>& places,
              std::size_t listed, const std::vector<std::string>& names, const std::string& what) {
     if (in_.all().contains(key) && places.empty()) Warn(where, "an empty list binds it to nothing");
--- a/src/settings/check.h
+++ b/src/settings/check.h
@@ -1,6 +1,5 @@
 // Checks a site's settings for values out of range, contradictions between values, and unknown keys.
-//
-// Contract. No I/O, no clock. Owner: none. docs/settings.md has a row for each key.
+// docs/settings.md documents each key. Pure functions.
 #ifndef LEMONCROFT_SETTINGS_CHECK_H_
 #define LEMONCROFT_SETTINGS_CHECK_H_
 
@@ -12,20 +11,20 @@
 namespace lemoncroft::settings {
 
 enum class Severity {
-  kWarning,  // all classes are served; a value has no effect or another one is used in its place
-  kError,    // a reload refuses the settings; a start serves the classes that can be served
-  kFatal,    // no class can be served: a start refuses the settings too
+  kWarning,  // all classes are served; a value has no effect or is replaced by another one
+  kError,    // a reload rejects the settings; at startup, the classes that can be served are served
+  kFatal,    // no class can be served; startup rejects the settings too
 };
 
 struct Finding {
   Severity severity = Severity::kWarning;
-  std::string text;  // one line that names the key
+  std::string text;  // a single line that names the key
 
   bool operator==(const Finding&) const = default;
 };
 
-// Checks settings that ParseSite has read. The worst findings come first, then those in the order of
-// docs/settings.md.
+// Checks settings that ParseSite has parsed. Findings are sorted by severity, most severe first, and then in
+// the order of docs/settings.md.
 std::vector<Finding> Check(const Pairs& in, const Site& site);
 
 }  // namespace lemoncroft::settings
--- a/src/settings/migration.cpp
+++ b/src/settings/migration.cpp
@@ -8,20 +8,20 @@
 namespace lemoncroft::settings {
 namespace {
 
-constexpr std::size_t kMaxKindsOrZones = 4096;        // never removed, so counted since the start
+constexpr std::size_t kMaxKindsOrZones = 4096;        // includes removed ones, whose numbers are never reused
 constexpr std::size_t kMaxClassesOrTenants = 32'768;  // active ones and those with requests in flight
 
 using Numbers = std::vector<std::uint16_t>;
 using Names = std::vector<std::string>;
 
-// The number of each name; of several equal ones, the first.
+// Returns the number of each name; for equal names, the first number.
 std::unordered_map<std::string, std::size_t> NumberByName(const Names& names) {
   std::unordered_map<std::string, std::size_t> numbers;
   for (std::size_t i = 0; i < names.size(); ++i) numbers.try_emplace(names[i], i);
   return numbers;
 }
 
-// Appends the names of `added` that `all` lacks. Returns the number of each of `added` in `all`.
+// Appends the names of `added` that `all` lacks. Returns the number in `all` of each name of `added`.
 Numbers AppendMissing(Names& all, const Names& added) {
   Numbers numbers;
   auto known = NumberByName(all);
@@ -30,19 +30,21 @@
     if (is_new) all.push_back(name);
     numbers.push_back(static_cast<std::uint16_t>(it->second));
   }
-  if (all.size() > kMaxKindsOrZones) throw SettingsError("too many machine kinds or zones since the start");
+  if (all.size() > kMaxKindsOrZones)
+    throw SettingsError("too many machine kinds or zones since the process started");
   return numbers;
 }
 
-// Replaces each number by its entry in `numbers`; numbers without one stay.
+// Replaces each value by its entry in `numbers`. Values without an entry stay unchanged.
 void Renumber(Numbers& values, const Numbers& numbers) {
   for (std::uint16_t& value : values) {
     if (value < numbers.size()) value = numbers[value];
   }
 }
 
-// Assigns a number to each of `added`: its former one where `is_same` holds, else the lowest that is neither
-// assigned nor referenced. `names` holds the former names and then the new ones, empty at unused numbers.
+// Assigns a number to each name of `added`: its former number if `is_same` returns true, otherwise the lowest
+// number that is neither assigned nor referenced. `names` contains the former names on entry and the new
+// names on return; a number without a new name has an empty one.
 Numbers AssignNumbers(Names& names, const Names& added, const std::set<std::uint16_t>& referenced,
                       const std::function<bool(std::size_t former, std::size_t added)>& is_same) {
   const auto former_numbers = NumberByName(names);
--- a/src/settings/setting_fields.h
+++ b/src/settings/setting_fields.h
@@ -1,9 +1,9 @@
-// The keys of the settings (member `settings` of config.json, and the simulator's first message), and the
-// terms that the program uses for them. Only the reader, the checks and the configuration's file know these
-// words. docs/settings.md has a row for each.
+// The keys of the settings (member `settings` of config.json, and the simulator's first message) and the
+// terms that the program uses for them. Only the parser, the checks and the reader of config.json use these
+// keys. docs/settings.md documents each of them.
 //
-// A path joins keys by dots; the members of a list are numbered: requestClasses.3.promiseNs. Keys that end in
-// "Ns" are nanoseconds, those in "Mb" megabytes.
+// A path is a sequence of keys separated by dots, with indices for the items of a list, such as
+// requestClasses.3.promiseNs. Values of keys that end in "Ns" are nanoseconds, of those in "Mb" megabytes.
 #ifndef LEMONCROFT_SETTINGS_SETTING_FIELDS_H_
 #define LEMONCROFT_SETTINGS_SETTING_FIELDS_H_
 
@@ -12,7 +12,7 @@
 
 namespace lemoncroft::settings::fields {
 
-// The fleet of proxies, and this one's place in it.
+// The fleet of proxies, and the position of this proxy in it.
 inline constexpr const char* kProxyCount = "siblings";
 inline constexpr const char* kOwnIndex = "me";
 inline constexpr const char* kOwnZone = "zone";
@@ -65,7 +65,7 @@
 inline constexpr const char* kReportFields = "report.fields";
 inline constexpr const char* kReportInflight = "inflight";  // a value in kReportFields
 
-// Limits in time, retries, slow start.
+// Time limits, retries and slow start.
 inline constexpr const char* kDrainGrace = "guarantees.drainGraceNs";
 inline constexpr const char* kSlowStartInitialShare = "guarantees.coldFrom";
 inline constexpr const char* kSlowStartDuration = "guarantees.warmWithinNs";
@@ -78,7 +78,7 @@
 inline constexpr const char* kRetryBudgetRatio = "guarantees.extraRatio";
 inline constexpr const char* kAnswerSlack = "guarantees.answerSlackNs";
 
-// What a proxy may do, and how much of it.
+// Permitted actions of a proxy, and their limits.
 inline constexpr const char* kMayCancel = "limits.cancel";
 inline constexpr const char* kMayProbe = "limits.probing";
 inline constexpr const char* kMayHedge = "limits.mayDuplicate";
@@ -93,13 +93,14 @@
 inline constexpr const char* kLateFailPrice = "prices.lateFail";
 inline constexpr const char* kCrossZonePrice = "prices.crossZone";
 
-// Engines. Lists with a value for each class ...
+// Engines. First, lists with a value for each class.
 inline constexpr const char* kThreads = "specifics.threadsByClass";
 inline constexpr const char* kHoldsTables = "specifics.holdsTables";
 inline constexpr const char* kBlockedByLoads = "specifics.blockedByLoads";
-// ... and with one for each machine kind.
+// Lists with a value for each machine kind.
 inline constexpr const char* kCores = "specifics.cpuOfKind";
 inline constexpr const char* kMemory = "specifics.ramOfKindMb";
+// Properties of all engines.
 inline constexpr const char* kHonorsMemoryGrants = "specifics.takesGrants";
 inline constexpr const char* kHonorsPriorities = "specifics.ranksHeeded";
 inline constexpr const char* kMaxGrantShare = "specifics.maxGrantShare";
@@ -110,7 +111,7 @@
 inline constexpr const char* kProgressInterval = "specifics.progressNs";
 inline constexpr const char* kReportsCost = "specifics.saysCost";
 
-// Keys that are known and read by nothing.
+// Known keys that are not read.
 inline constexpr const char* kUnused[] = {
     "clients.marksRetry",
     "serviceType",
@@ -140,7 +141,7 @@
     "worthBy",
 };
 
-// The path of a field of one class or tenant.
+// Returns the path of a field of one class or tenant.
 inline std::string ClassPath(std::size_t index, const char* field) {
   return std::string(kClasses) + "." + std::to_string(index) + "." + field;
 }
@@ -148,7 +149,7 @@
   return std::string(kTenants) + "." + std::to_string(index) + "." + field;
 }
 
-// The same for any of them.
+// Returns the path of the field for all classes or tenants, with [] in place of the index.
 inline std::string AnyClassPath(const char* field) { return std::string(kClasses) + "[]." + field; }
 inline std::string AnyTenantPath(const char* field) { return std::string(kTenants) + "[]." + field; }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -125,11 +125,11 @@
   c.latency_objective = in.Time(path(f::kLatencyObjective));
   c.latency_objective_stretch = in.Number(path(f::kLatencyObjectiveStretch));
   c.client_timeout = in.Time(path(f::kDeadline));
-  // Without an objective, any response in time earns its weight.
+  // Without an objective, every response before the client's timeout earns the full weight.
   if (c.latency_objective == 0 && c.latency_objective_stretch <= 0) c.latency_objective = c.client_timeout;
   c.priority_weight = in.Number(path(f::kPriorityWeight), 1);
   c.late_weight_share = in.Number(path(f::kLateWeightShare));
-  // An unknown word is taken as the strictest one.
+  // An unknown value is treated as the strictest one.
   c.effect = in.OneOf<Effect>(path(f::kEffect),
                               {{f::kEffectSafe, Effect::kSafe},
                                {f::kEffectKeyed, Effect::kKeyed},
@@ -148,7 +148,7 @@
   return c;
 }
 
-// Lists with a value for each class; a shorter one leaves the defaults of the others.
+// Parses the lists with a value for each class. Classes beyond the end of a list keep their defaults.
 void ParseClassResources(const Pairs& in, Settings& s) {
   const std::vector<double> threads = in.Numbers(fields::kThreads);
   const std::vector<std::string> holds = in.List(fields::kHoldsTables);
@@ -181,8 +181,8 @@
   s.reports_cost = in.Flag(fields::kReportsCost);
 }
 
-// Cores decide how much an engine is sent. A kind without them gets the least of the other kinds or, if none
-// has any, enough for the query with the most threads.
+// Sets the cores of kinds without a value: to the fewest cores of the other kinds or, if no kind has a value,
+// to the threads of the class with the most. The number of cores limits the load that an engine is sent.
 void FillCores(Settings& s, std::size_t kinds) {
   s.kinds.resize(std::max(s.kinds.size(), kinds));
   double least = 0;
@@ -195,8 +195,8 @@
     if (!(kind.cores > 0)) kind.cores = least;
 }
 
-// Numbers zones or kinds that a class is bound to and that the settings don't list behind those that they do:
-// the endpoint list may have engines under such a name.
+// Appends the zones or kinds that a class is bound to but that the settings don't list. The endpoint list may
+// contain engines with such a name.
 void AddUnlistedNames(const Pairs& in, const std::string& key, std::vector<std::string>& names) {
   for (const std::string& item : in.List(key)) {
     const bool position =
@@ -285,7 +285,7 @@
   if (s.connect_timeout == 0) s.connect_timeout = kDefaultConnectTimeout;
 }
 
-// The length of the shortest list that has a value for each class; `classes` without such a list.
+// Returns the length of the shortest of the lists with a value for each class, or `classes` if there is none.
 std::size_t ShortestClassList(const Pairs& in, std::size_t classes) {
   std::size_t shortest = classes;
   for (const char* list : {fields::kThreads, fields::kHoldsTables, fields::kBlockedByLoads})
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,9 +1,9 @@
-// Reads a site's settings from path=value pairs: the form of the simulator's first message, to which the
-// proxy flattens its JSON configuration. One reader serves both, so that both give the decision module the
-// same.
+// Reads a site's settings from path=value pairs. The simulator's first message has this form, and the proxy
+// flattens its JSON configuration to it, so that the decision module gets the same settings from both.
 //
-// Contract. No I/O, no clock. Owner: the caller; ActiveSettings belongs to the event loop's thread. Units:
-// the keys of docs/settings.md carry theirs. Errors: SettingsError, which names the path of the value.
+// Does no I/O and reads no clock. ActiveSettings is used only on the event loop's thread. The keys in
+// docs/settings.md include the units of their values. Invalid input throws SettingsError, which names the
+// path of the value.
 #ifndef LEMONCROFT_SETTINGS_SETTINGS_H_
 #define LEMONCROFT_SETTINGS_SETTINGS_H_
 
@@ -23,37 +23,42 @@
 
 namespace lemoncroft::settings {
 
-// A text or value that can't be read; what() names its path.
+// A text or value that cannot be parsed. what() names the path of the value.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A name as it is written in a list: spaces and commas become underscores, as on the simulator's wire.
+// Returns a name in the form that lists contain: spaces and commas are replaced by underscores, as in the
+// simulator's protocol.
 std::string ListItem(std::string name);
 
-// Path=value pairs with typed reads. A read that fails throws SettingsError with the path.
+// Path=value pairs with typed accessors. An accessor throws SettingsError, with the path, for a value that it
+// cannot parse.
 class Pairs {
  public:
+  // Parses one pair per line; empty lines are skipped. Throws SettingsError.
   static Pairs FromLines(std::string_view text);
   void Set(std::string path, std::string value) {
     values_.insert_or_assign(std::move(path), std::move(value));
   }
 
+  // Returns true if the key has a non-empty value.
   bool Has(const std::string& key) const;
   const std::map<std::string, std::string>& all() const { return values_; }
   std::string Text(const std::string& key) const;
   double Number(const std::string& key, double absent = 0) const;
   Nanos Time(const std::string& key) const;
-  // A count or index; bounded, so that a wrong value can't cause unbounded work.
+  // Returns a count or an index. It is bounded, so that a wrong value can't cause unbounded work.
   int Count(const std::string& key, int absent = 0) const;
   bool Flag(const std::string& key) const;
   std::vector<std::string> List(const std::string& key) const;
   std::vector<double> Numbers(const std::string& key) const;
-  // Values written as a position in `names` or as one of the names.
+  // Returns the indices in `names` of the items of a list; an item is one of the names or an index.
   std::vector<std::uint16_t> Positions(const std::string& key, const std::vector<std::string>& names) const;
 
-  // The choice with that name; `absent` without a value, `unknown` for any other name.
+  // Returns the choice with the name that is the value of `key`, `absent` if the key has no value, or
+  // `unknown` for any other name.
   template <typename T>
   T OneOf(const std::string& key, std::initializer_list<std::pair<const char*, T>> choices, T absent,
           T unknown) const {
@@ -73,16 +78,17 @@
 
 // The settings of a site: those of the decision module, and those that only its host uses.
 struct Site {
-  Settings module;
-  // Names by number. Empty: a class or tenant that was removed and still has requests in flight.
+  Settings module;  // of the decision module
+  // Names by number. An empty name stands for a class or tenant that was removed and still has requests in
+  // flight, or for an unused number.
   std::vector<std::string> classes, tenants, zones, kinds;
-  std::vector<std::string> report_fields;  // of Settings::report_fields, in the same order
-  Nanos answer_slack = 0;                  // read and checked, without effect
-  Nanos keepalive = 0;                     // engines close idle connections after this; 0: 5 s
-  std::size_t per_class = 0;               // length of the shortest list that has a value for each class
-  int max_open = 0;                        // requests in flight at a time; 0: no limit given
+  std::vector<std::string> report_fields;  // names of Settings::report_fields, in the same order
+  Nanos answer_slack = 0;                  // read and checked, but without effect
+  Nanos keepalive = 0;                     // idle time after which engines close connections; 0: 5 s
+  std::size_t per_class = 0;               // length of the shortest of the lists with a value for each class
+  int max_open = 0;                        // maximum number of requests in flight; 0: not specified
 
-  // The number of a class or tenant; nullopt if no new request may use it.
+  // Returns the number of a class or tenant, or nullopt if new requests may not use it.
   std::optional<std::uint16_t> ClassOf(std::string_view name) const { return NumberOf(classes, name); }
   // On a site without tenants every request belongs to kNoTenant, whatever tenant it names.
   std::optional<std::uint16_t> TenantOf(std::string_view name) const {
@@ -96,8 +102,8 @@
   static std::optional<std::uint16_t> NumberOf(const std::vector<std::string>& names, std::string_view name);
 };
 
-// The settings that apply now. They are replaced as a whole between two turns of the event loop; users read
-// them through this object each time and keep no reference to a Site.
+// The settings in force. They are replaced as a whole between two turns of the event loop. Users read them
+// through this object each time and do not retain a reference to a Site.
 class ActiveSettings {
  public:
   explicit ActiveSettings(Site site) : site_(std::make_shared<const Site>(std::move(site))) {}
@@ -110,7 +116,7 @@
   std::shared_ptr<const Site> site_;
 };
 
-// Reads the settings of a site. Throws SettingsError.
+// Parses the settings of a site. Throws SettingsError.
 [[nodiscard]] Site ParseSite(const Pairs& in);
 
 }  // namespace lemoncroft::settings
