--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kMaxNameLength = 64;  // characters
 constexpr std::size_t kMaxNames = 16'384;   // of classes or of tenants, which are numbered with 16 bits
-constexpr Nanos kMaxDeadline = 86'400'000'000'000;  // a day
+constexpr Nanos kMaxDuration = 86'400'000'000'000;  // a day
 constexpr Nanos kMaxTick = 1'000'000'000;
 constexpr double kMaxValue = 1e9;
 constexpr int kMaxAttempts = 100;
@@ -98,21 +98,21 @@
 }
 
 // Replaces each index by []: requestClasses.3.name becomes requestClasses[].name.
-std::string WithoutNumbers(const std::string& path) {
+std::string WithoutIndices(const std::string& path) {
   std::string out;
   for (std::size_t from = 0; from <= path.size();) {
     const std::size_t end = std::min(path.find('.', from), path.size());
     const std::string part = path.substr(from, end - from);
-    const bool number =
+    const bool is_index =
         !part.empty() && std::all_of(part.begin(), part.end(), [](char c) { return c >= '0' && c <= '9'; });
-    out += number ? "[]" : (out.empty() ? "" : ".") + part;
+    out += is_index ? "[]" : (out.empty() ? "" : ".") + part;
     from = end + 1;
   }
   return out;
 }
 
 // Returns true if a name can be used in frames, headers and metrics.
-bool IsName(const std::string& name) {
+bool IsValidName(const std::string& name) {
   return !name.empty() && name.size() <= kMaxNameLength &&
          std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 0x7f && c != '='; });
 }
@@ -122,19 +122,19 @@
   Checker(const Pairs& in, const Site& site) : in_(in), site_(site) {}
 
   std::vector<Finding> Run() {
-    if (std::none_of(site_.classes.begin(), site_.classes.end(), IsName))
+    if (std::none_of(site_.classes.begin(), site_.classes.end(), IsValidName))
       Add(Severity::kFatal, std::string(fields::kClasses) + ": none has a name that a request could give");
-    Names(site_.classes, fields::kClasses);
-    Names(site_.tenants, fields::kTenants);
-    for (std::size_t i = 0; i < site_.classes.size(); ++i) Class(i);
-    Tenants();
-    Attempts();
-    ColdEngines();
-    Reports();
-    Fleet();
-    Engines();
-    Sockets();
-    UnknownKeys();
+    CheckNames(site_.classes, fields::kClasses);
+    CheckNames(site_.tenants, fields::kTenants);
+    for (std::size_t i = 0; i < site_.classes.size(); ++i) CheckClass(i);
+    CheckTenants();
+    CheckAttempts();
+    CheckSlowStart();
+    CheckLoadReports();
+    CheckFleet();
+    CheckEngines();
+    CheckConnections();
+    CheckUnknownKeys();
     std::stable_sort(findings_.begin(), findings_.end(),
                      [](const Finding& a, const Finding& b) { return a.severity > b.severity; });
     return std::move(findings_);
@@ -148,23 +148,23 @@
   void Warn(const std::string& where, const std::string& text) {
     Add(Severity::kWarning, where + ": " + text);
   }
-  void OutOfRange(const std::string& where) { Add(Severity::kError, where + ": out of range"); }
+  void AddOutOfRange(const std::string& where) { Add(Severity::kError, where + ": out of range"); }
 
-  void Names(const std::vector<std::string>& names, const std::string& what) {
+  void CheckNames(const std::vector<std::string>& names, const std::string& what) {
     std::set<std::string> seen;
-    bool unusable = false;
+    bool has_invalid_name = false;
     for (const std::string& name : names) {
-      unusable = unusable || !IsName(name);
+      has_invalid_name = has_invalid_name || !IsValidName(name);
       if (!seen.insert(name).second && !name.empty())
         Add(Severity::kError, what + ": '" + name + "' is there twice");
     }
-    if (unusable) Add(Severity::kError, what + ": a name is missing or unusable");
+    if (has_invalid_name) Add(Severity::kError, what + ": a name is missing or unusable");
     if (names.size() > kMaxNames) Add(Severity::kError, what + ": more than " + std::to_string(kMaxNames));
   }
 
   // Checks that a value, if there is one, is one of `words`.
-  void Word(Severity severity, const std::string& key, const std::string& where,
-            std::initializer_list<std::string_view> words, const std::string& taken_as) {
+  void CheckWord(Severity severity, const std::string& key, const std::string& where,
+                 std::initializer_list<std::string_view> words, const std::string& taken_as) {
     const std::string word = in_.Text(key);
     if (word.empty() || std::find(words.begin(), words.end(), word) != words.end()) return;
     Add(severity, where + ": '" + word + "' is unknown, and taken as " + taken_as);
@@ -178,35 +178,35 @@
     return std::string(fields::kTenants) + " '" + site_.tenants[i] + "' " + field;
   }
 
-  void Class(std::size_t i) {
-    ClassRanges(i);
-    ClassWords(i);
-    ClassContradictions(i);
-    ClassPlacement(i);
+  void CheckClass(std::size_t i) {
+    CheckClassRanges(i);
+    CheckClassWords(i);
+    CheckClassContradictions(i);
+    CheckClassPlacement(i);
   }
 
-  void ClassRanges(std::size_t i) {
+  void CheckClassRanges(std::size_t i) {
     const ClassSettings& c = site_.module.classes[i];
     const auto check = [this, i](const char* field, bool in_range) {
-      if (!in_range) OutOfRange(ClassSetting(i, field));
+      if (!in_range) AddOutOfRange(ClassSetting(i, field));
     };
-    check(request_class::kDeadline, c.client_timeout > 0 && c.client_timeout <= kMaxDeadline);
-    check(request_class::kLatencyObjective, c.latency_objective <= kMaxDeadline);
+    check(request_class::kDeadline, c.client_timeout > 0 && c.client_timeout <= kMaxDuration);
+    check(request_class::kLatencyObjective, c.latency_objective <= kMaxDuration);
     check(request_class::kPriorityWeight, c.priority_weight >= 0 && c.priority_weight <= kMaxValue);
     check(request_class::kLateWeightShare, c.late_weight_share >= 0 && c.late_weight_share <= 1);
     check(request_class::kLatencyObjectiveStretch,
           c.latency_objective_stretch >= 0 && c.latency_objective_stretch <= kMaxValue);
   }
 
-  void ClassWords(std::size_t i) {
+  void CheckClassWords(std::size_t i) {
     namespace f = request_class;
-    Word(Severity::kError, fields::ClassPath(i, f::kEffect), ClassSetting(i, f::kEffect),
-         {f::kEffectSafe, f::kEffectKeyed, f::kEffectUnsafe}, f::kEffectUnsafe);
-    Word(Severity::kError, fields::ClassPath(i, f::kRepeatGroup), ClassSetting(i, f::kRepeatGroup),
-         {f::kGroupAll, f::kGroupZone, f::kGroupCell}, f::kGroupCell);
+    CheckWord(Severity::kError, fields::ClassPath(i, f::kEffect), ClassSetting(i, f::kEffect),
+              {f::kEffectSafe, f::kEffectKeyed, f::kEffectUnsafe}, f::kEffectUnsafe);
+    CheckWord(Severity::kError, fields::ClassPath(i, f::kRepeatGroup), ClassSetting(i, f::kRepeatGroup),
+              {f::kGroupAll, f::kGroupZone, f::kGroupCell}, f::kGroupCell);
   }
 
-  void ClassContradictions(std::size_t i) {
+  void CheckClassContradictions(std::size_t i) {
     const ClassSettings& c = site_.module.classes[i];
     const auto warn = [this, i](const char* field, const std::string& text) {
       Warn(ClassSetting(i, field), text);
@@ -224,56 +224,57 @@
     if (c.streaming) warn(request_class::kStreaming, "answers are passed on whole");
   }
 
-  void ClassPlacement(std::size_t i) {
+  void CheckClassPlacement(std::size_t i) {
     namespace f = request_class;
     const ClassSettings& c = site_.module.classes[i];
-    Bound(fields::ClassPath(i, f::kBoundZones), ClassSetting(i, f::kBoundZones), c.zones,
-          in_.List(fields::kZones).size(), site_.zones, "zone");
-    Bound(fields::ClassPath(i, f::kBoundMachineKinds), ClassSetting(i, f::kBoundMachineKinds), c.kinds,
-          in_.List(fields::kMachineKinds).size(), site_.kinds, "machine kind");
+    CheckBinding(fields::ClassPath(i, f::kBoundZones), ClassSetting(i, f::kBoundZones), c.zones,
+                 in_.List(fields::kZones).size(), site_.zones, "zone");
+    CheckBinding(fields::ClassPath(i, f::kBoundMachineKinds), ClassSetting(i, f::kBoundMachineKinds), c.kinds,
+                 in_.List(fields::kMachineKinds).size(), site_.kinds, "machine kind");
   }
 
   // Checks the zones or machine kinds that a class is bound to. Those that the settings don't list may still
   // appear in the endpoint list.
-  void Bound(const std::string& key, const std::string& where, const std::vector<std::uint16_t>& places,
-             std::size_t listed, const std::vector<std::string>& names, const std::string& what) {
-    if (in_.all().contains(key) && places.empty()) Warn(where, "an empty list binds it to nothing");
+  void CheckBinding(const std::string& key, const std::string& where,
+                    const std::vector<std::uint16_t>& indices, std::size_t listed,
+                    const std::vector<std::string>& names, const std::string& what) {
+    if (in_.all().contains(key) && indices.empty()) Warn(where, "an empty list binds it to nothing");
     std::size_t unlisted = 0;
-    for (const std::uint16_t place : places) {
-      if (place < listed) continue;
+    for (const std::uint16_t index : indices) {
+      if (index < listed) continue;
       ++unlisted;
-      const std::string name = place < names.size() ? names[place] : std::to_string(place);
+      const std::string name = index < names.size() ? names[index] : std::to_string(index);
       Warn(where, "the settings list no " + what + " '" + name + "'");
     }
-    if (unlisted > 0 && unlisted == places.size())
+    if (unlisted > 0 && unlisted == indices.size())
       Warn(where, "its requests wait until an engine of such a " + what + " is listed");
   }
 
-  void Tenants() {
+  void CheckTenants() {
     for (std::size_t i = 0; i < site_.tenants.size(); ++i) {
       const double quota = site_.module.tenants[i].quota_per_s;
-      if (!(quota >= 0 && quota <= kMaxValue)) OutOfRange(TenantSetting(i, fields::tenant::kQuota));
+      if (!(quota >= 0 && quota <= kMaxValue)) AddOutOfRange(TenantSetting(i, fields::tenant::kQuota));
     }
     const double share = site_.module.over_quota_weight_share;
     if (!(share >= 0 && share <= 1)) Warn(fields::kOverQuotaWeightShare, "not between 0 and 1");
   }
 
-  void Attempts() {
+  void CheckAttempts() {
     if (site_.module.max_attempts < 1 || site_.module.max_attempts > kMaxAttempts)
-      OutOfRange(fields::kMaxAttempts);
-    const bool window = in_.Has(fields::kRetryBudgetWindow);
-    const bool budget = in_.Has(fields::kRetryBudgetFree) || in_.Has(fields::kRetryBudgetRatio);
-    if (budget && !window)
+      AddOutOfRange(fields::kMaxAttempts);
+    const bool has_window = in_.Has(fields::kRetryBudgetWindow);
+    const bool has_amount = in_.Has(fields::kRetryBudgetFree) || in_.Has(fields::kRetryBudgetRatio);
+    if (has_amount && !has_window)
       Warn(fields::kRetryBudgetWindow, "absent, so no budget of further attempts is kept");
-    if (window && !budget)
+    if (has_window && !has_amount)
       Warn(fields::kRetryBudgetWindow, "without freeResends and extraRatio nothing is tried a second time");
-    if (window && in_.Time(fields::kRetryBudgetWindow) <= 0)
+    if (has_window && in_.Time(fields::kRetryBudgetWindow) <= 0)
       Warn(fields::kRetryBudgetWindow, "0, so no budget of further attempts is kept");
     if (site_.module.may_send_retry_after && site_.module.max_retry_after <= 0)
       Warn(fields::kMaySendRetryAfter, "maxRetryAfterNs is 0, so no refusal tells when to come back");
   }
 
-  void ColdEngines() {
+  void CheckSlowStart() {
     const Settings& s = site_.module;
     if ((s.overload_window > 0) != (s.overload_factor > 0))
       Warn("guarantees", "one of fallNs and overloadFactor is absent, so engines that start are not spared");
@@ -281,47 +282,47 @@
       Warn(fields::kSlowStartInitialShare, "not between 0 and 1");
   }
 
-  void Reports() {
+  void CheckLoadReports() {
     const std::string source = in_.Text(fields::kReportSource);
     const std::vector<std::string> names = in_.List(fields::kReportFields);
-    const bool in_answers = source == fields::kReportsInAnswers,
+    const bool in_responses = source == fields::kReportsInAnswers,
                in_probes = source == fields::kReportsInProbes;
-    const bool reports = in_answers || in_probes;
-    if (!reports && source != fields::kNoReports && !source.empty())
+    const bool has_source = in_responses || in_probes;
+    if (!has_source && source != fields::kNoReports && !source.empty())
       Warn(fields::kReportSource, "'" + source + "' is none of answers, probe and none");
-    if (reports && names.empty()) Warn(fields::kReportFields, "none, so reports tell nothing");
-    if (!reports && !names.empty()) Warn(fields::kReportFields, "no source brings them");
+    if (has_source && names.empty()) Warn(fields::kReportFields, "none, so reports tell nothing");
+    if (!has_source && !names.empty()) Warn(fields::kReportFields, "no source brings them");
     if (in_probes && !site_.module.may_probe)
       Warn(fields::kReportSource, "reports come with probes alone, and limits.probing allows none");
     const bool too_many = names.size() > kMaxReportFields;
     const auto read_end = too_many ? names.begin() + kMaxReportFields : names.end();
     if (too_many) Warn(fields::kReportFields, "only the first four are read");
     const bool has_inflight = std::find(names.begin(), read_end, fields::kReportInflight) != read_end;
-    if (reports && !names.empty() && !has_inflight)
+    if (has_source && !names.empty() && !has_inflight)
       Warn(fields::kReportFields, "without inflight a report tells nothing that is used");
   }
 
-  void Fleet() {
+  void CheckFleet() {
     const Settings& s = site_.module;
     const std::size_t zones = in_.List(fields::kZones).size();
     if (in_.Has(fields::kProxyCount) && in_.Count(fields::kProxyCount) == 0)
       Warn(fields::kProxyCount, "0 is taken as 1");
     if (s.gateway_index >= std::max(1, s.gateway_count)) Warn(fields::kOwnIndex, "not below siblings");
     if (zones > 0 && s.zone >= zones) Warn(fields::kOwnZone, "the settings list no such zone");
-    if (s.tick > kMaxTick) OutOfRange(fields::kDecisionInterval);
+    if (s.tick > kMaxTick) AddOutOfRange(fields::kDecisionInterval);
     const std::string mode = in_.Text(fields::kListMode);
     if (!mode.empty() && mode != fields::kListPushed && mode != fields::kListOnRequest)
       Warn(fields::kListMode, "'" + mode + "' is neither pushed nor on_request");
     if (s.list_on_request) Warn(fields::kListMode, "on_request; the control feed is followed all the time");
   }
 
-  void Engines() {
+  void CheckEngines() {
     const Settings& s = site_.module;
     if (site_.per_class < site_.classes.size())
       Add(Severity::kError, "specifics: values of some classes are missing, and: out of range");
-    Word(Severity::kWarning, fields::kMemoryShort, fields::kMemoryShort,
-         {fields::kMemoryShortQueue, fields::kMemoryShortTrim, fields::kMemoryShortSwap},
-         fields::kMemoryShortTrim);
+    CheckWord(Severity::kWarning, fields::kMemoryShort, fields::kMemoryShort,
+              {fields::kMemoryShortQueue, fields::kMemoryShortTrim, fields::kMemoryShortSwap},
+              fields::kMemoryShortTrim);
     const std::size_t kinds = in_.List(fields::kMachineKinds).size();
     const std::vector<double> cores = in_.Numbers(fields::kCores);
     const std::vector<double> memory = in_.Numbers(fields::kMemory);
@@ -333,20 +334,20 @@
       Warn(fields::kMaxGrantShare, "not above 0 and at most 1");
   }
 
-  void Sockets() {
+  void CheckConnections() {
     const Settings& s = site_.module;
-    if (s.connect_timeout > kMaxDeadline) OutOfRange(fields::kConnectTimeout);
+    if (s.connect_timeout > kMaxDuration) AddOutOfRange(fields::kConnectTimeout);
     if (in_.Time(fields::kConnectTimeout) == 0)
       Warn(fields::kConnectTimeout, "none; 250 ms is taken in its place");
     if (s.progress_interval > 0)
       Warn(fields::kProgressInterval, "notes are not read; attempts are judged by how long they run");
   }
 
-  void UnknownKeys() {
+  void CheckUnknownKeys() {
     static const std::set<std::string> kKnown = KnownKeys();
     std::set<std::string> unknown;
     for (const auto& [path, value] : in_.all()) {
-      std::string key = WithoutNumbers(path);
+      std::string key = WithoutIndices(path);
       if (!kKnown.contains(key)) unknown.insert(std::move(key));
     }
     std::size_t listed = 0;
--- a/src/settings/migration.cpp
+++ b/src/settings/migration.cpp
@@ -99,19 +99,19 @@
 }
 
 void MigrateClasses(const Site& from, const Site& to, const ReferencedNumbers& referenced,
-                    const ZoneAndKindNumbers& places, Migration& migration) {
+                    const ZoneAndKindNumbers& new_numbers, Migration& migration) {
   Site& site = migration.site;
   std::vector<int>& inherits_from = migration.inherits_estimates_from;
   std::vector<ClassSettings> added = to.module.classes;
   for (ClassSettings& settings : added) {
-    Renumber(settings.zones, places.zones);
-    Renumber(settings.kinds, places.kinds);
+    Renumber(settings.zones, new_numbers.zones);
+    Renumber(settings.kinds, new_numbers.kinds);
   }
   const auto& former = from.module.classes;
   site.classes = from.classes;
-  const Numbers numbers =
-      AssignNumbers(site.classes, to.classes, referenced.classes,
-                    [&](std::size_t was, std::size_t is) { return former[was] == added[is]; });
+  const Numbers numbers = AssignNumbers(
+      site.classes, to.classes, referenced.classes,
+      [&](std::size_t from_index, std::size_t to_index) { return former[from_index] == added[to_index]; });
   site.module.classes.assign(site.classes.size(), ClassSettings());
   inherits_from.assign(site.classes.size(), -1);
   for (const std::uint16_t number : referenced.classes) {
@@ -138,14 +138,14 @@
   for (std::size_t i = 0; i < numbers.size(); ++i) site.module.tenants[numbers[i]] = to.module.tenants[i];
 }
 
-bool HasUnnamed(const Names& names) { return std::find(names.begin(), names.end(), "") != names.end(); }
+bool HasEmptyName(const Names& names) { return std::find(names.begin(), names.end(), "") != names.end(); }
 
 }  // namespace
 
 Migration MigrateSettings(const Site& from, const Site& to, const ReferencedNumbers& referenced) {
   Migration migration{to, {}};
-  const ZoneAndKindNumbers places = MigrateZonesAndKinds(from, to, migration.site);
-  MigrateClasses(from, to, referenced, places, migration);
+  const ZoneAndKindNumbers new_numbers = MigrateZonesAndKinds(from, to, migration.site);
+  MigrateClasses(from, to, referenced, new_numbers, migration);
   MigrateTenants(from, to, referenced, migration.site);
   return migration;
 }
@@ -169,6 +169,6 @@
   return active;
 }
 
-bool HasRetired(const Site& site) { return HasUnnamed(site.classes) || HasUnnamed(site.tenants); }
+bool HasRetired(const Site& site) { return HasEmptyName(site.classes) || HasEmptyName(site.tenants); }
 
 }  // namespace lemoncroft::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -26,16 +26,16 @@
 
 Pairs Pairs::FromLines(std::string_view text) {
   Pairs pairs;
-  std::size_t line_no = 0;
+  std::size_t line_number = 0;
   while (!text.empty()) {
-    ++line_no;
+    ++line_number;
     const std::size_t end = text.find('\n');
     const std::string_view line = text.substr(0, end);
     text = end == std::string_view::npos ? std::string_view() : text.substr(end + 1);
     if (line.empty()) continue;
     const std::size_t eq = line.find('=');
     if (eq == std::string_view::npos) {
-      throw SettingsError("line " + std::to_string(line_no) + " is not path=value");
+      throw SettingsError("line " + std::to_string(line_number) + " is not path=value");
     }
     pairs.Set(std::string(line.substr(0, eq)), std::string(line.substr(eq + 1)));
   }
@@ -58,20 +58,20 @@
 
 Nanos Pairs::Time(const std::string& key) const {
   const double v = Number(key);
-  if (v < 0 || v > kMaxTime) Unreadable(key, Text(key));
+  if (v < 0 || v > kMaxTime) ThrowInvalid(key, Text(key));
   return static_cast<Nanos>(v);
 }
 
 int Pairs::Count(const std::string& key, int absent) const {
   const double v = Number(key, absent);
-  if (v < 0 || v > kMaxCount || v != std::floor(v)) Unreadable(key, Text(key));
+  if (v < 0 || v > kMaxCount || v != std::floor(v)) ThrowInvalid(key, Text(key));
   return static_cast<int>(v);
 }
 
 bool Pairs::Flag(const std::string& key) const {
   if (!Has(key)) return false;
   const std::string v = Text(key);
-  if (v != kTrue && v != kFalse) Unreadable(key, v);
+  if (v != kTrue && v != kFalse) ThrowInvalid(key, v);
   return v == kTrue;
 }
 
@@ -98,20 +98,20 @@
   for (const std::string& item : List(key)) {
     auto it = std::find(names.begin(), names.end(), item);
     double v = it != names.end() ? static_cast<double>(it - names.begin()) : ToNumber(key, item);
-    if (v < 0 || v > kMaxPosition || v != std::floor(v)) Unreadable(key, item);
+    if (v < 0 || v > kMaxPosition || v != std::floor(v)) ThrowInvalid(key, item);
     out.push_back(static_cast<std::uint16_t>(v));
   }
   return out;
 }
 
-void Pairs::Unreadable(const std::string& key, const std::string& value) {
+void Pairs::ThrowInvalid(const std::string& key, const std::string& value) {
   throw SettingsError("unreadable value '" + value + "' of " + key);
 }
 
 double Pairs::ToNumber(const std::string& key, const std::string& text) {
   double v = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) Unreadable(key, text);
+  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) ThrowInvalid(key, text);
   return v;
 }
 
@@ -185,27 +185,27 @@
 // to the threads of the class with the most. The number of cores limits the load that an engine is sent.
 void FillCores(Settings& s, std::size_t kinds) {
   s.kinds.resize(std::max(s.kinds.size(), kinds));
-  double least = 0;
+  double fewest = 0;
   for (const KindSettings& kind : s.kinds)
-    if (kind.cores > 0) least = least > 0 ? std::min(least, kind.cores) : kind.cores;
-  const bool any_given = least > 0;
+    if (kind.cores > 0) fewest = fewest > 0 ? std::min(fewest, kind.cores) : kind.cores;
+  const bool any_given = fewest > 0;
   for (const ClassSettings& c : s.classes)
-    if (!any_given) least = std::max(least, static_cast<double>(c.threads));
+    if (!any_given) fewest = std::max(fewest, static_cast<double>(c.threads));
   for (KindSettings& kind : s.kinds)
-    if (!(kind.cores > 0)) kind.cores = least;
+    if (!(kind.cores > 0)) kind.cores = fewest;
 }
 
 // Appends the zones or kinds that a class is bound to but that the settings don't list. The endpoint list may
 // contain engines with such a name.
 void AddUnlistedNames(const Pairs& in, const std::string& key, std::vector<std::string>& names) {
   for (const std::string& item : in.List(key)) {
-    const bool position =
+    const bool is_index =
         !item.empty() && std::all_of(item.begin(), item.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (!position && std::find(names.begin(), names.end(), item) == names.end()) names.push_back(item);
+    if (!is_index && std::find(names.begin(), names.end(), item) == names.end()) names.push_back(item);
   }
 }
 
-ReportField ToField(const std::string& name) {
+ReportField ToReportField(const std::string& name) {
   static constexpr std::pair<const char*, ReportField> kFields[] = {
       {fields::kReportInflight, ReportField::kInflight},
       {"queue", ReportField::kQueue},
@@ -254,7 +254,8 @@
 
 void ParseReports(const Pairs& in, Site& site) {
   site.report_fields = in.List(fields::kReportFields);
-  for (const std::string& field : site.report_fields) site.module.report_fields.push_back(ToField(field));
+  for (const std::string& field : site.report_fields)
+    site.module.report_fields.push_back(ToReportField(field));
   site.module.reports_in_responses = in.Text(fields::kReportSource) == fields::kReportsInAnswers;
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -70,7 +70,7 @@
   }
 
  private:
-  [[noreturn]] static void Unreadable(const std::string& key, const std::string& value);
+  [[noreturn]] static void ThrowInvalid(const std::string& key, const std::string& value);
   static double ToNumber(const std::string& key, const std::string& text);
 
   std::map<std::string, std::string> values_;
