--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -54,8 +54,8 @@
 }
 
 std::size_t MaxOpenRequests(const settings::Site& site, std::size_t default_max_open) {
-  if (site.max_open <= 0) return default_max_open;
-  return std::min(default_max_open, static_cast<std::size_t>(site.max_open));
+  if (site.max_open_requests <= 0) return default_max_open;
+  return std::min(default_max_open, static_cast<std::size_t>(site.max_open_requests));
 }
 
 }  // namespace lemoncroft::proxy
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -345,8 +345,9 @@
     if (!own.TenantOf(name)) return unknown(Cause::kUnknownTenant, name);
   if (document.max_attempts && *document.max_attempts > own.module.max_attempts)
     return exceeds(Cause::kMaxAttempts, own.module.max_attempts, *document.max_attempts);
-  if (document.max_open_requests && own.max_open > 0 && *document.max_open_requests > own.max_open)
-    return exceeds(Cause::kMaxOpenRequests, own.max_open, *document.max_open_requests);
+  if (document.max_open_requests && own.max_open_requests > 0 &&
+      *document.max_open_requests > own.max_open_requests)
+    return exceeds(Cause::kMaxOpenRequests, own.max_open_requests, *document.max_open_requests);
   if (!document.teams.empty() && queue == nullptr) return unknown(Cause::kNoAdmissionQueue, {});
   for (const auto& [name, entry] : document.teams) {
     const bool known =
@@ -402,7 +403,7 @@
   settings::Site site = own;
   lemoncroft::Settings& s = site.module;
   if (document.max_attempts) s.max_attempts = *document.max_attempts;
-  if (document.max_open_requests) site.max_open = *document.max_open_requests;
+  if (document.max_open_requests) site.max_open_requests = *document.max_open_requests;
   if (document.retry_budget)
     s.retry_budget = RetryBudgetSettings{document.retry_budget->free, document.retry_budget->ratio,
                                          document.retry_budget->window.count()};
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -26,7 +26,7 @@
 // The fields of each class, the fields of each tenant, and the other keys that are read.
 constexpr const char* kClassFields[] = {request_class::kName,
                                         request_class::kLatencyObjective,
-                                        request_class::kDeadline,
+                                        request_class::kClientTimeout,
                                         request_class::kLatencyObjectiveStretch,
                                         request_class::kPriorityWeight,
                                         request_class::kLateWeightShare,
@@ -57,22 +57,22 @@
     fields::kSlowStartDuration,
     fields::kOverloadFactor,
     fields::kOverloadWindow,
-    fields::kOrderSettle,
+    fields::kOrderingKeyPause,
     fields::kMustAskWithin,
     fields::kRetryBudgetWindow,
     fields::kRetryBudgetFree,
     fields::kRetryBudgetRatio,
-    fields::kAnswerSlack,
+    fields::kResponseSlack,
     fields::kMayCancel,
     fields::kMayProbe,
     fields::kMayHedge,
-    fields::kMayMessage,
+    fields::kMayMessagePeers,
     fields::kMaySendRetryAfter,
     fields::kMaxAttempts,
     fields::kMaxRetryAfter,
     fields::kConnectTimeout,
     fields::kKeepalive,
-    fields::kMaxOpen,
+    fields::kMaxOpenRequests,
     fields::kLateFailPrice,
     fields::kCrossZonePrice,
     fields::kThreads,
@@ -83,7 +83,7 @@
     fields::kHonorsMemoryGrants,
     fields::kHonorsPriorities,
     fields::kMaxGrantShare,
-    fields::kMemoryShort,
+    fields::kMemoryShortagePolicy,
     fields::kProgressInterval,
     fields::kReportsCost,
 };
@@ -156,9 +156,9 @@
     for (const std::string& name : names) {
       has_invalid_name = has_invalid_name || !IsValidName(name);
       if (!seen.insert(name).second && !name.empty())
-        Add(Severity::kError, what + ": '" + name + "' is there twice");
+        Add(Severity::kError, what + ": '" + name + "' is given twice");
     }
-    if (has_invalid_name) Add(Severity::kError, what + ": a name is missing or unusable");
+    if (has_invalid_name) Add(Severity::kError, what + ": a name is missing or invalid");
     if (names.size() > kMaxNames) Add(Severity::kError, what + ": more than " + std::to_string(kMaxNames));
   }
 
@@ -190,7 +190,7 @@
     const auto check = [this, i](const char* field, bool in_range) {
       if (!in_range) AddOutOfRange(ClassSetting(i, field));
     };
-    check(request_class::kDeadline, c.client_timeout > 0 && c.client_timeout <= kMaxDuration);
+    check(request_class::kClientTimeout, c.client_timeout > 0 && c.client_timeout <= kMaxDuration);
     check(request_class::kLatencyObjective, c.latency_objective <= kMaxDuration);
     check(request_class::kPriorityWeight, c.priority_weight >= 0 && c.priority_weight <= kMaxValue);
     check(request_class::kLateWeightShare, c.late_weight_share >= 0 && c.late_weight_share <= 1);
@@ -213,15 +213,16 @@
     };
     const bool has_objective = in_.Time(fields::ClassPath(i, request_class::kLatencyObjective)) != 0;
     if (!has_objective && c.latency_objective_stretch <= 0)
-      warn(request_class::kLatencyObjective, "none; its deadline is taken in its place");
+      warn(request_class::kLatencyObjective, "none; the deadline of the class is used instead");
     if (c.latency_objective > c.client_timeout)
-      warn(request_class::kLatencyObjective, "past its deadline, where nobody waits any more");
+      warn(request_class::kLatencyObjective, "later than the deadline, when clients no longer wait");
     if (c.effect == Effect::kKeyed && c.repeat_window <= 0)
-      warn(request_class::kRepeatWindow, "none, so what may have run is never tried again");
+      warn(request_class::kRepeatWindow, "none, so a request that may have run is never retried");
     if (c.in_order && site_.module.ordering_key_pause <= 0)
       warn(request_class::kInOrder,
-           std::string(fields::kOrderSettle) + " is absent, so a key's next request follows at once");
-    if (c.streaming) warn(request_class::kStreaming, "answers are passed on whole");
+           std::string(fields::kOrderingKeyPause) +
+               " is absent or 0, so the next request of an ordering key is sent without a pause");
+    if (c.streaming) warn(request_class::kStreaming, "responses are not streamed, but delivered complete");
   }
 
   void CheckClassPlacement(std::size_t i) {
@@ -238,7 +239,7 @@
   void CheckBinding(const std::string& key, const std::string& where,
                     const std::vector<std::uint16_t>& indices, std::size_t listed,
                     const std::vector<std::string>& names, const std::string& what) {
-    if (in_.all().contains(key) && indices.empty()) Warn(where, "an empty list binds it to nothing");
+    if (in_.all().contains(key) && indices.empty()) Warn(where, "an empty list does not restrict the class");
     std::size_t unlisted = 0;
     for (const std::uint16_t index : indices) {
       if (index < listed) continue;
@@ -247,7 +248,7 @@
       Warn(where, "the settings list no " + what + " '" + name + "'");
     }
     if (unlisted > 0 && unlisted == indices.size())
-      Warn(where, "its requests wait until an engine of such a " + what + " is listed");
+      Warn(where, "requests of the class wait until an engine of such a " + what + " is listed");
   }
 
   void CheckTenants() {
@@ -264,20 +265,20 @@
       AddOutOfRange(fields::kMaxAttempts);
     const bool has_window = in_.Has(fields::kRetryBudgetWindow);
     const bool has_amount = in_.Has(fields::kRetryBudgetFree) || in_.Has(fields::kRetryBudgetRatio);
-    if (has_amount && !has_window)
-      Warn(fields::kRetryBudgetWindow, "absent, so no budget of further attempts is kept");
+    if (has_amount && !has_window) Warn(fields::kRetryBudgetWindow, "absent, so there is no retry budget");
     if (has_window && !has_amount)
-      Warn(fields::kRetryBudgetWindow, "without freeResends and extraRatio nothing is tried a second time");
+      Warn(fields::kRetryBudgetWindow, "without freeResends and extraRatio nothing is retried");
     if (has_window && in_.Time(fields::kRetryBudgetWindow) <= 0)
-      Warn(fields::kRetryBudgetWindow, "0, so no budget of further attempts is kept");
+      Warn(fields::kRetryBudgetWindow, "0, so there is no retry budget");
     if (site_.module.may_send_retry_after && site_.module.max_retry_after <= 0)
-      Warn(fields::kMaySendRetryAfter, "maxRetryAfterNs is 0, so no refusal tells when to come back");
+      Warn(fields::kMaySendRetryAfter, "maxRetryAfterNs is 0, so rejections do not say when to retry");
   }
 
   void CheckSlowStart() {
     const Settings& s = site_.module;
     if ((s.overload_window > 0) != (s.overload_factor > 0))
-      Warn("guarantees", "one of fallNs and overloadFactor is absent, so engines that start are not spared");
+      Warn("guarantees",
+           "only one of fallNs and overloadFactor is set, so the overload of warming engines is not limited");
     if (!(s.slow_start_initial_share >= 0 && s.slow_start_initial_share <= 1))
       Warn(fields::kSlowStartInitialShare, "not between 0 and 1");
   }
@@ -285,21 +286,21 @@
   void CheckLoadReports() {
     const std::string source = in_.Text(fields::kReportSource);
     const std::vector<std::string> names = in_.List(fields::kReportFields);
-    const bool in_responses = source == fields::kReportsInAnswers,
+    const bool in_responses = source == fields::kReportsInResponses,
                in_probes = source == fields::kReportsInProbes;
     const bool has_source = in_responses || in_probes;
     if (!has_source && source != fields::kNoReports && !source.empty())
-      Warn(fields::kReportSource, "'" + source + "' is none of answers, probe and none");
-    if (has_source && names.empty()) Warn(fields::kReportFields, "none, so reports tell nothing");
-    if (!has_source && !names.empty()) Warn(fields::kReportFields, "no source brings them");
+      Warn(fields::kReportSource, "'" + source + "' is not one of answers, probe and none");
+    if (has_source && names.empty()) Warn(fields::kReportFields, "none, so load reports contain no values");
+    if (!has_source && !names.empty()) Warn(fields::kReportFields, "no source provides these fields");
     if (in_probes && !site_.module.may_probe)
-      Warn(fields::kReportSource, "reports come with probes alone, and limits.probing allows none");
+      Warn(fields::kReportSource, "load reports come only with probes, which limits.probing does not allow");
     const bool too_many = names.size() > kMaxReportFields;
     const auto read_end = too_many ? names.begin() + kMaxReportFields : names.end();
     if (too_many) Warn(fields::kReportFields, "only the first four are read");
     const bool has_inflight = std::find(names.begin(), read_end, fields::kReportInflight) != read_end;
     if (has_source && !names.empty() && !has_inflight)
-      Warn(fields::kReportFields, "without inflight a report tells nothing that is used");
+      Warn(fields::kReportFields, "without inflight, no value of a load report is used");
   }
 
   void CheckFleet() {
@@ -307,7 +308,7 @@
     const std::size_t zones = in_.List(fields::kZones).size();
     if (in_.Has(fields::kProxyCount) && in_.Count(fields::kProxyCount) == 0)
       Warn(fields::kProxyCount, "0 is taken as 1");
-    if (s.gateway_index >= std::max(1, s.gateway_count)) Warn(fields::kOwnIndex, "not below siblings");
+    if (s.gateway_index >= std::max(1, s.gateway_count)) Warn(fields::kOwnIndex, "not less than siblings");
     if (zones > 0 && s.zone >= zones) Warn(fields::kOwnZone, "the settings list no such zone");
     if (s.tick > kMaxTick) AddOutOfRange(fields::kDecisionInterval);
     const std::string mode = in_.Text(fields::kListMode);
@@ -318,16 +319,16 @@
 
   void CheckEngines() {
     const Settings& s = site_.module;
-    if (site_.per_class < site_.classes.size())
-      Add(Severity::kError, "specifics: values of some classes are missing, and: out of range");
-    CheckWord(Severity::kWarning, fields::kMemoryShort, fields::kMemoryShort,
-              {fields::kMemoryShortQueue, fields::kMemoryShortTrim, fields::kMemoryShortSwap},
-              fields::kMemoryShortTrim);
+    if (site_.shortest_class_list < site_.classes.size())
+      Add(Severity::kError, "specifics: a list has fewer values than there are classes: out of range");
+    CheckWord(Severity::kWarning, fields::kMemoryShortagePolicy, fields::kMemoryShortagePolicy,
+              {fields::kMemoryShortageQueue, fields::kMemoryShortageTrim, fields::kMemoryShortageSwap},
+              fields::kMemoryShortageTrim);
     const std::size_t kinds = in_.List(fields::kMachineKinds).size();
     const std::vector<double> cores = in_.Numbers(fields::kCores);
     const std::vector<double> memory = in_.Numbers(fields::kMemory);
     if (cores.size() < kinds || std::any_of(cores.begin(), cores.end(), [](double c) { return !(c > 0); }))
-      Warn(fields::kCores, "cores of some kinds are missing; the least of the others is taken");
+      Warn(fields::kCores, "cores of some kinds are missing; the fewest cores of the other kinds are used");
     if (s.honors_memory_grants && memory.size() < kinds)
       Warn(fields::kMemory, "engines of a kind without memory choose their grants themselves");
     if (s.honors_memory_grants && !(s.max_grant_share > 0 && s.max_grant_share <= 1))
@@ -340,7 +341,7 @@
     if (in_.Time(fields::kConnectTimeout) == 0)
       Warn(fields::kConnectTimeout, "none; 250 ms is taken in its place");
     if (s.progress_interval > 0)
-      Warn(fields::kProgressInterval, "notes are not read; attempts are judged by how long they run");
+      Warn(fields::kProgressInterval, "notes are not read; attempts are judged by their run time");
   }
 
   void CheckUnknownKeys() {
--- a/src/settings/setting_fields.h
+++ b/src/settings/setting_fields.h
@@ -30,7 +30,7 @@
 inline constexpr const char* kName = "name";
 inline constexpr const char* kLatencyObjective = "promiseNs";
 inline constexpr const char* kLatencyObjectiveStretch = "aimStretch";
-inline constexpr const char* kDeadline = "deadlineNs";
+inline constexpr const char* kClientTimeout = "deadlineNs";
 inline constexpr const char* kPriorityWeight = "credit";
 inline constexpr const char* kLateWeightShare = "lateWorth";
 inline constexpr const char* kEffect = "effect";
@@ -59,7 +59,7 @@
 
 // Load reports of engines.
 inline constexpr const char* kReportSource = "report.source";
-inline constexpr const char* kReportsInAnswers = "answers";  // values of kReportSource
+inline constexpr const char* kReportsInResponses = "answers";  // values of kReportSource
 inline constexpr const char* kReportsInProbes = "probe";
 inline constexpr const char* kNoReports = "none";
 inline constexpr const char* kReportFields = "report.fields";
@@ -71,24 +71,24 @@
 inline constexpr const char* kSlowStartDuration = "guarantees.warmWithinNs";
 inline constexpr const char* kOverloadFactor = "guarantees.overloadFactor";
 inline constexpr const char* kOverloadWindow = "guarantees.fallNs";
-inline constexpr const char* kOrderSettle = "guarantees.orderPauseNs";
+inline constexpr const char* kOrderingKeyPause = "guarantees.orderPauseNs";
 inline constexpr const char* kMustAskWithin = "guarantees.mustAskInNs";
 inline constexpr const char* kRetryBudgetWindow = "guarantees.lookBackNs";
 inline constexpr const char* kRetryBudgetFree = "guarantees.freeResends";
 inline constexpr const char* kRetryBudgetRatio = "guarantees.extraRatio";
-inline constexpr const char* kAnswerSlack = "guarantees.answerSlackNs";
+inline constexpr const char* kResponseSlack = "guarantees.answerSlackNs";
 
 // Permitted actions of a proxy, and their limits.
 inline constexpr const char* kMayCancel = "limits.cancel";
 inline constexpr const char* kMayProbe = "limits.probing";
 inline constexpr const char* kMayHedge = "limits.mayDuplicate";
-inline constexpr const char* kMayMessage = "limits.peers";
+inline constexpr const char* kMayMessagePeers = "limits.peers";
 inline constexpr const char* kMaySendRetryAfter = "limits.retryAfter";
 inline constexpr const char* kMaxAttempts = "limits.maxAttempts";
 inline constexpr const char* kMaxRetryAfter = "limits.maxRetryAfterNs";
 inline constexpr const char* kConnectTimeout = "limits.connectTimeoutNs";
 inline constexpr const char* kKeepalive = "limits.keepaliveNs";
-inline constexpr const char* kMaxOpen = "limits.maxOpen";
+inline constexpr const char* kMaxOpenRequests = "limits.maxOpen";
 
 inline constexpr const char* kLateFailPrice = "prices.lateFail";
 inline constexpr const char* kCrossZonePrice = "prices.crossZone";
@@ -104,10 +104,10 @@
 inline constexpr const char* kHonorsMemoryGrants = "specifics.takesGrants";
 inline constexpr const char* kHonorsPriorities = "specifics.ranksHeeded";
 inline constexpr const char* kMaxGrantShare = "specifics.maxGrantShare";
-inline constexpr const char* kMemoryShort = "specifics.memoryShort";
-inline constexpr const char* kMemoryShortQueue = "queue";  // values of kMemoryShort
-inline constexpr const char* kMemoryShortTrim = "trim";
-inline constexpr const char* kMemoryShortSwap = "swap";
+inline constexpr const char* kMemoryShortagePolicy = "specifics.memoryShort";
+inline constexpr const char* kMemoryShortageQueue = "queue";  // values of kMemoryShortagePolicy
+inline constexpr const char* kMemoryShortageTrim = "trim";
+inline constexpr const char* kMemoryShortageSwap = "swap";
 inline constexpr const char* kProgressInterval = "specifics.progressNs";
 inline constexpr const char* kReportsCost = "specifics.saysCost";
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -18,7 +18,7 @@
 constexpr Nanos kDefaultConnectTimeout = 250'000'000;
 constexpr double kMaxTime = 9e17;  // nanoseconds
 constexpr double kMaxCount = 1e6;
-constexpr double kMaxPosition = 65535;
+constexpr double kMaxIndex = 65535;
 constexpr double kMaxThreadsPerQuery = 1e4;
 constexpr const char *kTrue = "true", *kFalse = "false";
 
@@ -92,13 +92,13 @@
   return out;
 }
 
-std::vector<std::uint16_t> Pairs::Positions(const std::string& key,
-                                            const std::vector<std::string>& names) const {
+std::vector<std::uint16_t> Pairs::Indices(const std::string& key,
+                                          const std::vector<std::string>& names) const {
   std::vector<std::uint16_t> out;
   for (const std::string& item : List(key)) {
     auto it = std::find(names.begin(), names.end(), item);
     double v = it != names.end() ? static_cast<double>(it - names.begin()) : ToNumber(key, item);
-    if (v < 0 || v > kMaxPosition || v != std::floor(v)) ThrowInvalid(key, item);
+    if (v < 0 || v > kMaxIndex || v != std::floor(v)) ThrowInvalid(key, item);
     out.push_back(static_cast<std::uint16_t>(v));
   }
   return out;
@@ -124,7 +124,7 @@
   ClassSettings c;
   c.latency_objective = in.Time(path(f::kLatencyObjective));
   c.latency_objective_stretch = in.Number(path(f::kLatencyObjectiveStretch));
-  c.client_timeout = in.Time(path(f::kDeadline));
+  c.client_timeout = in.Time(path(f::kClientTimeout));
   // Without an objective, every response before the client's timeout earns the full weight.
   if (c.latency_objective == 0 && c.latency_objective_stretch <= 0) c.latency_objective = c.client_timeout;
   c.priority_weight = in.Number(path(f::kPriorityWeight), 1);
@@ -143,8 +143,8 @@
   c.repeat_window = in.Time(path(f::kRepeatWindow));
   c.in_order = in.Flag(path(f::kInOrder));
   c.streaming = in.Flag(path(f::kStreaming));
-  c.zones = in.Positions(path(f::kBoundZones), zones);
-  c.kinds = in.Positions(path(f::kBoundMachineKinds), kinds);
+  c.zones = in.Indices(path(f::kBoundZones), zones);
+  c.kinds = in.Indices(path(f::kBoundMachineKinds), kinds);
   return c;
 }
 
@@ -172,10 +172,10 @@
   s.honors_priorities = in.Flag(fields::kHonorsPriorities);
   s.max_grant_share = in.Number(fields::kMaxGrantShare, 1);
   s.memory_shortage_policy =
-      in.OneOf<MemoryShortagePolicy>(fields::kMemoryShort,
-                                     {{fields::kMemoryShortQueue, MemoryShortagePolicy::kQueue},
-                                      {fields::kMemoryShortTrim, MemoryShortagePolicy::kTrim},
-                                      {fields::kMemoryShortSwap, MemoryShortagePolicy::kSwap}},
+      in.OneOf<MemoryShortagePolicy>(fields::kMemoryShortagePolicy,
+                                     {{fields::kMemoryShortageQueue, MemoryShortagePolicy::kQueue},
+                                      {fields::kMemoryShortageTrim, MemoryShortagePolicy::kTrim},
+                                      {fields::kMemoryShortageSwap, MemoryShortagePolicy::kSwap}},
                                      MemoryShortagePolicy::kTrim, MemoryShortagePolicy::kTrim);
   s.progress_interval = in.Time(fields::kProgressInterval);
   s.reports_cost = in.Flag(fields::kReportsCost);
@@ -256,7 +256,7 @@
   site.report_fields = in.List(fields::kReportFields);
   for (const std::string& field : site.report_fields)
     site.module.report_fields.push_back(ToReportField(field));
-  site.module.reports_in_responses = in.Text(fields::kReportSource) == fields::kReportsInAnswers;
+  site.module.reports_in_responses = in.Text(fields::kReportSource) == fields::kReportsInResponses;
 }
 
 void ParseGuarantees(const Pairs& in, Settings& s) {
@@ -265,7 +265,7 @@
   s.slow_start_duration = in.Time(fields::kSlowStartDuration);
   s.overload_factor = in.Number(fields::kOverloadFactor);
   s.overload_window = in.Time(fields::kOverloadWindow);
-  s.ordering_key_pause = in.Time(fields::kOrderSettle);
+  s.ordering_key_pause = in.Time(fields::kOrderingKeyPause);
   s.must_ask_within = in.Time(fields::kMustAskWithin);
   if (in.Has(fields::kRetryBudgetWindow)) {
     s.retry_budget =
@@ -278,7 +278,7 @@
   s.may_cancel = in.Flag(fields::kMayCancel);
   s.may_probe = in.Flag(fields::kMayProbe);
   s.may_hedge = in.Flag(fields::kMayHedge);
-  s.may_message_peers = in.Flag(fields::kMayMessage);
+  s.may_message_peers = in.Flag(fields::kMayMessagePeers);
   s.may_send_retry_after = in.Flag(fields::kMaySendRetryAfter);
   s.max_attempts = in.Count(fields::kMaxAttempts, 1);
   s.max_retry_after = in.Time(fields::kMaxRetryAfter);
@@ -316,10 +316,10 @@
   s.cross_zone_price = in.Number(fields::kCrossZonePrice);
   ParseEngines(in, s);
   FillCores(s, site.kinds.size());
-  site.per_class = ShortestClassList(in, site.classes.size());
-  site.answer_slack = in.Time(fields::kAnswerSlack);
+  site.shortest_class_list = ShortestClassList(in, site.classes.size());
+  site.response_slack = in.Time(fields::kResponseSlack);
   site.keepalive = in.Time(fields::kKeepalive);
-  site.max_open = in.Count(fields::kMaxOpen);
+  site.max_open_requests = in.Count(fields::kMaxOpenRequests);
   return site;
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -55,7 +55,7 @@
   std::vector<std::string> List(const std::string& key) const;
   std::vector<double> Numbers(const std::string& key) const;
   // Returns the indices in `names` of the items of a list; an item is one of the names or an index.
-  std::vector<std::uint16_t> Positions(const std::string& key, const std::vector<std::string>& names) const;
+  std::vector<std::uint16_t> Indices(const std::string& key, const std::vector<std::string>& names) const;
 
   // Returns the choice with the name that is the value of `key`, `absent` if the key has no value, or
   // `unknown` for any other name.
@@ -83,10 +83,10 @@
   // flight, or for an unused number.
   std::vector<std::string> classes, tenants, zones, kinds;
   std::vector<std::string> report_fields;  // names of Settings::report_fields, in the same order
-  Nanos answer_slack = 0;                  // read and checked, but without effect
+  Nanos response_slack = 0;                // read and checked, but without effect
   Nanos keepalive = 0;                     // idle time after which engines close connections; 0: 5 s
-  std::size_t per_class = 0;               // length of the shortest of the lists with a value for each class
-  int max_open = 0;                        // maximum number of requests in flight; 0: not specified
+  std::size_t shortest_class_list = 0;     // length of the shortest of the lists with a value for each class
+  int max_open_requests = 0;               // maximum number of requests in flight; 0: not specified
 
   // Returns the number of a class or tenant, or nullopt if new requests may not use it.
   std::optional<std::uint16_t> ClassOf(std::string_view name) const { return NumberOf(classes, name); }
