--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -57,8 +57,10 @@
   const auto number = static_cast<std::uint16_t>(kMaxNumber - unlisted_names_.size());
   const auto [known, fresh] = unlisted_names_.try_emplace(name, number);
   if (fresh)
-    spdlog::warn("control feed: the settings list no {} '{}': it gets no class that is bound to listed ones",
-                 what, name);
+    spdlog::warn(
+        "control feed: the settings list no {} '{}'; its engines get no requests that are bound to listed "
+        "ones",
+        what, name);
   return known->second;
 }
 
@@ -117,7 +119,7 @@
   const std::string& name = json[feed::kName].text;
   const std::string& state = json[feed::kState].text;
   if (name.empty()) {
-    spdlog::warn("control feed: an entry without an id is skipped");
+    spdlog::warn("control feed: skipping an entry without an id");
     return std::nullopt;
   }
   // Fields that an entry omits keep their value, so that a drain takes effect even if its entry has no
@@ -127,7 +129,7 @@
       known != nullptr ? TextOr(json[feed::kAddress], known->host_port) : json[feed::kAddress].text;
   const auto address = runtime::Address::Parse(host_port);
   if (!address && state != feed::kStateGone) {
-    spdlog::warn("control feed: {} has no usable address and is skipped", name);
+    spdlog::warn("control feed: skipping the entry of {}, which has no valid address", name);
     if (known == nullptr) Remove(IdOf(name));
     return std::nullopt;
   }
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -62,7 +62,7 @@
   const IoResult up =
       co_await Connect(loop_, *address, runtime::Now() + kConnectTimeout, &address_changed, socket);
   if (up != IoResult::kOk) {
-    spdlog::debug("control feed: no connection to {}", host_port);
+    spdlog::debug("control feed: cannot connect to {}", host_port);
     co_return;
   }
   http::Connection connection(std::move(socket), host_port, kAnswerLimits);
@@ -84,7 +84,7 @@
     try {
       readable = directory_.Apply(codec::Json::Parse(response.body), on_update_);
     } catch (const codec::JsonError& e) {
-      spdlog::warn("control feed: {}", e.what());
+      spdlog::warn("control feed: cannot parse the response: {}", e.what());
     }
     has_answered_ = has_answered_ || readable;
     has_answered_on_connection_ = has_answered_on_connection_ || readable;
--- a/src/operator_config/admission_queue_block.cpp
+++ b/src/operator_config/admission_queue_block.cpp
@@ -62,7 +62,7 @@
        }},
   };
   ReadBlock(node.children, readers, {keys::queue::kBarredClass}, faults);
-  if (!has_cores) faults.AddAt(node, "team '" + budget.name + "' has no cores: give it a budget, 0 for none");
+  if (!has_cores) faults.AddAt(node, "team '" + budget.name + "' has no cores: set a budget, 0 for none");
 }
 
 void ReadClass(const KdlNode& node, admission_queue::ClassPolicy& policy, Faults& faults) {
@@ -121,7 +121,7 @@
   for (const admission_queue::TenantBudget& tenant : queue.tenants) {
     const bool all_barred = tenant.barred_classes.size() >= queue.classes.size() && !queue.classes.empty();
     if (tenant.cores > 0 && all_barred)
-      faults.AddAt(node, "team '" + tenant.name + "' has a budget and may use no class");
+      faults.AddAt(node, "team '" + tenant.name + "' has a budget but may use no class");
   }
 }
 
@@ -154,8 +154,10 @@
       {keys::queue::kClass, read_class},
       {keys::queue::kTenant, read_tenant},
   };
-  if (!node.arguments.empty() || !node.properties.empty()) faults.AddAt(node, "waiting takes a block only");
-  if (!site.HasTenants()) faults.AddAt(node, "waiting divides work among tenants, and the site has none");
+  if (!node.arguments.empty() || !node.properties.empty())
+    faults.AddAt(node, "waiting: expected a block without arguments");
+  if (!site.HasTenants())
+    faults.AddAt(node, "waiting: divides capacity among tenants, but the site has none");
   ReadBlock(node.children, readers, {keys::queue::kClass, keys::queue::kTenant}, faults);
   CheckTenants(node, site, queue, given, faults);
   return out;
--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -78,7 +78,7 @@
   admission_queue::Duration span{};
   if (!ParseDuration(value->text, span))
     return faults.AddAt(node, *value,
-                        node.name + ": '" + value->text + "' is no time with a unit (us, ms, s, m, h)");
+                        node.name + ": '" + value->text + "' is not a time with a unit (us, ms, s, m, h)");
   if (span < min || span > max)
     return faults.AddAt(node, *value,
                         node.name + ": '" + value->text + "' is not from " +
@@ -110,7 +110,7 @@
 }
 
 void ReadText(const KdlNode& node, std::string& out, Faults& faults) {
-  if (const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kString, "a text", faults))
+  if (const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kString, "a string", faults))
     out = value->text;
 }
 
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -58,12 +58,12 @@
   const bool has_listen = given.contains(keys::fleet::kListen);
   if (!has_listen) faults.AddAt(node, "fleet: needs `listen`, where peers reach this proxy");
   if (!given.contains(keys::fleet::kSeeds))
-    faults.AddAt(node, "fleet: needs `seeds`; the first proxy of a fleet names itself alone");
+    faults.AddAt(node, "fleet: needs `seeds`; the first proxy of a fleet lists only itself");
   if (fleet.advertise.size() != fleet.listen.size() && has_listen)
     faults.AddAt(node, "fleet: `advertise` needs an address for each of `listen`");
   for (const gossip::PeerAddress& advertised : fleet.advertise)
-    if (advertised.host == 0) faults.AddAt(node, "fleet: nobody can reach 0.0.0.0: give `advertise`");
-  if (fleet.membership.max_members < 2) faults.AddAt(node, "most: a fleet has two members and more");
+    if (advertised.host == 0) faults.AddAt(node, "fleet: peers cannot reach 0.0.0.0; set `advertise`");
+  if (fleet.membership.max_members < 2) faults.AddAt(node, "most: a fleet has at least two members");
   if (fleet.membership.failed_retention < kMinRetentionIntervals * fleet.membership.probe_interval)
     faults.AddAt(node, "remember: shorter than " + std::to_string(kMinRetentionIntervals) + " periods");
 }
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -42,7 +42,7 @@
          [&](const KdlNode& n) { file.replicated_config = ReadReplicatedConfig(n, faults); }}};
     ReadBlock(nodes, readers, {}, faults);
     if (file.replicated_config && !file.fleet)
-      faults.Add({}, "rules: needs a `fleet`, on whose way they are agreed");
+      faults.Add({}, "rules: needs a `fleet` block; the rules are replicated over its connections");
   } catch (const codec::KdlError& e) {
     const std::string what = e.what();
     faults.Add(e.position(), what.substr(what.find(": ") + 2));
--- a/src/operator_config/rules_block.cpp
+++ b/src/operator_config/rules_block.cpp
@@ -44,9 +44,10 @@
       {keys::replicated_config::kRenewalInterval,
        [&](const KdlNode& n) { ReadDuration(n, 50ms, 2s, out.renewal_interval, faults); }},
   };
-  if (!node.arguments.empty() || !node.properties.empty()) faults.AddAt(node, "rules takes a block only");
+  if (!node.arguments.empty() || !node.properties.empty())
+    faults.AddAt(node, "rules: expected a block without arguments");
   ReadBlock(node.children, readers, {}, faults);
-  if (out.voters.empty()) faults.AddAt(node, "rules: needs `voters`, the proxies that keep the log");
+  if (out.voters.empty()) faults.AddAt(node, "rules: needs `voters`, the proxies that store the log");
   if (out.lease < kMinRenewalsPerLease * out.renewal_interval)
     faults.AddAt(node, "lease: shorter than three beats; one lost answer would cut proxies off");
   return out;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -39,13 +39,13 @@
   }
   float Float(const char* what) {
     float value = std::bit_cast<float>(Int<std::uint32_t>(what));
-    if (!std::isfinite(value)) ThrowWireError(std::string("not a number: ") + what, at_ - 4);
+    if (!std::isfinite(value)) ThrowWireError(std::string("not a finite number: ") + what, at_ - 4);
     return value;
   }
   Nanos Time(const char* what) {
     constexpr auto kMaxTime = static_cast<std::uint64_t>(std::numeric_limits<Nanos>::max() / 4);
     auto value = Int<std::uint64_t>(what);
-    if (value > kMaxTime) ThrowWireError(std::string("impossible time: ") + what, at_ - 8);
+    if (value > kMaxTime) ThrowWireError(std::string("time out of range: ") + what, at_ - 8);
     return static_cast<Nanos>(value);
   }
   std::string_view Bytes(std::size_t n, const char* what) {
@@ -122,7 +122,7 @@
   EngineList list{static_cast<ListKind>(kind), nullptr};
   if (list.kind == ListKind::kFailed) return list;
   if (page >= pages.size() || !pages[page])
-    ThrowWireError("list names page " + std::to_string(page) + ", which is not known", record_at);
+    ThrowWireError("engine list refers to page " + std::to_string(page) + ", which is unknown", record_at);
   list.entries = pages[page];
   return list;
 }
@@ -194,7 +194,7 @@
   in.Int<std::uint32_t>("engine");
   auto kind = in.Int<std::uint8_t>("what");
   if (kind < kFirstNotice || kind > kLastNotice)
-    ThrowWireError("unknown note " + std::to_string(kind), record_at);
+    ThrowWireError("unknown kind of progress notice " + std::to_string(kind), record_at);
   notice.kind = static_cast<NoticeKind>(kind - kFirstNotice);
   notice.amount = in.Float("amount");
   return notice;
@@ -253,7 +253,7 @@
   }
 
   InstanceBatch& Current(std::size_t record_at) {
-    if (!current_) ThrowWireError("event before any TargetInstance", record_at);
+    if (!current_) ThrowWireError("record before the first TargetInstance", record_at);
     return batches_[*current_];
   }
 
@@ -322,8 +322,9 @@
   out.length = in.Int<std::uint32_t>("batch length");
   out.records = in.Int<std::uint32_t>("record count");
   out.now = in.Time("clock");
-  if (out.length > kMaxFrameBytes) ThrowWireError("impossible batch length " + std::to_string(out.length), 0);
-  if (out.records > out.length) ThrowWireError("impossible record count " + std::to_string(out.records), 4);
+  if (out.length > kMaxFrameBytes)
+    ThrowWireError("batch length out of range " + std::to_string(out.length), 0);
+  if (out.records > out.length) ThrowWireError("record count out of range " + std::to_string(out.records), 4);
   return out;
 }
 
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -154,9 +154,9 @@
       "f:4:3: 'colour' is not known here; known are ageing, class, level, most, state, team, tell-clients\n"
       "f:5:3: ageing: given twice\n"
       "f:6:8: the site has no team 'east'\n"
-      "f:7:24: burst: '2 fortnights' is no time with a unit (us, ms, s, m, h)\n"
+      "f:7:24: burst: '2 fortnights' is not a time with a unit (us, ms, s, m, h)\n"
       "f:7:40: waiting: expected a whole number\n"
-      "f:7:3: team 'north' has no cores: give it a budget, 0 for none\n"
+      "f:7:3: team 'north' has no cores: set a budget, 0 for none\n"
       "f:1:1: team 'south' of the site is not given: `team \"south\" { cores 0 }` would refuse all it sends\n"
       "f:9:1: 'wating' is not known here; known are fleet, rules, waiting");
   EXPECT_EQ(Faults("waiting {"), "f:1:10: unclosed '{'");
@@ -193,8 +193,7 @@
   const std::pair<std::string, std::string> cases[] = {
       {good, ""},
       {"seeds \"127.0.1.1:1\"", "f:1:1: fleet: needs `listen`, where peers reach this proxy"},
-      {"listen \"127.0.1.1:1\"",
-       "f:1:1: fleet: needs `seeds`; the first proxy of a fleet names itself alone"},
+      {"listen \"127.0.1.1:1\"", "f:1:1: fleet: needs `seeds`; the first proxy of a fleet lists only itself"},
       {good + "colour 1",
        "f:4:1: 'colour' is not known here; known are advertise, listen, most, period, remember, seeds, "
        "state-file, zone"},
@@ -203,14 +202,14 @@
       {good + "advertise \"127.0.2.1:1\" \"127.0.2.1:2\"",
        "f:1:1: fleet: `advertise` needs an address for each of `listen`"},
       {"listen \"0.0.0.0:1\"\nseeds \"127.0.1.1:1\"",
-       "f:1:1: fleet: nobody can reach 0.0.0.0: give `advertise`"},
+       "f:1:1: fleet: peers cannot reach 0.0.0.0; set `advertise`"},
       {"listen \"nowhere\"\nseeds \"127.0.1.1:0\"",
        "f:2:8: listen: 'nowhere' is not an IPv4 address with a port\n"
        "f:3:7: seeds: '127.0.1.1:0' is not an IPv4 address with a port"},
       {"listen \"1.1.1.1:1\" \"1.1.1.1:1\"\nseeds",
        "f:2:20: listen: '1.1.1.1:1' is given twice\nf:3:1: seeds: expected 1 to 64 addresses"},
       {good + "zone \"a b\"", "f:4:1: zone: at most 32 plain characters without blanks"},
-      {good + "most 1", "f:1:1: most: a fleet has two members and more"},
+      {good + "most 1", "f:1:1: most: a fleet has at least two members"},
   };
   for (const auto& [inside, wanted] : cases) EXPECT_EQ(FleetFaults(inside), wanted) << inside;
 }
