--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -55,8 +55,8 @@
   if (unlisted_names_.size() >= kMaxUnlistedNames && !unlisted_names_.contains(name))
     return static_cast<std::uint16_t>(kMaxNumber - kMaxUnlistedNames);
   const auto number = static_cast<std::uint16_t>(kMaxNumber - unlisted_names_.size());
-  const auto [known, fresh] = unlisted_names_.try_emplace(name, number);
-  if (fresh)
+  const auto [known, is_new] = unlisted_names_.try_emplace(name, number);
+  if (is_new)
     spdlog::warn(
         "control feed: the settings list no {} '{}'; its engines get no requests that are bound to listed "
         "ones",
@@ -78,13 +78,13 @@
   const Json& events = document[feed::kEvents];
   if (!events.Is(Json::Kind::kArray)) return false;
   for (const Json& event : events.items) {
-    const std::int64_t n = event[feed::kRevision].Integer(-1);
-    if (n <= last_event_) continue;
-    last_event_ = n;
+    const std::int64_t revision = event[feed::kRevision].Integer(-1);
+    if (revision <= last_revision_) continue;
+    last_revision_ = revision;
     if (!event[feed::kUpdate].Is(Json::Kind::kObject)) continue;  // an event of another kind
     if (auto list = ApplyEvent(event[feed::kUpdate])) on_update(std::move(*list));
   }
-  last_event_ = std::max(last_event_, document[feed::kRevision].Integer(last_event_));
+  last_revision_ = std::max(last_revision_, document[feed::kRevision].Integer(last_revision_));
   return true;
 }
 
@@ -108,11 +108,11 @@
   std::unordered_set<EngineId> listed_ids;
   listed_ids.reserve(listed.size());
   for (const EngineEntry& entry : listed) listed_ids.insert(entry.engine);
-  std::vector<EngineId> left;
+  std::vector<EngineId> removed;
   for (const auto& [id, endpoint] : endpoints_) {
-    if (!listed_ids.contains(id)) left.push_back(id);
+    if (!listed_ids.contains(id)) removed.push_back(id);
   }
-  for (const EngineId id : left) Remove(id);
+  for (const EngineId id : removed) Remove(id);
 }
 
 std::optional<EngineEntry> EndpointDirectory::ApplyEndpoint(const Json& json) {
@@ -128,7 +128,7 @@
   const std::string host_port =
       known != nullptr ? TextOr(json[feed::kAddress], known->host_port) : json[feed::kAddress].text;
   const auto address = runtime::Address::Parse(host_port);
-  if (!address && state != feed::kStateGone) {
+  if (!address && state != feed::kStateRemoved) {
     spdlog::warn("control feed: skipping the entry of {}, which has no valid address", name);
     if (known == nullptr) Remove(IdOf(name));
     return std::nullopt;
@@ -137,20 +137,20 @@
   entry.engine = IdOf(name);
   entry.weight = json[feed::kWeight].Number(known != nullptr ? known->advertised.weight : 1);
   // An unknown state is treated as draining: a draining engine gets no new requests.
-  entry.readiness = state == feed::kStateReady  ? Readiness::kReady
-                    : state == feed::kStateGone ? Readiness::kRemoved
-                                                : Readiness::kDraining;
+  entry.readiness = state == feed::kStateReady     ? Readiness::kReady
+                    : state == feed::kStateRemoved ? Readiness::kRemoved
+                                                   : Readiness::kDraining;
   const std::string kind = TextOr(json[feed::kMachineKind], known != nullptr ? known->kind : std::string());
   const std::string zone = TextOr(json[feed::kZone], known != nullptr ? known->zone : std::string());
   entry.kind = NumberOf(kind, site_->kinds, "machine kind");
   entry.zone = NumberOf(zone, site_->zones, "zone");
   entry.cell =
       static_cast<std::uint16_t>(json[feed::kCell].Integer(known != nullptr ? known->advertised.cell : 0));
-  const Json& up_since = json[feed::kStartedAt];
+  const Json& start_time = json[feed::kStartedAt];
   entry.started_at = known != nullptr ? known->advertised.started_at : 0;
-  if (up_since.Is(Json::Kind::kNumber)) {
+  if (start_time.Is(Json::Kind::kNumber)) {
     entry.started_at = decision::ModuleClock::AtUnix(
-        std::chrono::milliseconds(std::max<std::int64_t>(0, up_since.Integer())));
+        std::chrono::milliseconds(std::max<std::int64_t>(0, start_time.Integer())));
   }
   if (entry.readiness == Readiness::kRemoved) {
     Remove(entry.engine);
@@ -181,8 +181,8 @@
 }
 
 void EndpointDirectory::ApplyEjections(EngineEntry& entry, const std::string& id) const {
-  if (ejected_.contains(id)) entry.readiness = Readiness::kExcluded;
-  if (const auto it = returned_.find(id); it != returned_.end())
+  if (manually_ejected_.contains(id)) entry.readiness = Readiness::kExcluded;
+  if (const auto it = returned_at_.find(id); it != returned_at_.end())
     entry.started_at = std::max(entry.started_at, it->second);
 }
 
@@ -203,52 +203,53 @@
 
 discovery::ManualEjectionResult EndpointDirectory::Eject(const std::string& id,
                                                          const UpdateCallback& on_update) {
-  if (ejected_.contains(id)) return ManualEjectionResult::kDone;
+  if (manually_ejected_.contains(id)) return ManualEjectionResult::kDone;
   if (!ids_.contains(id)) return ManualEjectionResult::kUnknownEngine;
-  if (ejected_.size() >= kMaxEjectedEngines) return ManualEjectionResult::kTooMany;
-  ejected_.insert(id);
+  if (manually_ejected_.size() >= kMaxEjectedEngines) return ManualEjectionResult::kTooMany;
+  manually_ejected_.insert(id);
   PublishEndpoint(id, false, on_update);
   return ManualEjectionResult::kDone;
 }
 
 discovery::ManualEjectionResult EndpointDirectory::ReturnToService(const std::string& id, UnixTime at,
                                                                    const UpdateCallback& on_update) {
-  if (ejected_.erase(id) == 0)
+  if (manually_ejected_.erase(id) == 0)
     return ids_.contains(id) ? ManualEjectionResult::kDone : ManualEjectionResult::kUnknownEngine;
-  if (ids_.contains(id)) returned_[id] = NanosOf(at);
+  if (ids_.contains(id)) returned_at_[id] = NanosOf(at);
   PublishEndpoint(id, true, on_update);
   return ManualEjectionResult::kDone;
 }
 
 void EndpointDirectory::ImportEjections(const std::set<std::string>& ejected,
-                                        const std::map<std::string, UnixTime>& returned,
+                                        const std::map<std::string, UnixTime>& returned_at,
                                         const UpdateCallback& on_update) {
   for (const std::string& id : ejected) {
-    if (ejected_.size() < kMaxEjectedEngines && ejected_.insert(id).second)
+    if (manually_ejected_.size() < kMaxEjectedEngines && manually_ejected_.insert(id).second)
       PublishEndpoint(id, false, on_update);
   }
   const auto time = [&](const std::string& id) {
-    const auto it = returned.find(id);
-    return it == returned.end() ? std::chrono::system_clock::now() : it->second;
+    const auto it = returned_at.find(id);
+    return it == returned_at.end() ? std::chrono::system_clock::now() : it->second;
   };
-  for (const std::string& id : std::set<std::string>(ejected_)) {
+  for (const std::string& id : std::set<std::string>(manually_ejected_)) {
     if (!ejected.contains(id)) ReturnToService(id, time(id), on_update);
   }
   // Engines that were ejected and returned before this process saw the ejection.
-  for (const auto& [id, at] : returned) {
+  for (const auto& [id, at] : returned_at) {
     const Nanos since = NanosOf(at);
     if (has_complete_list_ && !ids_.contains(id)) continue;
-    if (ejected_.contains(id) || (returned_.contains(id) && since <= returned_[id] + kFileTimeTolerance))
+    if (manually_ejected_.contains(id) ||
+        (returned_at_.contains(id) && since <= returned_at_[id] + kFileTimeTolerance))
       continue;
-    returned_[id] = since;
+    returned_at_[id] = since;
     PublishEndpoint(id, true, on_update);
   }
 }
 
-std::size_t EndpointDirectory::CountEjected(const std::vector<EngineId>& avoided) const {
-  const std::unordered_set<EngineId> avoided_ids(avoided.begin(), avoided.end());
+std::size_t EndpointDirectory::CountEjected(const std::vector<EngineId>& outliers) const {
+  const std::unordered_set<EngineId> outlier_ids(outliers.begin(), outliers.end());
   return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& m) {
-    return ejected_.contains(m.second.name) || avoided_ids.contains(m.first);
+    return manually_ejected_.contains(m.second.name) || outlier_ids.contains(m.first);
   }));
 }
 
@@ -260,7 +261,7 @@
 void EndpointDirectory::Remove(EngineId engine) {
   EndIncarnation(engine);
   if (const auto it = names_.find(engine); it != names_.end()) {
-    returned_.erase(it->second);
+    returned_at_.erase(it->second);
     ids_.erase(it->second);
     names_.erase(it);
   }
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -64,28 +64,28 @@
   // Ends a manual ejection. The engine is treated as started at `at`, so that it gets a slow start.
   // Idempotent.
   ManualEjectionResult ReturnToService(const std::string& id, UnixTime at, const UpdateCallback& on_update);
-  bool IsEjected(const std::string& id) const { return ejected_.contains(id); }
+  bool IsEjected(const std::string& id) const { return manually_ejected_.contains(id); }
   // Replaces the manual ejections by those of another process that serves the same clients, or of the
-  // replicated configuration. `ejected` is the complete set; `returned` contains the times of returns to
+  // replicated configuration. `ejected` is the complete set; `returned_at` contains the times of returns to
   // service.
-  void ImportEjections(const std::set<std::string>& ejected, const std::map<std::string, UnixTime>& returned,
-                       const UpdateCallback& on_update);
+  void ImportEjections(const std::set<std::string>& ejected,
+                       const std::map<std::string, UnixTime>& returned_at, const UpdateCallback& on_update);
 
   // Returns the endpoint, or null if it is not listed. Valid until the next change of the list.
   const Endpoint* Find(EngineId engine) const;
   // Returns true if the engine is listed, ready and not ejected manually.
   bool MaySend(EngineId engine) const;
-  // Returns the number of listed engines that are ejected manually or contained in `avoided`.
-  std::size_t CountEjected(const std::vector<EngineId>& avoided) const;
+  // Returns the number of listed engines that are ejected manually or contained in `outliers`.
+  std::size_t CountEjected(const std::vector<EngineId>& outliers) const;
   std::size_t size() const { return endpoints_.size(); }
   // Returns true if a complete list has been applied.
   bool has_complete_list() const { return has_complete_list_; }
   // Returns the revision of the newest event applied.
-  std::int64_t last_event() const { return last_event_; }
+  std::int64_t last_revision() const { return last_revision_; }
   // Returns the number of stored map entries. Tests use it to check that no data of removed engines is
   // retained.
   std::size_t retained_entries() const {
-    return ids_.size() + names_.size() + endpoints_.size() + returned_.size();
+    return ids_.size() + names_.size() + endpoints_.size() + returned_at_.size();
   }
 
   // Called when an incarnation of an engine ends and its connections can no longer be used.
@@ -107,10 +107,10 @@
   std::map<std::string, EngineId> ids_;
   std::map<EngineId, std::string> names_;
   std::map<EngineId, Endpoint> endpoints_;
-  std::set<std::string> ejected_;                        // manually; may contain engines that are not listed
+  std::set<std::string> manually_ejected_;               // may contain engines that are not listed
   std::map<std::string, std::uint16_t> unlisted_names_;  // zones and kinds that the settings don't list
-  std::map<std::string, Nanos> returned_;                // return to service of listed engines
-  std::int64_t last_event_ = 0;
+  std::map<std::string, Nanos> returned_at_;             // return to service of listed engines
+  std::int64_t last_revision_ = 0;
   std::uint64_t last_incarnation_ = 0;
   bool has_complete_list_ = false;
 };
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -21,8 +21,8 @@
 // Exponential backoff with jitter, because hundreds of proxies reconnect when a feed becomes available again.
 constexpr runtime::Duration kMinBackoff = 10ms, kMaxBackoff = 80ms;
 // For the rest of a response that has begun: a list of thousands of engines takes longer than the grace.
-constexpr auto kAnswerTimeout = 3s;
-constexpr codec::HttpParser::Limits kAnswerLimits{std::size_t{16} << 10, std::size_t{8} << 20};
+constexpr auto kResponseTimeout = 3s;
+constexpr codec::HttpParser::Limits kResponseLimits{std::size_t{16} << 10, std::size_t{8} << 20};
 
 }  // namespace
 
@@ -33,10 +33,10 @@
     if (host_port_.empty()) {
       co_await loop_.SleepUntil(runtime::kNever, &address_changed);
     } else {
-      has_answered_on_connection_ = false;
+      has_response_on_connection_ = false;
       co_await WatchOnce(address_changed);
       backoff_ =
-          has_answered_on_connection_ ? kMinBackoff : std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
+          has_response_on_connection_ ? kMinBackoff : std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
       co_await loop_.Sleep(WithJitter(backoff_), &address_changed);
     }
   }
@@ -65,19 +65,19 @@
     spdlog::debug("control feed: cannot connect to {}", host_port);
     co_return;
   }
-  http::Connection connection(std::move(socket), host_port, kAnswerLimits);
+  http::Connection connection(std::move(socket), host_port, kResponseLimits);
   for (;;) {
     codec::HttpRequest request;
     request.method = "GET";
-    request.path = feed::kEventsPathPrefix + std::to_string(directory_.last_event()) +
+    request.path = feed::kEventsPathPrefix + std::to_string(directory_.last_revision()) +
                    "&wait=" + std::to_string(kLongPollTimeout.count());
     codec::HttpResponse response;
     const runtime::Time begin_by = runtime::Now() + kLongPollTimeout + kLongPollGrace;
     IoResult io = co_await connection.Send(request, begin_by, &address_changed);
     if (io == IoResult::kOk)
-      io = co_await connection.Receive(begin_by, begin_by + kAnswerTimeout, &address_changed, response);
+      io = co_await connection.Receive(begin_by, begin_by + kResponseTimeout, &address_changed, response);
     if (io != IoResult::kOk || response.status != 200) {
-      spdlog::info("control feed: connection lost after event {}", directory_.last_event());
+      spdlog::info("control feed: connection lost after event {}", directory_.last_revision());
       co_return;
     }
     bool readable = false;
@@ -86,8 +86,8 @@
     } catch (const codec::JsonError& e) {
       spdlog::warn("control feed: cannot parse the response: {}", e.what());
     }
-    has_answered_ = has_answered_ || readable;
-    has_answered_on_connection_ = has_answered_on_connection_ || readable;
+    has_response_ = has_response_ || readable;
+    has_response_on_connection_ = has_response_on_connection_ || readable;
     if (!readable || !connection.Reusable()) co_return;
   }
 }
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -36,7 +36,7 @@
   // Returns true if there is an address to watch.
   bool enabled() const { return !host_port_.empty(); }
   // Returns true if the feed has sent a readable response.
-  bool has_answered() const { return has_answered_; }
+  bool has_response() const { return has_response_; }
 
   // Continues at another address, whose events must continue the revisions. The connection to the old address
   // is closed immediately.
@@ -51,8 +51,8 @@
   EndpointDirectory& directory_;
   std::string host_port_;
   EndpointDirectory::UpdateCallback on_update_;
-  bool has_answered_ = false;
-  bool has_answered_on_connection_ = false;
+  bool has_response_ = false;
+  bool has_response_on_connection_ = false;
   runtime::Duration backoff_{};
   std::minstd_rand random_;
   std::unique_ptr<runtime::Cancellation> address_changed_ = std::make_unique<runtime::Cancellation>();
--- a/src/discovery/feed_fields.h
+++ b/src/discovery/feed_fields.h
@@ -28,7 +28,7 @@
 
 // Values of kState. An endpoint with any other value gets no new requests.
 inline constexpr const char* kStateReady = "Ready";
-inline constexpr const char* kStateGone = "Gone";
+inline constexpr const char* kStateRemoved = "Gone";
 
 }  // namespace lemoncroft::discovery::feed
 
--- a/src/operator_config/admission_queue_block.cpp
+++ b/src/operator_config/admission_queue_block.cpp
@@ -23,8 +23,9 @@
 // Records a fault and returns nullopt if there is no such name. `what` is the kind of thing that is named.
 std::optional<std::size_t> ReadReference(const KdlNode& node, const std::vector<std::string>& names,
                                          const char* what, Faults& faults) {
-  const bool text = node.arguments.size() == 1 && node.arguments[0].kind == codec::KdlValue::Kind::kString;
-  if (!text || !node.properties.empty()) {
+  const bool has_name =
+      node.arguments.size() == 1 && node.arguments[0].kind == codec::KdlValue::Kind::kString;
+  if (!has_name || !node.properties.empty()) {
     faults.AddAt(node, node.name + ": expected the name of a " + what);
     return std::nullopt;
   }
@@ -108,13 +109,13 @@
   return queue;
 }
 
-// Checks that every tenant of the site has a budget and that each budget can be used. `given` contains the
-// indices of the tenants in the block.
+// Checks that every tenant of the site has a budget and that each budget can be used. `given_tenants`
+// contains the indices of the tenants in the block.
 void CheckTenants(const KdlNode& node, const settings::Site& site, const admission_queue::Settings& queue,
-                  const std::set<std::size_t>& given, Faults& faults) {
+                  const std::set<std::size_t>& given_tenants, Faults& faults) {
   for (std::size_t i = 0; i < site.tenants.size(); ++i) {
     const std::string& name = site.tenants[i];
-    if (given.contains(i) || name.empty()) continue;
+    if (given_tenants.contains(i) || name.empty()) continue;
     faults.AddAt(node, "team '" + name + "' of the site is not given: `team \"" + name +
                            "\" { cores 0 }` would refuse all it sends");
   }
@@ -131,7 +132,7 @@
   AdmissionQueueSettings out;
   out.queue = DefaultsOf(site);
   admission_queue::Settings& queue = out.queue;
-  std::set<std::size_t> given;
+  std::set<std::size_t> given_tenants;
   const auto read_class = [&](const KdlNode& n) {
     if (const auto class_id = ReadReference(n, site.classes, "class", faults))
       ReadClass(n, queue.classes[*class_id], faults);
@@ -139,7 +140,7 @@
   const auto read_tenant = [&](const KdlNode& n) {
     const auto tenant = ReadReference(n, site.tenants, "team", faults);
     if (!tenant) return;
-    if (!given.insert(*tenant).second)
+    if (!given_tenants.insert(*tenant).second)
       return faults.AddAt(n, "team '" + site.tenants[*tenant] + "': given twice");
     ReadTenant(n, site, queue.tenants[*tenant], faults);
   };
@@ -159,7 +160,7 @@
   if (!site.HasTenants())
     faults.AddAt(node, "waiting: divides capacity among tenants, but the site has none");
   ReadBlock(node.children, readers, {keys::queue::kClass, keys::queue::kTenant}, faults);
-  CheckTenants(node, site, queue, given, faults);
+  CheckTenants(node, site, queue, given_tenants, faults);
   return out;
 }
 
--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -18,10 +18,11 @@
 // Returns the only argument of the node. Records a fault and returns null if the node has other content or
 // the argument is of another kind.
 const KdlValue* OnlyArgument(const KdlNode& node, KdlValue::Kind kind, const char* expected, Faults& faults) {
-  const bool one = node.arguments.size() == 1 && node.properties.empty() && node.children.empty();
-  if (one && node.arguments[0].kind == kind) return &node.arguments[0];
+  const bool has_only_argument =
+      node.arguments.size() == 1 && node.properties.empty() && node.children.empty();
+  if (has_only_argument && node.arguments[0].kind == kind) return &node.arguments[0];
   const std::string message = node.name + ": expected " + expected;
-  if (one)
+  if (has_only_argument)
     faults.AddAt(node, node.arguments[0], message);
   else
     faults.AddAt(node, message);
@@ -35,7 +36,7 @@
 }
 
 // Returns the length of the unit in seconds, or zero for an unknown unit.
-double SecondsOf(std::string_view unit) {
+double SecondsPerUnit(std::string_view unit) {
   if (unit == "us") return 1e-6;
   if (unit == "ms") return 1e-3;
   if (unit == "s") return 1;
@@ -65,7 +66,7 @@
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || !std::isfinite(number) || number < 0) return false;
   const std::string unit(end, text.data() + text.size());
-  const double seconds = SecondsOf(unit);
+  const double seconds = SecondsPerUnit(unit);
   out = admission_queue::FromSeconds(number * seconds);
   return seconds > 0;
 }
@@ -75,16 +76,16 @@
   const KdlValue* value = OnlyArgument(node, KdlValue::Kind::kString,
                                        "a time with its unit, such as \"250ms\" or \"2s\"", faults);
   if (value == nullptr) return;
-  admission_queue::Duration span{};
-  if (!ParseDuration(value->text, span))
+  admission_queue::Duration duration{};
+  if (!ParseDuration(value->text, duration))
     return faults.AddAt(node, *value,
                         node.name + ": '" + value->text + "' is not a time with a unit (us, ms, s, m, h)");
-  if (span < min || span > max)
+  if (duration < min || duration > max)
     return faults.AddAt(node, *value,
                         node.name + ": '" + value->text + "' is not from " +
                             FormatNumber(admission_queue::Seconds(min)) + "s to " +
                             FormatNumber(admission_queue::Seconds(max)) + "s");
-  out = span;
+  out = duration;
 }
 
 void ReadNumber(const KdlNode& node, double min, double max, double& out, Faults& faults) {
@@ -123,8 +124,8 @@
       faults.AddAt(node, "'" + node.name + "' is not known here; known are " + KeysOf(readers));
       continue;
     }
-    const bool again = !seen.insert(node.name).second;
-    if (again && std::count(repeatable.begin(), repeatable.end(), node.name) == 0) {
+    const bool is_repeated = !seen.insert(node.name).second;
+    if (is_repeated && std::count(repeatable.begin(), repeatable.end(), node.name) == 0) {
       faults.AddAt(node, node.name + ": given twice");
       continue;
     }
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -46,18 +46,18 @@
 
 void ReadName(const KdlNode& node, std::size_t max_bytes, std::string& out, Faults& faults) {
   ReadText(node, out, faults);
-  const bool plain = std::all_of(out.begin(), out.end(), [](char c) { return c > ' ' && c < 0x7f; });
-  if (out.size() > max_bytes || !plain)
+  const bool is_printable = std::all_of(out.begin(), out.end(), [](char c) { return c > ' ' && c < 0x7f; });
+  if (out.size() > max_bytes || !is_printable)
     faults.AddAt(node,
                  node.name + ": at most " + std::to_string(max_bytes) + " plain characters without blanks");
 }
 
-// Checks settings that depend on each other. `given` is the set of keys in the block.
-void CheckFleet(const KdlNode& node, const FleetSettings& fleet, const std::set<std::string>& given,
+// Checks settings that depend on each other. `given_keys` is the set of keys in the block.
+void CheckFleet(const KdlNode& node, const FleetSettings& fleet, const std::set<std::string>& given_keys,
                 Faults& faults) {
-  const bool has_listen = given.contains(keys::fleet::kListen);
+  const bool has_listen = given_keys.contains(keys::fleet::kListen);
   if (!has_listen) faults.AddAt(node, "fleet: needs `listen`, where peers reach this proxy");
-  if (!given.contains(keys::fleet::kSeeds))
+  if (!given_keys.contains(keys::fleet::kSeeds))
     faults.AddAt(node, "fleet: needs `seeds`; the first proxy of a fleet lists only itself");
   if (fleet.advertise.size() != fleet.listen.size() && has_listen)
     faults.AddAt(node, "fleet: `advertise` needs an address for each of `listen`");
@@ -75,15 +75,18 @@
   KdlNode name = node;
   name.children.clear();
   ReadName(name, peer_transport::kMaxFleetNameBytes, out.name, faults);
-  std::set<std::string> given;
-  const auto noting = [&given](auto read) {
-    return [&given, read](const KdlNode& n) {
-      given.insert(n.name);
+  std::set<std::string> given_keys;
+  const auto recording_key = [&given_keys](auto read) {
+    return [&given_keys, read](const KdlNode& n) {
+      given_keys.insert(n.name);
       read(n);
     };
   };
-  const auto addresses = [&faults, &noting](std::vector<gossip::PeerAddress>& into, std::size_t max) {
-    return noting([&faults, &into, max](const KdlNode& n) { into = ReadPeerAddresses(n, max, faults); });
+  const auto addresses = [&faults, &recording_key](std::vector<gossip::PeerAddress>& out_addresses,
+                                                   std::size_t max) {
+    return recording_key([&faults, &out_addresses, max](const KdlNode& n) {
+      out_addresses = ReadPeerAddresses(n, max, faults);
+    });
   };
   gossip::Settings& membership = out.membership;
   const NodeReaders readers = {
@@ -100,8 +103,8 @@
        [&](const KdlNode& n) { ReadCount(n, kMaxMembers, membership.max_members, faults); }},
   };
   ReadBlock(node.children, readers, {}, faults);
-  if (!given.contains(keys::fleet::kAdvertise)) out.advertise = out.listen;
-  CheckFleet(node, out, given, faults);
+  if (!given_keys.contains(keys::fleet::kAdvertise)) out.advertise = out.listen;
+  CheckFleet(node, out, given_keys, faults);
   return out;
 }
 
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -72,7 +72,7 @@
   const Time until = Now() + kControlFeedTimeout;
   // The endpoint list of the configuration may be old, so the control feed is heard first.
   const auto waits = [&] {
-    return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
+    return (endpoint_watch.enabled() && !endpoint_watch.has_response()) ||
            (operations.has_valid_lease && !operations.has_valid_lease());
   };
   while (!directory.has_complete_list() || (waits() && Now() < until))
--- a/src/simulator_adapter/record_codes.h
+++ b/src/simulator_adapter/record_codes.h
@@ -14,9 +14,9 @@
   kRequest = 3,
   kStreamStarted = 4,
   kAttemptEnded = 5,
-  kClientGone = 6,
+  kRequestCancelled = 6,
   kTimerFired = 7,
-  kProbed = 8,
+  kProbeEnded = 8,
   kPeerMessage = 9,
   kStop = 10,
   kProgressNotice = 11,
@@ -39,7 +39,7 @@
 };
 
 // Readiness of an engine in a page entry.
-enum class ReadinessCode : std::uint8_t { kReady = 1, kGone = 2, kDraining = 3 };
+enum class ReadinessCode : std::uint8_t { kReady = 1, kRemoved = 2, kDraining = 3 };
 
 // Outcomes and kinds of progress notices are numbered from 1 in the order of the interface's enums.
 inline constexpr std::uint16_t kFirstOutcome = 1;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -75,7 +75,7 @@
   switch (static_cast<ReadinessCode>(code)) {
     case ReadinessCode::kReady:
       return Readiness::kReady;
-    case ReadinessCode::kGone:
+    case ReadinessCode::kRemoved:
       return Readiness::kRemoved;
     case ReadinessCode::kDraining:
       return Readiness::kDraining;
@@ -171,12 +171,12 @@
 }
 
 ProbeEnded ReadProbeEnded(Reader& in) {
-  ProbeEnded probed;
-  probed.elapsed = in.Time("waitTimeNs");
-  probed.engine = in.Int<std::uint32_t>("engine");
-  probed.outcome = ReadOutcome(in);
-  probed.load_report = ReadLoadReport(in);
-  return probed;
+  ProbeEnded ended;
+  ended.elapsed = in.Time("waitTimeNs");
+  ended.engine = in.Int<std::uint32_t>("engine");
+  ended.outcome = ReadOutcome(in);
+  ended.load_report = ReadLoadReport(in);
+  return ended;
 }
 
 PeerMessage ReadPeerMessage(Reader& in) {
@@ -236,13 +236,13 @@
       case EventCode::kAttemptEnded:
         Current(at).events.emplace_back(ReadAttemptEnded(in_));
         return;
-      case EventCode::kClientGone:
+      case EventCode::kRequestCancelled:
         Current(at).events.emplace_back(RequestCancelled{in_.Int<std::uint64_t>("req")});
         return;
       case EventCode::kTimerFired:
         Current(at).events.emplace_back(TimerFired{in_.Int<std::uint64_t>("keyBack")});
         return;
-      case EventCode::kProbed:
+      case EventCode::kProbeEnded:
         return AddEvent(ReadProbeEnded(in_), at);
       case EventCode::kPeerMessage:
         return AddEvent(ReadPeerMessage(in_), at);
@@ -261,7 +261,7 @@
 
   void SelectInstance() {
     const auto instance = in_.Int<std::uint16_t>("who");
-    const auto [it, is_new] = newest_.try_emplace(instance, batches_.size());
+    const auto [it, is_new] = newest_batches_.try_emplace(instance, batches_.size());
     if (is_new) batches_.emplace_back().instance = instance;
     current_ = it->second;
   }
@@ -272,7 +272,7 @@
     const InstanceBatch& before = Current(record_at);
     if (before.started || !before.events.empty()) {
       const std::uint16_t instance = before.instance;
-      current_ = newest_[instance] = batches_.size();
+      current_ = newest_batches_[instance] = batches_.size();
       InstanceBatch& restarted = batches_.emplace_back();
       restarted.instance = instance;
       restarted.stopped = true;
@@ -302,8 +302,8 @@
   Reader in_;
   Pages& pages_;
   std::vector<InstanceBatch> batches_;
-  std::optional<std::size_t> current_;           // index of the selected instance's newest batch
-  std::map<std::uint16_t, std::size_t> newest_;  // index of the newest batch, by instance
+  std::optional<std::size_t> current_;                   // index of the selected instance's newest batch
+  std::map<std::uint16_t, std::size_t> newest_batches_;  // index of the newest batch, by instance
 };
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -235,7 +235,7 @@
       loop, directory, server.address(), [&](const EngineList&) { ++lists; }, 7);
   const auto watch = [&]() -> runtime::Task<> {
     const runtime::Time until = runtime::Now() + 4s;
-    while (directory.last_event() < kLists && runtime::Now() < until) co_await loop.Sleep(10ms);
+    while (directory.last_revision() < kLists && runtime::Now() < until) co_await loop.Sleep(10ms);
     connections = server.connections();
     loop.Stop();
   };
@@ -243,7 +243,7 @@
   loop.Spawn(feed.Run());
   loop.Spawn(watch());
   loop.Run();
-  EXPECT_EQ(directory.last_event(), kLists);
+  EXPECT_EQ(directory.last_revision(), kLists);
   EXPECT_EQ(lists, kLists);
   EXPECT_EQ(directory.size(), static_cast<std::size_t>(kEngines));
   EXPECT_EQ(connections, 1);
