--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -60,7 +60,8 @@
   loop.Spawn(endpoint_watch.Run());
   loop.Spawn(stop_later());
   loop.Run();
-  EXPECT_GE(connected_at.size(), 10u) << "its return has to be seen within the grace of a drain";
+  EXPECT_GE(connected_at.size(), 10u)
+      << "a feed that is available again must be detected within the drain grace";
   EXPECT_LE(connected_at.size(), 45u);
   for (std::size_t i = 6; i < connected_at.size(); ++i) {
     EXPECT_GE(connected_at[i] - connected_at[i - 1], std::chrono::milliseconds(38)) << i;
@@ -103,7 +104,7 @@
   EXPECT_EQ(ended_incarnations_, 1);
   Announce("Ready", 0);
   EXPECT_EQ(last_update_.started_at, 5'000'000'000);
-  EXPECT_EQ(ended_incarnations_, 1);  // its new connections stay
+  EXPECT_EQ(ended_incarnations_, 1);  // the new connections are unaffected
   Announce("Ready", 7000);            // a later start
   EXPECT_EQ(last_update_.started_at, 7'000'000'000);
   Announce("Gone", 7000);
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: the document language, and the checked layer above it.
+// The operator's file: the KDL parser, and the typed and checked settings above it.
 #include <gtest/gtest.h>
 
 #include "codec/kdl.h"
@@ -10,7 +10,7 @@
 using codec::KdlNode;
 using codec::ParseKdl;
 
-std::string Shown(const KdlNode& node) {
+std::string Describe(const KdlNode& node) {
   std::string out = node.type.empty() ? node.name : "(" + node.type + ")" + node.name;
   const auto value = [](const codec::KdlValue& v) {
     const std::string type = v.type.empty() ? "" : "(" + v.type + ")";
@@ -22,21 +22,21 @@
   for (const auto& [name, v] : node.properties) out += " " + name + "=" + value(v);
   if (node.children.empty()) return out;
   out += " {";
-  for (const KdlNode& child : node.children) out += " " + Shown(child) + ";";
+  for (const KdlNode& child : node.children) out += " " + Describe(child) + ";";
   return out + " }";
 }
 
-std::string Shown(std::string_view text) {
+std::string Describe(std::string_view text) {
   std::string out;
   try {
-    for (const KdlNode& node : ParseKdl(text)) out += (out.empty() ? "" : " | ") + Shown(node);
+    for (const KdlNode& node : ParseKdl(text)) out += (out.empty() ? "" : " | ") + Describe(node);
   } catch (const codec::KdlError& e) {
     return e.what();
   }
   return out;
 }
 
-TEST(Kdl, ReadsTheLanguage) {
+TEST(Kdl, ValidDocument_IsParsed) {
   const std::pair<const char*, const char*> cases[] = {
       {"", ""},
       {"a; b\nc", "a | b | c"},
@@ -60,10 +60,10 @@
        "a | b | c"},
       {"-a .b +", "-a '.b' '+'"},
   };
-  for (const auto& [text, shown] : cases) EXPECT_EQ(Shown(text), shown) << text;
+  for (const auto& [text, expected] : cases) EXPECT_EQ(Describe(text), expected) << text;
 }
 
-TEST(Kdl, TellsWhereADocumentIsWrong) {
+TEST(Kdl, InvalidDocument_IsReportedWithPosition) {
   const std::pair<const char*, const char*> cases[] = {
       {"a {\n  b", "line 2, column 4: unclosed '{'"},
       {"a }", "line 1, column 3: unmatched '}'"},
@@ -85,17 +85,17 @@
       {"a \x01", "line 1, column 3: a character that KDL forbids"},
       {"a k=", "line 1, column 5: expected a value"},
   };
-  for (const auto& [text, error] : cases) EXPECT_EQ(Shown(text), error) << text;
+  for (const auto& [text, error] : cases) EXPECT_EQ(Describe(text), error) << text;
 }
 
-TEST(Kdl, IsBounded) {
+TEST(Kdl, OversizedDocument_IsRejected) {
   std::string deep;
   for (int i = 0; i < 10'000; ++i) deep += "a {";
-  EXPECT_NE(Shown(deep).find("nested too deeply"), std::string::npos);
-  EXPECT_NE(Shown(std::string(codec::kMaxKdlBytes + 1, ' ')).find("too large"), std::string::npos);
+  EXPECT_NE(Describe(deep).find("nested too deeply"), std::string::npos);
+  EXPECT_NE(Describe(std::string(codec::kMaxKdlBytes + 1, ' ')).find("too large"), std::string::npos);
   std::string many;
   for (std::size_t i = 0; i <= codec::kMaxKdlNodes; ++i) many += "a\n";
-  EXPECT_NE(Shown(many).find("too many nodes"), std::string::npos);
+  EXPECT_NE(Describe(many).find("too many nodes"), std::string::npos);
 }
 
 settings::Site Site() {
@@ -111,7 +111,7 @@
   return site;
 }
 
-std::string Faults(std::string_view text) {
+std::string FaultsOf(std::string_view text) {
   try {
     operator_config::ReadOperatorFile("f", text, Site());
   } catch (const operator_config::OperatorError& e) {
@@ -120,7 +120,7 @@
   return "";
 }
 
-TEST(OperatorFile, ReadsBudgets) {
+TEST(OperatorFile, Budgets_AreRead) {
   const auto file = operator_config::ReadOperatorFile("f", R"(
     waiting {
       ageing "500ms"; level 1.2; most 1000; tell-clients #true; state "/tmp/x"
@@ -144,9 +144,9 @@
   EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).admission_queue);
 }
 
-TEST(OperatorFile, TellsAllThatIsWrongAtOnce) {
+TEST(OperatorFile, AllFaults_AreReportedTogether) {
   EXPECT_EQ(
-      Faults(
+      FaultsOf(
           "waiting {\n  ageing 2\n  level \"x\"\n  colour 1\n  ageing \"2s\"\n"
           "  team \"east\" { cores 1 }\n  team \"north\" { burst \"2 fortnights\"; waiting 1.5 }\n}\nwating"),
       "f:2:10: ageing: expected a time with its unit, such as \"250ms\" or \"2s\"\n"
@@ -159,18 +159,18 @@
       "f:7:3: team 'north' has no cores: set a budget, 0 for none\n"
       "f:1:1: team 'south' of the site is not given: `team \"south\" { cores 0 }` would refuse all it sends\n"
       "f:9:1: 'wating' is not known here; known are fleet, rules, waiting");
-  EXPECT_EQ(Faults("waiting {"), "f:1:10: unclosed '{'");
-  EXPECT_NE(Faults("waiting { team \"north\" { cores -1 }; team \"south\" { cores 1; bar \"lookup\"; bar "
-                   "\"report\" } }")
+  EXPECT_EQ(FaultsOf("waiting {"), "f:1:10: unclosed '{'");
+  EXPECT_NE(FaultsOf("waiting { team \"north\" { cores -1 }; team \"south\" { cores 1; bar \"lookup\"; bar "
+                     "\"report\" } }")
                 .find("may use no class"),
             std::string::npos);
 }
 
 // ---- The fleet ----
 
-std::string FleetFaults(const std::string& inside) { return Faults("fleet \"f\" {\n" + inside + "\n}"); }
+std::string FleetFaults(const std::string& inside) { return FaultsOf("fleet \"f\" {\n" + inside + "\n}"); }
 
-TEST(OperatorFleet, IsReadWhole) {
+TEST(OperatorFleet, CompleteBlock_IsRead) {
   const operator_config::OperatorFile file = operator_config::ReadOperatorFile(
       "f",
       "fleet \"hanul\" { listen \"127.0.1.1:7100\" \"127.0.1.1:7101\"; seeds "
@@ -180,15 +180,15 @@
   ASSERT_TRUE(file.fleet.has_value());
   EXPECT_EQ(file.fleet->name, "hanul");
   EXPECT_EQ(file.fleet->listen.size(), 2u);
-  EXPECT_EQ(file.fleet->advertise, file.fleet->listen) << "told as it is bound";
+  EXPECT_EQ(file.fleet->advertise, file.fleet->listen) << "advertised as bound, by default";
   EXPECT_EQ(file.fleet->membership.seeds, (std::vector<gossip::PeerAddress>{{0x7f000101, 7100}}))
-      << "itself alone: the first";
+      << "the first proxy of a fleet lists only itself";
   EXPECT_EQ(file.fleet->membership.probe_interval, std::chrono::milliseconds(100));
   EXPECT_EQ(file.fleet->membership.max_members, 500u);
   EXPECT_FALSE(operator_config::ReadOperatorFile("f", "", Site()).fleet.has_value());
 }
 
-TEST(OperatorFleet, TellsWhatIsWrong) {
+TEST(OperatorFleet, EachFault_IsReported) {
   const std::string good = "listen \"127.0.1.1:1\"\nseeds \"127.0.1.1:1\"\n";
   const std::pair<std::string, std::string> cases[] = {
       {good, ""},
@@ -211,7 +211,7 @@
       {good + "zone \"a b\"", "f:4:1: zone: at most 32 plain characters without blanks"},
       {good + "most 1", "f:1:1: most: a fleet has at least two members"},
   };
-  for (const auto& [inside, wanted] : cases) EXPECT_EQ(FleetFaults(inside), wanted) << inside;
+  for (const auto& [inside, expected] : cases) EXPECT_EQ(FleetFaults(inside), expected) << inside;
 }
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,4 @@
-// Lists of engines, proxies and names far longer than those of today's sites.
+// Lists of engines, proxies and names that are far longer than those of current sites.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -30,7 +30,7 @@
 
 std::string Name(const std::string& what, int number) { return what + "-" + std::to_string(number); }
 
-// A JSON list of `make(0)` to `make(count - 1)`.
+// Returns a JSON list of `make(0)` to `make(count - 1)`.
 template <typename Make>
 std::string List(int count, const Make& make) {
   std::string text = "[";
@@ -55,7 +55,8 @@
   return R"({"n":)" + std::to_string(n) + R"(,"events":[)" + events + "]}";
 }
 
-// Settings with so many zones, tenants and classes, under names that begin with `prefix`.
+// Returns a configuration with kNames zones, tenants and classes. Names of tenants and classes begin with
+// `prefix`.
 std::string ConfigText(const std::string& prefix, const std::string& known) {
   const auto quoted = [](const std::string& name) { return '"' + name + '"'; };
   return R"({"name":"n1","listen":"127.0.0.1:5050","seed":"1","feed":"","known":)" + known +
@@ -75,15 +76,15 @@
 class Engines1500 : public testing::Test {
  protected:
   bool Apply(const std::string& document) {
-    return directory_.Apply(codec::Json::Parse(document), [this](const EngineList& list) { told_ = list; });
+    return directory_.Apply(codec::Json::Parse(document), [this](const EngineList& list) { update_ = list; });
   }
 
   settings::ActiveSettings site_{settings::Site()};
   discovery::EndpointDirectory directory_{site_};
-  EngineList told_;
+  EngineList update_;
 };
 
-TEST(Scale, SettingsWithFifteenHundredNames) {
+TEST(Scale, SettingsWith1500Names_AreRead) {
   const proxy::Config config =
       proxy::ReadConfig(ConfigText("a", Document(1, Event(1, true, Engines(0, kEngines)))));
   EXPECT_TRUE(config.findings.empty()) << config.findings.front().text;
@@ -93,19 +94,20 @@
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
   settings::ActiveSettings site(config.site);
   discovery::EndpointDirectory directory(site);
-  EngineList told;
-  ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { told = list; }));
-  ASSERT_EQ(told.entries->size(), static_cast<std::size_t>(kEngines));
-  EXPECT_EQ(told.entries->back().zone, kNames - 1);
+  EngineList update;
+  ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { update = list; }));
+  ASSERT_EQ(update.entries->size(), static_cast<std::size_t>(kEngines));
+  EXPECT_EQ(update.entries->back().zone, kNames - 1);
 }
 
-// All names change while a request of each is under way: both sets are in force for a while.
-TEST(Scale, AReloadThatChangesFifteenHundredNames) {
+// All names change while a request of each class and tenant is in flight, so that both sets of numbers stay
+// in use.
+TEST(Scale, ReloadThatChanges1500Names_KeepsNumbersInUse) {
   const settings::Site before = proxy::ReadConfig(ConfigText("a", Document(0, ""))).site;
   const settings::Site after = proxy::ReadConfig(ConfigText("b", Document(0, ""))).site;
-  settings::ReferencedNumbers used;
-  for (std::uint16_t i = 0; i < kNames; ++i) used.classes.insert(i), used.tenants.insert(i);
-  const settings::Migration migration = settings::MigrateSettings(before, after, used);
+  settings::ReferencedNumbers referenced;
+  for (std::uint16_t i = 0; i < kNames; ++i) referenced.classes.insert(i), referenced.tenants.insert(i);
+  const settings::Migration migration = settings::MigrateSettings(before, after, referenced);
   const settings::Site& site = migration.site;
   EXPECT_EQ(site.classes.size(), static_cast<std::size_t>(2 * kNames));
   std::set<std::uint16_t> numbers;
@@ -113,13 +115,13 @@
     EXPECT_FALSE(site.TenantOf(Name("a", i)));
     const auto tenant = site.TenantOf(Name("b", i));
     ASSERT_TRUE(tenant);
-    EXPECT_GE(*tenant, kNames) << "its number is another's, with a request under way";
+    EXPECT_GE(*tenant, kNames) << "the number still belongs to a former tenant with a request in flight";
     numbers.insert(*tenant);
   }
   EXPECT_EQ(numbers.size(), static_cast<std::size_t>(kNames));
 }
 
-TEST_F(Engines1500, AWholeListTakesThePlaceOfAnother) {
+TEST_F(Engines1500, CompleteList_ReplacesFormerList) {
   ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
   EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngines));
   int ended = 0;
@@ -127,57 +129,59 @@
   ASSERT_TRUE(Apply(Document(2, Event(2, true, Engines(1000, kEngines)))));
   EXPECT_EQ(ended, 1000);
   EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kEngines));
-  EXPECT_EQ(told_.entries->size(), static_cast<std::size_t>(kEngines));
+  EXPECT_EQ(update_.entries->size(), static_cast<std::size_t>(kEngines));
 }
 
-TEST_F(Engines1500, AllCanBeOutByHandAndBack) {
+TEST_F(Engines1500, AllEngines_CanBeEjectedAndReturned) {
   ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
-  const auto tell = [](const EngineList&) {};
-  using ByHand = discovery::ManualEjectionResult;
-  for (int i = 0; i < kEngines; ++i) ASSERT_EQ(directory_.Eject(Name("s", i), tell), ByHand::kDone) << i;
+  const auto ignore_update = [](const EngineList&) {};
+  using Result = discovery::ManualEjectionResult;
+  for (int i = 0; i < kEngines; ++i)
+    ASSERT_EQ(directory_.Eject(Name("s", i), ignore_update), Result::kDone) << i;
   EXPECT_EQ(directory_.CountEjected({}), static_cast<std::size_t>(kEngines));
-  std::set<std::string> out;
-  for (int i = 0; i < kEngines; ++i) out.insert(Name("s", i));
+  std::set<std::string> ejected_ids;
+  for (int i = 0; i < kEngines; ++i) ejected_ids.insert(Name("s", i));
   settings::ActiveSettings site{settings::Site()};
   discovery::EndpointDirectory successor(site);
-  successor.ImportEjections(out, {}, tell);
-  for (const std::string& id : out) EXPECT_TRUE(successor.IsEjected(id));
+  successor.ImportEjections(ejected_ids, {}, ignore_update);
+  for (const std::string& id : ejected_ids) EXPECT_TRUE(successor.IsEjected(id));
   for (int i = 0; i < kEngines; ++i)
-    directory_.ReturnToService(Name("s", i), std::chrono::system_clock::now(), tell);
+    directory_.ReturnToService(Name("s", i), std::chrono::system_clock::now(), ignore_update);
   EXPECT_EQ(directory_.CountEjected({}), 0u);
 }
 
-TEST_F(Engines1500, ThoseAvoidedAreCountedOnce) {
+TEST_F(Engines1500, EjectedEngines_AreCountedOnce) {
   ASSERT_TRUE(Apply(Document(1, Event(1, true, Engines(0, kEngines)))));
-  std::vector<EngineId> avoided;
-  for (const EngineEntry& entry : *told_.entries) avoided.push_back(entry.engine);
-  avoided.push_back(avoided.front());
-  avoided.push_back(1);  // not listed
+  std::vector<EngineId> outliers;
+  for (const EngineEntry& entry : *update_.entries) outliers.push_back(entry.engine);
+  outliers.push_back(outliers.front());
+  outliers.push_back(1);  // not listed
   directory_.Eject("s-0", [](const EngineList&) {});
-  EXPECT_EQ(directory_.CountEjected(avoided), static_cast<std::size_t>(kEngines));
+  EXPECT_EQ(directory_.CountEjected(outliers), static_cast<std::size_t>(kEngines));
 }
 
-// Each known engine was looked for in the whole list: a list of 64,000 kept a proxy busy for seconds.
-TEST_F(Engines1500, AWholeListCostsLittleMoreThanAChangeOfAll) {
+// Each known engine was once searched for in the complete list, so that a list of 64,000 engines blocked a
+// proxy for seconds.
+TEST_F(Engines1500, CompleteList_CostsLittleMoreThanChangeOfAllEngines) {
   constexpr int kMany = 64'000;
   const std::string engines = Engines(0, kMany);
   const auto first = codec::Json::Parse(Document(1, Event(1, true, engines)));
   const auto change = codec::Json::Parse(Document(2, Event(2, false, engines)));
-  const auto whole = codec::Json::Parse(Document(3, Event(3, true, engines)));
+  const auto complete_list = codec::Json::Parse(Document(3, Event(3, true, engines)));
   const auto seconds = [&](const codec::Json& document) {
     const auto since = std::chrono::steady_clock::now();
     directory_.Apply(document, [](const EngineList&) {});
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - since).count();
   };
   seconds(first);
-  const double of_change = seconds(change), of_whole = seconds(whole);
-  EXPECT_LT(of_whole, 3 * of_change + 0.1) << "a change took " << of_change << " s";
+  const double change_seconds = seconds(change), complete_seconds = seconds(complete_list);
+  EXPECT_LT(complete_seconds, 3 * change_seconds + 0.1) << "a change took " << change_seconds << " s";
   EXPECT_EQ(directory_.size(), static_cast<std::size_t>(kMany));
 }
 
 // ---- The control feed ----
 
-// Sends one answer slice by slice, as a loaded network brings it, and then nothing.
+// Sends a single response in slices, as over a loaded network, and then nothing.
 class SlowFeed {
  public:
   SlowFeed(runtime::Loop& loop, const std::string& body, std::size_t slices, runtime::Duration pause)
@@ -185,7 +189,7 @@
         listener_(loop, *runtime::Address::Parse("127.0.0.1:0")),
         slices_(slices),
         pause_(pause) {
-    answer_ = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    response_ = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
 
   std::string address() const { return listener_.address().ToString(); }
@@ -198,10 +202,10 @@
       ++connections_;
       std::string request;
       co_await socket->Read(request, 4096, runtime::Now() + 1s);
-      const std::size_t slice = answer_.size() / slices_ + 1;
-      for (std::size_t at = 0; at < answer_.size(); at += slice) {
+      const std::size_t slice = response_.size() / slices_ + 1;
+      for (std::size_t at = 0; at < response_.size(); at += slice) {
         std::size_t written = 0;
-        const auto part = std::string_view(answer_).substr(at, slice);
+        const auto part = std::string_view(response_).substr(at, slice);
         if (co_await socket->Write(part, written, runtime::Now() + 1s) != runtime::IoResult::kOk) break;
         co_await loop_.Sleep(pause_);
       }
@@ -212,15 +216,16 @@
  private:
   runtime::Loop& loop_;
   runtime::Listener listener_;
-  std::string answer_;
+  std::string response_;
   std::size_t slices_;
   runtime::Duration pause_;
   int connections_ = 0;
-  std::vector<std::unique_ptr<runtime::Socket>> sockets_;  // stay open
+  std::vector<std::unique_ptr<runtime::Socket>> sockets_;  // kept open
 };
 
-// It had 210 ms for the whole of its answer, and was then asked for the same on a new connection, for ever.
-TEST(Scale, ALongListThatComesSlowlyIsTaken) {
+// The feed once had 210 ms for its complete response. After that, the same response was requested on a new
+// connection, endlessly.
+TEST(Scale, LongListReceivedSlowly_IsApplied) {
   std::string events;
   constexpr int kLists = 25;
   for (int n = 1; n <= kLists; ++n) events += (n > 1 ? "," : "") + Event(n, true, Engines(n, kEngines));
@@ -249,9 +254,9 @@
   EXPECT_EQ(connections, 1);
 }
 
-// ---- What processes and proxies tell each other ----
+// ---- Data shared by processes and proxies ----
 
-TEST(Scale, FifteenHundredEjectedEnginesOutliveTheProcess) {
+TEST(Scale, EjectionStoreWith1500Engines_IsReadBack) {
   const auto folder =
       std::filesystem::temp_directory_path() / ("lemoncroft-scale-" + std::to_string(::getpid()));
   std::filesystem::create_directories(folder);
@@ -265,7 +270,7 @@
   EXPECT_EQ(read->returned_at.size(), static_cast<std::size_t>(kEngines / 2));
 }
 
-TEST(Scale, RulesThatNameFifteenHundredOfEachKind) {
+TEST(Scale, DocumentWith1500NamesOfEachKind_IsReadBack) {
   replicated_config::Document document;
   for (int i = 0; i < kNames; ++i) {
     document.classes[Name("class", i)].effect = Effect::kKeyed;
@@ -279,7 +284,7 @@
   EXPECT_EQ(*read, document);
 }
 
-// As long as a record may be.
+// Returns a record of the maximum length.
 gossip::MemberRecord LongRecord(int number) {
   gossip::MemberRecord r;
   r.id = static_cast<gossip::InstanceId>(number) + 1;
@@ -293,8 +298,8 @@
   return r;
 }
 
-// One message with all members would be longer than a message may be, and none would ever come.
-TEST(Scale, ANewcomerLearnsOfFifteenHundredProxiesWithLongRecords) {
+// A single message with all members would exceed the maximum message length and could never be sent.
+TEST(Scale, StateSyncWith1500LongRecords_Completes) {
   const gossip::Time start = gossip::Time() + 1h;
   gossip::MembershipView fleet({}, LongRecord(0), 1, start), newcomer({}, LongRecord(kProxies), 2, start);
   gossip::SyncEntries all{LongRecord(1), {}, {}};
@@ -309,9 +314,9 @@
   for (gossip::Time now = start; exchanges < 4 && newcomer.members().digest() != fleet.members().digest();
        ++exchanges) {
     now += 1s;
-    const gossip::SyncEntries answer = fleet.HandleSyncRequest(now, newcomer.StartSync(now));
-    EXPECT_LE(size(answer), peer_transport::kMaxStreamMessageBytes);
-    const gossip::SyncEntries closing = newcomer.HandleSyncResponse(now, answer);
+    const gossip::SyncEntries response = fleet.HandleSyncRequest(now, newcomer.StartSync(now));
+    EXPECT_LE(size(response), peer_transport::kMaxStreamMessageBytes);
+    const gossip::SyncEntries closing = newcomer.HandleSyncResponse(now, response);
     EXPECT_LE(size(closing), peer_transport::kMaxStreamMessageBytes);
     fleet.FinishSync(now, closing);
   }
--- a/tests/settings_migration_test.cpp
+++ b/tests/settings_migration_test.cpp
@@ -1,4 +1,4 @@
-// The numbers of classes, tenants, zones and kinds across a change of settings.
+// The numbers of classes, tenants, zones and kinds when the settings are replaced.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,10 +39,10 @@
   EXPECT_EQ(next.site.module.classes[0].client_timeout, 1);
   EXPECT_EQ(next.site.module.classes[1].client_timeout, 9);
   EXPECT_EQ(next.inherits_estimates_from, (std::vector<int>{0, 0}))
-      << "it inherits the estimates of the old one";
+      << "the changed class inherits the estimates of the former class";
   EXPECT_FALSE(next.site.ClassOf(""));
   EXPECT_EQ(next.site.ClassOf("a"), 1);
-  // Without requests in flight the number is free for a new class.
+  // Without requests in flight, the number is available to a new class.
   const auto later = MigrateSettings(next.site, SiteOf({{"b", 2}, {"a", 9}}), {{1}, {0}});
   EXPECT_EQ(later.site.classes, (Names{"b", "a"}));
   EXPECT_EQ(later.inherits_estimates_from, (std::vector<int>{-1, 1}));
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,5 +1,5 @@
-// Settings of any customer: what contradicts itself is told in a plain line, and what can be served is
-// served.
+// The parser and the checks of settings. Each fault is reported as a finding, and the classes that can be
+// served are served nevertheless.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-// A configuration with every kind of setting, about which nothing is to be said.
+// A configuration with every kind of setting and without findings.
 json GoodConfig() {
   return json::parse(R"({
     "name": "n1", "listen": "127.0.0.1:5050", "seed": "8c1f30d27a5be964",
@@ -57,7 +57,7 @@
         "extraRatio": 0.1, "lookBackNs": 10000000000}}})");
 }
 
-// The setting at a path such as /limits/probing with another value; null takes it out.
+// Returns GoodConfig() with another value of the setting at a path such as /limits/probing; null removes it.
 json With(const std::string& path, const json& value) {
   json config = GoodConfig();
   const json::json_pointer at("/settings" + path);
@@ -76,7 +76,7 @@
   return texts;
 }
 
-TEST(SettingsCheck, HasNothingToSayOfGoodSettings) {
+TEST(SettingsCheck, ValidSettings_HaveNoFindings) {
   const proxy::Config config = Read(GoodConfig());
   EXPECT_EQ(TextsOf(config), std::vector<std::string>());
   EXPECT_NO_THROW(proxy::CheckFigures(config));
@@ -86,16 +86,16 @@
   std::string path;
   json value;
   Severity severity;
-  std::string text;  // the whole line behind "settings."
+  std::string text;  // the complete line without the prefix "settings."; empty: no finding
 };
 
-// A table of faults, one entry each.
+// The table of faults.
 // NOLINTNEXTLINE(readability-function-size)
 std::vector<Fault> Faults() {
   constexpr Severity kWarning = Severity::kWarning, kError = Severity::kError;
   const std::string lookup = "requestClasses 'lookup' ", load = "requestClasses 'load' ";
   return {
-      {"/requestClasses/0/promiseNs", 0, kWarning, ""},  // its work has an aim
+      {"/requestClasses/0/promiseNs", 0, kWarning, ""},  // the stretch alone defines an objective
       {"/requestClasses/1/promiseNs", 0, kWarning,
        load + "promiseNs: none; the deadline of the class is used instead"},
       {"/requestClasses/0/promiseNs", 4e9, kWarning,
@@ -186,8 +186,8 @@
   };
 }
 
-// Each fault is told in one line; errors are refused where other settings are in force, and no start is.
-TEST(SettingsCheck, TellsEachFaultInAPlainLine) {
+// Each fault is reported in one line. A reload rejects errors; a start does not.
+TEST(SettingsCheck, EachFault_IsReportedAsFinding) {
   for (const Fault& fault : Faults()) {
     SCOPED_TRACE(fault.path + " = " + fault.value.dump());
     const proxy::Config config = Read(With(fault.path, fault.value));
@@ -198,7 +198,7 @@
     }
     const settings::Finding expected{fault.severity, "settings." + fault.text};
     EXPECT_NE(std::find(config.findings.begin(), config.findings.end(), expected), config.findings.end())
-        << "said: " << json(TextsOf(config)).dump();
+        << "findings: " << json(TextsOf(config)).dump();
     if (fault.severity == Severity::kWarning)
       EXPECT_NO_THROW(proxy::CheckFigures(config));
     else
@@ -206,7 +206,7 @@
   }
 }
 
-TEST(SettingsCheck, TellsOfProbesThatBringNoReports) {
+TEST(SettingsCheck, ReportsFromProbes_WithoutProbing_AreReported) {
   json config = With("/report/source", "probe");
   config["settings"]["limits"]["probing"] = false;
   EXPECT_EQ(TextsOf(Read(config)),
@@ -214,15 +214,15 @@
                                      "which limits.probing does not allow"});
 }
 
-// The one thing that a start refuses: no request could ever be served.
-TEST(SettingsCheck, RefusesAStartWithoutANamedClass) {
+// The only settings that a start rejects: no request could ever be served.
+TEST(SettingsCheck, NoNamedClass_IsNotServable) {
   json config = GoodConfig();
-  for (json& of_class : config["settings"]["requestClasses"]) of_class["name"] = "";
+  for (json& request_class : config["settings"]["requestClasses"]) request_class["name"] = "";
   EXPECT_THROW(proxy::CheckServable(Read(config)), proxy::ConfigError);
   EXPECT_THROW(Read(With("/requestClasses", json::array())), proxy::ConfigError);
 }
 
-TEST(SettingsCheck, AllowsSitesWithoutTenants) {
+TEST(SettingsCheck, SiteWithoutTenants_HasNoFindings) {
   for (const json& tenants : {json::array(), json()}) {
     const proxy::Config config = Read(With("/tenants", tenants));
     EXPECT_EQ(TextsOf(config), std::vector<std::string>());
@@ -230,8 +230,8 @@
   }
 }
 
-// A reload may take the last tenant away, or bring the first; a key that members lack is another matter.
-TEST(SettingsShape, ListsMayBecomeEmptyAndFull) {
+// A reload may remove the last tenant or add the first one. It must not remove a key of a tenant.
+TEST(SettingsShape, TenantList_MayBecomeEmptyOrNonEmpty) {
   const proxy::Config some = Read(GoodConfig()), none = Read(With("/tenants", json::array()));
   EXPECT_NO_THROW(proxy::CheckShape(none, some));
   EXPECT_NO_THROW(proxy::CheckShape(some, none));
@@ -242,42 +242,43 @@
   EXPECT_THROW(proxy::CheckShape(Read(mixed), some), proxy::ConfigError);
 }
 
-// A word that a later version brings must not keep a proxy from starting, nor loosen a rule.
-TEST(Settings, AnUnknownWordIsTakenAsTheStrictest) {
+// A value that a later version introduces must neither prevent a proxy from starting nor relax a rule.
+TEST(Settings, UnknownValue_IsTreatedAsStrictest) {
   EXPECT_EQ(Read(With("/requestClasses/0/effect", "soft")).site.module.classes[0].effect, Effect::kUnsafe);
   EXPECT_EQ(Read(With("/requestClasses/0/group", "town")).site.module.classes[0].repeat_group,
             RepeatGroup::kCell);
 }
 
-// An aim of 0 would be missed by every request before it could be sent.
-TEST(Settings, AClassWithoutAnAimHasItsDeadline) {
+// Every request would miss a latency objective of 0 before it could be sent.
+TEST(Settings, ClassWithoutLatencyObjective_GetsDeadlineAsObjective) {
   EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 0)).site.module.classes[1].latency_objective,
             20'000 * kMs);
   EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 7)).site.module.classes[1].latency_objective, 7);
 }
 
-// An engine of one core would never be sent a query of four threads.
-TEST(Settings, KindsWithoutCoresHaveTheLeastOfTheOthers) {
-  const auto cores = [](const json& told) {
+// With too few cores, an engine would never be sent a query that uses more threads.
+TEST(Settings, KindWithoutCores_GetsFewestCoresOfOtherKinds) {
+  const auto cores = [](const json& setting) {
     std::vector<double> out;
-    for (const KindSettings& kind : Read(With("/specifics/cpuOfKind", told)).site.module.kinds)
+    for (const KindSettings& kind : Read(With("/specifics/cpuOfKind", setting)).site.module.kinds)
       out.push_back(kind.cores);
     return out;
   };
   EXPECT_EQ(cores({8, 4}), (std::vector<double>{8, 4}));
   EXPECT_EQ(cores({8}), (std::vector<double>{8, 8}));
   EXPECT_EQ(cores({0, 4}), (std::vector<double>{4, 4}));
-  EXPECT_EQ(cores(nullptr), (std::vector<double>{2, 2})) << "the threads of the class with the most";
+  EXPECT_EQ(cores(nullptr), (std::vector<double>{2, 2})) << "the threads of the class that uses the most";
 }
 
-// With none at all every connection would time out before it could come up.
-TEST(Settings, AConnectionHasTimeToComeUp) {
+// With a timeout of 0, every connection would time out before it could be established.
+TEST(Settings, MissingConnectTimeout_GetsDefault) {
   EXPECT_EQ(Read(With("/limits/connectTimeoutNs", 0)).site.module.connect_timeout, 250 * kMs);
   EXPECT_EQ(Read(With("/limits/connectTimeoutNs", nullptr)).site.module.connect_timeout, 250 * kMs);
 }
 
-// The module leaves heavy attempts to the notes that it is told to expect, and on sockets none are read.
-TEST(Settings, PromiseNoNotesOnSockets) {
+// If the module expects progress notices, it relies on them to judge heavy attempts. The proxy never receives
+// any.
+TEST(Settings, ProgressInterval_IsIgnoredByProxy) {
   EXPECT_EQ(Read(With("/specifics/progressNs", 1000000)).site.module.progress_interval, 0);
 }
 
@@ -287,26 +288,28 @@
  public:
   explicit Fleet(const json& config) : site_(Read(config).site), directory_(site_) {}
 
-  // Tells of one engine; with its entry as the module sees it.
-  EngineEntry Tell(const json& member, bool complete = false) {
+  // Announces one engine. Returns its entry in the update for the decision module.
+  EngineEntry Announce(const json& member, bool complete = false) {
     EngineEntry entry;
-    const json event = {{"n", ++n_}, {"members", {{"complete", complete}, {"members", {member}}}}};
-    const json document = {{"n", n_}, {"events", {event}}};
+    const json event = {{"n", ++revision_}, {"members", {{"complete", complete}, {"members", {member}}}}};
+    const json document = {{"n", revision_}, {"events", {event}}};
     directory_.Apply(codec::Json::Parse(document.dump()), [&](const EngineList& list) {
       entry = list.entries->at(0);
-      last_ = list;
+      last_update_ = list;
     });
     return entry;
   }
-  const EngineList& last() const { return last_; }
+  const EngineList& last_update() const { return last_update_; }
   const settings::Site& site() const { return *site_; }
-  std::size_t Avoided(const std::vector<EngineId>& avoided) const { return directory_.CountEjected(avoided); }
+  std::size_t EjectedCount(const std::vector<EngineId>& outliers) const {
+    return directory_.CountEjected(outliers);
+  }
 
  private:
   settings::ActiveSettings site_;
   discovery::EndpointDirectory directory_;
-  int n_ = 0;
-  EngineList last_;
+  int revision_ = 0;
+  EngineList last_update_;
 };
 
 json Engine(const std::string& zone, const std::string& kind, const std::string& id = "s-1") {
@@ -316,78 +319,79 @@
           {"size", 4},        {"up_since_ms", 0}};
 }
 
-// Whether a request of class `klass` leaves for the engine.
-bool Goes(const Fleet& fleet, std::uint16_t class_id) {
+// Returns true if a request of class `class_id` is sent to the engine.
+bool IsSent(const Fleet& fleet, std::uint16_t class_id) {
   Settings settings = fleet.site().module;
-  settings.report_fields.clear();  // else the engine would be asked for its load first
+  settings.report_fields.clear();  // otherwise, the engine would be probed for its load first
   Gateway gateway(settings, 1);
   Request request;
   request.id = 1;
   request.class_id = class_id;
   request.client_timeout = 10'000 * kMs;
   std::vector<Action> actions;
-  gateway.Step(0, std::vector<Event>{fleet.last(), request}, actions);
+  gateway.Step(0, std::vector<Event>{fleet.last_update(), request}, actions);
   return std::any_of(actions.begin(), actions.end(),
                      [](const Action& action) { return std::holds_alternative<Send>(action); });
 }
 
-// Numbered as the settings' first zone, it would be sent what is bound to that one.
-TEST(Placement, AnEngineOfAnUnlistedZoneIsSentNothingThatIsBound) {
+// With the number of the settings' first zone, the engine would be sent requests that are bound to that zone.
+TEST(Placement, EngineOfUnlistedZone_GetsNoBoundRequests) {
   json config = GoodConfig();
   config["settings"]["requestClasses"][1]["staysIn"] = {"east"};
   Fleet fleet(config);
-  fleet.Tell(Engine("north", "big"), true);
-  EXPECT_FALSE(Goes(fleet, 1));
-  EXPECT_TRUE(Goes(fleet, 0));
-  fleet.Tell(Engine("east", "big"));
-  EXPECT_TRUE(Goes(fleet, 1));
+  fleet.Announce(Engine("north", "big"), true);
+  EXPECT_FALSE(IsSent(fleet, 1));
+  EXPECT_TRUE(IsSent(fleet, 0));
+  fleet.Announce(Engine("east", "big"));
+  EXPECT_TRUE(IsSent(fleet, 1));
 }
 
-TEST(Placement, AnEngineOfAnUnlistedKindIsSentNothingThatIsBound) {
+TEST(Placement, EngineOfUnlistedKind_GetsNoBoundRequests) {
   json config = GoodConfig();
   config["settings"]["requestClasses"][1]["boundTo"] = {"small"};
   Fleet fleet(config);
-  fleet.Tell(Engine("west", "huge"), true);
-  EXPECT_FALSE(Goes(fleet, 1));
-  EXPECT_TRUE(Goes(fleet, 0));
+  fleet.Announce(Engine("west", "huge"), true);
+  EXPECT_FALSE(IsSent(fleet, 1));
+  EXPECT_TRUE(IsSent(fleet, 0));
 }
 
-// Their repeats aren't discarded by each other's engines.
-TEST(Placement, UnlistedZonesAreToldApart) {
+// Engines of different zones may not recognise each other's idempotency keys, so unlisted zones need separate
+// numbers.
+TEST(Placement, UnlistedZones_GetDistinctNumbers) {
   Fleet fleet(GoodConfig());
-  const EngineEntry north = fleet.Tell(Engine("north", "big", "a"), true);
-  const EngineEntry south = fleet.Tell(Engine("south", "big", "b"));
+  const EngineEntry north = fleet.Announce(Engine("north", "big", "a"), true);
+  const EngineEntry south = fleet.Announce(Engine("south", "big", "b"));
   EXPECT_NE(north.zone, south.zone);
-  EXPECT_EQ(fleet.Tell(Engine("north", "big", "c")).zone, north.zone);
-  for (int i = 0; i < 2000; ++i) fleet.Tell(Engine("z" + std::to_string(i), "big", "d"));
-  EXPECT_EQ(fleet.Tell(Engine("south", "big", "b")).zone, south.zone);
+  EXPECT_EQ(fleet.Announce(Engine("north", "big", "c")).zone, north.zone);
+  for (int i = 0; i < 2000; ++i) fleet.Announce(Engine("z" + std::to_string(i), "big", "d"));
+  EXPECT_EQ(fleet.Announce(Engine("south", "big", "b")).zone, south.zone);
 }
 
-// That its settings lack the kind must not keep the whole proxy from its other classes.
-TEST(Placement, AClassBoundToAnUnlistedKindIsServedByEnginesOfIt) {
+// A kind that the settings don't list must not prevent the proxy from serving its other classes.
+TEST(Placement, ClassBoundToUnlistedKind_IsServedByEnginesOfThatKind) {
   Fleet fleet(With("/requestClasses/1/boundTo", {"gpu"}));
-  fleet.Tell(Engine("west", "big"), true);
-  EXPECT_FALSE(Goes(fleet, 1));
-  EXPECT_TRUE(Goes(fleet, 0));
-  fleet.Tell(Engine("west", "gpu"));
-  EXPECT_TRUE(Goes(fleet, 1));
+  fleet.Announce(Engine("west", "big"), true);
+  EXPECT_FALSE(IsSent(fleet, 1));
+  EXPECT_TRUE(IsSent(fleet, 0));
+  fleet.Announce(Engine("west", "gpu"));
+  EXPECT_TRUE(IsSent(fleet, 1));
 }
 
-// Lists of names have underscores for blanks, the control feed has the blanks.
-TEST(Placement, NamesWithBlanksAreTheSameInSettingsAndFeed) {
+// Lists of names contain underscores in place of spaces; the control feed contains the spaces.
+TEST(Placement, NameWithSpaces_IsTheSameInSettingsAndFeed) {
   json config = GoodConfig();
   config["settings"]["dcs"] = {"hall a", "hall b"};
   config["settings"]["requestClasses"][1]["staysIn"] = {"hall b"};
   EXPECT_EQ(TextsOf(Read(config)), std::vector<std::string>());
   Fleet fleet(config);
-  EXPECT_EQ(fleet.Tell(Engine("hall b", "big"), true).zone, 1);
+  EXPECT_EQ(fleet.Announce(Engine("hall b", "big"), true).zone, 1);
 }
 
-// A change says what has changed: what it leaves out stays as it was.
-TEST(Placement, WhatAChangeLeavesOutStaysAsItWas) {
+// A change contains only the changed fields; omitted fields must keep their values.
+TEST(Placement, ChangeWithoutSomeFields_KeepsTheirValues) {
   Fleet fleet(GoodConfig());
-  const EngineEntry before = fleet.Tell(Engine("west", "big"), true);
-  const EngineEntry after = fleet.Tell({{"id", "s-1"}, {"phase", "Terminating"}});
+  const EngineEntry before = fleet.Announce(Engine("west", "big"), true);
+  const EngineEntry after = fleet.Announce({{"id", "s-1"}, {"phase", "Terminating"}});
   EXPECT_EQ(after.readiness, Readiness::kDraining);
   EXPECT_EQ(after.zone, before.zone);
   EXPECT_EQ(after.kind, before.kind);
@@ -395,11 +399,11 @@
   EXPECT_EQ(after.weight, before.weight);
 }
 
-TEST(Placement, WhereThereIsOneZoneItNeedNotBeNamed) {
+TEST(Placement, OnlyZone_NeedNotBeAnnounced) {
   Fleet fleet(With("/dcs", {"west"}));
   json engine = Engine("", "big");
   engine.erase("locality");
-  EXPECT_EQ(fleet.Tell(engine, true).zone, 0);
+  EXPECT_EQ(fleet.Announce(engine, true).zone, 0);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The simulator's wire: hand-written frames and broken ones.
+// The codec of the simulator's protocol, with valid and invalid frames.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace lemoncroft::simulator_adapter {
 namespace {
 
-std::string Hex(std::string_view text) {
+std::string FromHex(std::string_view text) {
   std::string out;
   int half = -1;
   for (char c : text) {
@@ -30,17 +30,17 @@
 }
 
 TEST(DecodeHeader, EmptyBatch_IsRead) {
-  BatchHeader h = DecodeHeader(Hex("00000000 00000000 00000001f568bf90"));
+  BatchHeader h = DecodeHeader(FromHex("00000000 00000000 00000001f568bf90"));
   EXPECT_EQ(h.length, 0u);
   EXPECT_EQ(h.records, 0u);
   EXPECT_EQ(h.now, 0x1f568bf90);
 }
 
-TEST(DecodeHeader, ImpossibleValues_Throw) {
-  EXPECT_THROW(DecodeHeader(Hex("00000000 0000")), WireError);
-  EXPECT_THROW(DecodeHeader(Hex("ffffffff 00000001 0000000000000000")), WireError);
-  EXPECT_THROW(DecodeHeader(Hex("00000004 00000005 0000000000000000")), WireError);
-  EXPECT_THROW(DecodeHeader(Hex("00000004 00000001 ffffffffffffffff")), WireError);
+TEST(DecodeHeader, InvalidValues_Throw) {
+  EXPECT_THROW(DecodeHeader(FromHex("00000000 0000")), WireError);
+  EXPECT_THROW(DecodeHeader(FromHex("ffffffff 00000001 0000000000000000")), WireError);
+  EXPECT_THROW(DecodeHeader(FromHex("00000004 00000005 0000000000000000")), WireError);
+  EXPECT_THROW(DecodeHeader(FromHex("00000004 00000001 ffffffffffffffff")), WireError);
 }
 
 const char kTwoInstances[] =
@@ -48,7 +48,7 @@
     "41300000 0001 07 000000000000004d 0d 0005 06 000814800e6f2b19";
 
 TEST(Decoder, EventsOfTwoInstances_AreReadByInstance) {
-  auto batches = DecodeBody(Hex(kTwoInstances), 5);
+  auto batches = DecodeBody(FromHex(kTwoInstances), 5);
   ASSERT_EQ(batches.size(), 2u);
   EXPECT_EQ(batches[0].instance, 3);
   ASSERT_EQ(batches[0].events.size(), 2u);
@@ -66,9 +66,9 @@
 
 TEST(Decoder, PageListAndOutcome_AreRead) {
   auto batches = DecodeBody(
-      Hex("0d 0003 0c 0000 00000002 3f800000 01 0000 0000 0000000000000000 03124a07 0000"
-          "3fc00000 03 0000 0000 000000016b969d00 2c9011f2 0000 02 02 0000 00000029"
-          "05 0003fcd55d3a91c4 0000 03124a07 0001 00000000011a49a0 01 00011060 02 40e000003f1eb852"),
+      FromHex("0d 0003 0c 0000 00000002 3f800000 01 0000 0000 0000000000000000 03124a07 0000"
+              "3fc00000 03 0000 0000 000000016b969d00 2c9011f2 0000 02 02 0000 00000029"
+              "05 0003fcd55d3a91c4 0000 03124a07 0001 00000000011a49a0 01 00011060 02 40e000003f1eb852"),
       4);
   ASSERT_EQ(batches.size(), 1u);
   const auto& list = std::get<EngineList>(batches[0].events[0]);
@@ -85,21 +85,21 @@
   EXPECT_FLOAT_EQ(end.load_report.values[0], 7);
 }
 
-TEST(Decoder, BrokenFrames_Throw) {
-  const std::string good = Hex(kTwoInstances);
+TEST(Decoder, InvalidFrames_Throw) {
+  const std::string good = FromHex(kTwoInstances);
   for (std::size_t n = 0; n < good.size(); ++n)
     EXPECT_THROW(DecodeBody(good.substr(0, n), 5), WireError) << n;
   EXPECT_THROW(DecodeBody(good, 4), WireError) << "bytes left over";
-  EXPECT_THROW(DecodeBody(Hex("0d 0003 63"), 2), WireError) << "unknown code";
-  EXPECT_THROW(DecodeBody(Hex("07 000000000000004d"), 1), WireError) << "no instance";
-  EXPECT_THROW(DecodeBody(Hex("0d 0003 02 00 0003 00000001"), 2), WireError) << "unknown page";
-  EXPECT_THROW(DecodeBody(Hex("0c 0010 00000000"), 1), WireError) << "page out of range";
-  EXPECT_THROW(DecodeBody(Hex("0c 0000 ffffffff"), 1), WireError) << "impossible count";
+  EXPECT_THROW(DecodeBody(FromHex("0d 0003 63"), 2), WireError) << "unknown code";
+  EXPECT_THROW(DecodeBody(FromHex("07 000000000000004d"), 1), WireError) << "no instance";
+  EXPECT_THROW(DecodeBody(FromHex("0d 0003 02 00 0003 00000001"), 2), WireError) << "unknown page";
+  EXPECT_THROW(DecodeBody(FromHex("0c 0010 00000000"), 1), WireError) << "page out of range";
+  EXPECT_THROW(DecodeBody(FromHex("0c 0000 ffffffff"), 1), WireError) << "count out of range";
 }
 
 TEST(Decoder, MutatedFrames_ThrowOrDecode) {
   std::mt19937 random(1);
-  const std::string good = Hex(kTwoInstances);
+  const std::string good = FromHex(kTwoInstances);
   int rejected = 0;
   for (int i = 0; i < 3000; ++i) {
     std::string bad = good;
@@ -131,13 +131,13 @@
   EXPECT_THROW(ParseSettings("limits.cancel=perhaps"), WireError);
 }
 
-TEST(ReplyWriter, ExampleOfTheProtocol_HasItsBytes) {
+TEST(ReplyWriter, ExampleOfTheProtocol_IsEncodedExactly) {
   ReplyWriter reply;
   reply.Add(3, {Send{0x0003fcd55d3a91c4, 0x03124a07, 0x04c4b400}, WakeAt{0x213362490, 0x4d}});
   reply.Add(5, {LogLine{"two servers unknown"}});
-  EXPECT_EQ(reply.Finish(), Hex("00000005 00000040 0e 0003 01 0003fcd55d3a91c4 03124a07 0000000004c4b400"
-                                "05 0000000213362490 000000000000004d 0e 0005"
-                                "09 0013 74776f207365727665727320756e6b6e6f776e")
+  EXPECT_EQ(reply.Finish(), FromHex("00000005 00000040 0e 0003 01 0003fcd55d3a91c4 03124a07 0000000004c4b400"
+                                    "05 0000000213362490 000000000000004d 0e 0005"
+                                    "09 0013 74776f207365727665727320756e6b6e6f776e")
                                 .replace(7, 1, "\x42"));
 }
 
