--- a/tests/gateway_host.h
+++ b/tests/gateway_host.h
@@ -1,5 +1,5 @@
-// A host for tests of one Gateway: it keeps the time, records actions and delivers events. Also settings,
-// engines and requests to start from.
+// A host for tests of one Gateway, which keeps the time, delivers events and records actions; and functions
+// that make default settings, engines and requests.
 #ifndef LEMONCROFT_TESTS_GATEWAY_HOST_H_
 #define LEMONCROFT_TESTS_GATEWAY_HOST_H_
 
@@ -17,7 +17,7 @@
 inline constexpr Nanos kMs = 1'000'000;
 inline constexpr Nanos kSecond = 1000 * kMs;
 
-// Drives one Gateway in virtual time. Records actions instead of carrying them out.
+// Drives one Gateway in virtual time. It records actions instead of performing them.
 class Host {
  public:
   explicit Host(Settings settings, std::uint64_t seed = 7) : gateway_(std::move(settings), seed) {}
@@ -36,7 +36,7 @@
     gateway_.Step(now, events, actions);
     for (const Action& action : actions) Record(action);
   }
-  // Lets time pass until `at` and fires the timers that come due.
+  // Advances the time to `at` and fires the timers that become due.
   void RunUntil(Nanos at) {
     while (!wakes_.empty() && *wakes_.begin() <= at) {
       now = *wakes_.begin();
@@ -46,11 +46,11 @@
     now = at;
   }
   // Delivers an endpoint list.
-  void List(std::vector<EngineEntry> entries, ListKind kind = ListKind::kFull) {
+  void DeliverList(std::vector<EngineEntry> entries, ListKind kind = ListKind::kFull) {
     Step({EngineList{kind, std::make_shared<const std::vector<EngineEntry>>(std::move(entries))}});
   }
   // Ends the last attempt of the request.
-  void End(RequestId id, Outcome outcome, Nanos waited = kMs, Nanos work = 0, bool finished = false) {
+  void EndAttempt(RequestId id, Outcome outcome, Nanos waited = kMs, Nanos work = 0, bool finished = false) {
     AttemptEnded e;
     e.id = id;
     e.attempt = attempts_[id] - 1;
@@ -65,13 +65,13 @@
 
   Nanos now = 100 * kSecond;
   std::vector<Sent> sends;
-  std::map<RequestId, EngineId> engine_of;  // of the last attempt
-  std::map<RequestId, Nanos> rejected;      // when
-  std::map<RequestId, Nanos> failed;        // when
-  std::map<RequestId, Nanos> retry_after;   // of rejected requests
+  std::map<RequestId, EngineId> engine_of;  // the engine of the last attempt
+  std::map<RequestId, Nanos> rejected;      // the time of the rejection
+  std::map<RequestId, Nanos> failed;        // the time of the failure
+  std::map<RequestId, Nanos> retry_after;   // for rejected requests
   std::set<RequestId> cancels;
   std::vector<EngineId> probes;
-  std::map<RequestId, ResourceGrant> grants;  // the last one
+  std::map<RequestId, ResourceGrant> grants;  // the last grant
 
  private:
   void Record(const Action& action) {
@@ -99,7 +99,7 @@
   std::multiset<Nanos> wakes_;
 };
 
-inline ClassSettings SomeClass(double priority_weight = 1, int threads = 1) {
+inline ClassSettings DefaultClass(double priority_weight = 1, int threads = 1) {
   ClassSettings c;
   c.latency_objective = kSecond;
   c.latency_objective_stretch = 1;
@@ -111,10 +111,10 @@
   return c;
 }
 
-inline Settings SomeSettings() {
+inline Settings DefaultSettings() {
   Settings s;
   s.gateway_count = 2;
-  s.classes = {SomeClass()};
+  s.classes = {DefaultClass()};
   s.kinds = {{8, 16384}};
   s.drain_grace = 250 * kMs;
   s.may_cancel = true;
@@ -126,15 +126,15 @@
   return s;
 }
 
-inline EngineEntry Ready(EngineId id, Nanos started_at = 0) {
+inline EngineEntry ReadyEngine(EngineId id, Nanos started_at = 0) {
   EngineEntry e;
   e.engine = id;
   e.started_at = started_at;
   return e;
 }
 
-inline Request Ask(RequestId id, std::uint16_t class_id = 0, Nanos client_timeout = 4 * kSecond,
-                   Nanos work = 100 * kMs) {
+inline Request MakeRequest(RequestId id, std::uint16_t class_id = 0, Nanos client_timeout = 4 * kSecond,
+                           Nanos work = 100 * kMs) {
   Request r;
   r.id = id;
   r.class_id = class_id;
