--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -52,7 +52,7 @@
   // `site` outlives this object.
   explicit EndpointDirectory(const settings::ActiveSettings& site) : site_(site) {}
 
-  // Applies the events of {"n":LAST,"events":[...]} that are newer than last_event(), in order, and passes
+  // Applies the events of {"n":LAST,"events":[...]} that are newer than last_revision(), in order, and passes
   // each resulting update to `on_update`. Returns false if the document is not of that form.
   bool Apply(const codec::Json& document, const UpdateCallback& on_update);
 
