--- a/src/operator_config/admission_queue_block.cpp
+++ b/src/operator_config/admission_queue_block.cpp
@@ -19,12 +19,13 @@
 constexpr double kMinLevel = 0.1, kMaxLevel = 16;  // threads of heavy classes per core
 constexpr double kMinPriorityWeight = 1e-6, kMaxPriorityWeight = 1e6;
 
-// The position of the name that is the one argument of a node, which may have children, in `names`; nullopt,
-// with a fault, if it is none of them. `what`: what is named.
+// Returns the index in `names` of the name that is the only argument of a node; the node may have children.
+// Records a fault and returns nullopt if there is no such name. `what` is the kind of thing that is named.
 std::optional<std::size_t> ReadReference(const KdlNode& node, const std::vector<std::string>& names,
                                          const char* what, Faults& faults) {
-  const bool text = node.arguments.size() == 1 && node.arguments[0].kind == codec::KdlValue::Kind::kString;
-  if (!text || !node.properties.empty()) {
+  const bool has_name =
+      node.arguments.size() == 1 && node.arguments[0].kind == codec::KdlValue::Kind::kString;
+  if (!has_name || !node.properties.empty()) {
     faults.AddAt(node, node.name + ": expected the name of a " + what);
     return std::nullopt;
   }
@@ -62,7 +63,7 @@
        }},
   };
   ReadBlock(node.children, readers, {keys::queue::kBarredClass}, faults);
-  if (!has_cores) faults.AddAt(node, "team '" + budget.name + "' has no cores: give it a budget, 0 for none");
+  if (!has_cores) faults.AddAt(node, "team '" + budget.name + "' has no cores: set a budget, 0 for none");
 }
 
 void ReadClass(const KdlNode& node, admission_queue::ClassPolicy& policy, Faults& faults) {
@@ -77,8 +78,9 @@
   ReadBlock(node.children, readers, {}, faults);
 }
 
-// Defaults from the site. The default work of a class is a third of its latency objective, on all of its
-// threads. As in the decision module, a class is light if its work is at most a quarter of the heaviest one.
+// Returns the default policies of the site's classes. The default work of a class is a third of its latency
+// objective, on all of its threads. As in the decision module, a class is light if its work is at most a
+// quarter of the heaviest class's work.
 std::vector<admission_queue::ClassPolicy> ClassPoliciesOf(const settings::Site& site) {
   std::vector<admission_queue::ClassPolicy> policies;
   admission_queue::Work heaviest{};
@@ -107,20 +109,20 @@
   return queue;
 }
 
-// Checks that every tenant of the site has a budget and that each budget can be used; `given`: positions of
-// the tenants that the block has.
+// Checks that every tenant of the site has a budget and that each budget can be used. `given_tenants`
+// contains the indices of the tenants in the block.
 void CheckTenants(const KdlNode& node, const settings::Site& site, const admission_queue::Settings& queue,
-                  const std::set<std::size_t>& given, Faults& faults) {
+                  const std::set<std::size_t>& given_tenants, Faults& faults) {
   for (std::size_t i = 0; i < site.tenants.size(); ++i) {
     const std::string& name = site.tenants[i];
-    if (given.contains(i) || name.empty()) continue;
+    if (given_tenants.contains(i) || name.empty()) continue;
     faults.AddAt(node, "team '" + name + "' of the site is not given: `team \"" + name +
                            "\" { cores 0 }` would refuse all it sends");
   }
   for (const admission_queue::TenantBudget& tenant : queue.tenants) {
     const bool all_barred = tenant.barred_classes.size() >= queue.classes.size() && !queue.classes.empty();
     if (tenant.cores > 0 && all_barred)
-      faults.AddAt(node, "team '" + tenant.name + "' has a budget and may use no class");
+      faults.AddAt(node, "team '" + tenant.name + "' has a budget but may use no class");
   }
 }
 
@@ -130,7 +132,7 @@
   AdmissionQueueSettings out;
   out.queue = DefaultsOf(site);
   admission_queue::Settings& queue = out.queue;
-  std::set<std::size_t> given;
+  std::set<std::size_t> given_tenants;
   const auto read_class = [&](const KdlNode& n) {
     if (const auto class_id = ReadReference(n, site.classes, "class", faults))
       ReadClass(n, queue.classes[*class_id], faults);
@@ -138,7 +140,7 @@
   const auto read_tenant = [&](const KdlNode& n) {
     const auto tenant = ReadReference(n, site.tenants, "team", faults);
     if (!tenant) return;
-    if (!given.insert(*tenant).second)
+    if (!given_tenants.insert(*tenant).second)
       return faults.AddAt(n, "team '" + site.tenants[*tenant] + "': given twice");
     ReadTenant(n, site, queue.tenants[*tenant], faults);
   };
@@ -153,10 +155,12 @@
       {keys::queue::kClass, read_class},
       {keys::queue::kTenant, read_tenant},
   };
-  if (!node.arguments.empty() || !node.properties.empty()) faults.AddAt(node, "waiting takes a block only");
-  if (!site.HasTenants()) faults.AddAt(node, "waiting divides work among tenants, and the site has none");
+  if (!node.arguments.empty() || !node.properties.empty())
+    faults.AddAt(node, "waiting: expected a block without arguments");
+  if (!site.HasTenants())
+    faults.AddAt(node, "waiting: divides capacity among tenants, but the site has none");
   ReadBlock(node.children, readers, {keys::queue::kClass, keys::queue::kTenant}, faults);
-  CheckTenants(node, site, queue, given, faults);
+  CheckTenants(node, site, queue, given_tenants, faults);
   return out;
 }
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -22,7 +22,7 @@
   throw WireError(what + " at byte " + std::to_string(at));
 }
 
-// Reads big-endian fields off a frame; every read is bounds-checked. `what` names the field in errors.
+// Reads big-endian fields from a frame with bounds checks. `what` names the field in errors.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -39,13 +39,13 @@
   }
   float Float(const char* what) {
     float value = std::bit_cast<float>(Int<std::uint32_t>(what));
-    if (!std::isfinite(value)) ThrowWireError(std::string("not a number: ") + what, at_ - 4);
+    if (!std::isfinite(value)) ThrowWireError(std::string("not a finite number: ") + what, at_ - 4);
     return value;
   }
   Nanos Time(const char* what) {
     constexpr auto kMaxTime = static_cast<std::uint64_t>(std::numeric_limits<Nanos>::max() / 4);
     auto value = Int<std::uint64_t>(what);
-    if (value > kMaxTime) ThrowWireError(std::string("impossible time: ") + what, at_ - 8);
+    if (value > kMaxTime) ThrowWireError(std::string("time out of range: ") + what, at_ - 8);
     return static_cast<Nanos>(value);
   }
   std::string_view Bytes(std::size_t n, const char* what) {
@@ -75,7 +75,7 @@
   switch (static_cast<ReadinessCode>(code)) {
     case ReadinessCode::kReady:
       return Readiness::kReady;
-    case ReadinessCode::kGone:
+    case ReadinessCode::kRemoved:
       return Readiness::kRemoved;
     case ReadinessCode::kDraining:
       return Readiness::kDraining;
@@ -83,7 +83,7 @@
   ThrowWireError("unknown readiness " + std::to_string(code), in.at() - 1);
 }
 
-// Values past those that the interface has room for are dropped.
+// Drops the values that do not fit into a LoadReport.
 LoadReport ReadLoadReport(Reader& in) {
   constexpr std::uint8_t kMaxValues = 4;
   LoadReport report;
@@ -122,7 +122,7 @@
   EngineList list{static_cast<ListKind>(kind), nullptr};
   if (list.kind == ListKind::kFailed) return list;
   if (page >= pages.size() || !pages[page])
-    ThrowWireError("list names page " + std::to_string(page) + ", which is not known", record_at);
+    ThrowWireError("engine list refers to page " + std::to_string(page) + ", which is unknown", record_at);
   list.entries = pages[page];
   return list;
 }
@@ -171,12 +171,12 @@
 }
 
 ProbeEnded ReadProbeEnded(Reader& in) {
-  ProbeEnded probed;
-  probed.elapsed = in.Time("waitTimeNs");
-  probed.engine = in.Int<std::uint32_t>("engine");
-  probed.outcome = ReadOutcome(in);
-  probed.load_report = ReadLoadReport(in);
-  return probed;
+  ProbeEnded ended;
+  ended.elapsed = in.Time("waitTimeNs");
+  ended.engine = in.Int<std::uint32_t>("engine");
+  ended.outcome = ReadOutcome(in);
+  ended.load_report = ReadLoadReport(in);
+  return ended;
 }
 
 PeerMessage ReadPeerMessage(Reader& in) {
@@ -194,7 +194,7 @@
   in.Int<std::uint32_t>("engine");
   auto kind = in.Int<std::uint8_t>("what");
   if (kind < kFirstNotice || kind > kLastNotice)
-    ThrowWireError("unknown note " + std::to_string(kind), record_at);
+    ThrowWireError("unknown kind of progress notice " + std::to_string(kind), record_at);
   notice.kind = static_cast<NoticeKind>(kind - kFirstNotice);
   notice.amount = in.Float("amount");
   return notice;
@@ -236,13 +236,13 @@
       case EventCode::kAttemptEnded:
         Current(at).events.emplace_back(ReadAttemptEnded(in_));
         return;
-      case EventCode::kClientGone:
+      case EventCode::kRequestCancelled:
         Current(at).events.emplace_back(RequestCancelled{in_.Int<std::uint64_t>("req")});
         return;
       case EventCode::kTimerFired:
         Current(at).events.emplace_back(TimerFired{in_.Int<std::uint64_t>("keyBack")});
         return;
-      case EventCode::kProbed:
+      case EventCode::kProbeEnded:
         return AddEvent(ReadProbeEnded(in_), at);
       case EventCode::kPeerMessage:
         return AddEvent(ReadPeerMessage(in_), at);
@@ -253,7 +253,7 @@
   }
 
   InstanceBatch& Current(std::size_t record_at) {
-    if (!current_) ThrowWireError("event before any TargetInstance", record_at);
+    if (!current_) ThrowWireError("record before the first TargetInstance", record_at);
     return batches_[*current_];
   }
 
@@ -261,17 +261,18 @@
 
   void SelectInstance() {
     const auto instance = in_.Int<std::uint16_t>("who");
-    const auto [it, is_new] = newest_.try_emplace(instance, batches_.size());
+    const auto [it, is_new] = newest_batches_.try_emplace(instance, batches_.size());
     if (is_new) batches_.emplace_back().instance = instance;
     current_ = it->second;
   }
 
-  // An instance that has already something in this batch stops first, and goes on in a batch of its own.
+  // An instance that already has a start or events in this batch is stopped first and continues in a separate
+  // InstanceBatch.
   void StartInstance(std::size_t record_at) {
     const InstanceBatch& before = Current(record_at);
     if (before.started || !before.events.empty()) {
       const std::uint16_t instance = before.instance;
-      current_ = newest_[instance] = batches_.size();
+      current_ = newest_batches_[instance] = batches_.size();
       InstanceBatch& restarted = batches_.emplace_back();
       restarted.instance = instance;
       restarted.stopped = true;
@@ -283,7 +284,7 @@
     batch.settings = ParseSettings(in_.Bytes(length, "setup"));
   }
 
-  // What an instance got earlier in this batch has no effect any more.
+  // Stops the instance. Its start and events earlier in this batch have no effect.
   void StopInstance(std::size_t record_at) {
     InstanceBatch& batch = Current(record_at);
     batch.stopped = true;
@@ -301,8 +302,8 @@
   Reader in_;
   Pages& pages_;
   std::vector<InstanceBatch> batches_;
-  std::optional<std::size_t> current_;           // index of the selected instance's newest batch
-  std::map<std::uint16_t, std::size_t> newest_;  // by instance, the index of its newest batch
+  std::optional<std::size_t> current_;                   // index of the selected instance's newest batch
+  std::map<std::uint16_t, std::size_t> newest_batches_;  // index of the newest batch, by instance
 };
 
 }  // namespace
@@ -321,8 +322,9 @@
   out.length = in.Int<std::uint32_t>("batch length");
   out.records = in.Int<std::uint32_t>("record count");
   out.now = in.Time("clock");
-  if (out.length > kMaxFrameBytes) ThrowWireError("impossible batch length " + std::to_string(out.length), 0);
-  if (out.records > out.length) ThrowWireError("impossible record count " + std::to_string(out.records), 4);
+  if (out.length > kMaxFrameBytes)
+    ThrowWireError("batch length out of range " + std::to_string(out.length), 0);
+  if (out.records > out.length) ThrowWireError("record count out of range " + std::to_string(out.records), 4);
   return out;
 }
 
