--- a/src/cli/log.cpp
+++ b/src/cli/log.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Writes the message as a JSON string, since clients' ids and errors in it may hold any character.
+// Writes the message as a JSON string, because ids from clients and error texts in it may contain any
+// character.
 class QuotedMessage : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& message, const std::tm&, spdlog::memory_buf_t& out) override {
--- a/src/cli/log.h
+++ b/src/cli/log.h
@@ -1,6 +1,4 @@
-// Sets up the log: lines on standard output.
-//
-// Owner: main, which calls it once, before the first line is logged.
+// Configures the log, which is written to standard output.
 #ifndef LEMONCROFT_CLI_LOG_H_
 #define LEMONCROFT_CLI_LOG_H_
 
@@ -10,10 +8,11 @@
 
 enum class LogFormat {
   kText,
-  kJson,  // an object a line
+  kJson,  // one object per line
 };
 
-// `level`: trace, debug, info, warning, error or off. Lines of level info and above are flushed at once.
+// Must be called once, before the first line is logged. `level` is trace, debug, info, warning, error or off.
+// Lines of level info and above are flushed at once.
 void SetUpLog(const std::string& level, LogFormat format);
 
 }  // namespace lemoncroft::cli
--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -33,7 +33,7 @@
 constexpr auto kCallTimeout = 12s;
 constexpr auto kWaitPollInterval = 200ms;
 
-// Makes one call and returns the response; an object with "error" without one.
+// Makes one call and returns the response, or an object with the member "error" if there is none.
 ordered_json Ask(const RulesCommand& command, const ordered_json& call) {
   ordered_json answer = {{calls::kError, "no proxy answers"}};
   for (const std::string& at : command.at) {
@@ -194,7 +194,7 @@
   }
 }
 
-// `path`: "-" is standard input.
+// `path` "-" stands for standard input.
 std::string ReadDocumentFile(const std::string& path) {
   std::ostringstream text;
   if (path == "-") {
@@ -229,7 +229,7 @@
   return ReportOutcome(command, Ask(command, call));
 }
 
-// What recovery needs of a store.
+// The part of a store's contents that recovery needs.
 struct StoreState {
   std::string store_id;
   raft::HardState hard_state;
@@ -250,7 +250,7 @@
   return state;
 }
 
-// Appends an entry that makes `voter` the only one, in a term of its own.
+// Returns a batch that appends an entry, in a new term, which makes `voter` the only voter.
 storage::WriteBatch SingleVoterBatch(const StoreState& state, const std::string& voter) {
   raft::Entry entry;
   entry.term = state.hard_state.term + 1;
@@ -274,8 +274,8 @@
   return kRulesRejected;
 }
 
-// Recovers from the permanent loss of a majority of the stores: makes this store the fleet's, with its proxy
-// as the only voter. Entries that were committed and are not in this store are lost.
+// Recovers from the permanent loss of a majority of the stores: this store becomes that of the fleet, with
+// its proxy as the only voter. Committed entries that are not in this store are lost.
 int RecoverFromOneStore(const RulesCommand& command) {
   storage::Database::Options options;
   options.path = command.store;
--- a/src/cli/rules_command.h
+++ b/src/cli/rules_command.h
@@ -1,7 +1,7 @@
 // The `lemoncroft rules` sub-commands: show and change the replicated configuration through a running proxy,
 // and recover from the permanent loss of a majority of the voters.
 //
-// Errors: proxy::ConfigError for unusable input; otherwise an exit code.
+// Input that cannot be used is reported as proxy::ConfigError, any other failure as an exit code.
 #ifndef LEMONCROFT_CLI_RULES_COMMAND_H_
 #define LEMONCROFT_CLI_RULES_COMMAND_H_
 
@@ -17,24 +17,24 @@
   kPropose,
   kDiff,
   kRevert,
-  kWait,          // until all live proxies are on a version
-  kChangeVoters,  // `voters`
-  kRecover,       // `refound`: from one store
+  kWait,          // waits until all live proxies are on a version
+  kChangeVoters,  // `voters`: adds or removes a voter
+  kRecover,       // `refound`: recovers from one store
 };
 
 struct RulesCommand {
   RulesAction action = RulesAction::kShow;
   std::string fleet;
-  std::vector<std::string> at;  // addresses of proxies; the first that responds is used
+  std::vector<std::string> at;  // addresses of proxies; they are tried in order until one responds
   bool json = false;
-  std::string file;                     // propose: "-" is standard input
-  std::uint64_t first = 0, second = 0;  // versions; propose: the base version, 0: the latest
-  std::string way, who;                 // voters: "in" or "out"
-  std::string store, confirm;           // refound
+  std::string file;                     // of `propose`; "-" is standard input
+  std::uint64_t first = 0, second = 0;  // versions; of `propose`: the base version, 0: the latest
+  std::string way, who;                 // of `voters`: "in" or "out", and the proxy's name
+  std::string store, confirm;           // of `refound`
   double timeout_s = 10;
 };
 
-// Exit codes, documented in docs/operating-rules.md.
+// Exit codes; docs/operating-rules.md documents them.
 inline constexpr int kRulesDone = 0, kRulesNoResponse = 1, kRulesConflict = 3, kRulesRejected = 4,
                      kRulesUnknown = 5, kRulesIncomplete = 6;
 
--- a/src/cli/state_command.cpp
+++ b/src/cli/state_command.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::int64_t kMaxStateAgeMs = 5000;  // an older one is of a proxy that has ended, or hangs
+constexpr std::int64_t kMaxStateAgeMs = 5000;  // the proxy of an older state has ended or hangs
 constexpr int kExitNoState = 1, kExitUnhealthy = 3;
 
 std::string Text(const ordered_json& object, const char* key) { return object.at(key).get<std::string>(); }
@@ -75,7 +75,7 @@
   return IsHealthy(state) ? 0 : kExitUnhealthy;
 }
 
-// Prints the file as it is, or by `print`, whose exit code is returned.
+// Prints the unchanged text of the file, or calls `print` and returns its exit code.
 int ShowFile(const std::string& path, OutputFormat format,
              const std::function<int(const ordered_json&)>& print) {
   std::ifstream file(path);
--- a/src/cli/state_command.h
+++ b/src/cli/state_command.h
@@ -1,7 +1,8 @@
-// The sub-commands `lemoncroft waiting` and `lemoncroft peers`: print the state files of a running proxy.
+// The sub-commands `lemoncroft waiting` and `lemoncroft peers`, which print the state files of a running
+// proxy.
 //
-// Contract. Each returns an exit code: 1 if the file is missing, unreadable or no longer kept up to date,
-// with the reason on standard error.
+// Each returns an exit code. It is 1 if the file is missing, cannot be read or is no longer updated; the
+// reason is then printed to standard error.
 #ifndef LEMONCROFT_CLI_STATE_COMMAND_H_
 #define LEMONCROFT_CLI_STATE_COMMAND_H_
 
@@ -11,14 +12,14 @@
 
 enum class OutputFormat {
   kText,  // a table
-  kJson,  // the file as it is
+  kJson,  // the unchanged text of the file
 };
 
 // Prints the state of the admission queue. Returns 0 or 1.
 int ShowQueueState(const std::string& path, OutputFormat format);
 
 // Prints the state of the fleet. Returns 0 for a healthy fleet; 3 if members are suspected or failed, a name
-// is contested, or views differ; or 1. As JSON: 0 or 1.
+// is contested, or views differ; or 1. For JSON, it returns 0 or 1.
 int ShowFleetState(const std::string& path, OutputFormat format);
 
 }  // namespace lemoncroft::cli
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// lemoncroft: the command line of the proxy.
+// The command line of the program lemoncroft, the proxy.
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -22,9 +22,9 @@
 
 namespace fields = lemoncroft::proxy::fields;
 
-constexpr const char* kVersion = LEMONCROFT_VERSION;  // the project's, from the build
+constexpr const char* kVersion = LEMONCROFT_VERSION;  // set by the build
 constexpr int kUsageError = 2;
-constexpr const char *kTextFormat = "text", *kJsonFormat = "json";  // of --log-format
+constexpr const char *kTextFormat = "text", *kJsonFormat = "json";  // values of --log-format
 
 struct Options {
   std::string config, operator_file, state;
@@ -61,14 +61,14 @@
   Config config = LoadConfig(options.config);
   CheckServable(config);
   LogFindings(config);
-  // Each process that takes another's place has an address of its own; the file may be shared.
+  // A process that replaces another one needs an admin address of its own, while both may read the same file.
   const std::string management = Environment(fields::kAdminAddressVariable);
   if (!management.empty()) config.management = ReadAddress(management, fields::kAdminAddressVariable);
   return RunProxy(std::move(config),
                   {options.config, options.operator_file, Environment(fields::kInheritedListenerVariable)});
 }
 
-// The state file that a running proxy keeps up to date for the command, as its operator's file names it.
+// Returns the path of the state file that a running proxy writes for this command, from the operator's file.
 std::string StateFile(const Options& options, const std::string& command) {
   using namespace lemoncroft;
   if (options.operator_file.empty()) throw proxy::ConfigError(command + ": give --state or --operator");
@@ -81,7 +81,8 @@
   return state;
 }
 
-// Fills in what the command line leaves out, from the files: the fleet's name, the proxy's address and store.
+// Sets the options that the command line does not have from the files: the fleet's name, the proxy's address,
+// store and name.
 void CompleteRulesCommand(const Options& options, lemoncroft::cli::RulesCommand& command) {
   using namespace lemoncroft;
   if (!command.fleet.empty() && (!command.at.empty() || command.action == cli::RulesAction::kRecover)) return;
@@ -138,7 +139,7 @@
   refound->add_option("--confirm", command.confirm, "what the command prints without it");
 }
 
-// The sub-commands that RunCommand tells apart.
+// The sub-commands that RunCommand distinguishes.
 struct Subcommands {
   CLI::App *check_config, *waiting, *peers, *version, *help;
 };
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -15,19 +15,20 @@
 
 using codec::Json;
 
-// The path, in Config::shape, of a setting that each class may have.
+// Returns the path in Config::shape of a setting that each class may have.
 std::string ClassSettingPath(const char* field) {
   return std::string(fields::kSettings) + "." + settings::fields::AnyClassPath(field);
 }
 
-// May come and go with the classes that have them.
+// Returns true for a setting that only some classes have, so that it may appear or disappear with them.
 bool IsOptional(const std::string& path) {
   namespace f = settings::fields::request_class;
   return path == ClassSettingPath(f::kInOrder) || path.starts_with(ClassSettingPath(f::kBoundZones)) ||
          path.starts_with(ClassSettingPath(f::kBoundMachineKinds));
 }
 
-// The control feed's events come and go, so that their members have no shape of their own.
+// Returns true for the list of the control feed's events. Different events have different members, so that
+// the elements of this list have no common shape.
 bool IsEventList(const std::string& path) {
   return path == std::string(fields::kKnownEvents) + "." + fields::kKnownEventList;
 }
@@ -75,7 +76,7 @@
       std::erase_if(
           all, [&](const auto& key) { return !one.contains(key.first) || one[key.first] != key.second; });
   }
-  all[path + "[]"] = json.items.front().kind;  // whatever its members are: it has some
+  all[path + "[]"] = json.items.front().kind;  // marks the list as not empty
   out.merge(all);
 }
 
@@ -85,7 +86,7 @@
   return shape;
 }
 
-// True if the path is of a member of a list that is present and empty.
+// Returns true if the path belongs to an element of a list that is present in `shape` and empty.
 bool IsOfEmptyList(const std::string& path, const Shape& shape) {
   for (std::size_t at = path.find("[]"); at != std::string::npos; at = path.find("[]", at + 1)) {
     const bool list = shape.contains(path.substr(0, at));
@@ -132,7 +133,7 @@
   const settings::Pairs pairs = Flatten(settings);
   config.site = settings::ParseSite(pairs);
   config.findings = settings::Check(pairs, config.site);
-  config.site.module.progress_interval = 0;  // engines' responses bring no progress notices
+  config.site.module.progress_interval = 0;  // responses of engines contain no progress notices
 }
 
 }  // namespace
@@ -158,7 +159,7 @@
     ReadSettings(json, config);
     config.shape = ShapeOf(json);
     if (config.site.classes.empty()) throw ConfigError("settings: no request classes");
-    config.known = json.Take(fields::kKnownEvents);  // moved: it may be long
+    config.known = json.Take(fields::kKnownEvents);  // moved because it may be long
     return config;
   } catch (const codec::JsonError& e) {
     throw ConfigError(e.what());
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -1,8 +1,8 @@
 // The proxy's configuration: the JSON file that $PROXY_CONFIG names.
 //
-// Contract. A plain value; reading is pure but for the file. Units as the members say. Owner: the caller.
-// Errors: ConfigError, which names the key and the value. Read at the start, at each reload and by
-// sub-commands. README.md has the members, docs/settings.md the settings.
+// The proxy reads it at its start and at each reload; some sub-commands read it too. A Config is a plain
+// value. Errors are reported as ConfigError, which names the key and the value. README.md describes the
+// members of the file, docs/settings.md the settings.
 #ifndef LEMONCROFT_PROXY_CONFIG_H_
 #define LEMONCROFT_PROXY_CONFIG_H_
 
@@ -21,7 +21,7 @@
 
 namespace lemoncroft::proxy {
 
-// A configuration or a command that can't be used; what() is one line that says why.
+// Thrown for a configuration or a command that cannot be used; what() is one line with the reason.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -34,35 +34,39 @@
   std::string management_text;
   std::optional<runtime::Address> management;  // nullopt: no admin listener
   std::uint64_t seed = 0;
-  std::size_t memory_mb = 0;  // 0: not given
-  std::size_t sockets = 0;    // open descriptors; 0: not given
-  std::string feed;           // address of the control feed; empty: none is followed
-  codec::Json known;          // the control feed's events up to now
+  std::size_t memory_mb = 0;  // 0: not configured
+  std::size_t sockets = 0;    // maximum of open descriptors; 0: not configured
+  std::string feed;           // address of the control feed; empty: no control feed
+  codec::Json known;          // the control feed's events up to now; empty once they are applied
   settings::Site site;
-  std::vector<settings::Finding> findings;  // about the settings, the worst first
-  // The kind of each value, by its path, such as settings.requestClasses[].deadlineNs. Of the members of a
-  // list only what all of them have.
+  std::vector<settings::Finding> findings;  // about the settings, most severe first
+  // The kind of each value by its path, such as settings.requestClasses[].deadlineNs. For the elements of a
+  // list, it has only the paths that all of them have, with the same kind.
   std::map<std::string, codec::Json::Kind> shape;
 };
 
-// Throws ConfigError.
+// Both throw ConfigError.
 Config ReadConfig(std::string_view text);
 Config LoadConfig(const std::string& path);
 
-// Further checks, which throw ConfigError. A start requires that some request can be served:
+// Throws ConfigError if a fatal error in the settings prevents the proxy from serving any request. A start
+// requires no more than that.
 void CheckServable(const Config& config);
-// A reload, which can keep the settings in force, requires that no setting has an error, and every key that
-// the configuration in force has, with a value of the same kind:
+// Throws ConfigError if a setting has an error. A reload requires that there is none, because it can keep the
+// current settings instead.
 void CheckFigures(const Config& config);
+// Throws ConfigError if `config` lacks a key that the current configuration `in_force` has, or has a value of
+// another kind for it. A reload requires this too.
 void CheckShape(const Config& config, const Config& in_force);
 
 // Writes a log line for each finding about the settings.
 void LogFindings(const Config& config);
 
-// Parses an address; `what` names it in the ConfigError that is thrown for another text.
+// Parses an IPv4 address with a port. Throws ConfigError, with `what` as the name of the value, for any other
+// text.
 runtime::Address ReadAddress(const std::string& text, const char* what);
 
-// Nested JSON as path=value pairs in the form of the simulator's first message.
+// Returns nested JSON as path=value pairs in the form of the simulator's first message.
 settings::Pairs Flatten(const codec::Json& settings);
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/config_fields.h
+++ b/src/proxy/config_fields.h
@@ -1,5 +1,5 @@
-// The members of config.json beside its settings, whose keys are in settings/setting_fields.h. README.md has
-// a table of them.
+// The names of the members of config.json. The keys of its settings are in settings/setting_fields.h.
+// README.md has a table of the members.
 #ifndef LEMONCROFT_PROXY_CONFIG_FIELDS_H_
 #define LEMONCROFT_PROXY_CONFIG_FIELDS_H_
 
@@ -10,11 +10,11 @@
 inline constexpr const char* kAdminAddress = "management";
 inline constexpr const char* kSeed = "seed";
 inline constexpr const char* kLimits = "limits";
-inline constexpr const char* kMemoryMb = "memory_mb";  // of kLimits
-inline constexpr const char* kMaxDescriptors = "sockets";
+inline constexpr const char* kMemoryMb = "memory_mb";      // member of kLimits
+inline constexpr const char* kMaxDescriptors = "sockets";  // member of kLimits
 inline constexpr const char* kControlFeed = "feed";
-inline constexpr const char* kKnownEvents = "known";      // the control feed's events so far
-inline constexpr const char* kKnownEventList = "events";  // of kKnownEvents
+inline constexpr const char* kKnownEvents = "known";      // the control feed's events up to now
+inline constexpr const char* kKnownEventList = "events";  // member of kKnownEvents
 inline constexpr const char* kSettings = "settings";
 
 // Environment variables.
--- a/src/proxy/fleet.cpp
+++ b/src/proxy/fleet.cpp
@@ -15,11 +15,11 @@
 using gossip::Member;
 using gossip::Status;
 
-constexpr auto kStateCheckInterval = 200ms;  // the state file is written after a change
-constexpr int kStateRefreshChecks = 5;       // ... and at every fifth check without one
-// Limits the log lines about members without direct contact.
+constexpr auto kStateCheckInterval = 200ms;  // between two checks for a change to write to the state file
+constexpr int kStateRefreshChecks = 5;       // the file is also written at every fifth check
+// Rate limit of the log lines about members without direct contact.
 constexpr double kUnconfirmedLogLinesPerSecond = 50, kUnconfirmedLogBurstSeconds = 10;
-constexpr std::uint64_t kSuppressedLogInterval = 1000;  // events per summary line
+constexpr std::uint64_t kSuppressedLogInterval = 1000;  // events between two summary lines
 
 spdlog::level::level_enum LevelOf(EventType type) {
   switch (type) {
@@ -75,7 +75,7 @@
 void Fleet::HandleEvent(const gossip::Event& event) {
   const gossip::MemberRecord& r = event.record;
   NotifyServingRank();
-  // Forged members must not fill the log.
+  // Forged members must not fill the log, so that events of members without direct contact are rate-limited.
   const Member* about = link_.view().members().Find(r.id);
   if (about != nullptr && !about->last_direct_contact && r.id != link_.view().members().self() &&
       !unconfirmed_log_budget_.Take(runtime::Now().time_since_epoch().count(), kUnconfirmedLogLinesPerSecond,
--- a/src/proxy/fleet.h
+++ b/src/proxy/fleet.h
@@ -1,8 +1,8 @@
-// The proxy's part in its fleet: owns the Link, logs membership events, and provides the metrics and the
-// state file that `lemoncroft peers` shows. Exists only if the operator's file has a `fleet` node.
+// The proxy's membership in its fleet: owns the Link, logs membership events, provides the fleet's metrics
+// and writes the state file that `lemoncroft peers` shows. It exists only if the operator's file has a
+// `fleet` node.
 //
-// Owner: RunProxy; the event loop's thread. Errors: the constructor throws std::system_error where it can't
-// listen.
+// RunProxy owns the object, and only the event loop's thread uses it.
 #ifndef LEMONCROFT_PROXY_FLEET_H_
 #define LEMONCROFT_PROXY_FLEET_H_
 
@@ -21,7 +21,8 @@
 
 class Fleet {
  public:
-  // `on_serving_rank` is called at each change of how many proxies serve and of this one's rank among them.
+  // `on_serving_rank` is called whenever the number of serving proxies or this proxy's rank among them
+  // changes. Throws std::system_error if none of the addresses can be bound.
   Fleet(runtime::Loop& loop, const operator_config::FleetSettings& settings, const std::string& name,
         std::uint64_t seed, std::function<void(const gossip::ServingRank&)> on_serving_rank);
 
@@ -43,8 +44,8 @@
   std::function<void(const gossip::ServingRank&)> on_serving_rank_;
   gossip::ServingRank notified_rank_;
   peer_transport::Link link_;
-  bool changed_ = true;                         // since the state file was written
-  limits::TokenBucket unconfirmed_log_budget_;  // log lines about members without direct contact
+  bool changed_ = true;                         // the state file is out of date
+  limits::TokenBucket unconfirmed_log_budget_;  // for events of members without direct contact
   std::uint64_t suppressed_events_ = 0;
 };
 
--- a/src/proxy/fleet_state.cpp
+++ b/src/proxy/fleet_state.cpp
@@ -39,7 +39,8 @@
   return members;
 }
 
-// Names of the members that suspect this one; ids of those that have left since.
+// Returns the names of the members that suspect `member`, or the id of a suspector that is no longer in the
+// table.
 ordered_json SuspectorsJson(const gossip::MemberTable& table, const Member& member) {
   ordered_json suspectors = ordered_json::array();
   if (member.status != Status::kSuspect) return suspectors;
@@ -50,7 +51,7 @@
   return suspectors;
 }
 
-// Seconds since the last direct contact; null without one.
+// Returns the seconds since the last direct contact, or null if there was none.
 ordered_json LastContactJson(const Member& member, bool self, runtime::Time now) {
   if (self) return 0.0;
   if (!member.last_direct_contact) return nullptr;
--- a/src/proxy/fleet_state.h
+++ b/src/proxy/fleet_state.h
@@ -1,7 +1,7 @@
-// The state of the fleet as this proxy sees it, as JSON text: what `lemoncroft peers` shows.
+// Formats the state of the fleet in this proxy's view as JSON text, which `lemoncroft peers` shows.
 //
-// Contract. Pure functions but for the clocks, which the text holds. The keys are read by operators' scripts
-// and must not change. Units: seconds in `*_s`, microseconds in `*_us`.
+// Operators' scripts read the keys, so that these must not change. Keys that end in `_s` have seconds as
+// their unit, `_ms` milliseconds and `_us` microseconds.
 #ifndef LEMONCROFT_PROXY_FLEET_STATE_H_
 #define LEMONCROFT_PROXY_FLEET_STATE_H_
 
@@ -13,13 +13,14 @@
 
 namespace lemoncroft::proxy {
 
-// `fleet`: the fleet's name.
+// Returns the state at the current time. `fleet` is the fleet's name.
 std::string FleetStateText(const peer_transport::Link& link, const std::string& fleet);
 
-// As in the state and in the log.
+// The form of a phase and of an instance id in the state file and in the log.
 const char* PhaseName(gossip::Phase phase);
 std::string Hex(gossip::InstanceId id);
-// One clock for all processes of a machine, so that their logs can be merged.
+// Returns the time of the monotonic clock in microseconds. All processes of a machine share this clock, so
+// that their logs can be merged.
 std::int64_t MonotonicUs();
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -22,10 +22,10 @@
 using runtime::Task;
 using runtime::Time;
 
-constexpr auto kControlFeedTimeout = 1000ms;  // for its first response, and for a valid lease
+constexpr auto kControlFeedTimeout = 1000ms;  // for its first response and for a valid lease
 constexpr auto kReadinessPollInterval = 5ms;
-constexpr auto kProcessRegistryInterval = 100ms;  // between two publications of this process's usage
-constexpr int kProcessesAtStart = 2;              // this one and its predecessor
+constexpr auto kProcessRegistryInterval = 100ms;  // between two publications of the usage
+constexpr int kProcessesAtStart = 2;              // this process and its predecessor
 
 int DescriptorNumber(const std::string& text) {
   int number = -1;
@@ -57,11 +57,12 @@
   if (tmpdir != nullptr) registry = std::make_unique<hot_restart::ProcessRegistry>(tmpdir);
   if (registry == nullptr || !registry->registered())
     spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
-  // With a replicated configuration manual ejections are part of that.
+  // If there is a replicated configuration, manual ejections are part of it.
   if (tmpdir != nullptr && !operator_file.replicated_config)
     operations.EnableEjectionStore(
         tmpdir, decision::ToDuration(site.module.slow_start_duration + site.module.overload_window));
-  // Before the endpoint list: the predecessor may just have sent an engine in slow start all that it takes.
+  // This comes before the first endpoint list, because the predecessor may just have sent as many requests to
+  // an engine in slow start as that engine can take.
   if (registry && registry->ReadPeers().usage.serving > 0) broker.SetProcessCount(kProcessesAtStart);
   return registry;
 }
@@ -70,7 +71,7 @@
                        const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
                        Operations& operations) {
   const Time until = Now() + kControlFeedTimeout;
-  // The endpoint list of the configuration may be old, so the control feed is heard first.
+  // The endpoint list in the configuration may be out of date, so that the control feed is read first.
   const auto waits = [&] {
     return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
            (operations.has_valid_lease && !operations.has_valid_lease());
@@ -84,9 +85,9 @@
 
 Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
                             const Operations& operations, ReloadableState& state) {
-  const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);  // a reload doesn't change them
+  const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);  // a reload does not change them
   std::size_t known_peers = 0;
-  int known_process_count = 0;  // 0: the broker hasn't been told yet
+  int known_process_count = 0;  // 0: not passed to the broker yet
   for (;; co_await loop.Sleep(kProcessRegistryInterval)) {
     const hot_restart::ConnectionUsage own = OwnUsage(operations, state);
     registry.Publish(own);
--- a/src/proxy/hot_restart.h
+++ b/src/proxy/hot_restart.h
@@ -1,9 +1,9 @@
-// A process of the proxy beside another one: while a hot restart replaces a process, both share the clients'
-// listening socket, the limits and the manual ejections.
+// Support for several processes of one proxy: while a hot restart replaces a process, the old and the new one
+// share the clients' listening socket, the limits and the manual ejections.
 //
-// Contract. Used only by a process that inherited the listening socket ($PROXY_FD). Owner: RunProxy; the
-// event loop's thread. Errors: without $TMPDIR the processes don't see each other, and a log line says so.
-// docs/operating-service.md tells how a hot restart is done.
+// Only a process that inherited the listening socket ($PROXY_FD) uses these functions, on the event loop's
+// thread. If $TMPDIR is not set or cannot be used, the processes do not see each other; a warning is logged.
+// docs/operating-service.md describes the procedure.
 #ifndef LEMONCROFT_PROXY_HOT_RESTART_H_
 #define LEMONCROFT_PROXY_HOT_RESTART_H_
 
@@ -22,23 +22,25 @@
 
 namespace lemoncroft::proxy {
 
-// The listening socket with that descriptor number, as $PROXY_FD gives it. Throws ConfigError for a text that
-// is no number, std::runtime_error for a descriptor that is no listening socket.
+// Adopts the listening socket with the descriptor number that $PROXY_FD has. Throws ConfigError if the text
+// is not a number, std::runtime_error if the descriptor is not a listening socket.
 runtime::Descriptor InheritListener(const std::string& descriptor_number);
 
-// Registers this process beside the others of the proxy and imports the manual ejections that they store.
-// To be called before the first endpoint list. Returns null without $TMPDIR.
+// Registers this process with the other processes of the proxy. Imports the manual ejections that these have
+// stored, unless they are part of a replicated configuration. Must be called before the first endpoint list
+// is applied. Returns null if $TMPDIR is not set.
 std::unique_ptr<hot_restart::ProcessRegistry> JoinPeerProcesses(
     const operator_config::OperatorFile& operator_file, const settings::Site& site, Operations& operations,
     broker::Broker& broker);
 
-// Starts to accept clients once this process can serve as well as its predecessor: with a complete endpoint
-// list, and after the control feed's first response and a valid lease, if these come in time.
+// Starts to accept clients once this process can serve as well as its predecessor: once it has a complete
+// endpoint list, and, unless a timeout passes first, the control feed's first response and a valid lease.
 runtime::Task<> AcceptOnceReady(runtime::Loop& loop, const discovery::EndpointDirectory& directory,
                                 const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
                                 Operations& operations);
 
-// Publishes what this process uses and adapts its limits to what the others use, until the loop ends.
+// Publishes this process's connection usage and adapts its limits to the usage of the other processes, until
+// the loop ends.
 runtime::Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
                                      const Operations& operations, ReloadableState& state);
 
--- a/src/proxy/operations.cpp
+++ b/src/proxy/operations.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Well below the grace in which requests may still be sent to a drained engine.
+// Well below the time for which requests may still be sent to a drained engine.
 constexpr auto kEjectionStoreInterval = 50ms;
 }  // namespace
 
@@ -39,7 +39,7 @@
   const bool out = command.verb == Verb::kExclude;
   const std::string& id = command.engine;
   const bool was_out = directory_.IsEjected(id);
-  // The engine returns with the version that ends its ejection.
+  // The engine returns to service with the version of the replicated configuration that ends its ejection.
   if (!out && was_out && ejections_are_replicated_) return {true, {}, {}};
   const discovery::ManualEjectionResult done =
       out ? directory_.Eject(id, on_update_)
@@ -72,7 +72,7 @@
 
 void Operations::ImportEjections() {
   auto ejections = ejection_store_->Read();
-  if (!ejections) return;  // the ejections known so far stay
+  if (!ejections) return;  // the ejections read before stay in effect
   for (const std::string& id : unsaved_ejections_) ejections->ejected.insert(id);
   for (const std::string& id : ejections->ejected)
     if (!directory_.IsEjected(id)) spdlog::info("ejected by an operator at another process: {}", id);
--- a/src/proxy/operations.h
+++ b/src/proxy/operations.h
@@ -1,7 +1,7 @@
-// Carries out operators' calls: readiness, telemetry and manual ejections.
+// Executes operators' commands: readiness, telemetry and manual ejections. A command that cannot be executed
+// gets a reply with the reason.
 //
-// Contract. State of the proxy without I/O but for the ejection store. Owner: the event loop's thread.
-// Errors: a call that can't be carried out is answered with the reason.
+// Only the event loop's thread uses the object. Its only I/O is that of the ejection store.
 #ifndef LEMONCROFT_PROXY_OPERATIONS_H_
 #define LEMONCROFT_PROXY_OPERATIONS_H_
 
@@ -39,22 +39,23 @@
   }
   Phase phase() const { return phase_; }
   std::function<void(Phase)> on_phase;  // called when a phase begins
-  // False while this process must not serve because its configuration lease has expired; unset: it may serve.
+  // Returns false while this process must not serve because it has no valid configuration lease. Unset: there
+  // is no lease, and it may serve.
   std::function<bool()> has_valid_lease;
 
-  // Manual ejections are part of the replicated configuration: an engine returns to service here once a
-  // version without its ejection is active.
+  // Declares that manual ejections are part of the replicated configuration: an engine returns to service
+  // here only once a version without its ejection is active.
   void set_ejections_replicated() { ejections_are_replicated_ = true; }
 
-  // Metrics of an optional part; telemetry lists them after its own.
+  // Sets the source of an optional part's metrics, which telemetry lists after the proxy's own.
   void AddMetrics(std::function<std::vector<std::pair<std::string, std::uint64_t>>()> metrics) {
     additional_metrics_ = std::move(metrics);
   }
 
-  // Stores manual ejections in $TMPDIR from now on and imports those that other processes of this proxy have
-  // stored there. `slow_start`: how long an engine may be in slow start after its return.
+  // Stores manual ejections in $TMPDIR from now on, and imports those that other processes of this proxy have
+  // stored there. `slow_start` is the longest time for which an engine may be in slow start after its return.
   void EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds slow_start);
-  // Imports ejections that another process of this proxy stores, until the loop ends.
+  // Imports changes that other processes of this proxy make to the store, until the loop ends.
   runtime::Task<> WatchEjectionStore();
 
  private:
@@ -66,8 +67,8 @@
   broker::Broker& broker_;
   const metrics::Counters& counters_;
   discovery::EndpointDirectory::UpdateCallback on_update_;
-  std::unique_ptr<hot_restart::EjectionStore> ejection_store_;  // null: not shared
-  std::set<std::string> unsaved_ejections_;                     // ejected here, not in the store
+  std::unique_ptr<hot_restart::EjectionStore> ejection_store_;  // null: ejections are not shared
+  std::set<std::string> unsaved_ejections_;                     // ejected here, but not stored
   std::function<std::vector<std::pair<std::string, std::uint64_t>>()> additional_metrics_;
   bool ejections_are_replicated_ = false;
   Phase phase_ = Phase::kStarting;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -33,8 +33,8 @@
   return options.inherited_listener.empty() ? ListenerOwnership::kExclusive : ListenerOwnership::kShared;
 }
 
-// Another process may run beside one that inherited its socket at any time, and memory can't be handed back
-// at once.
+// Returns this process's part of the proxy's memory. A process that inherited its listening socket gets half:
+// another process may run beside it at any time, and memory cannot be returned at once.
 std::size_t ProcessMemoryMb(const Config& config, ListenerOwnership ownership) {
   return ownership == ListenerOwnership::kShared ? config.memory_mb / 2 : config.memory_mb;
 }
@@ -50,7 +50,7 @@
                               : broker::Broker::Limits().max_requests;
 }
 
-// Tells the fleet of this process's phase, and has telemetry list the fleet's metrics.
+// Announces this process's phases to the fleet, and adds the fleet's metrics to telemetry.
 void ConnectFleet(Fleet& fleet, const std::unique_ptr<ReplicatedConfigService>& service,
                   Operations& operations) {
   operations.on_phase = [&fleet](Operations::Phase phase) { fleet.SetPhase(phase); };
@@ -63,7 +63,8 @@
   });
 }
 
-// `service`: where RunProxy will keep the replicated configuration's service; null as yet.
+// `service` is the pointer that RunProxy sets later, if there is a replicated configuration; it is still
+// null.
 std::unique_ptr<Fleet> StartFleet(runtime::Loop& loop, const operator_config::FleetSettings& settings,
                                   const Config& config, broker::Broker& broker, Operations& operations,
                                   const std::unique_ptr<ReplicatedConfigService>& service) {
@@ -75,7 +76,8 @@
   return fleet;
 }
 
-// Starts what the operator's file says of the admission queue, except the queue itself.
+// Applies the operator's settings of the admission queue to everything but the queue itself: the wait
+// notices, the state file and the settings for reloads.
 void StartQueueReports(runtime::Loop& loop, const operator_config::AdmissionQueueSettings& settings,
                        ReloadableState& state) {
   state.server.set_wait_notices_enabled(settings.report_estimates);
@@ -111,7 +113,7 @@
   return service;
 }
 
-// Accepts clients: at once, or in place of another process once this one is ready.
+// Starts to accept clients: at once, or, if this process replaces another one, once it is ready.
 void StartServing(runtime::Loop& loop, ListenerOwnership ownership,
                   const hot_restart::ProcessRegistry* registry, Operations& operations,
                   ReloadableState& state) {
@@ -125,7 +127,7 @@
   if (registry != nullptr) loop.Spawn(ShareLimitsWithPeers(loop, *registry, operations, state));
 }
 
-// Returns null if the configuration names no address for operators.
+// Returns null if the configuration has no address for operators.
 std::unique_ptr<admin::Listener> StartAdminListener(runtime::Loop& loop, const Config& config,
                                                     Operations& operations,
                                                     ReplicatedConfigService* service) {
@@ -141,12 +143,13 @@
   return listener;
 }
 
-// Reloads at each SIGHUP; any other signal that is handled ends the proxy. Signals that arrive during a
-// reload are read in the next turn; after the one that ends the proxy none is read.
+// Reloads the files at each SIGHUP; any other handled signal ends the proxy. Signals that arrive during a
+// reload are read in the next turn of the loop. No signal is read after the one that ends the proxy.
 runtime::Task<> HandleSignals(runtime::Loop& loop, SignalReader& signals, const StartupOptions& options,
                               ReloadableState& state, Operations& operations, Fleet* fleet) {
-  // No `while (co_await ...)`: built so by GCC 12.2, this coroutine never reads a signal. The compiler seems
-  // to keep the condition's value where the coroutine's frame has its resume pointer.
+  // This loop must not be a `while (co_await ...)`: compiled that way by GCC 12.2, the coroutine never reads
+  // a signal. The compiler seems to store the value of the condition where the coroutine frame has its resume
+  // pointer.
   for (int signal = co_await signals.Next(); signal == SIGHUP; signal = co_await signals.Next()) {
     Reload(options, state);
     loop.Spawn(FreeRetiredNumbers(loop, state));
@@ -159,10 +162,10 @@
 
 }  // namespace
 
-// Parts are constructed in the order of their dependence and destroyed in reverse; nothing uses `state`, to
-// which callbacks of earlier parts refer, once the loop has ended. The order of the calls in
-// between is part of the contract too: each part knows its classes, settings and callbacks before the first
-// endpoint list and the first client.
+// Each part is constructed after the parts that it depends on and destroyed before them. Callbacks of earlier
+// parts refer to `state`, but nothing uses it once the loop has ended. The order of the calls between the
+// constructions matters too: each part has its classes, settings and callbacks before the first endpoint list
+// and the first client.
 int RunProxy(Config config, const StartupOptions& options) {
   BlockHandledSignals();
   std::signal(SIGPIPE, SIG_IGN);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,11 +1,12 @@
-// The running proxy: builds and connects its parts, runs the event loop, and ends after SIGTERM.
+// The running proxy: constructs and connects its parts, runs the event loop, and ends after SIGTERM.
 //
-// Files of this folder: resource_limits (figures from the configuration), signals, reload (SIGHUP, the
-// replicated configuration), hot_restart (beside another process), shutdown (SIGTERM), operations (operators'
-// calls), fleet and fleet_state, replicated_config_* and voter_store, queue_state, state_file and
-// state_writer, config.
+// The other files of this folder: config; resource_limits (limits derived from the configuration); signals;
+// reload (SIGHUP, and activation of the replicated configuration); hot_restart (several processes of one
+// proxy); shutdown (SIGTERM); operations (operators' commands); fleet and fleet_state; replicated_config_*
+// and voter_store; queue_state, state_file and state_writer (state files).
 //
-// Owner: main; one thread. docs/architecture.md has the parts and what each owns.
+// Everything runs on the thread that calls RunProxy, except for the writing of state files and the voter's
+// store. docs/architecture.md describes the parts and their ownership.
 #ifndef LEMONCROFT_PROXY_PROXY_H_
 #define LEMONCROFT_PROXY_PROXY_H_
 
@@ -16,15 +17,15 @@
 namespace lemoncroft::proxy {
 
 struct StartupOptions {
-  std::string config_path;         // read again at a reload
-  std::string operator_path;       // likewise; empty: no operator's file
-  std::string inherited_listener;  // $PROXY_FD: descriptor of the clients' listening socket; empty: bind one
+  std::string config_path;         // read again at each reload
+  std::string operator_path;       // read again at each reload; empty: no operator's file
+  std::string inherited_listener;  // $PROXY_FD, the number of the listening descriptor; empty: bind one
 };
 
-// Runs the proxy until a signal has ended it; SIGHUP reloads its files. `config` was read from
-// `options.config_path`. Returns the exit code. Throws std::system_error if it can't listen, ConfigError for
-// an inherited descriptor or a configuration of the fleet that can't be used, operator_config::OperatorError
-// for a faulty operator's file.
+// Runs the proxy until a signal ends it; SIGHUP reloads its files. `config` was read from
+// `options.config_path`. Returns the exit code. Throws std::system_error if the proxy cannot listen,
+// ConfigError if the inherited descriptor or the configuration of the fleet cannot be used, and
+// operator_config::OperatorError if the operator's file is invalid.
 int RunProxy(Config config, const StartupOptions& options);
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/queue_state.h
+++ b/src/proxy/queue_state.h
@@ -1,7 +1,7 @@
-// The state of the admission queue, as `lemoncroft waiting` shows it: a JSON file, replaced once a second.
+// Writes the state of the admission queue to the JSON file that `lemoncroft waiting` shows, once a second.
 //
-// Contract. The keys are read by operators' scripts and must not change. Owner: the event loop's thread; the
-// file is written by a StateWriter's thread. Errors: a file that can't be written costs a log line.
+// Operators' scripts read the keys, so that these must not change. The text is made on the event loop's
+// thread and written on a StateWriter's thread. A failure to write the file is logged.
 #ifndef LEMONCROFT_PROXY_QUEUE_STATE_H_
 #define LEMONCROFT_PROXY_QUEUE_STATE_H_
 
@@ -13,10 +13,10 @@
 
 namespace lemoncroft::proxy {
 
-// The state as JSON text; `proxy`: this proxy's name.
+// Returns the state as JSON text. `proxy` is this proxy's name.
 std::string QueueStateText(const std::string& proxy, const admission_queue::AdmissionQueue::State& state);
 
-// Keeps the file that `state` names up to date until the loop ends. Requires an admission queue.
+// Replaces the file `state.queue_state_file` once a second until the loop ends. Requires an admission queue.
 runtime::Task<> WriteQueueState(runtime::Loop& loop, const ReloadableState& state);
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kRetiredNumbersInterval = 1s;  // between two looks whether requests still use them
+constexpr auto kRetiredNumbersInterval = 1s;  // between two checks of the numbers in use
 
 void ApplySettings(ReloadableState& state, settings::Migration migration) {
   settings::ActiveSettings& active = state.active_settings;
@@ -30,13 +30,13 @@
     if (!class_id.empty()) state.counters.AddClass(class_id);
 }
 
-// This proxy's own settings with the overrides of the replicated configuration's active version.
+// Returns this proxy's own settings with the overrides of the active version of the replicated configuration.
 settings::Site WithReplicatedConfig(const ReloadableState& state, const settings::Site& own) {
   if (state.replicated_config_service == nullptr) return own;
   return replicated_config::ApplyDocument(state.replicated_config_service->document(), own);
 }
 
-// `document`: the overrides to apply; null: none.
+// `document` has the overrides to apply; null: no overrides.
 void ApplyQueueSettings(ReloadableState& state, const replicated_config::Document* document) {
   if (!state.own_queue_settings) return;
   state.broker.admission_queue()->Configure(
@@ -55,7 +55,7 @@
   return config;
 }
 
-// Throws ConfigError if the operator's file switches a part on or off, which only a start can do.
+// Throws ConfigError if the operator's file enables or disables a part, which requires a restart.
 void CheckSamePartsEnabled(const std::string& path, const operator_config::OperatorFile& file,
                            const ReloadableState& state) {
   if (file.admission_queue.has_value() != (state.broker.admission_queue() != nullptr))
@@ -66,7 +66,8 @@
     throw ConfigError(path + ": rules are switched on and off by a restart only");
 }
 
-// Throws ConfigError if the active version of the replicated configuration doesn't fit the new settings.
+// Throws ConfigError if the active version of the replicated configuration cannot be applied to the new
+// settings.
 void CheckReplicatedConfigFits(const ReloadableState& state, const settings::Site& site,
                                const operator_config::OperatorFile& file) {
   if (state.replicated_config_service == nullptr) return;
@@ -75,7 +76,7 @@
   if (!compatible) throw ConfigError("the rules in force can't be carried: " + compatible.error().Text());
 }
 
-// Only a start changes these.
+// Logs a warning for each changed setting that takes effect only at a start.
 void WarnAboutStartOnlySettings(const Config& now, const Config& before) {
   const std::pair<const char*, bool> parts[] = {
       {fields::kName, now.name == before.name},
@@ -95,7 +96,7 @@
   state.queue_state_file = std::move(waiting.state_file);
 }
 
-// Throws for files that can't be used, and changes nothing then.
+// Throws an exception, and changes nothing, if one of the files cannot be used.
 void ReloadOrThrow(const StartupOptions& options, ReloadableState& state) {
   Config config = LoadReloadableConfig(options.config_path, state.config);
   settings::Migration migration = MigrateSettings(
--- a/src/proxy/replicated_config_calls.cpp
+++ b/src/proxy/replicated_config_calls.cpp
@@ -1,4 +1,4 @@
-// Calls of operators to a ReplicatedConfigService: JSON objects, carried by the peer transport.
+// The operators' calls to a ReplicatedConfigService: JSON objects sent over the peer transport.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -87,7 +87,7 @@
   return Dump(out);
 }
 
-// On a voter: the stored versions without their documents.
+// Returns the stored versions without their documents. Requires that this proxy is a voter.
 std::string ReplicatedConfigService::HistoryText() const {
   const replicated_config::ConfigStateMachine& state_machine = *replica_.state_machine();
   ordered_json out = {{"versions", ordered_json::array()}};
@@ -100,7 +100,7 @@
   return Dump(out);
 }
 
-// Forwards a call for data that only voters have.
+// Forwards a call for data that only voters have to the first other voter that answers.
 Task<std::string> ReplicatedConfigService::ForwardToVoter(std::string bytes) {
   for (const std::string& name : settings_.voters) {
     const gossip::Member* voter = FindProcess(name);
@@ -114,7 +114,7 @@
 }
 
 // Proposes a document, changes the voters or reads the committed versions, and waits for the outcome. `call`
-// outlives the task.
+// must outlive the task.
 Task<std::string> ReplicatedConfigService::HandleChangeCall(const ordered_json& call) {
   const std::string name = TextField(call, calls::kCall);
   std::string id = TextField(call, calls::kRequestId);
--- a/src/proxy/replicated_config_ejections.cpp
+++ b/src/proxy/replicated_config_ejections.cpp
@@ -1,4 +1,5 @@
-// Manual ejections in a ReplicatedConfigService: takes effect here first, then becomes a change of the fleet.
+// Manual ejections in a ReplicatedConfigService. An ejection takes effect here first and is then proposed to
+// the fleet as a configuration change.
 #include <algorithm>
 
 #include "proxy/replicated_config_service.h"
@@ -16,14 +17,15 @@
 
 namespace {
 
-constexpr auto kManualEjectionTimeout = 850ms;  // of an operator's call
+constexpr auto kManualEjectionTimeout = 850ms;  // for an operator's command
 constexpr auto kChangeTimeout = 4000ms;
 constexpr auto kReconcileRetryInterval = 100ms, kRejectedRetryInterval = 2000ms;
 
 }  // namespace
 
 void ReplicatedConfigService::ApplyEjections() {
-  // An ejection requested here takes effect here at once, the end of one only with the version that ends it.
+  // An ejection requested here takes effect here at once; a return to service takes effect only with the
+  // version that contains it.
   std::set<std::string> out = document_.ejected_engines;
   for (const auto& [engine, ejection] : manual_ejections_)
     if (ejection.ejected) out.insert(engine);
@@ -36,7 +38,7 @@
   return replicated_config::ParseDocument(*text).value_or(Document());
 }
 
-// Proposes the ejections requested here until the fleet has committed them.
+// Proposes the ejections and returns requested here until the fleet has committed them.
 Task<> ReplicatedConfigService::ReconcileManualEjections() {
   for (;;) {
     const bool open = std::any_of(manual_ejections_.begin(), manual_ejections_.end(),
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr auto kPublishInterval = 50ms;             // of this proxy's published state
-constexpr auto kHeldStoreRetryInterval = 200ms;     // the store is held by another process of this proxy
+constexpr auto kPublishInterval = 50ms;             // between two checks for a changed state to publish
+constexpr auto kHeldStoreRetryInterval = 200ms;     // another process of this proxy has locked the store
 constexpr auto kFailedStoreRetryInterval = 2000ms;  // the store has failed
 constexpr std::uint64_t kBootstrapVotersWrite = (std::uint64_t{1} << 40) - 1, kEpochShift = 40;
 constexpr const char* kStoreAttribute = "store";
@@ -148,7 +148,8 @@
   if (replica_.NextDeadline() < planned_at_) timer_changed_.Notify();
 }
 
-// Returns the process of that name; where two live, the one that has the store.
+// Returns the process with that name. Of several, it prefers a live process, then one with an open store,
+// then the highest generation.
 const gossip::Member* ReplicatedConfigService::FindProcess(const raft::NodeId& name) const {
   const gossip::Member* best = nullptr;
   const auto rank = [](const gossip::Member& m) {
@@ -294,7 +295,8 @@
   return version && *version == active_version_ ? version : std::nullopt;
 }
 
-// Whether the active version lets an isolated proxy send this.
+// Returns true if the active version permits an isolated proxy to send a request of this class to this
+// engine. For `engine` 0, it checks the class only.
 bool ReplicatedConfigService::PermittedInIsolation(const std::string& class_name, EngineId engine) const {
   const replicated_config::IsolationPolicy& policy = document_.isolation;
   const replicated_config::LeaseHolder& holder = replica_.holder();
@@ -342,7 +344,7 @@
   return replicated_config::CheckCompatible(document_, site, queue);
 }
 
-// Publishes this proxy's versions through gossip, and logs when it becomes isolated.
+// Publishes this proxy's versions through gossip, and logs when it becomes isolated or has a lease again.
 Task<> ReplicatedConfigService::PublishState() {
   for (;; co_await loop_.Sleep(kPublishInterval)) {
     const bool isolated = !UsableVersion();
--- a/src/proxy/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -1,17 +1,12 @@
-// The replicated configuration in a running proxy: connects a ConfigReplica to the peer transport, a
-// voter's store, the proxy's settings, the endpoint directory and the operators' calls. Made only where
-// the operator's file has a `rules` block.
+// The replicated configuration in a running proxy: connects a ConfigReplica to the peer transport, a voter's
+// store, the proxy's settings, the endpoint directory and the operators' calls. It exists only if the
+// operator's file has a `rules` block.
 //
-// Contract: the lease is checked in the turn of each action. Nothing here waits for the disk: a voter
-// whose store fails steps down and reopens it later.
+// The lease is checked in the same turn of the event loop as the action that requires it. The event loop
+// never waits for the disk: a voter whose store fails steps down and reopens the store later.
 //
-// Owner: the proxy's wiring.
-//
-// Thread safety: none; it runs on one event loop.
-//
-// Errors: the constructor throws ConfigError where this proxy is a voter without a store.
-//
-// Design: docs/agreement.md.
+// RunProxy owns the object. It is not thread-safe and runs on one event loop. docs/agreement.md describes the
+// design.
 #ifndef LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
 #define LEMONCROFT_PROXY_REPLICATED_CONFIG_SERVICE_H_
 
@@ -40,18 +35,19 @@
 class ReplicatedConfigService : public request::LeaseFence {
  public:
   struct LocalConfig {
-    std::function<const settings::Site&()> site;                       // from this proxy's own configuration
-    std::function<const admission_queue::Settings*()> queue;           // likewise; null: no admission queue
+    std::function<const settings::Site&()> site;              // of this proxy's own configuration
+    std::function<const admission_queue::Settings*()> queue;  // of this proxy's own; null: no admission queue
     std::function<void(const replicated_config::Document&)> activate;  // applies a document; may throw
   };
 
+  // Throws ConfigError if this proxy is a voter without a store.
   ReplicatedConfigService(runtime::Loop& loop, Fleet& fleet,
                           const operator_config::ReplicatedConfigSettings& settings, const std::string& name,
                           discovery::EndpointDirectory& directory,
                           discovery::EndpointDirectory::UpdateCallback on_update, LocalConfig local_config);
 
   void Start();
-  // Transfers leadership, if this proxy has it, because the process ends.
+  // Transfers leadership to another voter if this proxy is the leader, because the process ends.
   void Shutdown();
 
   bool AdmitsClass(const std::string& class_name) override;
@@ -59,29 +55,30 @@
   // Returns false if the send is not permitted.
   bool PermitAndRecordSend(const std::string& class_name, EngineId engine, bool may_have_run) override;
 
-  // Checks that the active version can be applied to new settings of this proxy.
+  // Checks that the active version can be applied to these new settings of this proxy.
   [[nodiscard]] tl::expected<void, replicated_config::IncompatibleDocument> CheckCompatible(
       const settings::Site& site, const admission_queue::Settings* queue) const;
-  // The document that is active here; empty before the first.
+  // Returns the document that is active here; it is empty before the first activation.
   const replicated_config::Document& document() const { return document_; }
   const operator_config::ReplicatedConfigSettings& settings() const { return settings_; }
 
-  // Proposes to the fleet an accepted `exclude`, which is in effect here already, or `include`, which takes
-  // effect with the version that has it. Returns `reply` with what the fleet has decided so far.
+  // Proposes to the fleet an accepted `exclude`, which is already in effect here, or an accepted `include`,
+  // which takes effect with the version that contains it. Returns `reply` with the outcome so far in its
+  // message.
   runtime::Task<admin::Reply> ReplicateManualEjection(admin::Command call, admin::Reply reply);
-  // Whether this proxy has a lease. Its version may still have to be activated here: until then sends are
-  // rejected (UsableVersion).
+  // Returns true if this proxy has a lease. The version of the lease may not be active here yet; sends are
+  // rejected until it is (see UsableVersion).
   bool ready() const { return replica_.UsableVersion(runtime::Now()).has_value(); }
   std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
 
  private:
   static constexpr std::size_t kMaxPendingCalls = 64;
-  static constexpr const char* kStateAttribute = "rules";  // gossip attribute: versions in use here
+  static constexpr const char* kStateAttribute = "rules";  // gossip attribute with the versions in use here
 
   struct ManualEjection {
     bool ejected = false;
     replicated_config::Version committed_version = 0;  // 0: not committed yet
-    std::string why;                                   // why the last proposal was not committed
+    std::string why;                                   // reason why the last proposal was not committed
   };
   struct PendingCall {
     runtime::ConditionVariable completed;
@@ -103,9 +100,9 @@
   void StepDown(const std::string& why);
   runtime::Task<> ReopenStore(runtime::Duration after);
   const gossip::Member* FindProcess(const raft::NodeId& name) const;
-  void UpdatePeers();  // the live members, from which the replica may fetch documents
+  void UpdatePeers();  // sets the live members, from which the replica may fetch documents
   void Activate(replicated_config::Version version);
-  void ApplyEjections();  // of the active version, and those requested here since
+  void ApplyEjections();  // those of the active version, and later ones requested here
   std::optional<replicated_config::Version> UsableVersion() const;
   bool PermittedInIsolation(const std::string& class_name, EngineId engine) const;
   replicated_config::Document LatestDocument() const;
@@ -133,18 +130,18 @@
   replicated_config::DocumentChecks document_checks_;
   replicated_config::ConfigReplica replica_;
   replicated_config::NotificationPacer notification_pacer_;
-  std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last UpdatePeers
+  std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last UpdatePeers()
   runtime::ConditionVariable timer_changed_, ejections_changed_;
   runtime::Time planned_at_ = runtime::kNever;
 
   std::unique_ptr<storage::Worker> worker_;
-  std::uint64_t epoch_ = 0;  // how often the store was opened; results of earlier ones are ignored
+  std::uint64_t epoch_ = 0;  // number of times the store was opened; results of earlier openings are ignored
   bool opening_store_ = false, reported_unavailable_ = false;
   runtime::Duration slowest_sync_{};
 
   replicated_config::Document document_;
   replicated_config::Version active_version_ = 0;
-  // By engine: those requested here that no active version has yet.
+  // By engine: the ejections and returns requested here that no version active here contains yet.
   std::map<std::string, ManualEjection> manual_ejections_;
   std::map<std::string, std::shared_ptr<PendingCall>> pending_calls_;
   mutable std::uint64_t last_change_number_ = 0;
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -8,13 +8,14 @@
 namespace {
 
 constexpr std::size_t kDefaultMaxDescriptors = 1024;
-constexpr std::size_t kReservedDescriptors = 40;    // epoll, signals, log, control feed, those of short calls
-constexpr Nanos kDefaultKeepalive = 5'000'000'000;  // of engines, where the settings give none
+constexpr std::size_t kReservedDescriptors = 40;    // epoll, signals, log, control feed, short-lived calls
+constexpr Nanos kDefaultKeepalive = 5'000'000'000;  // of engines, if the settings have none
 
 }  // namespace
 
 runtime::Duration EngineIdleTimeout(const settings::Site& site) {
-  // Well before the engine closes the connection: a statement must not cross a close.
+  // The proxy closes the connection well before the engine does, so that no statement is sent on a connection
+  // that the engine is closing.
   return decision::ToDuration(site.keepalive > 0 ? site.keepalive : kDefaultKeepalive) * 3 / 4;
 }
 
@@ -23,7 +24,7 @@
   const std::size_t admin = config.management ? admin::Listener::kMaxConnections + 1 : 0;
   hot_restart::ProxyLimits limits;
   limits.descriptors = descriptors;
-  limits.clients = descriptors * 2 / 5;  // a third is in use as a rule; some clients reconnect
+  limits.clients = descriptors * 2 / 5;  // normally a third is used; the rest is for reconnecting clients
   limits.reserved_per_process = kReservedDescriptors + admin;
   return limits;
 }
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -1,8 +1,7 @@
 // Derives the limits of the proxy's parts from its configuration: descriptors, connections, memory, requests.
 //
-// Contract. Pure functions: no I/O, no clock. Owner: none. Units: descriptors, megabytes, requests. Errors:
-// none; figures that the configuration doesn't give have defaults. Called at the start, and at each reload
-// for what a reload may change.
+// These are pure functions. Limits that are not configured have defaults. The functions are called at the
+// start; those for limits that a reload may change are called at each reload too.
 #ifndef LEMONCROFT_PROXY_RESOURCE_LIMITS_H_
 #define LEMONCROFT_PROXY_RESOURCE_LIMITS_H_
 
@@ -18,19 +17,21 @@
 
 namespace lemoncroft::proxy {
 
-// After this time without a query, a connection to an engine is closed.
+// Returns the time without a query after which a connection to an engine is closed.
 runtime::Duration EngineIdleTimeout(const settings::Site& site);
 
-// Limits of the proxy as a whole, over all its processes.
+// Returns the limits of the proxy, for all its processes together.
 hot_restart::ProxyLimits ProxyLimitsOf(const Config& config);
 
-// Limits of one process. `memory_mb` is its part of the proxy's memory; 0: not known.
+// These return the limits of one process. `memory_mb` is the process's part of the proxy's memory, in
+// mebibytes; 0: not known.
 backend::ConnectionPool::Limits PoolLimits(const Config& config);
 frontend::FrameServer::Limits ClientLimits(const Config& config, std::size_t memory_mb);
 broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb,
                                      std::size_t default_max_open);
 
-// Requests open at a time: the settings' figure, `default_max_open` at most and by default.
+// Returns the maximum number of open requests: that of the settings, but at most `default_max_open`, which is
+// also the default.
 std::size_t MaxOpenRequests(const settings::Site& site, std::size_t default_max_open);
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -13,19 +13,19 @@
 using runtime::Task;
 using runtime::Time;
 
-// Since SIGTERM. New connections are accepted for so long if no successor holds the listening socket ...
+// Time after SIGTERM for which new connections are accepted if no successor has the listening socket.
 constexpr auto kKeepAcceptingDuration = 500ms;
-// ... and new requests on open connections for so long in any case.
+// Time after SIGTERM for which new requests on open connections are accepted in any case.
 constexpr auto kKeepServingDuration = 700ms;
-// Where the listener is shared, SIGKILL is expected once the longest deadline of a class, at most
-// kMaxDrainWithSuccessor, has passed since kKeepServingDuration after SIGTERM. Open requests are answered
-// kFinalAnswerMargin before that.
+// If the listener is shared, SIGKILL is expected after kKeepServingDuration and a drain time, counted from
+// SIGTERM. The drain time is the longest client timeout of a class, but at most kMaxDrainWithSuccessor. Open
+// requests are answered kFinalAnswerMargin before that.
 constexpr auto kMaxDrainWithSuccessor = 5000ms, kFinalAnswerMargin = 200ms;
-constexpr auto kClientCloseTimeout = 200ms;     // for clients to end connections that are shut
-constexpr auto kCancelAttemptsTimeout = 100ms;  // for engines to be told of attempts that nobody waits for
+constexpr auto kClientCloseTimeout = 200ms;  // for clients to close connections that the proxy has shut down
+constexpr auto kCancelAttemptsTimeout = 100ms;  // for cancelling attempts without a waiting client
 constexpr auto kDrainPollInterval = 10ms;
 
-// The time by which open requests must be answered because SIGKILL follows.
+// Returns the time by which open requests must be answered because SIGKILL is expected after it.
 Time FinalAnswerTime(Time since, const settings::Site& site) {
   Nanos longest = 0;
   for (const ClassSettings& c : site.module.classes) longest = std::max(longest, c.client_timeout);
@@ -33,7 +33,7 @@
   return since + kKeepServingDuration + drain - kFinalAnswerMargin;
 }
 
-// Waits for open requests until `last`, then has the rest answered.
+// Waits until no request is open or `last` has passed, then completes the remaining requests.
 Task<> CompleteRequestsBy(runtime::Loop& loop, broker::Broker& broker, Time last) {
   while (broker.open_requests() > 0 && Now() < last) co_await loop.Sleep(kDrainPollInterval);
   if (broker.open_requests() > 0)
@@ -46,7 +46,7 @@
     server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
-  // A process that ended now would reset the connections on which something has arrived meanwhile.
+  // If the process ended now, the connections on which data has arrived meanwhile would be reset.
   const Time close_by = Now() + kClientCloseTimeout;
   while (server.connections() > 0 && (Now() < close_by || !server.flushed())) {
     server.CloseIdleConnections();
@@ -67,12 +67,12 @@
   server.AnnounceDrain();
   co_await loop.SleepUntil(since + kKeepAcceptingDuration);
   if (!listener_is_shared) server.StopAccepting(Queue::kAcceptQueued);
-  server.AnnounceDrain();  // to clients that have connected since
+  server.AnnounceDrain();  // to clients that have connected since the first announcement
   co_await loop.SleepUntil(since + kKeepServingDuration);
   broker.RejectNewRequests();
   if (listener_is_shared) co_await CompleteRequestsBy(loop, broker, FinalAnswerTime(since, *active_settings));
   co_await CloseConnections(loop, server, broker);
-  // The engines of cancelled attempts are still being told; without that the attempts would run on.
+  // Cancellations may still be on their way to the engines; without them, the attempts would continue to run.
   const Time cancel_by = Now() + kCancelAttemptsTimeout;
   while (!broker.idle() && Now() < cancel_by) co_await loop.Sleep(kDrainPollInterval);
   if (fleet != nullptr) co_await fleet->Leave();
--- a/src/proxy/shutdown.h
+++ b/src/proxy/shutdown.h
@@ -1,10 +1,9 @@
 // Ends the proxy after SIGTERM without losing requests that it has accepted.
 //
-// Contract. In order: clients are told that the process ends, new connections and then requests are served
-// for a short time more, open requests are completed, idle connections are closed, attempts that nobody
-// waits for are cancelled at the engines, the proxy leaves the fleet, the loop stops. Owner: RunProxy; the
-// event loop's thread. Errors: none. Bounded in time by the deadlines of open requests and by the timeouts
-// for clients that read nothing.
+// The order is: clients are notified that the process ends; new connections, and then new requests, are
+// served for a short time more; open requests are completed; idle connections are closed; attempts without a
+// waiting client are cancelled at the engines; the proxy leaves the fleet; the loop stops. The deadlines of
+// open requests and the timeouts for clients that read nothing bound the time that this takes.
 #ifndef LEMONCROFT_PROXY_SHUTDOWN_H_
 #define LEMONCROFT_PROXY_SHUTDOWN_H_
 
@@ -16,13 +15,13 @@
 
 namespace lemoncroft::proxy {
 
-// Whether another process may hold the clients' listening socket too.
+// Indicates whether another process may also have the clients' listening socket open.
 enum class ListenerOwnership {
-  kExclusive,  // this process has bound it: clients in its queue are lost with the process
-  kShared,     // inherited: a successor accepts the clients in its queue
+  kExclusive,  // bound by this process: the connections in its accept queue are lost with the process
+  kShared,     // inherited: a successor accepts the connections in its accept queue
 };
 
-// `fleet` may be null. All that is referred to outlives the task.
+// Runs on the event loop's thread. `fleet` may be null. All referenced objects must outlive the task.
 runtime::Task<> ShutDownGracefully(runtime::Loop& loop, frontend::FrameServer& server, broker::Broker& broker,
                                    const settings::ActiveSettings& active_settings,
                                    ListenerOwnership listener, Fleet* fleet);
--- a/src/proxy/signals.h
+++ b/src/proxy/signals.h
@@ -1,8 +1,9 @@
 // The signals that the proxy handles, read on its event loop: SIGTERM and SIGINT end it, SIGHUP reloads its
 // files.
 //
-// Contract. BlockHandledSignals comes before any thread or I/O, so that a signal that arrives during the
-// start waits until it is read. Owner: RunProxy; one thread. Errors: std::system_error without a signalfd.
+// BlockHandledSignals must be called before any thread is started and before any I/O, so that a signal that
+// arrives during the start stays pending until it is read. RunProxy owns the SignalReader and uses it on the
+// event loop's thread.
 #ifndef LEMONCROFT_PROXY_SIGNALS_H_
 #define LEMONCROFT_PROXY_SIGNALS_H_
 
@@ -12,16 +13,16 @@
 
 namespace lemoncroft::proxy {
 
-// Blocks the default action of these signals. The first call of main: an earlier SIGHUP would end the
-// process.
+// Blocks the handled signals, so that their default action does not happen. Must be the first call of main: a
+// SIGHUP before it ends the process.
 void BlockHandledSignals();
 
 class SignalReader {
  public:
-  // `loop` outlives this object.
+  // `loop` must outlive this object. Throws std::system_error if no signalfd can be created.
   explicit SignalReader(runtime::Loop& loop);
 
-  // Waits for the next signal and returns its number. Signals that arrive between two calls are kept.
+  // Waits for the next signal and returns its number. Signals that arrive between two calls stay pending.
   runtime::Task<int> Next();
 
  private:
--- a/src/proxy/state_writer.h
+++ b/src/proxy/state_writer.h
@@ -1,9 +1,9 @@
-// Replaces a state file on a thread of its own: a rename over a file may wait for a busy disk, and the event
-// loop must not.
+// Replaces a state file on a separate thread, because renaming over a file may block on a busy disk, and the
+// event loop must not block.
 //
-// Contract. The newest text wins: one that has not been written when the next arrives is dropped. Owner: one
-// object, used by the event loop's thread; its destructor doesn't wait for the disk. Errors: a file that
-// can't be written is logged once until a write succeeds.
+// If a new text arrives before the previous one was written, the previous one is dropped. Of consecutive
+// failures to write, only the first is logged. The object is used by the event loop's thread; the destructor
+// does not wait for the disk.
 #ifndef LEMONCROFT_PROXY_STATE_WRITER_H_
 #define LEMONCROFT_PROXY_STATE_WRITER_H_
 
@@ -19,7 +19,7 @@
   StateWriter(const StateWriter&) = delete;
   StateWriter& operator=(const StateWriter&) = delete;
 
-  // Has the file replaced; returns at once.
+  // Schedules the replacement of the file and returns at once.
   void Write(const std::string& path, std::string text);
 
  private:
--- a/src/proxy/voter_store.h
+++ b/src/proxy/voter_store.h
@@ -1,6 +1,7 @@
-// Maps what a ConfigReplica persists to records and log entries of a storage::Database.
+// Converts the state that a ConfigReplica persists to records and log entries of a storage::Database, and
+// back.
 //
-// Contract. Pure functions; the names and bytes are the stored format. Errors: DecodeStore returns nullopt.
+// These are pure functions. The names of the records and the bytes are the format of stored data.
 #ifndef LEMONCROFT_PROXY_VOTER_STORE_H_
 #define LEMONCROFT_PROXY_VOTER_STORE_H_
 
@@ -15,7 +16,7 @@
 
 // The names of the records in a voter's store; its log is the Raft log.
 inline constexpr const char* kRecordStoreId = "store";
-inline constexpr const char* kRecordBootstrapVoters = "founders";  // a line "NAME STORE" for each
+inline constexpr const char* kRecordBootstrapVoters = "founders";  // a line "NAME STORE_ID" for each
 inline constexpr const char* kRecordHardState = "promise";
 inline constexpr const char* kRecordSnapshot = "snapshot";
 
@@ -23,7 +24,7 @@
 storage::WriteBatch EncodeBootstrapVoters(const replicated_config::BootstrapVoters& bootstrap_voters);
 storage::WriteBatch EncodeUpdate(const raft::StorageUpdate& update);
 
-// Returns nullopt for contents that this program did not write.
+// Returns nullopt for contents that are not in this program's format.
 [[nodiscard]] std::optional<replicated_config::StoredState> DecodeStore(
     const storage::StoreContents& contents);
 
