--- a/tests/off_test.cpp
+++ b/tests/off_test.cpp
@@ -1,6 +1,6 @@
-// Without an operator's file the program asks the system for just what it asked for before there was a view
-// of the fleet: no further socket, descriptor, datagram or draw of randomness. Counted by tracing the program
-// from its exec to its end; the figures were recorded with the program as it was then.
+// Without an operator's file, the program must make the same system calls as before the fleet membership was
+// added: no additional socket, descriptor, datagram or read of random data. The test traces the program from
+// its exec to its end and compares the counts of system calls with those recorded before that change.
 #include <gtest/gtest.h>
 #include <sys/ptrace.h>
 #include <sys/syscall.h>
@@ -30,7 +30,8 @@
     {SYS_rename, "rename"},        {SYS_unlink, "unlink"},       {SYS_mkdir, "mkdir"},
     {SYS_setsockopt, "setsockopt"}};
 
-// Runs the program to its end; SIGTERM comes once it has listened for a while.
+// Runs the program to its end and counts its system calls. SIGTERM ends it some time after its first
+// listen().
 Counts Traced(const std::string& program, const std::string& config) {
   const pid_t pid = ::fork();
   if (pid == 0) {
@@ -93,9 +94,9 @@
 "maxRetryAfterNs":1000000000,"connectTimeoutNs":250000000,"keepaliveNs":15000000000,"probing":true},
 "guarantees":{"answerSlackNs":20000000,"drainGraceNs":250000000,"coldFrom":0.31,
 "warmWithinNs":14000000000,"overloadFactor":4.0,"fallNs":1000000000}}})";
-  const char* program = std::getenv("LEMONCROFT_TRACED");  // to record: the program of another time
+  const char* program = std::getenv("LEMONCROFT_TRACED");  // for recording: another version of the program
   const Counts counts = Traced(program == nullptr ? LEMONCROFT_PROGRAM : program, config);
-  // At commit 05022c1, three times the same.
+  // Recorded at commit 05022c1, with the same counts in three runs.
   const Counts recorded = {{"bind", 1},       {"epoll_create1", 1}, {"epoll_ctl", 3}, {"listen", 1},
                            {"setsockopt", 1}, {"signalfd4", 1},     {"socket", 1}};
   std::string shown;
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,4 +1,4 @@
-// Memory that sockets hold, which no scenario can observe.
+// Tests the memory usage of sockets, which no scenario can observe.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -10,7 +10,8 @@
 namespace lemoncroft {
 namespace {
 
-// Hundreds of idle connections wait with a buffer each.
+// Hundreds of idle connections wait for data, each with a buffer. The buffer must not be allocated before
+// data arrives.
 TEST(Socket, ABufferThatWaitsForBytesHoldsNoMemoryForThem) {
   runtime::Loop loop;
   int ends[2];
--- a/tests/surface_test.cpp
+++ b/tests/surface_test.cpp
@@ -1,8 +1,8 @@
-// Compatibility tests of the program as operators and their scripts see it: help texts, exit codes, the
-// output of check-config, the keys of the state files and of the JSON answers, and the names in the
-// telemetry. The expected texts are files under fixtures/. CLI11 lays out the help texts and words the errors
-// of the command line; the files under fixtures/help were written with CLI11 2.1.2, another version may need
-// them anew.
+// Compatibility tests of the program's interface to operators and their scripts: help texts, exit codes, the
+// output of check-config, the keys of the state files and of the JSON responses, and the names in the
+// telemetry. The expected texts are files under fixtures/. CLI11 formats the help texts and the command line
+// errors; the files under fixtures/help were written with CLI11 2.1.2, and another version may require new
+// ones.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/prctl.h>
@@ -33,14 +33,14 @@
 using namespace std::chrono_literals;
 
 const fs::path kFixtures = LEMONCROFT_FIXTURES;
-constexpr auto kChangeTimeout = 5s;  // of a state file that is written every second at the latest
+constexpr auto kChangeTimeout = 5s;  // for a change of a state file, which is written at least every second
 constexpr auto kPollInterval = 50ms;
-constexpr auto kStartTimeout = 20s;    // of a proxy, until it answers its peers
-constexpr auto kProgramTimeout = 30s;  // of one run of the program
-constexpr auto kAnswerTimeout = 10s;   // of a call on the management port
+constexpr auto kStartTimeout = 20s;    // for a proxy until it responds to calls over the peer transport
+constexpr auto kProgramTimeout = 30s;  // for one run of the program
+constexpr auto kAnswerTimeout = 10s;   // for the reply to a command on the admin port
 constexpr auto kExitPollInterval = 2ms;
 constexpr int kCannotStartCode = 127;
-constexpr int kFirstPort = 15000, kPorts = 17000;  // below those that the system gives to others
+constexpr int kFirstPort = 15000, kPorts = 17000;  // below the ephemeral ports of the system
 
 class TemporaryFolder {
  public:
@@ -71,7 +71,8 @@
   std::string out, err;
 };
 
-// Runs in the child between fork and exec: it ends with the test and takes no setting from the environment.
+// Runs in the child between fork and exec. The child is killed when the test process ends, and its
+// environment has a fixed USER and none of the variables that configure the program.
 void PrepareChild(const fs::path& folder) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::chdir(folder.c_str()) != 0) ::_exit(kCannotStartCode);
@@ -79,7 +80,7 @@
   ::setenv("USER", "ada", 1);
 }
 
-// The wait status of the child, which is killed if it has not ended in time.
+// Returns the wait status of the child. Kills the child if it has not ended before the timeout.
 int WaitForEnd(pid_t pid, bool& timed_out) {
   const auto last = std::chrono::steady_clock::now() + kProgramTimeout;
   int status = 0;
@@ -96,7 +97,7 @@
   return status;
 }
 
-// Runs the program in a folder to its end; a run that is killed after the timeout has code -1.
+// Runs the program in a folder to its end. The exit code is -1 for a run that is killed after the timeout.
 Result RunProgram(const std::string& arguments, const fs::path& folder = "/") {
   const TemporaryFolder scratch;
   const std::string out = scratch.path() / "out", err = scratch.path() / "err";
@@ -166,7 +167,7 @@
   struct Case {
     const char* arguments;
     int code;
-    const char* err;  // how it begins
+    const char* err;  // beginning of the standard error output
   };
   constexpr Case kCases[] = {
       {"--nonsense", 2, "lemoncroft: "},
@@ -229,7 +230,7 @@
   }
 }
 
-// ---- State files that are shown ----
+// ---- Display of state files ----
 
 std::string StateWrittenAgo(const std::string& fixture, std::chrono::milliseconds age) {
   std::string text = TextOf(kFixtures / "state" / fixture);
@@ -289,7 +290,7 @@
   }
 }
 
-// One proxy as the only voter of its fleet, with the store that an earlier process left behind.
+// Runs one proxy as the only voter of its fleet, with a store that an earlier process has written.
 class RunningProxy : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -323,7 +324,7 @@
     return RunProgram("rules " + arguments + " -c config.json -o operator.kdl", folder());
   }
 
-  // The answer to an operator's call, to its end.
+  // Sends an operator's command and returns the complete reply.
   std::string Ask(const std::string& call) const {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const timeval timeout{.tv_sec = kAnswerTimeout.count(), .tv_usec = 0};
@@ -352,7 +353,7 @@
     ::_exit(kCannotStartCode);
   }
 
-  // Asks again while nobody answers: the proxy may not listen yet.
+  // Retries while there is no response, because the proxy may not listen yet.
   Result WaitForVersionInForce() const {
     const auto last = std::chrono::steady_clock::now() + kStartTimeout;
     for (;;) {
@@ -368,12 +369,12 @@
   pid_t pid_ = -1;
 };
 
-// Each key with its kind of value, a line each, in the order in which they stand.
+// Appends a line with the key and the type of its value for each key, in the order of the text.
 void AppendKeys(const ordered_json& json, const std::string& prefix, std::string& out) {
   for (const auto& [key, value] : json.items()) {
     const std::string name = prefix + key;
     out += name + " " + value.type_name() + "\n";
-    if (key == "holders") continue;  // its keys are names of processes
+    if (key == "holders") continue;  // its keys are the names of processes
     if (value.is_object()) AppendKeys(value, name + ".", out);
     if (value.is_array() && !value.empty() && value.front().is_object())
       AppendKeys(value.front(), name + "[].", out);
@@ -394,7 +395,7 @@
     const std::string expected = golden(of);
     const auto last = std::chrono::steady_clock::now() + kChangeTimeout;
     const fs::path file = folder() / (std::string(of) + ".json");
-    // The first version of the file may lack keys.
+    // The first text of the file may lack keys.
     std::string keys;
     for (; std::chrono::steady_clock::now() < last; std::this_thread::sleep_for(kPollInterval)) {
       keys = fs::exists(file) ? KeysOf(TextOf(file)) : "";
