--- a/src/proxy/fleet.cpp
+++ b/src/proxy/fleet.cpp
@@ -81,7 +81,7 @@
       !unconfirmed_log_budget_.Take(runtime::Now().time_since_epoch().count(), kUnconfirmedLogLinesPerSecond,
                                     kUnconfirmedLogBurstSeconds)) {
     if (suppressed_events_++ % kSuppressedLogInterval == 0)
-      spdlog::warn("fleet: many members without direct contact; {} events of them are not logged",
+      spdlog::warn("fleet: too many events of members without direct contact; {} events were not logged",
                    suppressed_events_);
     return;
   }
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -56,7 +56,7 @@
   std::unique_ptr<hot_restart::ProcessRegistry> registry;
   if (tmpdir != nullptr) registry = std::make_unique<hot_restart::ProcessRegistry>(tmpdir);
   if (registry == nullptr || !registry->registered())
-    spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
+    spdlog::warn("$TMPDIR cannot be used: the processes of a hot restart do not see each other");
   // If there is a replicated configuration, manual ejections are part of it.
   if (tmpdir != nullptr && !operator_file.replicated_config)
     operations.EnableEjectionStore(
--- a/src/proxy/operations.cpp
+++ b/src/proxy/operations.cpp
@@ -53,7 +53,7 @@
   if (saved || !out) unsaved_ejections_.erase(id);
   if (saved || !out) return {true, {}, {}};
   unsaved_ejections_.insert(id);
-  spdlog::warn("operator: exclude {} can't be stored in $TMPDIR: it holds for this process only", id);
+  spdlog::warn("operator: exclude {} cannot be stored in $TMPDIR: it is in effect for this process only", id);
   return {true, "for this process only: it can't be kept in $TMPDIR", {}};
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -202,7 +202,7 @@
   std::unique_ptr<ReplicatedConfigService> service;
   if (file.fleet) fleet = StartFleet(loop, *file.fleet, config, broker, operations, service);
   if (!directory.Apply(std::exchange(config.known, {}), on_endpoint_update))
-    spdlog::warn("the configuration knows no list of engines");
+    spdlog::warn("the configuration has no list of engines");
   discovery::EndpointWatch endpoint_watch(loop, directory, config.feed, on_endpoint_update, config.seed);
   ReloadableState state{.config = config,
                         .active_settings = active_settings,
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -59,11 +59,11 @@
 void CheckSamePartsEnabled(const std::string& path, const operator_config::OperatorFile& file,
                            const ReloadableState& state) {
   if (file.admission_queue.has_value() != (state.broker.admission_queue() != nullptr))
-    throw ConfigError(path + ": waiting is switched on and off by a restart only");
+    throw ConfigError(path + ": waiting can be enabled or disabled only by a restart");
   if (file.fleet.has_value() != (state.fleet_settings != nullptr))
-    throw ConfigError(path + ": fleet is switched on and off by a restart only");
+    throw ConfigError(path + ": fleet can be enabled or disabled only by a restart");
   if (file.replicated_config.has_value() != (state.replicated_config_service != nullptr))
-    throw ConfigError(path + ": rules are switched on and off by a restart only");
+    throw ConfigError(path + ": rules can be enabled or disabled only by a restart");
 }
 
 // Throws ConfigError if the active version of the replicated configuration cannot be applied to the new
@@ -73,7 +73,8 @@
   if (state.replicated_config_service == nullptr) return;
   const auto compatible = state.replicated_config_service->CheckCompatible(
       site, file.admission_queue ? &file.admission_queue->queue : nullptr);
-  if (!compatible) throw ConfigError("the rules in force can't be carried: " + compatible.error().Text());
+  if (!compatible)
+    throw ConfigError("the active version of the rules cannot be applied: " + compatible.error().Text());
 }
 
 // Logs a warning for each changed setting that takes effect only at a start.
@@ -84,7 +85,8 @@
       {fields::kAdminAddress, now.management_text == before.management_text},
       {fields::kLimits, now.memory_mb == before.memory_mb && now.sockets == before.sockets}};
   for (const auto& [part, same] : parts)
-    if (!same) spdlog::warn("configuration: {} changes by a start only; it stays as it was", part);
+    if (!same)
+      spdlog::warn("configuration: {} changes take effect only at a restart; the old value stays", part);
 }
 
 void ApplyOperatorSettings(ReloadableState& state, operator_config::AdmissionQueueSettings waiting) {
@@ -104,10 +106,12 @@
   operator_config::OperatorFile file = ReadOperatorSettings(options, migration.site);
   CheckSamePartsEnabled(options.operator_path, file, state);
   if (file.replicated_config && *file.replicated_config != state.replicated_config_service->settings())
-    spdlog::warn("{}: rules changes by a restart only; it stays as it was", options.operator_path);
+    spdlog::warn("{}: rules changes take effect only at a restart; the old settings stay",
+                 options.operator_path);
   CheckReplicatedConfigFits(state, config.site, file);
   if (file.fleet && *file.fleet != *state.fleet_settings)
-    spdlog::warn("{}: fleet changes by a restart only; it stays as it was", options.operator_path);
+    spdlog::warn("{}: fleet changes take effect only at a restart; the old settings stay",
+                 options.operator_path);
   WarnAboutStartOnlySettings(config, state.config);
   LogFindings(config);
 
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -202,7 +202,7 @@
 
 void ReplicatedConfigService::WriteBatch(std::uint64_t number, storage::WriteBatch batch) {
   if (!worker_->Write(epoch_ << kEpochShift | number, std::move(batch)))
-    StepDown("the disk is too slow: " + std::to_string(worker_->queue_size()) + " batches wait for it");
+    StepDown("the disk is too slow: " + std::to_string(worker_->queue_size()) + " write batches are pending");
 }
 
 void ReplicatedConfigService::StepDown(const std::string& why) {
@@ -243,12 +243,12 @@
   if (done.error.code == storage::StoreErrorCode::kNone) {
     stored = DecodeStore(done.contents);
     if (!stored)
-      done.error.message = settings_.store + ": holds contents of another format",
+      done.error.message = settings_.store + ": its contents are not in this program's format",
       done.error.code = storage::StoreErrorCode::kDamaged;
   }
   if (!stored) {
     if (!std::exchange(reported_unavailable_, true))
-      spdlog::warn("rules: the store cannot be opened, this voter waits: {}: {}",
+      spdlog::warn("rules: cannot open the store, this voter retries: {}: {}",
                    storage::NameOf(done.error.code), done.error.message);
     loop_.Spawn(ReopenStore(done.error.code == storage::StoreErrorCode::kLocked
                                 ? Duration(kHeldStoreRetryInterval)
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -37,7 +37,8 @@
 Task<> CompleteRequestsBy(runtime::Loop& loop, broker::Broker& broker, Time last) {
   while (broker.open_requests() > 0 && Now() < last) co_await loop.Sleep(kDrainPollInterval);
   if (broker.open_requests() > 0)
-    spdlog::info("ending: {} requests can't be waited for", broker.open_requests());
+    spdlog::info("ending: the time for open requests is over, {} requests are completed now",
+                 broker.open_requests());
   broker.CompleteAllRequests();
 }
 
--- a/src/proxy/state_writer.cpp
+++ b/src/proxy/state_writer.cpp
@@ -35,7 +35,7 @@
       }
       const bool written = ReplaceFile(file.path, file.text);
       if (!written && !failure_logged)
-        spdlog::warn("the state can't be written to {}: {}", file.path, std::strerror(errno));
+        spdlog::warn("cannot write the state file {}: {}", file.path, std::strerror(errno));
       failure_logged = !written;
     }
   }
