--- a/src/main.cpp
+++ b/src/main.cpp
@@ -46,7 +46,7 @@
   }
   if (!options.operator_file.empty()) operator_config::LoadOperatorFile(options.operator_file, config.site);
   std::printf("%s: good: %s on %s, %zu classes\n", options.config.c_str(), config.name.c_str(),
-              config.listen_text.c_str(), config.site.classes.size());
+              config.listen_address_text.c_str(), config.site.classes.size());
   if (!options.operator_file.empty()) std::printf("%s: good\n", options.operator_file.c_str());
   return 0;
 }
@@ -62,8 +62,9 @@
   CheckServable(config);
   LogFindings(config);
   // A process that replaces another one needs an admin address of its own, while both may read the same file.
-  const std::string management = Environment(fields::kAdminAddressVariable);
-  if (!management.empty()) config.management = ReadAddress(management, fields::kAdminAddressVariable);
+  const std::string admin_address = Environment(fields::kAdminAddressVariable);
+  if (!admin_address.empty())
+    config.admin_address = ReadAddress(admin_address, fields::kAdminAddressVariable);
   return RunProxy(std::move(config),
                   {options.config, options.operator_file, Environment(fields::kInheritedListenerVariable)});
 }
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -114,17 +114,17 @@
 
 void ReadMembers(const Json& json, Config& config) {
   config.name = json[fields::kName].text;
-  config.listen_text = json[fields::kListenAddress].text;
-  config.listen = ReadAddress(config.listen_text, fields::kListenAddress);
-  config.management_text = json[fields::kAdminAddress].text;
-  if (!config.management_text.empty())
-    config.management = ReadAddress(config.management_text, fields::kAdminAddress);
+  config.listen_address_text = json[fields::kListenAddress].text;
+  config.listen_address = ReadAddress(config.listen_address_text, fields::kListenAddress);
+  config.admin_address_text = json[fields::kAdminAddress].text;
+  if (!config.admin_address_text.empty())
+    config.admin_address = ReadAddress(config.admin_address_text, fields::kAdminAddress);
   config.seed = ReadSeed(json[fields::kSeed].text);
   const Json& limits = json[fields::kLimits];
   config.memory_mb = ReadSize(limits[fields::kMemoryMb]);
-  config.sockets = ReadSize(limits[fields::kMaxDescriptors]);
-  config.feed = json[fields::kControlFeed].text;
-  if (!config.feed.empty()) ReadAddress(config.feed, fields::kControlFeed);
+  config.max_descriptors = ReadSize(limits[fields::kMaxDescriptors]);
+  config.control_feed_address = json[fields::kControlFeed].text;
+  if (!config.control_feed_address.empty()) ReadAddress(config.control_feed_address, fields::kControlFeed);
 }
 
 void ReadSettings(const Json& json, Config& config) {
@@ -159,7 +159,7 @@
     ReadSettings(json, config);
     config.shape = ShapeOf(json);
     if (config.site.classes.empty()) throw ConfigError("settings: no request classes");
-    config.known = json.Take(fields::kKnownEvents);  // moved because it may be long
+    config.known_events = json.Take(fields::kKnownEvents);  // moved because it may be long
     return config;
   } catch (const codec::JsonError& e) {
     throw ConfigError(e.what());
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -29,15 +29,15 @@
 
 struct Config {
   std::string name;
-  std::string listen_text;
-  runtime::Address listen;
-  std::string management_text;
-  std::optional<runtime::Address> management;  // nullopt: no admin listener
+  std::string listen_address_text;
+  runtime::Address listen_address;
+  std::string admin_address_text;
+  std::optional<runtime::Address> admin_address;  // nullopt: no admin listener
   std::uint64_t seed = 0;
-  std::size_t memory_mb = 0;  // 0: not configured
-  std::size_t sockets = 0;    // maximum of open descriptors; 0: not configured
-  std::string feed;           // address of the control feed; empty: no control feed
-  codec::Json known;          // the control feed's events up to now; empty once they are applied
+  std::size_t memory_mb = 0;         // 0: not configured
+  std::size_t max_descriptors = 0;   // 0: not configured
+  std::string control_feed_address;  // empty: no control feed
+  codec::Json known_events;          // the control feed's events up to now; empty once they are applied
   settings::Site site;
   std::vector<settings::Finding> findings;  // about the settings, most severe first
   // The kind of each value by its path, such as settings.requestClasses[].deadlineNs. For the elements of a
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -42,7 +42,7 @@
 std::unique_ptr<runtime::Listener> MakeListener(runtime::Loop& loop, const Config& config,
                                                 runtime::Descriptor inherited) {
   return inherited ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
-                   : std::make_unique<runtime::Listener>(loop, config.listen);
+                   : std::make_unique<runtime::Listener>(loop, config.listen_address);
 }
 
 std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& file) {
@@ -131,9 +131,9 @@
 std::unique_ptr<admin::Listener> StartAdminListener(runtime::Loop& loop, const Config& config,
                                                     Operations& operations,
                                                     ReplicatedConfigService* service) {
-  if (!config.management) return nullptr;
+  if (!config.admin_address) return nullptr;
   auto listener = std::make_unique<admin::Listener>(
-      loop, *config.management,
+      loop, *config.admin_address,
       [&operations](const admin::Command& call) { return operations.Answer(call); });
   if (service != nullptr)
     listener->follow_up = [service](admin::Command call, admin::Reply reply) {
@@ -201,9 +201,10 @@
   std::unique_ptr<Fleet> fleet;
   std::unique_ptr<ReplicatedConfigService> service;
   if (file.fleet) fleet = StartFleet(loop, *file.fleet, config, broker, operations, service);
-  if (!directory.Apply(std::exchange(config.known, {}), on_endpoint_update))
+  if (!directory.Apply(std::exchange(config.known_events, {}), on_endpoint_update))
     spdlog::warn("the configuration has no list of engines");
-  discovery::EndpointWatch endpoint_watch(loop, directory, config.feed, on_endpoint_update, config.seed);
+  discovery::EndpointWatch endpoint_watch(loop, directory, config.control_feed_address, on_endpoint_update,
+                                          config.seed);
   ReloadableState state{.config = config,
                         .active_settings = active_settings,
                         .server = server,
@@ -226,7 +227,7 @@
   StartServing(loop, ownership, registry.get(), operations, state);
   const auto admin_listener = StartAdminListener(loop, config, operations, service.get());
   loop.Spawn(HandleSignals(loop, signals, options, state, operations, fleet.get()));
-  spdlog::info("{} listens on {}", config.name, config.listen_text);
+  spdlog::info("{} listens on {}", config.name, config.listen_address_text);
   loop.Run();
   return 0;
 }
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -81,9 +81,9 @@
 void WarnAboutStartOnlySettings(const Config& now, const Config& before) {
   const std::pair<const char*, bool> parts[] = {
       {fields::kName, now.name == before.name},
-      {fields::kListenAddress, now.listen_text == before.listen_text},
-      {fields::kAdminAddress, now.management_text == before.management_text},
-      {fields::kLimits, now.memory_mb == before.memory_mb && now.sockets == before.sockets}};
+      {fields::kListenAddress, now.listen_address_text == before.listen_address_text},
+      {fields::kAdminAddress, now.admin_address_text == before.admin_address_text},
+      {fields::kLimits, now.memory_mb == before.memory_mb && now.max_descriptors == before.max_descriptors}};
   for (const auto& [part, same] : parts)
     if (!same)
       spdlog::warn("configuration: {} changes take effect only at a restart; the old value stays", part);
@@ -120,10 +120,10 @@
     ApplyOperatorSettings(state, std::move(*file.admission_queue));
     spdlog::info("operator's file read again: {}", options.operator_path);
   }
-  state.directory.Apply(std::exchange(config.known, {}), state.on_endpoint_update);
+  state.directory.Apply(std::exchange(config.known_events, {}), state.on_endpoint_update);
   spdlog::info("configuration read again: {} classes, control feed at {}", config.site.classes.size(),
-               config.feed);
-  state.endpoint_watch.ChangeAddress(config.feed);
+               config.control_feed_address);
+  state.endpoint_watch.ChangeAddress(config.control_feed_address);
   state.config = std::move(config);
 }
 
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -20,8 +20,9 @@
 }
 
 hot_restart::ProxyLimits ProxyLimitsOf(const Config& config) {
-  const std::size_t descriptors = config.sockets > 0 ? config.sockets : kDefaultMaxDescriptors;
-  const std::size_t admin = config.management ? admin::Listener::kMaxConnections + 1 : 0;
+  const std::size_t descriptors =
+      config.max_descriptors > 0 ? config.max_descriptors : kDefaultMaxDescriptors;
+  const std::size_t admin = config.admin_address ? admin::Listener::kMaxConnections + 1 : 0;
   hot_restart::ProxyLimits limits;
   limits.descriptors = descriptors;
   limits.clients = descriptors * 2 / 5;  // normally a third is used; the rest is for reconnecting clients
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -94,7 +94,7 @@
   settings::ActiveSettings site(config.site);
   discovery::EndpointDirectory directory(site);
   EngineList told;
-  ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { told = list; }));
+  ASSERT_TRUE(directory.Apply(config.known_events, [&](const EngineList& list) { told = list; }));
   ASSERT_EQ(told.entries->size(), static_cast<std::size_t>(kEngines));
   EXPECT_EQ(told.entries->back().zone, kNames - 1);
 }
