--- a/src/main.cpp
+++ b/src/main.cpp
@@ -40,7 +40,7 @@
     if (finding.severity == settings::Severity::kWarning)
       std::printf("%s: warning: %s\n", options.config.c_str(), finding.text.c_str());
   try {
-    proxy::CheckFigures(config);
+    proxy::CheckSettings(config);
   } catch (const proxy::ConfigError& e) {
     throw proxy::ConfigError(options.config + ": " + e.what());
   }
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -170,7 +170,7 @@
 
 void CheckServable(const Config& config) { ThrowFrom(settings::Severity::kFatal, config); }
 
-void CheckFigures(const Config& config) { ThrowFrom(settings::Severity::kError, config); }
+void CheckSettings(const Config& config) { ThrowFrom(settings::Severity::kError, config); }
 
 void LogFindings(const Config& config) {
   for (const settings::Finding& finding : config.findings) {
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -54,7 +54,7 @@
 void CheckServable(const Config& config);
 // Throws ConfigError if a setting has an error. A reload requires that there is none, because it can keep the
 // current settings instead.
-void CheckFigures(const Config& config);
+void CheckSettings(const Config& config);
 // Throws ConfigError if `config` lacks a key that the current configuration `in_force` has, or has a value of
 // another kind for it. A reload requires this too.
 void CheckShape(const Config& config, const Config& in_force);
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -47,7 +47,7 @@
 Config LoadReloadableConfig(const std::string& path, const Config& in_force) {
   Config config = LoadConfig(path);
   try {
-    CheckFigures(config);
+    CheckSettings(config);
     CheckShape(config, in_force);
   } catch (const ConfigError& e) {
     throw ConfigError(path + ": " + e.what());
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -87,7 +87,7 @@
   const proxy::Config config =
       proxy::ReadConfig(ConfigText("a", Document(1, Event(1, true, Engines(0, kEngines)))));
   EXPECT_TRUE(config.findings.empty()) << config.findings.front().text;
-  EXPECT_NO_THROW(proxy::CheckFigures(config));
+  EXPECT_NO_THROW(proxy::CheckSettings(config));
   ASSERT_EQ(config.site.classes.size(), static_cast<std::size_t>(kNames));
   EXPECT_EQ(config.site.module.classes[kNames - 1].zones, std::vector<std::uint16_t>{kNames - 1});
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -48,7 +48,7 @@
 bool IsAccepted(const std::string& text) {
   try {
     const proxy::Config config = proxy::ReadConfig(text);
-    proxy::CheckFigures(config);
+    proxy::CheckSettings(config);
     proxy::CheckShape(config, proxy::ReadConfig(kConfigFile));
     return true;
   } catch (const proxy::ConfigError& e) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -79,7 +79,7 @@
 TEST(SettingsCheck, HasNothingToSayOfGoodSettings) {
   const proxy::Config config = Read(GoodConfig());
   EXPECT_EQ(TextsOf(config), std::vector<std::string>());
-  EXPECT_NO_THROW(proxy::CheckFigures(config));
+  EXPECT_NO_THROW(proxy::CheckSettings(config));
 }
 
 struct Fault {
@@ -198,9 +198,9 @@
     EXPECT_NE(std::find(config.findings.begin(), config.findings.end(), expected), config.findings.end())
         << "said: " << json(TextsOf(config)).dump();
     if (fault.severity == Severity::kWarning)
-      EXPECT_NO_THROW(proxy::CheckFigures(config));
+      EXPECT_NO_THROW(proxy::CheckSettings(config));
     else
-      EXPECT_THROW(proxy::CheckFigures(config), proxy::ConfigError);
+      EXPECT_THROW(proxy::CheckSettings(config), proxy::ConfigError);
   }
 }
 
@@ -224,7 +224,7 @@
   for (const json& tenants : {json::array(), json()}) {
     const proxy::Config config = Read(With("/tenants", tenants));
     EXPECT_EQ(TextsOf(config), std::vector<std::string>());
-    EXPECT_NO_THROW(proxy::CheckFigures(config));
+    EXPECT_NO_THROW(proxy::CheckSettings(config));
   }
 }
 
