--- a/src/main.cpp
+++ b/src/main.cpp
@@ -64,7 +64,7 @@
   // A process that replaces another one needs an admin address of its own, while both may read the same file.
   const std::string admin_address = Environment(fields::kAdminAddressVariable);
   if (!admin_address.empty())
-    config.admin_address = ReadAddress(admin_address, fields::kAdminAddressVariable);
+    config.admin_address = ParseAddress(admin_address, fields::kAdminAddressVariable);
   return RunProxy(std::move(config),
                   {options.config, options.operator_file, Environment(fields::kInheritedListenerVariable)});
 }
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -66,18 +66,19 @@
     }
   }
   if (!json.Is(Json::Kind::kArray) || json.items.empty() || IsEventList(path)) return;
-  Shape all;
+  Shape common;
   for (std::size_t i = 0; i < json.items.size(); ++i) {
-    Shape one;
-    ShapeInto(one, path + "[]", json.items[i]);
+    Shape item_shape;
+    ShapeInto(item_shape, path + "[]", json.items[i]);
     if (i == 0)
-      all = std::move(one);
+      common = std::move(item_shape);
     else
-      std::erase_if(
-          all, [&](const auto& key) { return !one.contains(key.first) || one[key.first] != key.second; });
+      std::erase_if(common, [&](const auto& key) {
+        return !item_shape.contains(key.first) || item_shape[key.first] != key.second;
+      });
   }
-  all[path + "[]"] = json.items.front().kind;  // marks the list as not empty
-  out.merge(all);
+  common[path + "[]"] = json.items.front().kind;  // marks the list as not empty
+  out.merge(common);
 }
 
 Shape ShapeOf(const Json& json) {
@@ -89,19 +90,19 @@
 // Returns true if the path belongs to an element of a list that is present in `shape` and empty.
 bool IsOfEmptyList(const std::string& path, const Shape& shape) {
   for (std::size_t at = path.find("[]"); at != std::string::npos; at = path.find("[]", at + 1)) {
-    const bool list = shape.contains(path.substr(0, at));
-    if (list && !shape.contains(path.substr(0, at + 2))) return true;
+    const bool list_present = shape.contains(path.substr(0, at));
+    if (list_present && !shape.contains(path.substr(0, at + 2))) return true;
   }
   return false;
 }
 
 // Throws ConfigError with the first finding of at least this severity.
-void ThrowFrom(settings::Severity min_severity, const Config& config) {
+void ThrowFirstFinding(settings::Severity min_severity, const Config& config) {
   for (const settings::Finding& finding : config.findings)
     if (finding.severity >= min_severity) throw ConfigError(finding.text);
 }
 
-std::uint64_t ReadSeed(const std::string& text) {
+std::uint64_t ParseSeed(const std::string& text) {
   std::uint64_t seed = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || end != text.data() + text.size()) throw ConfigError("seed: not a hex number");
@@ -115,16 +116,16 @@
 void ReadMembers(const Json& json, Config& config) {
   config.name = json[fields::kName].text;
   config.listen_address_text = json[fields::kListenAddress].text;
-  config.listen_address = ReadAddress(config.listen_address_text, fields::kListenAddress);
+  config.listen_address = ParseAddress(config.listen_address_text, fields::kListenAddress);
   config.admin_address_text = json[fields::kAdminAddress].text;
   if (!config.admin_address_text.empty())
-    config.admin_address = ReadAddress(config.admin_address_text, fields::kAdminAddress);
-  config.seed = ReadSeed(json[fields::kSeed].text);
+    config.admin_address = ParseAddress(config.admin_address_text, fields::kAdminAddress);
+  config.seed = ParseSeed(json[fields::kSeed].text);
   const Json& limits = json[fields::kLimits];
   config.memory_mb = ReadSize(limits[fields::kMemoryMb]);
   config.max_descriptors = ReadSize(limits[fields::kMaxDescriptors]);
   config.control_feed_address = json[fields::kControlFeed].text;
-  if (!config.control_feed_address.empty()) ReadAddress(config.control_feed_address, fields::kControlFeed);
+  if (!config.control_feed_address.empty()) ParseAddress(config.control_feed_address, fields::kControlFeed);
 }
 
 void ReadSettings(const Json& json, Config& config) {
@@ -138,9 +139,10 @@
 
 }  // namespace
 
-runtime::Address ReadAddress(const std::string& text, const char* what) {
+runtime::Address ParseAddress(const std::string& text, const char* value_name) {
   const auto address = runtime::Address::Parse(text);
-  if (!address) throw ConfigError(std::string(what) + ": '" + text + "' is not an IPv4 address with a port");
+  if (!address)
+    throw ConfigError(std::string(value_name) + ": '" + text + "' is not an IPv4 address with a port");
   return *address;
 }
 
@@ -168,9 +170,9 @@
   }
 }
 
-void CheckServable(const Config& config) { ThrowFrom(settings::Severity::kFatal, config); }
+void CheckServable(const Config& config) { ThrowFirstFinding(settings::Severity::kFatal, config); }
 
-void CheckSettings(const Config& config) { ThrowFrom(settings::Severity::kError, config); }
+void CheckSettings(const Config& config) { ThrowFirstFinding(settings::Severity::kError, config); }
 
 void LogFindings(const Config& config) {
   for (const settings::Finding& finding : config.findings) {
@@ -179,8 +181,8 @@
   }
 }
 
-void CheckShape(const Config& config, const Config& in_force) {
-  for (const auto& [path, kind] : in_force.shape) {
+void CheckShape(const Config& config, const Config& current) {
+  for (const auto& [path, kind] : current.shape) {
     if (path.ends_with("[]") || kind == Json::Kind::kNull) continue;
     const auto it = config.shape.find(path);
     if (it == config.shape.end() && (IsOptional(path) || IsOfEmptyList(path, config.shape))) continue;
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -55,16 +55,16 @@
 // Throws ConfigError if a setting has an error. A reload requires that there is none, because it can keep the
 // current settings instead.
 void CheckSettings(const Config& config);
-// Throws ConfigError if `config` lacks a key that the current configuration `in_force` has, or has a value of
+// Throws ConfigError if `config` lacks a key that the current configuration `current` has, or has a value of
 // another kind for it. A reload requires this too.
-void CheckShape(const Config& config, const Config& in_force);
+void CheckShape(const Config& config, const Config& current);
 
 // Writes a log line for each finding about the settings.
 void LogFindings(const Config& config);
 
-// Parses an IPv4 address with a port. Throws ConfigError, with `what` as the name of the value, for any other
-// text.
-runtime::Address ReadAddress(const std::string& text, const char* what);
+// Parses an IPv4 address with a port. Throws ConfigError, with `value_name` as the name of the value, for any
+// other text.
+runtime::Address ParseAddress(const std::string& text, const char* value_name);
 
 // Returns nested JSON as path=value pairs in the form of the simulator's first message.
 settings::Pairs Flatten(const codec::Json& settings);
--- a/src/proxy/fleet.cpp
+++ b/src/proxy/fleet.cpp
@@ -65,19 +65,19 @@
 }
 
 void Fleet::NotifyServingRank() {
-  changed_ = true;
-  const gossip::ServingRank now = link_.view().serving_rank();
-  if (now == notified_rank_ || now.rank < 0) return;
-  notified_rank_ = now;
-  on_serving_rank_(now);
+  state_changed_ = true;
+  const gossip::ServingRank current_rank = link_.view().serving_rank();
+  if (current_rank == notified_rank_ || current_rank.rank < 0) return;
+  notified_rank_ = current_rank;
+  on_serving_rank_(current_rank);
 }
 
 void Fleet::HandleEvent(const gossip::Event& event) {
-  const gossip::MemberRecord& r = event.record;
+  const gossip::MemberRecord& record = event.record;
   NotifyServingRank();
   // Forged members must not fill the log, so that events of members without direct contact are rate-limited.
-  const Member* about = link_.view().members().Find(r.id);
-  if (about != nullptr && !about->last_direct_contact && r.id != link_.view().members().self() &&
+  const Member* member = link_.view().members().Find(record.id);
+  if (member != nullptr && !member->last_direct_contact && record.id != link_.view().members().self() &&
       !unconfirmed_log_budget_.Take(runtime::Now().time_since_epoch().count(), kUnconfirmedLogLinesPerSecond,
                                     kUnconfirmedLogBurstSeconds)) {
     if (suppressed_events_++ % kSuppressedLogInterval == 0)
@@ -85,47 +85,48 @@
                    suppressed_events_);
     return;
   }
-  const Member* by = link_.view().members().Find(event.reported_by);
+  const Member* reporter = link_.view().members().Find(event.reported_by);
   spdlog::log(
       LevelOf(event.type),
       "peers event={} name={} id={} generation={} incarnation={} phase={} address={} by={} mono_us={}",
-      gossip::NameOf(event.type), r.name, Hex(r.id), r.generation, r.incarnation, PhaseName(r.phase),
-      peer_transport::ToString(r.address), by == nullptr ? "-" : by->record.name, MonotonicUs());
+      gossip::NameOf(event.type), record.name, Hex(record.id), record.generation, record.incarnation,
+      PhaseName(record.phase), peer_transport::ToString(record.address),
+      reporter == nullptr ? "-" : reporter->record.name, MonotonicUs());
   if (event.type == EventType::kNameConflict)
-    spdlog::error("fleet: another process serves as {} too, at {}: one of the two has a wrong name", r.name,
-                  peer_transport::ToString(r.address));
+    spdlog::error("fleet: another process serves as {} too, at {}: one of the two has a wrong name",
+                  record.name, peer_transport::ToString(record.address));
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> Fleet::Metrics() const {
   const gossip::MembershipView& view = link_.view();
-  const peer_transport::LinkMetrics& f = link_.metrics();
-  std::uint64_t suspected = 0, faults = 0;
+  const peer_transport::LinkMetrics& link_metrics = link_.metrics();
+  std::uint64_t suspected = 0, frame_errors = 0;
   for (const auto& [id, member] : view.members().all()) suspected += member.status == Status::kSuspect;
-  for (const std::uint64_t count : f.frame_errors) faults += count;
+  for (const std::uint64_t count : link_metrics.frame_errors) frame_errors += count;
   return {{"fleet.alive", view.members().live_count() - suspected},
           {"fleet.suspected", suspected},
           {"fleet.failed", view.members().failed().size()},
           {"fleet.serving", static_cast<std::uint64_t>(view.serving_rank().serving_count)},
           {"fleet.differing", view.diverged_count()},
           {"fleet.health", static_cast<std::uint64_t>(view.local_health())},
-          {"fleet.sent", f.sent},
-          {"fleet.sent_bytes", f.sent_bytes},
-          {"fleet.unsent", f.send_failures},
-          {"fleet.received", f.received},
-          {"fleet.exchanges", f.syncs},
-          {"fleet.exchanges_failed", f.syncs_failed},
-          {"fleet.exchange_bytes", f.sync_bytes},
-          {"fleet.parcel_bytes", f.app_message_bytes},
+          {"fleet.sent", link_metrics.sent},
+          {"fleet.sent_bytes", link_metrics.sent_bytes},
+          {"fleet.unsent", link_metrics.send_failures},
+          {"fleet.received", link_metrics.received},
+          {"fleet.exchanges", link_metrics.syncs},
+          {"fleet.exchanges_failed", link_metrics.syncs_failed},
+          {"fleet.exchange_bytes", link_metrics.sync_bytes},
+          {"fleet.parcel_bytes", link_metrics.app_message_bytes},
           {"fleet.refused", view.rejected()},
-          {"fleet.dropped", faults}};
+          {"fleet.dropped", frame_errors}};
 }
 
 runtime::Task<> Fleet::WriteState() {
   if (settings_.state_file.empty()) co_return;
   StateWriter writer;
   for (int check = 0;; ++check, co_await loop_.Sleep(kStateCheckInterval)) {
-    if (!changed_ && check % kStateRefreshChecks != 0) continue;
-    changed_ = false;
+    if (!state_changed_ && check % kStateRefreshChecks != 0) continue;
+    state_changed_ = false;
     writer.Write(settings_.state_file, FleetStateText(link_, settings_.name));
   }
 }
--- a/src/proxy/fleet.h
+++ b/src/proxy/fleet.h
@@ -44,7 +44,7 @@
   std::function<void(const gossip::ServingRank&)> on_serving_rank_;
   gossip::ServingRank notified_rank_;
   peer_transport::Link link_;
-  bool changed_ = true;                         // the state file is out of date
+  bool state_changed_ = true;                   // the state file is out of date
   limits::TokenBucket unconfirmed_log_budget_;  // for events of members without direct contact
   std::uint64_t suppressed_events_ = 0;
 };
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -70,13 +70,13 @@
 Task<> AcceptOnceReady(runtime::Loop& loop, const discovery::EndpointDirectory& directory,
                        const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
                        Operations& operations) {
-  const Time until = Now() + kControlFeedTimeout;
+  const Time deadline = Now() + kControlFeedTimeout;
   // The endpoint list in the configuration may be out of date, so that the control feed is read first.
-  const auto waits = [&] {
+  const auto must_wait = [&] {
     return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
            (operations.has_valid_lease && !operations.has_valid_lease());
   };
-  while (!directory.has_complete_list() || (waits() && Now() < until))
+  while (!directory.has_complete_list() || (must_wait() && Now() < deadline))
     co_await loop.Sleep(kReadinessPollInterval);
   server.Start();
   operations.set_phase(Operations::Phase::kServing);
@@ -86,8 +86,8 @@
 Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
                             const Operations& operations, ReloadableState& state) {
   const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);  // a reload does not change them
-  std::size_t known_peers = 0;
-  int known_process_count = 0;  // 0: not passed to the broker yet
+  std::size_t last_peer_count = 0;
+  int last_process_count = 0;  // 0: not passed to the broker yet
   for (;; co_await loop.Sleep(kProcessRegistryInterval)) {
     const hot_restart::ConnectionUsage own = OwnUsage(operations, state);
     registry.Publish(own);
@@ -96,12 +96,12 @@
     state.server.set_connections(share.clients);
     state.engines.pool().set_max_connections(share.engines);
     const int process_count = hot_restart::ProcessCount(own, others);
-    if (std::exchange(known_process_count, process_count) != process_count)
+    if (std::exchange(last_process_count, process_count) != process_count)
       state.broker.SetProcessCount(process_count);
-    if (std::exchange(known_peers, others.processes) == others.processes) continue;
+    if (std::exchange(last_peer_count, others.processes) == others.processes) continue;
     spdlog::info(
         "{} other processes of this proxy live: at most {} connections to clients, {} to engines now",
-        known_peers, share.clients, share.engines);
+        last_peer_count, share.clients, share.engines);
   }
 }
 
--- a/src/proxy/operations.cpp
+++ b/src/proxy/operations.cpp
@@ -14,7 +14,7 @@
 constexpr auto kEjectionStoreInterval = 50ms;
 }  // namespace
 
-Reply Operations::Answer(const Command& command) {
+Reply Operations::HandleCommand(const Command& command) {
   switch (command.verb) {
     case Verb::kReadyz:
       if (phase_ == Phase::kEnding) return {false, "ending", {}};
@@ -36,22 +36,23 @@
 }
 
 Reply Operations::HandleManualEjection(const Command& command) {
-  const bool out = command.verb == Verb::kExclude;
+  const bool ejects = command.verb == Verb::kExclude;
   const std::string& id = command.engine;
-  const bool was_out = directory_.IsEjected(id);
+  const bool was_ejected = directory_.IsEjected(id);
   // The engine returns to service with the version of the replicated configuration that ends its ejection.
-  if (!out && was_out && ejections_are_replicated_) return {true, {}, {}};
-  const discovery::ManualEjectionResult done =
-      out ? directory_.Eject(id, on_update_)
-          : directory_.ReturnToService(id, std::chrono::system_clock::now(), on_update_);
-  if (done == discovery::ManualEjectionResult::kUnknownEngine) return {false, "no database has this id", {}};
-  if (done == discovery::ManualEjectionResult::kTooMany)
+  if (!ejects && was_ejected && ejections_are_replicated_) return {true, {}, {}};
+  const discovery::ManualEjectionResult result =
+      ejects ? directory_.Eject(id, on_update_)
+             : directory_.ReturnToService(id, std::chrono::system_clock::now(), on_update_);
+  if (result == discovery::ManualEjectionResult::kUnknownEngine)
+    return {false, "no database has this id", {}};
+  if (result == discovery::ManualEjectionResult::kTooMany)
     return {false, "too many databases are out already", {}};
-  spdlog::info("operator: {} {}", out ? "exclude" : "include", id);
-  if (!ejection_store_ || (!out && !was_out)) return {true, {}, {}};
-  const bool saved = out ? ejection_store_->SaveEjection(id) : ejection_store_->SaveReturn(id);
-  if (saved || !out) unsaved_ejections_.erase(id);
-  if (saved || !out) return {true, {}, {}};
+  spdlog::info("operator: {} {}", ejects ? "exclude" : "include", id);
+  if (!ejection_store_ || (!ejects && !was_ejected)) return {true, {}, {}};
+  const bool saved = ejects ? ejection_store_->SaveEjection(id) : ejection_store_->SaveReturn(id);
+  if (saved || !ejects) unsaved_ejections_.erase(id);
+  if (saved || !ejects) return {true, {}, {}};
   unsaved_ejections_.insert(id);
   spdlog::warn("operator: exclude {} cannot be stored in $TMPDIR: it is in effect for this process only", id);
   return {true, "for this process only: it can't be kept in $TMPDIR", {}};
@@ -59,8 +60,8 @@
 
 void Operations::EnableEjectionStore(const std::string& tmpdir, std::chrono::nanoseconds slow_start) {
   ejection_store_ = std::make_unique<hot_restart::EjectionStore>(tmpdir);
-  const auto age = std::chrono::duration_cast<hot_restart::UnixTime::duration>(slow_start);
-  ejection_store_->RemoveReturnsBefore(std::chrono::system_clock::now() - age);
+  const auto max_age = std::chrono::duration_cast<hot_restart::UnixTime::duration>(slow_start);
+  ejection_store_->RemoveReturnsBefore(std::chrono::system_clock::now() - max_age);
   ImportEjections();
 }
 
--- a/src/proxy/operations.h
+++ b/src/proxy/operations.h
@@ -32,7 +32,7 @@
         counters_(counters),
         on_update_(std::move(on_update)) {}
 
-  admin::Reply Answer(const admin::Command& command);
+  admin::Reply HandleCommand(const admin::Command& command);
   void set_phase(Phase phase) {
     phase_ = phase;
     if (on_phase) on_phase(phase);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -40,14 +40,14 @@
 }
 
 std::unique_ptr<runtime::Listener> MakeListener(runtime::Loop& loop, const Config& config,
-                                                runtime::Descriptor inherited) {
-  return inherited ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
-                   : std::make_unique<runtime::Listener>(loop, config.listen_address);
+                                                runtime::Descriptor inherited_socket) {
+  return inherited_socket ? std::make_unique<runtime::Listener>(loop, std::move(inherited_socket))
+                          : std::make_unique<runtime::Listener>(loop, config.listen_address);
 }
 
-std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& file) {
-  return file.admission_queue ? file.admission_queue->queue.max_waiting
-                              : broker::Broker::Limits().max_requests;
+std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& operator_file) {
+  return operator_file.admission_queue ? operator_file.admission_queue->queue.max_waiting
+                                       : broker::Broker::Limits().max_requests;
 }
 
 // Announces this process's phases to the fleet, and adds the fleet's metrics to telemetry.
@@ -57,8 +57,8 @@
   operations.AddMetrics([&fleet, &service] {
     auto metrics = fleet.Metrics();
     if (service == nullptr) return metrics;
-    const auto more = service->Metrics();
-    metrics.insert(metrics.end(), more.begin(), more.end());
+    const auto config_metrics = service->Metrics();
+    metrics.insert(metrics.end(), config_metrics.begin(), config_metrics.end());
     return metrics;
   });
 }
@@ -68,9 +68,10 @@
 std::unique_ptr<Fleet> StartFleet(runtime::Loop& loop, const operator_config::FleetSettings& settings,
                                   const Config& config, broker::Broker& broker, Operations& operations,
                                   const std::unique_ptr<ReplicatedConfigService>& service) {
-  auto fleet = std::make_unique<Fleet>(
-      loop, settings, config.name, config.seed,
-      [&broker](const gossip::ServingRank& own) { broker.SetFleetSize(own.serving_count, own.rank); });
+  auto fleet = std::make_unique<Fleet>(loop, settings, config.name, config.seed,
+                                       [&broker](const gossip::ServingRank& own_rank) {
+                                         broker.SetFleetSize(own_rank.serving_count, own_rank.rank);
+                                       });
   ConnectFleet(*fleet, service, operations);
   fleet->Start();
   return fleet;
@@ -134,10 +135,10 @@
   if (!config.admin_address) return nullptr;
   auto listener = std::make_unique<admin::Listener>(
       loop, *config.admin_address,
-      [&operations](const admin::Command& call) { return operations.Answer(call); });
+      [&operations](const admin::Command& command) { return operations.HandleCommand(command); });
   if (service != nullptr)
-    listener->follow_up = [service](admin::Command call, admin::Reply reply) {
-      return service->ReplicateManualEjection(std::move(call), std::move(reply));
+    listener->follow_up = [service](admin::Command command, admin::Reply reply) {
+      return service->ReplicateManualEjection(std::move(command), std::move(reply));
     };
   loop.Spawn(listener->Run());
   return listener;
@@ -170,8 +171,9 @@
   BlockHandledSignals();
   std::signal(SIGPIPE, SIG_IGN);
   const ListenerOwnership ownership = OwnershipOf(options);
-  const bool inherits = ownership == ListenerOwnership::kShared;
-  auto inherited = inherits ? InheritListener(options.inherited_listener) : runtime::Descriptor();
+  const bool inherits_listener = ownership == ListenerOwnership::kShared;
+  auto inherited_socket =
+      inherits_listener ? InheritListener(options.inherited_listener) : runtime::Descriptor();
   runtime::Loop loop;
   SignalReader signals(loop);
   settings::ActiveSettings active_settings(config.site);
@@ -182,12 +184,12 @@
   backend::Engines engines(loop, directory, PoolLimits(config),
                            decision::ToDuration(active_settings->module.connect_timeout), counters);
   engines.set_report_fields(active_settings->report_fields);
-  const operator_config::OperatorFile file = ReadOperatorSettings(options, *active_settings);
-  const std::size_t max_open = DefaultMaxOpenRequests(file);
+  const operator_config::OperatorFile operator_file = ReadOperatorSettings(options, *active_settings);
+  const std::size_t max_open_requests = DefaultMaxOpenRequests(operator_file);
   broker::Broker broker(loop, active_settings, config.seed, engines, counters,
-                        RequestLimits(config, memory_mb, max_open));
-  if (file.admission_queue) broker.EnableAdmissionQueue(file.admission_queue->queue);
-  frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited)), active_settings,
+                        RequestLimits(config, memory_mb, max_open_requests));
+  if (operator_file.admission_queue) broker.EnableAdmissionQueue(operator_file.admission_queue->queue);
+  frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited_socket)), active_settings,
                                broker, counters, ClientLimits(config, memory_mb));
   directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().CloseIdle(engine); };
   const auto on_endpoint_update = [&](EngineList list) {
@@ -196,11 +198,12 @@
   };
   Operations operations(loop, directory, broker, counters, on_endpoint_update);
   std::unique_ptr<hot_restart::ProcessRegistry> registry;
-  if (inherits) registry = JoinPeerProcesses(file, *active_settings, operations, broker);
+  if (inherits_listener) registry = JoinPeerProcesses(operator_file, *active_settings, operations, broker);
 
   std::unique_ptr<Fleet> fleet;
   std::unique_ptr<ReplicatedConfigService> service;
-  if (file.fleet) fleet = StartFleet(loop, *file.fleet, config, broker, operations, service);
+  if (operator_file.fleet)
+    fleet = StartFleet(loop, *operator_file.fleet, config, broker, operations, service);
   if (!directory.Apply(std::exchange(config.known_events, {}), on_endpoint_update))
     spdlog::warn("the configuration has no list of engines");
   discovery::EndpointWatch endpoint_watch(loop, directory, config.control_feed_address, on_endpoint_update,
@@ -214,13 +217,13 @@
                         .endpoint_watch = endpoint_watch,
                         .counters = counters,
                         .on_endpoint_update = on_endpoint_update,
-                        .max_open_requests_cap = max_open,
+                        .max_open_requests_cap = max_open_requests,
                         .queue_state_file = {},
                         .own_queue_settings = {},
                         .fleet_settings = fleet ? &fleet->settings() : nullptr};
-  if (file.admission_queue) StartQueueReports(loop, *file.admission_queue, state);
-  if (file.replicated_config)
-    service = StartReplicatedConfig(loop, *fleet, *file.replicated_config, state, operations);
+  if (operator_file.admission_queue) StartQueueReports(loop, *operator_file.admission_queue, state);
+  if (operator_file.replicated_config)
+    service = StartReplicatedConfig(loop, *fleet, *operator_file.replicated_config, state, operations);
   loop.Spawn(endpoint_watch.Run());
   loop.Spawn(engines.pool().CloseExpired());
   broker.Start();
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -44,11 +44,11 @@
                           : replicated_config::ApplyDocument(*document, *state.own_queue_settings));
 }
 
-Config LoadReloadableConfig(const std::string& path, const Config& in_force) {
+Config LoadReloadableConfig(const std::string& path, const Config& current) {
   Config config = LoadConfig(path);
   try {
     CheckSettings(config);
-    CheckShape(config, in_force);
+    CheckShape(config, current);
   } catch (const ConfigError& e) {
     throw ConfigError(path + ": " + e.what());
   }
@@ -78,24 +78,25 @@
 }
 
 // Logs a warning for each changed setting that takes effect only at a start.
-void WarnAboutStartOnlySettings(const Config& now, const Config& before) {
+void WarnAboutStartOnlySettings(const Config& config, const Config& previous) {
   const std::pair<const char*, bool> parts[] = {
-      {fields::kName, now.name == before.name},
-      {fields::kListenAddress, now.listen_address_text == before.listen_address_text},
-      {fields::kAdminAddress, now.admin_address_text == before.admin_address_text},
-      {fields::kLimits, now.memory_mb == before.memory_mb && now.max_descriptors == before.max_descriptors}};
+      {fields::kName, config.name == previous.name},
+      {fields::kListenAddress, config.listen_address_text == previous.listen_address_text},
+      {fields::kAdminAddress, config.admin_address_text == previous.admin_address_text},
+      {fields::kLimits,
+       config.memory_mb == previous.memory_mb && config.max_descriptors == previous.max_descriptors}};
   for (const auto& [part, same] : parts)
     if (!same)
       spdlog::warn("configuration: {} changes take effect only at a restart; the old value stays", part);
 }
 
-void ApplyOperatorSettings(ReloadableState& state, operator_config::AdmissionQueueSettings waiting) {
-  state.own_queue_settings = std::move(waiting.queue);
+void ApplyOperatorSettings(ReloadableState& state, operator_config::AdmissionQueueSettings queue_settings) {
+  state.own_queue_settings = std::move(queue_settings.queue);
   ApplyQueueSettings(state, state.replicated_config_service == nullptr
                                 ? nullptr
                                 : &state.replicated_config_service->document());
-  state.server.set_wait_notices_enabled(waiting.report_estimates);
-  state.queue_state_file = std::move(waiting.state_file);
+  state.server.set_wait_notices_enabled(queue_settings.report_estimates);
+  state.queue_state_file = std::move(queue_settings.state_file);
 }
 
 // Throws an exception, and changes nothing, if one of the files cannot be used.
--- a/src/proxy/replicated_config_calls.cpp
+++ b/src/proxy/replicated_config_calls.cpp
@@ -21,7 +21,7 @@
 constexpr auto kForwardTimeout = 1500ms;
 constexpr Duration kMinCallTimeout = 100ms, kMaxCallTimeout = 10s;
 
-ordered_json Json(const replicated_config::ChangeOutcome& outcome) {
+ordered_json OutcomeJson(const replicated_config::ChangeOutcome& outcome) {
   return {{calls::kRequestId, outcome.id},
           {calls::kOutcome, replicated_config::NameOf(outcome.status)},
           {calls::kVersion, outcome.version},
@@ -32,7 +32,7 @@
   return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-std::string Error(const std::string& text) { return Dump({{calls::kError, text}}); }
+std::string ErrorResponse(const std::string& text) { return Dump({{calls::kError, text}}); }
 
 std::string TextField(const ordered_json& call, const char* key) {
   const auto it = call.find(key);
@@ -53,7 +53,7 @@
   ordered_json out = {{"proxy", name_},
                       {"fleet", fleet_.settings().name},
                       {"at_unix_ms", UnixMs()},
-                      {"mono_us", MonoUs(now)},
+                      {"mono_us", ToMonotonicUs(now)},
                       {"version", active_version_},
                       {"in_force", holder.active_version()},
                       {"newest", holder.latest_version()},
@@ -110,7 +110,7 @@
         Now() + kForwardTimeout, peer_transport::ToAddress(fleet_.link().listen_address()));
     if (answer) co_return std::move(*answer);
   }
-  co_return Error("no voter answers");
+  co_return ErrorResponse("no voter answers");
 }
 
 // Proposes a document, changes the voters or reads the committed versions, and waits for the outcome. `call`
@@ -118,9 +118,9 @@
 Task<std::string> ReplicatedConfigService::HandleChangeCall(const ordered_json& call) {
   const std::string name = TextField(call, calls::kCall);
   std::string id = TextField(call, calls::kRequestId);
-  if (id.empty()) id = DrawId();
-  const auto asked_timeout = std::chrono::milliseconds(NumberField(call, calls::kTimeoutMs));
-  const Duration timeout = std::clamp<Duration>(asked_timeout, kMinCallTimeout, kMaxCallTimeout);
+  if (id.empty()) id = NewRequestId();
+  const auto requested_timeout = std::chrono::milliseconds(NumberField(call, calls::kTimeoutMs));
+  const Duration timeout = std::clamp<Duration>(requested_timeout, kMinCallTimeout, kMaxCallTimeout);
   if (name == calls::kPropose) {
     replicated_config::ConfigChange change;
     change.id = id;
@@ -128,10 +128,10 @@
     change.document = TextField(call, calls::kDocument);
     change.author = TextField(call, calls::kAuthor).substr(0, replicated_config::kMaxAuthorBytes);
     change.proposed_at_unix_ms = UnixMs();
-    co_return Dump(Json((co_await Propose(std::move(change), timeout)).outcome));
+    co_return Dump(OutcomeJson((co_await Propose(std::move(change), timeout)).outcome));
   }
   if (pending_calls_.size() >= kMaxPendingCalls || pending_calls_.contains(id))
-    co_return Error("too many calls at once");
+    co_return ErrorResponse("too many calls at once");
   pending_calls_[id] = std::make_shared<PendingCall>();
   if (name == calls::kReadCommitted) {
     replica_.ReadCommitted(Now(), id, Now() + timeout);
@@ -140,18 +140,18 @@
     replica_.ChangeVoters(Now(), {id, TextField(call, calls::kVoterName), adds}, Now() + timeout);
   }
   DispatchOutputs();
-  const replicated_config::RequestCompleted finished = co_await AwaitCompletion(id);
-  ordered_json out = Json(finished.outcome);
-  if (finished.read)
-    out.update({{calls::kLatestVersion, finished.read->latest_version},
-                {calls::kActiveVersion, finished.read->active_version},
-                {calls::kVoters, finished.read->voters}});
+  const replicated_config::RequestCompleted completion = co_await AwaitCompletion(id);
+  ordered_json out = OutcomeJson(completion.outcome);
+  if (completion.read)
+    out.update({{calls::kLatestVersion, completion.read->latest_version},
+                {calls::kActiveVersion, completion.read->active_version},
+                {calls::kVoters, completion.read->voters}});
   co_return Dump(out);
 }
 
 Task<std::string> ReplicatedConfigService::HandleCall(std::string bytes) {
   const ordered_json call = ordered_json::parse(bytes, nullptr, false);
-  if (!call.is_object()) co_return Error("not a call");
+  if (!call.is_object()) co_return ErrorResponse("not a call");
   const std::string name = TextField(call, calls::kCall);
   if (name == calls::kGetStatus) co_return StatusText();
   if (name == calls::kPropose || name == calls::kChangeVoters || name == calls::kReadCommitted)
@@ -168,8 +168,9 @@
     forwarded[calls::kForwarded] = true;
     co_return co_await ForwardToVoter(Dump(forwarded));
   }
-  if (name == calls::kGetDocument) co_return Error("version " + std::to_string(version) + " isn't kept");
-  co_return Error("unknown call '" + name + "'");
+  if (name == calls::kGetDocument)
+    co_return ErrorResponse("version " + std::to_string(version) + " isn't kept");
+  co_return ErrorResponse("unknown call '" + name + "'");
 }
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/replicated_config_ejections.cpp
+++ b/src/proxy/replicated_config_ejections.cpp
@@ -41,9 +41,10 @@
 // Proposes the ejections and returns requested here until the fleet has committed them.
 Task<> ReplicatedConfigService::ReconcileManualEjections() {
   for (;;) {
-    const bool open = std::any_of(manual_ejections_.begin(), manual_ejections_.end(),
-                                  [](const auto& h) { return h.second.committed_version == 0; });
-    if (!open) {
+    const bool has_uncommitted =
+        std::any_of(manual_ejections_.begin(), manual_ejections_.end(),
+                    [](const auto& entry) { return entry.second.committed_version == 0; });
+    if (!has_uncommitted) {
       co_await runtime::Waiter(loop_, &ejections_changed_, runtime::kNever);
       continue;
     }
@@ -52,42 +53,42 @@
       co_await loop_.Sleep(kReconcileRetryInterval);
       continue;
     }
-    const std::map<std::string, ManualEjection> wanted = manual_ejections_;
+    const std::map<std::string, ManualEjection> requested = manual_ejections_;
     Document document = LatestDocument();
     const Document before = document;
-    std::string by = name_;
-    for (const auto& [engine, ejection] : wanted) {
+    std::string author = name_;
+    for (const auto& [engine, ejection] : requested) {
       if (ejection.ejected ? document.ejected_engines.insert(engine).second
                            : document.ejected_engines.erase(engine) > 0)
-        by += std::string(ejection.ejected ? " exclude " : " include ") + engine;
+        author += std::string(ejection.ejected ? " exclude " : " include ") + engine;
     }
-    replicated_config::RequestCompleted finished;
-    finished.outcome.status = replicated_config::ChangeStatus::kCommitted;
-    finished.outcome.version = latest_version;
+    replicated_config::RequestCompleted completion;
+    completion.outcome.status = replicated_config::ChangeStatus::kCommitted;
+    completion.outcome.version = latest_version;
     if (document != before) {
       replicated_config::ConfigChange change;
-      change.id = DrawId();
+      change.id = NewRequestId();
       change.base_version = latest_version;
       change.document = replicated_config::SerializeDocument(document);
-      change.author = by.substr(0, replicated_config::kMaxAuthorBytes);
+      change.author = author.substr(0, replicated_config::kMaxAuthorBytes);
       change.proposed_at_unix_ms = UnixMs();
-      finished = co_await Propose(std::move(change), kChangeTimeout);
+      completion = co_await Propose(std::move(change), kChangeTimeout);
     }
-    if (finished.outcome.status == replicated_config::ChangeStatus::kCommitted) {
-      for (const auto& [engine, ejection] : wanted) {
+    if (completion.outcome.status == replicated_config::ChangeStatus::kCommitted) {
+      for (const auto& [engine, ejection] : requested) {
         const auto it = manual_ejections_.find(engine);
         if (it == manual_ejections_.end() || it->second.ejected != ejection.ejected) continue;
-        it->second.committed_version = std::max<Version>(1, finished.outcome.version);
+        it->second.committed_version = std::max<Version>(1, completion.outcome.version);
         if (it->second.committed_version <= active_version_) manual_ejections_.erase(it);
       }
       ApplyEjections();
       continue;
     }
-    const bool refused = finished.outcome.status == replicated_config::ChangeStatus::kRejected;
-    for (const auto& [engine, ejection] : wanted)
+    const bool rejected = completion.outcome.status == replicated_config::ChangeStatus::kRejected;
+    for (const auto& [engine, ejection] : requested)
       if (const auto it = manual_ejections_.find(engine); it != manual_ejections_.end())
-        it->second.why = finished.outcome.reason;
-    co_await loop_.Sleep(refused ? Duration(kRejectedRetryInterval) : Duration(kReconcileRetryInterval));
+        it->second.failure_reason = completion.outcome.reason;
+    co_await loop_.Sleep(rejected ? Duration(kRejectedRetryInterval) : Duration(kReconcileRetryInterval));
   }
 }
 
@@ -96,7 +97,7 @@
   if (!reply.accepted || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
   manual_ejections_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
   ejections_changed_.Notify();
-  const Time last = Now() + kManualEjectionTimeout;
+  const Time deadline = Now() + kManualEjectionTimeout;
   for (;;) {
     const auto it = manual_ejections_.find(call.engine);
     if (it == manual_ejections_.end() || it->second.committed_version > 0) {
@@ -105,14 +106,15 @@
       reply.message = "for the fleet, version " + std::to_string(version);
       co_return reply;
     }
-    if (Now() >= last || !it->second.why.empty()) break;
+    if (Now() >= deadline || !it->second.failure_reason.empty()) break;
     co_await loop_.Sleep(10ms);
   }
   const auto it = manual_ejections_.find(call.engine);
   reply.message =
       std::string(call.verb == Verb::kExclude ? "here; " : "later; ") +
       "the fleet has not agreed yet and is asked again until it does" +
-      (it == manual_ejections_.end() || it->second.why.empty() ? std::string() : ": " + it->second.why);
+      (it == manual_ejections_.end() || it->second.failure_reason.empty() ? std::string()
+                                                                          : ": " + it->second.failure_reason);
   std::replace(reply.message.begin(), reply.message.end(), '\n', ' ');
   co_return reply;
 }
--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -22,12 +22,12 @@
 namespace {
 
 constexpr auto kPublishInterval = 50ms;             // between two checks for a changed state to publish
-constexpr auto kHeldStoreRetryInterval = 200ms;     // another process of this proxy has locked the store
+constexpr auto kLockedStoreRetryInterval = 200ms;   // another process of this proxy has locked the store
 constexpr auto kFailedStoreRetryInterval = 2000ms;  // the store has failed
 constexpr std::uint64_t kBootstrapVotersWrite = (std::uint64_t{1} << 40) - 1, kEpochShift = 40;
 constexpr const char* kStoreAttribute = "store";
 
-std::uint64_t Draw() {
+std::uint64_t RandomNonZero() {
   std::random_device device;
   return (std::uint64_t{device()} << 32 | device()) | 1;
 }
@@ -50,14 +50,14 @@
   using Cause = DocumentRejection::Cause;
   using Checked = tl::expected<void, DocumentRejection>;
   replicated_config::DocumentChecks checks;
-  checks.check_successor = [](const replicated_config::VersionRecord* from,
+  checks.check_successor = [](const replicated_config::VersionRecord* base,
                               const std::string& text) -> Checked {
-    const auto to = replicated_config::ParseDocument(text);
-    if (!to) return tl::unexpected(DocumentRejection{Cause::kInvalid, to.error().Text()});
-    if (from == nullptr) return {};
-    const auto before = replicated_config::ParseDocument(from->document);
-    if (!before) return {};
-    const auto checked = replicated_config::CheckSuccessor(*before, *to);
+    const auto document = replicated_config::ParseDocument(text);
+    if (!document) return tl::unexpected(DocumentRejection{Cause::kInvalid, document.error().Text()});
+    if (base == nullptr) return {};
+    const auto base_document = replicated_config::ParseDocument(base->document);
+    if (!base_document) return {};
+    const auto checked = replicated_config::CheckSuccessor(*base_document, *document);
     if (!checked) return tl::unexpected(DocumentRejection{Cause::kConflicts, checked.error().Text()});
     return {};
   };
@@ -94,11 +94,12 @@
       on_update_(std::move(on_update)),
       local_config_(std::move(local_config)),
       document_checks_(MakeDocumentChecks()),
-      replica_(ReplicaOptionsOf(settings, name), fleet.view().members().self(), document_checks_, Draw(),
-               Now()),
-      notification_pacer_(Draw()) {
-  const bool votes = std::find(settings.voters.begin(), settings.voters.end(), name) != settings.voters.end();
-  if (votes && settings.store.empty())
+      replica_(ReplicaOptionsOf(settings, name), fleet.view().members().self(), document_checks_,
+               RandomNonZero(), Now()),
+      notification_pacer_(RandomNonZero()) {
+  const bool is_voter =
+      std::find(settings.voters.begin(), settings.voters.end(), name) != settings.voters.end();
+  if (is_voter && settings.store.empty())
     throw ConfigError("rules: " + name + " is one of the voters: it needs a `store`");
   if (!settings.store.empty())
     worker_ = std::make_unique<storage::Worker>(
@@ -131,9 +132,9 @@
 
 Task<> ReplicatedConfigService::RunTimers() {
   for (;;) {
-    planned_at_ = replica_.NextDeadline();
-    if (planned_at_ > Now()) co_await runtime::Waiter(loop_, &timer_changed_, planned_at_);
-    planned_at_ = runtime::kNever;
+    planned_deadline_ = replica_.NextDeadline();
+    if (planned_deadline_ > Now()) co_await runtime::Waiter(loop_, &timer_changed_, planned_deadline_);
+    planned_deadline_ = runtime::kNever;
     if (replica_.NextDeadline() <= Now()) {
       replica_.Tick(Now());
       DispatchOutputs();
@@ -145,7 +146,7 @@
 void ReplicatedConfigService::DispatchOutputs() {
   for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
     for (const replicated_config::ConfigReplicaOutput& output : outputs) HandleOutput(output);
-  if (replica_.NextDeadline() < planned_at_) timer_changed_.Notify();
+  if (replica_.NextDeadline() < planned_deadline_) timer_changed_.Notify();
 }
 
 // Returns the process with that name. Of several, it prefers a live process, then one with an open store,
@@ -153,10 +154,10 @@
 const gossip::Member* ReplicatedConfigService::FindProcess(const raft::NodeId& name) const {
   const gossip::Member* best = nullptr;
   const auto rank = [](const gossip::Member& m) {
-    const bool store = std::any_of(m.record.attributes.begin(), m.record.attributes.end(),
-                                   [](const gossip::Attribute& a) { return a.key == kStoreAttribute; });
-    const bool lives = m.status == gossip::Status::kAlive || m.status == gossip::Status::kSuspect;
-    return std::tuple(lives, store, m.record.generation);
+    const bool has_store = std::any_of(m.record.attributes.begin(), m.record.attributes.end(),
+                                       [](const gossip::Attribute& a) { return a.key == kStoreAttribute; });
+    const bool is_live = m.status == gossip::Status::kAlive || m.status == gossip::Status::kSuspect;
+    return std::tuple(is_live, has_store, m.record.generation);
   };
   for (const auto& [id, member] : fleet_.view().members().all())
     if (member.record.name == name && (best == nullptr || rank(member) > rank(*best))) best = &member;
@@ -178,7 +179,7 @@
     WriteBatch(kBootstrapVotersWrite, EncodeBootstrapVoters(bootstrap_voters->bootstrap_voters));
   } else if (const auto* received = std::get_if<replicated_config::DocumentReceived>(&output)) {
     if (const auto checked = document_checks_.check_compatible(received->document)) {
-      spdlog::info("rules event=prepared version={} mono_us={}", received->version, MonoUs(Now()));
+      spdlog::info("rules event=prepared version={} mono_us={}", received->version, ToMonotonicUs(Now()));
       replica_.MarkPrepared(Now(), received->version);
     } else {
       spdlog::error("rules: this proxy cannot apply version {}: {}", received->version,
@@ -187,35 +188,35 @@
     }
   } else if (const auto* activated = std::get_if<replicated_config::VersionActivated>(&output)) {
     Activate(activated->version);
-  } else if (const auto* finished = std::get_if<replicated_config::RequestCompleted>(&output)) {
-    const auto it = pending_calls_.find(finished->outcome.id);
+  } else if (const auto* result = std::get_if<replicated_config::RequestCompleted>(&output)) {
+    const auto it = pending_calls_.find(result->outcome.id);
     if (it == pending_calls_.end()) return;
-    it->second->finished = *finished;
+    it->second->result = *result;
     it->second->completed.Notify();
   } else if (const auto* event = std::get_if<replicated_config::LogEvent>(&output)) {
     spdlog::log(event->warn ? spdlog::level::warn : spdlog::level::info, "rules: {} mono_us={}", event->text,
-                MonoUs(Now()));
+                ToMonotonicUs(Now()));
   }
 }
 
 // ---- The store ----
 
-void ReplicatedConfigService::WriteBatch(std::uint64_t number, storage::WriteBatch batch) {
-  if (!worker_->Write(epoch_ << kEpochShift | number, std::move(batch)))
+void ReplicatedConfigService::WriteBatch(std::uint64_t sequence, storage::WriteBatch batch) {
+  if (!worker_->Write(epoch_ << kEpochShift | sequence, std::move(batch)))
     StepDown("the disk is too slow: " + std::to_string(worker_->queue_size()) + " write batches are pending");
 }
 
-void ReplicatedConfigService::StepDown(const std::string& why) {
+void ReplicatedConfigService::StepDown(const std::string& reason) {
   if (opening_store_) return;
   ++step_downs_;
-  spdlog::error("rules: this voter steps down: {}", why);
+  spdlog::error("rules: this voter steps down: {}", reason);
   replica_.OnStoreClosed();
   opening_store_ = true;
   loop_.Spawn(ReopenStore(kFailedStoreRetryInterval));
 }
 
-Task<> ReplicatedConfigService::ReopenStore(Duration after) {
-  co_await loop_.Sleep(after);
+Task<> ReplicatedConfigService::ReopenStore(Duration delay) {
+  co_await loop_.Sleep(delay);
   worker_->Open();
 }
 
@@ -228,11 +229,11 @@
       slowest_sync_ = std::max(slowest_sync_, done.duration);
       if (done.error.code != storage::StoreErrorCode::kNone)
         StepDown(std::string(storage::NameOf(done.error.code)) + ": " + done.error.message);
-      else if (const std::uint64_t number = done.sequence & kBootstrapVotersWrite;
-               number == kBootstrapVotersWrite)
+      else if (const std::uint64_t sequence = done.sequence & kBootstrapVotersWrite;
+               sequence == kBootstrapVotersWrite)
         replica_.OnBootstrapVotersPersisted(Now());
-      else if (number > 0)
-        replica_.OnPersisted(Now(), number);
+      else if (sequence > 0)
+        replica_.OnPersisted(Now(), sequence);
     }
     DispatchOutputs();
   }
@@ -251,14 +252,14 @@
       spdlog::warn("rules: cannot open the store, this voter retries: {}: {}",
                    storage::NameOf(done.error.code), done.error.message);
     loop_.Spawn(ReopenStore(done.error.code == storage::StoreErrorCode::kLocked
-                                ? Duration(kHeldStoreRetryInterval)
+                                ? Duration(kLockedStoreRetryInterval)
                                 : Duration(kFailedStoreRetryInterval)));
     return;
   }
   opening_store_ = reported_unavailable_ = false;
   ++epoch_;
   if (stored->store_id == 0) {
-    stored->store_id = Draw();
+    stored->store_id = RandomNonZero();
     WriteBatch(0, EncodeStoreId(stored->store_id));
   }
   spdlog::info("rules: store {} opened, log up to {}", settings_.store,
@@ -287,7 +288,7 @@
     return ejection.second.committed_version > 0 && ejection.second.committed_version <= version;
   });
   ApplyEjections();
-  spdlog::info("rules event=in_force version={} mono_us={}", version, MonoUs(Now()));
+  spdlog::info("rules event=in_force version={} mono_us={}", version, ToMonotonicUs(Now()));
 }
 
 std::optional<Version> ReplicatedConfigService::UsableVersion() const {
@@ -305,8 +306,8 @@
     return false;
   if (Now() >= holder.lease_expiry() + policy.duration) return false;
   if (engine == 0) return true;
-  const discovery::Endpoint* member = directory_.Find(engine);
-  return member != nullptr && policy.engines.contains(member->name);
+  const discovery::Endpoint* endpoint = directory_.Find(engine);
+  return endpoint != nullptr && policy.engines.contains(endpoint->name);
 }
 
 bool ReplicatedConfigService::AdmitsClass(const std::string& class_name) {
@@ -329,13 +330,13 @@
     return false;
   }
   ++(in_isolation ? isolated_sends_ : sends_);
-  const discovery::Endpoint* member = directory_.Find(engine);
+  const discovery::Endpoint* endpoint = directory_.Find(engine);
   spdlog::debug("rules act={} version={} class={} engine={} mono_us={}",
                 in_isolation   ? "kept"
                 : may_have_run ? "again"
                                : "send",
-                version.value_or(active_version_), class_name, member == nullptr ? "-" : member->name,
-                MonoUs(Now()));
+                version.value_or(active_version_), class_name, endpoint == nullptr ? "-" : endpoint->name,
+                ToMonotonicUs(Now()));
   return true;
 }
 
@@ -355,7 +356,7 @@
           active_version_,
           std::chrono::duration_cast<std::chrono::milliseconds>(replica_.holder().lease_expiry() - Now())
               .count(),
-          MonoUs(Now()));
+          ToMonotonicUs(Now()));
     const std::string state = std::to_string(active_version_) + "/" +
                               std::to_string(replica_.holder().prepared_version()) +
                               (isolated ? "/cut-off" : "");
@@ -364,7 +365,7 @@
       published_state_ = state;
       fleet_.link().SetAttribute(kStateAttribute, state);
     }
-    if (std::exchange(peers_as_of_, members.change_count()) != members.change_count()) UpdatePeers();
+    if (std::exchange(peers_change_count_, members.change_count()) != members.change_count()) UpdatePeers();
   }
 }
 
@@ -378,13 +379,13 @@
 
 std::vector<std::pair<std::string, std::uint64_t>> ReplicatedConfigService::Metrics() const {
   const replicated_config::LeaseHolder& holder = replica_.holder();
-  const auto left =
+  const auto lease_left_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(holder.lease_expiry() - Now()).count();
   return {{"rules.version", active_version_},
           {"rules.newest", holder.latest_version()},
           {"rules.prepared", holder.prepared_version()},
           {"rules.leased", UsableVersion() ? 1 : 0},
-          {"rules.lease_left_ms", static_cast<std::uint64_t>(std::max<std::int64_t>(0, left))},
+          {"rules.lease_left_ms", static_cast<std::uint64_t>(std::max<std::int64_t>(0, lease_left_ms))},
           {"rules.leads", replica_.Leads(Now()) ? 1 : 0},
           {"rules.votes", replica_.raft() != nullptr ? 1 : 0},
           {"rules.acts", sends_},
@@ -398,16 +399,17 @@
 
 // ---- Changes ----
 
-std::string ReplicatedConfigService::DrawId() const {
+std::string ReplicatedConfigService::NewRequestId() const {
   return fmt::format("{}-{:08x}-{}", name_.substr(0, 24),
-                     static_cast<std::uint32_t>(fleet_.view().members().self() >> 32), ++last_change_number_);
+                     static_cast<std::uint32_t>(fleet_.view().members().self() >> 32),
+                     ++last_request_number_);
 }
 
 Task<replicated_config::RequestCompleted> ReplicatedConfigService::AwaitCompletion(std::string id) {
-  const auto waiting = pending_calls_.at(id);
-  while (!waiting->finished) co_await runtime::Waiter(loop_, &waiting->completed, runtime::kNever);
+  const auto call = pending_calls_.at(id);
+  while (!call->result) co_await runtime::Waiter(loop_, &call->completed, runtime::kNever);
   pending_calls_.erase(id);
-  co_return *waiting->finished;
+  co_return *call->result;
 }
 
 Task<replicated_config::RequestCompleted> ReplicatedConfigService::Propose(
--- a/src/proxy/replicated_config_service.h
+++ b/src/proxy/replicated_config_service.h
@@ -78,11 +78,11 @@
   struct ManualEjection {
     bool ejected = false;
     replicated_config::Version committed_version = 0;  // 0: not committed yet
-    std::string why;                                   // reason why the last proposal was not committed
+    std::string failure_reason;                        // reason why the last proposal was not committed
   };
   struct PendingCall {
     runtime::ConditionVariable completed;
-    std::optional<replicated_config::RequestCompleted> finished;
+    std::optional<replicated_config::RequestCompleted> result;
   };
 
   static replicated_config::ConfigReplicaOptions ReplicaOptionsOf(
@@ -97,8 +97,8 @@
   void HandleOutput(const replicated_config::ConfigReplicaOutput& output);
   void OnStoreOpened(storage::Worker::Completion& done);
   void WriteBatch(std::uint64_t number, storage::WriteBatch batch);
-  void StepDown(const std::string& why);
-  runtime::Task<> ReopenStore(runtime::Duration after);
+  void StepDown(const std::string& reason);
+  runtime::Task<> ReopenStore(runtime::Duration delay);
   const gossip::Member* FindProcess(const raft::NodeId& name) const;
   void UpdatePeers();  // sets the live members, from which the replica may fetch documents
   void Activate(replicated_config::Version version);
@@ -107,7 +107,7 @@
   bool PermittedInIsolation(const std::string& class_name, EngineId engine) const;
   replicated_config::Document LatestDocument() const;
 
-  std::string DrawId() const;
+  std::string NewRequestId() const;
   runtime::Task<replicated_config::RequestCompleted> AwaitCompletion(std::string id);
   runtime::Task<replicated_config::RequestCompleted> Propose(replicated_config::ConfigChange change,
                                                              runtime::Duration timeout);
@@ -116,7 +116,7 @@
   runtime::Task<std::string> ForwardToVoter(std::string bytes);
   std::string StatusText() const;
   std::string HistoryText() const;
-  static std::int64_t MonoUs(runtime::Time at) {
+  static std::int64_t ToMonotonicUs(runtime::Time at) {
     return std::chrono::duration_cast<std::chrono::microseconds>(at.time_since_epoch()).count();
   }
 
@@ -130,9 +130,9 @@
   replicated_config::DocumentChecks document_checks_;
   replicated_config::ConfigReplica replica_;
   replicated_config::NotificationPacer notification_pacer_;
-  std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last UpdatePeers()
+  std::uint64_t peers_change_count_ = 0;  // change count of the member table at the last UpdatePeers()
   runtime::ConditionVariable timer_changed_, ejections_changed_;
-  runtime::Time planned_at_ = runtime::kNever;
+  runtime::Time planned_deadline_ = runtime::kNever;
 
   std::unique_ptr<storage::Worker> worker_;
   std::uint64_t epoch_ = 0;  // number of times the store was opened; results of earlier openings are ignored
@@ -144,7 +144,7 @@
   // By engine: the ejections and returns requested here that no version active here contains yet.
   std::map<std::string, ManualEjection> manual_ejections_;
   std::map<std::string, std::shared_ptr<PendingCall>> pending_calls_;
-  mutable std::uint64_t last_change_number_ = 0;
+  mutable std::uint64_t last_request_number_ = 0;
   std::uint64_t sends_ = 0, isolated_sends_ = 0, rejected_sends_ = 0, step_downs_ = 0;
   std::string published_state_;
   bool isolated_ = false;  // no usable version; "cut_off" in logs, "/cut-off" in the gossip attribute
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -48,16 +48,16 @@
 }
 
 broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb,
-                                     std::size_t default_max_open) {
+                                     std::size_t default_max_open_requests) {
   broker::Broker::Limits limits;
-  limits.max_requests = MaxOpenRequests(config.site, default_max_open);
+  limits.max_requests = MaxOpenRequests(config.site, default_max_open_requests);
   if (memory_mb > 0) limits.max_bytes = (memory_mb << 20) / 8;
   return limits;
 }
 
-std::size_t MaxOpenRequests(const settings::Site& site, std::size_t default_max_open) {
-  if (site.max_open <= 0) return default_max_open;
-  return std::min(default_max_open, static_cast<std::size_t>(site.max_open));
+std::size_t MaxOpenRequests(const settings::Site& site, std::size_t default_max_open_requests) {
+  if (site.max_open <= 0) return default_max_open_requests;
+  return std::min(default_max_open_requests, static_cast<std::size_t>(site.max_open));
 }
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -28,11 +28,11 @@
 backend::ConnectionPool::Limits PoolLimits(const Config& config);
 frontend::FrameServer::Limits ClientLimits(const Config& config, std::size_t memory_mb);
 broker::Broker::Limits RequestLimits(const Config& config, std::size_t memory_mb,
-                                     std::size_t default_max_open);
+                                     std::size_t default_max_open_requests);
 
-// Returns the maximum number of open requests: that of the settings, but at most `default_max_open`, which is
-// also the default.
-std::size_t MaxOpenRequests(const settings::Site& site, std::size_t default_max_open);
+// Returns the maximum number of open requests: that of the settings, but at most `default_max_open_requests`,
+// which is also the default.
+std::size_t MaxOpenRequests(const settings::Site& site, std::size_t default_max_open_requests);
 
 }  // namespace lemoncroft::proxy
 
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -26,16 +26,18 @@
 constexpr auto kDrainPollInterval = 10ms;
 
 // Returns the time by which open requests must be answered because SIGKILL is expected after it.
-Time FinalAnswerTime(Time since, const settings::Site& site) {
-  Nanos longest = 0;
-  for (const ClassSettings& c : site.module.classes) longest = std::max(longest, c.client_timeout);
-  const auto drain = std::min<runtime::Duration>(decision::ToDuration(longest), kMaxDrainWithSuccessor);
-  return since + kKeepServingDuration + drain - kFinalAnswerMargin;
+Time FinalAnswerTime(Time started_at, const settings::Site& site) {
+  Nanos longest_timeout = 0;
+  for (const ClassSettings& c : site.module.classes)
+    longest_timeout = std::max(longest_timeout, c.client_timeout);
+  const auto drain_time =
+      std::min<runtime::Duration>(decision::ToDuration(longest_timeout), kMaxDrainWithSuccessor);
+  return started_at + kKeepServingDuration + drain_time - kFinalAnswerMargin;
 }
 
-// Waits until no request is open or `last` has passed, then completes the remaining requests.
-Task<> CompleteRequestsBy(runtime::Loop& loop, broker::Broker& broker, Time last) {
-  while (broker.open_requests() > 0 && Now() < last) co_await loop.Sleep(kDrainPollInterval);
+// Waits until no request is open or `deadline` has passed, then completes the remaining requests.
+Task<> CompleteRequestsBy(runtime::Loop& loop, broker::Broker& broker, Time deadline) {
+  while (broker.open_requests() > 0 && Now() < deadline) co_await loop.Sleep(kDrainPollInterval);
   if (broker.open_requests() > 0)
     spdlog::info("ending: the time for open requests is over, {} requests are completed now",
                  broker.open_requests());
@@ -62,16 +64,17 @@
                           Fleet* fleet) {
   using Queue = frontend::FrameServer::Queue;
   const bool listener_is_shared = listener == ListenerOwnership::kShared;
-  const Time since = Now();
+  const Time started_at = Now();
   spdlog::info("ending: {} requests open", broker.open_requests());
   if (listener_is_shared) server.StopAccepting(Queue::kLeaveQueued);
   server.AnnounceDrain();
-  co_await loop.SleepUntil(since + kKeepAcceptingDuration);
+  co_await loop.SleepUntil(started_at + kKeepAcceptingDuration);
   if (!listener_is_shared) server.StopAccepting(Queue::kAcceptQueued);
   server.AnnounceDrain();  // to clients that have connected since the first announcement
-  co_await loop.SleepUntil(since + kKeepServingDuration);
+  co_await loop.SleepUntil(started_at + kKeepServingDuration);
   broker.RejectNewRequests();
-  if (listener_is_shared) co_await CompleteRequestsBy(loop, broker, FinalAnswerTime(since, *active_settings));
+  if (listener_is_shared)
+    co_await CompleteRequestsBy(loop, broker, FinalAnswerTime(started_at, *active_settings));
   co_await CloseConnections(loop, server, broker);
   // Cancellations may still be on their way to the engines; without them, the attempts would continue to run.
   const Time cancel_by = Now() + kCancelAttemptsTimeout;
--- a/src/proxy/state_file.cpp
+++ b/src/proxy/state_file.cpp
@@ -17,11 +17,11 @@
 }
 
 bool ReplaceFile(const std::string& path, const std::string& text) {
-  const std::string fresh = path + ".new";
-  runtime::Descriptor file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
+  const std::string temporary_path = path + ".new";
+  runtime::Descriptor file(::open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
   if (!file) return false;
-  const bool complete = ::write(file.get(), text.data(), text.size()) == static_cast<ssize_t>(text.size());
-  return complete && std::rename(fresh.c_str(), path.c_str()) == 0;
+  const bool written = ::write(file.get(), text.data(), text.size()) == static_cast<ssize_t>(text.size());
+  return written && std::rename(temporary_path.c_str(), path.c_str()) == 0;
 }
 
 }  // namespace lemoncroft::proxy
--- a/src/proxy/voter_store.cpp
+++ b/src/proxy/voter_store.cpp
@@ -63,20 +63,21 @@
   std::from_chars(store_id.data(), store_id.data() + store_id.size(), out.store_id);
   out.bootstrap_voters = ParseBootstrapVoters(record(kRecordBootstrapVoters));
   if (!hard_state.empty()) {
-    const auto read = raft::DecodeHardState(hard_state);
-    if (!read) return std::nullopt;
-    out.persistent_state.hard_state = *read;
+    const auto decoded = raft::DecodeHardState(hard_state);
+    if (!decoded) return std::nullopt;
+    out.persistent_state.hard_state = *decoded;
   }
   if (!snapshot.empty()) {
-    auto read = raft::DecodeSnapshot(snapshot);
-    if (!read) return std::nullopt;
-    out.persistent_state.snapshot = std::move(*read);
+    auto decoded = raft::DecodeSnapshot(snapshot);
+    if (!decoded) return std::nullopt;
+    out.persistent_state.snapshot = std::move(*decoded);
   }
-  for (const auto& [number, bytes] : contents.log) {
+  for (const auto& [index, bytes] : contents.log) {
     auto entry = raft::DecodeEntry(bytes);
-    const raft::Index before = out.persistent_state.log.empty() ? out.persistent_state.snapshot.index
-                                                                : out.persistent_state.log.back().index;
-    if (!entry || entry->index != number || number != before + 1) return std::nullopt;
+    const raft::Index previous_index = out.persistent_state.log.empty()
+                                           ? out.persistent_state.snapshot.index
+                                           : out.persistent_state.log.back().index;
+    if (!entry || entry->index != index || index != previous_index + 1) return std::nullopt;
     out.persistent_state.log.push_back(std::move(*entry));
   }
   return out;
