--- a/src/cli/rules_command.cpp
+++ b/src/cli/rules_command.cpp
@@ -34,47 +34,48 @@
 constexpr auto kWaitPollInterval = 200ms;
 
 // Makes one call and returns the response, or an object with the member "error" if there is none.
-ordered_json Ask(const RulesCommand& command, const ordered_json& call) {
-  ordered_json answer = {{calls::kError, "no proxy answers"}};
-  for (const std::string& at : command.at) {
-    const auto address = runtime::Address::Parse(at);
+ordered_json CallProxy(const RulesCommand& command, const ordered_json& call) {
+  ordered_json response = {{calls::kError, "no proxy answers"}};
+  for (const std::string& address_text : command.addresses) {
+    const auto address = runtime::Address::Parse(address_text);
     if (!address) continue;
     runtime::Loop loop;
-    bool answered = false;
-    const auto ask = [&]() -> runtime::Task<> {
+    bool responded = false;
+    const auto call_once = [&]() -> runtime::Task<> {
       const auto bytes =
           co_await peer_transport::CallPeer(loop, command.fleet, *address, call.dump(), Now() + kCallTimeout);
       if (bytes) {
-        answer = ordered_json::parse(*bytes, nullptr, false);
-        answered = answer.is_object();
+        response = ordered_json::parse(*bytes, nullptr, false);
+        responded = response.is_object();
       }
       loop.Stop();
     };
-    loop.Spawn(ask());
+    loop.Spawn(call_once());
     loop.Run();
-    if (answered) break;
-    answer = {{calls::kError, "no answer from " + at}};
+    if (responded) break;
+    response = {{calls::kError, "no answer from " + address_text}};
   }
-  return answer;
+  return response;
 }
 
-int ReportNoResponse(const ordered_json& answer) {
+int ReportNoResponse(const ordered_json& response) {
   std::fprintf(stderr, "lemoncroft: rules: %s\n",
-               answer.value(calls::kError, std::string("no answer")).c_str());
+               response.value(calls::kError, std::string("no answer")).c_str());
   return kRulesNoResponse;
 }
 
-Document ParseOrThrow(const std::string& text, const char* of) {
+Document ParseOrThrow(const std::string& text, const char* document_name) {
   auto read = replicated_config::ParseDocument(text);
-  if (!read) throw proxy::ConfigError(std::string(of) + ":\n" + read.error().Text());
+  if (!read) throw proxy::ConfigError(std::string(document_name) + ":\n" + read.error().Text());
   return std::move(*read);
 }
 
-std::string TextOf(const RulesCommand& command, std::uint64_t version) {
+std::string FetchDocument(const RulesCommand& command, std::uint64_t version) {
   if (version == 0) return {};
-  const ordered_json answer = Ask(command, {{calls::kCall, calls::kGetDocument}, {calls::kVersion, version}});
-  if (answer.contains(calls::kError)) throw proxy::ConfigError(answer[calls::kError].get<std::string>());
-  return answer.at(calls::kDocument).get<std::string>();
+  const ordered_json response =
+      CallProxy(command, {{calls::kCall, calls::kGetDocument}, {calls::kVersion, version}});
+  if (response.contains(calls::kError)) throw proxy::ConfigError(response[calls::kError].get<std::string>());
+  return response.at(calls::kDocument).get<std::string>();
 }
 
 std::uint64_t TimeoutMs(const RulesCommand& command) {
@@ -91,7 +92,7 @@
 }
 
 int Show(const RulesCommand& command) {
-  const ordered_json status = Ask(command, {{calls::kCall, calls::kGetStatus}});
+  const ordered_json status = CallProxy(command, {{calls::kCall, calls::kGetStatus}});
   if (status.contains(calls::kError)) return ReportNoResponse(status);
   if (command.json) return std::printf("%s\n", status.dump().c_str()) < 0;
   const auto version = status.at("version").get<std::uint64_t>();
@@ -104,90 +105,93 @@
                                                              : status.at("leader").get<std::string>().c_str(),
               status.at("rates_apart").get<bool>() ? "; ITS CLOCK RUNS APART" : "");
   std::printf("%-20s %4s %-8s %s\n", "proxy", "gen", "status", "in force/prepared");
-  for (const ordered_json& p : status.at("proxies"))
-    std::printf("%-20s %4u %-8s %s\n", p.at("name").get<std::string>().c_str(),
-                p.at("generation").get<unsigned>(), p.at("alive").get<bool>() ? "alive" : "gone",
-                p.at("rules").get<std::string>().c_str());
-  if (version > 0) std::printf("\n%s", TextOf(command, version).c_str());
+  for (const ordered_json& proxy_state : status.at("proxies"))
+    std::printf("%-20s %4u %-8s %s\n", proxy_state.at("name").get<std::string>().c_str(),
+                proxy_state.at("generation").get<unsigned>(),
+                proxy_state.at("alive").get<bool>() ? "alive" : "gone",
+                proxy_state.at("rules").get<std::string>().c_str());
+  if (version > 0) std::printf("\n%s", FetchDocument(command, version).c_str());
   return status.at("cut_off").get<bool>() ? kRulesIncomplete : kRulesDone;
 }
 
 int History(const RulesCommand& command) {
-  const ordered_json answer = Ask(command, {{calls::kCall, calls::kGetHistory}});
-  if (answer.contains(calls::kError)) return ReportNoResponse(answer);
-  if (command.json) return std::printf("%s\n", answer.dump().c_str()) < 0;
-  for (const ordered_json& v : answer.at("versions"))
+  const ordered_json response = CallProxy(command, {{calls::kCall, calls::kGetHistory}});
+  if (response.contains(calls::kError)) return ReportNoResponse(response);
+  if (command.json) return std::printf("%s\n", response.dump().c_str()) < 0;
+  for (const ordered_json& v : response.at("versions"))
     std::printf("%6llu %s %7zu bytes %s%s\n", v.at("version").get<unsigned long long>(),
                 FormatTime(v.at("at_unix_ms").get<std::int64_t>()).c_str(), v.at("bytes").get<std::size_t>(),
                 v.at("by").get<std::string>().c_str(), v.at("in_force").get<bool>() ? " (in force)" : "");
   return kRulesDone;
 }
 
-int ReportOutcome(const RulesCommand& command, const ordered_json& answer) {
-  if (answer.contains(calls::kError)) return ReportNoResponse(answer);
-  const std::string outcome = answer.at(calls::kOutcome).get<std::string>();
-  const std::string why = answer.at(calls::kReason).get<std::string>();
+int ReportOutcome(const RulesCommand& command, const ordered_json& response) {
+  if (response.contains(calls::kError)) return ReportNoResponse(response);
+  const std::string outcome = response.at(calls::kOutcome).get<std::string>();
+  const std::string reason = response.at(calls::kReason).get<std::string>();
   if (command.json)
-    std::printf("%s\n", answer.dump().c_str());
+    std::printf("%s\n", response.dump().c_str());
   else
     std::printf("%s: version %llu%s%s\n", outcome.c_str(),
-                answer.at(calls::kVersion).get<unsigned long long>(), why.empty() ? "" : ": ", why.c_str());
+                response.at(calls::kVersion).get<unsigned long long>(), reason.empty() ? "" : ": ",
+                reason.c_str());
   if (outcome == calls::kCommitted) return kRulesDone;
   if (outcome == calls::kConflict) return kRulesConflict;
   return outcome == calls::kRejected ? kRulesRejected : kRulesUnknown;
 }
 
 int Propose(const RulesCommand& command, const Document& to) {
-  std::uint64_t from = command.first;
-  if (from == 0) {
+  std::uint64_t base_version = command.first;
+  if (base_version == 0) {
     const ordered_json read =
-        Ask(command, {{calls::kCall, calls::kReadCommitted}, {calls::kTimeoutMs, 2000}});
+        CallProxy(command, {{calls::kCall, calls::kReadCommitted}, {calls::kTimeoutMs, 2000}});
     if (read.contains(calls::kError)) return ReportNoResponse(read);
     if (read.at(calls::kOutcome) != calls::kCommitted) return ReportOutcome(command, read);
-    from = read.at(calls::kLatestVersion).get<std::uint64_t>();
+    base_version = read.at(calls::kLatestVersion).get<std::uint64_t>();
   }
-  const Document before = ParseOrThrow(TextOf(command, from), "the version it is made from");
-  const std::vector<std::string> differences = replicated_config::Differences(before, to);
+  const Document base = ParseOrThrow(FetchDocument(command, base_version), "the version it is made from");
+  const std::vector<std::string> differences = replicated_config::Differences(base, to);
   if (!command.json) {
-    std::printf("from version %llu:\n", static_cast<unsigned long long>(from));
+    std::printf("from version %llu:\n", static_cast<unsigned long long>(base_version));
     for (const std::string& line : differences) std::printf("  %s\n", line.c_str());
   }
   const char* user = std::getenv("USER");
   const ordered_json call = {{calls::kCall, calls::kPropose},
-                             {calls::kBaseVersion, from},
+                             {calls::kBaseVersion, base_version},
                              {calls::kDocument, replicated_config::SerializeDocument(to)},
                              {calls::kAuthor, user == nullptr ? "an operator" : user},
                              {calls::kTimeoutMs, TimeoutMs(command)}};
-  return ReportOutcome(command, Ask(command, call));
+  return ReportOutcome(command, CallProxy(command, call));
 }
 
 int Wait(const RulesCommand& command) {
-  const auto last =
+  const auto deadline =
       Now() + std::chrono::duration_cast<runtime::Duration>(std::chrono::duration<double>(command.timeout_s));
-  std::string before;
+  std::string last_line;
   for (;;) {
-    const ordered_json status = Ask(command, {{calls::kCall, calls::kGetStatus}});
+    const ordered_json status = CallProxy(command, {{calls::kCall, calls::kGetStatus}});
     if (status.contains(calls::kError)) return ReportNoResponse(status);
-    std::size_t alive = 0, there = 0;
+    std::size_t alive = 0, up_to_date = 0;
     std::string missing;
-    for (const ordered_json& p : status.at("proxies")) {
-      if (!p.at("alive").get<bool>()) continue;
+    for (const ordered_json& proxy_state : status.at("proxies")) {
+      if (!proxy_state.at("alive").get<bool>()) continue;
       ++alive;
-      const std::string published = p.at("rules").get<std::string>();
-      const bool on = std::strtoull(published.c_str(), nullptr, 10) >= command.first &&
-                      published.find("cut-off") == std::string::npos && !published.empty();
-      there += on;
-      if (!on) missing += " " + p.at("name").get<std::string>();
+      const std::string published = proxy_state.at("rules").get<std::string>();
+      const bool is_up_to_date = std::strtoull(published.c_str(), nullptr, 10) >= command.first &&
+                                 published.find("cut-off") == std::string::npos && !published.empty();
+      up_to_date += is_up_to_date;
+      if (!is_up_to_date) missing += " " + proxy_state.at("name").get<std::string>();
     }
-    const std::string line = std::to_string(there) + " of " + std::to_string(alive) +
+    const std::string line = std::to_string(up_to_date) + " of " + std::to_string(alive) +
                              " proxies are on version " + std::to_string(command.first) + " or later" +
                              (missing.empty() ? "" : "; not yet:" + missing);
-    if (line != before && !command.json) std::printf("%s\n", line.c_str()), std::fflush(stdout);
-    before = line;
-    const bool done = there == alive;
-    if (done || Now() >= last) {
+    if (line != last_line && !command.json) std::printf("%s\n", line.c_str()), std::fflush(stdout);
+    last_line = line;
+    const bool done = up_to_date == alive;
+    if (done || Now() >= deadline) {
       if (command.json)
-        std::printf("%s\n", ordered_json{{"on", there}, {"alive", alive}, {"done", done}}.dump().c_str());
+        std::printf("%s\n",
+                    ordered_json{{"on", up_to_date}, {"alive", alive}, {"done", done}}.dump().c_str());
       return done ? kRulesDone : kRulesIncomplete;
     }
     std::this_thread::sleep_for(kWaitPollInterval);
@@ -210,23 +214,24 @@
 int Revert(const RulesCommand& command) {
   RulesCommand from_latest = command;
   from_latest.first = 0;
-  return Propose(from_latest, ParseOrThrow(TextOf(command, command.first), "the version to go back to"));
+  return Propose(from_latest,
+                 ParseOrThrow(FetchDocument(command, command.first), "the version to go back to"));
 }
 
 int Diff(const RulesCommand& command) {
   const auto lines =
-      replicated_config::Differences(ParseOrThrow(TextOf(command, command.first), "the first"),
-                                     ParseOrThrow(TextOf(command, command.second), "the second"));
+      replicated_config::Differences(ParseOrThrow(FetchDocument(command, command.first), "the first"),
+                                     ParseOrThrow(FetchDocument(command, command.second), "the second"));
   for (const std::string& line : lines) std::printf("%s\n", line.c_str());
   return kRulesDone;
 }
 
 int ChangeVoters(const RulesCommand& command) {
   const ordered_json call = {{calls::kCall, calls::kChangeVoters},
-                             {calls::kVoterChange, command.way},
-                             {calls::kVoterName, command.who},
+                             {calls::kVoterChange, command.voter_change},
+                             {calls::kVoterName, command.proxy_name},
                              {calls::kTimeoutMs, TimeoutMs(command)}};
-  return ReportOutcome(command, Ask(command, call));
+  return ReportOutcome(command, CallProxy(command, call));
 }
 
 // The part of a store's contents that recovery needs.
@@ -270,7 +275,7 @@
       "Nothing is changed. This makes %s the only voter; what other voters committed and this store "
       "lacks is lost, and a voter of the old fleet that is started again must be kept away.\n"
       "Do it only where a majority of the voters' stores is gone for good, then say: --confirm %s\n",
-      command.who.c_str(), confirmation.c_str());
+      command.proxy_name.c_str(), confirmation.c_str());
   return kRulesRejected;
 }
 
@@ -279,7 +284,7 @@
 int RecoverFromOneStore(const RulesCommand& command) {
   storage::Database::Options options;
   options.path = command.store;
-  options.owner = command.fleet + "/" + command.who;
+  options.owner = command.fleet + "/" + command.proxy_name;
   if (!std::ifstream(command.store)) throw proxy::ConfigError(command.store + ": no store there");
   storage::Database database(options);
   const auto opened = database.Open();
@@ -291,11 +296,11 @@
   const std::string confirmation =
       command.fleet + ":" + std::to_string(term) + ":" + std::to_string(last_index);
   if (command.confirm != confirmation) return AskForConfirmation(command, confirmation);
-  if (const auto written = database.Write(SingleVoterBatch(state, command.who)); !written)
+  if (const auto written = database.Write(SingleVoterBatch(state, command.proxy_name)); !written)
     throw proxy::ConfigError(written.error().ToString());
   std::printf(
       "%s is the only voter from log entry %llu on. Start it, then let others in: rules voters in NAME\n",
-      command.who.c_str(), last_index + 1);
+      command.proxy_name.c_str(), last_index + 1);
   return kRulesDone;
 }
 
--- a/src/cli/rules_command.h
+++ b/src/cli/rules_command.h
@@ -25,12 +25,12 @@
 struct RulesCommand {
   RulesAction action = RulesAction::kShow;
   std::string fleet;
-  std::vector<std::string> at;  // addresses of proxies; they are tried in order until one responds
+  std::vector<std::string> addresses;  // of proxies; they are tried in order until one responds
   bool json = false;
-  std::string file;                     // of `propose`; "-" is standard input
-  std::uint64_t first = 0, second = 0;  // versions; of `propose`: the base version, 0: the latest
-  std::string way, who;                 // of `voters`: "in" or "out", and the proxy's name
-  std::string store, confirm;           // of `refound`
+  std::string file;                      // of `propose`; "-" is standard input
+  std::uint64_t first = 0, second = 0;   // versions; of `propose`: the base version, 0: the latest
+  std::string voter_change, proxy_name;  // of `voters`: "in" or "out", and the voter; of `refound`: its proxy
+  std::string store, confirm;            // of `refound`
   double timeout_s = 10;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -51,7 +51,7 @@
   return 0;
 }
 
-std::string Environment(const char* name) {
+std::string EnvironmentVariable(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? "" : value;
 }
@@ -62,11 +62,11 @@
   CheckServable(config);
   LogFindings(config);
   // A process that replaces another one needs an admin address of its own, while both may read the same file.
-  const std::string admin_address = Environment(fields::kAdminAddressVariable);
+  const std::string admin_address = EnvironmentVariable(fields::kAdminAddressVariable);
   if (!admin_address.empty())
     config.admin_address = ParseAddress(admin_address, fields::kAdminAddressVariable);
-  return RunProxy(std::move(config),
-                  {options.config, options.operator_file, Environment(fields::kInheritedListenerVariable)});
+  return RunProxy(std::move(config), {options.config, options.operator_file,
+                                      EnvironmentVariable(fields::kInheritedListenerVariable)});
 }
 
 // Returns the path of the state file that a running proxy writes for this command, from the operator's file.
@@ -86,7 +86,8 @@
 // store and name.
 void CompleteRulesCommand(const Options& options, lemoncroft::cli::RulesCommand& command) {
   using namespace lemoncroft;
-  if (!command.fleet.empty() && (!command.at.empty() || command.action == cli::RulesAction::kRecover)) return;
+  if (!command.fleet.empty() && (!command.addresses.empty() || command.action == cli::RulesAction::kRecover))
+    return;
   if (options.operator_file.empty()) throw proxy::ConfigError("rules: give --operator, or --fleet and --at");
   const proxy::Config config = proxy::LoadConfig(options.config);
   const operator_config::OperatorFile file =
@@ -94,25 +95,25 @@
   if (!file.fleet || !file.replicated_config)
     throw proxy::ConfigError(options.operator_file + ": has no `rules`");
   command.fleet = file.fleet->name;
-  if (command.at.empty())
+  if (command.addresses.empty())
     for (const gossip::PeerAddress& listen : file.fleet->listen)
-      command.at.push_back(peer_transport::ToString(listen));
+      command.addresses.push_back(peer_transport::ToString(listen));
   if (command.store.empty()) command.store = file.replicated_config->store;
-  if (command.who.empty()) command.who = config.name;
+  if (command.proxy_name.empty()) command.proxy_name = config.name;
 }
 
 void AddRules(CLI::App& app, lemoncroft::cli::RulesCommand& command) {
   auto* rules = app.add_subcommand("rules", "show and change what the fleet agrees on")->fallthrough();
   rules->require_subcommand(0, 1);
-  rules->add_option("--at", command.at, "where the proxy is reached by its peers");
+  rules->add_option("--at", command.addresses, "where the proxy is reached by its peers");
   rules->add_option("--fleet", command.fleet, "the fleet's name");
   rules->add_option("--patience", command.timeout_s, "seconds to wait for an answer")
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
   rules->add_flag("--json", command.json, "as JSON");
   using Action = lemoncroft::cli::RulesAction;
-  const auto add = [&](Action action, const char* name, const char* about) {
-    CLI::App* subcommand = rules->add_subcommand(name, about)->fallthrough();
+  const auto add = [&](Action action, const char* name, const char* description) {
+    CLI::App* subcommand = rules->add_subcommand(name, description)->fallthrough();
     subcommand->callback([&command, action] { command.action = action; });
     return subcommand;
   };
@@ -131,12 +132,14 @@
       ->add_option("version", command.first, "the version")
       ->required();
   auto* voters = add(Action::kChangeVoters, "voters", "let a voter in, or out");
-  voters->add_option("way", command.way, "in or out")->required()->check(CLI::IsMember({"in", "out"}));
-  voters->add_option("name", command.who, "the proxy's name")->required();
+  voters->add_option("way", command.voter_change, "in or out")
+      ->required()
+      ->check(CLI::IsMember({"in", "out"}));
+  voters->add_option("name", command.proxy_name, "the proxy's name")->required();
   auto* refound =
       add(Action::kRecover, "refound", "where a majority of the voters' stores is lost: go on with this one");
   refound->add_option("--store", command.store, "the store; without it, the one of the operator's file");
-  refound->add_option("--name", command.who, "its proxy's name; likewise");
+  refound->add_option("--name", command.proxy_name, "its proxy's name; likewise");
   refound->add_option("--confirm", command.confirm, "what the command prints without it");
 }
 
@@ -182,10 +185,11 @@
 
 int ShowState(Options& options, const Subcommands& commands) {
   using namespace lemoncroft;
-  const bool of_fleet = commands.peers->parsed();
-  if (options.state.empty()) options.state = StateFile(options, of_fleet ? "peers" : "waiting");
+  const bool shows_fleet = commands.peers->parsed();
+  if (options.state.empty()) options.state = StateFile(options, shows_fleet ? "peers" : "waiting");
   const cli::OutputFormat format = options.json ? cli::OutputFormat::kJson : cli::OutputFormat::kText;
-  return of_fleet ? cli::ShowFleetState(options.state, format) : cli::ShowQueueState(options.state, format);
+  return shows_fleet ? cli::ShowFleetState(options.state, format)
+                     : cli::ShowQueueState(options.state, format);
 }
 
 int RunCommand(const CLI::App& app, Options& options, const Subcommands& commands) {
@@ -207,7 +211,7 @@
 
 int Run(int argc, char** argv) {
   Options options;
-  options.config = Environment(fields::kConfigPathVariable);
+  options.config = EnvironmentVariable(fields::kConfigPathVariable);
   CLI::App app("A proxy between clients that send SQL queries and the engines that run them.", "lemoncroft");
   AddOptions(app, options);
   const Subcommands commands = AddSubcommands(app, options);
