--- a/tests/off_test.cpp
+++ b/tests/off_test.cpp
@@ -20,7 +20,7 @@
 
 using Counts = std::map<std::string, int>;
 
-const std::map<long, const char*> kCounted = {
+const std::map<long, const char*> kCountedCalls = {
     {SYS_socket, "socket"},        {SYS_bind, "bind"},           {SYS_listen, "listen"},
     {SYS_connect, "connect"},      {SYS_sendto, "sendto"},       {SYS_recvfrom, "recvfrom"},
     {SYS_sendmsg, "sendmsg"},      {SYS_recvmsg, "recvmsg"},     {SYS_socketpair, "socketpair"},
@@ -32,7 +32,7 @@
 
 // Runs the program to its end and counts its system calls. SIGTERM ends it some time after its first
 // listen().
-Counts Traced(const std::string& program, const std::string& config) {
+Counts CountCalls(const std::string& program, const std::string& config) {
   const pid_t pid = ::fork();
   if (pid == 0) {
     ::ptrace(PTRACE_TRACEME, 0, nullptr, nullptr);
@@ -44,7 +44,7 @@
   int status = 0;
   ::waitpid(pid, &status, 0);
   ::ptrace(PTRACE_SETOPTIONS, pid, nullptr, PTRACE_O_TRACESYSGOOD | PTRACE_O_EXITKILL);
-  std::thread ender;
+  std::thread terminator;
   int signal = 0;
   for (bool entering = true;;) {
     ::ptrace(PTRACE_SYSCALL, pid, nullptr, signal);
@@ -58,10 +58,10 @@
     if (entering) {
       user_regs_struct regs{};
       ::ptrace(PTRACE_GETREGS, pid, nullptr, &regs);
-      const auto it = kCounted.find(static_cast<long>(regs.orig_rax));
-      if (it != kCounted.end()) ++counts[it->second];
-      if (regs.orig_rax == SYS_listen && !ender.joinable()) {
-        ender = std::thread([pid] {
+      const auto it = kCountedCalls.find(static_cast<long>(regs.orig_rax));
+      if (it != kCountedCalls.end()) ++counts[it->second];
+      if (regs.orig_rax == SYS_listen && !terminator.joinable()) {
+        terminator = std::thread([pid] {
           std::this_thread::sleep_for(std::chrono::milliseconds(700));
           ::kill(pid, SIGTERM);
         });
@@ -69,12 +69,12 @@
     }
     entering = !entering;
   }
-  if (ender.joinable()) ender.join();
+  if (terminator.joinable()) terminator.join();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   return counts;
 }
 
-TEST(Off, AsksTheSystemForWhatItAskedForBefore) {
+TEST(Off, Serve_WithoutOperatorFile_MakesTheRecordedSystemCalls) {
   char folder[] = "/tmp/lemoncroft-off-XXXXXX";
   ASSERT_NE(::mkdtemp(folder), nullptr);
   const std::string config = std::string(folder) + "/config.json";
@@ -95,14 +95,14 @@
 "guarantees":{"answerSlackNs":20000000,"drainGraceNs":250000000,"coldFrom":0.31,
 "warmWithinNs":14000000000,"overloadFactor":4.0,"fallNs":1000000000}}})";
   const char* program = std::getenv("LEMONCROFT_TRACED");  // for recording: another version of the program
-  const Counts counts = Traced(program == nullptr ? LEMONCROFT_PROGRAM : program, config);
+  const Counts counts = CountCalls(program == nullptr ? LEMONCROFT_PROGRAM : program, config);
   // Recorded at commit 05022c1, with the same counts in three runs.
   const Counts recorded = {{"bind", 1},       {"epoll_create1", 1}, {"epoll_ctl", 3}, {"listen", 1},
                            {"setsockopt", 1}, {"signalfd4", 1},     {"socket", 1}};
-  std::string shown;
+  std::string counts_text;
   for (const auto& [name, count] : counts)
-    shown += "{\"" + std::string(name) + "\", " + std::to_string(count) + "}, ";
-  EXPECT_EQ(counts, recorded) << shown;
+    counts_text += "{\"" + std::string(name) + "\", " + std::to_string(count) + "}, ";
+  EXPECT_EQ(counts, recorded) << counts_text;
   std::remove(config.c_str());
   ::rmdir(folder);
 }
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -12,21 +12,21 @@
 
 // Hundreds of idle connections wait for data, each with a buffer. The buffer must not be allocated before
 // data arrives.
-TEST(Socket, ABufferThatWaitsForBytesHoldsNoMemoryForThem) {
+TEST(Socket, Read_WaitingForData_AllocatesNoBuffer) {
   runtime::Loop loop;
-  int ends[2];
-  ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends), 0);
-  runtime::Socket reader(loop, runtime::Descriptor(ends[0]));
-  runtime::Descriptor writer(ends[1]);
-  std::string in;
-  std::size_t waiting = 0;
+  int sockets[2];
+  ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, sockets), 0);
+  runtime::Socket reader(loop, runtime::Descriptor(sockets[0]));
+  runtime::Descriptor writer(sockets[1]);
+  std::string received;
+  std::size_t capacity_while_waiting = 0;
   const auto read = [&]() -> runtime::Task<> {
-    while (co_await reader.Read(in, 16 * 1024, runtime::kNever) == runtime::IoResult::kOk) {
+    while (co_await reader.Read(received, 16 * 1024, runtime::kNever) == runtime::IoResult::kOk) {
     }
     loop.Stop();
   };
   const auto write = [&]() -> runtime::Task<> {
-    waiting = in.capacity();
+    capacity_while_waiting = received.capacity();
     EXPECT_EQ(::send(writer.get(), "abc", 3, 0), 3);
     writer = runtime::Descriptor();
     co_return;
@@ -34,8 +34,8 @@
   loop.Spawn(read());
   loop.Spawn(write());
   loop.Run();
-  EXPECT_EQ(in, "abc");
-  EXPECT_LT(waiting, 1024u);
+  EXPECT_EQ(received, "abc");
+  EXPECT_LT(capacity_while_waiting, 1024u);
 }
 
 }  // namespace
--- a/tests/surface_test.cpp
+++ b/tests/surface_test.cpp
@@ -37,7 +37,7 @@
 constexpr auto kPollInterval = 50ms;
 constexpr auto kStartTimeout = 20s;    // for a proxy until it responds to calls over the peer transport
 constexpr auto kProgramTimeout = 30s;  // for one run of the program
-constexpr auto kAnswerTimeout = 10s;   // for the reply to a command on the admin port
+constexpr auto kReplyTimeout = 10s;    // for the reply to a command on the admin port
 constexpr auto kExitPollInterval = 2ms;
 constexpr int kCannotStartCode = 127;
 constexpr int kFirstPort = 15000, kPorts = 17000;  // below the ephemeral ports of the system
@@ -82,11 +82,11 @@
 
 // Returns the wait status of the child. Kills the child if it has not ended before the timeout.
 int WaitForEnd(pid_t pid, bool& timed_out) {
-  const auto last = std::chrono::steady_clock::now() + kProgramTimeout;
+  const auto deadline = std::chrono::steady_clock::now() + kProgramTimeout;
   int status = 0;
   timed_out = false;
   while (::waitpid(pid, &status, WNOHANG) == 0) {
-    if (std::chrono::steady_clock::now() > last) {
+    if (std::chrono::steady_clock::now() > deadline) {
       timed_out = true;
       ::kill(pid, SIGKILL);
       ::waitpid(pid, &status, 0);
@@ -126,7 +126,7 @@
   const char* golden;
 };
 
-TEST(Surface, HelpOfEachCommand_IsTheGoldenText) {
+TEST(Surface, Help_OfEachCommand_IsTheGoldenText) {
   constexpr HelpCase kCases[] = {{"help", "help"},
                                  {"--help", "lemoncroft"},
                                  {"-h", "lemoncroft"},
@@ -163,7 +163,7 @@
 
 // ---- Exit codes without a running proxy ----
 
-TEST(Surface, BadInput_EndsWithItsExitCode) {
+TEST(Surface, BadInput_ExitsWithItsCode) {
   struct Case {
     const char* arguments;
     int code;
@@ -207,7 +207,7 @@
 
 // ---- check-config ----
 
-TEST(Surface, CheckConfig_SaysTheGoldenText) {
+TEST(Surface, CheckConfig_PrintsTheGoldenText) {
   struct Case {
     const char* arguments;
     const char* golden;
@@ -232,14 +232,14 @@
 
 // ---- Display of state files ----
 
-std::string StateWrittenAgo(const std::string& fixture, std::chrono::milliseconds age) {
+std::string StateWithAge(const std::string& fixture, std::chrono::milliseconds age) {
   std::string text = TextOf(kFixtures / "state" / fixture);
   const auto now = std::chrono::system_clock::now().time_since_epoch() - age;
   Replace(text, "@NOW@", std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(now).count()));
   return text;
 }
 
-TEST(Surface, StateFile_Shown_IsTheGoldenTextWithItsExitCode) {
+TEST(Surface, StateFile_Shown_PrintsTheGoldenTextAndExitsWithItsCode) {
   struct Case {
     const char* command;
     const char* state;
@@ -250,14 +250,14 @@
   const TemporaryFolder folder;
   for (const auto& [command, state, code] : kCases) {
     const std::string show = std::string(command) + " --state state.json";
-    const std::string fresh = StateWrittenAgo(std::string(state) + ".json", 0ms);
+    const std::string fresh = StateWithAge(std::string(state) + ".json", 0ms);
     std::ofstream(folder.path() / "state.json") << fresh;
     const Result table = RunProgram(show, folder.path()), json = RunProgram(show + " --json", folder.path());
     EXPECT_EQ(table.code, code) << state;
     EXPECT_EQ(table.out, TextOf(kFixtures / "state" / (std::string(state) + ".txt"))) << state;
     EXPECT_EQ(json.code, 0) << state;
     EXPECT_EQ(json.out, fresh) << state;
-    std::ofstream(folder.path() / "state.json") << StateWrittenAgo(std::string(state) + ".json", 1h);
+    std::ofstream(folder.path() / "state.json") << StateWithAge(std::string(state) + ".json", 1h);
     const Result old = RunProgram(show, folder.path());
     EXPECT_EQ(old.code, 1) << state;
     EXPECT_EQ(old.err, "lemoncroft: state.json: 3600 s old, the proxy has ended or hangs\n") << state;
@@ -298,16 +298,16 @@
     fs::permissions(folder() / "voter.db", fs::perms::owner_write, fs::perm_options::add);
     std::string config = TextOf(kFixtures / "check_config/good.json");
     Replace(config, "127.0.0.1:4100", "127.0.0.1:" + std::to_string(FreePort()));
-    Replace(config, "127.0.0.1:4101", "127.0.0.1:" + std::to_string(management_));
+    Replace(config, "127.0.0.1:4101", "127.0.0.1:" + std::to_string(admin_port_));
     std::ofstream(folder() / "config.json") << config;
     std::string file = TextOf(kFixtures / "state/operator.kdl");
     Replace(file, "@PEERS@", std::to_string(FreePort()));
     std::ofstream(folder() / "operator.kdl") << file;
-    refounded_ = Rules("refound --confirm f1:7:9");
-    ASSERT_EQ(refounded_.code, 0) << refounded_.err;
+    refound_result_ = RunRules("refound --confirm f1:7:9");
+    ASSERT_EQ(refound_result_.code, 0) << refound_result_.err;
     Start();
-    const Result waited = WaitForVersionInForce();
-    ASSERT_EQ(waited.code, 0) << waited.out << waited.err;
+    const Result result = WaitForActiveVersion();
+    ASSERT_EQ(result.code, 0) << result.out << result.err;
   }
 
   void TearDown() override {
@@ -320,28 +320,28 @@
   }
 
   const fs::path& folder() const { return folder_.path(); }
-  Result Rules(const std::string& arguments) const {
+  Result RunRules(const std::string& arguments) const {
     return RunProgram("rules " + arguments + " -c config.json -o operator.kdl", folder());
   }
 
   // Sends an operator's command and returns the complete reply.
-  std::string Ask(const std::string& call) const {
+  std::string SendCommand(const std::string& call) const {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const timeval timeout{.tv_sec = kAnswerTimeout.count(), .tv_usec = 0};
+    const timeval timeout{.tv_sec = kReplyTimeout.count(), .tv_usec = 0};
     ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
-    const sockaddr_in to = Loopback(management_);
+    const sockaddr_in to = Loopback(admin_port_);
     EXPECT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to), 0);
     const std::string line = call + "\n";
     EXPECT_EQ(::send(fd, line.data(), line.size(), MSG_NOSIGNAL), static_cast<ssize_t>(line.size()));
-    std::string answer;
+    std::string reply;
     std::array<char, 4096> bytes{};
     for (ssize_t n = 0; (n = ::recv(fd, bytes.data(), bytes.size(), 0)) > 0;)
-      answer.append(bytes.data(), static_cast<std::size_t>(n));
+      reply.append(bytes.data(), static_cast<std::size_t>(n));
     ::close(fd);
-    return answer;
+    return reply;
   }
 
-  Result refounded_;
+  Result refound_result_;
 
  private:
   void Start() {
@@ -354,18 +354,18 @@
   }
 
   // Retries while there is no response, because the proxy may not listen yet.
-  Result WaitForVersionInForce() const {
-    const auto last = std::chrono::steady_clock::now() + kStartTimeout;
+  Result WaitForActiveVersion() const {
+    const auto deadline = std::chrono::steady_clock::now() + kStartTimeout;
     for (;;) {
-      Result waited = Rules("wait 3 --patience 20");
-      const bool unanswered = waited.code == 1 && waited.err.find(": no answer from ") != std::string::npos;
-      if (!unanswered || std::chrono::steady_clock::now() > last) return waited;
+      Result result = RunRules("wait 3 --patience 20");
+      const bool no_response = result.code == 1 && result.err.find(": no answer from ") != std::string::npos;
+      if (!no_response || std::chrono::steady_clock::now() > deadline) return result;
       std::this_thread::sleep_for(kPollInterval);
     }
   }
 
   TemporaryFolder folder_;
-  int management_ = FreePort();
+  int admin_port_ = FreePort();
   pid_t pid_ = -1;
 };
 
@@ -388,52 +388,52 @@
 }
 
 TEST_F(RunningProxy, StateFilesAndAnswers_HaveTheGoldenKeys) {
-  const auto golden = [](const char* of) {
-    return TextOf(kFixtures / "state" / (std::string(of) + "_keys.txt"));
+  const auto golden = [](const char* name) {
+    return TextOf(kFixtures / "state" / (std::string(name) + "_keys.txt"));
   };
-  for (const char* of : {"peers", "waiting"}) {
-    const std::string expected = golden(of);
-    const auto last = std::chrono::steady_clock::now() + kChangeTimeout;
-    const fs::path file = folder() / (std::string(of) + ".json");
+  for (const char* name : {"peers", "waiting"}) {
+    const std::string expected = golden(name);
+    const auto deadline = std::chrono::steady_clock::now() + kChangeTimeout;
+    const fs::path file = folder() / (std::string(name) + ".json");
     // The first text of the file may lack keys.
     std::string keys;
-    for (; std::chrono::steady_clock::now() < last; std::this_thread::sleep_for(kPollInterval)) {
+    for (; std::chrono::steady_clock::now() < deadline; std::this_thread::sleep_for(kPollInterval)) {
       keys = fs::exists(file) ? KeysOf(TextOf(file)) : "";
       if (keys == expected) break;
     }
-    EXPECT_EQ(keys, expected) << of;
+    EXPECT_EQ(keys, expected) << name;
   }
-  EXPECT_EQ(KeysOf(Rules("show --json").out), golden("rules_show"));
-  EXPECT_EQ(KeysOf(Rules("history --json").out), golden("rules_history"));
-  EXPECT_EQ(KeysOf(Rules("wait 3 --json").out), golden("rules_wait"));
-  EXPECT_EQ(KeysOf(Rules("voters in n1 --json").out), golden("rules_voters"));
+  EXPECT_EQ(KeysOf(RunRules("show --json").out), golden("rules_show"));
+  EXPECT_EQ(KeysOf(RunRules("history --json").out), golden("rules_history"));
+  EXPECT_EQ(KeysOf(RunRules("wait 3 --json").out), golden("rules_wait"));
+  EXPECT_EQ(KeysOf(RunRules("voters in n1 --json").out), golden("rules_voters"));
 }
 
 TEST_F(RunningProxy, Telemetry_HasTheGoldenNames) {
-  EXPECT_EQ(Ask("readyz"), "ACK\n");
-  const std::string answer = Ask("telemetry");
-  EXPECT_EQ(std::regex_replace(answer, std::regex("=\\d+\n"), "\n"),
+  EXPECT_EQ(SendCommand("readyz"), "ACK\n");
+  const std::string reply = SendCommand("telemetry");
+  EXPECT_EQ(std::regex_replace(reply, std::regex("=\\d+\n"), "\n"),
             TextOf(kFixtures / "telemetry/names.txt"));
 }
 
-TEST_F(RunningProxy, StoreOfAnEarlierProcess_IsWhatTheFleetAgreesOn) {
+TEST_F(RunningProxy, Refound_StoreOfAnEarlierProcess_ServesItsVersions) {
   EXPECT_EQ(
-      refounded_.out,
+      refound_result_.out,
       "store voter.db: term 7, log up to 9\n"
       "n1 is the only voter from log entry 10 on. Start it, then let others in: rules voters in NAME\n");
-  const Result history = Rules("history");
+  const Result history = RunRules("history");
   EXPECT_EQ(history.code, 0);
   EXPECT_EQ(history.out,
             "     1 2023-11-14T22:13:20Z      20 bytes ada\n"
             "     2 2023-11-14T22:13:21Z      29 bytes n2 exclude e7\n"
             "     3 2023-11-14T22:13:23Z      43 bytes ada (in force)\n");
-  const Result show = Rules("show");
+  const Result show = RunRules("show");
   EXPECT_EQ(show.code, 0);
   EXPECT_TRUE(show.out.ends_with("\n\nformat 1\nattempts 3\nopen-most 500\nout \"e7\"\n")) << show.out;
-  EXPECT_EQ(Rules("diff 1 3").out, TextOf(kFixtures / "state/rules_diff.txt"));
+  EXPECT_EQ(RunRules("diff 1 3").out, TextOf(kFixtures / "state/rules_diff.txt"));
 }
 
-TEST_F(RunningProxy, RulesCommands_EndWithTheirExitCodes) {
+TEST_F(RunningProxy, RulesCommands_ExitWithTheirCodes) {
   std::ofstream(folder() / "next.kdl") << "format 1\nattempts 4\n";
   std::ofstream(folder() / "later.kdl") << "format 9\n";
   std::ofstream(folder() / "foreign.kdl") << "format 1\nclass \"nobody\" { effect \"pure\" }\n";
@@ -459,12 +459,12 @@
                              {"refound", 1},
                              {"voters out n1", 4}};
   for (const auto& [arguments, code] : kCases) {
-    const Result result = Rules(arguments);
+    const Result result = RunRules(arguments);
     EXPECT_EQ(result.code, code) << arguments << "\n" << result.out << result.err;
   }
 }
 
-TEST(Surface, RefoundWithoutConfirmation_ChangesNothingAndEndsWithFour) {
+TEST(Surface, Refound_WithoutConfirmation_ChangesNothingAndExitsWithFour) {
   const TemporaryFolder folder;
   fs::copy_file(kFixtures / "store/voter.db", folder.path() / "voter.db");
   fs::permissions(folder.path() / "voter.db", fs::perms::owner_write, fs::perm_options::add);
