--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -15,19 +15,20 @@
 
 using codec::Json;
 
-// The path, in Config::shape, of a setting that each class may have.
+// Returns the path in Config::shape of a setting that each class may have.
 std::string ClassSettingPath(const char* field) {
   return std::string(fields::kSettings) + "." + settings::fields::AnyClassPath(field);
 }
 
-// May come and go with the classes that have them.
+// Returns true for a setting that only some classes have, so that it may appear or disappear with them.
 bool IsOptional(const std::string& path) {
   namespace f = settings::fields::request_class;
   return path == ClassSettingPath(f::kInOrder) || path.starts_with(ClassSettingPath(f::kBoundZones)) ||
          path.starts_with(ClassSettingPath(f::kBoundMachineKinds));
 }
 
-// The control feed's events come and go, so that their members have no shape of their own.
+// Returns true for the list of the control feed's events. Different events have different members, so that
+// the elements of this list have no common shape.
 bool IsEventList(const std::string& path) {
   return path == std::string(fields::kKnownEvents) + "." + fields::kKnownEventList;
 }
@@ -65,18 +66,19 @@
     }
   }
   if (!json.Is(Json::Kind::kArray) || json.items.empty() || IsEventList(path)) return;
-  Shape all;
+  Shape common;
   for (std::size_t i = 0; i < json.items.size(); ++i) {
-    Shape one;
-    ShapeInto(one, path + "[]", json.items[i]);
+    Shape item_shape;
+    ShapeInto(item_shape, path + "[]", json.items[i]);
     if (i == 0)
-      all = std::move(one);
+      common = std::move(item_shape);
     else
-      std::erase_if(
-          all, [&](const auto& key) { return !one.contains(key.first) || one[key.first] != key.second; });
+      std::erase_if(common, [&](const auto& key) {
+        return !item_shape.contains(key.first) || item_shape[key.first] != key.second;
+      });
   }
-  all[path + "[]"] = json.items.front().kind;  // whatever its members are: it has some
-  out.merge(all);
+  common[path + "[]"] = json.items.front().kind;  // marks the list as not empty
+  out.merge(common);
 }
 
 Shape ShapeOf(const Json& json) {
@@ -85,22 +87,22 @@
   return shape;
 }
 
-// True if the path is of a member of a list that is present and empty.
+// Returns true if the path belongs to an element of a list that is present in `shape` and empty.
 bool IsOfEmptyList(const std::string& path, const Shape& shape) {
   for (std::size_t at = path.find("[]"); at != std::string::npos; at = path.find("[]", at + 1)) {
-    const bool list = shape.contains(path.substr(0, at));
-    if (list && !shape.contains(path.substr(0, at + 2))) return true;
+    const bool list_present = shape.contains(path.substr(0, at));
+    if (list_present && !shape.contains(path.substr(0, at + 2))) return true;
   }
   return false;
 }
 
 // Throws ConfigError with the first finding of at least this severity.
-void ThrowFrom(settings::Severity min_severity, const Config& config) {
+void ThrowFirstFinding(settings::Severity min_severity, const Config& config) {
   for (const settings::Finding& finding : config.findings)
     if (finding.severity >= min_severity) throw ConfigError(finding.text);
 }
 
-std::uint64_t ReadSeed(const std::string& text) {
+std::uint64_t ParseSeed(const std::string& text) {
   std::uint64_t seed = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || end != text.data() + text.size()) throw ConfigError("seed: not a hex number");
@@ -113,17 +115,17 @@
 
 void ReadMembers(const Json& json, Config& config) {
   config.name = json[fields::kName].text;
-  config.listen_text = json[fields::kListenAddress].text;
-  config.listen = ReadAddress(config.listen_text, fields::kListenAddress);
-  config.management_text = json[fields::kAdminAddress].text;
-  if (!config.management_text.empty())
-    config.management = ReadAddress(config.management_text, fields::kAdminAddress);
-  config.seed = ReadSeed(json[fields::kSeed].text);
+  config.listen_address_text = json[fields::kListenAddress].text;
+  config.listen_address = ParseAddress(config.listen_address_text, fields::kListenAddress);
+  config.admin_address_text = json[fields::kAdminAddress].text;
+  if (!config.admin_address_text.empty())
+    config.admin_address = ParseAddress(config.admin_address_text, fields::kAdminAddress);
+  config.seed = ParseSeed(json[fields::kSeed].text);
   const Json& limits = json[fields::kLimits];
   config.memory_mb = ReadSize(limits[fields::kMemoryMb]);
-  config.sockets = ReadSize(limits[fields::kMaxDescriptors]);
-  config.feed = json[fields::kControlFeed].text;
-  if (!config.feed.empty()) ReadAddress(config.feed, fields::kControlFeed);
+  config.max_descriptors = ReadSize(limits[fields::kMaxDescriptors]);
+  config.control_feed_address = json[fields::kControlFeed].text;
+  if (!config.control_feed_address.empty()) ParseAddress(config.control_feed_address, fields::kControlFeed);
 }
 
 void ReadSettings(const Json& json, Config& config) {
@@ -132,14 +134,15 @@
   const settings::Pairs pairs = Flatten(settings);
   config.site = settings::ParseSite(pairs);
   config.findings = settings::Check(pairs, config.site);
-  config.site.module.progress_interval = 0;  // engines' responses bring no progress notices
+  config.site.module.progress_interval = 0;  // responses of engines contain no progress notices
 }
 
 }  // namespace
 
-runtime::Address ReadAddress(const std::string& text, const char* what) {
+runtime::Address ParseAddress(const std::string& text, const char* value_name) {
   const auto address = runtime::Address::Parse(text);
-  if (!address) throw ConfigError(std::string(what) + ": '" + text + "' is not an IPv4 address with a port");
+  if (!address)
+    throw ConfigError(std::string(value_name) + ": '" + text + "' is not an IPv4 address with a port");
   return *address;
 }
 
@@ -158,7 +161,7 @@
     ReadSettings(json, config);
     config.shape = ShapeOf(json);
     if (config.site.classes.empty()) throw ConfigError("settings: no request classes");
-    config.known = json.Take(fields::kKnownEvents);  // moved: it may be long
+    config.known_events = json.Take(fields::kKnownEvents);  // moved because it may be long
     return config;
   } catch (const codec::JsonError& e) {
     throw ConfigError(e.what());
@@ -167,9 +170,9 @@
   }
 }
 
-void CheckServable(const Config& config) { ThrowFrom(settings::Severity::kFatal, config); }
+void CheckServable(const Config& config) { ThrowFirstFinding(settings::Severity::kFatal, config); }
 
-void CheckFigures(const Config& config) { ThrowFrom(settings::Severity::kError, config); }
+void CheckSettings(const Config& config) { ThrowFirstFinding(settings::Severity::kError, config); }
 
 void LogFindings(const Config& config) {
   for (const settings::Finding& finding : config.findings) {
@@ -178,8 +181,8 @@
   }
 }
 
-void CheckShape(const Config& config, const Config& in_force) {
-  for (const auto& [path, kind] : in_force.shape) {
+void CheckShape(const Config& config, const Config& current) {
+  for (const auto& [path, kind] : current.shape) {
     if (path.ends_with("[]") || kind == Json::Kind::kNull) continue;
     const auto it = config.shape.find(path);
     if (it == config.shape.end() && (IsOptional(path) || IsOfEmptyList(path, config.shape))) continue;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -88,14 +88,14 @@
   const proxy::Config config =
       proxy::ReadConfig(ConfigText("a", Document(1, Event(1, true, Engines(0, kEngines)))));
   EXPECT_TRUE(config.findings.empty()) << config.findings.front().text;
-  EXPECT_NO_THROW(proxy::CheckFigures(config));
+  EXPECT_NO_THROW(proxy::CheckSettings(config));
   ASSERT_EQ(config.site.classes.size(), static_cast<std::size_t>(kNames));
   EXPECT_EQ(config.site.module.classes[kNames - 1].zones, std::vector<std::uint16_t>{kNames - 1});
   EXPECT_EQ(config.site.TenantOf("a-1499"), 1499);
   settings::ActiveSettings site(config.site);
   discovery::EndpointDirectory directory(site);
   EngineList update;
-  ASSERT_TRUE(directory.Apply(config.known, [&](const EngineList& list) { update = list; }));
+  ASSERT_TRUE(directory.Apply(config.known_events, [&](const EngineList& list) { update = list; }));
   ASSERT_EQ(update.entries->size(), static_cast<std::size_t>(kEngines));
   EXPECT_EQ(update.entries->back().zone, kNames - 1);
 }
