--- a/src/admin/admin_protocol.h
+++ b/src/admin/admin_protocol.h
@@ -1,7 +1,8 @@
-// The words of the operators' protocol and the terms that the program uses for them.
+// The commands and messages of the operators' protocol, under the terms that the program uses for them.
 //
-// An operator sends one line, `telemetry` or `exclude s-00c41f7a`, and gets a line that begins with ACK or
-// NAK, then the lines of the body, if any. All of these are bytes on the wire: they don't change.
+// An operator sends one line, such as `telemetry` or `exclude s-00c41f7a`, and gets a line that begins with
+// ACK or NAK, followed by the lines of the body, if any. These texts are sent on the wire, so they must not
+// change.
 #ifndef LEMONCROFT_ADMIN_ADMIN_PROTOCOL_H_
 #define LEMONCROFT_ADMIN_ADMIN_PROTOCOL_H_
 
@@ -13,7 +14,7 @@
 inline constexpr std::string_view kCommandReadiness = "readyz";
 inline constexpr std::string_view kCommandMetrics = "telemetry";
 inline constexpr std::string_view kCommandEject = "exclude";            // followed by the id of an engine
-inline constexpr std::string_view kCommandReturnToService = "include";  // likewise
+inline constexpr std::string_view kCommandReturnToService = "include";  // followed by the id of an engine
 
 // First word of a reply.
 inline constexpr std::string_view kReplyAccepted = "ACK";
@@ -25,8 +26,8 @@
 inline constexpr std::string_view kErrorUnknownCommand =
     "unknown call; there are readyz, telemetry, exclude ID, include ID";
 inline constexpr std::string_view kErrorNeedsEngineId =
-    " takes the id of one database";                                             // behind the command
-inline constexpr std::string_view kErrorTakesNoArgument = " takes no argument";  // likewise
+    " takes the id of one database";                                             // follows the command
+inline constexpr std::string_view kErrorTakesNoArgument = " takes no argument";  // follows the command
 inline constexpr std::string_view kErrorTimeout = "no whole call in time";
 inline constexpr std::string_view kErrorConnectionEnded = "no whole call";
 inline constexpr std::string_view kErrorTooLong = "the call is too long";
--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -82,7 +82,7 @@
 LineReader::State LineReader::Feed(std::string_view bytes) {
   const std::size_t end = bytes.find('\n');
   const std::string_view part = bytes.substr(0, end);
-  if (line_.size() + part.size() > kMaxLineBytes + 1) return State::kTooLong;  // one for a carriage return
+  if (line_.size() + part.size() > kMaxLineBytes + 1) return State::kTooLong;  // 1 for a carriage return
   line_.append(part);
   if (end == std::string_view::npos) return State::kNeedMore;
   if (line_.ends_with('\r')) line_.pop_back();
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -1,7 +1,6 @@
-// Commands of operators: one line each, such as `exclude s-00c41f7a`.
+// Parses the commands of operators: one line each, such as `exclude s-00c41f7a`.
 //
-// Contract. No I/O; memory is bounded by kMaxLineBytes. Errors: CommandError, LineReader::State::kTooLong.
-// Called by Listener.
+// Without I/O. kMaxLineBytes bounds the memory of a LineReader.
 #ifndef LEMONCROFT_ADMIN_COMMAND_H_
 #define LEMONCROFT_ADMIN_COMMAND_H_
 
@@ -13,39 +12,39 @@
 
 namespace lemoncroft::admin {
 
-constexpr std::size_t kMaxLineBytes = 256;  // without the line's end
+constexpr std::size_t kMaxLineBytes = 256;  // without the line ending
 
 enum class Verb {
-  kReadyz,     // is the proxy ready for clients?
+  kReadyz,     // asks if the proxy is ready for clients
   kTelemetry,  // lists the metrics
   kExclude,    // ejects an engine manually
-  kInclude,    // returns it to service
+  kInclude,    // returns an engine to service
 };
 
 struct Command {
   Verb verb = Verb::kReadyz;
-  std::string engine;  // of kExclude and kInclude
+  std::string engine;  // id; for kExclude and kInclude only
 };
 
-// What is wrong with a line.
+// The error in a line that is no valid command.
 struct CommandError {
   enum class Kind : std::uint8_t { kEmpty, kNotPlainText, kUnknownCommand, kNeedsEngineId, kTakesNoArgument };
   Kind kind = Kind::kEmpty;
-  std::string_view command;  // of kNeedsEngineId and kTakesNoArgument; a literal
+  std::string_view command;  // for kNeedsEngineId and kTakesNoArgument only; a literal
 };
 
-// The error as one line of plain text, whatever the command's line held.
+// Returns the error as one line of plain text, regardless of the bytes in the line that caused it.
 std::string Describe(const CommandError& error);
 
-// Parses a line without its end.
+// Parses a line without its line ending.
 tl::expected<Command, CommandError> ParseCommand(std::string_view line);
 
 // Collects a line that arrives in pieces of any size.
 class LineReader {
  public:
   enum class State { kNeedMore, kLine, kTooLong };
-  // Takes bytes up to the first line feed and drops what follows it. A carriage return before it is no part
-  // of the line.
+  // Appends the bytes up to the first line feed and drops those after it. A carriage return before the line
+  // feed is not part of the line.
   State Feed(std::string_view bytes);
   const std::string& line() const { return line_; }
 
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -51,7 +51,7 @@
   }
 }
 
-// Asks the oldest connection that hasn't been asked yet to end: it has had the most time.
+// Asks a connection to end: the oldest that hasn't been asked yet, since it has had the most time.
 void Listener::EvictOldest() {
   for (const ConnectionPtr& connection : connections_) {
     if (connection->evicted.cancelled()) continue;
--- a/src/admin/listener.h
+++ b/src/admin/listener.h
@@ -1,11 +1,12 @@
-// The operators' listener: a connection carries one command and gets one reply, however busy the proxy is.
+// The listener for operators: each connection carries one command and gets one reply, no matter how busy the
+// proxy is.
 //
-// Contract. Everything happens on the event loop's thread. What a command does is the handler's business
-// (proxy/operations.h). Bounds: kMaxConnections at a time, kMaxLineBytes for a command, 2 s for it to arrive
-// and 1 s for the reply to be read. Errors: a connection that fails ends alone; the constructor throws
-// std::system_error.
+// The handler carries the commands out (proxy/operations.h). At most kMaxConnections are open at a time. A
+// command has at most kMaxLineBytes and must arrive within 2 s; its reply must be read within 1 s. A
+// connection that fails doesn't affect others.
 //
-// Owns its listening socket and its connections. It must outlive the loop's tasks, which refer to it.
+// Owns its listening socket and its connections. It must outlive the loop's tasks, which refer to it. Not
+// thread-safe; used on the event loop's thread.
 #ifndef LEMONCROFT_ADMIN_LISTENER_H_
 #define LEMONCROFT_ADMIN_LISTENER_H_
 
@@ -24,8 +25,8 @@
 
 struct Reply {
   bool accepted = false;
-  std::string message;  // in the first line; may be empty
-  std::string body;     // complete lines that follow
+  std::string message;  // follows ACK or NAK in the first line; may be empty
+  std::string body;     // complete lines after the first one
 };
 
 class Listener {
@@ -33,14 +34,14 @@
   using Handler = std::function<Reply(const Command&)>;
   using FollowUp = std::function<runtime::Task<Reply>(Command, Reply)>;
 
-  static constexpr std::size_t kMaxConnections = 16;  // descriptors that it may take beside its own
+  static constexpr std::size_t kMaxConnections = 16;  // each takes a descriptor
 
   // Throws std::system_error if it cannot listen.
   Listener(runtime::Loop& loop, const runtime::Address& address, Handler handler)
       : loop_(loop), listener_(loop, address), handler_(std::move(handler)) {}
 
-  // Runs after the handler and may change its reply before it is sent; it may take as long as the fleet needs
-  // to agree. Optional.
+  // Runs after the handler and may change the reply before it is sent. May take as long as the fleet needs to
+  // reach agreement. Optional.
   FollowUp follow_up;
 
   runtime::Task<> Run();
@@ -61,7 +62,7 @@
   runtime::Loop& loop_;
   runtime::Listener listener_;
   Handler handler_;
-  std::list<ConnectionPtr> connections_;  // by age
+  std::list<ConnectionPtr> connections_;  // oldest first
 };
 
 }  // namespace lemoncroft::admin
--- a/src/frontend/client_connection.cpp
+++ b/src/frontend/client_connection.cpp
@@ -23,7 +23,7 @@
 Task<> ClientConnection::Serve() {
   context_.loop.Spawn(WriteOutput(shared_from_this()));
   co_await ReadFrames();
-  // Requests that were accepted still get their responses, unless the client is gone.
+  // Open requests still get their responses, unless the client has disconnected.
   if (!peer_closed_ && !aborted_ && !open_streams_.empty()) co_await DiscardInput();
   CancelOpenRequests();
   input_ = std::string();
@@ -39,8 +39,8 @@
   }
 }
 
-// The check for unread input and the shutdown are in one turn of the loop: a request that arrives later has
-// crossed the shutdown, and its client sends it again.
+// Checks for unread input and shuts the socket down in the same turn of the loop. A request that arrives
+// later has crossed the shutdown, and its client sends it again.
 bool ClientConnection::CloseIfIdle() {
   if (output_closed_ || !open_streams_.empty() || !IsFlushed() || HasUnreadInput()) return false;
   socket_->ShutdownWrite();
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -1,18 +1,19 @@
 // One client's connection: reads request frames, hands requests to the broker and writes the responses.
 //
-// Two coroutines serve a connection. Serve() reads, and is the one place where the connection ends;
-// WriteOutput() writes what has been appended. Responses are appended by the broker, through a
-// StreamResponseSink for each open request.
+// Two coroutines serve a connection. Serve() reads, and is the only place where the connection ends;
+// WriteOutput() writes the output that has been appended. The broker appends responses through the
+// StreamResponseSink of each open request.
 //
 // A connection ends in these steps: no more frames are read; input is discarded while responses are owed; the
-// output is flushed; the socket is closed with a lingering close. An aborted connection (a client that
-// doesn't read) skips all of them.
+// output is flushed; the socket is closed with a lingering close. An aborted connection, whose client doesn't
+// read its responses, skips all of these steps.
 //
-// Owner: the two coroutines hold it; FrameServer and sinks refer to it weakly. Thread: the event loop's.
-// ConnectionContext must outlive it.
+// The two coroutines share ownership of a connection; FrameServer and the response sinks hold weak
+// references. The ConnectionContext must outlive the connection. Not thread-safe; used on the event loop's
+// thread.
 //
-// Source: client_connection.cpp (lifecycle and closing), client_connection_input.cpp (frames and requests),
-// client_connection_output.cpp (responses and backpressure).
+// The implementation is in client_connection.cpp (lifecycle and closing), client_connection_input.cpp (frames
+// and requests) and client_connection_output.cpp (responses and backpressure).
 #ifndef LEMONCROFT_FRONTEND_CLIENT_CONNECTION_H_
 #define LEMONCROFT_FRONTEND_CLIENT_CONNECTION_H_
 
@@ -33,13 +34,13 @@
 
 struct ClientLimits {
   std::size_t connections = 400;
-  std::size_t max_unread_bytes = std::size_t{4}
-                                 << 20;  // of responses to one client, not yet handed to the socket
+  // Of responses to one client that have not been handed to the socket yet.
+  std::size_t max_unread_bytes = std::size_t{4} << 20;
   std::size_t max_total_unread_bytes = std::size_t{32} << 20;    // of all clients
   std::size_t max_total_unparsed_bytes = std::size_t{48} << 20;  // of incomplete frames of all clients
 };
 
-// What all connections of a server share.
+// State that all connections of a server share.
 struct ConnectionContext {
   runtime::Loop& loop;
   const settings::ActiveSettings& settings;
@@ -57,28 +58,29 @@
  public:
   ClientConnection(ConnectionContext& context, std::unique_ptr<runtime::Socket> socket);
 
-  // Serves the connection until it has ended. The caller holds the connection until then.
+  // Serves the connection until it has ended. The caller keeps the connection alive until then.
   runtime::Task<> Serve();
 
-  // Sends the response to the request on `stream`; nothing if the output has been closed.
+  // Sends the response to the request on `stream`. Does nothing if the output has been closed.
   void SendResponse(std::uint32_t stream, const request::Response& response);
   void SendWaitNotice(std::uint32_t stream, const request::WaitNotice& notice);
-  // Asks the client, once, for no new request on this connection.
+  // Asks the client to send no new requests on this connection. Has no effect after the first call.
   void AnnounceDrain();
 
-  // Begins to close a connection that neither owes a response nor has unread input; false if it is not idle.
+  // Begins to close the connection. Returns false, and does nothing, if there is an open request, output to
+  // write or unread input, or if the output has been closed.
   bool CloseIfIdle();
   // Ends a lingering close early.
   void StopLingering() { stop_lingering_.Cancel(); }
 
   bool IsClosing() const { return closing_; }
-  // True once a lingering close has had its minimum time, until it is stopped.
+  // Returns true if a lingering close has lasted its minimum time and has not been stopped.
   bool MayStopLingering(runtime::Time now) const;
-  // Without open requests and output, and not closing.
+  // Returns true if there is no open request and no output to write, and the connection isn't closing.
   bool IsIdle() const;
   bool HasUnreadInput() const { return !socket_->IsIdle(); }
   bool HasPartialFrame() const { return !input_.empty(); }
-  // True once a request or a readiness request was valid.
+  // Returns true once the client has sent a valid request or a readiness request.
   bool HasSentRequest() const { return has_sent_request_; }
   bool IsFlushed() const { return output_.empty() && !write_in_progress_; }
   runtime::Time opened_at() const { return opened_at_; }
@@ -88,8 +90,10 @@
   enum class InputState { kReadable, kUnreadable };
 
   // Input.
-  runtime::Task<> ReadFrames();  // until no more frames are to be read
-  // Reads on behind input that can't be parsed, to see the client close while it is owed responses.
+  // Reads and handles frames until no more are to be read.
+  runtime::Task<> ReadFrames();
+  // Reads and drops the input that follows unparsable input, to notice that the client closes the connection
+  // while responses are owed to it.
   runtime::Task<> DiscardInput();
   runtime::Time ReadDeadline() const;
   InputState HandleFrames();
@@ -99,18 +103,20 @@
   void HandleCancel(std::uint32_t stream);
   void CancelOpenRequests();
   void UpdatePartialFrameAge(std::size_t bytes_before);
-  // Updates this connection's part of the total of unparsed bytes; false if the total exceeds its limit.
+  // Updates this connection's part of the total of unparsed bytes. Returns false if the total exceeds its
+  // limit.
   bool AccountInput();
-  // Counts a request that ends here, before the broker has seen it.
+  // Counts a request that is answered without being submitted to the broker.
   void CountEnded(std::string_view class_name, metrics::End how);
 
   // Output.
   static runtime::Task<> WriteOutput(std::shared_ptr<ClientConnection> self);
-  // Sends an error response to the request on `stream`, or on stream 0 to none.
+  // Sends an error response to the request on `stream`. On stream 0 the error belongs to no request.
   void SendError(std::uint32_t stream, std::string_view text);
   void Append(codec::FrameType type, std::uint32_t stream, codec::ResponseCode code,
               const codec::FieldViews& fields = {}, std::string_view body = {});
-  // The client reads nothing: its output and its requests are given up.
+  // Drops the output and stops reading; Serve() then cancels the open requests. Called if a write fails or the
+  // client leaves too much output unread.
   void Abort();
 
   ConnectionContext& context_;
@@ -119,19 +125,19 @@
   std::string input_;
   std::size_t accounted_input_bytes_ = 0;  // of `input_`, in the context's total
   codec::FrameReader frame_reader_;
-  int input_errors_ = 0;  // frames, requests and deadlines that were answered with an error
+  int input_errors_ = 0;  // frames, requests and read timeouts that were answered with an error
   runtime::Time opened_at_ = runtime::Now(), last_active_at_ = runtime::Now();
   runtime::Time partial_frame_since_ = runtime::kNever;
   bool has_sent_request_ = false;
-  bool peer_closed_ = false;     // nobody waits for responses
+  bool peer_closed_ = false;     // the client no longer waits for responses
   bool discards_input_ = false;  // further input is not parsed
 
   std::string output_;  // not yet handed to WriteOutput
   bool write_in_progress_ = false;
   bool output_closed_ = false;  // nothing more is appended
   bool drain_announced_ = false;
-  bool aborted_ = false;  // nothing can be written any more
-  bool closing_ = false;  // no request is read and nothing written any more
+  bool aborted_ = false;  // nothing more can be written
+  bool closing_ = false;  // no more requests are read, and nothing more is written
   runtime::Time closing_since_{};
 
   std::unordered_map<std::uint32_t, RequestId> open_streams_;  // requests that are owed a response
--- a/src/frontend/client_connection_input.cpp
+++ b/src/frontend/client_connection_input.cpp
@@ -23,14 +23,15 @@
 constexpr std::size_t kMaxOpenStreams = 32;
 // For a client's first request, and for the rest of a frame that has begun.
 constexpr auto kFrameTimeout = 2000ms;
-// Clients that go on sending invalid frames are read slowly, so that others are not.
+// A client that keeps sending invalid frames is read with pauses, so that it doesn't slow down other clients.
 constexpr int kInvalidFramesBeforePause = 8;
 constexpr auto kInvalidFramePause = 25ms;
 
 }  // namespace
 
 Task<> ClientConnection::ReadFrames() {
-  // A client that always has more to read never waits in Read, where the cancellation would be seen.
+  // Read notices a cancellation only while it waits, and it never waits if the client always has more to
+  // read.
   while (!stop_reading_.cancelled()) {
     const IoResult io = co_await socket_->Read(input_, kReadBytes, ReadDeadline(), &stop_reading_);
     if (io == IoResult::kTimeout) co_return SendError(0, kErrorRequestTimeout);
@@ -41,7 +42,8 @@
     const std::size_t bytes_before = input_.size();
     if (HandleFrames() == InputState::kUnreadable) co_return;
     UpdatePartialFrameAge(bytes_before);
-    // The client that exceeds the limit on partial frames of all clients is closed, not the process ended.
+    // Closes the client whose input exceeds the limit on the partial frames of all clients, since the process
+    // would run out of memory otherwise.
     if (!AccountInput()) co_return SendError(0, kErrorTooMuchUnparsed);
     if (input_errors_ > std::max(input_errors_before, kInvalidFramesBeforePause)) {
       co_await context_.loop.Sleep(kInvalidFramePause, &stop_reading_);
@@ -121,7 +123,7 @@
 }
 
 void ClientConnection::HandleRequest(const codec::Frame& frame) {
-  // On a stream that is in use the client would take the error for the other request's response.
+  // On a stream in use, the client would take the error for the response to the other request.
   if (frame.stream == 0 || open_streams_.contains(frame.stream)) return SendError(0, kErrorInvalidStream);
   const auto fields = codec::ReadFields(frame.payload);
   if (!fields) return SendError(frame.stream, kErrorMalformedFields);
@@ -145,7 +147,7 @@
   open_streams_.emplace(stream, 0);
   const RequestId id = context_.broker.Submit(std::move(request),
                                               std::make_unique<StreamResponseSink>(weak_from_this(), stream));
-  // The broker may have answered within the call.
+  // The broker may have completed the request within the call.
   if (const auto it = open_streams_.find(stream); it != open_streams_.end()) it->second = id;
 }
 
--- a/src/frontend/client_connection_output.cpp
+++ b/src/frontend/client_connection_output.cpp
@@ -68,14 +68,14 @@
   if (aborted_ || closing_) return;
   codec::WriteResponse(output_, type, stream, code, fields, body);
   output_appended_.Notify();
-  // Clients that leave responses unread are dropped before their buffers take the process's memory.
+  // Drops clients that leave responses unread, before their buffers exhaust the process's memory.
   const ClientLimits& limits = context_.limits;
   const bool too_much_unread = output_.size() > limits.max_unread_bytes;
   const bool too_much_in_total = output_.size() + context_.total_unread_bytes > limits.max_total_unread_bytes;
   if (too_much_unread || too_much_in_total) Abort();
 }
 
-// Everything that was appended within one turn of the loop goes out in one write.
+// Writes all output that was appended within one turn of the loop at once.
 Task<> ClientConnection::WriteOutput(std::shared_ptr<ClientConnection> self) {
   ClientConnection& c = *self;
   while (!c.aborted_ && (!c.output_.empty() || !c.output_closed_)) {
--- a/src/frontend/client_fields.h
+++ b/src/frontend/client_fields.h
@@ -1,7 +1,7 @@
-// The words of the client protocol and the terms that the program uses for them.
+// The field names and error texts of the client protocol, under the terms that the program uses for them.
 //
-// Nothing behind src/frontend/ knows the protocol's words. Names of fields and texts of errors are bytes on
-// the wire: they don't change. Frame types and response codes are in codec/frame.h.
+// Only src/frontend/ depends on these texts. They are sent on the wire, so they must not change. Frame types
+// and response codes are in codec/frame.h.
 #ifndef LEMONCROFT_FRONTEND_CLIENT_FIELDS_H_
 #define LEMONCROFT_FRONTEND_CLIENT_FIELDS_H_
 
@@ -38,7 +38,7 @@
 inline constexpr std::string_view kErrorInvalidNumber = "figure unreadable or out of range";
 inline constexpr std::string_view kErrorTooManyStreams = "too many open requests";
 
-// Bodies of error responses on stream 0: they answer no request.
+// Bodies of error responses on stream 0, which belong to no request.
 inline constexpr std::string_view kErrorInvalidStream = "stream number in use or 0";
 inline constexpr std::string_view kErrorUnknownFrameType = "unknown frame type";
 inline constexpr std::string_view kErrorInvalidFrameLength = "frame length out of range";
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -17,7 +17,7 @@
 constexpr auto kNoDescriptorsPause = 20ms;
 constexpr int kAcceptsPerTurn = 16;
 constexpr auto kMinAgeToEvictUnused = 30ms;  // the first request may be on its way until then
-constexpr auto kCapacityTimeout = 500ms;     // for a new connection when all are busy
+constexpr auto kCapacityTimeout = 500ms;     // of a new connection while all others are busy
 constexpr auto kCapacityRetryInterval = 10ms;
 constexpr auto kRejectionLogInterval = 10s;
 constexpr std::size_t kSpareConnectionsDivisor = 16;  // a sixteenth of the limit
@@ -68,8 +68,8 @@
 
 // ---- Capacity ----
 
-// Connections beyond the limit would take descriptors from those to engines. Some are evicted ahead of need,
-// since a closed connection lingers.
+// Connections beyond the limit would use descriptors that connections to engines need. Some are evicted ahead
+// of need, because an evicted connection occupies its descriptor until its lingering close has ended.
 Task<> FrameServer::WaitForCapacity() {
   const runtime::Time deadline = Now() + kCapacityTimeout;
   if (connections() + SpareConnections() >= context_.limits.connections) EvictConnection();
@@ -111,7 +111,7 @@
 }
 
 // Clients that open a connection for each request leave hundreds of idle ones behind. The protocol lets a
-// proxy close a connection without open requests, however short it has been idle.
+// proxy close a connection without open requests, no matter how briefly it has been idle.
 void FrameServer::EvictConnection() {
   const EvictionCandidates found = FindEvictionCandidates();
   if (found.lingering) return found.lingering->StopLingering();
@@ -123,8 +123,8 @@
 void FrameServer::LogRejectedConnection() {
   ++rejected_connections_;
   if (Now() - rejection_logged_at_ < kRejectionLogInterval) return;
-  spdlog::warn("clients: {} connections rejected so far, all {} are busy", rejected_connections_,
-               context_.limits.connections);
+  spdlog::warn("clients: rejected {} connections so far; all {} allowed connections are in use",
+               rejected_connections_, context_.limits.connections);
   rejection_logged_at_ = Now();
 }
 
@@ -140,7 +140,7 @@
 void FrameServer::CloseIdleConnections() {
   for (const auto& weak : connections_) {
     const ConnectionPtr connection = weak.lock();
-    // The client may believe a partial frame accepted: its rest is waited for.
+    // The client may regard a partially sent frame as accepted, so the server waits for the rest of it.
     if (connection && !connection->HasPartialFrame()) connection->CloseIfIdle();
   }
 }
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -1,12 +1,12 @@
-// The clients' side of the proxy: accepts connections, keeps them within their limit and drains them at the
-// end.
+// The server for clients: accepts connections, keeps their number within the limit and drains them at
+// shutdown.
 //
-// Contract. Everything happens on the event loop's thread. The loop, settings, broker and counters outlive
-// the server, and the server outlives all tasks of the loop: they refer to it. Errors: a connection that
-// fails ends alone; a shortage of descriptors delays accepting.
+// A connection that fails doesn't affect others. A shortage of descriptors delays accepting.
 //
-// Owns the listening socket until it has stopped accepting. Connections (client_connection.h) are owned by
-// the coroutines that serve them. Called by the wiring in src/proxy/.
+// Owns the listening socket until it has stopped accepting. The coroutines that serve the connections
+// (client_connection.h) own them. The loop, settings, broker and counters must outlive the server, and the
+// server must outlive all tasks of the loop, which refer to it. Not thread-safe; used on the event loop's
+// thread. src/proxy/ creates the server.
 #ifndef LEMONCROFT_FRONTEND_FRAME_SERVER_H_
 #define LEMONCROFT_FRONTEND_FRAME_SERVER_H_
 
@@ -31,21 +31,21 @@
               Limits limits);
 
   void Start() { loop_.Spawn(AcceptConnections()); }
-  // What readiness requests are answered with, until the drain is announced.
+  // Sets the response to readiness requests until the drain is announced.
   void set_ready(bool ready) { context_.is_ready = ready; }
-  // Whether clients that ask for wait notices get them.
+  // Enables or disables wait notices to clients that ask for them.
   void set_wait_notices_enabled(bool enabled) { context_.sends_wait_notices = enabled; }
   void set_connections(std::size_t limit) { context_.limits.connections = limit; }
 
-  // Asks the clients of all present connections for no new request on them. Readiness requests are answered
-  // with "not ready" from now on, whatever set_ready() says.
+  // Asks the clients of all present connections to send no new requests on them. From now on readiness
+  // requests are answered with "not ready", regardless of set_ready().
   void AnnounceDrain();
-  // Connections in the listening socket's queue are accepted first, or left to another process that holds the
-  // socket too.
+  // Handling of the connections in the listening socket's queue: they are accepted first, or left to another
+  // process that shares the socket.
   enum class Queue { kAcceptQueued, kLeaveQueued };
   void StopAccepting(Queue queue);
-  // Closes all connections without open requests, unread input or a partial frame. To be called repeatedly
-  // until connections() is 0.
+  // Begins to close all connections without open requests, output to write, unread input or a partial frame.
+  // Call repeatedly until connections() is 0.
   void CloseIdleConnections();
   std::size_t connections();  // open now
   bool flushed() const;       // every response has been handed to the kernel
@@ -53,11 +53,11 @@
  private:
   using ConnectionPtr = std::shared_ptr<ClientConnection>;
 
-  // The connections that make room for a new one, best first; null if there is none of the kind.
+  // Connections that may be closed to make room for a new one, in order of preference; null if there is none.
   struct EvictionCandidates {
-    ConnectionPtr lingering;     // in a lingering close
+    ConnectionPtr lingering;     // in a lingering close that may be stopped
     ConnectionPtr unused;        // the oldest that has sent no valid request
-    ConnectionPtr longest_idle;  // of those that have
+    ConnectionPtr longest_idle;  // idle for the longest time, of those that have sent one
     std::size_t closing = 0;     // connections that are closing already
   };
 
@@ -67,7 +67,7 @@
   // Capacity.
   runtime::Task<> WaitForCapacity();
   bool HasCapacity() { return connections() < context_.limits.connections; }
-  std::size_t SpareConnections() const;  // that are closed ahead of need
+  std::size_t SpareConnections() const;  // number of connections to free ahead of need
   EvictionCandidates FindEvictionCandidates() const;
   void EvictConnection();
   void LogRejectedConnection();
@@ -77,7 +77,7 @@
   std::unique_ptr<runtime::Listener> listener_;
   runtime::Cancellation stop_accepting_;
   runtime::ConditionVariable capacity_available_;
-  std::list<std::weak_ptr<ClientConnection>> connections_;  // by age
+  std::list<std::weak_ptr<ClientConnection>> connections_;  // oldest first
   std::size_t rejected_connections_ = 0;
   runtime::Time rejection_logged_at_{};
   Queue queue_ = Queue::kAcceptQueued;
--- a/src/frontend/request_parser.cpp
+++ b/src/frontend/request_parser.cpp
@@ -18,10 +18,10 @@
 
 constexpr std::size_t kRequestIdDigits = 16;
 constexpr std::size_t kMaxIdempotencyKeyBytes = 128;
-// Numbers out of all proportion would pass for a load that no engine has.
-constexpr double kMaxWorkFactor = 100;    // times the class's deadline
+// Larger numbers are rejected, since they would pass for a load that no engine can have.
+constexpr double kMaxWorkFactor = 100;    // times the class's client timeout
 constexpr double kMaxMemoryFactor = 16;   // times the largest engine's memory
-constexpr double kMaxTimeoutFactor = 10;  // times the class's deadline
+constexpr double kMaxTimeoutFactor = 10;  // times the class's client timeout
 
 struct Estimates {
   double timeout_ms = 0;
@@ -29,13 +29,13 @@
   double memory_mb = 0;
 };
 
-// Request ids become part of a path on the engines' side.
+// Request ids become part of a path in the requests to engines.
 bool IsRequestId(std::string_view text) {
   const auto is_digit = [](unsigned char c) { return std::isxdigit(c) != 0; };
   return text.size() == kRequestIdDigits && std::all_of(text.begin(), text.end(), is_digit);
 }
 
-// Idempotency keys become a header's value there.
+// Idempotency keys become the value of a header in the requests to engines.
 bool IsIdempotencyKey(std::string_view text) {
   const auto is_allowed = [](unsigned char c) { return std::isalnum(c) != 0 || c == '-' || c == '_'; };
   return !text.empty() && text.size() <= kMaxIdempotencyKeyBytes &&
@@ -50,7 +50,8 @@
   return value;
 }
 
-// `max` 0: no bound is known.
+// Returns `default_value` for an empty text, and nothing for an invalid number or one above `max`. A `max` of
+// 0 means that no bound is known.
 std::optional<double> NumberOr(std::string_view text, double default_value, double max) {
   const std::optional<double> value = text.empty() ? std::optional(default_value) : ParseNumber(text);
   if (max > 0 && value > max) return std::nullopt;
--- a/src/frontend/request_parser.h
+++ b/src/frontend/request_parser.h
@@ -1,7 +1,7 @@
-// Reads and checks the fields of a client's request.
+// Parses and validates the fields of a client's request.
 //
-// Contract. No I/O and no state; the only clock read is the one that turns a timeout into a deadline. The
-// result owns its texts. Called by ClientConnection for each request frame.
+// Stateless and without I/O; reads the clock only to turn a timeout into a deadline. The result owns its
+// texts.
 #ifndef LEMONCROFT_FRONTEND_REQUEST_PARSER_H_
 #define LEMONCROFT_FRONTEND_REQUEST_PARSER_H_
 
@@ -14,22 +14,22 @@
 
 namespace lemoncroft::frontend {
 
-// The first thing that is wrong with a request.
+// The first error found in a request.
 enum class RequestError {
   kUnknownClass,
   kUnknownTenant,
   kInvalidRequestId,
-  kInvalidIdempotencyKey,  // also: missing in a class that needs one
+  kInvalidIdempotencyKey,  // also if missing in a class that requires one
   kInvalidOrderingKey,
   kMissingStatement,
-  kInvalidNumber,  // an estimate or a timeout that is not a number or out of proportion
+  kInvalidNumber,  // an estimate or a timeout that is malformed or out of range
 };
 
 // The body of the error response to a request with this error.
 std::string_view ErrorText(RequestError error);
 
 // Returns the request in the terms of `settings`, or its first error. Numbers that are absent take their
-// defaults: no estimate, and the class's deadline as the timeout.
+// defaults: no estimate, and the class's client timeout as the timeout.
 tl::expected<request::ClientRequest, RequestError> ParseRequest(const codec::Fields& fields,
                                                                 const settings::Site& settings);
 
--- a/src/frontend/stream_response_sink.h
+++ b/src/frontend/stream_response_sink.h
@@ -1,7 +1,7 @@
-// Hands the broker's response to one request to the stream that it arrived on.
+// Sends the broker's response to a request on the stream that the request arrived on.
 //
-// Owner: the broker, for as long as the request is open. The connection may end before the sink does; what
-// arrives then is dropped.
+// The broker owns the sink as long as the request is open. If the connection has ended before, the sink drops
+// responses and wait notices.
 #ifndef LEMONCROFT_FRONTEND_STREAM_RESPONSE_SINK_H_
 #define LEMONCROFT_FRONTEND_STREAM_RESPONSE_SINK_H_
 
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -1,11 +1,10 @@
 // The counters of this process since its start, and their text for operators.
 //
-// Contract. No I/O, no clock. Each event is counted once, by the module that ends what is counted: requests
-// by the broker, or by the clients' side if the broker never sees them; attempts by the back end; reloads by
-// the wiring in src/proxy/. Gauges are read at the time of the call. For each class: received = ok + shed +
-// errors + withdrawn + open.
+// Each event is counted once: requests by the broker, or by the front end if they are never submitted to the
+// broker; attempts by the back end; reloads by src/proxy/, which owns the counters. For each class,
+// received = ok + shed + errors + withdrawn + open.
 //
-// Owner: the wiring in src/proxy/. Thread: the event loop's.
+// Without I/O and clock. Not thread-safe; used on the event loop's thread.
 #ifndef LEMONCROFT_METRICS_COUNTERS_H_
 #define LEMONCROFT_METRICS_COUNTERS_H_
 
@@ -23,7 +22,7 @@
   kOk,
   kShed,       // rejected
   kError,      // failed
-  kWithdrawn,  // cancelled, or its client was gone: nobody got a response
+  kWithdrawn,  // cancelled, or its client had disconnected; no client got a response
 };
 
 enum class ReloadResult { kApplied, kRejected };
@@ -33,31 +32,32 @@
   std::uint64_t ended() const { return ok + shed + errors + withdrawn; }
 };
 
-// Values that are read rather than counted.
+// Current values, which are read at the time of the call rather than counted.
 struct Gauges {
   std::size_t active = 0;        // requests received and not ended
-  std::size_t pool_size = 0;     // engines listed
-  std::size_t pool_ejected = 0;  // of these, those that are ejected, manually or as outliers
-  std::vector<std::pair<std::string, std::uint64_t>> additional;  // names and values of optional parts
+  std::size_t pool_size = 0;     // engines on the endpoint list
+  std::size_t pool_ejected = 0;  // those of them that are ejected, manually or as outliers
+  std::vector<std::pair<std::string, std::uint64_t>> additional;  // names and values of optional modules
 };
 
 class Counters {
  public:
-  // Names that are kept; requests of further classes are counted together and not listed.
+  // Maximum number of classes with counters of their own. Requests of further classes are counted together
+  // and not listed.
   static constexpr std::size_t kMaxClasses = 4096;
 
-  // Lists a class before its first request. Classes stay listed when they are removed from the settings.
+  // Lists a class before its first request. A class stays listed after it is removed from the settings.
   void AddClass(const std::string& class_id) { CountsOf(class_id); }
   void CountReceived(const std::string& class_id) { ++CountsOf(class_id).received; }
   void CountEnded(const std::string& class_id, End how);
-  // An attempt's statement has been written completely to an engine.
+  // Counts an attempt whose statement has been written completely to an engine.
   void CountAttempt() { ++attempts_; }
   void CountReload(ReloadResult result);
 
   const std::map<std::string, ClassCounts>& classes() const { return classes_; }
   std::uint64_t attempts() const { return attempts_; }
 
-  // A line NAME=VALUE for each metric (metric_names.h), then the line `--`.
+  // Returns a line NAME=VALUE for each metric (metric_names.h), followed by the line `--`.
   std::string Text(const Gauges& gauges) const;
 
  private:
--- a/src/metrics/metric_names.h
+++ b/src/metrics/metric_names.h
@@ -1,7 +1,7 @@
-// The names of the proxy's own metrics, as `telemetry` lists them. They are read by monitoring: they don't
-// change.
+// The names of the proxy's own metrics, as `telemetry` lists them. Monitoring systems read them, so they must
+// not change.
 //
-// Optional parts bring their own names (Gauges::additional).
+// Optional modules provide their own names (Gauges::additional).
 #ifndef LEMONCROFT_METRICS_METRIC_NAMES_H_
 #define LEMONCROFT_METRICS_METRIC_NAMES_H_
 
