--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -14,15 +14,15 @@
 
 struct CommandSpec {
   std::string_view name;
-  Verb verb;
+  CommandType type;
   Argument argument;
 };
 
 constexpr CommandSpec kCommands[] = {
-    {protocol::kCommandReadiness, Verb::kReadyz, Argument::kNone},
-    {protocol::kCommandMetrics, Verb::kTelemetry, Argument::kNone},
-    {protocol::kCommandEject, Verb::kExclude, Argument::kEngineId},
-    {protocol::kCommandReturnToService, Verb::kInclude, Argument::kEngineId},
+    {protocol::kCommandReadiness, CommandType::kReadiness, Argument::kNone},
+    {protocol::kCommandMetrics, CommandType::kMetrics, Argument::kNone},
+    {protocol::kCommandEject, CommandType::kEject, Argument::kEngineId},
+    {protocol::kCommandReturnToService, CommandType::kReturnToService, Argument::kEngineId},
 };
 
 bool IsPrintable(char c) { return c > ' ' && c < 0x7f; }
@@ -73,10 +73,10 @@
   if (spec == nullptr) return tl::unexpected(CommandError{Kind::kUnknownCommand, {}});
   if (spec->argument == Argument::kNone) {
     if (words.size() != 1) return tl::unexpected(CommandError{Kind::kTakesNoArgument, spec->name});
-    return Command{spec->verb, {}};
+    return Command{spec->type, {}};
   }
   if (words.size() != 2) return tl::unexpected(CommandError{Kind::kNeedsEngineId, spec->name});
-  return Command{spec->verb, std::string(words[1])};
+  return Command{spec->type, std::string(words[1])};
 }
 
 LineReader::State LineReader::Feed(std::string_view bytes) {
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -14,16 +14,16 @@
 
 constexpr std::size_t kMaxLineBytes = 256;  // without the line ending
 
-enum class Verb {
-  kReadyz,     // asks if the proxy is ready for clients
-  kTelemetry,  // lists the metrics
-  kExclude,    // ejects an engine manually
-  kInclude,    // returns an engine to service
+enum class CommandType {
+  kReadiness,        // asks if the proxy is ready for clients
+  kMetrics,          // lists the metrics
+  kEject,            // ejects an engine manually
+  kReturnToService,  // returns an engine to service
 };
 
 struct Command {
-  Verb verb = Verb::kReadyz;
-  std::string engine;  // id; for kExclude and kInclude only
+  CommandType type = CommandType::kReadiness;
+  std::string engine;  // id; for kEject and kReturnToService only
 };
 
 // The error in a line that is no valid command.
--- a/src/proxy/operations.cpp
+++ b/src/proxy/operations.cpp
@@ -5,8 +5,8 @@
 namespace lemoncroft::proxy {
 
 using admin::Command;
+using admin::CommandType;
 using admin::Reply;
-using admin::Verb;
 using namespace std::chrono_literals;
 
 namespace {
@@ -15,28 +15,28 @@
 }  // namespace
 
 Reply Operations::Answer(const Command& command) {
-  switch (command.verb) {
-    case Verb::kReadyz:
+  switch (command.type) {
+    case CommandType::kReadiness:
       if (phase_ == Phase::kEnding) return {false, "ending", {}};
       if (has_valid_lease && !has_valid_lease()) return {false, "cut off from the fleet's rules", {}};
       if (phase_ == Phase::kServing && directory_.has_complete_list()) return {true, {}, {}};
       return {false, "not ready", {}};
-    case Verb::kTelemetry:
+    case CommandType::kMetrics:
       return {
           true,
           {},
           counters_.Text({broker_.open_requests(), directory_.size(),
                           directory_.CountEjected(broker_.EjectedEngines()),
                           additional_metrics_ ? additional_metrics_() : decltype(additional_metrics_())()})};
-    case Verb::kExclude:
-    case Verb::kInclude:
+    case CommandType::kEject:
+    case CommandType::kReturnToService:
       return HandleManualEjection(command);
   }
   return {false, "unknown call", {}};
 }
 
 Reply Operations::HandleManualEjection(const Command& command) {
-  const bool out = command.verb == Verb::kExclude;
+  const bool out = command.type == CommandType::kEject;
   const std::string& id = command.engine;
   const bool was_out = directory_.IsEjected(id);
   // The engine returns with the version that ends its ejection.
--- a/src/proxy/replicated_config_ejections.cpp
+++ b/src/proxy/replicated_config_ejections.cpp
@@ -90,9 +90,10 @@
 }
 
 Task<admin::Reply> ReplicatedConfigService::ReplicateManualEjection(admin::Command call, admin::Reply reply) {
-  using admin::Verb;
-  if (!reply.accepted || (call.verb != Verb::kExclude && call.verb != Verb::kInclude)) co_return reply;
-  manual_ejections_[call.engine] = {call.verb == Verb::kExclude, 0, {}};
+  using admin::CommandType;
+  if (!reply.accepted || (call.type != CommandType::kEject && call.type != CommandType::kReturnToService))
+    co_return reply;
+  manual_ejections_[call.engine] = {call.type == CommandType::kEject, 0, {}};
   ejections_changed_.Notify();
   const Time last = Now() + kManualEjectionTimeout;
   for (;;) {
@@ -108,7 +109,7 @@
   }
   const auto it = manual_ejections_.find(call.engine);
   reply.message =
-      std::string(call.verb == Verb::kExclude ? "here; " : "later; ") +
+      std::string(call.type == CommandType::kEject ? "here; " : "later; ") +
       "the fleet has not agreed yet and is asked again until it does" +
       (it == manual_ejections_.end() || it->second.why.empty() ? std::string() : ": " + it->second.why);
   std::replace(reply.message.begin(), reply.message.end(), '\n', ' ');
--- a/tests/golden_text_test.cpp
+++ b/tests/golden_text_test.cpp
@@ -98,7 +98,7 @@
 std::string CommandOrError(std::string_view line) {
   const auto command = admin::ParseCommand(line);
   if (!command) return admin::Describe(command.error());
-  return std::to_string(static_cast<int>(command->verb)) + " " + command->engine;
+  return std::to_string(static_cast<int>(command->type)) + " " + command->engine;
 }
 
 TEST(OperatorCall_EachLine, GivesItsCommandOrError) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -22,7 +22,7 @@
     ASSERT_EQ(reader.Feed(std::string_view(text).substr(cut)), admin::LineReader::State::kLine) << cut;
     const auto command = admin::ParseCommand(reader.line());
     ASSERT_TRUE(command.has_value());
-    EXPECT_EQ(command->verb, admin::Verb::kExclude);
+    EXPECT_EQ(command->type, admin::CommandType::kEject);
     EXPECT_EQ(command->engine, "s-00c41f7a");
   }
 }
