--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -34,17 +34,17 @@
   return described;
 }
 
-// kShed counts rejected requests; cancelled ones are counted as kWithdrawn where the client leaves.
-metrics::End CountedAs(ResponseStatus status) {
+// Cancelled requests are not counted here but where the client cancels.
+metrics::RequestResult CountedAs(ResponseStatus status) {
   switch (status) {
     case ResponseStatus::kServed:
-      return metrics::End::kOk;
+      return metrics::RequestResult::kServed;
     case ResponseStatus::kRejected:
-      return metrics::End::kShed;
+      return metrics::RequestResult::kRejected;
     case ResponseStatus::kFailed:
       break;
   }
-  return metrics::End::kError;
+  return metrics::RequestResult::kFailed;
 }
 
 }  // namespace
@@ -134,7 +134,7 @@
 }
 
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const CancelledByClient&) {
-  counters_.CountEnded(request->class_name(), metrics::End::kWithdrawn);
+  counters_.CountEnded(request->class_name(), metrics::RequestResult::kCancelled);
   host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -107,7 +107,7 @@
   // limit.
   bool AccountInput();
   // Counts a request that is answered without being submitted to the broker.
-  void CountEnded(std::string_view class_name, metrics::End how);
+  void CountEnded(std::string_view class_name, metrics::RequestResult result);
 
   // Output.
   static runtime::Task<> WriteOutput(std::shared_ptr<ClientConnection> self);
@@ -115,8 +115,8 @@
   void SendError(std::uint32_t stream, std::string_view text);
   void Append(codec::FrameType type, std::uint32_t stream, codec::ResponseCode code,
               const codec::FieldViews& fields = {}, std::string_view body = {});
-  // Drops the output and stops reading; Serve() then cancels the open requests. Called if a write fails or the
-  // client leaves too much output unread.
+  // Drops the output and stops reading; Serve() then cancels the open requests. Called if a write fails or
+  // the client leaves too much output unread.
   void Abort();
 
   ConnectionContext& context_;
--- a/src/frontend/client_connection_input.cpp
+++ b/src/frontend/client_connection_input.cpp
@@ -129,7 +129,7 @@
   if (!fields) return SendError(frame.stream, kErrorMalformedFields);
   auto request = ParseRequest(*fields, *context_.settings);
   if (!request) {
-    CountEnded(fields->Get(kFieldClassName), metrics::End::kError);
+    CountEnded(fields->Get(kFieldClassName), metrics::RequestResult::kFailed);
     return SendError(frame.stream, ErrorText(request.error()));
   }
   request->wants_wait_notices = request->wants_wait_notices && context_.sends_wait_notices;
@@ -137,7 +137,7 @@
   last_active_at_ = Now();
   if (open_streams_.size() >= kMaxOpenStreams) {
     ++input_errors_;
-    CountEnded(request->forwarded.class_name, metrics::End::kShed);
+    CountEnded(request->forwarded.class_name, metrics::RequestResult::kRejected);
     return Append(codec::kResponseFrame, frame.stream, codec::kRejectedCode, {}, kErrorTooManyStreams);
   }
   SubmitRequest(frame.stream, std::move(*request));
@@ -163,10 +163,10 @@
   open_streams_.clear();
 }
 
-void ClientConnection::CountEnded(std::string_view class_name, metrics::End how) {
+void ClientConnection::CountEnded(std::string_view class_name, metrics::RequestResult result) {
   if (!context_.settings->ClassOf(class_name)) return;
   context_.counters.CountReceived(std::string(class_name));
-  context_.counters.CountEnded(std::string(class_name), how);
+  context_.counters.CountEnded(std::string(class_name), result);
 }
 
 }  // namespace lemoncroft::frontend
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -2,7 +2,7 @@
 //
 // Each event is counted once: requests by the broker, or by the front end if they are never submitted to the
 // broker; attempts by the back end; reloads by src/proxy/, which owns the counters. For each class,
-// received = ok + shed + errors + withdrawn + open.
+// received = served + rejected + failed + cancelled + open.
 //
 // Without I/O and clock. Not thread-safe; used on the event loop's thread.
 #ifndef LEMONCROFT_METRICS_COUNTERS_H_
@@ -18,26 +18,27 @@
 namespace lemoncroft::metrics {
 
 // How a request ended.
-enum class End {
-  kOk,
-  kShed,       // rejected
-  kError,      // failed
-  kWithdrawn,  // cancelled, or its client had disconnected; no client got a response
+enum class RequestResult {
+  kServed,
+  kRejected,
+  kFailed,
+  kCancelled,  // cancelled, or its client had disconnected; no client got a response
 };
 
 enum class ReloadResult { kApplied, kRejected };
 
 struct ClassCounts {
-  std::uint64_t received = 0, ok = 0, shed = 0, errors = 0, withdrawn = 0;
-  std::uint64_t ended() const { return ok + shed + errors + withdrawn; }
+  std::uint64_t received = 0, served = 0, rejected = 0, failed = 0, cancelled = 0;
+  std::uint64_t ended() const { return served + rejected + failed + cancelled; }
 };
 
 // Current values, which are read at the time of the call rather than counted.
 struct Gauges {
-  std::size_t active = 0;        // requests received and not ended
-  std::size_t pool_size = 0;     // engines on the endpoint list
-  std::size_t pool_ejected = 0;  // those of them that are ejected, manually or as outliers
-  std::vector<std::pair<std::string, std::uint64_t>> additional;  // names and values of optional modules
+  std::size_t open_requests = 0;    // requests received and not ended
+  std::size_t listed_engines = 0;   // engines on the endpoint list
+  std::size_t ejected_engines = 0;  // those of them that are ejected, manually or as outliers
+  // Names and values of the metrics of optional modules.
+  std::vector<std::pair<std::string, std::uint64_t>> additional_metrics;
 };
 
 class Counters {
@@ -47,9 +48,9 @@
   static constexpr std::size_t kMaxClasses = 4096;
 
   // Lists a class before its first request. A class stays listed after it is removed from the settings.
-  void AddClass(const std::string& class_id) { CountsOf(class_id); }
-  void CountReceived(const std::string& class_id) { ++CountsOf(class_id).received; }
-  void CountEnded(const std::string& class_id, End how);
+  void AddClass(const std::string& class_name) { CountsOf(class_name); }
+  void CountReceived(const std::string& class_name) { ++CountsOf(class_name).received; }
+  void CountEnded(const std::string& class_name, RequestResult result);
   // Counts an attempt whose statement has been written completely to an engine.
   void CountAttempt() { ++attempts_; }
   void CountReload(ReloadResult result);
@@ -61,7 +62,7 @@
   std::string Text(const Gauges& gauges) const;
 
  private:
-  ClassCounts& CountsOf(const std::string& class_id);
+  ClassCounts& CountsOf(const std::string& class_name);
 
   std::map<std::string, ClassCounts> classes_;
   ClassCounts unlisted_classes_;
--- a/src/metrics/metric_names.h
+++ b/src/metrics/metric_names.h
@@ -1,7 +1,7 @@
 // The names of the proxy's own metrics, as `telemetry` lists them. Monitoring systems read them, so they must
 // not change.
 //
-// Optional modules provide their own names (Gauges::additional).
+// Optional modules provide their own names (Gauges::additional_metrics).
 #ifndef LEMONCROFT_METRICS_METRIC_NAMES_H_
 #define LEMONCROFT_METRICS_METRIC_NAMES_H_
 
@@ -19,7 +19,7 @@
 inline constexpr std::string_view kFailedSuffix = ".errors";
 
 inline constexpr std::string_view kAttempts = "tries";
-inline constexpr std::string_view kActiveRequests = "active";
+inline constexpr std::string_view kOpenRequests = "active";
 inline constexpr std::string_view kListedEngines = "pool_size";
 inline constexpr std::string_view kEjectedEngines = "pool_ejected";
 inline constexpr std::string_view kReloadsApplied = "config_applied";
--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -188,21 +188,21 @@
   for (unsigned seed = 1; seed <= 4; ++seed) {
     const RandomTraffic traffic(seed);
     EXPECT_EQ(traffic.open(), 0u);
-    std::uint64_t ok = 0, shed = 0, errors = 0, withdrawn = 0;
+    std::uint64_t served = 0, rejected = 0, failed = 0, cancelled = 0;
     EXPECT_EQ(traffic.counters().classes().size(), 2u) << "an unknown class has no counters";
     for (const auto& [name, of] : traffic.counters().classes()) {
       EXPECT_EQ(of.received, of.ended()) << name << ", seed " << seed;
       EXPECT_GT(of.received, 50u);
-      ok += of.ok, shed += of.shed, errors += of.errors, withdrawn += of.withdrawn;
+      served += of.served, rejected += of.rejected, failed += of.failed, cancelled += of.cancelled;
     }
     // Responses that clients read were counted; those that they left unread may have been, too.
-    EXPECT_GE(ok, static_cast<std::uint64_t>(traffic.responses(codec::kServedCode)));
-    EXPECT_GE(shed, static_cast<std::uint64_t>(traffic.responses(codec::kRejectedCode)));
+    EXPECT_GE(served, static_cast<std::uint64_t>(traffic.responses(codec::kServedCode)));
+    EXPECT_GE(rejected, static_cast<std::uint64_t>(traffic.responses(codec::kRejectedCode)));
     EXPECT_GT(traffic.responses(codec::kServedCode), 0);
     EXPECT_GT(traffic.responses(codec::kRejectedCode), 0);
-    EXPECT_GT(errors, 0u);
-    EXPECT_GT(withdrawn, 0u);
-    EXPECT_GE(traffic.counters().attempts(), ok);
+    EXPECT_GT(failed, 0u);
+    EXPECT_GT(cancelled, 0u);
+    EXPECT_GE(traffic.counters().attempts(), served);
   }
 }
 
