--- a/src/frontend/client_connection.h
+++ b/src/frontend/client_connection.h
@@ -33,7 +33,7 @@
 namespace lemoncroft::frontend {
 
 struct ClientLimits {
-  std::size_t connections = 400;
+  std::size_t max_connections = 400;
   // Of responses to one client that have not been handed to the socket yet.
   std::size_t max_unread_bytes = std::size_t{4} << 20;
   std::size_t max_total_unread_bytes = std::size_t{32} << 20;    // of all clients
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -33,7 +33,7 @@
 
 Task<> FrameServer::AcceptConnections() {
   for (int accepted = 1;; ++accepted) {
-    if (stop_accepting_.cancelled() && queue_ == Queue::kLeaveQueued) break;
+    if (stop_accepting_.cancelled() && backlog_policy_ == BacklogPolicy::kLeaveQueued) break;
     std::unique_ptr<runtime::Socket> socket;
     const IoResult io = co_await listener_->Accept(socket, &stop_accepting_);
     if (io == IoResult::kCancelled) break;
@@ -61,8 +61,8 @@
   capacity_available_.Notify();
 }
 
-void FrameServer::StopAccepting(Queue queue) {
-  queue_ = queue;
+void FrameServer::StopAccepting(BacklogPolicy backlog_policy) {
+  backlog_policy_ = backlog_policy;
   stop_accepting_.Cancel();
 }
 
@@ -72,7 +72,7 @@
 // of need, because an evicted connection occupies its descriptor until its lingering close has ended.
 Task<> FrameServer::WaitForCapacity() {
   const runtime::Time deadline = Now() + kCapacityTimeout;
-  if (connections() + SpareConnections() >= context_.limits.connections) EvictConnection();
+  if (CountOpenConnections() + SpareConnections() >= context_.limits.max_connections) EvictConnection();
   while (!HasCapacity() && Now() < deadline && !stop_accepting_.cancelled()) {
     const runtime::Time retry_at = std::min(deadline, Now() + kCapacityRetryInterval);
     co_await runtime::Waiter(loop_, &capacity_available_, retry_at, &stop_accepting_);
@@ -81,10 +81,10 @@
 }
 
 std::size_t FrameServer::SpareConnections() const {
-  return context_.limits.connections / kSpareConnectionsDivisor;
+  return context_.limits.max_connections / kSpareConnectionsDivisor;
 }
 
-std::size_t FrameServer::connections() {
+std::size_t FrameServer::CountOpenConnections() {
   std::erase_if(connections_, [](const auto& weak) { return weak.expired(); });
   return connections_.size();
 }
@@ -124,7 +124,7 @@
   ++rejected_connections_;
   if (Now() - rejection_logged_at_ < kRejectionLogInterval) return;
   spdlog::warn("clients: rejected {} connections so far; all {} allowed connections are in use",
-               rejected_connections_, context_.limits.connections);
+               rejected_connections_, context_.limits.max_connections);
   rejection_logged_at_ = Now();
 }
 
@@ -145,7 +145,7 @@
   }
 }
 
-bool FrameServer::flushed() const {
+bool FrameServer::IsFlushed() const {
   return std::all_of(connections_.begin(), connections_.end(), [](const auto& weak) {
     const ConnectionPtr connection = weak.lock();
     return !connection || connection->IsFlushed();
--- a/src/frontend/frame_server.h
+++ b/src/frontend/frame_server.h
@@ -35,20 +35,20 @@
   void set_ready(bool ready) { context_.is_ready = ready; }
   // Enables or disables wait notices to clients that ask for them.
   void set_wait_notices_enabled(bool enabled) { context_.sends_wait_notices = enabled; }
-  void set_connections(std::size_t limit) { context_.limits.connections = limit; }
+  void set_max_connections(std::size_t max_connections) { context_.limits.max_connections = max_connections; }
 
   // Asks the clients of all present connections to send no new requests on them. From now on readiness
   // requests are answered with "not ready", regardless of set_ready().
   void AnnounceDrain();
   // Handling of the connections in the listening socket's queue: they are accepted first, or left to another
   // process that shares the socket.
-  enum class Queue { kAcceptQueued, kLeaveQueued };
-  void StopAccepting(Queue queue);
+  enum class BacklogPolicy { kAcceptQueued, kLeaveQueued };
+  void StopAccepting(BacklogPolicy backlog_policy);
   // Begins to close all connections without open requests, output to write, unread input or a partial frame.
-  // Call repeatedly until connections() is 0.
+  // Call repeatedly until CountOpenConnections() is 0.
   void CloseIdleConnections();
-  std::size_t connections();  // open now
-  bool flushed() const;       // every response has been handed to the kernel
+  std::size_t CountOpenConnections();
+  bool IsFlushed() const;  // every response has been handed to the kernel
 
  private:
   using ConnectionPtr = std::shared_ptr<ClientConnection>;
@@ -66,7 +66,7 @@
 
   // Capacity.
   runtime::Task<> WaitForCapacity();
-  bool HasCapacity() { return connections() < context_.limits.connections; }
+  bool HasCapacity() { return CountOpenConnections() < context_.limits.max_connections; }
   std::size_t SpareConnections() const;  // number of connections to free ahead of need
   EvictionCandidates FindEvictionCandidates() const;
   void EvictConnection();
@@ -80,7 +80,7 @@
   std::list<std::weak_ptr<ClientConnection>> connections_;  // oldest first
   std::size_t rejected_connections_ = 0;
   runtime::Time rejection_logged_at_{};
-  Queue queue_ = Queue::kAcceptQueued;
+  BacklogPolicy backlog_policy_ = BacklogPolicy::kAcceptQueued;
 };
 
 }  // namespace lemoncroft::frontend
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -22,7 +22,7 @@
   kServed,
   kRejected,
   kFailed,
-  kCancelled,  // cancelled, or its client had disconnected; no client got a response
+  kCancelled,  // by its client, or because the client disconnected; no client got a response
 };
 
 enum class ReloadResult { kApplied, kRejected };
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -37,7 +37,7 @@
 
 hot_restart::ConnectionUsage OwnUsage(const Operations& operations, ReloadableState& state) {
   hot_restart::ConnectionUsage own;
-  own.clients = static_cast<std::uint32_t>(state.server.connections());
+  own.clients = static_cast<std::uint32_t>(state.server.CountOpenConnections());
   own.engines = static_cast<std::uint32_t>(state.engines.pool().open_connections());
   own.serving = operations.phase() == Operations::Phase::kServing;
   return own;
@@ -92,7 +92,7 @@
     registry.Publish(own);
     const hot_restart::PeerProcesses others = registry.ReadPeers();
     const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
-    state.server.set_connections(share.clients);
+    state.server.set_max_connections(share.clients);
     state.engines.pool().set_max_connections(share.engines);
     const int process_count = hot_restart::ProcessCount(own, others);
     if (std::exchange(known_process_count, process_count) != process_count)
--- a/src/proxy/resource_limits.cpp
+++ b/src/proxy/resource_limits.cpp
@@ -37,7 +37,7 @@
 
 frontend::FrameServer::Limits ClientLimits(const Config& config, std::size_t memory_mb) {
   frontend::FrameServer::Limits limits;
-  limits.connections = ProxyLimitsOf(config).clients;
+  limits.max_connections = ProxyLimitsOf(config).clients;
   if (memory_mb > 0) {
     limits.max_total_unread_bytes = (memory_mb << 20) / 8;
     limits.max_total_unparsed_bytes = (memory_mb << 20) / 4;
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -42,13 +42,13 @@
 }
 
 Task<> CloseConnections(runtime::Loop& loop, frontend::FrameServer& server, const broker::Broker& broker) {
-  while (broker.open_requests() > 0 || !server.flushed()) {
+  while (broker.open_requests() > 0 || !server.IsFlushed()) {
     server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
   // A process that ended now would reset the connections on which something has arrived meanwhile.
   const Time close_by = Now() + kClientCloseTimeout;
-  while (server.connections() > 0 && (Now() < close_by || !server.flushed())) {
+  while (server.CountOpenConnections() > 0 && (Now() < close_by || !server.IsFlushed())) {
     server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
@@ -59,14 +59,14 @@
 Task<> ShutDownGracefully(runtime::Loop& loop, frontend::FrameServer& server, broker::Broker& broker,
                           const settings::ActiveSettings& active_settings, ListenerOwnership listener,
                           Fleet* fleet) {
-  using Queue = frontend::FrameServer::Queue;
+  using BacklogPolicy = frontend::FrameServer::BacklogPolicy;
   const bool listener_is_shared = listener == ListenerOwnership::kShared;
   const Time since = Now();
   spdlog::info("ending: {} requests open", broker.open_requests());
-  if (listener_is_shared) server.StopAccepting(Queue::kLeaveQueued);
+  if (listener_is_shared) server.StopAccepting(BacklogPolicy::kLeaveQueued);
   server.AnnounceDrain();
   co_await loop.SleepUntil(since + kKeepAcceptingDuration);
-  if (!listener_is_shared) server.StopAccepting(Queue::kAcceptQueued);
+  if (!listener_is_shared) server.StopAccepting(BacklogPolicy::kAcceptQueued);
   server.AnnounceDrain();  // to clients that have connected since
   co_await loop.SleepUntil(since + kKeepServingDuration);
   broker.RejectNewRequests();
