--- a/src/frontend/request_parser.cpp
+++ b/src/frontend/request_parser.cpp
@@ -52,7 +52,7 @@
 
 // Returns `default_value` for an empty text, and nothing for an invalid number or one above `max`. A `max` of
 // 0 means that no bound is known.
-std::optional<double> NumberOr(std::string_view text, double default_value, double max) {
+std::optional<double> ParseNumberOr(std::string_view text, double default_value, double max) {
   const std::optional<double> value = text.empty() ? std::optional(default_value) : ParseNumber(text);
   if (max > 0 && value > max) return std::nullopt;
   return value;
@@ -66,11 +66,12 @@
 
 std::optional<Estimates> ParseEstimates(const codec::Fields& fields, const ClassSettings& request_class,
                                         const settings::Site& settings) {
-  const double deadline_ms = static_cast<double>(request_class.client_timeout) / 1e6;
+  const double client_timeout_ms = static_cast<double>(request_class.client_timeout) / 1e6;
   const double max_memory_mb = kMaxMemoryFactor * LargestEngineMemoryMb(settings);
-  const auto timeout = NumberOr(fields.Get(kFieldTimeoutMs), deadline_ms, kMaxTimeoutFactor * deadline_ms);
-  const auto cpu = NumberOr(fields.Get(kFieldEstimatedCpuMs), 0, kMaxWorkFactor * deadline_ms);
-  const auto memory = NumberOr(fields.Get(kFieldEstimatedMemoryMb), 0, max_memory_mb);
+  const auto timeout =
+      ParseNumberOr(fields.Get(kFieldTimeoutMs), client_timeout_ms, kMaxTimeoutFactor * client_timeout_ms);
+  const auto cpu = ParseNumberOr(fields.Get(kFieldEstimatedCpuMs), 0, kMaxWorkFactor * client_timeout_ms);
+  const auto memory = ParseNumberOr(fields.Get(kFieldEstimatedMemoryMb), 0, max_memory_mb);
   if (!timeout || !cpu || !memory) return std::nullopt;
   return Estimates{*timeout, *cpu, *memory};
 }
@@ -118,9 +119,11 @@
   if (!tenant) return tl::unexpected(RequestError::kUnknownTenant);
   if (!IsRequestId(fields.Get(kFieldRequestId))) return tl::unexpected(RequestError::kInvalidRequestId);
   const ClassSettings& request_class = settings.module.classes[*class_id];
-  const std::string_view key = fields.Get(kFieldIdempotencyKey);
-  const bool has_key = !key.empty() || request_class.effect == Effect::kKeyed;
-  if (has_key && !IsIdempotencyKey(key)) return tl::unexpected(RequestError::kInvalidIdempotencyKey);
+  const std::string_view idempotency_key = fields.Get(kFieldIdempotencyKey);
+  const bool has_or_needs_idempotency_key =
+      !idempotency_key.empty() || request_class.effect == Effect::kKeyed;
+  if (has_or_needs_idempotency_key && !IsIdempotencyKey(idempotency_key))
+    return tl::unexpected(RequestError::kInvalidIdempotencyKey);
   const std::string_view ordering_key = fields.Get(kFieldOrderingKey);
   if (!ordering_key.empty() && !codec::IsValidOrderingKey(ordering_key))
     return tl::unexpected(RequestError::kInvalidOrderingKey);
