--- a/tests/counters_test.cpp
+++ b/tests/counters_test.cpp
@@ -1,6 +1,6 @@
-// The invariant of the counters: each request that was received ends in exactly one count, whatever becomes
-// of it. Clients and engines that behave at random run against the clients' side, the broker and the back end
-// on one event loop.
+// The invariant of the counters: each received request is counted as exactly one result, no matter how it
+// ends. Clients and engines with random behavior run against the front end, the broker and the back end on
+// one event loop.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -25,7 +25,7 @@
   return "127.0.0.1:" + std::to_string(ntohs(address.raw.sin_port));
 }
 
-settings::Site TwoClasses() {
+settings::Site SettingsWithTwoClasses() {
   settings::Site site;
   site.classes = {"lookup", "load"};
   site.tenants = {"acme"};
@@ -51,7 +51,7 @@
  public:
   explicit RandomTraffic(unsigned seed) : random_(seed) {
     for (auto& engine : engines_) loop_.Spawn(Engine(*engine));
-    directory_.Apply(codec::Json::Parse(List()),
+    directory_.Apply(codec::Json::Parse(EndpointListJson()),
                      [this](EngineList list) { broker_.UpdateEndpoints(std::move(list)); });
     broker_.Start();
     server_->Start();
@@ -66,7 +66,7 @@
  private:
   int Pick(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
 
-  std::string List() const {
+  std::string EndpointListJson() const {
     std::string members;
     for (const auto& engine : engines_) {
       members += std::string(members.empty() ? "" : ",") + R"({"id":"s)" + TextOf(engine->address()) +
@@ -80,14 +80,14 @@
       loop_.Spawn(Answer(std::move(socket)));
   }
 
-  // Answers one HTTP request after another, each in one of the ways in which a request may end.
+  // Answers HTTP requests one after another, each with a random one of the ways in which a request may end.
   Task<> Answer(SocketPtr socket) {
     std::string in;
     std::size_t written = 0;
     for (;;) {
       const std::size_t end = in.find("\r\n\r\n");
-      const std::size_t sized = in.find("Content-Length: ");
-      const std::size_t body = sized < end ? std::stoul(in.substr(sized + 16)) : 0;
+      const std::size_t content_length = in.find("Content-Length: ");
+      const std::size_t body = content_length < end ? std::stoul(in.substr(content_length + 16)) : 0;
       if (end == std::string::npos || in.size() < end + 4 + body) {
         if (co_await socket->Read(in, 4096, runtime::kNever) != IoResult::kOk) co_return;
         continue;
@@ -101,8 +101,8 @@
           "HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n",
           "HTTP/1.1 200 X\r\nChu"};
       const int kind = Pick(8);
-      if (kind == 7) co_return;  // closed
-      if (kind == 6) continue;   // silent
+      if (kind == 7) co_return;  // closes the connection
+      if (kind == 6) continue;   // sends no response
       if (kind == 4) co_await loop_.Sleep(5ms);
       co_await socket->Write(kResponses[kind], written, Now() + 1s);
     }
@@ -165,37 +165,37 @@
     loop_.Stop();
   }
 
-  static runtime::Address Any() { return *runtime::Address::Parse("127.0.0.1:0"); }
+  static runtime::Address AnyPort() { return *runtime::Address::Parse("127.0.0.1:0"); }
 
   std::mt19937 random_;
   runtime::Loop loop_;
-  settings::ActiveSettings site_{TwoClasses()};
+  settings::ActiveSettings site_{SettingsWithTwoClasses()};
   discovery::EndpointDirectory directory_{site_};
   metrics::Counters counters_;
-  backend::Engines back_{loop_, directory_, {64, 1s, {}}, 100ms, counters_};
-  broker::Broker broker_{loop_, site_, 7, back_, counters_, {60, std::size_t{1} << 20}};
-  std::unique_ptr<runtime::Listener> listener_ = std::make_unique<runtime::Listener>(loop_, Any());
+  backend::Engines backend_{loop_, directory_, {64, 1s, {}}, 100ms, counters_};
+  broker::Broker broker_{loop_, site_, 7, backend_, counters_, {60, std::size_t{1} << 20}};
+  std::unique_ptr<runtime::Listener> listener_ = std::make_unique<runtime::Listener>(loop_, AnyPort());
   runtime::Address address_ = listener_->address();
   std::unique_ptr<frontend::FrameServer> server_ = std::make_unique<frontend::FrameServer>(
       loop_, std::move(listener_), site_, broker_, counters_, frontend::FrameServer::Limits());
-  std::unique_ptr<runtime::Listener> engines_[2] = {std::make_unique<runtime::Listener>(loop_, Any()),
-                                                    std::make_unique<runtime::Listener>(loop_, Any())};
+  std::unique_ptr<runtime::Listener> engines_[2] = {std::make_unique<runtime::Listener>(loop_, AnyPort()),
+                                                    std::make_unique<runtime::Listener>(loop_, AnyPort())};
   int clients_ = 0, ids_ = 0;
   int responses_[16] = {};
 };
 
-TEST(Counters, RandomTraffic_EveryRequestReceivedEndsInOneCount) {
+TEST(Counters, ReceivedRequest_UnderRandomTraffic_IsCountedOnce) {
   for (unsigned seed = 1; seed <= 4; ++seed) {
     const RandomTraffic traffic(seed);
     EXPECT_EQ(traffic.open(), 0u);
     std::uint64_t served = 0, rejected = 0, failed = 0, cancelled = 0;
     EXPECT_EQ(traffic.counters().classes().size(), 2u) << "an unknown class has no counters";
-    for (const auto& [name, of] : traffic.counters().classes()) {
-      EXPECT_EQ(of.received, of.ended()) << name << ", seed " << seed;
-      EXPECT_GT(of.received, 50u);
-      served += of.served, rejected += of.rejected, failed += of.failed, cancelled += of.cancelled;
+    for (const auto& [name, c] : traffic.counters().classes()) {
+      EXPECT_EQ(c.received, c.ended()) << name << ", seed " << seed;
+      EXPECT_GT(c.received, 50u);
+      served += c.served, rejected += c.rejected, failed += c.failed, cancelled += c.cancelled;
     }
-    // Responses that clients read were counted; those that they left unread may have been, too.
+    // Every response that a client read was counted; responses left unread may have been counted as well.
     EXPECT_GE(served, static_cast<std::uint64_t>(traffic.responses(codec::kServedCode)));
     EXPECT_GE(rejected, static_cast<std::uint64_t>(traffic.responses(codec::kRejectedCode)));
     EXPECT_GT(traffic.responses(codec::kServedCode), 0);
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -47,7 +47,7 @@
 "guarantees":{"answerSlackNs":20000000,"drainGraceNs":250000000,"coldFrom":0.31,
 "warmWithinNs":14000000000,"overloadFactor":4.0,"fallNs":1000000000}}})";
 
-// Plays the steps of one scenario: starts the program and the parties, ends them at the end.
+// Runs the steps of one scenario. The destructor ends the program and the parties.
 class ScenarioRunner {
  public:
   ~ScenarioRunner() {
@@ -59,24 +59,24 @@
     if (!folder_.empty()) std::system(("rm -rf " + folder_).c_str());
   }
 
-  void Do(const Words& w) {
+  void RunStep(const Words& w) {
     const std::string& party = w[0];
     if (party == "wait") return std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(w.at(1))));
     if (party == "crowd") return ConnectIdleClients(std::stoi(w.at(1)));
     if (party == "pieces") return SetPieceSize(std::stoul(w.at(1)));
-    if (party == "clock") return w.at(1) == "send" ? void(timer_ = Clock::now()) : ExpectPassed(w.at(2));
+    if (party == "clock") return w.at(1) == "send" ? void(timer_ = Clock::now()) : ExpectElapsed(w.at(2));
     if (party == "engine") return void(servers_.try_emplace(w.at(1)));
     if (party == "config") return void(config_.emplace_back(w.at(1), w.at(2)));
-    if (party == "operator") return void(operator_ = w.at(1));
-    if (party == "program") return Program(w);
+    if (party == "operator") return void(operator_file_ = w.at(1));
+    if (party == "program") return RunProgramStep(w);
     if (party == "listener") return HoldListener();
-    if (party == "old") return RunAtPredecessor(w);
-    if (party.starts_with("ops")) return CallAdmin(party, w, admin_port_);
-    if (party.starts_with("oldops")) return CallAdmin(party, w, old_admin_port_);
+    if (party == "old") return RunPredecessorStep(w);
+    if (party.starts_with("ops")) return RunAdminStep(party, w, admin_port_);
+    if (party.starts_with("oldops")) return RunAdminStep(party, w, old_admin_port_);
     const bool send = w.at(1) == "send", expect = w[1] == "expect", close = w[1] == "close";
     if (!send && !expect && !close) Fail("unknown verb " + w[1]);
     if (IsParser(party)) {
-      if (send) parsed_ = ParsedBy(party, w.at(2));
+      if (send) parsed_ = ParseWith(party, w.at(2));
       if (expect) ExpectEqual(party, parsed_, w.at(2));
       return;
     }
@@ -99,15 +99,15 @@
     return out.str();
   }
 
-  static void Replace(std::string& text, const std::string& what, const std::string& by) {
-    for (std::size_t at = 0; (at = text.find(what, at)) != std::string::npos; at += by.size()) {
-      text.replace(at, what.size(), by);
+  static void Replace(std::string& text, const std::string& from, const std::string& to) {
+    for (std::size_t at = 0; (at = text.find(from, at)) != std::string::npos; at += to.size()) {
+      text.replace(at, from.size(), to);
     }
   }
 
-  void ExpectPassed(const std::string& ms) const {
+  void ExpectElapsed(const std::string& ms) const {
     if (Clock::now() - timer_ < std::chrono::milliseconds(std::stoi(ms)))
-      Fail("it took less than " + ms + " ms");
+      Fail("less than " + ms + " ms have elapsed since `clock send`");
   }
 
   void FillAddresses(std::string& text) const {
@@ -140,7 +140,7 @@
       if (key == "known" || key == "cut") continue;
       FillAddresses(value);
       const std::size_t at = text.find("\"" + key + "\":");
-      if (at == std::string::npos) Fail("no such key: " + key);
+      if (at == std::string::npos) Fail("the configuration has no such key: " + key);
       const std::size_t from = at + key.size() + 3, end = EndOfValue(text, from);
       if (value == "-")
         text.erase(at, end + (text[end] == ',') - at);
@@ -163,10 +163,10 @@
   }
 
   void WriteConfig() {
-    // Replaced atomically: a process may be reading it.
+    // Replaces the file atomically, since a process may be reading it.
     std::ofstream(folder_ + "/config.new") << ConfigText();
     ::rename((folder_ + "/config.new").c_str(), (folder_ + "/config.json").c_str());
-    std::string text = operator_;
+    std::string text = operator_file_;
     Replace(text, "{folder}", folder_);
     if (!text.empty()) std::ofstream(folder_ + "/operator.kdl") << text;
   }
@@ -180,7 +180,7 @@
       admin_port_ = first_admin_port_ = FreePort();
       WriteConfig();
     }
-    if (!operator_.empty()) args.insert(args.end(), {"--operator", folder_ + "/operator.kdl"});
+    if (!operator_file_.empty()) args.insert(args.end(), {"--operator", folder_ + "/operator.kdl"});
     args.insert(args.begin(), LEMONCROFT_PROGRAM);
     pid_ = ::fork();
     if (pid_ != 0) return;
@@ -202,20 +202,20 @@
     ::_exit(127);
   }
 
-  // Connects so many clients, each of which asks once and stays idle.
-  void ConnectIdleClients(int size) {
-    for (int i = 0; i < size; ++i) {
-      Client& one = idle_clients_.emplace_back(client_port_);
-      one.Send({"", "send", "ready", "1"});
-      one.Expect({"", "expect", "ready", "0"});
+  // Connects `count` clients, each of which sends one readiness request and then stays idle.
+  void ConnectIdleClients(int count) {
+    for (int i = 0; i < count; ++i) {
+      Client& client = idle_clients_.emplace_back(client_port_);
+      client.Send({"", "send", "ready", "1"});
+      client.Expect({"", "expect", "ready", "0"});
     }
   }
 
-  // As on the platform: the clients' listening socket is held here, and every process inherits it.
+  // Opens the listening socket for clients, which every process of the program inherits, as on the platform.
   void HoldListener() {
     held_listener_ = Listen();
     client_port_ = held_listener_.port;
-    // Never as descriptor 3 here: dup2 onto itself would leave it closed on exec.
+    // Never descriptor 3: dup2 of a descriptor onto itself would leave it close-on-exec.
     held_listener_.fd = Descriptor(::fcntl(held_listener_.fd.get(), F_DUPFD_CLOEXEC, 100));
   }
 
@@ -225,41 +225,42 @@
     old_admin_port_ = std::exchange(admin_port_, FreePort());
     WriteConfig();
     Launch({"serve", "--log-level", "debug"});
-    if (w.size() > 2) return;  // before it is ready
-    CallAdmin("ops", {"ops", "expect", "readyz", "ACK"}, admin_port_);
+    if (w.size() > 2) return;  // without waiting until it is ready
+    RunAdminStep("ops", {"ops", "expect", "readyz", "ACK"}, admin_port_);
   }
 
-  void RunAtPredecessor(const Words& w) {
+  void RunPredecessorStep(const Words& w) {
     std::swap(pid_, old_pid_);
-    Program(w);
+    RunProgramStep(w);
     std::swap(pid_, old_pid_);
   }
 
-  // `expect CALL BEGINNING [LINE...]` asks until the answer is so; `send` and `expect answer` keep to one
-  // connection and are not tried again.
-  void CallAdmin(const std::string& party, const Words& w, int port) {
+  // `expect COMMAND BEGINNING [LINE...]` repeats the command until the reply matches. `send` and `expect
+  // answer` use one connection and are not repeated.
+  void RunAdminStep(const std::string& party, const Words& w, int port) {
     if (w.at(1) == "close") return void(admin_clients_.erase(party));
     if (w[1] == "send") return admin_clients_.try_emplace(party, port).first->second.Send(w);
     if (w.at(2) == "answer") {
-      const std::string got = admin_clients_.at(party).Response(kAdminTimeout);
+      const std::string got = admin_clients_.at(party).ReadReply(kAdminTimeout);
       admin_clients_.erase(party);
-      return ExpectResponse(got, w);
+      return ExpectReply(got, w);
     }
     for (const auto until = Clock::now() + kExpectTimeout;; std::this_thread::sleep_for(20ms)) {
       try {
-        AdminClient caller(port);
-        caller.Send({"", "", "bytes", w[2] + "\n"});
-        return ExpectResponse(caller.Response(1000ms), w);
+        AdminClient client(port);
+        client.Send({"", "", "bytes", w[2] + "\n"});
+        return ExpectReply(client.ReadReply(1000ms), w);
       } catch (const std::runtime_error&) {
         if (Clock::now() > until) throw;
       }
     }
   }
 
-  static void ExpectResponse(const std::string& got, const Words& w) {
-    if (!got.starts_with(w.at(3))) Fail("answer: got '" + got + "', expected '" + w[3] + "'");
+  static void ExpectReply(const std::string& got, const Words& w) {
+    if (!got.starts_with(w.at(3))) Fail("reply: got '" + got + "', expected '" + w[3] + "'");
     for (std::size_t i = 4; i < w.size(); ++i) {
-      if (("\n" + got).find("\n" + w[i] + "\n") == std::string::npos) Fail("'" + got + "' lacks " + w[i]);
+      if (("\n" + got).find("\n" + w[i] + "\n") == std::string::npos)
+        Fail("the reply '" + got + "' lacks the line " + w[i]);
     }
   }
 
@@ -276,7 +277,8 @@
     }
   }
 
-  // The trace of the decision module's events and actions equals a recorded file beside the scenarios.
+  // Expects the trace of the decision module's events and actions to equal a recorded file in the directory
+  // of the scenarios.
   void ExpectTrace(const std::string& name) const {
     std::istringstream log(Log());
     std::string traced;
@@ -287,16 +289,16 @@
     ExpectEqual("trace", traced, Read(std::string(LEMONCROFT_SCENARIOS) + "/" + name));
   }
 
-  // At most so many descriptors of all kinds are open.
-  void ExpectDescriptors(std::size_t most) const {
+  // Expects the program to have at most `max` open descriptors of all kinds.
+  void ExpectDescriptors(std::size_t max) const {
     std::size_t open = 0;
     for ([[maybe_unused]] const auto& entry :
          std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd"))
       ++open;
-    if (open > most) Fail(std::to_string(open) + " descriptors are open");
+    if (open > max) Fail(std::to_string(open) + " descriptors of the program are open");
   }
 
-  void Program(const Words& w) {
+  void RunProgramStep(const Words& w) {
     if (w.at(1) == "descriptors") return ExpectDescriptors(std::stoul(w.at(2)));
     if (w.at(1) == "start") {
       Launch({"serve", "--log-level", w.size() > 2 ? w[2] : "debug"});
@@ -305,7 +307,7 @@
     if (w[1] == "succeed") return StartSuccessor(w);
     if (w[1] == "environment") return void(environment_.emplace_back(w.at(2), w.at(3)));
     if (w[1] == "run") return Launch(Words(w.begin() + 2, w.end()));
-    if (w[1] == "beside") {  // while another one runs
+    if (w[1] == "beside") {  // while another process runs
       const pid_t running = std::exchange(pid_, 0);
       Launch(Words(w.begin() + 4, w.end()));
       ::waitpid(std::exchange(pid_, running), nullptr, 0);
@@ -327,7 +329,7 @@
     int status = 0;
     const auto until = Clock::now() + kExpectTimeout;
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
-      if (Clock::now() > until) Fail("the program has not ended");
+      if (Clock::now() > until) Fail("the program has not exited within the timeout");
       std::this_thread::sleep_for(5ms);
     }
     pid_ = 0;
@@ -339,10 +341,10 @@
   std::map<std::string, Client> clients_;
   std::list<Client> idle_clients_;
   std::map<std::string, AdminClient> admin_clients_;
-  ListeningSocket held_listener_;  // without a descriptor: the program binds its own
+  ListeningSocket held_listener_;  // without a descriptor if the program binds its own
   std::vector<std::pair<std::string, std::string>> environment_;
   std::vector<std::pair<std::string, std::string>> config_;
-  std::string folder_, parsed_, operator_;
+  std::string folder_, parsed_, operator_file_;
   Clock::time_point timer_ = Clock::now();
   int client_port_ = 0, admin_port_ = 0, first_admin_port_ = 0, old_admin_port_ = 0;
   pid_t pid_ = 0, old_pid_ = 0;
@@ -359,19 +361,19 @@
     if (line.starts_with("== ")) {
       out.push_back({line.substr(3), {}});
     } else if (Words words = Split(line); !words.empty()) {
-      if (out.empty()) Fail(path + ": a step before the first scenario");
+      if (out.empty()) Fail(path + ": a step precedes the first scenario");
       out.back().steps.push_back({number, std::move(words)});
     }
   }
   return out;
 }
 
-void Play(const Scenario& scenario) {
+void RunScenario(const Scenario& scenario) {
   ScenarioRunner runner;
   SetPieceSize(0);
   for (const Step& step : scenario.steps) {
     try {
-      runner.Do(step.words);
+      runner.RunStep(step.words);
     } catch (const std::exception& e) {
       throw std::runtime_error("line " + std::to_string(step.line) + ": " + e.what() + "\n" + runner.Log());
     }
--- a/tests/scenario.h
+++ b/tests/scenario.h
@@ -1,4 +1,4 @@
-// The scenario language of the tests, described in docs/scenarios.md: reading it and playing it.
+// Reads and runs scenarios, which are written in the language that docs/scenarios.md describes.
 #ifndef LEMONCROFT_TESTS_SCENARIO_H_
 #define LEMONCROFT_TESTS_SCENARIO_H_
 
@@ -20,13 +20,15 @@
   std::string name;
   std::vector<Step> steps;
 };
+// Returns the scenarios of a file. Throws std::runtime_error if a step comes before the first scenario.
 std::vector<Scenario> ReadScenarios(const std::string& path);
 
-// Plays a scenario; throws std::runtime_error, which names the line, where it goes otherwise.
-void Play(const Scenario& scenario);
+// Runs a scenario. Throws std::runtime_error, which names the line, if a step fails.
+void RunScenario(const Scenario& scenario);
 
-// One of the parties that are parsers: takes a text, says what it reads out of it.
-std::string ParsedBy(const std::string& party, const std::string& text);
+// Runs the parser that a party stands for and returns a description of the result.
+std::string ParseWith(const std::string& party, const std::string& text);
+// Returns true if the party stands for a parser.
 bool IsParser(const std::string& party);
 
 }  // namespace lemoncroft::scenario
--- a/tests/scenario_admin_client.cpp
+++ b/tests/scenario_admin_client.cpp
@@ -15,7 +15,7 @@
 constexpr auto kBytePause = 2ms;
 }  // namespace
 
-AdminClient::AdminClient(int port) : fd_(ConnectTo(port, "cannot call")) {}
+AdminClient::AdminClient(int port) : fd_(ConnectTo(port, "cannot connect to the admin address")) {}
 
 void AdminClient::Send(const Words& words) {
   const std::string& kind = words[2];
@@ -33,13 +33,13 @@
   }
 }
 
-std::string AdminClient::Response(std::chrono::milliseconds timeout) {
+std::string AdminClient::ReadReply(std::chrono::milliseconds timeout) {
   std::string in;
   const auto until = Clock::now() + timeout;
   for (pollfd p{fd_.get(), POLLIN, 0}; ::poll(&p, 1, MillisecondsUntil(until)) > 0;) {
     if (!ReadSome(fd_.get(), in)) return in;
   }
-  Fail("the answer has not ended in time; so far: " + in);
+  Fail("the reply was not complete within the timeout; received so far: " + in);
 }
 
 }  // namespace lemoncroft::scenario
--- a/tests/scenario_admin_client.h
+++ b/tests/scenario_admin_client.h
@@ -1,4 +1,4 @@
-// An operator of a scenario at the admin address: one connection, one call, one response.
+// An operator in a scenario, connected to the admin address: one connection, one command, one reply.
 #ifndef LEMONCROFT_TESTS_SCENARIO_ADMIN_CLIENT_H_
 #define LEMONCROFT_TESTS_SCENARIO_ADMIN_CLIENT_H_
 
@@ -13,11 +13,12 @@
 class AdminClient {
  public:
   explicit AdminClient(int port);
-  // `send bytes TEXT`, `send bytewise TEXT` with a pause after each byte, or `send flood SIZE`, without a
-  // line feed.
+  // Runs a step `send bytes TEXT`, `send bytewise TEXT` (with a pause after each byte) or `send flood SIZE`
+  // (SIZE bytes without a line feed).
   void Send(const Words& words);
-  // Returns what arrives until the connection ends.
-  std::string Response(std::chrono::milliseconds timeout);
+  // Returns all bytes that arrive until the connection ends. Ends the scenario with an error if that takes
+  // longer than `timeout`.
+  std::string ReadReply(std::chrono::milliseconds timeout);
 
  private:
   runtime::Descriptor fd_;
--- a/tests/scenario_client.cpp
+++ b/tests/scenario_client.cpp
@@ -20,7 +20,7 @@
 
 constexpr auto kResetTimeout = 100ms;  // for a reset that follows the end of a connection
 
-// One flag byte: no flags.
+// One byte of flags, none of which is set.
 constexpr std::string_view kReadyPayload("\0", 1);
 
 std::string KindOf(const codec::Frame& frame) {
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-Client::Client(int port) : fd_(ConnectTo(port, "cannot connect")) {}
+Client::Client(int port) : fd_(ConnectTo(port, "cannot connect to the client address")) {}
 
 void Client::Send(const Words& words) {
   const std::string& kind = words[2];
@@ -58,7 +58,7 @@
     return;
   }
   if (kind == "junk") {
-    // A reset is reported to the first send or read after it.
+    // A reset is reported by the first send or read after it.
     reset_ = !SendAll(fd_.get(), std::string(std::stoul(words[3]), '\xff'));
     return;
   }
@@ -97,7 +97,7 @@
   flood_ = std::jthread([this, duration] {
     try {
       Flood(duration);
-    } catch (const std::runtime_error&) {  // the program ends with the scenario, before the flood does
+    } catch (const std::runtime_error&) {  // the program ended first, with the scenario
     }
   });
 }
@@ -107,7 +107,8 @@
   if (words[2] == "end") return ExpectCleanEnd();
   if (words[2] == "nothing") {
     codec::Frame frame;
-    if (Next(frame, std::chrono::milliseconds(std::stoi(words[3])))) Fail("an unexpected frame");
+    if (ReadFrame(frame, std::chrono::milliseconds(std::stoi(words[3]))))
+      Fail("received a frame, but expected none");
     return;
   }
   ExpectFrame(words);
@@ -115,16 +116,16 @@
 
 void Client::ExpectClosed() {
   codec::Frame frame;
-  if (Next(frame, kExpectTimeout)) Fail("a frame came where the end was expected");
+  if (ReadFrame(frame, kExpectTimeout)) Fail("received a frame, but expected the end of the connection");
   if (!ended_) Fail("the connection was not closed");
 }
 
-// Everything that was sent before the end has arrived.
+// Checks that the connection ends without a reset, which could destroy data sent before the end.
 void Client::ExpectCleanEnd() {
   codec::Frame frame;
-  if (Next(frame, kExpectTimeout)) Fail("a frame came where the end was expected");
+  if (ReadFrame(frame, kExpectTimeout)) Fail("received a frame, but expected the end of the connection");
   if (!ended_) Fail("the connection has not ended");
-  // A reset behind the end shows as an error of the socket alone.
+  // A reset after the end is reported only as an error of the socket.
   pollfd p{fd_.get(), 0, 0};
   ::poll(&p, 1, static_cast<int>(kResetTimeout.count()));
   int error = 0;
@@ -137,8 +138,9 @@
   const std::string& expected = words[2];
   const NamedArguments arguments(words, expected == "answer" ? 5 : expected == "drain" ? 3 : 4);
   codec::Frame frame;
-  if (!Next(frame, arguments.Timeout(kExpectTimeout)))
-    Fail(ended_ ? "the connection was closed" : "nothing came");
+  if (!ReadFrame(frame, arguments.Timeout(kExpectTimeout)))
+    Fail(ended_ ? "the connection was closed before the expected frame"
+                : "no frame arrived within the timeout");
   const std::string kind = KindOf(frame);
   ExpectEqual("frame", kind, expected);
   if (kind == "drain") return;
@@ -146,7 +148,7 @@
   const std::string code = std::to_string(static_cast<int>(frame.payload.at(0)));
   ExpectEqual("code", code, kind == "estimate" ? "0" : words[kind == "answer" ? 4 : 3]);
   const auto fields = codec::ReadFields(frame.payload.substr(1));
-  if (!fields) Fail("an answer that can't be read");
+  if (!fields) Fail("the fields of the response are malformed");
   for (const auto& [name, value] : arguments.values) {
     const std::string_view actual = fields->Get(name);
     const bool differs = value == "some" ? actual.empty() : name != "within" && actual != value;
@@ -155,7 +157,7 @@
   if (arguments.body) ExpectEqual("body", std::string(fields->body), *arguments.body);
 }
 
-bool Client::Next(codec::Frame& frame, std::chrono::milliseconds timeout) {
+bool Client::ReadFrame(codec::Frame& frame, std::chrono::milliseconds timeout) {
   reader_.Compact(in_);
   const auto until = Clock::now() + timeout;
   while (reader_.Next(in_, frame) != codec::FrameReader::Result::kFrame) {
@@ -179,7 +181,7 @@
     if (n > 0) at = (at + static_cast<std::size_t>(n)) % requests.size();
     pollfd p{fd_.get(), POLLIN, 0};
     const bool readable = ::poll(&p, 1, n > 0 ? 0 : more ? 1 : 300) > 0;
-    if (readable && !ReadSome(fd_.get(), responses)) Fail("cut off");
+    if (readable && !ReadSome(fd_.get(), responses)) Fail("the connection was closed during the flood");
     if (!readable && !more) return;
     responses.clear();
   }
--- a/tests/scenario_client.h
+++ b/tests/scenario_client.h
@@ -1,4 +1,4 @@
-// A client connection of a scenario: sends frames, checks what comes back.
+// A client connection in a scenario: sends frames and checks the responses.
 #ifndef LEMONCROFT_TESTS_SCENARIO_CLIENT_H_
 #define LEMONCROFT_TESTS_SCENARIO_CLIENT_H_
 
@@ -17,9 +17,10 @@
  public:
   explicit Client(int port);
 
-  // `send KIND ...`: request, ready, cancel, half, bytes, junk or flood (docs/scenarios.md).
+  // Runs a step `send KIND ...`; KIND is request, ready, cancel, half, bytes, junk or flood
+  // (docs/scenarios.md).
   void Send(const Words& words);
-  // `expect KIND ...`: answer, estimate, ready, drain, nothing, closed or end.
+  // Runs a step `expect KIND ...`; KIND is answer, estimate, ready, drain, nothing, closed or end.
   void Expect(const Words& words);
 
  private:
@@ -28,8 +29,8 @@
   void ExpectClosed();
   void ExpectCleanEnd();
   void ExpectFrame(const Words& words);
-  // Reads the next frame; false if none came in time or the connection has ended.
-  bool Next(codec::Frame& frame, std::chrono::milliseconds timeout);
+  // Reads the next frame. Returns false if none arrives within the timeout or the connection has ended.
+  bool ReadFrame(codec::Frame& frame, std::chrono::milliseconds timeout);
   // Sends readiness requests without a pause and reads all responses.
   void Flood(std::chrono::milliseconds duration);
 
@@ -37,7 +38,7 @@
   codec::FrameReader reader_;
   std::string in_;
   bool ended_ = false, reset_ = false;
-  std::jthread flood_;  // last: it uses the others
+  std::jthread flood_;  // declared last, since it uses the other members
 };
 
 }  // namespace lemoncroft::scenario
--- a/tests/scenario_parsers.cpp
+++ b/tests/scenario_parsers.cpp
@@ -1,4 +1,4 @@
-// The parsers as parties of a scenario. Incremental ones are fed byte by byte.
+// Parsers as parties of a scenario. Incremental parsers get the text byte by byte and in two pieces.
 #include <functional>
 
 #include "codec/frame.h"
@@ -11,16 +11,16 @@
 namespace lemoncroft::scenario {
 namespace {
 
-std::string Json(const std::string& text) {
+std::string ParseJson(const std::string& text) {
   const codec::Json json = codec::Json::Parse(text);
   if (!json.Is(codec::Json::Kind::kObject)) return json.text;
   return json["a"].text + "|" + std::to_string(json["a"].items.size());
 }
 
-// How a text comes: byte by byte, or in two pieces.
+// The pieces in which a text arrives at a parser.
 using Pieces = std::vector<std::string>;
 
-std::string Http(const Pieces& pieces) {
+std::string ParseHttp(const Pieces& pieces) {
   codec::HttpParser parser({256, 64});
   std::string buffer;
   auto state = codec::HttpParser::State::kNeedMore;
@@ -36,7 +36,7 @@
          (r.keep_alive ? " keep" : " close") + " left=" + buffer;
 }
 
-std::string Frames(const Pieces& pieces) {
+std::string ParseFrames(const Pieces& pieces) {
   using Result = codec::FrameReader::Result;
   codec::FrameReader reader;
   std::string buffer, out;
@@ -61,19 +61,19 @@
   return out;
 }
 
-// The same, however it is cut.
-std::string Cut(std::string (*parse)(const Pieces&), const std::string& text) {
+// Parses the text byte by byte and cut in two at each position. The results must not differ.
+std::string ParseInPieces(std::string (*parse)(const Pieces&), const std::string& text) {
   Pieces bytes;
   for (const char c : text) bytes.emplace_back(1, c);
   std::string out = parse(bytes);
   for (std::size_t at = 0; at <= text.size(); ++at) {
-    const std::string two = parse({text.substr(0, at), text.substr(at)});
-    if (two != out) throw std::runtime_error("cut at byte " + std::to_string(at) + ": " + two);
+    const std::string in_two = parse({text.substr(0, at), text.substr(at)});
+    if (in_two != out) throw std::runtime_error("cut at byte " + std::to_string(at) + ": " + in_two);
   }
   return out;
 }
 
-std::string Settings(const std::string& text) {
+std::string ParseSettings(const std::string& text) {
   const settings::Site site = settings::ParseSite(proxy::Flatten(codec::Json::Parse(text)));
   std::string out = std::to_string(site.module.gateway_count);
   for (std::size_t i = 0; i < site.classes.size(); ++i) {
@@ -84,10 +84,10 @@
 }
 
 const std::map<std::string, std::function<std::string(const std::string&)>> kParsers = {
-    {"json", Json},
-    {"http", [](const std::string& text) { return Cut(Http, text); }},
-    {"frames", [](const std::string& text) { return Cut(Frames, text); }},
-    {"settings", Settings},
+    {"json", ParseJson},
+    {"http", [](const std::string& text) { return ParseInPieces(ParseHttp, text); }},
+    {"frames", [](const std::string& text) { return ParseInPieces(ParseFrames, text); }},
+    {"settings", ParseSettings},
     {"statement", [](const std::string& text) { return std::to_string(codec::TableGroup(text)); }},
 };
 
@@ -95,7 +95,7 @@
 
 bool IsParser(const std::string& party) { return kParsers.contains(party); }
 
-std::string ParsedBy(const std::string& party, const std::string& text) {
+std::string ParseWith(const std::string& party, const std::string& text) {
   try {
     return kParsers.at(party)(text);
   } catch (const std::exception& e) {
--- a/tests/scenario_server.cpp
+++ b/tests/scenario_server.cpp
@@ -11,27 +11,29 @@
 
 void Server::Expect(const Words& words) {
   if (words[2] == "nothing") {
-    if (Await(words[3], "", std::chrono::milliseconds(std::stoi(words[4]))))
-      Fail("an unexpected " + words[3]);
+    if (AwaitRequest(words[3], "", std::chrono::milliseconds(std::stoi(words[4]))))
+      Fail("received an unexpected request: " + words[3]);
     return;
   }
   const NamedArguments arguments(words, 4);
-  const auto call = Await(words[2], words.size() > 3 ? words[3] : "", arguments.Timeout(kExpectTimeout));
-  if (!call) Fail("no such call; there are: " + PendingCalls());
-  last_ = call->connection;
-  const std::size_t end = call->text.find("\r\n\r\n");
+  const auto request =
+      AwaitRequest(words[2], words.size() > 3 ? words[3] : "", arguments.Timeout(kExpectTimeout));
+  if (!request) Fail("the expected request did not arrive; pending requests: " + PendingRequests());
+  last_connection_ = request->connection;
+  const std::size_t end = request->text.find("\r\n\r\n");
   for (const auto& [name, value] : arguments.values) {
     if (name == "within") continue;
-    const std::size_t at = call->text.find("\r\n" + name + ": ");
+    const std::size_t at = request->text.find("\r\n" + name + ": ");
     const std::size_t from = at + name.size() + 4;
     const bool present = at < end;
-    ExpectEqual(name, present ? call->text.substr(from, call->text.find("\r\n", from) - from) : "-", value);
+    ExpectEqual(name, present ? request->text.substr(from, request->text.find("\r\n", from) - from) : "-",
+                value);
   }
-  if (arguments.body) ExpectEqual("body", call->text.substr(end + 4), *arguments.body);
+  if (arguments.body) ExpectEqual("body", request->text.substr(end + 4), *arguments.body);
 }
 
 void Server::Send(const Words& words) {
-  const int fd = connections_.at(last_).fd.get();
+  const int fd = connections_.at(last_connection_).fd.get();
   if (words[2] == "raw") {
     SendAll(fd, words.at(3));
     return;
@@ -47,25 +49,25 @@
 void Server::Close(const Words& words) {
   const bool all = words[2] == "all";
   for (auto& [number, connection] : connections_) {
-    if (!all && number != last_) continue;
-    const linger hard{1, 0};
-    ::setsockopt(connection.fd.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    if (!all && number != last_connection_) continue;
+    const linger reset_on_close{1, 0};
+    ::setsockopt(connection.fd.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     connection.fd = Descriptor();
   }
   std::erase_if(connections_, [](const auto& c) { return !c.second.fd; });
   if (all) listening_.fd = Descriptor();
 }
 
-std::optional<Server::Call> Server::Await(const std::string& method, const std::string& path,
-                                          std::chrono::milliseconds timeout) {
+std::optional<Server::Request> Server::AwaitRequest(const std::string& method, const std::string& path,
+                                                    std::chrono::milliseconds timeout) {
   const auto deadline = Clock::now() + timeout;
   const std::string start = method + " " + (path.empty() ? "" : path + " ");
   for (;;) {
-    for (auto it = calls_.begin(); it != calls_.end(); ++it) {
+    for (auto it = requests_.begin(); it != requests_.end(); ++it) {
       if (!it->text.starts_with(start)) continue;
-      const Call call = *it;
-      calls_.erase(it);
-      return call;
+      const Request request = *it;
+      requests_.erase(it);
+      return request;
     }
     if (!Poll(deadline)) return std::nullopt;
   }
@@ -80,30 +82,31 @@
   }
   if (::poll(polls.data(), polls.size(), MillisecondsUntil(deadline)) <= 0) return false;
   if ((polls[0].revents & POLLIN) != 0)
-    connections_[next_++].fd = Descriptor(::accept4(listening_.fd.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    connections_[next_connection_++].fd =
+        Descriptor(::accept4(listening_.fd.get(), nullptr, nullptr, SOCK_CLOEXEC));
   for (std::size_t i = 1; i < polls.size(); ++i) {
     if (polls[i].revents == 0) continue;
-    if (!ReadCalls(numbers[i], connections_.at(numbers[i]))) connections_.erase(numbers[i]);
+    if (!ReadRequests(numbers[i], connections_.at(numbers[i]))) connections_.erase(numbers[i]);
   }
   return true;
 }
 
-bool Server::ReadCalls(int number, Connection& connection) {
+bool Server::ReadRequests(int number, Connection& connection) {
   if (!ReadSome(connection.fd.get(), connection.in)) return false;
   std::string& in = connection.in;
   const std::size_t end = in.find("\r\n\r\n");
   if (end == std::string::npos) return true;
-  const std::size_t length = in.find("Content-Length: ");
-  const std::size_t body = length < end ? std::stoul(in.substr(length + 16)) : 0;
+  const std::size_t content_length = in.find("Content-Length: ");
+  const std::size_t body = content_length < end ? std::stoul(in.substr(content_length + 16)) : 0;
   if (in.size() < end + 4 + body) return true;
-  calls_.push_back({number, in.substr(0, end + 4 + body)});
+  requests_.push_back({number, in.substr(0, end + 4 + body)});
   in.erase(0, end + 4 + body);
   return true;
 }
 
-std::string Server::PendingCalls() const {
+std::string Server::PendingRequests() const {
   std::string out;
-  for (const Call& call : calls_) out += call.text.substr(0, call.text.find("\r\n")) + "; ";
+  for (const Request& request : requests_) out += request.text.substr(0, request.text.find("\r\n")) + "; ";
   return out;
 }
 
--- a/tests/scenario_server.h
+++ b/tests/scenario_server.h
@@ -1,4 +1,4 @@
-// An HTTP server of a scenario: an engine, or the control feed.
+// An HTTP server in a scenario: an engine or the control feed.
 #ifndef LEMONCROFT_TESTS_SCENARIO_SERVER_H_
 #define LEMONCROFT_TESTS_SCENARIO_SERVER_H_
 
@@ -18,11 +18,12 @@
  public:
   int port() const { return listening_.port; }
 
-  // `expect METHOD PATH [NAME=VALUE...]`, or `expect nothing METHOD MILLISECONDS`.
+  // Runs a step `expect METHOD PATH [NAME=VALUE...]` or `expect nothing METHOD MILLISECONDS`.
   void Expect(const Words& words);
-  // Responds to the last expected call: `send STATUS [NAME=VALUE...]`, or `send raw TEXT`.
+  // Responds to the last expected request: `send STATUS [NAME=VALUE...]` or `send raw TEXT`.
   void Send(const Words& words);
-  // Resets the last connection, or all and the listener (`close all`), as when a process dies.
+  // Resets the connection of the last expected request. `close all` resets all connections and closes the
+  // listening socket, as happens when a process dies.
   void Close(const Words& words);
 
  private:
@@ -30,23 +31,24 @@
     runtime::Descriptor fd;
     std::string in;
   };
-  struct Call {
+  struct Request {
     int connection = 0;
     std::string text;
   };
 
-  std::optional<Call> Await(const std::string& method, const std::string& path,
-                            std::chrono::milliseconds timeout);
-  // Accepts and reads; moves complete calls to calls_. Returns false once the deadline has passed.
+  std::optional<Request> AwaitRequest(const std::string& method, const std::string& path,
+                                      std::chrono::milliseconds timeout);
+  // Accepts connections and reads from them; moves complete requests to requests_. Returns false once the
+  // deadline has passed.
   bool Poll(Clock::time_point deadline);
   // Returns false if the connection has ended.
-  bool ReadCalls(int number, Connection& connection);
-  std::string PendingCalls() const;
+  bool ReadRequests(int number, Connection& connection);
+  std::string PendingRequests() const;
 
   ListeningSocket listening_ = Listen();
   std::map<int, Connection> connections_;
-  std::vector<Call> calls_;
-  int next_ = 0, last_ = -1;  // numbers of connections
+  std::vector<Request> requests_;
+  int next_connection_ = 0, last_connection_ = -1;  // numbers of connections
 };
 
 }  // namespace lemoncroft::scenario
--- a/tests/scenario_socket.cpp
+++ b/tests/scenario_socket.cpp
@@ -36,7 +36,8 @@
   sockaddr_in address = Loopback(0);
   socklen_t size = sizeof address;
   auto* raw = reinterpret_cast<sockaddr*>(&address);
-  if (::bind(out.fd.get(), raw, size) != 0 || ::listen(out.fd.get(), 64) != 0) Fail("cannot listen");
+  if (::bind(out.fd.get(), raw, size) != 0 || ::listen(out.fd.get(), 64) != 0)
+    Fail("cannot listen on a loopback port");
   ::getsockname(out.fd.get(), raw, &size);
   out.port = ntohs(address.sin_port);
   return out;
@@ -44,13 +45,13 @@
 
 int FreePort() {
   static int next = ::getpid() * 37;
-  for (int tries = 0; tries < 1000; ++tries) {
+  for (int attempts = 0; attempts < 1000; ++attempts) {
     const int port = 15000 + ++next % 17000;
     const Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const sockaddr_in address = Loopback(port);
     if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) return port;
   }
-  Fail("no port is free");
+  Fail("found no free port");
 }
 
 Descriptor ConnectTo(int port, const char* error) {
@@ -66,7 +67,7 @@
   for (std::size_t at = 0; at < bytes.size();) {
     const std::size_t left = bytes.size() - at, size = piece_size > 0 ? std::min(left, piece_size) : left;
     const ssize_t n = ::send(fd, bytes.data() + at, size, MSG_NOSIGNAL);
-    if (n <= 0) return false;  // the peer has closed: what comes back tells
+    if (n <= 0) return false;  // the peer has closed; the next read shows how
     at += static_cast<std::size_t>(n);
     if (piece_size > 0) std::this_thread::sleep_for(kPiecePause);
   }
--- a/tests/scenario_socket.h
+++ b/tests/scenario_socket.h
@@ -1,4 +1,4 @@
-// Blocking loopback sockets of the parties of a scenario.
+// Blocking loopback sockets for the parties of a scenario.
 #ifndef LEMONCROFT_TESTS_SCENARIO_SOCKET_H_
 #define LEMONCROFT_TESTS_SCENARIO_SOCKET_H_
 
@@ -12,7 +12,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-// For what a scenario expects to happen.
+// Timeout for the events that a scenario expects.
 inline constexpr std::chrono::milliseconds kExpectTimeout{4000};
 
 struct ListeningSocket {
@@ -22,20 +22,20 @@
 
 // Listens on a loopback port that the system chooses.
 ListeningSocket Listen();
-// Returns a port for a program to listen on. It is below those that the system hands out: one that it had
-// handed out a moment ago may be anybody's by the time the program binds it.
+// Returns a free port for the program to listen on. The port is below the system's ephemeral range: another
+// process could take an ephemeral port before the program binds it.
 int FreePort();
 // Connects to a loopback port; ends the scenario with `error` if that fails.
 runtime::Descriptor ConnectTo(int port, const char* error);
 
-// From now on SendAll sends pieces of this size with a pause after each; 0: everything at once.
+// Makes SendAll send pieces of `bytes` with a pause after each. 0: everything at once.
 void SetPieceSize(std::size_t bytes);
-// Returns whether all was sent; false once the peer has closed.
+// Sends all bytes. Returns false if the peer has closed the connection.
 bool SendAll(int fd, const std::string& bytes);
-// Appends what has arrived on a readable socket; false at its end.
+// Appends the bytes available on a readable socket to `into`. Returns false at the end of the connection.
 bool ReadSome(int fd, std::string& into);
 
-// The milliseconds that are left, for poll().
+// Returns the milliseconds until `deadline`, rounded up and at least 0, for poll().
 int MillisecondsUntil(Clock::time_point deadline);
 
 }  // namespace lemoncroft::scenario
--- a/tests/scenario_step.cpp
+++ b/tests/scenario_step.cpp
@@ -8,23 +8,23 @@
 
 Words Split(const std::string& line) {
   Words out;
-  bool inside = false, any = false, raw = false;
+  bool quoted = false, has_word = false, literal = false;
   std::string word;
   const auto end_word = [&] {
-    if (any) out.push_back(word);
+    if (has_word) out.push_back(word);
     word.clear();
-    any = false;
+    has_word = false;
   };
   for (std::size_t i = 0; i < line.size(); ++i) {
     const char c = line[i];
-    if (c == '\'' && !inside) {
-      raw = !raw;
-      any = true;
-    } else if (raw) {
+    if (c == '\'' && !quoted) {
+      literal = !literal;
+      has_word = true;
+    } else if (literal) {
       word.push_back(c);
     } else if (c == '"') {
-      inside = !inside;
-      any = true;
+      quoted = !quoted;
+      has_word = true;
     } else if (c == '\\' && i + 1 < line.size()) {
       const char e = line[++i];
       if (e == 'x') {
@@ -33,14 +33,14 @@
       } else {
         word.push_back(e == 'n' ? '\n' : e == 't' ? '\t' : e == 'r' ? '\r' : e);
       }
-      any = true;
-    } else if (c == ' ' && !inside) {
+      has_word = true;
+    } else if (c == ' ' && !quoted) {
       end_word();
-    } else if (c == '#' && !inside && !any) {
+    } else if (c == '#' && !quoted && !has_word) {
       break;
     } else {
       word.push_back(c);
-      any = true;
+      has_word = true;
     }
   }
   end_word();
@@ -50,7 +50,7 @@
 NamedArguments::NamedArguments(const Words& words, std::size_t from) {
   for (std::size_t i = from; i < words.size(); ++i) {
     const std::size_t equals = words[i].find('=');
-    if (equals == std::string::npos) Fail("not NAME=VALUE: " + words[i]);
+    if (equals == std::string::npos) Fail("expected NAME=VALUE, got: " + words[i]);
     const std::string name = words[i].substr(0, equals);
     const std::string value = words[i].substr(equals + 1);
     if (name == "body")
@@ -60,8 +60,8 @@
   }
 }
 
-std::chrono::milliseconds NamedArguments::Timeout(std::chrono::milliseconds otherwise) const {
-  std::chrono::milliseconds timeout = otherwise;
+std::chrono::milliseconds NamedArguments::Timeout(std::chrono::milliseconds default_timeout) const {
+  std::chrono::milliseconds timeout = default_timeout;
   for (const auto& [name, value] : values) {
     if (name == "within") timeout = std::chrono::milliseconds(std::stoi(value));
   }
--- a/tests/scenario_step.h
+++ b/tests/scenario_step.h
@@ -1,4 +1,4 @@
-// The steps of a scenario as text: words, NAME=VALUE arguments and comparisons.
+// Helpers for the text of scenario steps: words, NAME=VALUE arguments and comparisons.
 #ifndef LEMONCROFT_TESTS_SCENARIO_STEP_H_
 #define LEMONCROFT_TESTS_SCENARIO_STEP_H_
 
@@ -15,21 +15,21 @@
 // Ends the scenario with std::runtime_error.
 [[noreturn]] void Fail(const std::string& message);
 
-// Splits a line at blanks. '...' is taken literally, "..." keeps blanks, \\n, \\t, \\r and \\xHH are escapes,
-// # begins a comment.
+// Splits a line into words at blanks. '...' is taken literally, "..." may contain blanks, \\n, \\t, \\r and
+// \\xHH are escapes, and # at the start of a word begins a comment.
 Words Split(const std::string& line);
 
-// The arguments NAME=VALUE of a step; `body` is kept apart.
+// The NAME=VALUE arguments of a step. `body` is stored separately.
 struct NamedArguments {
   std::vector<std::pair<std::string, std::string>> values;
   std::optional<std::string> body;
 
   NamedArguments(const Words& words, std::size_t from);
-  // The argument `within` in milliseconds; `otherwise` if there is none.
-  std::chrono::milliseconds Timeout(std::chrono::milliseconds otherwise) const;
+  // Returns the argument `within` in milliseconds, or `default_timeout` if there is none.
+  std::chrono::milliseconds Timeout(std::chrono::milliseconds default_timeout) const;
 };
 
-// Ends the scenario if the values differ.
+// Ends the scenario with an error that names `what` if the values differ.
 void ExpectEqual(const std::string& what, const std::string& actual, const std::string& expected);
 
 }  // namespace lemoncroft::scenario
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -1,4 +1,4 @@
-// Every scenario under tests/scenarios is a test of its own.
+// Registers every scenario under tests/scenarios as a test of its own.
 #include "scenario.h"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
  public:
   explicit ScenarioTest(lemoncroft::scenario::Scenario scenario) : scenario_(std::move(scenario)) {}
   void TestBody() override {
-    if (scenario_.steps.empty()) FAIL() << "a scenario without steps";
+    if (scenario_.steps.empty()) FAIL() << "the scenario has no steps";
     try {
-      Play(scenario_);
+      RunScenario(scenario_);
     } catch (const std::exception& e) {
       FAIL() << e.what();
     }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,5 +1,4 @@
-// Operators' calls, settings that replace others while requests are in flight, and checks of configuration
-// files.
+// Operators' commands, the validation of configuration files at a reload, and the bound on counted classes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +10,7 @@
 namespace lemoncroft {
 namespace {
 
-TEST(AdminCall, Line_InPiecesOfAnySize_IsRead) {
+TEST(AdminCommand, Line_InPiecesOfAnySize_IsRead) {
   const std::string text = "exclude s-00c41f7a\r\nrest";
   for (std::size_t cut = 0; cut < 20; ++cut) {
     admin::LineReader reader;
@@ -27,7 +26,7 @@
   }
 }
 
-TEST(AdminCall, Line_TooLong_IsBounded) {
+TEST(AdminCommand, Line_TooLong_IsRejectedAndBounded) {
   admin::LineReader reader;
   EXPECT_EQ(reader.Feed(std::string(admin::kMaxLineBytes, 'x')), admin::LineReader::State::kNeedMore);
   EXPECT_EQ(reader.Feed("xx"), admin::LineReader::State::kTooLong);
@@ -44,7 +43,7 @@
     R"("tenants":[{"name":"acme","quotaPerS":1000}],"specifics":{"threadsByClass":[1,2]},)"
     R"("limits":{"maxAttempts":5,"connectTimeoutNs":250}}})";
 
-// Whether a reload accepts a configuration file.
+// Returns true if a reload accepts the configuration file `text`.
 bool IsAccepted(const std::string& text) {
   try {
     const proxy::Config config = proxy::ReadConfig(text);
@@ -64,7 +63,7 @@
     EXPECT_FALSE(IsAccepted(file.substr(0, size))) << size;
 }
 
-TEST(ConfigReload, File_WithoutAnyOneKey_IsRejected) {
+TEST(ConfigReload, File_WithAnyKeyMissing_IsRejected) {
   const std::string file = kConfigFile;
   int keys = 0;
   for (std::size_t at = 0; (at = file.find("\":", at)) != std::string::npos; at += 2) {
@@ -77,26 +76,26 @@
 }
 
 TEST(ConfigReload, Value_InvalidOrOutOfRange_IsRejected) {
-  const auto with = [](const std::string& what, const std::string& by) {
+  const auto accepts_with = [](const std::string& from, const std::string& to) {
     std::string file = kConfigFile;
-    file.replace(file.find(what), what.size(), by);
+    file.replace(file.find(from), from.size(), to);
     return IsAccepted(file);
   };
   for (const char* value :
        {"0", "-5", "1e30", "\"30\"", "null", "[30]", "{}", "true", "nan", "90000000000000"})
-    EXPECT_FALSE(with("\"deadlineNs\":30", std::string("\"deadlineNs\":") + value)) << value;
+    EXPECT_FALSE(accepts_with("\"deadlineNs\":30", std::string("\"deadlineNs\":") + value)) << value;
   for (const char* value : {"0", "-1", "1.5", "1000000", "\"5\"", "null"})
-    EXPECT_FALSE(with("\"maxAttempts\":5", std::string("\"maxAttempts\":") + value)) << value;
-  EXPECT_FALSE(with("\"name\":\"b\"", "\"name\":\"a\"")) << "twice";
-  EXPECT_FALSE(with("\"name\":\"b\"", "\"name\":\"\""));
-  EXPECT_FALSE(with("\"name\":\"b\"", "\"name\":\"x y\""));
-  EXPECT_FALSE(with("[1,2]", "[1]")) << "a class without a value";
-  EXPECT_FALSE(with("\"quotaPerS\":1000", "\"quotaPerS\":-1"));
-  EXPECT_FALSE(with("\"effect\":\"pure\"", "\"effect\":\"soft\""));
-  EXPECT_TRUE(with("\"maxAttempts\":5", "\"maxAttempts\":2"));
+    EXPECT_FALSE(accepts_with("\"maxAttempts\":5", std::string("\"maxAttempts\":") + value)) << value;
+  EXPECT_FALSE(accepts_with("\"name\":\"b\"", "\"name\":\"a\"")) << "a name given twice";
+  EXPECT_FALSE(accepts_with("\"name\":\"b\"", "\"name\":\"\""));
+  EXPECT_FALSE(accepts_with("\"name\":\"b\"", "\"name\":\"x y\""));
+  EXPECT_FALSE(accepts_with("[1,2]", "[1]")) << "a class without a number of threads";
+  EXPECT_FALSE(accepts_with("\"quotaPerS\":1000", "\"quotaPerS\":-1"));
+  EXPECT_FALSE(accepts_with("\"effect\":\"pure\"", "\"effect\":\"soft\""));
+  EXPECT_TRUE(accepts_with("\"maxAttempts\":5", "\"maxAttempts\":2"));
 }
 
-TEST(Counters, Classes_MoreThanTheLimit_AreBounded) {
+TEST(Counters, Classes_BeyondLimit_AreNotListed) {
   metrics::Counters counters;
   for (int i = 0; i < 10'000; ++i) counters.CountReceived("class-" + std::to_string(i));
   EXPECT_EQ(counters.classes().size(), metrics::Counters::kMaxClasses);
