--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -34,18 +34,17 @@
   return described;
 }
 
-// Returns the counter for a request that got a response. Cancelled requests are counted as kWithdrawn
-// elsewhere.
-metrics::End MetricsEndOf(ResponseStatus status) {
+// Cancelled requests are not counted here but where the client cancels.
+metrics::RequestResult MetricsEndOf(ResponseStatus status) {
   switch (status) {
     case ResponseStatus::kServed:
-      return metrics::End::kOk;
+      return metrics::RequestResult::kServed;
     case ResponseStatus::kRejected:
-      return metrics::End::kShed;
+      return metrics::RequestResult::kRejected;
     case ResponseStatus::kFailed:
       break;
   }
-  return metrics::End::kError;
+  return metrics::RequestResult::kFailed;
 }
 
 }  // namespace
@@ -136,7 +135,7 @@
 }
 
 Broker::Progress Broker::OnEvent(const ActiveRequestPtr& request, const CancelledByClient&) {
-  counters_.CountEnded(request->class_name(), metrics::End::kWithdrawn);
+  counters_.CountEnded(request->class_name(), metrics::RequestResult::kCancelled);
   module_host_.Post(RequestCancelled{request->id});
   return Progress::kCompleted;
 }
--- a/src/proxy/shutdown.cpp
+++ b/src/proxy/shutdown.cpp
@@ -45,13 +45,13 @@
 }
 
 Task<> CloseConnections(runtime::Loop& loop, frontend::FrameServer& server, const broker::Broker& broker) {
-  while (broker.open_requests() > 0 || !server.flushed()) {
+  while (broker.open_requests() > 0 || !server.IsFlushed()) {
     server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
   // If the process ended now, the connections on which data has arrived meanwhile would be reset.
   const Time close_by = Now() + kClientCloseTimeout;
-  while (server.connections() > 0 && (Now() < close_by || !server.flushed())) {
+  while (server.CountOpenConnections() > 0 && (Now() < close_by || !server.IsFlushed())) {
     server.CloseIdleConnections();
     co_await loop.Sleep(kDrainPollInterval);
   }
@@ -62,15 +62,15 @@
 Task<> ShutDownGracefully(runtime::Loop& loop, frontend::FrameServer& server, broker::Broker& broker,
                           const settings::ActiveSettings& active_settings, ListenerOwnership listener,
                           Fleet* fleet) {
-  using Queue = frontend::FrameServer::Queue;
+  using BacklogPolicy = frontend::FrameServer::BacklogPolicy;
   const bool listener_is_shared = listener == ListenerOwnership::kShared;
   const Time started_at = Now();
   spdlog::info("ending: {} requests open", broker.open_requests());
-  if (listener_is_shared) server.StopAccepting(Queue::kLeaveQueued);
+  if (listener_is_shared) server.StopAccepting(BacklogPolicy::kLeaveQueued);
   server.AnnounceDrain();
   co_await loop.SleepUntil(started_at + kKeepAcceptingDuration);
-  if (!listener_is_shared) server.StopAccepting(Queue::kAcceptQueued);
-  server.AnnounceDrain();  // to clients that have connected since the first announcement
+  if (!listener_is_shared) server.StopAccepting(BacklogPolicy::kAcceptQueued);
+  server.AnnounceDrain();  // to clients that have connected started_at
   co_await loop.SleepUntil(started_at + kKeepServingDuration);
   broker.RejectNewRequests();
   if (listener_is_shared)
