--- a/src/testing/fault_test/child_process.cpp
+++ b/src/testing/fault_test/child_process.cpp
@@ -75,8 +75,8 @@
   // Its output comes through a socket, which the loop can read.
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
     throw std::system_error(errno, std::generic_category(), "socketpair");
-  runtime::Descriptor ours(ends[0]), theirs(ends[1]);
-  ::fcntl(ours.get(), F_SETFL, O_NONBLOCK);
+  runtime::Descriptor parent_end(ends[0]), child_end(ends[1]);
+  ::fcntl(parent_end.get(), F_SETFL, O_NONBLOCK);
   std::vector<std::string> arguments = command.arguments, environment;
   for (const auto& [name, value] : command.environment) environment.push_back(name + "=" + value);
   std::vector<char*> argv, envp;
@@ -89,14 +89,14 @@
   pid_ = ::fork();
   if (pid_ < 0) throw std::system_error(errno, std::generic_category(), "fork");
   if (pid_ == 0)
-    RunChild(parent, theirs.get(), command.inherited_listener, startup.write_end.get(), argv.data(),
+    RunChild(parent, child_end.get(), command.inherited_listener, startup.write_end.get(), argv.data(),
              envp.data());
   AwaitDescriptorsClosed(startup);
-  loop.Spawn(ReadLines(std::make_shared<runtime::Socket>(loop, std::move(ours)), std::move(on_line)));
+  loop.Spawn(ReadLines(std::make_shared<runtime::Socket>(loop, std::move(parent_end)), std::move(on_line)));
 }
 
 ChildProcess::~ChildProcess() {
-  if (!Running()) return;
+  if (!IsRunning()) return;
   Signal(SIGKILL);
   int status = 0;
   ::waitpid(pid_, &status, 0);
@@ -106,7 +106,7 @@
   if (!status_) ::kill(pid_, signal);
 }
 
-bool ChildProcess::Running() {
+bool ChildProcess::IsRunning() {
   if (status_) return false;
   int status = 0;
   if (::waitpid(pid_, &status, WNOHANG) == pid_) status_ = status;
--- a/src/testing/fault_test/child_process.h
+++ b/src/testing/fault_test/child_process.h
@@ -40,7 +40,7 @@
   pid_t pid() const { return pid_; }
   void Signal(int signal) const;
   // Whether it still runs; collects its status if not.
-  bool Running();
+  bool IsRunning();
   // The status that waitpid returned; none while it runs.
   std::optional<int> exit_status() const { return status_; }
 
--- a/src/testing/fault_test/client_load.cpp
+++ b/src/testing/fault_test/client_load.cpp
@@ -50,11 +50,11 @@
     std::unique_ptr<runtime::Socket> socket;
     if (co_await Connect(loop_, to, Now() + kConnectTimeout, nullptr, socket) != runtime::IoResult::kOk)
       continue;
-    std::string answers;
+    std::string responses;
     for (std::size_t written = 0;;) {
       if (co_await socket->Write(queries, written, Now() + kWriteTimeout) != runtime::IoResult::kOk) break;
       const Time next = Now() + kBatchInterval;
-      while (co_await socket->Read(answers, kReadBytes, next) == runtime::IoResult::kOk) answers.clear();
+      while (co_await socket->Read(responses, kReadBytes, next) == runtime::IoResult::kOk) responses.clear();
       if (Now() < next) break;  // the connection has ended
     }
   }
--- a/src/testing/fault_test/final_checks.cpp
+++ b/src/testing/fault_test/final_checks.cpp
@@ -30,7 +30,7 @@
 Task<std::vector<std::string>> ReplicatedConfigCheck::FindDeviations() {
   std::vector<std::string> deviations;
   std::vector<ProxyVersion> versions;
-  const std::uint64_t newest = leases_.newest();
+  const std::uint64_t newest_version = leases_.newest_version();
   for (const auto& process : processes_.all()) {
     if (processes_.HasEnded(*process)) continue;
     const std::string bytes = co_await operators_.Call(process->name, kStatusCall);
@@ -46,9 +46,9 @@
     versions.push_back({process->label, status.value("version", std::uint64_t{0})});
   }
   for (const auto& [label, version] : versions)
-    if (!trial_.voters_lost && version != newest)
+    if (!trial_.voters_lost && version != newest_version)
       deviations.push_back(label + " acts on version " + std::to_string(version) + " at the end, not on " +
-                           std::to_string(newest));
+                           std::to_string(newest_version));
   co_return deviations;
 }
 
--- a/src/testing/fault_test/history_check.cpp
+++ b/src/testing/fault_test/history_check.cpp
@@ -15,18 +15,18 @@
 constexpr const char* kChanged = "changed";
 constexpr const char* kFailed = "failed";
 constexpr const char* kLeft = "left";
-constexpr const char* kPaused = "held";  // the process noticed that it had not run
+constexpr const char* kPaused = "held";  // the process detected that it had not run
 
 // How long before it reports a pause a process may have been stalled by the trial.
 constexpr double kPauseReportPeriods = 4;
 
 double Milliseconds(Duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
 
-bool Adds(const ObservedEvent& event) {
+bool AddsMember(const ObservedEvent& event) {
   return event.kind == kJoined || event.kind == kReturned || event.kind == kRefuted || event.kind == kChanged;
 }
 
-bool Removes(const ObservedEvent& event) { return event.kind == kFailed || event.kind == kLeft; }
+bool RemovesMember(const ObservedEvent& event) { return event.kind == kFailed || event.kind == kLeft; }
 
 }  // namespace
 
@@ -62,12 +62,13 @@
 
 void HistoryCheck::UpdateView(const ObservedEvent& event) {
   std::set<std::string>& view = views_[event.observer];
-  const bool changed =
-      (Adds(event) && view.insert(event.id).second) || (Removes(event) && view.erase(event.id) > 0);
+  const bool changed = (AddsMember(event) && view.insert(event.id).second) ||
+                       (RemovesMember(event) && view.erase(event.id) > 0);
   if (changed) view_changed_at_[event.observer] = event.at;
   const ProcessRecord* subject = SubjectOf(event);
   if (subject == nullptr || (subject->ended && event.at > *subject->ended)) return;
-  if (Adds(event) || Removes(event)) believed_alive_[{by_id_.at(event.id), event.observer}] = Adds(event);
+  if (AddsMember(event) || RemovesMember(event))
+    believed_alive_[{by_id_.at(event.id), event.observer}] = AddsMember(event);
 }
 
 void HistoryCheck::CheckJoin(const ObservedEvent& event) {
@@ -87,7 +88,7 @@
   if (subject == nullptr) return;
   const ProcessRecord& observer = history_.processes[event.observer];
   if (subject->killed && subject->ended && event.at >= *subject->ended)
-    failure_noticed_[by_id_.at(event.id)].try_emplace(event.observer, event.at);
+    failure_detected_at_[by_id_.at(event.id)].try_emplace(event.observer, event.at);
   const Time from = event.at - Periods(slack_.fault_aftermath_periods);
   const bool running = !subject->ended || *subject->ended > event.at;
   const bool left = subject->termination_requested && !subject->killed;
@@ -141,12 +142,12 @@
     const auto believed = believed_alive_.find({crashed, i});
     if (i == crashed || observer.ended || believed == believed_alive_.end() || !believed->second) continue;
     if (!Undisturbed(observer, from, deadline)) continue;
-    const auto noticed = failure_noticed_[crashed].find(i);
-    if (noticed == failure_noticed_[crashed].end() || noticed->second > deadline)
+    const auto detected = failure_detected_at_[crashed].find(i);
+    if (detected == failure_detected_at_[crashed].end() || detected->second > deadline)
       out_.violations.push_back(observer.label + " did not learn in time that " + subject.label +
                                 " was killed");
     else
-      out_.detect_ms.push_back(Milliseconds(noticed->second - *subject.ended));
+      out_.detect_ms.push_back(Milliseconds(detected->second - *subject.ended));
   }
 }
 
--- a/src/testing/fault_test/history_check.h
+++ b/src/testing/fault_test/history_check.h
@@ -49,7 +49,7 @@
   std::vector<std::set<std::string>> views_;
   std::vector<Time> view_changed_at_;
   // Of each process, by observer: when it was declared failed after its crash.
-  std::map<ProcessIndex, std::map<ProcessIndex, Time>> failure_noticed_;
+  std::map<ProcessIndex, std::map<ProcessIndex, Time>> failure_detected_at_;
   // Of a process and an observer: whether the observer held it for alive when it ended.
   std::map<std::pair<ProcessIndex, ProcessIndex>, bool> believed_alive_;
 };
--- a/src/testing/fault_test/lease_history.cpp
+++ b/src/testing/fault_test/lease_history.cpp
@@ -68,7 +68,7 @@
   const std::uint64_t version = LeadingNumber(line.substr(version_at + kVersionText.size()));
   std::string id(line.substr(committed_at + kCommittedText.size()));
   id = id.substr(0, id.find(' '));
-  newest_ = std::max(newest_, version);
+  newest_version_ = std::max(newest_version_, version);
   const auto [known, inserted] = change_ids_.try_emplace(version, id);
   if (!inserted && known->second != id)
     conflicting_versions_.push_back("version " + std::to_string(version) + " is " + known->second + " and " +
@@ -106,7 +106,7 @@
   }
 }
 
-std::uint64_t LeaseHistory::EndOf(const ManualEjection& ejection) const {
+std::uint64_t LeaseHistory::EndVersionOf(const ManualEjection& ejection) const {
   std::uint64_t end = std::numeric_limits<std::uint64_t>::max();
   for (const ManualEjection& later : manual_ejections)
     if (!later.ejected && later.engine == ejection.engine && later.version > ejection.version)
@@ -117,7 +117,7 @@
 void LeaseHistory::CheckEjections(LeaseCheckResult& out) const {
   for (const ManualEjection& ejection : manual_ejections) {
     if (!ejection.ejected || ejection.version == 0) continue;
-    const std::uint64_t end = EndOf(ejection);
+    const std::uint64_t end = EndVersionOf(ejection);
     const auto sent = std::count_if(actions_.begin(), actions_.end(), [&](const LeasedAction& action) {
       return action.engine == ejection.engine && action.version >= ejection.version && action.version < end;
     });
@@ -135,13 +135,13 @@
                                    [&, id = id](const Operation& operation) { return operation.id == id; });
     if (known) continue;
     // Nobody saw its invocation: it may have been at any time before the commit.
-    Operation own;
-    own.id = id;
-    own.base_version = version - 1;
-    own.result = Operation::Result::kCommitted;
-    own.version = version;
-    own.returned = committed_at_.at(version);
-    all.push_back(std::move(own));
+    Operation change;
+    change.id = id;
+    change.base_version = version - 1;
+    change.result = Operation::Result::kCommitted;
+    change.version = version;
+    change.returned = committed_at_.at(version);
+    all.push_back(std::move(change));
   }
   return all;
 }
--- a/src/testing/fault_test/lease_history.h
+++ b/src/testing/fault_test/lease_history.h
@@ -54,7 +54,7 @@
   LeaseCheckResult Check(runtime::Duration max_contradiction) const;
   // When the last of these processes activated the version or a later one; kNever if one never did.
   runtime::Time ActivatedByAll(std::uint64_t version, const std::vector<std::size_t>& processes) const;
-  std::uint64_t newest() const { return newest_; }
+  std::uint64_t newest_version() const { return newest_version_; }
   // When a leader first logged that a version is committed.
   const std::map<std::uint64_t, runtime::Time>& committed_at() const { return committed_at_; }
 
@@ -70,7 +70,7 @@
   void CheckEjections(LeaseCheckResult& out) const;
   void CheckOperations(LeaseCheckResult& out) const;
   // The version that ended an ejection.
-  std::uint64_t EndOf(const ManualEjection& ejection) const;
+  std::uint64_t EndVersionOf(const ManualEjection& ejection) const;
   // The operators' calls, and the changes that proxies proposed themselves.
   std::vector<Operation> AllOperations() const;
 
@@ -79,7 +79,7 @@
   std::map<std::uint64_t, runtime::Time> committed_at_;  // by version
   std::map<std::uint64_t, std::string> change_ids_;      // by version
   std::vector<std::string> conflicting_versions_;        // violations: one version, two changes
-  std::uint64_t newest_ = 0;
+  std::uint64_t newest_version_ = 0;
 };
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/linearizability.cpp
+++ b/src/testing/fault_test/linearizability.cpp
@@ -72,9 +72,9 @@
   // Adds the new states that one more operation leads to. Returns false above the limit of states.
   bool Expand(const SearchState& state, std::vector<SearchState>& open) {
     // An operation can be next only if it was invoked before any pending one returned.
-    const runtime::Time horizon = FirstPendingReturn(state);
+    const runtime::Time earliest_return = FirstPendingReturn(state);
     for (std::size_t i = state.first_pending; i < operations_.size(); ++i) {
-      if (operations_[i].invoked > horizon) break;
+      if (operations_[i].invoked > earliest_return) break;
       if (!state.IsPending(i)) continue;
       const std::optional<std::uint64_t> version = Apply(operations_[i], state.version);
       if (!version) continue;
@@ -104,7 +104,7 @@
 };
 
 // Whether an operation constrains the order of the others.
-bool SaysSomething(const Operation& operation) {
+bool ConstrainsOrder(const Operation& operation) {
   if (operation.result == Operation::Result::kRejected) return false;
   return operation.kind == Operation::Kind::kChange || operation.result != Operation::Result::kUnknown;
 }
@@ -115,7 +115,7 @@
   std::vector<Operation> operations;
   for (Operation operation : history) {
     if (operation.result == Operation::Result::kUnknown) operation.returned = runtime::kNever;
-    if (SaysSomething(operation)) operations.push_back(std::move(operation));
+    if (ConstrainsOrder(operation)) operations.push_back(std::move(operation));
   }
   std::stable_sort(operations.begin(), operations.end(),
                    [](const Operation& a, const Operation& b) { return a.invoked < b.invoked; });
--- a/src/testing/fault_test/link_faults.cpp
+++ b/src/testing/fault_test/link_faults.cpp
@@ -18,12 +18,12 @@
 
 void LinkFaultInjector::Cut(std::size_t from, std::size_t to) {
   links_.Cut(NodeOf(from), NodeOf(to), true);
-  ++cuts_;
+  ++cut_count_;
 }
 
 void LinkFaultInjector::Restore(std::size_t from, std::size_t to) {
   links_.Cut(NodeOf(from), NodeOf(to), false);
-  if (cuts_ > 0) --cuts_;
+  if (cut_count_ > 0) --cut_count_;
 }
 
 void LinkFaultInjector::StartFlapping(std::size_t a, std::size_t b, Duration interval) {
@@ -31,9 +31,9 @@
 }
 
 Task<> LinkFaultInjector::Flap(std::size_t a, std::size_t b, Duration interval) {
-  ++flapping_;
-  const std::uint64_t heals = heals_;
-  for (bool cut = true; heals == heals_; cut = !cut) {
+  ++flapping_count_;
+  const std::uint64_t initial_heal_count = heal_count_;
+  for (bool cut = true; initial_heal_count == heal_count_; cut = !cut) {
     links_.Cut(NodeOf(a), NodeOf(b), cut);
     links_.Cut(NodeOf(b), NodeOf(a), cut);
     co_await loop_.Sleep(interval);
@@ -49,10 +49,10 @@
 
 void LinkFaultInjector::Heal() {
   links_.Heal();
-  ++heals_;
+  ++heal_count_;
   partitioned_ = false;
-  cuts_ = 0;
-  flapping_ = 0;
+  cut_count_ = 0;
+  flapping_count_ = 0;
 }
 
 void LinkFaultInjector::SetConditions(const LinkConditions& conditions) {
@@ -72,6 +72,8 @@
   return links_.Open(NodeOf(from), NodeOf(to));
 }
 
-bool LinkFaultInjector::AnyFault() const { return partitioned_ || degraded_ || cuts_ > 0 || flapping_ > 0; }
+bool LinkFaultInjector::AnyFault() const {
+  return partitioned_ || degraded_ || cut_count_ > 0 || flapping_count_ > 0;
+}
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/link_faults.h
+++ b/src/testing/fault_test/link_faults.h
@@ -43,9 +43,9 @@
   simulation::Links& links_;
   runtime::Duration gossip_period_;
   bool partitioned_ = false, degraded_ = false;
-  int flapping_ = 0;
-  std::uint64_t heals_ = 0;
-  std::size_t cuts_ = 0;
+  int flapping_count_ = 0;
+  std::uint64_t heal_count_ = 0;
+  std::size_t cut_count_ = 0;
 };
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/member_forgery.cpp
+++ b/src/testing/fault_test/member_forgery.cpp
@@ -34,12 +34,12 @@
 
 Task<> ForgeMembers(runtime::Loop& loop, const TrialEnvironment& environment, const ProxyProcesses& processes,
                     std::size_t machine) {
-  const runtime::Address own = *runtime::Address::Parse(environment.ForgedSenderAddress(machine));
-  runtime::DatagramSocket socket(loop, own);
+  const runtime::Address sender_address = *runtime::Address::Parse(environment.ForgedSenderAddress(machine));
+  runtime::DatagramSocket socket(loop, sender_address);
   gossip::Datagram datagram;
   datagram.sender.id = kSenderId;
   datagram.sender.name = kForgedSenderName;
-  datagram.sender.address = peer_transport::ToPeerAddress(own);
+  datagram.sender.address = peer_transport::ToPeerAddress(sender_address);
   datagram.body = gossip::Gossip{};
   for (int i = 0; i < kDatagrams; ++i) {
     datagram.updates.clear();
--- a/src/testing/fault_test/operator_client.cpp
+++ b/src/testing/fault_test/operator_client.cpp
@@ -55,7 +55,7 @@
   co_return response.value_or(std::string());
 }
 
-std::size_t OperatorClient::Invoke(Operation operation, const char* id_prefix) {
+std::size_t OperatorClient::RecordInvocation(Operation operation, const char* id_prefix) {
   operation.id = id_prefix + std::to_string(++calls_);
   operation.invoked = Now();
   leases_.operations.push_back(std::move(operation));
@@ -65,14 +65,14 @@
 Task<> OperatorClient::Propose(std::string proxy, std::string document, std::uint64_t base_version) {
   Operation operation;
   operation.base_version = base_version;
-  const std::size_t place = Invoke(std::move(operation), "op-");
-  const nlohmann::json call = {{"call", "propose"},    {"id", leases_.operations[place].id},
+  const std::size_t index = RecordInvocation(std::move(operation), "op-");
+  const nlohmann::json call = {{"call", "propose"},    {"id", leases_.operations[index].id},
                                {"from", base_version}, {"text", document},
                                {"by", "an operator"},  {"patience_ms", kProxyTimeoutMs}};
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("verdict")) co_return;
-  Operation& done = leases_.operations[place];
+  Operation& done = leases_.operations[index];
   done.returned = Now();
   done.version = response.value("version", std::uint64_t{0});
   done.result = ResultOf(response.value("verdict", std::string()));
@@ -83,13 +83,13 @@
 Task<> OperatorClient::Read(std::string proxy) {
   Operation operation;
   operation.kind = Operation::Kind::kRead;
-  const std::size_t place = Invoke(std::move(operation), "read-");
+  const std::size_t index = RecordInvocation(std::move(operation), "read-");
   const nlohmann::json call = {
-      {"call", "read"}, {"id", leases_.operations[place].id}, {"patience_ms", kProxyTimeoutMs}};
+      {"call", "read"}, {"id", leases_.operations[index].id}, {"patience_ms", kProxyTimeoutMs}};
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("newest")) co_return;
-  Operation& done = leases_.operations[place];
+  Operation& done = leases_.operations[index];
   done.returned = Now();
   done.version = response.value("newest", std::uint64_t{0});
   done.result = Operation::Result::kCommitted;
--- a/src/testing/fault_test/operator_client.h
+++ b/src/testing/fault_test/operator_client.h
@@ -44,7 +44,7 @@
 
  private:
   // Returns the place of the new operation in the LeaseHistory.
-  std::size_t Invoke(Operation operation, const char* id_prefix);
+  std::size_t RecordInvocation(Operation operation, const char* id_prefix);
 
   runtime::Loop& loop_;
   const TrialEnvironment& environment_;
--- a/src/testing/fault_test/operator_workload.cpp
+++ b/src/testing/fault_test/operator_workload.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::vector<std::string> ProposalWorkload::LiveProxies() const {
+std::vector<std::string> ProposalWorkload::RunningProxies() const {
   std::vector<std::string> names;
   for (const auto& process : processes_.all())
     if (!processes_.HasEnded(*process)) names.push_back(process->name);
@@ -41,7 +41,7 @@
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / trial_.changes_per_second));
   while (!stopped_ && operators_.calls() < kMaxCalls) {
     co_await loop_.Sleep(interval);
-    const std::vector<std::string> proxies = LiveProxies();
+    const std::vector<std::string> proxies = RunningProxies();
     if (proxies.empty() || stopped_) continue;
     const std::string& proxy = proxies[random() % proxies.size()];
     const std::uint64_t kind = random() % kCallKinds;
--- a/src/testing/fault_test/operator_workload.h
+++ b/src/testing/fault_test/operator_workload.h
@@ -30,7 +30,7 @@
   void Stop() { stopped_ = true; }
 
  private:
-  std::vector<std::string> LiveProxies() const;
+  std::vector<std::string> RunningProxies() const;
 
   runtime::Loop& loop_;
   const Trial& trial_;
--- a/src/testing/fault_test/proxy_processes.cpp
+++ b/src/testing/fault_test/proxy_processes.cpp
@@ -23,7 +23,7 @@
 // Preloaded into a proxy whose wall clock is to jump.
 constexpr const char* kWallClockLibrary = "liblemoncroft_wall_clock.so";
 
-std::string Milliseconds(Duration span) {
+std::string FormatMilliseconds(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + "ms";
 }
 
@@ -100,7 +100,7 @@
 
 ProxyProcess* ProxyProcesses::FindRunning(const std::string& name) {
   const auto it = std::find_if(processes_.rbegin(), processes_.rend(), [&](const auto& process) {
-    return process->name == name && !HasEnded(*process) && process->child->Running();
+    return process->name == name && !HasEnded(*process) && process->child->IsRunning();
   });
   return it == processes_.rend() ? nullptr : it->get();
 }
@@ -152,7 +152,7 @@
 
 Task<> ProxyProcesses::TerminateOnceServing(ProxyProcess* predecessor, ProxyProcess* successor) {
   const Time deadline = Now() + kStartTimeout;
-  while (!successor->serves && Now() < deadline && successor->child->Running())
+  while (!successor->serves && Now() < deadline && successor->child->IsRunning())
     co_await loop_.Sleep(kServingPollInterval);
   if (successor->serves) Terminate(*predecessor);
 }
@@ -161,14 +161,14 @@
   for (Time due = Now() + kWatchInterval;; due = Now() + kWatchInterval) {
     co_await loop_.SleepUntil(due);
     if (Now() - due > trial_.gossip_period / 2)
-      findings_.void_reasons.push_back("the fault tester ran " + Milliseconds(Now() - due) + " late");
+      findings_.void_reasons.push_back("the fault tester ran " + FormatMilliseconds(Now() - due) + " late");
     for (const auto& process : processes_) CheckEnded(*process);
   }
 }
 
 void ProxyProcesses::CheckEnded(ProxyProcess& process) {
   ProcessRecord& record = MutableRecordOf(process);
-  if (record.ended || process.child->Running()) return;
+  if (record.ended || process.child->IsRunning()) return;
   record.ended = Now();
   const int status = *process.child->exit_status();
   if (!record.termination_requested || !WIFEXITED(status) || WEXITSTATUS(status) != 0)
--- a/src/testing/fault_test/relay.cpp
+++ b/src/testing/fault_test/relay.cpp
@@ -116,8 +116,8 @@
   if (!IsOpenBothWays(from, to.machine)) co_return;
   std::shared_ptr<runtime::Socket> in = std::move(socket);
   std::unique_ptr<runtime::Socket> connected;
-  const runtime::Address own = MakeAddress(kAdvertisedNetwork, from, kAnyPort);
-  const IoResult io = co_await Connect(loop_, BoundAddress(to), deadline, nullptr, connected, own);
+  const runtime::Address source_address = MakeAddress(kAdvertisedNetwork, from, kAnyPort);
+  const IoResult io = co_await Connect(loop_, BoundAddress(to), deadline, nullptr, connected, source_address);
   if (io != IoResult::kOk) co_return;
   std::shared_ptr<runtime::Socket> out = std::move(connected);
   loop_.Spawn(CopyStream(out, in, to.machine, from));
--- a/src/testing/fault_test/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -202,7 +202,7 @@
 
 // ---- Writing ----
 
-std::string Milliseconds(Duration span) {
+std::string FormatMilliseconds(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + "ms";
 }
 
@@ -222,9 +222,10 @@
 
 std::string WriteAction(const Action& action) {
   const ActionWord& word = WordOf(action.type);
-  std::string out = std::string("  ") + kActionsWord + Quoted(Milliseconds(action.at)) + " { " + word.word;
+  std::string out =
+      std::string("  ") + kActionsWord + Quoted(FormatMilliseconds(action.at)) + " { " + word.word;
   for (const std::string& name : action.names) out += Quoted(name);
-  if (word.last == LastArgument::kDuration) out += Quoted(Milliseconds(action.duration));
+  if (word.last == LastArgument::kDuration) out += Quoted(FormatMilliseconds(action.duration));
   for (const LinkConditionWord& condition : kLinkConditionWords) {
     const std::optional<double>& value = action.link_conditions.*condition.condition;
     if (!value) continue;
@@ -257,7 +258,7 @@
 std::string WriteTrial(const Trial& trial) {
   std::string out = kTrialWord + Quoted(trial.name) + " {\n";
   out += Line(kProxiesWord, std::to_string(trial.proxies));
-  out += Line(kGossipPeriodWord, std::vector{Milliseconds(trial.gossip_period)});
+  out += Line(kGossipPeriodWord, std::vector{FormatMilliseconds(trial.gossip_period)});
   out += Line(kSettlePeriodsWord, WholeNumber(trial.settle_periods));
   out += Line(kSeedWord, std::to_string(trial.seed));
   if (trial.requests_per_second > 0)
--- a/src/testing/fault_test/trial_environment.cpp
+++ b/src/testing/fault_test/trial_environment.cpp
@@ -51,7 +51,7 @@
   return at == std::string::npos ? text : text.replace(at, placeholder.size(), value);
 }
 
-std::string Milliseconds(Duration span) {
+std::string FormatMilliseconds(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + "ms";
 }
 
@@ -176,8 +176,8 @@
   out << "  seeds" << seeds << "\n";
   out << "  zone \"z" << machine % kZones << "\"\n";
   out << "  state-file \"" << FolderOf(machine) << "/fleet.json\"\n";
-  out << "  period \"" << Milliseconds(trial_.gossip_period) << "\"\n";
-  out << "  remember \"" << Milliseconds(trial_.dead_member_retention) << "\"\n";
+  out << "  period \"" << FormatMilliseconds(trial_.gossip_period) << "\"\n";
+  out << "  remember \"" << FormatMilliseconds(trial_.dead_member_retention) << "\"\n";
   out << "}\n" << RulesBlock(machine);
   return out.str();
 }
--- a/src/testing/fault_test/trial_runner.cpp
+++ b/src/testing/fault_test/trial_runner.cpp
@@ -22,8 +22,8 @@
 constexpr Duration kMaxContradiction = 1200ms;  // bound T of docs/agreement.md
 constexpr std::size_t kSpareMachines = 2;       // for processes under a name that is in use
 constexpr double kMinDetectionPeriods = 25;
-constexpr int kExtraRestPeriods = 10;
-constexpr auto kExtraRestTime = 300ms;
+constexpr int kExtraRecoveryPeriods = 10;
+constexpr auto kExtraRecoveryTime = 300ms;
 
 Trial WithMachines(Trial trial) {
   if (trial.machines < trial.proxies) trial.machines = trial.proxies + kSpareMachines;
@@ -103,7 +103,7 @@
   started_ = Now();
   history_.last_fault = started_;
   StartWorkloads();
-  co_await CarryOutActions();
+  co_await RunActions();
   RecordLinkFaults();
   co_await AwaitRecovery();
   proposals_.Stop();
@@ -131,11 +131,11 @@
     loop_.Spawn(proposals_.Run());
 }
 
-Task<> TrialRunner::CarryOutActions() {
+Task<> TrialRunner::RunActions() {
   for (const Action& action : trial_.actions) {
     co_await loop_.SleepUntil(started_ + action.at);
     try {
-      CarryOut(action);
+      RunAction(action);
     } catch (const std::exception& error) {
       findings_.violations.emplace_back(error.what());
     }
@@ -147,10 +147,10 @@
 }
 
 Task<> TrialRunner::AwaitRecovery() {
-  const double periods = std::max(trial_.settle_periods, kMinDetectionPeriods) + kExtraRestPeriods;
-  Duration rest = trial_.gossip_period * static_cast<int>(periods) + kExtraRestTime;
-  if (HasReplicatedConfig()) rest = std::max(rest, kRecoveryTimeout);
-  co_await loop_.SleepUntil(history_.last_fault + rest);
+  const double periods = std::max(trial_.settle_periods, kMinDetectionPeriods) + kExtraRecoveryPeriods;
+  Duration recovery_time = trial_.gossip_period * static_cast<int>(periods) + kExtraRecoveryTime;
+  if (HasReplicatedConfig()) recovery_time = std::max(recovery_time, kRecoveryTimeout);
+  co_await loop_.SleepUntil(history_.last_fault + recovery_time);
 }
 
 Task<> TrialRunner::StopLoad() {
@@ -166,7 +166,7 @@
   if (!faulty && recorded) history_.fault_intervals.back().until = Now();
 }
 
-void TrialRunner::CarryOut(const Action& action) {
+void TrialRunner::RunAction(const Action& action) {
   switch (action.type) {
     case ActionType::kKill:
     case ActionType::kTerminate:
@@ -175,7 +175,7 @@
     case ActionType::kHotRestart:
     case ActionType::kDuplicate:
     case ActionType::kStall:
-      CarryOutOnProcesses(action);
+      RunProcessAction(action);
       break;
     case ActionType::kCutLink:
     case ActionType::kRestoreLink:
@@ -184,19 +184,19 @@
     case ActionType::kHealLinks:
     case ActionType::kSetLinkConditions:
     case ActionType::kForgeMembers:
-      CarryOutOnLinks(action);
+      RunLinkAction(action);
       break;
     case ActionType::kPropose:
     case ActionType::kEject:
     case ActionType::kUneject:
     case ActionType::kChangeVoter:
-      CarryOutByOperator(action);
+      RunOperatorAction(action);
       break;
     case ActionType::kEraseStore:
     case ActionType::kCorruptStore:
     case ActionType::kBackUpStore:
     case ActionType::kRestoreStore:
-      CarryOutOnStores(action);
+      RunStoreAction(action);
       break;
     case ActionType::kExpectLogged:
       break;  // checked at the end
@@ -204,7 +204,7 @@
   RecordLinkFaults();
 }
 
-void TrialRunner::CarryOutOnProcesses(const Action& action) {
+void TrialRunner::RunProcessAction(const Action& action) {
   if (action.type == ActionType::kDuplicate) {
     processes_.Launch(action.names[0], trial_.proxies + 1);
     return;
@@ -227,7 +227,7 @@
   }
 }
 
-void TrialRunner::CarryOutOnLinks(const Action& action) {
+void TrialRunner::RunLinkAction(const Action& action) {
   const auto machine = [&](std::size_t i) { return environment_.MachineOf(action.names[i]); };
   switch (action.type) {
     case ActionType::kCutLink:
@@ -261,7 +261,7 @@
   link_faults_.Partition(machines);
 }
 
-void TrialRunner::CarryOutByOperator(const Action& action) {
+void TrialRunner::RunOperatorAction(const Action& action) {
   const std::string& proxy = action.names[0];
   switch (action.type) {
     case ActionType::kPropose:
@@ -277,7 +277,7 @@
   }
 }
 
-void TrialRunner::CarryOutOnStores(const Action& action) {
+void TrialRunner::RunStoreAction(const Action& action) {
   for (const std::string& name : action.names) {
     const std::string store = environment_.StorePathOf(environment_.MachineOf(name));
     if (action.type == ActionType::kEraseStore) EraseStore(store);
--- a/src/testing/fault_test/trial_runner.h
+++ b/src/testing/fault_test/trial_runner.h
@@ -49,16 +49,16 @@
   runtime::Task<> RunScript();
   runtime::Task<> AwaitAllServing();
   void StartWorkloads();
-  runtime::Task<> CarryOutActions();
+  runtime::Task<> RunActions();
   runtime::Task<> AwaitRecovery();
   runtime::Task<> StopLoad();
   TrialOutcome CheckHistory();
 
-  void CarryOut(const Action& action);
-  void CarryOutOnProcesses(const Action& action);
-  void CarryOutOnLinks(const Action& action);
-  void CarryOutOnStores(const Action& action);
-  void CarryOutByOperator(const Action& action);
+  void RunAction(const Action& action);
+  void RunProcessAction(const Action& action);
+  void RunLinkAction(const Action& action);
+  void RunStoreAction(const Action& action);
+  void RunOperatorAction(const Action& action);
   void Partition(const Action& action);
   void RecordLinkFaults();
   bool HasReplicatedConfig() const { return !trial_.voters.empty(); }
--- a/src/testing/fault_test/trial_series.cpp
+++ b/src/testing/fault_test/trial_series.cpp
@@ -59,9 +59,9 @@
   const TrialOutcome& outcome;
   bool last = false;
 
-  bool voided() const { return !outcome.void_reasons.empty(); }
-  bool passed() const { return outcome.violations.empty() && !voided(); }
-  bool counts() const { return !voided() || last; }
+  bool is_void() const { return !outcome.void_reasons.empty(); }
+  bool passed() const { return outcome.violations.empty() && !is_void(); }
+  bool is_final() const { return !is_void() || last; }
 };
 
 void AddToSummary(const Attempt& attempt, Summary& summary) {
@@ -87,7 +87,7 @@
               attempt.passed() ? "passed" : "FAILED", attempt.trial.name.c_str(), outcome.settle_ms,
               Greatest(outcome.detect_ms));
   for (const std::string& violation : outcome.violations) std::printf("        %s\n", violation.c_str());
-  if (attempt.voided())
+  if (attempt.is_void())
     std::printf("        void %d times: %s\n", kMaxAttempts, outcome.void_reasons.front().c_str());
   if (attempt.trial.voters.empty()) return;
   const LeaseCheckResult& leases = attempt.runner.lease_result();
@@ -111,14 +111,14 @@
   TrialRunner runner(trial, options.program, folder);
   const TrialOutcome outcome = runner.Run();
   const Attempt attempt{trial, runner, outcome, last};
-  if (options.verbose || (!attempt.passed() && attempt.counts()))
+  if (options.verbose || (!attempt.passed() && attempt.is_final()))
     std::fputs(runner.history().ToText(runner.started()).c_str(), stdout);
   std::error_code ignored;
   if (attempt.passed() && options.keep.empty())
     std::filesystem::remove_all(folder, ignored);
   else
     std::printf("  logs: %s\n", folder.c_str());
-  if (!attempt.counts()) {
+  if (!attempt.is_final()) {
     ++summary.voided;
     std::printf("void    %s: %s\n", trial.name.c_str(), outcome.void_reasons.front().c_str());
     return AttemptResult::kRepeat;
--- a/src/testing/fault_test/wall_clock.cpp
+++ b/src/testing/fault_test/wall_clock.cpp
@@ -11,15 +11,15 @@
 
 using ClockGetTime = int (*)(clockid_t, timespec*);
 
-int Real(clockid_t clock, timespec* out) {
+int RealClockGetTime(clockid_t clock, timespec* out) {
   static const auto kReal = reinterpret_cast<ClockGetTime>(::dlsym(RTLD_NEXT, "clock_gettime"));
   return kReal(clock, out);
 }
 
 // By how much the wall clock is off now: an interval not at all, then forward; one not at all, then back.
-time_t CurrentJump() {
+time_t CurrentOffset() {
   timespec now{};
-  Real(CLOCK_MONOTONIC, &now);
+  RealClockGetTime(CLOCK_MONOTONIC, &now);
   const time_t interval = now.tv_sec / kIntervalSeconds;
   if (interval % 2 == 0) return 0;
   return interval % 4 == 1 ? kJumpSeconds : -kJumpSeconds;
@@ -28,8 +28,8 @@
 }  // namespace
 
 extern "C" int clock_gettime(clockid_t clock, timespec* out) {
-  const int result = Real(clock, out);
-  if (result == 0 && clock == CLOCK_REALTIME) out->tv_sec += CurrentJump();
+  const int result = RealClockGetTime(clock, out);
+  if (result == 0 && clock == CLOCK_REALTIME) out->tv_sec += CurrentOffset();
   return result;
 }
 
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -15,9 +15,9 @@
 namespace fs = std::filesystem;
 
 bool HasOpen(pid_t process, const fs::path& target) {
-  std::error_code gone;
-  for (const auto& entry : fs::directory_iterator("/proc/" + std::to_string(process) + "/fd", gone)) {
-    if (fs::read_symlink(entry.path(), gone) == target) return true;
+  std::error_code ignored;
+  for (const auto& entry : fs::directory_iterator("/proc/" + std::to_string(process) + "/fd", ignored)) {
+    if (fs::read_symlink(entry.path(), ignored) == target) return true;
   }
   return false;
 }
