--- a/src/testing/fault_test/child_process.cpp
+++ b/src/testing/fault_test/child_process.cpp
@@ -27,15 +27,16 @@
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe2");
   StartupPipe pipe{runtime::Descriptor(ends[0]), runtime::Descriptor(ends[1])};
-  // Above the descriptors that the child is given.
+  // Moves the write end above the descriptors that are passed to the child.
   pipe.write_end =
       runtime::Descriptor(::fcntl(pipe.write_end.get(), F_DUPFD_CLOEXEC, kInheritedListener + 1));
   if (!pipe.write_end) throw std::system_error(errno, std::generic_category(), "fcntl");
   return pipe;
 }
 
-// While the child has a copy of a socket that the parent closes, epoll goes on reporting that socket to an
-// owner that is gone. Returns at the child's end too.
+// Waits until the child has closed its copies of the parent's descriptors or has ended. While the child
+// holds a copy of a socket that the parent has closed, the parent's epoll instance still reports events of
+// that socket, whose owner no longer exists.
 void AwaitDescriptorsClosed(StartupPipe& pipe) {
   pipe.write_end = {};
   char byte = 0;
@@ -47,7 +48,7 @@
 [[noreturn]] void RunChild(pid_t parent, int output, int inherited_listener, int startup,
                            char* const* arguments, char* const* environment) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != parent) ::_exit(kParentEndedCode);  // before the line above took effect
+  if (::getppid() != parent) ::_exit(kParentEndedCode);  // the parent ended before prctl took effect
   ::dup2(output, STDOUT_FILENO);
   ::dup2(output, STDERR_FILENO);
   if (inherited_listener >= 0) {
@@ -72,7 +73,7 @@
 
 ChildProcess::ChildProcess(runtime::Loop& loop, const Command& command, LineHandler on_line) {
   int ends[2];
-  // Its output comes through a socket, which the loop can read.
+  // The child's output goes through a socket, which the loop can read.
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
     throw std::system_error(errno, std::generic_category(), "socketpair");
   runtime::Descriptor parent_end(ends[0]), child_end(ends[1]);
--- a/src/testing/fault_test/client_load.cpp
+++ b/src/testing/fault_test/client_load.cpp
@@ -55,7 +55,7 @@
       if (co_await socket->Write(queries, written, Now() + kWriteTimeout) != runtime::IoResult::kOk) break;
       const Time next = Now() + kBatchInterval;
       while (co_await socket->Read(responses, kReadBytes, next) == runtime::IoResult::kOk) responses.clear();
-      if (Now() < next) break;  // the connection has ended
+      if (Now() < next) break;  // the connection is closed
     }
   }
 }
@@ -81,14 +81,17 @@
       killed = killed || processes.RecordOf(*process).killed;
       running = running || !processes.HasEnded(*process);
     }
-    if (counts.duplicate_responses > 0) findings.violations.push_back(at + "requests were answered twice");
-    // Without a process, connections wait in the listening socket that the fault tester holds.
+    if (counts.duplicate_responses > 0)
+      findings.violations.push_back(at + "some requests received more than one response");
+    // While no process of the machine runs, connections wait in the listening socket that the fault tester
+    // owns.
     if (client.open_requests() > 0 && running)
-      findings.violations.push_back(at + std::to_string(client.open_requests()) + " requests have no answer");
+      findings.violations.push_back(at + std::to_string(client.open_requests()) +
+                                    " requests received no response");
     if (counts.lost_with_connection > 0 && !killed)
       findings.violations.push_back(at + std::to_string(counts.lost_with_connection) +
-                                    " requests were open when their connection ended");
-    if (counts.served == 0 && !killed) findings.violations.push_back(at + "nothing was served");
+                                    " requests had no response when their connection closed");
+    if (counts.served == 0 && !killed) findings.violations.push_back(at + "no request was served");
   }
 }
 
--- a/src/testing/fault_test/client_load.h
+++ b/src/testing/fault_test/client_load.h
@@ -1,7 +1,8 @@
-// The clients of a trial: one LoadClient for each proxy, and floods of readiness queries.
+// The clients of a trial: one LoadClient for each proxy, and tasks that flood proxies with readiness
+// queries.
 //
-// Owned by the TrialRunner, on its loop. No client runs before Start(). The check allows a request without
-// a response only where its proxy was killed under it.
+// Owned by the TrialRunner, on its loop. No client runs before Start(). CheckResponses() accepts a request
+// without a response only if its proxy was killed while the request was open.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_CLIENT_LOAD_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_CLIENT_LOAD_H_
 
@@ -22,21 +23,22 @@
   ClientLoad(runtime::Loop& loop, const TrialEnvironment& environment)
       : loop_(loop), environment_(environment) {}
 
-  // Clients of the machines 1 to `machines`.
+  // Starts one client for each of the machines 1 to `machines`.
   void Start(std::size_t machines, double requests_per_second);
   void Stop();
-  // Asks a proxy 20,000 times a second whether it is ready. Runs until the loop stops.
+  // Sends 20,000 readiness queries per second to a proxy. Runs until the loop stops.
   runtime::Task<> FloodReadinessQueries(std::size_t machine);
 
-  // Requests sent by, and served to, the clients of these machines. Machines without a client are ignored.
+  // Returns the requests sent by, and served to, the clients of these machines. Machines without a client
+  // are ignored.
   RequestCounts CountsOf(const std::vector<std::size_t>& machines) const;
-  // Once the clients have stopped: each request had exactly one response.
+  // Checks that each request had exactly one response. Called after the clients have stopped.
   void CheckResponses(const ProxyProcesses& processes, Findings& findings) const;
 
  private:
   runtime::Loop& loop_;
   const TrialEnvironment& environment_;
-  std::vector<std::unique_ptr<LoadClient>> clients_;  // of machine 1 and on
+  std::vector<std::unique_ptr<LoadClient>> clients_;  // by machine, from machine 1 on
 };
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/emulated_control_feed.cpp
+++ b/src/testing/fault_test/emulated_control_feed.cpp
@@ -17,8 +17,8 @@
 
 constexpr auto kPollTimeout = 2000ms, kEventCheckInterval = 10ms;
 
-// The revision that a poll knows: the number behind the first '=' of its head (GET /v1/events?SUB=7); 0 if
-// there is none.
+// Returns the last revision that the polling client has: the number after the first '=' of the request
+// head (GET /v1/events?SUB=7), or 0 if there is none.
 std::size_t KnownRevision(const std::string& head) {
   const std::size_t at = head.find('=');
   return at == std::string::npos ? 0 : std::strtoul(head.c_str() + at + 1, nullptr, 10);
--- a/src/testing/fault_test/emulated_control_feed.h
+++ b/src/testing/fault_test/emulated_control_feed.h
@@ -1,7 +1,8 @@
-// Emulates the control feed: an endpoint list whose changes are published as events. A poll waits for the
+// Emulates the control feed: publishes the endpoint list and its changes as events. A poll waits for the
 // next event.
 //
-// Owned by the TrialEnvironment, on its loop. Errors: std::system_error if the address cannot be bound.
+// Owned by the TrialEnvironment, on its loop. The constructor throws std::system_error if the address
+// cannot be bound.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_EMULATED_CONTROL_FEED_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_EMULATED_CONTROL_FEED_H_
 
@@ -18,10 +19,10 @@
   EmulatedControlFeed(runtime::Loop& loop, const runtime::Address& address)
       : loop_(loop), listener_(loop, address) {}
   void Start();
-  // Publishes an event: `endpoints` is a JSON array without its brackets. The first event is a complete
+  // Publishes an event. `endpoints` is a JSON array without its brackets. The first event is a complete
   // list.
   void Publish(const std::string& endpoints);
-  // All events so far, as a document that a configuration can hold.
+  // Returns all events published so far, as a JSON document to embed in a configuration.
   std::string KnownEvents() const { return EventsAfter(0); }
 
  private:
@@ -30,7 +31,7 @@
 
   runtime::Loop& loop_;
   runtime::Listener listener_;
-  std::vector<std::string> events_;  // of the revisions from 1
+  std::vector<std::string> events_;  // by revision, from revision 1 on
 };
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/emulated_engine.h
+++ b/src/testing/fault_test/emulated_engine.h
@@ -1,6 +1,7 @@
 // Emulates a database engine: an HTTP server that answers each statement with one row after a fixed time.
 //
-// Owned by the TrialEnvironment, on its loop. Errors: std::system_error if the address cannot be bound.
+// Owned by the TrialEnvironment, on its loop. The constructor throws std::system_error if the address
+// cannot be bound.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_EMULATED_ENGINE_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_EMULATED_ENGINE_H_
 
--- a/src/testing/fault_test/final_checks.cpp
+++ b/src/testing/fault_test/final_checks.cpp
@@ -36,19 +36,19 @@
     const std::string bytes = co_await operators_.Call(process->name, kStatusCall);
     const nlohmann::json status = nlohmann::json::parse(bytes, nullptr, false);
     if (!status.is_object() || !status.contains("cut_off")) {
-      deviations.push_back(process->label + " does not tell of its rules");
+      deviations.push_back(process->label + " returned no state of its replicated configuration");
       continue;
     }
     const bool cut_off = status.value("cut_off", true);
     if (cut_off != trial_.voters_lost)
-      deviations.push_back(process->label +
-                           (cut_off ? " is cut off at the end" : " acts though the voters are lost"));
+      deviations.push_back(process->label + (cut_off ? " is cut off at the end of the trial"
+                                                     : " still acts although the voters are lost"));
     versions.push_back({process->label, status.value("version", std::uint64_t{0})});
   }
   for (const auto& [label, version] : versions)
     if (!trial_.voters_lost && version != newest_version)
-      deviations.push_back(label + " acts on version " + std::to_string(version) + " at the end, not on " +
-                           std::to_string(newest_version));
+      deviations.push_back(label + " uses version " + std::to_string(version) +
+                           " at the end of the trial instead of " + std::to_string(newest_version));
   co_return deviations;
 }
 
--- a/src/testing/fault_test/final_checks.h
+++ b/src/testing/fault_test/final_checks.h
@@ -1,6 +1,6 @@
-// Checks of the replicated configuration at the end of a trial, when all faults are healed.
+// Checks of the replicated configuration at the end of a trial, after all faults have been healed.
 //
-// Owned by the TrialRunner. Violations go to Findings.
+// Owned by the TrialRunner. Violations are added to Findings.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_FINAL_CHECKS_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_FINAL_CHECKS_H_
 
@@ -16,7 +16,8 @@
 
 namespace lemoncroft::fault_test {
 
-// How long the fleet may take from the last fault: an election, leases, a version.
+// Maximum time from the last fault until the fleet has recovered: it covers an election, the leases and a
+// new version.
 inline constexpr Duration kRecoveryTimeout = std::chrono::milliseconds(6000);
 
 class ReplicatedConfigCheck {
@@ -31,8 +32,8 @@
         leases_(leases),
         findings_(findings) {}
 
-  // Waits until every running proxy uses the newest version, or none acts if the voters are lost. What is
-  // still wrong after kRecoveryTimeout is a violation.
+  // Waits until every running proxy uses the newest version or, if the voters are lost, until no proxy
+  // acts. Deviations that remain after kRecoveryTimeout are violations.
   runtime::Task<> Run();
 
  private:
@@ -40,7 +41,7 @@
     std::string label;
     std::uint64_t version = 0;
   };
-  // Asks all running proxies for their state and returns what is wrong.
+  // Queries the state of all running proxies and returns a description of each deviation.
   runtime::Task<std::vector<std::string>> FindDeviations();
 
   runtime::Loop& loop_;
--- a/src/testing/fault_test/forged_member_names.h
+++ b/src/testing/fault_test/forged_member_names.h
@@ -1,4 +1,5 @@
-// The names of forged members, by which the check of a History tells them from members that were started.
+// The names of forged members. The check of a History uses them to distinguish forged members from members
+// that were started.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_FORGED_MEMBER_NAMES_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_FORGED_MEMBER_NAMES_H_
 
--- a/src/testing/fault_test/history.cpp
+++ b/src/testing/fault_test/history.cpp
@@ -24,12 +24,12 @@
 void AppendProcess(const ProcessRecord& process, TimedLines& lines) {
   lines.emplace_back(process.started, "started " + process.label + " " + process.id);
   if (process.termination_requested)
-    lines.emplace_back(*process.termination_requested, "told to end " + process.label);
+    lines.emplace_back(*process.termination_requested, "sent SIGTERM to " + process.label);
   if (process.ended)
     lines.emplace_back(*process.ended, (process.killed ? "killed " : "ended ") + process.label);
   for (const auto& [from, until] : process.stalls) {
-    lines.emplace_back(from, "held " + process.label);
-    lines.emplace_back(until, "let go " + process.label);
+    lines.emplace_back(from, "stalled " + process.label);
+    lines.emplace_back(until, "resumed " + process.label);
   }
 }
 
--- a/src/testing/fault_test/history.h
+++ b/src/testing/fault_test/history.h
@@ -1,10 +1,10 @@
-// What happened to the processes of a trial and what they reported of each other, in one clock; and the
-// check of both against the rules of the membership view (docs/gossip.md).
+// The history of a trial: the events of its processes and the reports of these processes about each other,
+// on one clock. Checks both against the rules of the membership view (docs/gossip.md).
 //
-// No I/O and no clock of its own: the TrialRunner and its parts record what they do and the log lines of
-// the processes; Check() looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all processes
-// of a machine share. Slack states what real processes on a shared machine are allowed;
-// tests/gossip_test.cpp proves the tight bounds in virtual time.
+// Has no I/O and no clock of its own: the TrialRunner and its parts record their actions and the log lines
+// of the processes; Check() evaluates all records afterwards. Times are CLOCK_MONOTONIC, which all
+// processes of a machine share. Slack defines the tolerances for real processes on a shared machine;
+// tests/gossip_test.cpp verifies the tight bounds in virtual time.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_HISTORY_H_
 
@@ -26,15 +26,15 @@
 struct ProcessRecord {
   std::string label;  // unique in the trial
   std::string name;
-  std::string id;  // its instance id, once it has logged it
+  std::string id;  // its instance id, once the process has logged it
   Time started{};
   std::optional<Time> termination_requested;  // by SIGTERM
-  std::optional<Time> ended;                  // for whatever reason
+  std::optional<Time> ended;                  // for any reason
   bool killed = false;                        // by SIGKILL
   std::vector<std::pair<Time, Time>> stalls;  // from SIGSTOP to SIGCONT
 };
 
-// A change of a process's view, as it logged it.
+// A change of a process's membership view, as logged by that process.
 struct ObservedEvent {
   Time at{};
   std::size_t observer = 0;  // index of the process in History::processes
@@ -42,28 +42,28 @@
   std::string id, name;      // of the member that changed
 };
 
-// A time in which links were so bad that a running process may rightly be declared failed.
+// An interval in which links were so bad that a running process may legitimately be declared failed.
 struct FaultInterval {
   Time from{};
-  std::optional<Time> until;  // absent while it lasts
+  std::optional<Time> until;  // absent while the interval lasts
 };
 
-// By how much real processes may exceed what the protocol takes.
+// Tolerances by which real processes may exceed the protocol's own times.
 struct Slack {
-  // For a log line, a turn of the loop, the start of a process.
+  // For writing a log line, a turn of the loop, or the start of a process.
   Duration scheduling = std::chrono::milliseconds(250);
   // In gossip periods:
   double settle_periods = 20;           // from the last fault until all views agree
-  double detection_periods = 25;        // from a crash until all that can know of it do
-  double fault_aftermath_periods = 25;  // for which a fault that has ended may still have effects
+  double detection_periods = 25;        // from a crash until all processes that can detect it have done so
+  double fault_aftermath_periods = 25;  // time for which a fault may have effects after its end
 };
 
 struct TrialOutcome {
-  std::vector<std::string> violations;    // each a broken rule and what broke it
-  std::vector<std::string> void_reasons;  // why the machine was too slow for the trial to count
-  std::vector<double> detect_ms;          // from each crash until each process that noticed it
-  std::vector<double> join_ms;            // from each start until each process that noticed it
-  double settle_ms = 0;                   // from the last fault until all views agreed
+  std::vector<std::string> violations;    // each names a violated rule and its cause
+  std::vector<std::string> void_reasons;  // reasons why the machine was too slow for a valid result
+  std::vector<double> detect_ms;  // from each crash until its detection, by each process that detected it
+  std::vector<double> join_ms;    // from each start until its detection, by each process that detected it
+  double settle_ms = 0;           // from the last fault until all views agreed
 };
 
 class History {
@@ -74,11 +74,11 @@
   Time last_fault{};
   Time end{};
 
-  // Records a process's log line if it is one of the membership view. `now` is used if the line has no
+  // Records a process's log line if it is about the membership view. `now` is used if the line contains no
   // time.
   void RecordLogLine(std::size_t process, std::string_view line, Time now);
   TrialOutcome Check(Duration gossip_period, const Slack& slack) const;
-  // A line for each event in the order of time, with seconds since `start`.
+  // Returns one line per event in chronological order, each with the seconds since `start`.
   std::string ToText(Time start) const;
 };
 
--- a/src/testing/fault_test/history_check.cpp
+++ b/src/testing/fault_test/history_check.cpp
@@ -15,9 +15,9 @@
 constexpr const char* kChanged = "changed";
 constexpr const char* kFailed = "failed";
 constexpr const char* kLeft = "left";
-constexpr const char* kPaused = "held";  // the process detected that it had not run
+constexpr const char* kPaused = "held";  // the process detected a pause of its own execution
 
-// How long before it reports a pause a process may have been stalled by the trial.
+// Maximum time, in gossip periods, from a stall by the trial to the process's report of a pause.
 constexpr double kPauseReportPeriods = 4;
 
 double Milliseconds(Duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
@@ -57,7 +57,7 @@
   const ProcessRecord& observer = history_.processes[event.observer];
   const Time stalled_from = event.at - Periods(kPauseReportPeriods) - slack_.scheduling;
   if (event.kind == kPaused && Undisturbed(observer, stalled_from, event.at))
-    out_.void_reasons.push_back("the machine held " + observer.label);
+    out_.void_reasons.push_back("the machine paused " + observer.label);
 }
 
 void HistoryCheck::UpdateView(const ObservedEvent& event) {
@@ -74,11 +74,11 @@
 void HistoryCheck::CheckJoin(const ObservedEvent& event) {
   const ProcessRecord* subject = SubjectOf(event);
   if (subject == nullptr) {
-    out_.violations.push_back(history_.processes[event.observer].label + " took in " + event.name +
-                              ", whom nobody started");
+    out_.violations.push_back(history_.processes[event.observer].label + " admitted " + event.name +
+                              ", which the trial did not start");
     return;
   }
-  // A later one is not about the start.
+  // A later event does not result from the start.
   const Duration latency = event.at - subject->started;
   if (latency < Periods(slack_.detection_periods)) out_.join_ms.push_back(Milliseconds(latency));
 }
@@ -94,8 +94,8 @@
   const bool left = subject->termination_requested && !subject->killed;
   const bool undisturbed = Undisturbed(*subject, from, event.at) && Undisturbed(observer, from, event.at);
   if (undisturbed && (running || left) && subject->started < from)
-    out_.violations.push_back(observer.label + " called " + subject->label + " failed, which " +
-                              (running ? "lived" : "had left"));
+    out_.violations.push_back(observer.label + " declared " + subject->label + " failed, which " +
+                              (running ? "was running" : "had left"));
 }
 
 void HistoryCheck::CheckFinalViews() {
@@ -111,7 +111,8 @@
   const Duration settle = agreed - history_.last_fault;
   out_.settle_ms = Milliseconds(settle);
   if (settle > Periods(slack_.settle_periods) + slack_.scheduling)
-    out_.violations.push_back("views settled " + std::to_string(out_.settle_ms) + " ms after the last fault");
+    out_.violations.push_back("the views settled only " + std::to_string(out_.settle_ms) +
+                              " ms after the last fault");
 }
 
 void HistoryCheck::CheckFinalView(ProcessIndex process, const std::set<std::string>& running) {
@@ -126,7 +127,7 @@
   for (const ProcessRecord& other : history_.processes)
     if (expected.contains(other.id) != view.contains(other.id))
       differences += (view.contains(other.id) ? " +" : " -") + other.label;
-  out_.violations.push_back("at the end the view of " + history_.processes[process].label +
+  out_.violations.push_back("at the end of the trial, the view of " + history_.processes[process].label +
                             " is wrong:" + differences);
 }
 
@@ -138,13 +139,13 @@
   const Time from = *subject.ended - Periods(slack_.fault_aftermath_periods);
   for (ProcessIndex i = 0; i < history_.processes.size(); ++i) {
     const ProcessRecord& observer = history_.processes[i];
-    // An observer that did not hold it for alive has nothing to notice.
+    // An observer that did not consider the process alive has no crash to detect.
     const auto believed = believed_alive_.find({crashed, i});
     if (i == crashed || observer.ended || believed == believed_alive_.end() || !believed->second) continue;
     if (!Undisturbed(observer, from, deadline)) continue;
     const auto detected = failure_detected_at_[crashed].find(i);
     if (detected == failure_detected_at_[crashed].end() || detected->second > deadline)
-      out_.violations.push_back(observer.label + " did not learn in time that " + subject.label +
+      out_.violations.push_back(observer.label + " did not detect in time that " + subject.label +
                                 " was killed");
     else
       out_.detect_ms.push_back(Milliseconds(detected->second - *subject.ended));
--- a/src/testing/fault_test/history_check.h
+++ b/src/testing/fault_test/history_check.h
@@ -1,8 +1,8 @@
-// Checks a History against the rules of the membership view: nobody unknown is admitted, nobody reachable
-// is declared failed, crashes are detected in time, and all views agree at the end.
+// Checks a History against the rules of the membership view: no unknown member is admitted, no reachable
+// member is declared failed, crashes are detected in time, and all views agree at the end.
 //
-// Used by History::Check alone, once per object. Replays the events in the order of time, then looks at the
-// views and crashes.
+// Used only by History::Check, once per object. Replays the events in chronological order, then checks the
+// final views and the detection of crashes.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_HISTORY_CHECK_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_HISTORY_CHECK_H_
 
@@ -35,9 +35,9 @@
   void CheckDetection(ProcessIndex crashed);
 
   Duration Periods(double count) const;
-  // Whether the process was not stalled and no link was faulty.
+  // Returns true if, between `from` and `to`, the process was not stalled and no link was faulty.
   bool Undisturbed(const ProcessRecord& process, Time from, Time to) const;
-  // The process that an event is about; null if none was started under that id.
+  // Returns the process that an event is about, or null if none was started under that id.
   const ProcessRecord* SubjectOf(const ObservedEvent& event) const;
 
   const History& history_;
@@ -45,12 +45,13 @@
   Slack slack_;
   TrialOutcome out_;
   std::map<std::string, ProcessIndex> by_id_;
-  // Of each process: the ids in its view, and when that last changed.
+  // By process: the ids in its view, and the time of the last change of that view.
   std::vector<std::set<std::string>> views_;
   std::vector<Time> view_changed_at_;
-  // Of each process, by observer: when it was declared failed after its crash.
+  // By crashed process and observer: the time at which the observer declared the process failed after its
+  // crash.
   std::map<ProcessIndex, std::map<ProcessIndex, Time>> failure_detected_at_;
-  // Of a process and an observer: whether the observer held it for alive when it ended.
+  // By process and observer: true if the observer considered the process alive when the process ended.
   std::map<std::pair<ProcessIndex, ProcessIndex>, bool> believed_alive_;
 };
 
--- a/src/testing/fault_test/lease_history.cpp
+++ b/src/testing/fault_test/lease_history.cpp
@@ -21,13 +21,13 @@
   return std::chrono::duration<double, std::milli>(span).count();
 }
 
-// Keeps the earliest time of each key.
+// Stores `time` for `key` unless an earlier time is stored.
 void RecordEarliest(std::map<std::uint64_t, runtime::Time>& times, std::uint64_t key, runtime::Time time) {
   const auto [it, inserted] = times.try_emplace(key, time);
   if (!inserted) it->second = std::min(it->second, time);
 }
 
-// By version and process: the first action.
+// By version and process: the time of the first action.
 using FirstActions = std::map<std::uint64_t, std::map<std::size_t, runtime::Time>>;
 
 struct Contradiction {
@@ -35,7 +35,7 @@
   std::uint64_t later_version = 0;
 };
 
-// The longest time since another process acted on a later version than this action's.
+// Returns the longest time from another process's action on a later version to `action`.
 Contradiction LongestContradiction(const FirstActions& first_actions, const LeasedAction& action) {
   Contradiction longest;
   for (auto it = first_actions.upper_bound(action.version); it != first_actions.end(); ++it)
@@ -71,8 +71,8 @@
   newest_version_ = std::max(newest_version_, version);
   const auto [known, inserted] = change_ids_.try_emplace(version, id);
   if (!inserted && known->second != id)
-    conflicting_versions_.push_back("version " + std::to_string(version) + " is " + known->second + " and " +
-                                    id);
+    conflicting_versions_.push_back("version " + std::to_string(version) +
+                                    " was committed for two changes, " + known->second + " and " + id);
   RecordEarliest(committed_at_, version, LogTime(line));
 }
 
@@ -98,9 +98,9 @@
     const double longest_ms = Milliseconds(longest.span);
     out.max_contradiction_ms = std::max(out.max_contradiction_ms, longest_ms);
     if (longest.span <= max_contradiction) continue;
-    // The first stands for all: the others are counted.
+    // Only the first stale action is reported as a violation; the others are counted.
     if (++out.stale_actions > 1) continue;
-    out.violations.push_back("an act on version " + std::to_string(action.version) + " came " +
+    out.violations.push_back("an action on version " + std::to_string(action.version) + " came " +
                              std::to_string(longest_ms) + " ms after one on version " +
                              std::to_string(longest.later_version));
   }
@@ -122,9 +122,9 @@
       return action.engine == ejection.engine && action.version >= ejection.version && action.version < end;
     });
     if (sent > 0)
-      out.violations.push_back(std::to_string(sent) + " statements went to " + ejection.engine +
-                               " by version " + std::to_string(ejection.version) +
-                               " or later, which has it out");
+      out.violations.push_back(std::to_string(sent) + " statements were sent to " + ejection.engine +
+                               " under version " + std::to_string(ejection.version) +
+                               " or later, which ejects it");
   }
 }
 
@@ -134,7 +134,7 @@
     const bool known = std::any_of(all.begin(), all.end(),
                                    [&, id = id](const Operation& operation) { return operation.id == id; });
     if (known) continue;
-    // Nobody saw its invocation: it may have been at any time before the commit.
+    // The invocation was not observed: it may have been at any time before the commit.
     Operation change;
     change.id = id;
     change.base_version = version - 1;
@@ -154,7 +154,7 @@
       out.violations.push_back("the operators' calls are not linearizable");
       break;
     case LinearizabilityResult::kStateLimitExceeded:
-      out.violations.push_back("the operators' calls are too many to be checked");
+      out.violations.push_back("there are too many operator calls to check their order");
       break;
   }
 }
--- a/src/testing/fault_test/lease_history.h
+++ b/src/testing/fault_test/lease_history.h
@@ -1,11 +1,11 @@
-// What processes did under which version of the replicated configuration, and whether that keeps the
-// guarantees of docs/agreement.md.
+// Records the actions of processes with the version of the replicated configuration that each is based on,
+// and checks them against the guarantees of docs/agreement.md.
 //
-// No I/O and no clock: owned by the TrialRunner, which passes in the processes' log lines and the
-// operators' calls; Check() looks at all of it afterwards. Times are of CLOCK_MONOTONIC, which all
-// processes share; a process stamps each action in the turn of its loop in which it acts. There is no
-// slack in the bounds, however slow the machine. An attempt that is void for another reason is repeated,
-// though, and its violations don't count (trial_series.cpp).
+// Has no I/O and no clock. Owned by the TrialRunner, which passes in the processes' log lines and the
+// operators' calls; Check() evaluates all of them afterwards. Times are CLOCK_MONOTONIC, which all
+// processes share; a process records the time of each action in the turn of its loop in which it acts. The
+// bounds contain no slack, however slow the machine is. However, an attempt that is void for another
+// reason is repeated, and its violations do not count (trial_series.cpp).
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LEASE_HISTORY_H_
 
@@ -28,7 +28,7 @@
   std::string engine;
 };
 
-// A manual ejection, or the end of one, that the fleet agreed on.
+// A manual ejection, or the end of one, to which the fleet has agreed.
 struct ManualEjection {
   std::string engine;
   bool ejected = false;
@@ -36,9 +36,10 @@
 };
 
 struct LeaseCheckResult {
-  // The longest time by which one process acted on a version after another had acted on a later one.
+  // The longest time between an action on a version and an earlier action of another process on a later
+  // version.
   double max_contradiction_ms = 0;
-  std::uint64_t stale_actions = 0;  // for which that time exceeded the bound
+  std::uint64_t stale_actions = 0;  // actions for which that time exceeded the bound
   std::uint64_t actions = 0;
   std::vector<std::string> violations;
 };
@@ -52,10 +53,11 @@
   // Records a process's log line if it is about the replicated configuration.
   void RecordLogLine(std::size_t process, std::string_view line);
   LeaseCheckResult Check(runtime::Duration max_contradiction) const;
-  // When the last of these processes activated the version or a later one; kNever if one never did.
+  // Returns the time at which the last of these processes activated the version or a later one; kNever if
+  // one of them never did.
   runtime::Time ActivatedByAll(std::uint64_t version, const std::vector<std::size_t>& processes) const;
   std::uint64_t newest_version() const { return newest_version_; }
-  // When a leader first logged that a version is committed.
+  // By version: the time at which a leader first logged that the version is committed.
   const std::map<std::uint64_t, runtime::Time>& committed_at() const { return committed_at_; }
 
  private:
@@ -69,16 +71,16 @@
   void CheckContradictions(runtime::Duration max_contradiction, LeaseCheckResult& out) const;
   void CheckEjections(LeaseCheckResult& out) const;
   void CheckOperations(LeaseCheckResult& out) const;
-  // The version that ended an ejection.
+  // Returns the version that ended an ejection; the maximum value if none did.
   std::uint64_t EndVersionOf(const ManualEjection& ejection) const;
-  // The operators' calls, and the changes that proxies proposed themselves.
+  // Returns the operators' calls and the changes that proxies proposed on their own.
   std::vector<Operation> AllOperations() const;
 
   std::vector<LeasedAction> actions_;
   std::vector<Activation> activations_;
   std::map<std::uint64_t, runtime::Time> committed_at_;  // by version
   std::map<std::uint64_t, std::string> change_ids_;      // by version
-  std::vector<std::string> conflicting_versions_;        // violations: one version, two changes
+  std::vector<std::string> conflicting_versions_;        // violations: a version with two different changes
   std::uint64_t newest_version_ = 0;
 };
 
--- a/src/testing/fault_test/linearizability.cpp
+++ b/src/testing/fault_test/linearizability.cpp
@@ -9,7 +9,8 @@
 namespace lemoncroft::fault_test {
 namespace {
 
-// The version after the operation takes effect at `version`; nothing if its response excludes that.
+// Returns the version after the operation takes effect on `version`; nullopt if its response rules that
+// out.
 std::optional<std::uint64_t> Apply(const Operation& operation, std::uint64_t version) {
   const auto unchanged_if = [version](bool possible) {
     return possible ? std::optional(version) : std::nullopt;
@@ -25,13 +26,14 @@
     case Operation::Result::kRejected:
       return version;
     case Operation::Result::kUnknown:
-      // A read, or a change that meets another version, has no effect.
+      // A read, or a change that is based on another version, has no effect.
       return operation.kind == Operation::Kind::kChange && based_on_current ? version + 1 : version;
   }
   return std::nullopt;
 }
 
-// Which operations have taken effect: all before `first_pending`, and those in `later`.
+// The operations that have taken effect, which are all before `first_pending` and those in `later`, and
+// the resulting version.
 struct SearchState {
   std::size_t first_pending = 0;
   std::set<std::size_t> later;
@@ -69,7 +71,8 @@
   }
 
  private:
-  // Adds the new states that one more operation leads to. Returns false above the limit of states.
+  // Adds the unseen states that result from one more operation. Returns false if the number of states
+  // exceeds the limit.
   bool Expand(const SearchState& state, std::vector<SearchState>& open) {
     // An operation can be next only if it was invoked before any pending one returned.
     const runtime::Time earliest_return = FirstPendingReturn(state);
@@ -103,7 +106,7 @@
   std::set<SearchState> seen_;
 };
 
-// Whether an operation constrains the order of the others.
+// Returns true if an operation constrains the order of the others.
 bool ConstrainsOrder(const Operation& operation) {
   if (operation.result == Operation::Result::kRejected) return false;
   return operation.kind == Operation::Kind::kChange || operation.result != Operation::Result::kUnknown;
--- a/src/testing/fault_test/linearizability.h
+++ b/src/testing/fault_test/linearizability.h
@@ -1,10 +1,10 @@
-// Checks whether a history of calls on the replicated configuration is linearizable: whether it could come
-// from one copy on which each call takes effect at some instant between its invocation and its response.
+// Checks if a history of calls on the replicated configuration is linearizable: if it could result from a
+// single copy on which each call takes effect at some instant between its invocation and its response.
 //
-// No I/O, no clock, deterministic. The object is a version number, 0 at first: a change based on the
-// current version raises it by one, a read returns it. A call without a response may have taken effect at
-// any time after its invocation, or never. The search is bounded in states. Algorithm: Wing, Gong (1993),
-// with the memoization of Lowe, "Testing for linearizability" (2017).
+// Deterministic, without I/O or a clock. The object is a version number, initially 0: a change based on
+// the current version increments it, a read returns it. A call without a response may have taken effect at
+// any time after its invocation, or never. The number of search states is bounded. The algorithm is that
+// of Wing and Gong (1993) with the memoization of Lowe, "Testing for linearizability" (2017).
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LINEARIZABILITY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LINEARIZABILITY_H_
 
@@ -21,9 +21,8 @@
   enum class Kind { kChange, kRead };
   enum class Result {
     kCommitted,  // a change became `version`; a read returned `version`
-    kConflict,   // the change was not based on the newest version, which was
-                 // `version`
-    kRejected,   // by a check of the document: says nothing about versions
+    kConflict,   // the change was not based on `version`, which was the newest
+    kRejected,   // by a check of the document; implies nothing about versions
     kUnknown,    // no response
   };
   Kind kind = Kind::kChange;
--- a/src/testing/fault_test/link_faults.cpp
+++ b/src/testing/fault_test/link_faults.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Above these, messages are missed or late often enough that a failure detector may err.
+// Above these limits, messages are lost or late so often that a failure detector may be wrong.
 constexpr double kMaxHarmlessLoss = 0.021;
 constexpr int kHarmlessDelayDivisor = 4;  // a delay of up to a quarter of the gossip period
 
--- a/src/testing/fault_test/link_faults.h
+++ b/src/testing/fault_test/link_faults.h
@@ -1,4 +1,5 @@
-// Injects faults into the links between the proxies of a trial, and tells whether any link is faulty now.
+// Injects faults into the links between the proxies of a trial, and reports if any link is currently
+// faulty.
 //
 // Owned by the TrialRunner, on its loop; the Relay reads the same simulation::Links. Machines are numbered
 // from 1, as in the Relay.
@@ -20,20 +21,21 @@
   LinkFaultInjector(runtime::Loop& loop, simulation::Links& links, runtime::Duration gossip_period)
       : loop_(loop), links_(links), gossip_period_(gossip_period) {}
 
-  // Both in one direction.
+  // Cut() and Restore() change one direction of a link.
   void Cut(std::size_t from, std::size_t to);
   void Restore(std::size_t from, std::size_t to);
   // Cuts and restores both directions in turn, each for `interval`, until Heal().
   void StartFlapping(std::size_t a, std::size_t b, runtime::Duration interval);
-  // A machine in several groups connects them. Replaces any earlier partition.
+  // Partitions the machines into groups. A machine in several groups connects them. Replaces any earlier
+  // partition.
   void Partition(const std::vector<std::vector<std::size_t>>& groups);
   // Ends cuts, flapping and partitions.
   void Heal();
-  // Of all links.
+  // Sets the conditions of all links.
   void SetConditions(const LinkConditions& conditions);
 
   bool IsOpen(std::size_t from, std::size_t to) const;
-  // Whether links are so bad that a running process may rightly be declared failed.
+  // Returns true if links are so bad that a running process may legitimately be declared failed.
   bool AnyFault() const;
 
  private:
--- a/src/testing/fault_test/load_client.cpp
+++ b/src/testing/fault_test/load_client.cpp
@@ -75,7 +75,7 @@
         co_await loop_.Sleep(kReconnectInterval);
         continue;
       }
-      // Responses to what was sent before still arrive on the former connection.
+      // Responses to earlier requests still arrive on the former connection.
       socket = std::move(connected);
       connected_ = true;
       draining_ = false;
--- a/src/testing/fault_test/load_client.h
+++ b/src/testing/fault_test/load_client.h
@@ -1,7 +1,7 @@
 // A client of one proxy: sends requests at a constant rate over one connection and counts the responses.
 //
-// Owned by ClientLoad, on its loop. Bounded: with kMaxOpenRequests without a response it skips its turns.
-// When its proxy drains or its connection ends it connects anew.
+// Owned by ClientLoad, on its loop. While kMaxOpenRequests requests have no response, the client sends no
+// further requests. It reconnects when its proxy drains or its connection closes.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LOAD_CLIENT_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LOAD_CLIENT_H_
 
@@ -20,8 +20,8 @@
   std::uint64_t sent = 0;
   std::uint64_t served = 0, rejected = 0,
                 failed = 0;                // by the code of the response
-  std::uint64_t duplicate_responses = 0;   // to requests that had one already
-  std::uint64_t lost_with_connection = 0;  // without a response when their connection ended
+  std::uint64_t duplicate_responses = 0;   // to requests that already had a response
+  std::uint64_t lost_with_connection = 0;  // requests without a response when their connection closed
   std::uint64_t connect_failures = 0;
 };
 
@@ -29,17 +29,17 @@
  public:
   static constexpr std::size_t kMaxOpenRequests = 32;
 
-  // `number` tells the request ids of clients apart.
+  // `number` makes the request ids of this client distinct from those of other clients.
   LoadClient(runtime::Loop& loop, const runtime::Address& proxy, std::uint32_t number, double per_second)
       : loop_(loop), proxy_(proxy), number_(number), per_second_(per_second) {}
   void Start() { loop_.Spawn(SendRequests()); }
-  // Sends no more; responses are still received.
+  // Stops sending requests; responses are still received.
   void Stop() { stopped_ = true; }
   const RequestCounts& counts() const { return counts_; }
   std::size_t open_requests() const { return open_requests_.size(); }
 
  private:
-  // A request is known by its connection's number and its stream.
+  // Identifies a request: the number of its connection and its stream id.
   using RequestKey = std::pair<std::uint64_t, std::uint32_t>;
 
   runtime::Task<> SendRequests();
--- a/src/testing/fault_test/log_fields.h
+++ b/src/testing/fault_test/log_fields.h
@@ -1,4 +1,4 @@
-// Reads the fields "NAME=VALUE" of a proxy's log line.
+// Reads the NAME=VALUE fields of a proxy's log line.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_LOG_FIELDS_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_LOG_FIELDS_H_
 
@@ -10,12 +10,12 @@
 
 namespace lemoncroft::fault_test {
 
-// The value of a field, up to the next blank; empty if the line has no such field.
+// Returns the value of a field, up to the next blank; empty if the line has no such field.
 std::string LogField(std::string_view line, std::string_view name);
-// The number that a text begins with; 0 if it begins with none.
+// Returns the number at the start of a text; 0 if the text does not start with a number.
 std::uint64_t LeadingNumber(std::string_view text);
-// When a line was logged, by the monotonic clock that all processes of a machine share; the clock's zero if
-// the line does not say.
+// Returns the time at which a line was logged, on the monotonic clock that all processes of a machine
+// share; the clock's zero if the line contains no time.
 runtime::Time LogTime(std::string_view line);
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/main.cpp
+++ b/src/testing/fault_test/main.cpp
@@ -1,5 +1,6 @@
-// lemoncroft_fault_test: runs trials on real processes and reports which rules they broke. The last line of
-// its output is one JSON object. Exit code: 0 if no trial failed, 1 if one failed, 2 on an error.
+// lemoncroft_fault_test: runs trials on real processes and reports the rules that they violated. The last
+// line of its output is a JSON object. Exit code: 0 if no trial failed, 1 if a trial failed, 2 on an
+// error.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -14,21 +15,22 @@
 constexpr int kErrorExitCode = 2;
 
 void AddOptions(CLI::App& app, SeriesOptions& options) {
-  app.add_option("files", options.files, "trials, in KDL");
-  app.add_option("--random", options.first_random_seed, "draw trials from this seed on");
-  app.add_option("--count", options.random_trials, "how many of these")->capture_default_str();
-  app.add_option("--proxies", options.random_proxies, "of each of these")
+  app.add_option("files", options.files, "scripts of trials, in KDL");
+  app.add_option("--random", options.first_random_seed, "run random trials, the first one with this seed");
+  app.add_option("--count", options.random_trials, "number of random trials")->capture_default_str();
+  app.add_option("--proxies", options.random_proxies, "number of proxies in each random trial")
       ->capture_default_str()
       ->check(CLI::Range(2, 64));
   app.add_option("--calm", options.calm_proxies,
-                 "so many proxies that nothing happens to but one crash, for their cost");
-  app.add_option("--program", options.program, "the proxy")->capture_default_str();
-  app.add_option("--write", options.write_path, "append the trials to this file, to be played again");
-  app.add_option("--folder", options.folder, "where logs and stores of the processes are")
+                 "run a trial of this many proxies with a single crash, to measure their cost");
+  app.add_option("--program", options.program, "path of the proxy program")->capture_default_str();
+  app.add_option("--write", options.write_path,
+                 "append the scripts of the trials to this file, for later runs");
+  app.add_option("--folder", options.folder, "parent folder of the processes' logs and stores")
       ->capture_default_str();
-  app.add_option("--keep", options.keep, "any text: keep the folders of trials that passed too");
-  app.add_flag("--rules", options.replicated_config, "draw trials of the rules");
-  app.add_flag("-v,--verbose", options.verbose, "print each history");
+  app.add_option("--keep", options.keep, "any text: also keep the folders of trials that passed");
+  app.add_flag("--rules", options.replicated_config, "run random trials with a replicated configuration");
+  app.add_flag("-v,--verbose", options.verbose, "print the history of each trial");
 }
 
 }  // namespace
@@ -37,7 +39,7 @@
   SeriesOptions options;
   const std::filesystem::path folder = std::filesystem::path(argv[0]).parent_path();
   options.program = (folder / "lemoncroft").string();
-  CLI::App app("Trials of the fleet on real processes, with faults between them", "lemoncroft_fault_test");
+  CLI::App app("Runs trials of the fleet on real processes with injected faults", "lemoncroft_fault_test");
   AddOptions(app, options);
   CLI11_PARSE(app, argc, argv);
   try {
--- a/src/testing/fault_test/measurements.cpp
+++ b/src/testing/fault_test/measurements.cpp
@@ -17,7 +17,7 @@
 
 // Fields of /proc/PID/stat, counted from 1: user and system time in clock ticks.
 constexpr int kUserTimeField = 14, kSystemTimeField = 15;
-// Of the membership state file.
+// Key in the state file of the membership view.
 constexpr const char* kTurnKey = "\"turn_us_p99\":";
 
 double CpuTicksOf(pid_t pid) {
@@ -31,7 +31,7 @@
 
 double Milliseconds(Duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
 
-// When the first change after `time` was committed; kNever if there was none.
+// Returns the time at which the first change after `time` was committed; kNever if there was none.
 Time NextCommit(const LeaseHistory& leases, Time time) {
   Time next = runtime::kNever;
   for (const auto& [version, at] : leases.committed_at())
--- a/src/testing/fault_test/measurements.h
+++ b/src/testing/fault_test/measurements.h
@@ -1,7 +1,7 @@
-// What a trial measures, beyond the checks: the cost of processes, latency of configuration changes, and
-// how much a partitioned side still serves.
+// Measurements of a trial, in addition to its checks: the cost of processes, the latency of configuration
+// changes, and the share of requests that one side of a partition still serves.
 //
-// Filled in by the TrialRunner, read by RunAttempt (trial_series.cpp).
+// The TrialRunner fills them in; RunAttempt (trial_series.cpp) reads them.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_MEASUREMENTS_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_MEASUREMENTS_H_
 
@@ -18,21 +18,20 @@
 namespace lemoncroft::fault_test {
 
 struct Measurements {
-  // Of each process that runs at the end: part of a core since its start; 99th percentile of a turn of the
-  // membership view.
+  // Of each process that runs at the end: CPU usage since its start, in percent of a core; 99th percentile
+  // of the duration of a turn of the membership view.
   std::vector<double> cpu_percent, turn_us;
   std::vector<double> change_ms;  // of each change: from its proposal to its activation by all
-  std::vector<double> gap_ms;     // of each killed process: from its end to the
-                                  // next committed change
-  // Of each partition: served part of the requests to the side with the most voters.
+  std::vector<double> gap_ms;     // of each killed process: from its end to the next committed change
+  // Of each partition: the served share of the requests to the side with the most voters.
   std::vector<double> cut_shares;
   double files_contradiction_ms = 0;  // see ConfigFileRollout::MaxContradictionMs
 };
 
-// Appends cpu_percent and turn_us of the processes that run now.
+// Appends cpu_percent and turn_us of the processes that are running.
 void MeasureProcesses(const ProxyProcesses& processes, const TrialEnvironment& environment,
                       Measurements& measurements);
-// Appends gap_ms and, where the trial asks for it, change_ms.
+// Appends gap_ms and, if Trial::measure_each_change is set, change_ms.
 void MeasureChanges(const Trial& trial, const History& history, const LeaseHistory& leases,
                     Measurements& measurements);
 
@@ -46,7 +45,7 @@
                         Measurements& measurements)
       : trial_(trial), environment_(environment), load_(load), measurements_(measurements) {}
 
-  // Ends the partition before, if any.
+  // Starts the measurement of a partition into `groups`. Ends that of the previous partition, if any.
   void Begin(const std::vector<ProxyNames>& groups);
   void End();
 
--- a/src/testing/fault_test/operator_client.cpp
+++ b/src/testing/fault_test/operator_client.cpp
@@ -17,13 +17,14 @@
 namespace {
 
 constexpr auto kCallTimeout = 4000ms;
-// How long the called proxy may try, as told in the call.
+// Timeout for the called proxy, which is sent in the call.
 constexpr int kProxyTimeoutMs = 1500;
-// Longer than others: a link may be cut meanwhile.
+// Longer than for other calls, since a link may be cut during the call.
 constexpr int kVoterChangeTimeoutMs = 8000;
 constexpr int kMaxVoterChangeAttempts = 5;
 constexpr auto kVoterChangeRetryInterval = 200ms;
-// An ejection is answered within a second, also without a majority; then what a busy machine may add.
+// An ejection is answered within a second, even without a majority. The slack allows for a
+// busy machine.
 constexpr auto kMaxEjectionLatency = 1s;
 constexpr auto kSchedulingSlack = 250ms;
 constexpr std::size_t kAdminReadBytes = 512;
@@ -33,7 +34,7 @@
 constexpr const char* kVerdictConflict = "conflict";
 constexpr const char* kVerdictRejected = "refused";
 constexpr const char* kVoterChangeCommitted = "\"taken\"";
-// Answers of the admin interface.
+// Responses of the admin interface.
 constexpr std::string_view kAcknowledged = "ACK";
 constexpr std::string_view kAcknowledgedVersion = "ACK for the fleet, version ";
 
@@ -110,9 +111,9 @@
   if (io == runtime::IoResult::kOk) io = co_await socket->Write(call, written, deadline);
   while (io == runtime::IoResult::kOk) io = co_await socket->Read(answer, kAdminReadBytes, deadline);
   if (!answer.starts_with(kAcknowledged))
-    findings_.violations.push_back(proxy + " answered '" + answer + "' to " + call);
+    findings_.violations.push_back(proxy + " responded '" + answer + "' to " + call);
   if (Now() - begun > kMaxEjectionLatency + kSchedulingSlack)
-    findings_.violations.push_back(proxy + " took over a second to answer " + call);
+    findings_.violations.push_back(proxy + " took more than a second to respond to " + call);
   if (!answer.starts_with(kAcknowledgedVersion)) co_return;
   const std::uint64_t version = std::strtoull(answer.c_str() + kAcknowledgedVersion.size(), nullptr, 10);
   leases_.manual_ejections.push_back({engine, eject, version});
@@ -130,7 +131,8 @@
     co_await loop_.Sleep(kVoterChangeRetryInterval);
   }
   if (!committed(answer))
-    findings_.violations.push_back("voter " + direction + " " + voter + " at " + proxy + ": " + answer);
+    findings_.violations.push_back("voter change " + direction + " " + voter + " failed at " + proxy + ": " +
+                                   answer);
 }
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/operator_client.h
+++ b/src/testing/fault_test/operator_client.h
@@ -2,8 +2,8 @@
 // changes of voters, manual ejections.
 //
 // Owned by the TrialRunner, on its loop. Each proposal and read is recorded from its invocation to its
-// response for the linearizability check; one without a response stays of unknown result. A call whose
-// answer breaks a rule is recorded in Findings.
+// response for the linearizability check; the result of one without a response remains kUnknown. A call
+// whose response violates a rule is recorded in Findings.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_OPERATOR_CLIENT_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_OPERATOR_CLIENT_H_
 
@@ -20,8 +20,8 @@
 
 enum class EjectionChange { kEject, kUneject };
 
-// `proxy` names the proxy that is called; a call to one that does not run does nothing. Arguments are taken
-// by value, since a call runs as a task of its own.
+// `proxy` is the name of the proxy to call; a call to a proxy that is not running has no effect. Arguments
+// are passed by value, since each call runs as a separate task.
 class OperatorClient {
  public:
   // The references must outlive this and its tasks.
@@ -32,18 +32,18 @@
   runtime::Task<> Propose(std::string proxy, std::string document, std::uint64_t base_version);
   runtime::Task<> Read(std::string proxy);
   runtime::Task<> ChangeEjection(std::string proxy, std::string engine, EjectionChange change);
-  // `direction` is "in" or "out". Repeats the call until it is committed.
+  // `direction` is "in" or "out". Retries until the change is committed or all attempts have failed.
   runtime::Task<> ChangeVoter(std::string proxy, std::string direction, std::string voter);
-  // Sends a call, as JSON, over the proxy's peer port. Returns the response; empty if none came.
+  // Sends a call, as JSON, to the proxy's peer port. Returns the response; empty if there is none.
   runtime::Task<std::string> Call(std::string proxy, std::string call);
 
-  // The newest version that any response named.
+  // The newest version reported by any response.
   std::uint64_t newest_version() const { return newest_version_; }
-  // Proposals and reads so far.
+  // Number of proposals and reads so far.
   std::uint64_t calls() const { return calls_; }
 
  private:
-  // Returns the place of the new operation in the LeaseHistory.
+  // Records the start of an operation. Returns its index in LeaseHistory::operations.
   std::size_t RecordInvocation(Operation operation, const char* id_prefix);
 
   runtime::Loop& loop_;
--- a/src/testing/fault_test/operator_workload.cpp
+++ b/src/testing/fault_test/operator_workload.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr std::uint64_t kMaxCalls = 400;
-constexpr std::uint64_t kSeedFactor = 77;  // keeps these draws apart from those of the links
-// Of ten calls three are reads, and one proposes from a version that is not the newest.
+constexpr std::uint64_t kSeedFactor = 77;  // makes these draws differ from those of the links
+// On average, three of ten calls are reads, and one is a proposal that is not based on the newest version.
 constexpr std::uint64_t kCallKinds = 10, kReadKinds = 3, kStaleProposalKind = 3;
 
 constexpr auto kRolloutInterval = 2s;
--- a/src/testing/fault_test/operator_workload.h
+++ b/src/testing/fault_test/operator_workload.h
@@ -1,7 +1,8 @@
-// What operators do all through a trial: propose and read configurations at random proxies, or, without a
-// replicated configuration, distribute a file to every proxy in turn.
+// The operators' workload throughout a trial: they propose and read configurations at random proxies or,
+// without a replicated configuration, distribute files to every proxy in turn.
 //
-// Owned by the TrialRunner, on its loop. Both run until Stop(). The draws depend on the trial's seed alone.
+// Owned by the TrialRunner, on its loop. Both workloads run until Stop(). Random draws depend only on the
+// trial's seed.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_OPERATOR_WORKLOAD_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_OPERATOR_WORKLOAD_H_
 
@@ -40,9 +41,9 @@
   bool stopped_ = false;
 };
 
-// Rewrites the configuration files of all proxies over and over and signals each process to read its own.
-// One that cannot be reached from the first machine is retried. The alternative that a replicated
-// configuration is compared with.
+// Repeatedly rewrites the configuration files of all proxies and signals each process to reload its files.
+// Retries a proxy that cannot be reached from the first machine. This is the baseline with which a
+// replicated configuration is compared.
 class ConfigFileRollout {
  public:
   // The references must outlive this and its tasks.
@@ -51,9 +52,10 @@
       : loop_(loop), trial_(trial), environment_(environment), processes_(processes), links_(links) {}
   runtime::Task<> Run();
   void Stop() { stopped_ = true; }
-  // Called with each log line of a process: notes when it has read its files.
+  // Called with each log line of a process. Records when the process has reloaded its files.
   void HandleLogLine(const ProxyProcess& process, const std::string& line);
-  // The longest time in which one proxy used a version and another that runs at `end` an earlier one.
+  // Returns the longest time during which one proxy used a version while another proxy, which runs at
+  // `end`, used an earlier one.
   double MaxContradictionMs(Time end) const;
 
  private:
@@ -62,7 +64,7 @@
     std::size_t machine = 0;
     std::uint64_t version = 0;
   };
-  // Whether the files were written and the process was signalled.
+  // Returns true if the files were written and the process was signalled.
   bool Push(std::size_t machine, std::uint64_t version);
 
   runtime::Loop& loop_;
--- a/src/testing/fault_test/proxy_processes.cpp
+++ b/src/testing/fault_test/proxy_processes.cpp
@@ -20,7 +20,7 @@
 constexpr auto kServingPollInterval = 10ms;
 // Texts of the proxy's log.
 constexpr const char* kServingText = "serving in place of";
-// Preloaded into a proxy whose wall clock is to jump.
+// Preloaded into each proxy of a trial with jumps of the wall clock.
 constexpr const char* kWallClockLibrary = "liblemoncroft_wall_clock.so";
 
 std::string FormatMilliseconds(Duration span) {
@@ -133,7 +133,7 @@
 
 void ProxyProcesses::Stall(ProxyProcess& process, Duration duration) {
   process.child->Signal(SIGSTOP);
-  // The end is corrected when the process is resumed; until then it counts as stalled.
+  // The end is corrected when the process is resumed; until then the process counts as stalled.
   MutableRecordOf(process).stalls.emplace_back(Now(), Now() + duration + 1s);
   loop_.Spawn(ResumeAfter(&process, duration));
 }
@@ -161,7 +161,8 @@
   for (Time due = Now() + kWatchInterval;; due = Now() + kWatchInterval) {
     co_await loop_.SleepUntil(due);
     if (Now() - due > trial_.gossip_period / 2)
-      findings_.void_reasons.push_back("the fault tester ran " + FormatMilliseconds(Now() - due) + " late");
+      findings_.void_reasons.push_back("the loop of the fault tester ran " + FormatMilliseconds(Now() - due) +
+                                       " late");
     for (const auto& process : processes_) CheckEnded(*process);
   }
 }
@@ -172,8 +173,8 @@
   record.ended = Now();
   const int status = *process.child->exit_status();
   if (!record.termination_requested || !WIFEXITED(status) || WEXITSTATUS(status) != 0)
-    findings_.violations.push_back(
-        record.label + " ended by itself or not well, as waitpid tells: " + std::to_string(status));
+    findings_.violations.push_back(record.label + " ended unexpectedly or with an error, wait status " +
+                                   std::to_string(status));
 }
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/random_trial.cpp
+++ b/src/testing/fault_test/random_trial.cpp
@@ -20,7 +20,7 @@
 
 enum class Subject { kMembership, kReplicatedConfig };
 
-// Each function draws in a fixed order: a further draw would change the trials of all seeds.
+// Each function draws in a fixed order: an additional draw would change the trials of all seeds.
 class TrialGenerator {
  public:
   TrialGenerator(std::uint64_t seed, std::size_t proxies, Subject subject) : random_(seed) {
@@ -45,7 +45,7 @@
     }
     Add(at, ActionType::kHealLinks);
     Add(at, ActionType::kSetLinkConditions);
-    // The voters are needed to the end.
+    // The voters must be running at the end.
     if (!trial_.voters.empty() && !ended_.empty()) Add(at, ActionType::kStart, ended_);
     std::stable_sort(trial_.actions.begin(), trial_.actions.end(),
                      [](const Action& a, const Action& b) { return a.at < b.at; });
--- a/src/testing/fault_test/random_trial.h
+++ b/src/testing/fault_test/random_trial.h
@@ -1,5 +1,5 @@
-// Trials drawn from a seed: the same seed and size give the same trial. At the end of each all links are
-// healed, and the voters run.
+// Random trials: the same seed and size give the same trial. At the end of each trial all links are healed
+// and the voters are running.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_RANDOM_TRIAL_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_RANDOM_TRIAL_H_
 
@@ -9,9 +9,10 @@
 
 namespace lemoncroft::fault_test {
 
-// A trial of the membership view.
+// Returns a trial of the membership view.
 Trial DrawTrial(std::uint64_t seed, std::size_t proxies);
-// The same with a replicated configuration, changes by operators, and voters that end and start.
+// Returns a trial that also has a replicated configuration, changes by operators, and voters that end and
+// start.
 Trial DrawReplicatedConfigTrial(std::uint64_t seed, std::size_t proxies);
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/relay.cpp
+++ b/src/testing/fault_test/relay.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr std::size_t kDatagramsPerTurn = 64;  // then other tasks of the loop have their turn
+constexpr std::size_t kDatagramsPerTurn = 64;  // after which other tasks of the loop run
 constexpr int kAddressesPerMachine = 2;
-constexpr auto kStreamTimeout = 3000ms;  // also for a link that is cut under a stream
+constexpr auto kStreamTimeout = 3000ms;  // also of the wait for a cut link
 constexpr auto kStreamPollInterval = 20ms;
 constexpr std::size_t kStreamReadBytes = 4096;
 constexpr std::uint32_t kBindNetwork = 0x7f000100, kAdvertisedNetwork = 0x7f000200;
--- a/src/testing/fault_test/relay.h
+++ b/src/testing/fault_test/relay.h
@@ -1,9 +1,10 @@
 // The network between the proxies of a trial. Proxy M binds 127.0.1.M and advertises 127.0.2.M, where this
-// relay listens. It knows a sender by its address and forwards from the sender's 127.0.2.N, over a
-// simulated link for each direction, so that the program under test is unchanged.
+// relay listens. The relay identifies a sender N by its address and forwards from 127.0.2.N, over a
+// simulated link for each direction. The program under test needs no changes.
 //
-// Owned by the TrialRunner, on its loop. Streams obey cuts as datagrams do: what a cut link holds arrives
-// late or never. Errors: std::system_error if an address cannot be bound.
+// Owned by the TrialRunner, on its loop. Cuts apply to streams as well as to datagrams: the data of a
+// stream on a cut link arrives late or never. The constructor throws std::system_error if an address
+// cannot be bound.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_RELAY_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_RELAY_H_
 
@@ -19,7 +20,8 @@
 
 class Relay {
  public:
-  // For the machines 1 to `machines`, the ports `port` and `port` + 1 of each. `links` must outlive this.
+  // Binds the ports `port` and `port` + 1 of each of the machines 1 to `machines`. `links` must outlive
+  // this.
   Relay(runtime::Loop& loop, simulation::Links& links, std::size_t machines, std::uint16_t port);
   void Start();
 
@@ -40,12 +42,12 @@
   };
 
   MachineAddress& AddressOf(const Sender& sender);
-  // Where the proxy that advertises an address is bound.
+  // Returns the address that is bound by the proxy which advertises `advertised`.
   runtime::Address BoundAddress(const MachineAddress& advertised) const;
   Sender SenderAt(const runtime::Address& address) const;
   bool IsOpen(std::size_t from, std::size_t to) const;
   bool IsOpenBothWays(std::size_t a, std::size_t b) const { return IsOpen(a, b) && IsOpen(b, a); }
-  // How long the link takes for so many bytes of a stream.
+  // Returns the time that the link needs to transfer `bytes` bytes of a stream.
   runtime::Duration TransferTime(std::size_t from, std::size_t to, std::size_t bytes) const;
 
   runtime::Task<> ForwardDatagrams(const MachineAddress& to);
@@ -58,7 +60,7 @@
   simulation::Links& links_;
   std::size_t machines_;
   std::uint16_t port_;
-  runtime::Time start_ = runtime::Now();  // the origin of the links' time
+  runtime::Time start_ = runtime::Now();  // the zero point of the links' time
   std::vector<std::unique_ptr<MachineAddress>> addresses_;
 };
 
--- a/src/testing/fault_test/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -41,7 +41,7 @@
 struct ActionWord {
   const char* word = nullptr;
   ActionType type = ActionType::kKill;
-  int names = 0;  // how many it takes, or kAnyNumber
+  int names = 0;  // number of names, or kAnyNumber
   LastArgument last = LastArgument::kName;
 };
 constexpr ActionWord kActionWords[] = {
@@ -70,7 +70,7 @@
     {"bring", ActionType::kRestoreStore, kAnyNumber},
 };
 
-// By word, the order in which they are written.
+// Sorted by word, which is the order of output.
 struct LinkConditionWord {
   const char* word;
   std::optional<double> LinkConditions::*condition;
@@ -121,19 +121,19 @@
   action.at = at;
   const ActionWord* word = FindAction(node.name);
   if (word == nullptr) {
-    faults.Add(node.place, "'" + node.name + "' is no action");
+    faults.Add(node.place, "'" + node.name + "' is not an action");
     return action;
   }
   action.type = word->type;
   std::vector<KdlValue> arguments = node.arguments;
   if (word->last == LastArgument::kDuration) {
     if (arguments.empty() || !operator_config::ParseDuration(arguments.back().text, action.duration))
-      faults.Add(node.place, node.name + ": its last argument is a time, such as \"500ms\"");
+      faults.Add(node.place, node.name + ": the last argument must be a time, such as \"500ms\"");
     if (!arguments.empty()) arguments.pop_back();
   }
   for (const KdlValue& value : arguments) action.names.push_back(value.text);
   if (word->names != kAnyNumber && action.names.size() != static_cast<std::size_t>(word->names))
-    faults.Add(node.place, node.name + ": takes " + std::to_string(word->names) + " names");
+    faults.Add(node.place, node.name + ": expected " + std::to_string(word->names) + " name(s)");
   ReadLinkConditions(node, action, faults);
   return action;
 }
@@ -246,7 +246,7 @@
       if (node.name == kTrialWord)
         trials.push_back(ReadTrial(node, faults));
       else
-        faults.Add(node.place, "expected trial");
+        faults.Add(node.place, "expected a trial");
     }
   } catch (const codec::KdlError& e) {
     throw ScriptError(path + ": " + e.what());
--- a/src/testing/fault_test/script.h
+++ b/src/testing/fault_test/script.h
@@ -1,4 +1,5 @@
-// The script of a trial: a fleet of proxies, and actions at given times. Read from KDL, and written as KDL.
+// The script of a trial: a fleet of proxies, and actions at given times. Scripts are read from and written
+// as KDL.
 //
 //     trial "a crash is seen by all" {
 //       proxies 5
@@ -7,8 +8,8 @@
 //       at "5s" { start "n3" }
 //     }
 //
-// Plain values. docs/trials.md describes the language; script.cpp maps its words to the terms used here.
-// Errors: ScriptError lists everything that is wrong with a text, with its lines.
+// docs/trials.md describes the language; script.cpp maps its words to the terms used here. All types are
+// plain values. ScriptError lists all errors of a text with their lines.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_SCRIPT_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_SCRIPT_H_
 
@@ -24,41 +25,35 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// What is wrong with a script, a line each.
+// The errors of a script, one per line.
 class ScriptError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// What is done. The names in Action::names are those of proxies unless told otherwise.
+// The type of an action. The names in Action::names are those of proxies unless stated otherwise.
 enum class ActionType {
   kKill,               // SIGKILL
   kTerminate,          // SIGTERM: graceful shutdown
   kStart,              // on the proxy's own machine; only its $TMPDIR and store persist
   kStartWithoutState,  // likewise, with an empty $TMPDIR
-  kHotRestart,         // start a successor; SIGTERM to the running process once that
-                       // serves
-  kDuplicate,          // start a second process of that name on a machine of its own
+  kHotRestart,         // start a successor; SIGTERM to the running process once the successor serves
+  kDuplicate,          // start a second process of that name on a separate machine
   kStall,              // SIGSTOP, and SIGCONT after a time
   kCutLink,            // FROM TO: in this direction
   kRestoreLink,        // FROM TO
-  kFlapLinks,          // A B: both directions are cut and restored in turn until
-                       // kHealLinks
-  kPartition,          // groups of proxies, names with blanks between them; in several
-                       // groups: a bridge
-  kHealLinks,          // ends all of these
+  kFlapLinks,          // A B: both directions are cut and restored in turn until kHealLinks
+  kPartition,  // groups of proxies, names separated by blanks; a proxy in several groups connects them
+  kHealLinks,  // ends cuts, flapping and partitions
   kSetLinkConditions,  // of all links
-  kForgeMembers,       // NAME: gossip of members that do not exist, sent from that
-                       // machine's address to all
-  kExpectLogged,       // NAME TEXT: at the end the log of a process of that name
-                       // contains the text
-  kPropose,            // NAME DOCUMENT: at that proxy, based on the newest version
-  kEject,              // NAME ENGINE: an operator's manual ejection at that proxy
-  kUneject,            // NAME ENGINE
-  kChangeVoter,        // NAME DIRECTION VOTER: at that proxy; the direction is "in" or
-                       // "out"
-  kEraseStore,         // the store of a process that has ended
-  kCorruptStore,       // flips bits in it
+  kForgeMembers,  // NAME: gossip about members that do not exist, sent from that machine's address to all
+  kExpectLogged,  // NAME TEXT: at the end the log of a process of that name contains the text
+  kPropose,       // NAME DOCUMENT: at that proxy, based on the newest version
+  kEject,         // NAME ENGINE: an operator's manual ejection at that proxy
+  kUneject,       // NAME ENGINE
+  kChangeVoter,   // NAME DIRECTION VOTER: at that proxy; the direction is "in" or "out"
+  kEraseStore,    // the store of a process that has ended
+  kCorruptStore,  // flips bits in the store
   kBackUpStore,
   kRestoreStore,  // from the last backup
 };
@@ -66,9 +61,8 @@
 // Absent values are zero.
 struct LinkConditions {
   std::optional<double> loss, duplicate, garble;  // probabilities
-  std::optional<double> delay_ms,
-      spread_ms;               // constant part; maximum of the random part
-  std::optional<double> rate;  // bytes per second; 0: unlimited
+  std::optional<double> delay_ms, spread_ms;      // constant part of the delay; maximum of its random part
+  std::optional<double> rate;                     // bytes per second; 0: unlimited
 };
 
 struct Action {
@@ -82,7 +76,7 @@
 struct Trial {
   std::string name;
   std::size_t proxies = 5;
-  std::size_t machines = 0;  // with those of duplicates; 0: two more than proxies
+  std::size_t machines = 0;  // including those of duplicates; 0: two more than proxies
   Duration gossip_period = std::chrono::milliseconds(100);
   Duration dead_member_retention = std::chrono::seconds(60);
   std::vector<std::string> seed_proxies = {"n1", "n2"};
@@ -90,19 +84,19 @@
   std::uint64_t seed = 1;                // of random draws
   bool flood_readiness_queries = false;  // 20,000 a second to each proxy
   double requests_per_second = 0;        // from one client of each proxy
-  std::vector<std::string> voters;       // none: there is no replicated configuration
+  std::vector<std::string> voters;       // empty: there is no replicated configuration
   double changes_per_second = 0;         // by operators, at random proxies
   bool voters_lost = false;              // a majority of the voters is lost for good
-  bool wall_clocks_jump = false;         // by an hour, over and over
-  bool roll_out_files = false;           // operators distribute files in place of proposals
+  bool wall_clocks_jump = false;         // by an hour, repeatedly
+  bool roll_out_files = false;           // operators distribute files instead of proposing changes
   bool measure_each_change = false;      // from proposal to activation; operators make no other calls
   std::vector<Action> actions;           // by time
 };
 
-// Throws ScriptError. `path` is named in errors.
+// Throws ScriptError. Errors contain `path`.
 std::vector<Trial> ReadTrials(const std::string& path, std::string_view text);
-// A text from which ReadTrials makes the same fleet and actions. Options that random trials do not use are
-// left out.
+// Returns a text from which ReadTrials creates the same fleet and actions. Options that random trials do
+// not use are omitted.
 std::string WriteTrial(const Trial& trial);
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/tcp_server.h
+++ b/src/testing/fault_test/tcp_server.h
@@ -1,5 +1,5 @@
-// What the emulated servers of a trial have in common: accepting connections and reading the heads of HTTP
-// requests.
+// Functions that the emulated servers of a trial share: they accept connections, read the heads of HTTP
+// requests and write responses.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_TCP_SERVER_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_TCP_SERVER_H_
 
@@ -15,21 +15,22 @@
 using ConnectionHandler = std::function<runtime::Task<>(std::unique_ptr<runtime::Socket>)>;
 
 // Spawns `serve` for each connection until the wait for connections is cancelled. `loop`, `listener` and
-// what `serve` refers to must outlive the tasks.
+// all objects that `serve` refers to must outlive the tasks.
 runtime::Task<> AcceptConnections(runtime::Loop& loop, runtime::Listener& listener, ConnectionHandler serve);
 
-// Reads into `buffer` until it starts with a whole HTTP request head. Returns the head, up to the line end
-// of its last line, and leaves the buffer as it is; nothing if the connection ended or the head is too
-// long.
+// Reads into `buffer` until it starts with a complete HTTP request head. Returns the head, up to the line
+// end of its last line, and does not remove it from the buffer. Returns nullopt if the connection ended or
+// the head is too long.
 runtime::Task<std::optional<std::string>> ReadRequestHead(runtime::Socket& socket, std::string& buffer);
 
-// Between the head and the body of a request.
+// Size of the separator between the head and the body of a request.
 inline constexpr std::size_t kHeadSeparatorBytes = 2;
 
-// The value of a header in such a head; empty if it has none. Names are compared with case.
+// Returns the value of a header in such a head; empty if the head has no such header. Header names are
+// case-sensitive.
 std::string HeaderValue(const std::string& head, const std::string& name);
 
-// Writes an HTTP response whole. Returns false if the connection ended.
+// Writes a complete HTTP response. Returns false if the connection ended.
 runtime::Task<bool> WriteResponse(runtime::Socket& socket, std::string response);
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/trial_environment.cpp
+++ b/src/testing/fault_test/trial_environment.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-// Ports of a trial: two for gossip, then the clients' and the operators'.
+// Ports of a trial: two for gossip, then one for clients and one for operators.
 constexpr int kFirstPort = 7100, kPortsPerTrial = 4, kMaxConcurrentTrials = 64;
 constexpr int kClientPortOffset = 2, kAdminPortOffset = 3;
-// Restarted processes use further admin ports, since the former process may not have ended.
+// Restarted processes use other admin ports, since the former process may still be running.
 constexpr int kAdminPortStep = 1000, kAdminPorts = 8;
 constexpr int kListenBacklog = 128;
 constexpr int kEngines = 3;
@@ -86,10 +86,11 @@
     port_ = static_cast<std::uint16_t>(kFirstPort + kPortsPerTrial * i);
     port_lock_ = Listen(HostAndPort("127.0.2.254", port_));
   }
-  if (!port_lock_) throw std::runtime_error("no ports are free for a trial");
+  if (!port_lock_) throw std::runtime_error("no free ports for the trial");
   for (std::size_t machine = 1; machine <= trial_.machines; ++machine) {
     client_listeners_.push_back(Listen(ClientAddress(machine)));
-    if (!client_listeners_.back()) throw std::runtime_error("cannot listen for the clients of a trial");
+    if (!client_listeners_.back())
+      throw std::runtime_error("cannot listen on the client address of a machine of the trial");
   }
 }
 
@@ -113,7 +114,7 @@
 
 std::size_t TrialEnvironment::MachineOf(const std::string& name) const {
   const std::size_t machine = name.size() > 1 ? std::strtoul(name.c_str() + 1, nullptr, 10) : 0;
-  if (machine == 0 || machine > trial_.machines) throw ScriptError("no machine for '" + name + "'");
+  if (machine == 0 || machine > trial_.machines) throw ScriptError("no machine for proxy '" + name + "'");
   return machine;
 }
 
--- a/src/testing/fault_test/trial_environment.h
+++ b/src/testing/fault_test/trial_environment.h
@@ -1,9 +1,10 @@
-// What the processes of one trial run in: its ports and addresses, a folder for each machine, the files
-// that a proxy is configured by, the engines and the control feed.
+// The environment of the processes of one trial: its ports and addresses, a folder for each machine, the
+// proxies' configuration files, the engines and the control feed.
 //
-// Owned by the TrialRunner, on its loop, and outlives the processes. Trials that run at the same time take
-// different ports: each holds a listening socket as a lock, which ends with the trial's process. Errors:
-// std::runtime_error if no ports are free, std::system_error if an address cannot be bound.
+// Owned by the TrialRunner, on its loop, and outlives the processes. Concurrent trials use different
+// ports: each owns a listening socket as a lock, which is released when the process that runs the trial
+// ends. The constructor throws std::runtime_error if no ports are free and std::system_error if an address
+// cannot be bound.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_ENVIRONMENT_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_ENVIRONMENT_H_
 
@@ -29,9 +30,10 @@
   // Starts the control feed and the engines.
   void StartServers();
 
-  // The machine whose number a proxy's name ends with ("n3": 3). Throws ScriptError if there is none.
+  // Returns the machine whose number follows the first letter of a proxy's name ("n3": 3). Throws
+  // ScriptError if there is no such machine.
   std::size_t MachineOf(const std::string& name) const;
-  // Holds the configuration files, logs, store and $TMPDIR of the machine's processes.
+  // The folder of the configuration files, logs, store and $TMPDIR of the machine's processes.
   std::string FolderOf(std::size_t machine) const;
   std::string TemporaryFolderOf(std::size_t machine) const { return FolderOf(machine) + "/tmp"; }
   std::string StorePathOf(std::size_t machine) const { return FolderOf(machine) + "/rules.db"; }
@@ -40,12 +42,13 @@
 
   // The first of the two gossip ports.
   std::uint16_t gossip_port() const { return port_; }
-  // Where a proxy listens to its peers; `address_index` 0 or 1: one process of a machine uses each.
+  // The address at which a proxy listens to its peers. `address_index` is 0 or 1; one process of a machine
+  // uses each.
   runtime::Address GossipAddress(std::size_t machine, int address_index) const;
   std::string ClientAddress(std::size_t machine) const;
-  // Of the machine's process before which `earlier_starts` others ran under the same name.
+  // The admin address of the machine's process that follows `earlier_starts` others of the same name.
   std::string AdminAddress(std::size_t machine, int earlier_starts) const;
-  // Where a sender that is no proxy can send gossip from, on that machine's advertised host.
+  // An address on that machine's advertised host from which a sender that is not a proxy can send gossip.
   std::string ForgedSenderAddress(std::size_t machine) const;
   // The clients' listening socket, which all processes of a machine inherit.
   int ClientListener(std::size_t machine) const { return client_listeners_[machine - 1].get(); }
--- a/src/testing/fault_test/trial_runner.cpp
+++ b/src/testing/fault_test/trial_runner.cpp
@@ -20,7 +20,7 @@
 constexpr auto kServingPollInterval = 10ms;
 constexpr auto kDrainTime = 2500ms;             // requests wait for at most 2 s
 constexpr Duration kMaxContradiction = 1200ms;  // bound T of docs/agreement.md
-constexpr std::size_t kSpareMachines = 2;       // for processes under a name that is in use
+constexpr std::size_t kSpareMachines = 2;       // for processes with a name that is already in use
 constexpr double kMinDetectionPeriods = 25;
 constexpr int kExtraRecoveryPeriods = 10;
 constexpr auto kExtraRecoveryTime = 300ms;
@@ -30,7 +30,7 @@
   return trial;
 }
 
-// Groups are lists of names with blanks between them.
+// Each group is a list of names separated by blanks.
 std::vector<std::vector<std::string>> SplitGroups(const std::vector<std::string>& groups) {
   std::vector<std::vector<std::string>> out;
   for (const std::string& group : groups) {
@@ -140,7 +140,7 @@
       findings_.violations.emplace_back(error.what());
     }
     if (action.type == ActionType::kExpectLogged) continue;
-    // A stall lasts beyond its action, and may outlast later ones.
+    // A stall continues after its action and may outlast later actions.
     const Duration duration = action.type == ActionType::kStall ? action.duration : Duration(0);
     history_.last_fault = std::max(history_.last_fault, Now() + duration);
   }
--- a/src/testing/fault_test/trial_runner.h
+++ b/src/testing/fault_test/trial_runner.h
@@ -1,10 +1,10 @@
-// Runs one trial: starts real proxies on loopback behind the relay, carries out the script, and checks what
-// happened.
+// Runs one trial: starts real proxies on loopback behind the relay, executes the script, and checks the
+// history.
 //
-// Owned by RunAttempt (trial_series.cpp); one instance runs one trial. Ends only processes that it started,
-// by their ids, and leaves none behind. Records how late its own loop runs: a trial that the machine delayed
-// is void. Errors: std::runtime_error and std::system_error if ports, addresses or processes are not to be
-// had.
+// Owned by RunAttempt (trial_series.cpp); one instance runs one trial. Ends only processes that it
+// started, by their ids, and leaves none running. Records how late its own loop runs: a trial that the
+// machine delayed is void. Throws std::runtime_error or std::system_error if ports or addresses are
+// unavailable or processes cannot be started.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_RUNNER_H_
 
@@ -31,13 +31,13 @@
 
 class TrialRunner {
  public:
-  // `folder` exists and belongs to this trial alone; the processes' logs and files stay there.
+  // `folder` exists and belongs to this trial alone; the processes' logs and files remain there.
   TrialRunner(const Trial& trial, std::string program, std::string folder);
 
   // Runs the trial to its end. Called once.
   TrialOutcome Run();
 
-  // Of the trial that has run.
+  // Results of the trial, after Run() has returned.
   Time started() const { return started_; }
   const History& history() const { return history_; }
   const LeaseHistory& leases() const { return leases_; }
@@ -45,7 +45,7 @@
   const Measurements& measurements() const { return measurements_; }
 
  private:
-  // The script, from the first start to the last check.
+  // Executes the script and the workloads, from the first start to the last check.
   runtime::Task<> RunScript();
   runtime::Task<> AwaitAllServing();
   void StartWorkloads();
--- a/src/testing/fault_test/trial_series.cpp
+++ b/src/testing/fault_test/trial_series.cpp
@@ -52,7 +52,7 @@
   to.files_contradiction_ms = std::max(to.files_contradiction_ms, measurements.files_contradiction_ms);
 }
 
-// One attempt at a trial that has ended.
+// A completed attempt to run a trial.
 struct Attempt {
   const Trial& trial;
   const TrialRunner& runner;
@@ -83,7 +83,7 @@
 
 void PrintResult(const Attempt& attempt) {
   const TrialOutcome& outcome = attempt.outcome;
-  std::printf("%s  %s: settled in %.0f ms, crashes known in %.0f ms at most\n",
+  std::printf("%s  %s: settled in %.0f ms, crashes detected in at most %.0f ms\n",
               attempt.passed() ? "passed" : "FAILED", attempt.trial.name.c_str(), outcome.settle_ms,
               Greatest(outcome.detect_ms));
   for (const std::string& violation : outcome.violations) std::printf("        %s\n", violation.c_str());
@@ -91,16 +91,14 @@
     std::printf("        void %d times: %s\n", kMaxAttempts, outcome.void_reasons.front().c_str());
   if (attempt.trial.voters.empty()) return;
   const LeaseCheckResult& leases = attempt.runner.lease_result();
-  std::printf(
-      "        %llu acts, contradictions of %.0f ms at most; %zu calls "
-      "of operators\n",
-      static_cast<unsigned long long>(leases.actions), leases.max_contradiction_ms,
-      attempt.runner.leases().operations.size());
+  std::printf("        %llu actions, contradictions of at most %.0f ms; %zu operator calls\n",
+              static_cast<unsigned long long>(leases.actions), leases.max_contradiction_ms,
+              attempt.runner.leases().operations.size());
 }
 
 std::string CreateFolder(const std::string& parent) {
   std::string folder = parent + "/lemoncroft-trial-XXXXXX";
-  if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder for a trial");
+  if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("cannot create a folder for a trial");
   return folder;
 }
 
@@ -146,7 +144,8 @@
   return ReadTrials(path, text.str());
 }
 
-// The default gossip period and one crash late on: for what the membership view costs.
+// A trial with the default gossip period and one late crash, which measures the cost of the membership
+// view.
 Trial CalmTrial(std::size_t proxies) {
   Trial trial;
   trial.name = "a calm fleet";
--- a/src/testing/fault_test/trial_series.h
+++ b/src/testing/fault_test/trial_series.h
@@ -1,4 +1,4 @@
-// Runs a series of trials, from files and drawn ones, and prints their results and a summary.
+// Runs a series of trials, read from files or generated at random, and prints their results and a summary.
 #ifndef LEMONCROFT_TESTING_FAULT_TEST_TRIAL_SERIES_H_
 #define LEMONCROFT_TESTING_FAULT_TEST_TRIAL_SERIES_H_
 
@@ -15,15 +15,15 @@
   std::size_t random_trials = 1, random_proxies = 6;
   bool replicated_config = false;  // random trials have a replicated configuration
   std::size_t calm_proxies = 0;    // 0: no calm trial
-  std::string program;             // the proxy
-  std::string write_path;          // scripts are appended to this file; empty: they are not
-  std::string folder = "/tmp";     // holds a folder for each trial
+  std::string program;             // path of the proxy program
+  std::string write_path;          // file to which scripts are appended; empty: none
+  std::string folder = "/tmp";     // contains a folder for each trial
   std::string keep;                // not empty: keep the folders of passed trials
   bool verbose = false;            // print each history
 };
 
 // Prints to standard output. Returns the exit code: 0, or 1 if a trial failed. Throws ScriptError for a
-// script that cannot be read, std::runtime_error if trials cannot be run.
+// script that cannot be read, and std::runtime_error if trials cannot be run.
 int RunSeries(const SeriesOptions& options);
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/wall_clock.cpp
+++ b/src/testing/fault_test/wall_clock.cpp
@@ -1,5 +1,6 @@
-// A library that is preloaded into a proxy of a trial: its wall clock jumps by an hour, forward and back
-// again, every few seconds. Its monotonic clock is not changed. In no shipped program.
+// A library that is preloaded into a proxy of a trial. It makes the proxy's wall clock jump by an hour,
+// forward and back, every few seconds; the monotonic clock is unchanged. It is not part of any shipped
+// program.
 #include <dlfcn.h>
 #include <sys/time.h>
 
@@ -16,7 +17,8 @@
   return kReal(clock, out);
 }
 
-// By how much the wall clock is off now: an interval not at all, then forward; one not at all, then back.
+// Returns the current offset of the wall clock: none for one interval, forward for the next, then none
+// again, then back.
 time_t CurrentOffset() {
   timespec now{};
   RealClockGetTime(CLOCK_MONOTONIC, &now);
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -1,4 +1,4 @@
-// Tests of fault_test::ChildProcess: what a child inherits.
+// Tests of the descriptors that a fault_test::ChildProcess inherits.
 #include "testing/fault_test/child_process.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,8 @@
   return false;
 }
 
-// A copy that outlived the parent's would keep the closed socket in the parent's epoll set.
+// A socket stays in the parent's epoll set after the parent has closed it, as long as a child holds a copy
+// of it. The test guards against a child that has not yet closed its copies when the constructor returns.
 TEST(ChildProcess, Started_HoldsNoSocketOfItsParent) {
   constexpr int kStarts = 20;
   runtime::Loop loop;
