--- a/src/testing/fault_test/linearizability.h
+++ b/src/testing/fault_test/linearizability.h
@@ -1,5 +1,5 @@
-// Checks if a history of calls on the replicated configuration is linearizable: if it could result from a
-// single copy on which each call takes effect at some instant between its invocation and its response.
+// Checks whether a history of calls on the replicated configuration is linearizable: whether it could result
+// from a single copy on which each call takes effect at some instant between its invocation and its response.
 //
 // Deterministic, without I/O or a clock. The object is a version number, initially 0: a change based on
 // the current version increments it, a read returns it. A call without a response may have taken effect at
--- a/src/testing/fault_test/link_faults.h
+++ b/src/testing/fault_test/link_faults.h
@@ -1,4 +1,4 @@
-// Injects faults into the links between the proxies of a trial, and reports if any link is currently
+// Injects faults into the links between the proxies of a trial, and reports whether any link is currently
 // faulty.
 //
 // Owned by the TrialRunner, on its loop; the Relay reads the same simulation::Links. Machines are numbered
--- a/src/testing/fault_test/operator_client.cpp
+++ b/src/testing/fault_test/operator_client.cpp
@@ -73,12 +73,12 @@
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("verdict")) co_return;
-  Operation& done = leases_.operations[index];
-  done.returned = Now();
-  done.version = response.value("version", std::uint64_t{0});
-  done.result = ResultOf(response.value("verdict", std::string()));
-  if (done.result == Operation::Result::kCommitted || done.result == Operation::Result::kConflict)
-    newest_version_ = std::max(newest_version_, done.version);
+  Operation& recorded = leases_.operations[index];
+  recorded.returned = Now();
+  recorded.version = response.value("version", std::uint64_t{0});
+  recorded.result = ResultOf(response.value("verdict", std::string()));
+  if (recorded.result == Operation::Result::kCommitted || recorded.result == Operation::Result::kConflict)
+    newest_version_ = std::max(newest_version_, recorded.version);
 }
 
 Task<> OperatorClient::Read(std::string proxy) {
@@ -90,11 +90,11 @@
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("newest")) co_return;
-  Operation& done = leases_.operations[index];
-  done.returned = Now();
-  done.version = response.value("newest", std::uint64_t{0});
-  done.result = Operation::Result::kCommitted;
-  newest_version_ = std::max(newest_version_, done.version);
+  Operation& recorded = leases_.operations[index];
+  recorded.returned = Now();
+  recorded.version = response.value("newest", std::uint64_t{0});
+  recorded.result = Operation::Result::kCommitted;
+  newest_version_ = std::max(newest_version_, recorded.version);
 }
 
 Task<> OperatorClient::ChangeEjection(std::string proxy, std::string engine, EjectionChange change) {
--- a/src/testing/fault_test/random_trial.cpp
+++ b/src/testing/fault_test/random_trial.cpp
@@ -73,9 +73,9 @@
     switch (DrawBelow(9)) {
       case 0:
       case 1:
-        return AddEnd(at);
+        return AddProcessEnd(at);
       case 2:
-        return AddStart(at);
+        return AddProcessStart(at);
       case 3:
         Add(at, ActionType::kStall, {DrawLiveProxy()}).duration = 200ms + DrawMilliseconds(3000);
         return;
@@ -96,7 +96,7 @@
     }
   }
 
-  void AddEnd(Duration at) {
+  void AddProcessEnd(Duration at) {
     if (live_.size() <= kMinLiveProxies) return;
     const std::string name = DrawLiveProxy();
     std::erase(live_, name);
@@ -104,7 +104,7 @@
     Add(at, DrawBelow(3) == 0 ? ActionType::kTerminate : ActionType::kKill, {name});
   }
 
-  void AddStart(Duration at) {
+  void AddProcessStart(Duration at) {
     if (ended_.empty()) return;
     Add(at, ActionType::kStart, {ended_.back()});
     live_.push_back(ended_.back());
--- a/src/testing/fault_test/trial_series.cpp
+++ b/src/testing/fault_test/trial_series.cpp
@@ -35,7 +35,7 @@
   Measurements measurements;
 };
 
-double Greatest(const std::vector<double>& values) {
+double Maximum(const std::vector<double>& values) {
   return values.empty() ? 0 : *std::max_element(values.begin(), values.end());
 }
 
@@ -85,7 +85,7 @@
   const TrialOutcome& outcome = attempt.outcome;
   std::printf("%s  %s: settled in %.0f ms, crashes detected in at most %.0f ms\n",
               attempt.passed() ? "passed" : "FAILED", attempt.trial.name.c_str(), outcome.settle_ms,
-              Greatest(outcome.detect_ms));
+              Maximum(outcome.detect_ms));
   for (const std::string& violation : outcome.violations) std::printf("        %s\n", violation.c_str());
   if (attempt.is_void())
     std::printf("        void %d times: %s\n", kMaxAttempts, outcome.void_reasons.front().c_str());
@@ -177,8 +177,8 @@
                              {"trials_failed", summary.failed},
                              {"real_void", summary.voided},
                              {"real_settle_ms", summary.settle_ms},
-                             {"real_detect_ms", Greatest(summary.detect_ms)},
-                             {"real_join_ms", Greatest(summary.join_ms)},
+                             {"real_detect_ms", Maximum(summary.detect_ms)},
+                             {"real_join_ms", Maximum(summary.join_ms)},
                              {"contradiction_ms_max", summary.contradiction_ms},
                              {"stale_acts", summary.stale_actions},
                              {"acts", summary.actions},
@@ -189,8 +189,8 @@
                              {"gap_ms", measurements.gap_ms},
                              {"cut_shares", measurements.cut_shares},
                              {"files_contradiction_ms", measurements.files_contradiction_ms},
-                             {"cpu_percent", Greatest(measurements.cpu_percent)},
-                             {"turn_us_p99", Greatest(measurements.turn_us)}};
+                             {"cpu_percent", Maximum(measurements.cpu_percent)},
+                             {"turn_us_p99", Maximum(measurements.turn_us)}};
   std::printf("%s\n", json.dump().c_str());
 }
 
