--- a/src/testing/fault_test/operator_client.cpp
+++ b/src/testing/fault_test/operator_client.cpp
@@ -17,13 +17,14 @@
 namespace {
 
 constexpr auto kCallTimeout = 4000ms;
-// How long the called proxy may try, as told in the call.
+// Timeout for the called proxy, which is sent in the call.
 constexpr int kProxyTimeoutMs = 1500;
-// Longer than others: a link may be cut meanwhile.
+// Longer than for other calls, since a link may be cut during the call.
 constexpr int kVoterChangeTimeoutMs = 8000;
 constexpr int kMaxVoterChangeAttempts = 5;
 constexpr auto kVoterChangeRetryInterval = 200ms;
-// An ejection is answered within a second, also without a majority; then what a busy machine may add.
+// An ejection is answered within a second, even without a majority. The slack allows for a
+// busy machine.
 constexpr auto kMaxEjectionLatency = 1s;
 constexpr auto kSchedulingSlack = 250ms;
 constexpr std::size_t kAdminReadBytes = 512;
@@ -33,7 +34,7 @@
 constexpr const char* kVerdictConflict = "conflict";
 constexpr const char* kVerdictRejected = "refused";
 constexpr const char* kVoterChangeCommitted = "\"taken\"";
-// Answers of the admin interface.
+// Responses of the admin interface.
 constexpr std::string_view kAcknowledged = "ACK";
 constexpr std::string_view kAcknowledgedVersion = "ACK for the fleet, version ";
 
@@ -55,7 +56,7 @@
   co_return response.value_or(std::string());
 }
 
-std::size_t OperatorClient::Invoke(Operation operation, const char* id_prefix) {
+std::size_t OperatorClient::RecordInvocation(Operation operation, const char* id_prefix) {
   operation.id = id_prefix + std::to_string(++calls_);
   operation.invoked = Now();
   leases_.operations.push_back(std::move(operation));
@@ -65,35 +66,35 @@
 Task<> OperatorClient::Propose(std::string proxy, std::string document, std::uint64_t base_version) {
   Operation operation;
   operation.base_version = base_version;
-  const std::size_t place = Invoke(std::move(operation), "op-");
-  const nlohmann::json call = {{"call", "propose"},    {"id", leases_.operations[place].id},
+  const std::size_t index = RecordInvocation(std::move(operation), "op-");
+  const nlohmann::json call = {{"call", "propose"},    {"id", leases_.operations[index].id},
                                {"from", base_version}, {"text", document},
                                {"by", "an operator"},  {"patience_ms", kProxyTimeoutMs}};
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("verdict")) co_return;
-  Operation& done = leases_.operations[place];
-  done.returned = Now();
-  done.version = response.value("version", std::uint64_t{0});
-  done.result = ResultOf(response.value("verdict", std::string()));
-  if (done.result == Operation::Result::kCommitted || done.result == Operation::Result::kConflict)
-    newest_version_ = std::max(newest_version_, done.version);
+  Operation& recorded = leases_.operations[index];
+  recorded.returned = Now();
+  recorded.version = response.value("version", std::uint64_t{0});
+  recorded.result = ResultOf(response.value("verdict", std::string()));
+  if (recorded.result == Operation::Result::kCommitted || recorded.result == Operation::Result::kConflict)
+    newest_version_ = std::max(newest_version_, recorded.version);
 }
 
 Task<> OperatorClient::Read(std::string proxy) {
   Operation operation;
   operation.kind = Operation::Kind::kRead;
-  const std::size_t place = Invoke(std::move(operation), "read-");
+  const std::size_t index = RecordInvocation(std::move(operation), "read-");
   const nlohmann::json call = {
-      {"call", "read"}, {"id", leases_.operations[place].id}, {"patience_ms", kProxyTimeoutMs}};
+      {"call", "read"}, {"id", leases_.operations[index].id}, {"patience_ms", kProxyTimeoutMs}};
   const std::string bytes = co_await Call(proxy, call.dump());
   const nlohmann::json response = nlohmann::json::parse(bytes, nullptr, false);
   if (!response.is_object() || !response.contains("newest")) co_return;
-  Operation& done = leases_.operations[place];
-  done.returned = Now();
-  done.version = response.value("newest", std::uint64_t{0});
-  done.result = Operation::Result::kCommitted;
-  newest_version_ = std::max(newest_version_, done.version);
+  Operation& recorded = leases_.operations[index];
+  recorded.returned = Now();
+  recorded.version = response.value("newest", std::uint64_t{0});
+  recorded.result = Operation::Result::kCommitted;
+  newest_version_ = std::max(newest_version_, recorded.version);
 }
 
 Task<> OperatorClient::ChangeEjection(std::string proxy, std::string engine, EjectionChange change) {
@@ -110,9 +111,9 @@
   if (io == runtime::IoResult::kOk) io = co_await socket->Write(call, written, deadline);
   while (io == runtime::IoResult::kOk) io = co_await socket->Read(answer, kAdminReadBytes, deadline);
   if (!answer.starts_with(kAcknowledged))
-    findings_.violations.push_back(proxy + " answered '" + answer + "' to " + call);
+    findings_.violations.push_back(proxy + " responded '" + answer + "' to " + call);
   if (Now() - begun > kMaxEjectionLatency + kSchedulingSlack)
-    findings_.violations.push_back(proxy + " took over a second to answer " + call);
+    findings_.violations.push_back(proxy + " took more than a second to respond to " + call);
   if (!answer.starts_with(kAcknowledgedVersion)) co_return;
   const std::uint64_t version = std::strtoull(answer.c_str() + kAcknowledgedVersion.size(), nullptr, 10);
   leases_.manual_ejections.push_back({engine, eject, version});
@@ -130,7 +131,8 @@
     co_await loop_.Sleep(kVoterChangeRetryInterval);
   }
   if (!committed(answer))
-    findings_.violations.push_back("voter " + direction + " " + voter + " at " + proxy + ": " + answer);
+    findings_.violations.push_back("voter change " + direction + " " + voter + " failed at " + proxy + ": " +
+                                   answer);
 }
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/operator_workload.cpp
+++ b/src/testing/fault_test/operator_workload.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr std::uint64_t kMaxCalls = 400;
-constexpr std::uint64_t kSeedFactor = 77;  // keeps these draws apart from those of the links
-// Of ten calls three are reads, and one proposes from a version that is not the newest.
+constexpr std::uint64_t kSeedFactor = 77;  // makes these draws differ from those of the links
+// On average, three of ten calls are reads, and one is a proposal that is not based on the newest version.
 constexpr std::uint64_t kCallKinds = 10, kReadKinds = 3, kStaleProposalKind = 3;
 
 constexpr auto kRolloutInterval = 2s;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::vector<std::string> ProposalWorkload::LiveProxies() const {
+std::vector<std::string> ProposalWorkload::RunningProxies() const {
   std::vector<std::string> names;
   for (const auto& process : processes_.all())
     if (!processes_.HasEnded(*process)) names.push_back(process->name);
@@ -41,7 +41,7 @@
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / trial_.changes_per_second));
   while (!stopped_ && operators_.calls() < kMaxCalls) {
     co_await loop_.Sleep(interval);
-    const std::vector<std::string> proxies = LiveProxies();
+    const std::vector<std::string> proxies = RunningProxies();
     if (proxies.empty() || stopped_) continue;
     const std::string& proxy = proxies[random() % proxies.size()];
     const std::uint64_t kind = random() % kCallKinds;
--- a/src/testing/fault_test/random_trial.cpp
+++ b/src/testing/fault_test/random_trial.cpp
@@ -20,7 +20,7 @@
 
 enum class Subject { kMembership, kReplicatedConfig };
 
-// Each function draws in a fixed order: a further draw would change the trials of all seeds.
+// Each function draws in a fixed order: an additional draw would change the trials of all seeds.
 class TrialGenerator {
  public:
   TrialGenerator(std::uint64_t seed, std::size_t proxies, Subject subject) : random_(seed) {
@@ -45,7 +45,7 @@
     }
     Add(at, ActionType::kHealLinks);
     Add(at, ActionType::kSetLinkConditions);
-    // The voters are needed to the end.
+    // The voters must be running at the end.
     if (!trial_.voters.empty() && !ended_.empty()) Add(at, ActionType::kStart, ended_);
     std::stable_sort(trial_.actions.begin(), trial_.actions.end(),
                      [](const Action& a, const Action& b) { return a.at < b.at; });
@@ -73,9 +73,9 @@
     switch (DrawBelow(9)) {
       case 0:
       case 1:
-        return AddEnd(at);
+        return AddProcessEnd(at);
       case 2:
-        return AddStart(at);
+        return AddProcessStart(at);
       case 3:
         Add(at, ActionType::kStall, {DrawLiveProxy()}).duration = 200ms + DrawMilliseconds(3000);
         return;
@@ -96,7 +96,7 @@
     }
   }
 
-  void AddEnd(Duration at) {
+  void AddProcessEnd(Duration at) {
     if (live_.size() <= kMinLiveProxies) return;
     const std::string name = DrawLiveProxy();
     std::erase(live_, name);
@@ -104,7 +104,7 @@
     Add(at, DrawBelow(3) == 0 ? ActionType::kTerminate : ActionType::kKill, {name});
   }
 
-  void AddStart(Duration at) {
+  void AddProcessStart(Duration at) {
     if (ended_.empty()) return;
     Add(at, ActionType::kStart, {ended_.back()});
     live_.push_back(ended_.back());
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -1,4 +1,4 @@
-// Tests of fault_test::ChildProcess: what a child inherits.
+// Tests of the descriptors that a fault_test::ChildProcess inherits.
 #include "testing/fault_test/child_process.h"
 
 #include <gtest/gtest.h>
@@ -15,14 +15,15 @@
 namespace fs = std::filesystem;
 
 bool HasOpen(pid_t process, const fs::path& target) {
-  std::error_code gone;
-  for (const auto& entry : fs::directory_iterator("/proc/" + std::to_string(process) + "/fd", gone)) {
-    if (fs::read_symlink(entry.path(), gone) == target) return true;
+  std::error_code ignored;
+  for (const auto& entry : fs::directory_iterator("/proc/" + std::to_string(process) + "/fd", ignored)) {
+    if (fs::read_symlink(entry.path(), ignored) == target) return true;
   }
   return false;
 }
 
-// A copy that outlived the parent's would keep the closed socket in the parent's epoll set.
+// A socket stays in the parent's epoll set after the parent has closed it, as long as a child holds a copy
+// of it. The test guards against a child that has not yet closed its copies when the constructor returns.
 TEST(ChildProcess, Started_HoldsNoSocketOfItsParent) {
   constexpr int kStarts = 20;
   runtime::Loop loop;
