--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -40,9 +40,9 @@
 }
 
 std::unique_ptr<runtime::Listener> MakeListener(runtime::Loop& loop, const Config& config,
-                                                runtime::Descriptor inherited_socket) {
-  return inherited_socket ? std::make_unique<runtime::Listener>(loop, std::move(inherited_socket))
-                          : std::make_unique<runtime::Listener>(loop, config.listen_address);
+                                                runtime::Descriptor inherited) {
+  return inherited ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
+                   : std::make_unique<runtime::Listener>(loop, config.listen_address);
 }
 
 std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& operator_file) {
@@ -172,8 +172,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   const ListenerOwnership ownership = OwnershipOf(options);
   const bool inherits_listener = ownership == ListenerOwnership::kShared;
-  auto inherited_socket =
-      inherits_listener ? InheritListener(options.inherited_listener) : runtime::Descriptor();
+  auto inherited = inherits_listener ? InheritListener(options.inherited_listener) : runtime::Descriptor();
   runtime::Loop loop;
   SignalReader signals(loop);
   settings::ActiveSettings active_settings(config.site);
@@ -189,7 +188,7 @@
   broker::Broker broker(loop, active_settings, config.seed, engines, counters,
                         RequestLimits(config, memory_mb, max_open_requests));
   if (operator_file.admission_queue) broker.EnableAdmissionQueue(operator_file.admission_queue->queue);
-  frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited_socket)), active_settings,
+  frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited)), active_settings,
                                broker, counters, ClientLimits(config, memory_mb));
   directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().CloseIdle(engine); };
   const auto on_endpoint_update = [&](EngineList list) {
