--- a/src/testing/model_check/hash.h
+++ b/src/testing/model_check/hash.h
@@ -1,4 +1,4 @@
-// A 128-bit hash (XXH3) that stands for a state in a search: collisions are too improbable to matter.
+// A 128-bit hash (XXH3) that identifies a state in a search. Collisions are too improbable to matter.
 #ifndef LEMONCROFT_TESTING_MODEL_CHECK_HASH_H_
 #define LEMONCROFT_TESTING_MODEL_CHECK_HASH_H_
 
--- a/src/testing/model_check/lease_world.cpp
+++ b/src/testing/model_check/lease_world.cpp
@@ -43,11 +43,11 @@
     const auto version = holders_[i].UsableVersion(At());
     if (!version || *version >= active_version_) continue;
     if (now_ - activated_at_[*version + 1] >= kLeaseTicks)
-      wrong_ = "a version is acted on a lease after its successor came into force";
+      wrong_ = "a holder acts on a version a lease after the successor of the version was activated";
   }
 }
 
-// One block for each kind of step of the model; not split yet.
+// Contains one block for each kind of step of the model.
 // NOLINTNEXTLINE(readability-function-size)
 void LeaseWorld::Next(std::vector<LeaseWorld>& into) const {
   const auto fork = [&]() -> LeaseWorld& { return into.emplace_back(*this); };
@@ -55,7 +55,7 @@
     LeaseWorld& world = fork();
     --world.remaining_.ticks;
     ++world.now_;
-    // With check_expiry_on_use disabled a timer marks expiry; the timer of a stopped process does not run.
+    // With check_expiry_on_use disabled, a timer marks expiry; the timer of a stopped process does not run.
     if (options_.safety_checks.check_expiry_on_use)
       for (replicated_config::LeaseHolder& holder : world.holders_) holder.Tick(world.At());
     world.Check();
@@ -111,7 +111,7 @@
     if (latest_version_ <= active_version_ ||
         !leaders_[leader].grantor.MayActivate(At(), Leads(leader), latest_version_))
       continue;
-    if (!Leads(leader)) continue;  // could not be committed
+    if (!Leads(leader)) continue;  // the activation could not be committed
     LeaseWorld& world = fork();
     while (world.activated_at_.size() <= latest_version_) world.activated_at_.push_back(now_);
     world.active_version_ = latest_version_;
--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -1,10 +1,12 @@
-// Model of leases for exhaustive search: real LeaseHolders and LeaseGrantors under every order of requesting,
-// granting, losing, duplicating, delaying, preparing, activating, expiring and changing leaders.
+// Model of leases for exhaustive search: real LeaseHolders and LeaseGrantors under every order in which
+// leases are requested, granted, lost, duplicated, delayed and expire, versions are prepared and activated,
+// and leaders change.
 //
-// Contract: time advances in ticks of a quarter of a lease, with any number of events in one tick. Of the log
-// only what leases rely on is modelled: a leader starts after its predecessor's lease has expired, and knows
-// all that is committed. Invariant checked in each state: no holder acts on an older version for longer than
-// a lease after its successor was activated. LeaseBudget bounds the search. Owner: a search.
+// Time advances in ticks of a quarter of a lease, with any number of events in one tick. The model covers
+// only the properties of the log that leases rely on: a leader starts after its predecessor's lease has
+// expired, and knows all committed entries. The invariant checked in each state is that no holder acts on an
+// older version for longer than a lease after the successor of that version was activated. LeaseBudget bounds
+// the search.
 #ifndef LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
 #define LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
 
@@ -30,13 +32,13 @@
 
   void Next(std::vector<LeaseWorld>& into) const;
   std::string Wrong() const { return wrong_; }
-  std::string Canonical() const;  // the smaller of the texts under both orders of the holders
+  std::string Canonical() const;  // the smaller of the state's texts under both orders of the holders
 
  private:
   struct Leader {
     replicated_config::LeaseGrantor grantor;
     int lease_until = 0;                                                // in ticks
-    replicated_config::Version latest_version = 0, active_version = 0;  // committed, as far as it knows
+    replicated_config::Version latest_version = 0, active_version = 0;  // committed, known to the leader
   };
   struct InTransitMessage {
     bool grant = false;
@@ -48,7 +50,7 @@
   replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kTick); }
   bool Leads(std::size_t leader) const { return now_ < leaders_[leader].lease_until; }
   void Deliver(const InTransitMessage& message);
-  void Learn();  // a leader knows all that is committed
+  void Learn();  // updates the committed versions that the current leaders know
   void Check();
   std::string TextOf(std::size_t holder) const;
 
@@ -61,11 +63,11 @@
   std::vector<replicated_config::LeaseHolder> holders_;
   std::array<int, kHolders> renewals_{};
   std::vector<Leader> leaders_;
-  std::size_t leader_ = 0;  // the latest one
+  std::size_t leader_ = 0;  // the newest leader
   std::uint64_t leadership_epoch_ = 1;
   std::vector<InTransitMessage> messages_;
   replicated_config::Version latest_version_ = 0, active_version_ = 0;
-  std::vector<int> activated_at_;  // of each version, from 0 on
+  std::vector<int> activated_at_;  // tick at which each version was activated, from version 0 on
   std::string wrong_;
 };
 
--- a/src/testing/model_check/raft_model.cpp
+++ b/src/testing/model_check/raft_model.cpp
@@ -23,7 +23,7 @@
   out += entry.data + ";";
 }
 
-// A message without its heartbeat round, which matters for leases alone.
+// Returns the text of a message without its heartbeat round, which matters only for leases.
 std::string TextOf(const Message& message) {
   std::string out = std::to_string(message.index()) + ":";
   if (const auto* vote = std::get_if<VoteRequest>(&message)) {
@@ -52,7 +52,7 @@
 
 RaftModel::RaftModel(const SafetyChecks& safety_checks, const RaftModelBudget& budget) : budget_(budget) {
   options_.safety_checks = safety_checks;
-  // These rest on time, and elections may start at any time here.
+  // These checks depend on time, but in this model elections may start at any time.
   options_.safety_checks.pre_vote = false;
   options_.safety_checks.leader_stickiness = false;
   options_.safety_checks.vote_delay_after_restart = false;
@@ -72,7 +72,7 @@
     } else if (const auto* committed = std::get_if<Committed>(&output)) {
       const auto [it, inserted] = committed_.try_emplace(committed->entry.index, committed->entry);
       if (!inserted && it->second != committed->entry)
-        violation_ = "two entries are committed under one index";
+        violation_ = "two different entries are committed at one index";
     }
   }
   SendPersisted(i);
@@ -136,12 +136,13 @@
   for (std::size_t i = 0; i < kVoters; ++i) AppendEventsOf(i, successors);
 }
 
-// Each message in flight arrives, with or without a duplicate that stays in flight.
+// Delivers each message in flight, with or without a duplicate that stays in flight.
 void RaftModel::AppendDeliveries(std::vector<RaftModel>& successors) const {
   for (std::size_t k = 0; k < network_.size(); ++k) {
     const Packet& packet = network_[k];
     const auto position = network_.begin() + static_cast<std::ptrdiff_t>(k);
-    if (std::find(network_.begin(), position, packet) != position) continue;  // leads to the same states
+    if (std::find(network_.begin(), position, packet) != position)
+      continue;  // an equal packet leads to the same states
     for (const bool duplicated : {false, true}) {
       if (duplicated && budget_.duplicates == 0) continue;
       RaftModel& next = successors.emplace_back(*this);
@@ -155,7 +156,8 @@
   }
 }
 
-// A write becomes durable, a timer fires, an entry is proposed, or the voter crashes.
+// Appends the states after a write becomes durable, a timer fires, an entry is proposed, or the voter
+// crashes.
 void RaftModel::AppendEventsOf(std::size_t i, std::vector<RaftModel>& successors) const {
   const Member& member = members_[i];
   const bool leads = member.raft.role() == Role::kLeader;
--- a/src/testing/model_check/raft_model.h
+++ b/src/testing/model_check/raft_model.h
@@ -1,9 +1,9 @@
-// A Raft cluster as a state space to be searched: three voters that run the real state machine, a network
-// that loses, duplicates and reorders messages, and voters that crash and lose what is not durable.
+// Model of a Raft cluster for exhaustive search: three voters that run the real state machine, a network that
+// loses, duplicates and reorders messages, and voters that crash and lose writes that are not durable.
 //
-// Contract. Any voter may start an election at any time, and any message may arrive at any time or never.
-// That is a superset of what clocks allow, so properties that rest on time (leases, pre-vote) are left to
-// testing/simulation/raft_cluster.h. A budget bounds the faults. Owner: a search.
+// Any voter may start an election at any time, and any message may arrive at any time or never. Clocks allow
+// only a subset of these behaviours, so testing/simulation/raft_cluster.h checks the properties that depend
+// on time (leases, pre-vote). A budget bounds the faults.
 #ifndef LEMONCROFT_TESTING_MODEL_CHECK_RAFT_MODEL_H_
 #define LEMONCROFT_TESTING_MODEL_CHECK_RAFT_MODEL_H_
 
@@ -29,11 +29,11 @@
 
   RaftModel(const raft::SafetyChecks& safety_checks, const RaftModelBudget& budget);
 
-  // Appends the states that one event leads to.
+  // Appends the states that one event can lead to.
   void AppendSuccessors(std::vector<RaftModel>& successors) const;
-  // The invariant that this state violates; empty: none.
+  // Returns the invariant that this state violates, or an empty string.
   std::string Violation() const { return violation_; }
-  // The smallest of the state's texts under all permutations of the voters' names.
+  // Returns the smallest of the state's texts under all permutations of the voters' names.
   std::string Canonical() const;
 
  private:
@@ -61,7 +61,7 @@
   std::string TextOf(std::size_t i) const;
 
   raft::Options options_;
-  RaftModelBudget budget_;  // what is left of it
+  RaftModelBudget budget_;  // the remaining budget
   std::vector<Member> members_;
   std::vector<Packet> network_;
   std::map<raft::Term, std::size_t> leaders_;
@@ -69,7 +69,7 @@
   std::string violation_;
 };
 
-// Searches the model until `max_states` distinct states, or all that the budget allows.
+// Searches the model until `max_states` distinct states are found, or all states that the budget allows.
 SearchResult SearchRaftModel(const raft::SafetyChecks& safety_checks, const RaftModelBudget& budget,
                              std::uint64_t max_states);
 
--- a/src/testing/model_check/search.h
+++ b/src/testing/model_check/search.h
@@ -1,12 +1,11 @@
-// Breadth-first search of the states that a system can reach: each distinct state once, until there are no
-// more or a limit is reached.
+// Breadth-first search of the states that a system can reach. The search visits each distinct state once,
+// until no states remain or a limit is reached.
 //
-// Contract. `State` is copied. `append_successors` appends the states that one step leads to; `violation_of`
-// describes the invariant that a state violates, or returns an empty text; `canonical` gives equal texts for
-// states that differ only in what does not matter (symmetric names, times). The search ends at the first
-// violation, whose path is then a shortest one. States are identified by a 128-bit hash of their canonical
-// text. Owner: a test or benchmark. Source: explicit-state model checking as in Murphi (Dill 1996) and TLC
-// (Lamport 2002).
+// `State` is copied. `append_successors` appends the states that one step can lead to. `violation_of`
+// describes the invariant that a state violates, or returns an empty text. `canonical` returns equal texts
+// for states that differ only in irrelevant details (symmetric names, times). The search ends at the first
+// violation, whose path is a shortest one. States are identified by a 128-bit hash of their canonical text.
+// Source: explicit-state model checking as in Murphi (Dill 1996) and TLC (Lamport 2002).
 #ifndef LEMONCROFT_TESTING_MODEL_CHECK_SEARCH_H_
 #define LEMONCROFT_TESTING_MODEL_CHECK_SEARCH_H_
 
@@ -21,10 +20,10 @@
 namespace lemoncroft::model_check {
 
 struct SearchResult {
-  std::uint64_t states = 0;  // distinct ones
+  std::uint64_t states = 0;  // distinct states
   std::uint64_t depth = 0;   // steps from the first state
   bool exhausted = false;    // all reachable states were searched
-  std::string violation;     // empty: none found
+  std::string violation;     // empty if none was found
 };
 
 template <typename State, typename AppendSuccessors, typename Violation, typename Canonical>
