--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -16,7 +16,7 @@
 constexpr Instant kTick = 5ms;  // interval at which usable versions are recorded
 constexpr const char* kFleet = "trial";
 
-// The overhead of a frame (peer_transport/frame.h).
+// Returns the bytes that a frame adds to its payload (peer_transport/frame.h).
 std::size_t FrameBytes() {
   const std::string payload(100, 'x');
   return peer_transport::Encode(
@@ -32,12 +32,14 @@
   using Checked = tl::expected<void, DocumentRejection>;
   replicated_config::DocumentChecks checks;
   checks.check_successor = [](const replicated_config::VersionRecord*, const std::string& text) -> Checked {
-    if (text.starts_with("wrong")) return tl::unexpected(DocumentRejection{Cause::kInvalid, "it is wrong"});
+    if (text.starts_with("wrong"))
+      return tl::unexpected(DocumentRejection{Cause::kInvalid, "the document begins with \"wrong\""});
     return {};
   };
   checks.check_compatible = [name](const std::string& text) -> Checked {
     if (text.starts_with("not for " + name))
-      return tl::unexpected(DocumentRejection{Cause::kIncompatible, "so it says"});
+      return tl::unexpected(DocumentRejection{
+          Cause::kIncompatible, "the document begins with \"not for \" and this machine's name"});
     return {};
   };
   checks.required_format = [](const std::string&) { return std::uint64_t{1}; };
@@ -153,7 +155,7 @@
 void ConfigReplicaFleet::HandleDocument(std::size_t i, const replicated_config::DocumentReceived& received) {
   const auto [it, fresh] = documents_.try_emplace(received.version, received.document);
   if (!fresh && it->second != received.document)
-    violations_.push_back("version " + std::to_string(received.version) + " has two texts");
+    violations_.push_back("version " + std::to_string(received.version) + " has two different documents");
   Machine& m = machines_[i];
   if (received.document.starts_with("not for " + NameOf(i)))
     m.replica->MarkIncompatible(received.version);
@@ -175,7 +177,7 @@
     HandleDocument(i, *received);
   } else if (const auto* activated = std::get_if<replicated_config::VersionActivated>(&output)) {
     if (activated->version < m.active_version)
-      violations_.push_back(NameOf(i) + " went back to an older version");
+      violations_.push_back(NameOf(i) + " activated an older version than before");
     m.active_version = activated->version;
   } else if (const auto* completed = std::get_if<replicated_config::RequestCompleted>(&output)) {
     outcomes_[completed->outcome.id] = completed->outcome;
@@ -232,7 +234,7 @@
   }
   switch (event.kind) {
     case ScheduledEvent::Kind::kStep:
-      if (m.replica->NextDeadline() > Local(m)) return;  // rescheduled since
+      if (m.replica->NextDeadline() > Local(m)) return;  // the step was rescheduled
       m.replica->Tick(Local(m));
       break;
     case ScheduledEvent::Kind::kMessage:
@@ -293,7 +295,7 @@
     if (IsRunning(i) && m.stalled_until <= now_ && m.replica->Leads(Local(m))) ++leaders;
     if (const auto version = UsableVersion(i)) usable.push_back(*version);
   }
-  if (leaders > 1) violations_.push_back("two lead at once");
+  if (leaders > 1) violations_.push_back("two replicas lead at the same time");
   version_uses_.Observe(now_, usable);
 }
 
--- a/src/testing/simulation/config_replica_fleet.h
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -1,9 +1,9 @@
-// A simulated fleet of ConfigReplicas in virtual time, on simulated links, with clocks that drift, and with
-// disks that are slow, lose unsynced writes, or fail. It checks the fleet's invariants while it runs.
+// Simulates a fleet of ConfigReplicas in virtual time, on simulated links, with clocks that drift, and with
+// disks that are slow, lose unsynced writes, or fail. Checks the fleet's invariants while it runs.
 //
-// Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Messages
-// travel encoded. All times are true time. A process that is resumed acts first, and handles its messages and
-// timers afterwards.
+// Deterministic for a seed. The first machines are the voters. Messages are encoded for transmission. All
+// times are true time, not the time of a machine's own clock. A process that resumes after a stall acts
+// first, and handles its messages and timers afterwards.
 #ifndef LEMONCROFT_TESTING_SIMULATION_CONFIG_REPLICA_FLEET_H_
 #define LEMONCROFT_TESTING_SIMULATION_CONFIG_REPLICA_FLEET_H_
 
@@ -30,10 +30,10 @@
     replicated_config::LeaseOptions lease_options;
     raft::Options log;
     replicated_config::ConfigReplicaSafetyChecks safety_checks;
-    double drift = 0.005;                                   // of each clock from true time
-    Instant sync = std::chrono::milliseconds(2);            // of a disk
-    Instant stale_limit = std::chrono::milliseconds(1200);  // T of docs/agreement.md
-    bool timed = false;                                     // measure the processor time of each machine
+    double drift = 0.005;                                   // maximum relative error of a clock's rate
+    Instant sync = std::chrono::milliseconds(2);            // duration of a disk sync
+    Instant stale_limit = std::chrono::milliseconds(1200);  // limit T in docs/agreement.md
+    bool timed = false;                                     // measures the processor time of each machine
   };
   explicit ConfigReplicaFleet(const Plan& plan);
 
@@ -49,12 +49,14 @@
   Disk& disk(std::size_t i) { return machines_[i].disk; }
   void Stall(std::size_t i, Instant span);
   void SlowDisk(std::size_t i, Instant sync) { machines_[i].sync = sync; }
-  void BreakDisk(std::size_t i);  // this voter steps down; a restart heals it
+  // Closes the voter's store and drops its pending writes: the voter steps down. A restart opens the store
+  // again.
+  void BreakDisk(std::size_t i);
   void Rate(std::size_t i, double rate) { machines_[i].rate = rate; }
   void RunFor(Instant span);
 
-  // A document that begins with "not for " and a machine's name is incompatible there; one that begins with
-  // "wrong" is invalid.
+  // A document that begins with "not for " and a machine's name is incompatible with that machine; a document
+  // that begins with "wrong" is invalid. Returns the ID of the change.
   std::string Propose(std::size_t at, replicated_config::Version from, const std::string& text,
                       Instant timeout = std::chrono::seconds(3));
   void ChangeVoters(std::size_t at, const std::string& who, bool in);
@@ -64,17 +66,19 @@
   std::optional<replicated_config::Version> UsableVersion(std::size_t i) const;
   const replicated_config::ConfigReplica& replica(std::size_t i) const { return *machines_[i].replica; }
   bool IsRunning(std::size_t i) const { return machines_[i].replica != nullptr; }
-  bool AllUse(replicated_config::Version version) const;  // all running machines
+  // Returns true if all running machines can act on exactly this version.
+  bool AllUse(replicated_config::Version version) const;
   Links& links() { return links_; }
   Instant now() const { return now_; }
 
+  // See VersionUseRecorder.
   Instant contradiction() const { return version_uses_.longest_contradiction(); }
   std::uint64_t stale() const { return version_uses_.stale_uses(); }
   const std::vector<std::string>& violations() const { return violations_; }
   std::uint64_t messages() const { return message_count_; }
   struct Sent {
-    std::uint64_t messages = 0, bytes = 0;  // with frames
-    double processor_us = 0;                // in its replica and the message codec; 0: not timed
+    std::uint64_t messages = 0, bytes = 0;  // including frames
+    double processor_us = 0;                // of the replica and the message codec; 0 unless `timed`
   };
   const Sent& sent(std::size_t i) const { return machines_[i].sent; }
   std::size_t size() const { return machines_.size(); }
@@ -95,7 +99,7 @@
     Instant at{};
     std::uint64_t order = 0;
     std::size_t machine = 0;
-    std::uint64_t incarnation = 0;  // 0: any
+    std::uint64_t incarnation = 0;  // 0: any incarnation
     enum class Kind { kStep, kMessage, kSynced } kind = Kind::kStep;
     replicated_config::Instance from = 0;
     std::shared_ptr<const std::string> bytes;
@@ -109,7 +113,7 @@
   replicated_config::Instance InstanceOf(std::size_t i) const {
     return instances_per_incarnation_ * machines_[i].incarnation + i + 1;
   }
-  // The machine whose process now has that name or instance.
+  // Returns the machine whose current process has this name or instance.
   std::optional<std::size_t> MachineOf(
       const std::variant<raft::NodeId, replicated_config::Instance>& to) const;
   void Push(Instant at, std::size_t machine, ScheduledEvent::Kind kind, std::uint64_t incarnation);
@@ -133,7 +137,7 @@
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
   std::vector<Machine> machines_;
   std::map<std::string, replicated_config::ChangeOutcome> outcomes_;
-  std::map<replicated_config::Version, std::string> documents_;  // as first seen
+  std::map<replicated_config::Version, std::string> documents_;  // the first text seen of each version
   std::map<std::string, std::string> proposed_;
   VersionUseRecorder version_uses_;
   std::vector<std::string> violations_;
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -64,7 +64,7 @@
     Remove(end.id, may_still_run);
   }
 
-  // The end of an attempt in flight is reported later.
+  // If an attempt is in flight, its AttemptEnded event follows and removes the request.
   void On(const RequestCancelled& gone) {
     if (!in_flight_.contains(gone.id)) Remove(gone.id, false);
   }
@@ -122,7 +122,7 @@
   std::map<EngineId, EngineEntry> listed_;
   std::map<RequestId, Request> requests_;
   std::map<RequestId, EngineId> in_flight_;
-  std::map<EngineId, double> threads_;  // of this gateway's requests
+  std::map<EngineId, double> threads_;  // used by this gateway's requests in flight
   std::map<std::uint64_t, KeyQueue> key_queues_;
 };
 
--- a/src/testing/simulation/deciders.h
+++ b/src/testing/simulation/deciders.h
@@ -1,8 +1,8 @@
-// The decision logic behind one gateway of a simulated day: the decision module itself, or a reference that
-// it is compared with.
+// The decision logic of one gateway in a simulated day: the decision module itself, or a reference
+// implementation to compare it with.
 //
-// Contract: that of the module's interface (lemoncroft/gateway.h): no I/O, no clock, deterministic for its
-// settings and seed. Errors: none.
+// As the module's interface (lemoncroft/gateway.h) requires, a decider does no I/O, reads no clock, and is
+// deterministic for its settings and seed.
 #ifndef LEMONCROFT_TESTING_SIMULATION_DECIDERS_H_
 #define LEMONCROFT_TESTING_SIMULATION_DECIDERS_H_
 
@@ -16,7 +16,7 @@
 
 namespace lemoncroft::simulation {
 
-// Takes the place of one gateway.
+// Has the interface of a Gateway, as far as a simulated day uses it.
 class Decider {
  public:
   virtual ~Decider() = default;
@@ -25,10 +25,11 @@
 };
 using DeciderFactory = std::function<std::unique_ptr<Decider>(const Settings& settings, std::uint64_t seed)>;
 
-// The decision module.
+// Returns a decider that runs the decision module.
 std::unique_ptr<Decider> MakeGateway(const Settings& settings, std::uint64_t seed);
-// A reference without limits, retries or ejections: forwards each request once and at once to the least
-// loaded engine that its class allows, and keeps the order of keys.
+// Returns the reference decider, which has no limits, retries or ejections: it forwards each request once,
+// without queueing, to the least loaded engine that the class of the request allows. Requests with the same
+// ordering key run in order, one at a time.
 std::unique_ptr<Decider> MakeLeastLoadedForwarder(const Settings& settings, std::uint64_t seed);
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/fleet.cpp
+++ b/src/testing/simulation/fleet.cpp
@@ -74,7 +74,8 @@
   UpdateRates(engine_state);
 }
 
-// Divides the cores by weight, at most one per thread; the rest goes to the other attempts.
+// Divides the cores by weight, with at most one core per thread; the surplus is divided among the other
+// attempts.
 void Fleet::UpdateRates(EngineState& engine_state) const {
   double threads = 0;
   for (const auto& [key, a] : engine_state.attempts) threads += a.load.threads;
--- a/src/testing/simulation/fleet.h
+++ b/src/testing/simulation/fleet.h
@@ -2,10 +2,10 @@
 //
 // Each engine divides its cores among the threads of its attempts in the ratio 1 : 4 : 8 : 16 by priority, at
 // most one core per thread; above a threshold of threads per core its total throughput falls. Engines can be
-// added and removed. The work that an attempt needs is given by the caller (a bad plan is an attempt that
-// needs many times more than its estimate).
+// added and removed. The caller specifies the work that an attempt needs; a bad query plan is an attempt that
+// needs many times its estimate.
 //
-// Deterministic; times passed in never run backwards. Not modelled: disks, memory, caches, sessions.
+// Deterministic. The caller's times must never decrease. Disks, memory, caches and sessions are not modelled.
 #ifndef LEMONCROFT_TESTING_SIMULATION_FLEET_H_
 #define LEMONCROFT_TESTING_SIMULATION_FLEET_H_
 
@@ -24,7 +24,7 @@
   Engine engine = 0;
   double at = 0;      // seconds
   double work = 0;    // core-seconds used
-  bool lost = false;  // its engine was removed
+  bool lost = false;  // the engine was removed while the attempt ran
 };
 
 class Fleet {
@@ -35,7 +35,7 @@
     int threads = 1;
     int priority = 1;       // 0 to 3
     double work = 0;        // core-seconds
-    std::size_t label = 0;  // index of the account for `consumed`
+    std::size_t label = 0;  // index of the total that `consumed` returns
   };
 
   // `overload_threshold`: threads per core above which throughput falls; `overload_penalty`: relative
@@ -44,17 +44,18 @@
       : overload_threshold_(overload_threshold), overload_penalty_(overload_penalty) {}
 
   void Add(Engine engine, double cores, double speed);
-  void Remove(Engine engine, std::vector<Finished>& out);  // its attempts are lost
+  // Removes the engine; appends its attempts, which are lost.
+  void Remove(Engine engine, std::vector<Finished>& out);
   void SetSpeed(Engine engine, double speed);
   bool Has(Engine engine) const { return engines_.contains(engine); }
   double cores() const;
 
-  bool Start(const Load& load);  // false if there is no such engine
-  bool Stop(const Key& key);     // false if it does not run
+  bool Start(const Load& load);  // false if there is no such engine, or the attempt runs already
+  bool Stop(const Key& key);     // false if the attempt does not run
   void SetPriority(const Key& key, int priority);
-  double RemainingWork(const Key& key) const;  // core-seconds; 0 if it does not run
+  double RemainingWork(const Key& key) const;  // core-seconds; 0 if the attempt does not run
 
-  // Advances to `now` (seconds) and appends the attempts that ended, in order of time.
+  // Advances to `now` (seconds) and appends the attempts that finished, in order of time.
   void Advance(double now, std::vector<Finished>& out);
 
   double consumed(std::size_t label) const { return label < consumed_.size() ? consumed_[label] : 0; }
@@ -64,7 +65,7 @@
   struct Attempt {
     Load load;
     double remaining = 0;
-    double rate = 0;  // cores
+    double rate = 0;  // core-seconds per second
   };
   struct EngineState {
     double cores = 0, speed = 1;
--- a/src/testing/simulation/lease_fleet.cpp
+++ b/src/testing/simulation/lease_fleet.cpp
@@ -129,7 +129,7 @@
   if (event.fetched_version > 0) {
     proxy.fetching_version = 0;
     proxy.holder.MarkPrepared(event.fetched_version);
-    proxy.renew_at = now();  // reports it at once
+    proxy.renew_at = now();  // to report the prepared version immediately
     return;
   }
   HandleGrant(event);
@@ -165,7 +165,8 @@
   while (now() < until) {
     voters_.RunFor(kTick);
     for (std::size_t i = 0; i < plan_.voters; ++i) RunLeaderDuties(i);
-    // A resumed process acts first, and handles its messages and timers afterwards.
+    // Observes the use before processes that have just resumed handle the messages and timers that they
+    // missed.
     ObserveUse();
     RequestRenewals();
     while (!queue_.empty() && queue_.top().at <= now()) {
--- a/src/testing/simulation/lease_fleet.h
+++ b/src/testing/simulation/lease_fleet.h
@@ -1,8 +1,8 @@
-// A simulated fleet of LeaseHolders in virtual time, with a Raft log among voters and a LeaseGrantor at each.
-// It records which proxy could act on which version when.
+// Simulates a fleet of LeaseHolders in virtual time, with a Raft log among voters and a LeaseGrantor at each
+// voter. Records which versions the proxies can act on, and when.
 //
-// Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Versions have
-// no documents here, only numbers. All times are true time.
+// Deterministic for a seed. The first machines are the voters. Versions are only numbers and have no
+// documents. All times are true time, not the time of a machine's own clock.
 #ifndef LEMONCROFT_TESTING_SIMULATION_LEASE_FLEET_H_
 #define LEMONCROFT_TESTING_SIMULATION_LEASE_FLEET_H_
 
@@ -25,15 +25,16 @@
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
     replicated_config::LeaseOptions lease_options;
-    double drift = 0.005;                                   // of each clock from true time
-    Instant fetch_delay = std::chrono::milliseconds(20);    // of a document
-    Instant stale_limit = std::chrono::milliseconds(1200);  // T of docs/agreement.md
+    double drift = 0.005;                                   // maximum relative error of a clock's rate
+    Instant fetch_delay = std::chrono::milliseconds(20);    // duration of fetching a document
+    Instant stale_limit = std::chrono::milliseconds(1200);  // limit T in docs/agreement.md
   };
   explicit LeaseFleet(const Plan& plan);
 
-  // Proposes a version at the leader. Returns it, or nullopt where nobody leads.
+  // Proposes a version at the leader and returns the version, or nullopt if there is no leader.
   std::optional<replicated_config::Version> Propose();
-  void Stall(std::size_t proxy, Instant span);  // and the voter on the same machine
+  // Stalls the proxy and the voter on the same machine, if there is one.
+  void Stall(std::size_t proxy, Instant span);
   void CrashVoter(std::size_t i) { voters_.Crash(i); }
   void RestartVoter(std::size_t i);
   void SetFetchDelay(std::size_t proxy, Instant span) { proxies_[proxy].fetch_delay = span; }
@@ -45,13 +46,15 @@
 
   std::optional<replicated_config::Version> UsableVersion(std::size_t proxy) const;
   const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
-  // The longest time for which two proxies could act on different versions.
+  // Returns the longest time for which two proxies could act on different versions.
   Instant contradiction() const { return version_uses_.longest_contradiction(); }
-  // Number of instants at which a proxy could act on a version more than `stale_limit` after a later one was
-  // first usable.
+  // Returns the number of observations of a proxy that could act on a version more than `stale_limit` after a
+  // later version was first usable.
   std::uint64_t stale() const { return version_uses_.stale_uses(); }
-  // Number of instants at which a running proxy had a lease but not the document of the active version.
+  // Returns the number of observations of a running proxy that had a lease but not the document of the active
+  // version.
   std::uint64_t uses_without_document() const { return uses_without_document_; }
+  // Returns true if every proxy can act on exactly this version.
   bool ActiveEverywhere(replicated_config::Version version) const;
 
  private:
--- a/src/testing/simulation/links.h
+++ b/src/testing/simulation/links.h
@@ -1,7 +1,7 @@
-// Simulated links between proxies in virtual time: each directed pair of nodes loses, delays, reorders,
-// duplicates, corrupts or cuts what is sent over it.
+// Simulates the links between proxies in virtual time: each directed link between two nodes loses, delays,
+// reorders, duplicates or corrupts messages, or is cut.
 //
-// Deterministic for a seed; owned by one simulation. Times are spans since its start.
+// Deterministic for a seed. Times count from the start of the simulation.
 #ifndef LEMONCROFT_TESTING_SIMULATION_LINKS_H_
 #define LEMONCROFT_TESTING_SIMULATION_LINKS_H_
 
@@ -22,7 +22,7 @@
 struct LinkFaults {
   double loss = 0, duplicate = 0, garble = 0;  // probabilities
   Instant delay = std::chrono::microseconds(200), spread = std::chrono::microseconds(300);
-  double bandwidth = 0;  // bytes per second, 0: unlimited; what would wait for over a second is lost
+  double bandwidth = 0;  // bytes per second; 0: unlimited. Messages that would wait for over 1 s are lost
   bool cut = false;
 };
 
@@ -33,15 +33,15 @@
   LinkFaults& usual() { return usual_; }
   void Set(Node from, Node to, const LinkFaults& faults) { special_[{from, to}] = faults; }
   void Cut(Node from, Node to, bool cut);
-  // Partitions the nodes: those that share no side cannot reach each other. A node without a side reaches
-  // all; a node on two sides bridges them.
+  // Puts a node on a side of a partition. Nodes that share no side cannot reach each other. A node without a
+  // side reaches all nodes; a node on two sides reaches the nodes of both.
   void Side(Node node, int side) { sides_[node].insert(side); }
-  void Heal();  // removes all partitions, faults and cuts
+  void Heal();  // removes all partitions, and the faults and cuts of single links
 
   const LinkFaults& Of(Node from, Node to) const;
-  bool Open(Node from, Node to) const;                  // whether anything sent can arrive
-  void Garble(Node from, Node to, std::string& bytes);  // flips one bit with the probability of `garble`
-  // Calls `arrives(at, bytes)` for each copy that will arrive.
+  bool Open(Node from, Node to) const;                  // false if the link is cut or partitioned
+  void Garble(Node from, Node to, std::string& bytes);  // flips one bit, with probability `garble`
+  // Calls `arrives(at, bytes)` for each copy of the message that arrives.
   template <typename F>
   void Send(Instant now, Node from, Node to, const std::string& bytes, F&& arrives) {
     const LinkFaults& faults = Of(from, to);
@@ -70,7 +70,7 @@
   LinkFaults usual_;
   std::map<std::pair<Node, Node>, LinkFaults> special_;
   std::map<Node, std::set<int>> sides_;
-  std::map<std::pair<Node, Node>, Instant> free_;  // when the link has sent its backlog
+  std::map<std::pair<Node, Node>, Instant> free_;  // when the link has transmitted its backlog
 };
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/loop_stall.h
+++ b/src/testing/simulation/loop_stall.h
@@ -1,6 +1,6 @@
 // Measures how late the timers of an event loop fire while a store writes to a slow disk on its own thread.
 //
-// Contract. Runs in real time. Owner: a test or benchmark. Units: milliseconds.
+// Runs in real time. All times are in milliseconds.
 #ifndef LEMONCROFT_TESTING_SIMULATION_LOOP_STALL_H_
 #define LEMONCROFT_TESTING_SIMULATION_LOOP_STALL_H_
 
@@ -9,11 +9,11 @@
 namespace lemoncroft::simulation {
 
 struct LoopStall {
-  double longest_ms = 0;  // the latest timer
+  double longest_ms = 0;  // the greatest delay of a timer
   double p99_ms = 0;
-  double writes_ms = 0;  // all writes together, with opening the store
+  double writes_ms = 0;  // total duration of opening the store and of all writes
 };
-// Opens a store on the disk and writes this many batches, beside a timer each millisecond.
+// Opens a store on the disk and writes `writes` batches, while a timer fires every millisecond on the loop.
 LoopStall MeasureLoopStallDuringWrites(SimulatedDisk& disk, int writes);
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/peer_fleet.cpp
+++ b/src/testing/simulation/peer_fleet.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 constexpr const char* kFleet = "trial";
-constexpr Instant kStreamMessageDelay = 1ms;  // of one message of a state sync
-constexpr Instant kStreamTimeout = 2s;        // a stream that is paused for longer is given up
+constexpr Instant kStreamMessageDelay = 1ms;  // delay of one message of a state sync
+constexpr Instant kStreamTimeout = 2s;        // a stream to a process that is paused for longer is abandoned
 constexpr std::uint16_t kPort = 7100;
 }  // namespace
 
@@ -27,7 +27,7 @@
   return r.origin + Duration(static_cast<Duration::rep>(static_cast<double>(at.count()) * r.rate));
 }
 
-// Rounded up, so that no process is woken before its deadline.
+// Rounds up so that no process is woken before its deadline.
 Instant PeerFleet::TrueTime(const Running& r, Time local) const {
   return Instant(static_cast<Instant::rep>(static_cast<double>((local - r.origin).count()) / r.rate) + 1);
 }
@@ -176,8 +176,8 @@
 void PeerFleet::Handle(ScheduledEvent& h) {
   Running& r = processes_[h.process];
   if (r.view == nullptr) return;
-  if (h.kind == Kind::kStep && h.at != r.step_at) return;  // it was rescheduled
-  if (r.paused_until > now_) {                             // a paused process handles all later, in order
+  if (h.kind == Kind::kStep && h.at != r.step_at) return;  // the step was rescheduled
+  if (r.paused_until > now_) {  // a paused process handles its events later, in order
     if (h.kind == Kind::kStream && r.paused_until - now_ > kStreamTimeout) return;
     if (h.kind == Kind::kStep) r.step_at = r.paused_until;
     Schedule(r.paused_until, h.kind, h.process, h.from, std::move(h.bytes));
@@ -206,13 +206,13 @@
       if (!message) return;
       const auto* request = std::get_if<SyncRequest>(&*message);
       if (request == nullptr || other.paused_until > now_) return;
-      // The three messages of a state sync are delivered in one instant; interrupted syncs are covered by the
-      // fault tests on real sockets.
+      // The three messages of a state sync are delivered at the same time; the fault tests on real sockets
+      // cover interrupted syncs.
       const std::string answer = peer_transport::Encode(kFleet, r.view->HandleSyncRequest(local, *request));
       CountSyncSent(h.process, answer.size());
       Trace(h.process, answer);
       const auto answered = peer_transport::Decode(kFleet, answer, peer_transport::kMaxStreamMessageBytes);
-      if (!answered) break;  // longer than a stream message may be: the sync is given up
+      if (!answered) break;  // too long for a stream message: the sync is abandoned
       const SyncEntries last =
           other.view->HandleSyncResponse(LocalTime(other, now_), std::get<SyncEntries>(*answered));
       const std::string closing = peer_transport::Encode(kFleet, last);
--- a/src/testing/simulation/peer_fleet.h
+++ b/src/testing/simulation/peer_fleet.h
@@ -1,9 +1,9 @@
-// Simulates a fleet of proxies in virtual time: the MembershipView and the frames of the program on simulated
+// Simulates a fleet of proxies in virtual time: the program's MembershipView and frames run on simulated
 // links, with clocks that drift and processes that crash, pause, leave, restart and are replaced.
 //
-// Deterministic: the same seed and calls give the same trace of sent bytes. Owned by one test or benchmark.
-// Times are spans of true time since the start; each process has a clock of its own. Not simulated: processor
-// time, bandwidth, full send buffers.
+// Deterministic: the same seed and calls give the same trace of sent bytes. Times are true time since the
+// start of the simulation; each process has its own clock. Processor time, bandwidth and full send buffers
+// are not simulated.
 #ifndef LEMONCROFT_TESTING_SIMULATION_PEER_FLEET_H_
 #define LEMONCROFT_TESTING_SIMULATION_PEER_FLEET_H_
 
@@ -32,39 +32,39 @@
     gossip::Settings settings;
     double drift = 0.01;  // maximum relative error of a clock's rate
   };
-  struct ObservedEvent {  // an event of a process's view
+  struct ObservedEvent {  // an event that the view of a process reports
     Instant at{};
     Process process = 0;
     gossip::Event event;
   };
   struct SendTotals {
     std::uint64_t messages = 0, bytes = 0;
-    std::uint64_t syncs = 0, sync_bytes = 0;  // syncs initiated; bytes of all sync messages, part of `bytes`
+    std::uint64_t syncs = 0, sync_bytes = 0;  // syncs started; bytes of sync messages, also in `bytes`
   };
 
   explicit PeerFleet(const Options& options);
 
-  // Starts a process on a machine with one address; `second`: on the machine's second address, next to a
-  // running process. `seeds` are machines.
+  // Starts a process on the machine's first address or, if `second`, on its second address next to a running
+  // process. `seeds` are machines.
   Process Start(Node machine, const std::string& name, const std::vector<Node>& seeds, bool second = false);
   // Makes all running processes members of each other's views.
   void IntroduceAll();
-  // Likewise, and each has received a datagram of each other.
+  // Like IntroduceAll; in addition, each process receives a datagram from every other process.
   void IntroduceWithDirectContact();
   void Kill(Process process);
-  void Leave(Process process);  // announces it, and ends a period later
+  void Leave(Process process);  // announces that it leaves, and ends one period later
   void Pause(Process process, Instant span);
   void SetPhase(Process process, gossip::Phase phase);
   void SetAttribute(Process process, const std::string& key, const std::string& value);
   void RunTo(Instant until);
   void RunFor(Instant span) { RunTo(now_ + span); }
 
-  // Delivers bytes to a machine's first address, as from an unknown sender.
+  // Delivers bytes from an unknown sender to a machine's first address.
   void Inject(Node machine, const std::string& bytes);
 
-  // Whether all views have exactly the running processes as live members, with the same records.
+  // Returns true if the live members in every view are exactly the running processes, with the same records.
   bool Converged() const;
-  // Runs until the views converge and returns how long it took; none after `timeout`.
+  // Runs until the views converge and returns how long that took, or nullopt if `timeout` passes first.
   std::optional<Instant> ConvergeWithin(Instant timeout);
 
   Links& links() { return links_; }
@@ -79,9 +79,9 @@
   std::optional<Process> process_of(gossip::InstanceId id) const;
   std::uint64_t trace() const { return trace_; }
   gossip::Duration Period() const { return options_.settings.probe_interval; }
-  // Called for each event as it happens.
+  // Called for each event when it occurs.
   std::function<void(const ObservedEvent&)> on_event;
-  // Called with the bytes of each datagram as it is sent.
+  // Called with the bytes of each datagram when it is sent.
   std::function<void(Process, const std::string&)> on_sent;
 
  private:
@@ -91,14 +91,14 @@
     std::uint64_t order = 0;
     Kind kind = Kind::kStep;
     Process process = 0;
-    Process from = 0;  // of a stream
+    Process from = 0;  // the sender, for kStream
     std::string bytes;
     bool operator>(const ScheduledEvent& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
   struct Running {
-    std::unique_ptr<gossip::MembershipView> view;  // null: ended
+    std::unique_ptr<gossip::MembershipView> view;  // null once the process has ended
     gossip::InstanceId id = gossip::kNoInstance;
     Node machine = 0;
     gossip::PeerAddress address;
@@ -114,7 +114,7 @@
   Instant TrueTime(const Running& r, gossip::Time local) const;
   void Schedule(Instant at, Kind kind, Process process, Process from = 0, std::string bytes = {});
   void Handle(ScheduledEvent& event);
-  void DispatchOutputs(Process process);  // carries out the outputs of the view
+  void DispatchOutputs(Process process);  // processes the outputs of the view
   void CountSent(Process process, std::size_t bytes);
   void CountSyncSent(Process process, std::size_t bytes);
   void Trace(Process process, const std::string& bytes);
--- a/src/testing/simulation/processor_time.h
+++ b/src/testing/simulation/processor_time.h
@@ -1,4 +1,4 @@
-// The processor time that the calling thread has used, for measurements.
+// Measures the processor time of the calling thread.
 #ifndef LEMONCROFT_TESTING_SIMULATION_PROCESSOR_TIME_H_
 #define LEMONCROFT_TESTING_SIMULATION_PROCESSOR_TIME_H_
 
--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -7,11 +7,11 @@
 namespace lemoncroft::simulation {
 namespace {
 
-constexpr Engine kMachine = 1;       // the only machine of the engine's `Fleet`
-constexpr double kKnee = 1.5;        // threads a core past which the total falls
-constexpr double kThrash = 0.6;      // by how much at twice the knee
-constexpr double kSpill = 2.5;       // further work of a query without any memory, in times its work
-constexpr double kSwapSlowdown = 6;  // at twice the memory
+constexpr Engine kMachine = 1;       // the engine's `Fleet` has only this machine
+constexpr double kKnee = 1.5;        // threads per core above which throughput falls
+constexpr double kThrash = 0.6;      // relative slowdown at twice the threshold
+constexpr double kSpill = 2.5;       // additional work of a query without memory, relative to its work
+constexpr double kSwapSlowdown = 6;  // slowdown when twice the engine's memory is in use
 constexpr std::size_t kMaxSnapshots = 8;
 
 double Seconds(Nanos time) { return static_cast<double>(time) / 1e9; }
@@ -46,7 +46,8 @@
   resident.work = resident.plan.work * (1 + kSpill * missing);
 }
 
-// By priority and then in turn; where queries wait for memory, nobody overtakes the first in line.
+// Admits queries by priority and then by arrival. If queries queue for memory, no query overtakes the first
+// one.
 void QueryEngine::AdmitWaiting() {
   std::vector<Resident*> line;
   for (auto& [key, resident] : residents_)
--- a/src/testing/simulation/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -1,15 +1,16 @@
-// A stand-in for one query engine, in virtual time: sessions, memory, table groups and load reports on top of
+// Simulates one query engine in virtual time: sessions, memory, table groups and load reports, in addition to
 // the shared cores of `Fleet`.
 //
-// An engine takes queries up to a limit of sessions. A query needs memory while it is there; where the grants
-// pass what the engine has, it waits in line, gets what is left, or slows all down, and with less than it
-// needs it does more work. A load holds its table group: other loads of the group, and queries of classes
-// that wait for loads, stand still until it ends. A started engine grows from a part of its speed to all of
-// it. Load reports are refreshed at intervals and arrive late.
+// An engine accepts queries up to a limit of sessions. A query occupies memory while it is on the engine. If
+// the memory grants exceed the engine's memory, then, depending on the engine's policy, the query waits in a
+// queue, gets the memory that is left, or all queries slow down. A query whose grant is less than it needs
+// does more work. A load holds its table group: other loads of the group, and queries of classes that loads
+// block, do not run until it ends. A started engine ramps up from a fraction of its speed to its full speed.
+// Load reports are refreshed at intervals and arrive late.
 //
-// Deterministic; the caller's times never run backwards. What a change sets free (memory, a table group) is
-// taken up by the next call, so the caller's steps should be short. Not modelled: disks, groups kept warm, a
-// load that stops readers which already run.
+// Deterministic. The caller's times must never decrease. Resources that a change releases (memory, a table
+// group) are reassigned in the next call, so the caller's steps should be short. Disks, warm table groups,
+// and loads that stop readers which already run are not modelled.
 #ifndef LEMONCROFT_TESTING_SIMULATION_QUERY_ENGINE_H_
 #define LEMONCROFT_TESTING_SIMULATION_QUERY_ENGINE_H_
 
@@ -33,21 +34,21 @@
   MemoryShortagePolicy memory_shortage_policy = MemoryShortagePolicy::kTrim;
   bool honors_memory_grants = true;
   bool honors_priorities = true;
-  double slow_start_initial_share = 1;  // share of its speed that it has when it starts ...
-  Nanos slow_start_duration = 0;        // ... and all of it after this time
+  double slow_start_initial_share = 1;  // share of `speed` at the start
+  Nanos slow_start_duration = 0;        // time from the start until the engine has its full speed
   Nanos report_every = 0;
   Nanos report_delay = 0;
   std::vector<ReportField> report_fields;
 };
 
-// What an attempt asks of an engine.
+// The resources that an attempt needs on an engine.
 struct QueryPlan {
   Key key;
   int threads = 1;
   double work = 0;          // core-seconds
-  double memory_mb = 0;     // what it needs
-  double own_grant_mb = 0;  // what the engine grants it by its own choice
-  double grant_mb = 0;      // what its sender grants it; 0 = the engine's own choice
+  double memory_mb = 0;     // that the query needs
+  double own_grant_mb = 0;  // that the engine grants by its own estimate
+  double grant_mb = 0;      // that the sender grants; 0: own_grant_mb applies
   int priority = 1;
   std::uint32_t tables = 0;
   bool holds_tables = false;
@@ -58,23 +59,23 @@
  public:
   QueryEngine(EngineTraits traits, Nanos started_at);
 
-  bool Start(Nanos now, const QueryPlan& plan);  // false where all sessions are taken
-  bool Stop(Nanos now, const Key& key);          // false where it is not there
+  bool Start(Nanos now, const QueryPlan& plan);  // false if all sessions are in use
+  bool Stop(Nanos now, const Key& key);          // false if the attempt is not on the engine
   void SetPriority(const Key& key, int priority);
-  // Plays on to `now`; appends what ended, in order of time.
+  // Advances to `now` and appends the attempts that finished, in order of time.
   void Advance(Nanos now, std::vector<Finished>& out);
 
-  LoadReport Report(Nanos now) const;     // the newest one that has arrived by now; none at first
-  double Progress(const Key& key) const;  // share of its work that is done
+  LoadReport Report(Nanos now) const;     // the newest report that has arrived; empty before the first
+  double Progress(const Key& key) const;  // completed share of the attempt's work
   bool idle() const { return residents_.empty(); }
-  Nanos idle_since() const { return idle_since_; }  // of an idle engine
+  Nanos idle_since() const { return idle_since_; }  // valid only while the engine is idle
 
  private:
   struct Resident {
     QueryPlan plan;
-    std::uint64_t turn = 0;  // order of arrival
+    std::uint64_t turn = 0;  // arrival order
     double granted = 0;
-    double work = 0;  // with what spilling adds
+    double work = 0;  // core-seconds, including the additional work of spilling
     bool admitted = false;
     bool running = false;
   };
@@ -84,7 +85,7 @@
   };
 
   double Wanted(const QueryPlan& plan) const;
-  double Granted() const;  // memory, of all that are admitted
+  double Granted() const;  // memory granted to all admitted queries
   void AdmitWaiting();
   void Admit(Resident& resident);
   bool Blocked(const Resident& resident) const;
--- a/src/testing/simulation/raft_cluster.cpp
+++ b/src/testing/simulation/raft_cluster.cpp
@@ -105,7 +105,7 @@
   ScheduleTick(i);
 }
 
-// A disk syncs one write after the other.
+// A disk syncs its writes one after another.
 void RaftCluster::StartWrite(std::size_t i, const StorageUpdate& update) {
   Member& member = members_[i];
   const Instant begun =
@@ -119,7 +119,7 @@
   const auto [it, inserted] = committed_.try_emplace(entry.index, entry);
   if (on_committed) on_committed(i, entry);
   if (!inserted && it->second != entry)
-    violations_.push_back("two entries are committed as " + std::to_string(entry.index));
+    violations_.push_back("two different entries are committed at index " + std::to_string(entry.index));
 }
 
 void RaftCluster::SendPersisted(std::size_t i) {
@@ -168,7 +168,7 @@
   }
   std::size_t leases = 0;
   for (std::size_t k = 0; k < members_.size(); ++k) leases += HoldsLeaderLease(k);
-  if (leases > 1) violations_.push_back("two members hold the leader lease at once");
+  if (leases > 1) violations_.push_back("two members hold the leader lease at the same time");
 }
 
 // ---- Events ----
@@ -187,7 +187,7 @@
   switch (event.kind) {
     case EventKind::kTick:
       if (member.raft->NextDeadline() > LocalTime(member))
-        return;  // there is another event for the new deadline
+        return;  // another event is scheduled for the new deadline
       member.raft->Tick(LocalTime(member));
       break;
     case EventKind::kMessage:
--- a/src/testing/simulation/raft_cluster.h
+++ b/src/testing/simulation/raft_cluster.h
@@ -1,9 +1,9 @@
-// A Raft cluster in virtual time: the real state machines, on simulated links, with clocks that run at
-// different rates, and with disks that take time and lose what was not synced.
+// Simulates a Raft cluster in virtual time: the real state machines run on simulated links, with clocks that
+// run at different rates, and with disks that need time to sync and lose unsynced writes.
 //
-// Contract. Deterministic for a seed. After every step it checks the invariants: one leader in a term, one
-// entry committed at an index, one holder of the leader lease at a time. Owner: one test or benchmark. Units:
-// Instant is true time; raft::Time is a member's own clock.
+// Deterministic for a seed. After every step the cluster checks its invariants: at most one leader in a term,
+// one entry committed at an index, and one holder of the leader lease at a time. An Instant is true time; a
+// raft::Time is the time of a member's own clock.
 #ifndef LEMONCROFT_TESTING_SIMULATION_RAFT_CLUSTER_H_
 #define LEMONCROFT_TESTING_SIMULATION_RAFT_CLUSTER_H_
 
@@ -26,11 +26,11 @@
   struct Plan {
     std::uint64_t seed = 1;
     std::size_t members = 3;
-    std::size_t initial_voters = 3;  // the first of the members
+    std::size_t initial_voters = 3;  // the first members are the voters
     raft::Options options;
-    double max_clock_drift = 0.005;                        // of each clock's rate from true time's
+    double max_clock_drift = 0.005;                        // maximum relative error of a clock's rate
     Instant sync_duration = std::chrono::milliseconds(2);  // of each disk
-    bool lose_synced_writes = false;                       // the disks report syncs that they don't do
+    bool lose_synced_writes = false;  // the disks report syncs without storing the writes
   };
 
   explicit RaftCluster(const Plan& plan);
@@ -41,7 +41,7 @@
   // ---- Faults ----
   void Crash(std::size_t i);
   void Restart(std::size_t i);
-  // The member's process does nothing for this long; its disk goes on.
+  // Suspends the member's process for `duration`. Its disk continues to sync.
   void Stall(std::size_t i, Instant duration);
   void SlowDisk(std::size_t i, Instant sync_duration) { members_[i].sync_duration = sync_duration; }
   Links& links() { return links_; }
@@ -52,19 +52,20 @@
   Instant now() const { return now_; }
   raft::Time LocalNow(std::size_t i) const { return LocalTime(members_[i]); }
 
-  // ---- Calls of a member, which must be running ----
+  // ---- Calls to a member, which must be running ----
   raft::ProposalResult Propose(std::size_t i, const std::string& data);
   raft::ProposalResult ChangeVoters(std::size_t i, const std::string& id, bool add);
   void TransferLeadership(std::size_t i);
   void Compact(std::size_t i);
 
   // ---- State ----
-  // The first member that holds the leader lease.
+  // Returns the first member that holds the leader lease.
   std::optional<std::size_t> Leader() const;
-  bool HoldsLeaderLease(std::size_t i) const;  // by its own clock
+  bool HoldsLeaderLease(std::size_t i) const;  // by the member's own clock
   bool IsRunning(std::size_t i) const { return members_[i].raft != nullptr; }
   const raft::Raft& raft(std::size_t i) const { return *members_[i].raft; }
-  // Called for each entry that a member delivers as committed; again from its snapshot on after a restart.
+  // Called for each entry that a member delivers as committed. After a restart a member delivers the entries
+  // that follow its snapshot again.
   std::function<void(std::size_t, const raft::Entry&)> on_committed;
   const std::vector<std::string>& violations() const { return violations_; }  // of the invariants
   const std::map<raft::Index, raft::Entry>& committed() const { return committed_; }
@@ -76,10 +77,10 @@
     raft::StorageUpdate update;
   };
   struct Member {
-    std::unique_ptr<raft::Raft> raft;  // null: crashed
+    std::unique_ptr<raft::Raft> raft;  // null while the member is crashed
     raft::PersistentState persistent;
     std::vector<PendingWrite> pending_writes;  // in order
-    std::vector<raft::SendMessage> unsent;     // wait for pending writes
+    std::vector<raft::SendMessage> unsent;     // messages that wait for pending writes
     std::uint64_t persisted_sequence = 0;
     double clock_rate = 1;
     raft::Time clock_origin{};
@@ -89,7 +90,7 @@
   enum class EventKind { kTick, kMessage, kSynced };
   struct Event {
     Instant at{};
-    std::uint64_t order = 0;  // among events at the same time
+    std::uint64_t order = 0;  // orders events at the same time
     std::size_t member = 0;
     std::uint64_t incarnation = 0;  // of the member; ignored for a message, which outlives a restart
     EventKind kind = EventKind::kTick;
@@ -120,7 +121,7 @@
   std::vector<std::string> violations_;
 };
 
-// Applies a storage update to what is durable, as a voter's store does.
+// Applies a storage update to the durable state, as a voter's store does.
 void ApplyUpdate(const raft::StorageUpdate& update, raft::PersistentState& persistent);
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/simulated_disk.h
+++ b/src/testing/simulation/simulated_disk.h
@@ -1,9 +1,10 @@
-// A simulated disk as an SQLite VFS: it keeps what was synced; a crash drops, reorders and tears what was
-// not. It can be full, slow, or fail from a given operation on.
+// A simulated disk as an SQLite VFS. It retains synced writes; a crash drops, reorders and tears unsynced
+// writes. The disk can be full or slow, or fail from a given operation on.
 //
-// Contract. Deterministic for a seed. Registers a VFS under a unique name while it lives; databases on it
-// must be closed before it is destroyed. Not modelled: directories, several processes. Owner: one test or
-// benchmark. Units: bytes; operations (writes, truncations, syncs, creations and removals of files).
+// Deterministic for a seed. A SimulatedDisk registers a VFS under a unique name for its lifetime; databases
+// on it must be closed before it is destroyed. Directories and access by several processes are not modelled.
+// Sizes are in bytes. The counted operations are writes, truncations, syncs, and the creation and removal of
+// files.
 #ifndef LEMONCROFT_TESTING_SIMULATION_SIMULATED_DISK_H_
 #define LEMONCROFT_TESTING_SIMULATION_SIMULATED_DISK_H_
 
@@ -26,23 +27,23 @@
 
   const char* name() const { return name_.c_str(); }  // for Database::Options::vfs_name
   std::uint64_t operations() const { return operations_; }
-  // From this operation on (counted from 1) all fail without an effect, as if the machine had lost power.
+  // All operations from this one on (counted from 1) fail without effect, as if the machine had lost power.
   void FailFromOperation(std::uint64_t operation) { fail_from_ = operation; }
-  // Writes that do not fit fail with SQLITE_FULL.
+  // Writes that would exceed the capacity fail with SQLITE_FULL.
   void set_capacity(std::uint64_t bytes) { capacity_ = bytes; }
-  // Real time that each sync blocks.
+  // Sets the real time for which each sync blocks.
   void set_sync_duration(std::chrono::milliseconds duration) { sync_duration_ = duration; }
   std::chrono::milliseconds sync_duration() const { return sync_duration_; }
-  // Leaves the files as after a restart: of the writes that were not synced a random subset, in random order,
-  // the last one torn. Clears the failure and the capacity.
+  // Puts the files in the state that a restart after a crash would find: a random subset of the unsynced
+  // writes is applied in random order, and the last of them is torn. Clears the failure and the capacity.
   void Crash(std::uint64_t seed);
   void FlipBit(const std::string& file, std::size_t bit);
   std::size_t SizeOf(const std::string& file) const;
 
   struct File {
-    std::string current;  // as a reader sees it
+    std::string current;  // the contents that a reader sees
     std::string synced;
-    struct PendingWrite {  // or a truncation to `offset`
+    struct PendingWrite {  // if `truncate`, a truncation to `offset`
       std::size_t offset = 0;
       std::string bytes;
       bool truncate = false;
@@ -50,7 +51,7 @@
     std::vector<PendingWrite> unsynced;
   };
   // ---- For the VFS functions ----
-  // Counts an operation; false if it must fail.
+  // Counts an operation. Returns false if the operation must fail.
   bool BeginOperation();
   bool Fits(std::uint64_t more_bytes) const;
   std::map<std::string, std::shared_ptr<File>>& files() { return files_; }
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -17,29 +17,29 @@
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1000 * kMs;
-constexpr Nanos kStart = 1000 * kSecond;            // of the day, on the deciders' clock
-constexpr Nanos kLongAgo = 0;                       // when the engines started that are warm from the first
-constexpr Nanos kAttemptDeadlineMargin = 30 * kMs;  // before its client gives up, an attempt is over
+constexpr Nanos kStart = 1000 * kSecond;  // start of the day on the deciders' clock
+constexpr Nanos kLongAgo = 0;             // start time of the engines that are warm from the beginning
+constexpr Nanos kAttemptDeadlineMargin = 30 * kMs;  // an attempt ends this long before the client's deadline
 constexpr Nanos kIdleCheckInterval = 100 * kMs;
-constexpr Nanos kMaxListDelay = 500 * kMs;  // by which a change of the list reaches a gateway
-constexpr Nanos kDrainAt = 10 * kSecond;    // one engine drains ...
-constexpr Nanos kGoneAt = 15 * kSecond;     // ... ends ...
-constexpr Nanos kBackAt = 17 * kSecond;     // ... and starts again, cold
+constexpr Nanos kMaxListDelay = 500 * kMs;  // until a change of the endpoint list reaches every gateway
+constexpr Nanos kDrainAt = 10 * kSecond;    // one engine begins to drain
+constexpr Nanos kGoneAt = 15 * kSecond;     // the engine is removed
+constexpr Nanos kBackAt = 17 * kSecond;     // the engine starts again, cold
 constexpr Nanos kReportsStopAt = 10 * kSecond;
-constexpr double kWorkDeviation = 0.7;                 // deviation of the log
-constexpr double kMemoryDeviation = 0.4;               // likewise
-constexpr double kGoodEstimateDeviation = 0.1;         // of the log of good estimates
-constexpr double kRoughWorkEstimateDeviation = 0.6;    // of rough ones of work ...
-constexpr double kRoughMemoryEstimateDeviation = 0.3;  // ... and of memory
-constexpr double kGrantMargin = 1.25;                  // an engine's own grant over the estimate ...
-constexpr double kDefaultGrantFactor = 1.5;            // ... or, with none, over what the class usually needs
-constexpr double kAbandonedShare = 0.005;              // share of requests whose client goes away early
-constexpr std::uint32_t kMinTableGroups = 16;          // table groups
-constexpr double kLoadsPerTableGroup = 0.2;            // loads of one group that run at a time, in the mean
-constexpr double kDiscardedWork = 0.001;               // core-seconds of a repeat that an engine discards
-constexpr double kProgressNoise = 0.2;                 // of a progress note
-
-// Faults of an attempt, each with its share of all attempts.
+constexpr double kWorkDeviation = 0.7;                 // standard deviation of the logarithm of the work
+constexpr double kMemoryDeviation = 0.4;               // likewise, of the memory
+constexpr double kGoodEstimateDeviation = 0.1;         // likewise, of good estimates
+constexpr double kRoughWorkEstimateDeviation = 0.6;    // likewise, of rough estimates of the work
+constexpr double kRoughMemoryEstimateDeviation = 0.3;  // likewise, of rough estimates of the memory
+constexpr double kGrantMargin = 1.25;                  // ratio of an engine's own grant to the estimate
+constexpr double kDefaultGrantFactor = 1.5;  // ratio of the grant to the class's mean, without an estimate
+constexpr double kAbandonedShare = 0.005;    // share of requests whose client cancels early
+constexpr std::uint32_t kMinTableGroups = 16;
+constexpr double kLoadsPerTableGroup = 0.2;  // mean number of concurrent loads of a table group
+constexpr double kDiscardedWork = 0.001;     // core-seconds of a repeated attempt that an engine discards
+constexpr double kProgressNoise = 0.2;       // maximum relative error of a progress notice
+
+// A fault of an attempt. FaultShare gives its share of all attempts.
 enum class Fault { kNone, kError, kReset, kConnectFailed, kSilent, kLost };
 struct FaultShare {
   Fault fault;
@@ -59,7 +59,7 @@
 
 double Uniform(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
 
-// The same for the same attempt, whoever decides.
+// Returns the fault of an attempt. It is the same for every decider.
 Fault FaultOf(RequestId id, int attempt) {
   double pick = Uniform(subset::Mix(subset::Mix(id) + static_cast<std::uint64_t>(attempt)));
   for (const FaultShare& f : kFaults) {
@@ -117,13 +117,13 @@
     double memory_mb = 0;
     ResourceGrant grant;
     std::vector<Attempt> attempts;
-    bool over = false;  // answered, or nobody waits any more
+    bool over = false;  // it has a response, or its client has left
   };
 
-  // ---- The cast ----
+  // ---- Setup ----
 
   void ChooseTableGroups() {
-    double loads = 0;  // that run at a time
+    double loads = 0;  // mean number of concurrent loads
     for (std::size_t i = 0; i < site_.traffic.size(); ++i) {
       const ClassTraffic& t = site_.traffic[i];
       const ClassSettings& c = site_.settings.classes[i];
@@ -154,7 +154,7 @@
     return longest;
   }
 
-  // ---- One engine drains, ends and starts again ----
+  // ---- The engine that restarts ----
 
   void PlanRestart() {
     Schedule(kStart + kDrainAt, [this] { Announce(Readiness::kDraining, 0); });
@@ -300,7 +300,7 @@
     Finish(id);
   }
 
-  // What is still out is given up, as a proxy does.
+  // Cancels the attempts that are still in flight, as a proxy does.
   void Finish(RequestId id) {
     ActiveRequest& active = requests_.at(id);
     active.over = true;
@@ -308,7 +308,7 @@
     for (std::size_t n = 0; n < active.attempts.size(); ++n)
       if (active.attempts[n].in_flight) out.push_back(static_cast<int>(n));
     for (const int number : out)
-      EndAttempt(id, number, Outcome::kCancelled);  // the last one forgets the request
+      EndAttempt(id, number, Outcome::kCancelled);  // the last one erases the request
     ForgetIfOver(id);
   }
 
@@ -417,7 +417,7 @@
     });
   }
 
-  // Not drawn from the clients' generator: the clients are the same whoever decides.
+  // Does not use the clients' generator, so that the clients behave the same with every decider.
   double NoticeDraw(RequestId id, int number) const {
     return Uniform(subset::Mix(subset::Mix(id * 64 + static_cast<std::uint64_t>(number)) ^
                                static_cast<std::uint64_t>(now_)));
@@ -467,7 +467,7 @@
     });
   }
 
-  void CarryOut(int, const auto&) {}  // the list is told anyway; lines of the log
+  void CarryOut(int, const auto&) {}  // other actions, such as log lines, have no effect here
 
   LoadReport ReportOf(EngineId engine, bool probe) const {
     const bool stopped = site_.reports == ReportWay::kStops && now_ > kStart + kReportsStopAt;
@@ -532,15 +532,15 @@
   const Site& site_;
   Nanos length_ = 0;
   Nanos now_ = kStart;
-  std::mt19937_64 random_;  // the clients'
+  std::mt19937_64 random_;  // draws the clients' requests
   SiteInvariantChecker checker_;
-  std::vector<std::unique_ptr<QueryEngine>> engines_;  // engine number i + 1
+  std::vector<std::unique_ptr<QueryEngine>> engines_;  // element i is engine i + 1
   std::vector<Proxy> gateways_;
   std::multimap<Nanos, std::function<void()>> timeline_;
   std::map<RequestId, ActiveRequest> requests_;
   RequestId next_id_ = 1;
   std::uint32_t table_groups_ = kMinTableGroups;
-  bool restarted_engine_up_ = true;  // the engine that restarts
+  bool restarted_engine_up_ = true;  // state of the engine that restarts
   DayResult result_;
 };
 
@@ -550,11 +550,11 @@
   std::string text;
   for (std::size_t i = 0; i < classes.size(); ++i) {
     const ClassResult& c = classes[i];
-    text += "class " + std::to_string(i) + ": " + std::to_string(c.submitted) + " taken, in time " +
-            std::to_string(c.InTimeShare()).substr(0, 5) + ", late " + std::to_string(c.late) + ", refused " +
-            std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) + ", withdrawn " +
-            std::to_string(c.abandoned) + ", attempts " + std::to_string(c.attempts) + ", cancels " +
-            std::to_string(c.cancels) + "; ";
+    text += "class " + std::to_string(i) + ": " + std::to_string(c.submitted) + " submitted, in time " +
+            std::to_string(c.InTimeShare()).substr(0, 5) + ", late " + std::to_string(c.late) +
+            ", rejected " + std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) +
+            ", abandoned " + std::to_string(c.abandoned) + ", attempts " + std::to_string(c.attempts) +
+            ", cancels " + std::to_string(c.cancels) + "; ";
   }
   return text + "probes " + std::to_string(probes);
 }
--- a/src/testing/simulation/site_day.h
+++ b/src/testing/simulation/site_day.h
@@ -1,8 +1,8 @@
-// Simulates a day of a site in virtual time: clients, several deciders next to each other, emulated engines
-// between them, and the SiteInvariantChecker over all.
+// Simulates a day of a site in virtual time: clients, several gateways that share simulated engines, and a
+// SiteInvariantChecker that observes them.
 //
-// Deterministic by the site and the seed. The same requests arrive, and the same attempts meet the same
-// faults, whichever decider runs.
+// Deterministic for the site and the seed. The same requests arrive, and the same attempts are subject to the
+// same faults, whichever decider runs.
 #ifndef LEMONCROFT_TESTING_SIMULATION_SITE_DAY_H_
 #define LEMONCROFT_TESTING_SIMULATION_SITE_DAY_H_
 
@@ -21,7 +21,7 @@
   int submitted = 0;
   int abandoned = 0;
   int in_time = 0;  // served within the latency objective
-  int late = 0;     // served after it
+  int late = 0;     // served after the latency objective
   int rejected = 0;
   int failed = 0;
   int attempts = 0;
@@ -32,9 +32,9 @@
 struct DayResult {
   std::vector<ClassResult> classes;
   std::size_t violation_count = 0;
-  std::vector<std::string> violations;  // the first of them
+  std::vector<std::string> violations;  // the first violations
   int probes = 0;
-  std::string Describe() const;  // the classes' figures, on one line
+  std::string Describe() const;  // the results of all classes, on one line
 };
 
 DayResult SimulateDay(const Site& site, Nanos length, std::uint64_t seed, const DeciderFactory& decider);
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -8,14 +8,14 @@
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1000 * kMs;
 constexpr std::size_t kMaxViolationsKept = 12;
-constexpr Nanos kMaxIdleWait = 2 * kSecond;  // that a request may wait while an engine for it is idle
-constexpr Nanos kAnswerSlack = 10 * kMs;     // two ticks past the deadline
+constexpr Nanos kMaxIdleWait = 2 * kSecond;  // of a request while an engine that may run it is idle
+constexpr Nanos kAnswerSlack = 10 * kMs;     // two ticks after the deadline
 
 bool MayHaveRun(Outcome outcome) {
   return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
 
-// Whether it ended is not known: a key rests after it.
+// Returns true if the attempt may still run on its engine, so that its ordering key must pause.
 bool MayStillRun(Outcome outcome) {
   return outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kCancelled;
 }
@@ -44,7 +44,7 @@
                                                                        const char* what) {
   const auto it = requests_.find(id);
   if (it != requests_.end()) return &it->second;
-  AddViolation(now, id, std::string(what) + " for a request that is over or was never taken");
+  AddViolation(now, id, std::string(what) + " for a request that has ended or was never submitted");
   return nullptr;
 }
 
@@ -74,7 +74,7 @@
 void SiteInvariantChecker::Sent(Nanos now, const Send& send) {
   ActiveRequest* active = FindRequest(now, send.id, "an attempt");
   if (active == nullptr) return;
-  if (active->has_response) AddViolation(now, send.id, "an attempt after the answer");
+  if (active->has_response) AddViolation(now, send.id, "an attempt after the response");
   CheckAttempts(now, *active);
   CheckRepeat(now, *active, send.engine);
   CheckOrder(now, *active);
@@ -87,7 +87,7 @@
   const auto most = static_cast<std::size_t>(std::max(1, site_.settings.max_attempts));
   if (active.attempts.size() >= most) AddViolation(now, active.request.id, "more attempts than allowed");
   if (!site_.settings.may_hedge && active.HasAttemptInFlight())
-    AddViolation(now, active.request.id, "two attempts out at once");
+    AddViolation(now, active.request.id, "two attempts in flight at once without hedging");
 }
 
 void SiteInvariantChecker::CheckRepeat(Nanos now, const ActiveRequest& active, EngineId engine) {
@@ -96,11 +96,11 @@
   for (const Attempt& before : active.attempts) {
     if (!before.may_have_run) continue;
     if (c.effect == Effect::kUnsafe)
-      return AddViolation(now, active.request.id, "a repeat of an unsafe request");
+      return AddViolation(now, active.request.id, "a repeat of an unsafe request that may have run");
     if (now > before.sent_at + c.repeat_window)
-      return AddViolation(now, active.request.id, "a keyed repeat past its window");
+      return AddViolation(now, active.request.id, "a repeat of a keyed request after its repeat window");
     if (!SameGroup(active, before.engine, engine))
-      return AddViolation(now, active.request.id, "a keyed repeat outside of its group");
+      return AddViolation(now, active.request.id, "a repeat of a keyed request outside its repeat group");
   }
 }
 
@@ -118,19 +118,22 @@
   const KeyQueue& line =
       gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
   if (line.order.empty() || line.order.front() != active.request.id)
-    AddViolation(now, active.request.id, "an attempt before the one ahead of it in its key's order is over");
-  if (now < line.settle_until) AddViolation(now, active.request.id, "an attempt while its key rests");
+    AddViolation(now, active.request.id,
+                 "an attempt before an earlier request with the same ordering key has ended");
+  if (now < line.settle_until)
+    AddViolation(now, active.request.id, "an attempt during the pause of its ordering key");
 }
 
 void SiteInvariantChecker::CheckPlace(Nanos now, const ActiveRequest& active, EngineId engine) {
   const std::vector<EngineId>& allowed = site_.may_take[active.request.class_id];
   if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end())
-    AddViolation(now, active.request.id, "an engine that the class's placement forbids");
+    AddViolation(now, active.request.id, "an attempt on an engine that the placement of the class forbids");
   const GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
-  if (!state.listed.contains(engine)) AddViolation(now, active.request.id, "an engine that is not listed");
+  if (!state.listed.contains(engine))
+    AddViolation(now, active.request.id, "an attempt on an engine that is not listed");
   const auto barred = state.barred_since.find(engine);
   if (barred != state.barred_since.end() && now > barred->second + site_.settings.drain_grace)
-    AddViolation(now, active.request.id, "an engine that drains or is gone");
+    AddViolation(now, active.request.id, "an attempt on an engine that is draining or removed");
 }
 
 std::size_t SiteInvariantChecker::BudgetLeft(Nanos now, GatewayState& gateway) const {
@@ -146,7 +149,8 @@
 void SiteInvariantChecker::CheckBudget(Nanos now, const ActiveRequest& active) {
   if (!site_.settings.retry_budget) return;
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
-  if (BudgetLeft(now, state) == 0) AddViolation(now, active.request.id, "a further attempt past the budget");
+  if (BudgetLeft(now, state) == 0)
+    AddViolation(now, active.request.id, "a further attempt beyond the retry budget");
   state.retries.push_back(now);
 }
 
@@ -179,16 +183,16 @@
 }
 
 void SiteInvariantChecker::Cancelled(Nanos now, const Cancel& cancel) {
-  if (!site_.settings.may_cancel) AddViolation(now, cancel.id, "a cancel that is not allowed");
+  if (!site_.settings.may_cancel) AddViolation(now, cancel.id, "a cancellation that the settings forbid");
   const auto it = requests_.find(cancel.id);
-  if (it == requests_.end()) return;  // over in the meantime
+  if (it == requests_.end()) return;  // the request has ended meanwhile
   const auto attempts = static_cast<int>(it->second.attempts.size());
   if (cancel.attempt < 0 || cancel.attempt >= attempts)
-    AddViolation(now, cancel.id, "a cancel of no attempt");
+    AddViolation(now, cancel.id, "a cancellation of an attempt that does not exist");
 }
 
 void SiteInvariantChecker::Probed(Nanos now, const Probe&) {
-  if (!site_.settings.may_probe) AddViolation(now, 0, "a probe that is not allowed");
+  if (!site_.settings.may_probe) AddViolation(now, 0, "a probe that the settings forbid");
 }
 
 void SiteInvariantChecker::Granted(Nanos now, const ResourceGrant& grant) {
@@ -196,30 +200,30 @@
 }
 
 void SiteInvariantChecker::RecordResponse(Nanos now, RequestId id, ActiveRequest& active) {
-  if (active.has_response) return AddViolation(now, id, "a second answer");
+  if (active.has_response) return AddViolation(now, id, "a second response");
   active.has_response = true;
-  if (now > active.deadline + kAnswerSlack) AddViolation(now, id, "an answer past the deadline");
+  if (now > active.deadline + kAnswerSlack) AddViolation(now, id, "a response after the deadline");
   open_.erase(id);
 }
 
 void SiteInvariantChecker::Served(Nanos now, RequestId id) {
-  if (ActiveRequest* active = FindRequest(now, id, "served"); active != nullptr) {
+  if (ActiveRequest* active = FindRequest(now, id, "a served response"); active != nullptr) {
     RecordResponse(now, id, *active);
     ForgetIfOver(now, id);
   }
 }
 
 void SiteInvariantChecker::Rejected(Nanos now, const RejectRequest& rejection) {
-  ActiveRequest* active = FindRequest(now, rejection.id, "a refusal");
+  ActiveRequest* active = FindRequest(now, rejection.id, "a rejection");
   if (active == nullptr) return;
   const bool may_have_run = std::any_of(active->attempts.begin(), active->attempts.end(),
                                         [](const Attempt& a) { return a.may_have_run; });
   if (Class(*active).effect != Effect::kSafe && may_have_run)
-    AddViolation(now, rejection.id, "a refusal where the request may have run");
+    AddViolation(now, rejection.id, "a rejection of a request that may have run");
   if (rejection.retry_after > 0 && !site_.settings.may_send_retry_after)
-    AddViolation(now, rejection.id, "advice that is not allowed");
+    AddViolation(now, rejection.id, "a retry-after that the settings forbid");
   if (rejection.retry_after > site_.settings.max_retry_after)
-    AddViolation(now, rejection.id, "advice past the longest");
+    AddViolation(now, rejection.id, "a retry-after beyond the maximum");
   RecordResponse(now, rejection.id, *active);
   ForgetIfOver(now, rejection.id);
 }
@@ -241,11 +245,11 @@
 
 void SiteInvariantChecker::TimedOut(Nanos now, RequestId id) {
   if (!open_.contains(id)) return;
-  AddViolation(now, id, "no answer by the deadline");
+  AddViolation(now, id, "no response by the deadline");
   Abandoned(now, id);
 }
 
-// Whether a rule holds the request back.
+// Returns true if the ordering key or the retry budget prevents an attempt.
 bool SiteInvariantChecker::IsHeldBack(Nanos now, const ActiveRequest& active) {
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
   if (Ordered(active) && state.keys[active.request.ordering_key].order.front() != active.request.id)
@@ -280,7 +284,7 @@
       if (now - engine.since <= kMaxIdleWait || !MayRunOn(now, active, engine.engine)) continue;
       if (std::find(out.begin(), out.end(), engine.engine) != out.end()) continue;
       active.idle_reported = true;
-      AddViolation(now, id, "it waits while engine " + std::to_string(engine.engine) + " is idle");
+      AddViolation(now, id, "a request waits while engine " + std::to_string(engine.engine) + " is idle");
       break;
     }
   }
--- a/src/testing/simulation/site_invariant_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -1,7 +1,7 @@
-// Checks the invariants of a simulated site from the outside: it observes every request, attempt, response
-// and endpoint list of its gateways, and records a line of text for each violation.
+// Checks the invariants of a simulated site from outside the gateways. It observes every request, attempt,
+// response and endpoint list of the gateways and records a line of text for each violation.
 //
-// Contract: deterministic; the caller's times never decrease. It changes nothing that it observes.
+// Deterministic. The caller's times must never decrease.
 #ifndef LEMONCROFT_TESTING_SIMULATION_SITE_INVARIANT_CHECKER_H_
 #define LEMONCROFT_TESTING_SIMULATION_SITE_INVARIANT_CHECKER_H_
 
@@ -18,7 +18,7 @@
 
 namespace lemoncroft::simulation {
 
-// How an engine has been for the check that nothing waits while engines idle.
+// An idle engine and the time since which it has been idle.
 struct IdleEngine {
   EngineId engine = 0;
   Nanos since = 0;
@@ -39,16 +39,17 @@
   void Rejected(Nanos now, const RejectRequest& rejection);
   void Failed(Nanos now, const FailRequest& fail);
   void Abandoned(Nanos now, RequestId id);
-  // The client has waited to the end: from now on nobody waits for an answer.
+  // Reports that the client's timeout has passed: the client no longer waits for a response.
   void TimedOut(Nanos now, RequestId id);
-  // `avoided`: for each gateway, the engines that it leaves out for a while by its own choice.
+  // Checks that no request waits while an engine that may run it is idle. `avoided` contains, for each
+  // gateway, the engines that the gateway itself has excluded temporarily.
   void CheckIdle(Nanos now, const std::vector<IdleEngine>& idle,
                  const std::vector<std::vector<EngineId>>& avoided);
 
   bool Open(RequestId id) const { return open_.contains(id); }
   std::size_t open() const { return open_.size(); }
   std::size_t count() const { return count_; }
-  const std::vector<std::string>& violations() const { return violations_; }  // the first of them
+  const std::vector<std::string>& violations() const { return violations_; }  // the first violations
 
  private:
   struct Attempt {
@@ -73,7 +74,7 @@
   };
   struct GatewayState {
     std::map<EngineId, EngineEntry> listed;
-    std::map<EngineId, Nanos> barred_since;  // told to drain or gone
+    std::map<EngineId, Nanos> barred_since;  // start of the time in which it is not ready
     std::deque<Nanos> submitted, retries;
     std::map<std::uint64_t, KeyQueue> keys;
   };
@@ -87,7 +88,7 @@
     return Class(active).in_order && active.request.ordering_key != 0;
   }
   void RecordResponse(Nanos now, RequestId id, ActiveRequest& active);
-  void ForgetIfOver(Nanos now, RequestId id);  // if it has a response and no attempt in flight
+  void ForgetIfOver(Nanos now, RequestId id);  // if the request has a response and no attempt in flight
   bool SameGroup(const ActiveRequest& active, EngineId a, EngineId b) const;
   std::size_t BudgetLeft(Nanos now, GatewayState& gateway) const;
   void CheckAttempts(Nanos now, const ActiveRequest& active);
@@ -100,8 +101,8 @@
 
   const Site& site_;
   std::vector<GatewayState> gateways_;
-  std::map<RequestId, ActiveRequest> requests_;  // until no attempt of them is in flight
-  std::map<RequestId, int> open_;                // submitted and without a response; their gateways
+  std::map<RequestId, ActiveRequest> requests_;  // until they have a response and no attempt in flight
+  std::map<RequestId, int> open_;                // requests without a response, and their gateways
   std::size_t count_ = 0;
   std::vector<std::string> violations_;
 };
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -11,25 +11,25 @@
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1000 * kMs;
-constexpr int kCandidates = 20;     // shapes tried for each that is taken
-constexpr double kKeyLoad = 0.1;    // share of the time that a key's requests are under way
-constexpr double kMemoryUse = 0.4;  // of an engine's memory at full load
+constexpr int kCandidates = 20;     // candidates for each shape that is chosen
+constexpr double kKeyLoad = 0.1;    // share of the time during which requests of an ordering key run
+constexpr double kMemoryUse = 0.4;  // mean share of an engine's memory in use at full load
 constexpr double kMemoryPerCoreMb = 2048;
-constexpr double kWorkBiasMost = 1.3;    // powers of two by which a class's rough estimates may lie
-constexpr double kMemoryBiasMost = 0.5;  // likewise
-constexpr double kQuotaMargin = 2;       // a tenant's quota over its mean rate
-constexpr double kRestartMost = 0.25;    // share of what a class may use that one engine may be to restart
+constexpr double kWorkBiasMost = 1.3;    // maximum of |log2| of the ratio of rough estimates to the work
+constexpr double kMemoryBiasMost = 0.5;  // likewise, to the memory
+constexpr double kQuotaMargin = 2;       // ratio of a tenant's quota to its mean rate
+constexpr double kRestartMost = 0.25;    // maximum share of the restarting engine in a class's cores
 constexpr int kPlacedPerCell = 2;        // engines of a zone in one cell
 
 const std::vector<DimensionInfo>& Table() {
   static const std::vector<DimensionInfo> kTable = {
       {"mix", {"one class", "light and heavy", "three classes"}},
-      {"marked class", {"lightest", "heaviest"}},  // the one that order, effect and placement are about
+      {"marked class", {"lightest", "heaviest"}},  // the class that order, effect and placement apply to
       {"order", {"none", "by key"}},
       {"effect", {"safe", "keyed", "unsafe"}},
       {"repeat group", {"all", "zone", "cell"}},
       {"bound", {"none", "zone", "kind"}},
-      {"loads", {"none", "loads", "loads block readers"}},  // the heaviest class
+      {"loads", {"none", "loads", "loads block readers"}},  // of the heaviest class
       {"attempt budget", {"none", "present"}},
       {"second copies", {"not allowed", "allowed"}},
       {"retry advice", {"not allowed", "allowed"}},
@@ -63,7 +63,7 @@
     return dimension != other.dimension ? dimension < other.dimension : value < other.value;
   }
 };
-using Pair = std::pair<Choice, Choice>;  // that of the lower dimension first
+using Pair = std::pair<Choice, Choice>;  // the choice of the lower dimension comes first
 
 Pair Ordered(Choice a, Choice b) { return a.dimension < b.dimension ? Pair{a, b} : Pair{b, a}; }
 
@@ -81,7 +81,8 @@
       chosen.begin(), chosen.end(), [&](Choice other) { return open.contains(Ordered(other, next)); }));
 }
 
-// One shape that starts with an open pair; each further dimension takes the value that closes most pairs.
+// Returns one shape that starts with an open pair; each further dimension takes the value that closes the
+// most pairs.
 std::vector<Choice> Candidate(const std::set<Pair>& open, std::mt19937_64& random) {
   const Pair start = *std::next(open.begin(), static_cast<std::ptrdiff_t>(random() % open.size()));
   std::vector<Choice> chosen = {start.first, start.second};
@@ -119,7 +120,7 @@
   Nanos latency_objective;
   Nanos deadline;
   double priority_weight;
-  double memory;  // against the other classes
+  double memory;  // relative to the other classes
 };
 
 std::vector<ClassPlan> Mix(const SiteShape& shape) {
@@ -216,7 +217,7 @@
     entry.engine = static_cast<EngineId>(i + 1);
     entry.zone = static_cast<std::uint16_t>(i % zones);
     entry.kind = i % 3 == 0 ? 1 : 0;
-    const int placed = i / zones / kPlacedPerCell;  // within its zone
+    const int placed = i / zones / kPlacedPerCell;  // number of the cell within its zone
     entry.cell = static_cast<std::uint16_t>(placed * zones + entry.zone);
     site.engines.push_back(entry);
     EngineTraits traits;
@@ -253,10 +254,11 @@
   return sum;
 }
 
-// Memory by Little's law: at full load the queries that run need the usual share of it in the mean.
+// The memory of a class follows from Little's law: at full load the running queries need, on average,
+// kMemoryUse of an engine's memory.
 void AddTraffic(Site& site, std::mt19937_64& random) {
   const std::vector<ClassPlan> mix = Mix(site.shape);
-  double work = 0, memory = 0;  // of a mean request, the memory times how long it is needed
+  double work = 0, memory = 0;  // of a mean request: work, and memory times run time
   for (const ClassPlan& plan : mix) {
     work += plan.share * plan.work;
     memory += plan.share * plan.work / plan.threads * plan.memory;
@@ -273,8 +275,8 @@
   }
 }
 
-// Work that one request a second brings to each core of an engine, where every class is spread over the
-// engines that may take it by their cores.
+// Returns the work that one request per second causes on each core of an engine if every class is spread over
+// the engines that it may use, in proportion to their cores.
 double WorkPerCore(const Site& site, EngineId engine) {
   double sum = 0;
   for (std::size_t i = 0; i < site.traffic.size(); ++i) {
@@ -285,7 +287,7 @@
   return sum;
 }
 
-// `load` is that of the busiest engine.
+// `load` is the load of the busiest engine.
 void SetRate(Site& site, double load) {
   double most = 0;
   for (const EngineEntry& e : site.engines) most = std::max(most, WorkPerCore(site, e.engine));
@@ -304,7 +306,8 @@
   site.settings.tenants.assign(static_cast<std::size_t>(tenants), TenantSettings{quota});
 }
 
-// The day stays calm without the engine: for each class it is a small part of what the class may use.
+// Chooses an engine without which the day stays calm: it is a small part of the cores that each class may
+// use.
 void ChooseRestarted(Site& site) {
   for (std::size_t i = 0; i < site.engines.size() && !site.restarted; ++i) {
     bool small = true;
@@ -323,7 +326,7 @@
 bool SiteShape::Is(Dimension dimension, std::string_view wanted) const {
   const auto& values = Info(dimension).values;
   const auto it = std::find(values.begin(), values.end(), wanted);
-  if (it == values.end()) throw std::out_of_range("no such value: " + std::string(wanted));
+  if (it == values.end()) throw std::out_of_range("the dimension has no such value: " + std::string(wanted));
   return at(dimension) == static_cast<std::size_t>(it - values.begin());
 }
 
--- a/src/testing/simulation/site_shapes.h
+++ b/src/testing/simulation/site_shapes.h
@@ -1,8 +1,8 @@
 // Sites of many shapes: settings of a deployment and the fleet of engines behind it, drawn so that every pair
 // of values of two dimensions appears in at least one site (pairwise testing).
 //
-// Contract. Deterministic by seed. A shape chooses one value of each dimension; `BuildSite` turns it into the
-// decision module's settings and into what the stand-in engines and clients do.
+// Deterministic for a seed. A shape chooses one value of each dimension. `BuildSite` derives from it the
+// decision module's settings and the behaviour of the simulated engines and clients.
 #ifndef LEMONCROFT_TESTING_SIMULATION_SITE_SHAPES_H_
 #define LEMONCROFT_TESTING_SIMULATION_SITE_SHAPES_H_
 
@@ -60,7 +60,7 @@
   std::size_t at(Dimension dimension) const { return values_[static_cast<std::size_t>(dimension)]; }
   void Set(Dimension dimension, std::size_t value) { values_[static_cast<std::size_t>(dimension)] = value; }
   std::string_view value(Dimension dimension) const { return Info(dimension).values.at(at(dimension)); }
-  // Throws std::out_of_range where the dimension has no such value.
+  // Throws std::out_of_range if the dimension has no such value.
   bool Is(Dimension dimension, std::string_view value) const;
   std::string Describe() const;  // all dimensions with their values, on one line
 
@@ -68,16 +68,16 @@
   std::array<std::size_t, kDimensions> values_{};
 };
 
-// Shapes that contain every pair of values of every two dimensions.
+// Returns shapes that together contain every pair of values of every two dimensions.
 std::vector<SiteShape> DrawPairwise(std::uint64_t seed);
 
-// What the queries of a class are like, beside what the settings tell of it.
+// The properties of a class's queries that are not in the settings.
 struct ClassTraffic {
   double share = 1;        // of all requests
   double work = 0.1;       // mean, core-seconds
   double memory_mb = 256;  // mean
-  double work_bias = 1;    // by which the class's rough estimates lie
-  double memory_bias = 1;  // likewise
+  double work_bias = 1;    // ratio of the class's rough estimates to the actual work
+  double memory_bias = 1;  // likewise, of the memory
 };
 
 enum class ReportWay { kNone, kAnswers, kProbesOnly, kNever, kStops };
@@ -85,21 +85,21 @@
 
 struct Site {
   SiteShape shape;
-  Settings settings;  // of gateway 0; the others differ in `self` and `zone`
+  Settings settings;  // of gateway 0; the others differ in `gateway_index` and `zone`
   std::vector<EngineEntry> engines;
   std::vector<EngineTraits> traits;  // of each engine
   std::vector<ClassTraffic> traffic;
   std::vector<std::vector<EngineId>> may_take;  // for each class, the engines that its placement allows
-  double rate = 0;                              // requests a second, over all gateways
-  std::uint64_t keys = 1;                       // different keys of the classes in order
+  double rate = 0;                              // requests per second, over all gateways
+  std::uint64_t keys = 1;                       // number of ordering keys of the classes in order
   ReportWay reports = ReportWay::kNone;
   EstimateQuality estimates = EstimateQuality::kGood;
   bool cancel_honoured = true;
-  std::optional<std::size_t> restarted;  // the engine that drains and comes back cold during the day
+  std::optional<std::size_t> restarted;  // the engine that drains and restarts cold during the day
 };
 
-// `load`: of the cores of the busiest engine, where each class is spread over the engines that its placement
-// allows in proportion to their cores.
+// `load` is the utilization of the busiest engine's cores if each class is spread over the engines that its
+// placement allows in proportion to their cores.
 Site BuildSite(const SiteShape& shape, double load, std::uint64_t seed);
 
 }  // namespace lemoncroft::simulation
--- a/src/testing/simulation/store_workload.cpp
+++ b/src/testing/simulation/store_workload.cpp
@@ -14,7 +14,8 @@
   WriteBatch batch;
   batch.records.emplace_back("promise", "term " + std::to_string(i));
   if (i % 5 == 4) batch.records.emplace_back("once", i % 10 == 4 ? "there" : "");
-  const auto number = static_cast<std::uint64_t>(i + 1 - (i + 1) / 7);  // every seventh replaces the last one
+  const auto number =
+      static_cast<std::uint64_t>(i + 1 - (i + 1) / 7);  // every seventh batch replaces the last entry
   if (i % 7 == 6) batch.truncate_after = number - 1;
   batch.log.emplace_back(
       number, std::string(static_cast<std::size_t>(50 + 97 * i % 900), static_cast<char>('a' + i % 26)));
@@ -48,18 +49,19 @@
 
 namespace {
 
-// Opens the store after a crash and writes the next batch; returns what is wrong, empty if nothing is.
-// `states` holds the contents after each number of batches, and `durable` batches were reported durable
-// before the crash.
+// Opens the store after a crash and writes the next batch. Returns a description of the failure, or an empty
+// string on success. `states` holds the contents after each number of batches; `durable` is the number of
+// batches that were reported as durable before the crash.
 std::string CheckAfterCrash(const SimulatedDisk& disk, const std::vector<StoreContents>& states,
                             int durable) {
   Database database(StoreOptionsOn(disk));
   const auto read = database.Open();
   if (!read) return read.error().ToString();
-  // The batch that the crash interrupted may be there or not.
+  // The batch that the crash interrupted may or may not have been stored.
   const auto index = static_cast<std::size_t>(durable);
   const bool interrupted_is_there = durable < kWorkloadBatches && SameContents(*read, states[index + 1]);
-  if (!SameContents(*read, states[index]) && !interrupted_is_there) return "the contents differ";
+  if (!SameContents(*read, states[index]) && !interrupted_is_there)
+    return "the contents of the store differ from the batches reported as durable";
   if (const auto written = database.Write(WorkloadBatch(durable)); !written)
     return written.error().ToString();
   return {};
@@ -91,8 +93,8 @@
       if (wrong.empty()) continue;
       if (result.failures++ == 0)
         result.first_failure = "operation " + std::to_string(operation) + ", variant " +
-                               std::to_string(variant) + ", reported " + std::to_string(durable) + ": " +
-                               wrong;
+                               std::to_string(variant) +
+                               ", batches reported as durable: " + std::to_string(durable) + ": " + wrong;
     }
   }
   return result;
--- a/src/testing/simulation/version_use_recorder.h
+++ b/src/testing/simulation/version_use_recorder.h
@@ -1,6 +1,6 @@
 // Records which configuration versions the proxies of a simulated fleet could act on, and when.
 //
-// Owner: a simulated fleet, which reports all its proxies at regular instants of true time.
+// The simulated fleet reports all its proxies at regular intervals of true time.
 #ifndef LEMONCROFT_TESTING_SIMULATION_VERSION_USE_RECORDER_H_
 #define LEMONCROFT_TESTING_SIMULATION_VERSION_USE_RECORDER_H_
 
@@ -16,18 +16,18 @@
 
 class VersionUseRecorder {
  public:
-  // `interval`: time between two observations. `stale_limit`: for how long a version may be used once a later
-  // one is usable.
+  // `interval` is the time between two observations; `stale_limit` is the time for which a version may be
+  // used after a later version was first usable.
   VersionUseRecorder(Instant interval, Instant stale_limit)
       : interval_(interval), stale_limit_(stale_limit) {}
 
-  // `usable`: the version that each proxy could act on at `now`, of those that had one.
+  // `usable` contains, for each proxy that could act on a version at `now`, that version.
   void Observe(Instant now, const std::vector<replicated_config::Version>& usable);
 
-  // The longest time for which two proxies could act on different versions.
+  // Returns the longest time for which two proxies could act on different versions.
   Instant longest_contradiction() const { return longest_contradiction_; }
-  // Number of observations of a proxy that could act on a version more than `stale_limit` after a later one
-  // was first usable.
+  // Returns the number of observations of a proxy that could act on a version more than `stale_limit` after a
+  // later version was first usable.
   std::uint64_t stale_uses() const { return stale_uses_; }
 
  private:
