--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -300,8 +300,8 @@
     boost::random::uniform_real_distribution<double> draw(0, 1);
     if (q.class_id == 1 && draw(plan_random_) < kBadPlanProbability)
       work *= kMinBadPlanFactor + (kMaxBadPlanFactor - kMinBadPlanFactor) * draw(plan_random_);
-    const simulation::Fleet::Load load{{send.id, attempt}, send.engine, kClassProfiles[q.class_id].threads,
-                                       q.priority,         work,        q.tenant};
+    const simulation::Fleet::AttemptSpec load{
+        {send.id, attempt}, send.engine, kClassProfiles[q.class_id].threads, q.priority, work, q.tenant};
     starts_[load.key] = now_;
     if (!fleet_.Start(load)) End({load.key, send.engine, now_, 0, true}, Outcome::kConnectFailed);
   }
@@ -324,7 +324,7 @@
   void Apply(const WatchEngineList&) {}
   void Apply(const LogLine&) {}
 
-  void End(const simulation::Finished& f, Outcome outcome) {
+  void End(const simulation::FinishedAttempt& f, Outcome outcome) {
     const auto [id, attempt] = f.key;
     const bool ok = outcome == Outcome::kOk;
     AttemptEnded ended;
@@ -391,22 +391,22 @@
   }
 
   void CollectCompletions() {
-    std::vector<simulation::Finished> ended;
+    std::vector<simulation::FinishedAttempt> ended;
     fleet_.Advance(now_, ended);
-    for (const simulation::Finished& f : ended) End(f, Outcome::kOk);
+    for (const simulation::FinishedAttempt& f : ended) End(f, Outcome::kOk);
   }
 
   void LoseEngines() {
     for (std::size_t n = 0; n < 2; ++n) {
       if (engines_lost_ > n || now_ < options_.seconds * (n == 0 ? 0.35 : 0.5)) continue;
       ++engines_lost_;
-      std::vector<simulation::Finished> ended;
+      std::vector<simulation::FinishedAttempt> ended;
       fleet_.Advance(now_, ended);
-      for (const simulation::Finished& f : ended) End(f, Outcome::kOk);
+      for (const simulation::FinishedAttempt& f : ended) End(f, Outcome::kOk);
       ended.clear();
       const auto engine = static_cast<std::uint32_t>(n * 3 + 1);
       fleet_.Remove(engine, ended);
-      for (const simulation::Finished& f : ended) End(f, Outcome::kReset);
+      for (const simulation::FinishedAttempt& f : ended) End(f, Outcome::kReset);
       const EngineEntry gone{.engine = engine, .readiness = Readiness::kRemoved};
       events_.push_back(EngineList{ListKind::kChange, std::make_shared<std::vector<EngineEntry>>(1, gone)});
       queue_->SetFleetCores(fleet_.cores(), At(now_));
@@ -458,7 +458,7 @@
   std::uint64_t last_id_ = 0;
   std::priority_queue<Arrival> arrivals_;
   std::unordered_map<std::uint64_t, Query> queries_;
-  std::map<simulation::Key, double> starts_;
+  std::map<simulation::AttemptKey, double> starts_;
   std::vector<Event> events_;
   std::vector<admission_queue::Decision> decisions_;
   std::vector<Nanos> wakes_;
--- a/src/testing/simulation/fleet.cpp
+++ b/src/testing/simulation/fleet.cpp
@@ -18,11 +18,11 @@
   engine_state.at = now_;
 }
 
-void Fleet::Remove(Engine engine, std::vector<Finished>& out) {
+void Fleet::Remove(Engine engine, std::vector<FinishedAttempt>& out) {
   const auto it = engines_.find(engine);
   if (it == engines_.end()) return;
   for (const auto& [key, attempt] : it->second.attempts) {
-    out.push_back({key, engine, now_, attempt.load.work - attempt.remaining, true});
+    out.push_back({key, engine, now_, attempt.spec.work - attempt.remaining, true});
     engine_of_.erase(key);
   }
   engines_.erase(it);
@@ -35,7 +35,7 @@
   UpdateRates(it->second);
 }
 
-double Fleet::RemainingWork(const Key& key) const {
+double Fleet::RemainingWork(const AttemptKey& key) const {
   const auto it = engine_of_.find(key);
   return it == engine_of_.end() ? 0 : engines_.at(it->second).attempts.at(key).remaining;
 }
@@ -46,17 +46,17 @@
   return sum;
 }
 
-bool Fleet::Start(const Load& load) {
-  const auto it = engines_.find(load.engine);
-  if (it == engines_.end() || engine_of_.contains(load.key)) return false;
-  it->second.attempts[load.key] = {load, load.work, 0};
-  engine_of_[load.key] = load.engine;
-  if (load.label >= consumed_.size()) consumed_.resize(load.label + 1);
+bool Fleet::Start(const AttemptSpec& spec) {
+  const auto it = engines_.find(spec.engine);
+  if (it == engines_.end() || engine_of_.contains(spec.key)) return false;
+  it->second.attempts[spec.key] = {spec, spec.work, 0};
+  engine_of_[spec.key] = spec.engine;
+  if (spec.account >= consumed_.size()) consumed_.resize(spec.account + 1);
   UpdateRates(it->second);
   return true;
 }
 
-bool Fleet::Stop(const Key& key) {
+bool Fleet::Stop(const AttemptKey& key) {
   const auto it = engine_of_.find(key);
   if (it == engine_of_.end()) return false;
   EngineState& engine_state = engines_.at(it->second);
@@ -66,11 +66,11 @@
   return true;
 }
 
-void Fleet::SetPriority(const Key& key, int priority) {
+void Fleet::SetPriority(const AttemptKey& key, int priority) {
   const auto it = engine_of_.find(key);
   if (it == engine_of_.end()) return;
   EngineState& engine_state = engines_.at(it->second);
-  engine_state.attempts.at(key).load.priority = priority;
+  engine_state.attempts.at(key).spec.priority = priority;
   UpdateRates(engine_state);
 }
 
@@ -78,65 +78,66 @@
 // attempts.
 void Fleet::UpdateRates(EngineState& engine_state) const {
   double threads = 0;
-  for (const auto& [key, a] : engine_state.attempts) threads += a.load.threads;
-  const double level = threads / std::max(1e-9, engine_state.cores * overload_threshold_);
-  const double slowed = level <= 1 ? 1 : 1 / (1 + overload_penalty_ * (level - 1));
+  for (const auto& [key, a] : engine_state.attempts) threads += a.spec.threads;
+  const double overload = threads / std::max(1e-9, engine_state.cores * overload_threshold_);
+  const double throughput_factor = overload <= 1 ? 1 : 1 / (1 + overload_penalty_ * (overload - 1));
   double remaining = engine_state.cores;
-  std::vector<Attempt*> open;
-  for (auto& [key, a] : engine_state.attempts) open.push_back(&a);
-  while (!open.empty()) {
+  std::vector<Attempt*> unassigned;
+  for (auto& [key, a] : engine_state.attempts) unassigned.push_back(&a);
+  while (!unassigned.empty()) {
     double weights = 0;
     const auto weight = [](const Attempt* a) {
-      return kPriorityWeights[static_cast<std::size_t>(a->load.priority)] * a->load.threads;
+      return kPriorityWeights[static_cast<std::size_t>(a->spec.priority)] * a->spec.threads;
     };
-    for (const Attempt* a : open) weights += weight(a);
+    for (const Attempt* a : unassigned) weights += weight(a);
     const double share = remaining / weights;
-    const auto full = std::partition(open.begin(), open.end(),
-                                     [&](Attempt* a) { return share * weight(a) < a->load.threads; });
-    if (full == open.end()) {
-      for (Attempt* a : open) a->rate = share * weight(a);
+    const auto full = std::partition(unassigned.begin(), unassigned.end(),
+                                     [&](Attempt* a) { return share * weight(a) < a->spec.threads; });
+    if (full == unassigned.end()) {
+      for (Attempt* a : unassigned) a->rate = share * weight(a);
       break;
     }
-    for (auto it = full; it != open.end(); ++it) {
-      (*it)->rate = (*it)->load.threads;
+    for (auto it = full; it != unassigned.end(); ++it) {
+      (*it)->rate = (*it)->spec.threads;
       remaining -= (*it)->rate;
     }
-    open.erase(full, open.end());
+    unassigned.erase(full, unassigned.end());
   }
-  for (auto& [key, a] : engine_state.attempts) a.rate *= engine_state.speed * slowed;
+  for (auto& [key, a] : engine_state.attempts) a.rate *= engine_state.speed * throughput_factor;
 }
 
-void Fleet::AdvanceEngine(Engine id, EngineState& engine_state, double now, std::vector<Finished>& out) {
+void Fleet::AdvanceEngine(Engine id, EngineState& engine_state, double now,
+                          std::vector<FinishedAttempt>& out) {
   while (engine_state.at < now) {
     double step = now - engine_state.at;
     for (const auto& [key, a] : engine_state.attempts) {
       if (a.rate > 0) step = std::min(step, a.remaining / a.rate);
     }
     engine_state.at = step >= now - engine_state.at ? now : engine_state.at + step;
-    bool ended = false;
+    bool finished_any = false;
     for (auto it = engine_state.attempts.begin(); it != engine_state.attempts.end();) {
       Attempt& a = it->second;
       const double done = std::min(a.remaining, a.rate * step);
       a.remaining -= done;
-      consumed_[a.load.label] += done;
+      consumed_[a.spec.account] += done;
       if (a.remaining > kCompletionTolerance) {
         ++it;
         continue;
       }
-      out.push_back({it->first, id, engine_state.at, a.load.work, false});
+      out.push_back({it->first, id, engine_state.at, a.spec.work, false});
       engine_of_.erase(it->first);
       it = engine_state.attempts.erase(it);
-      ended = true;
+      finished_any = true;
     }
-    if (ended) UpdateRates(engine_state);
+    if (finished_any) UpdateRates(engine_state);
   }
 }
 
-void Fleet::Advance(double now, std::vector<Finished>& out) {
+void Fleet::Advance(double now, std::vector<FinishedAttempt>& out) {
   const auto first = static_cast<std::ptrdiff_t>(out.size());
   for (auto& [id, engine_state] : engines_) AdvanceEngine(id, engine_state, now, out);
   std::stable_sort(out.begin() + first, out.end(),
-                   [](const Finished& a, const Finished& b) { return a.at < b.at; });
+                   [](const FinishedAttempt& a, const FinishedAttempt& b) { return a.at < b.at; });
   now_ = std::max(now_, now);
 }
 
--- a/src/testing/simulation/fleet.h
+++ b/src/testing/simulation/fleet.h
@@ -17,10 +17,10 @@
 namespace lemoncroft::simulation {
 
 using Engine = std::uint32_t;
-using Key = std::pair<std::uint64_t, int>;  // request, attempt
+using AttemptKey = std::pair<std::uint64_t, int>;  // request, attempt
 
-struct Finished {
-  Key key;
+struct FinishedAttempt {
+  AttemptKey key;
   Engine engine = 0;
   double at = 0;      // seconds
   double work = 0;    // core-seconds used
@@ -29,13 +29,13 @@
 
 class Fleet {
  public:
-  struct Load {
-    Key key;
+  struct AttemptSpec {
+    AttemptKey key;
     Engine engine = 0;
     int threads = 1;
-    int priority = 1;       // 0 to 3
-    double work = 0;        // core-seconds
-    std::size_t label = 0;  // index of the total that `consumed` returns
+    int priority = 1;         // 0 to 3
+    double work = 0;          // core-seconds
+    std::size_t account = 0;  // index of the total that `consumed` returns
   };
 
   // `overload_threshold`: threads per core above which throughput falls; `overload_penalty`: relative
@@ -45,39 +45,39 @@
 
   void Add(Engine engine, double cores, double speed);
   // Removes the engine; appends its attempts, which are lost.
-  void Remove(Engine engine, std::vector<Finished>& out);
+  void Remove(Engine engine, std::vector<FinishedAttempt>& out);
   void SetSpeed(Engine engine, double speed);
   bool Has(Engine engine) const { return engines_.contains(engine); }
   double cores() const;
 
-  bool Start(const Load& load);  // false if there is no such engine, or the attempt runs already
-  bool Stop(const Key& key);     // false if the attempt does not run
-  void SetPriority(const Key& key, int priority);
-  double RemainingWork(const Key& key) const;  // core-seconds; 0 if the attempt does not run
+  bool Start(const AttemptSpec& spec);  // false if there is no such engine, or the attempt runs already
+  bool Stop(const AttemptKey& key);     // false if the attempt does not run
+  void SetPriority(const AttemptKey& key, int priority);
+  double RemainingWork(const AttemptKey& key) const;  // core-seconds; 0 if the attempt does not run
 
   // Advances to `now` (seconds) and appends the attempts that finished, in order of time.
-  void Advance(double now, std::vector<Finished>& out);
+  void Advance(double now, std::vector<FinishedAttempt>& out);
 
-  double consumed(std::size_t label) const { return label < consumed_.size() ? consumed_[label] : 0; }
+  double consumed(std::size_t account) const { return account < consumed_.size() ? consumed_[account] : 0; }
   std::size_t running() const { return engine_of_.size(); }
 
  private:
   struct Attempt {
-    Load load;
+    AttemptSpec spec;
     double remaining = 0;
     double rate = 0;  // core-seconds per second
   };
   struct EngineState {
     double cores = 0, speed = 1;
     double at = 0;
-    std::map<Key, Attempt> attempts;
+    std::map<AttemptKey, Attempt> attempts;
   };
   void UpdateRates(EngineState& engine_state) const;
-  void AdvanceEngine(Engine id, EngineState& engine_state, double now, std::vector<Finished>& out);
+  void AdvanceEngine(Engine id, EngineState& engine_state, double now, std::vector<FinishedAttempt>& out);
 
   double overload_threshold_, overload_penalty_, now_ = 0;
   std::map<Engine, EngineState> engines_;
-  std::map<Key, Engine> engine_of_;
+  std::map<AttemptKey, Engine> engine_of_;
   std::vector<double> consumed_;
 };
 
--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -116,7 +116,7 @@
   return true;
 }
 
-bool QueryEngine::Stop(Nanos now, const Key& key) {
+bool QueryEngine::Stop(Nanos now, const AttemptKey& key) {
   if (residents_.erase(key) == 0) return false;
   fleet_.Stop(key);
   if (idle()) idle_since_ = now;
@@ -124,14 +124,14 @@
   return true;
 }
 
-void QueryEngine::SetPriority(const Key& key, int priority) {
+void QueryEngine::SetPriority(const AttemptKey& key, int priority) {
   const auto it = residents_.find(key);
   if (it == residents_.end()) return;
   it->second.plan.priority = priority;
   if (traits_.honors_priorities) fleet_.SetPriority(key, priority);
 }
 
-void QueryEngine::Advance(Nanos now, std::vector<Finished>& out) {
+void QueryEngine::Advance(Nanos now, std::vector<FinishedAttempt>& out) {
   const std::size_t first = out.size();
   fleet_.Advance(Seconds(now), out);
   for (std::size_t i = first; i < out.size(); ++i) residents_.erase(out[i].key);
@@ -178,7 +178,7 @@
   return newest_visible == snapshots_.rend() ? LoadReport{} : newest_visible->report;
 }
 
-double QueryEngine::Progress(const Key& key) const {
+double QueryEngine::Progress(const AttemptKey& key) const {
   const auto it = residents_.find(key);
   if (it == residents_.end() || !it->second.running) return 0;
   return 1 - fleet_.RemainingWork(key) / std::max(1e-9, it->second.work);
--- a/src/testing/simulation/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -43,7 +43,7 @@
 
 // The resources that an attempt needs on an engine.
 struct QueryPlan {
-  Key key;
+  AttemptKey key;
   int threads = 1;
   double work = 0;          // core-seconds
   double memory_mb = 0;     // that the query needs
@@ -60,13 +60,13 @@
   QueryEngine(EngineTraits traits, Nanos started_at);
 
   bool Start(Nanos now, const QueryPlan& plan);  // false if all sessions are in use
-  bool Stop(Nanos now, const Key& key);          // false if the attempt is not on the engine
-  void SetPriority(const Key& key, int priority);
+  bool Stop(Nanos now, const AttemptKey& key);   // false if the attempt is not on the engine
+  void SetPriority(const AttemptKey& key, int priority);
   // Advances to `now` and appends the attempts that finished, in order of time.
-  void Advance(Nanos now, std::vector<Finished>& out);
+  void Advance(Nanos now, std::vector<FinishedAttempt>& out);
 
-  LoadReport Report(Nanos now) const;     // the newest report that has arrived; empty before the first
-  double Progress(const Key& key) const;  // completed share of the attempt's work
+  LoadReport Report(Nanos now) const;            // the newest report that has arrived; empty before the first
+  double Progress(const AttemptKey& key) const;  // completed share of the attempt's work
   bool idle() const { return residents_.empty(); }
   Nanos idle_since() const { return idle_since_; }  // valid only while the engine is idle
 
@@ -98,7 +98,7 @@
   EngineTraits traits_;
   Nanos started_at_ = 0;
   Fleet fleet_;
-  std::map<Key, Resident> residents_;
+  std::map<AttemptKey, Resident> residents_;
   std::uint64_t turns_ = 0;
   Nanos idle_since_ = 0;
   Nanos next_snapshot_ = 0;
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -202,9 +202,9 @@
   }
 
   void AdvanceEngines() {
-    std::vector<Finished> finished;
+    std::vector<FinishedAttempt> finished;
     for (const auto& engine : engines_) engine->Advance(now_, finished);
-    for (const Finished& f : finished) OnFinished(f.key.first, f.key.second);
+    for (const FinishedAttempt& f : finished) OnFinished(f.key.first, f.key.second);
   }
 
   void OnFinished(RequestId id, int attempt) {
--- a/tests/admission_queue_test.cpp
+++ b/tests/admission_queue_test.cpp
@@ -68,7 +68,7 @@
   bool EveryTicks(int ticks) const { return ticks_ % ticks == 0; }
 
   void Tick() {
-    std::vector<simulation::Finished> ended;
+    std::vector<simulation::FinishedAttempt> ended;
     fleet.Advance(now, ended);
     for (const auto& f : ended) End(f);
     std::vector<Decision> out;
@@ -88,7 +88,7 @@
   }
 
   void RemoveEngine(simulation::Engine engine) {
-    std::vector<simulation::Finished> lost;
+    std::vector<simulation::FinishedAttempt> lost;
     fleet.Remove(engine, lost);
     for (const auto& f : lost) {
       queue.OnAttemptEnded(f.key.first, f.key.second, Work::zero(), true, At(now));
@@ -135,14 +135,14 @@
     ASSERT_TRUE(fleet.Start({{id, 0}, best, threads, 1, q.work, q.request.tenant}));
   }
 
-  void End(const simulation::Finished& f) {
+  void End(const simulation::FinishedAttempt& f) {
     engines_.erase(f.key);
     queue.OnAttemptEnded(f.key.first, 0, FromSeconds(f.work), true, At(now));
     queue.OnRequestCompleted(f.key.first, At(now));
     ++queries.at(f.key.first).completions;
   }
 
-  std::map<simulation::Key, simulation::Engine> engines_;
+  std::map<simulation::AttemptKey, simulation::Engine> engines_;
   int ticks_ = 0;
 };
 
