--- a/src/testing/benchmark/peers.cpp
+++ b/src/testing/benchmark/peers.cpp
@@ -98,7 +98,8 @@
   for (std::size_t i = 0; i < count; ++i) {
     SettledFleet world(n, seed + i);
     const int sides = 2 + static_cast<int>(i / 2 % 2);
-    for (Node node = 0; node < n; ++node) world.fleet.links().Side(node, static_cast<int>(node) % sides);
+    for (Node node = 0; node < n; ++node)
+      world.fleet.links().AssignSide(node, static_cast<int>(node) % sides);
     world.fleet.RunFor(i % 2 == 0 ? Instant(2s) : n > 500 ? Instant(15s) : Instant(60s));
     world.fleet.links().Heal();
     worst = std::max(worst, world.SettledAfter());
@@ -133,7 +134,7 @@
 
 double FalseFailuresPerHour(std::size_t n, double seconds, std::uint64_t seed) {
   SettledFleet world(n, seed);
-  world.fleet.links().usual().loss = 0.02;
+  world.fleet.links().default_faults().loss = 0.02;
   std::mt19937_64 random(seed);
   const int rounds = static_cast<int>(seconds / 0.25 / kLateIntervalPeriods);
   for (int round = 0; round < rounds; ++round) {
@@ -149,7 +150,7 @@
 bool IsDeterministic(std::uint64_t seed) {
   const auto trace = [seed] {
     SettledFleet world(64, seed);
-    world.fleet.links().usual().loss = 0.05;
+    world.fleet.links().default_faults().loss = 0.05;
     world.fleet.Kill(9);
     world.Run(60);
     return world.fleet.trace();
--- a/src/testing/benchmark/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -100,8 +100,8 @@
 
 LeaseCost MeasureLeases(const LeasePlan& plan) {
   ConfigReplicaFleet fleet(SetupOf(plan));
-  fleet.links().usual().delay = plan.delay;
-  fleet.links().usual().spread = plan.spread;
+  fleet.links().default_faults().delay = plan.delay;
+  fleet.links().default_faults().spread = plan.spread;
   LeaseCost cost;
   cost.began = RunUntilAllUse(fleet, 0, kFirstLeaseTimeout);
   const auto leader = fleet.Leader();
--- a/src/testing/fault_test/link_faults.cpp
+++ b/src/testing/fault_test/link_faults.cpp
@@ -43,7 +43,8 @@
 void LinkFaultInjector::Partition(const std::vector<std::vector<std::size_t>>& groups) {
   links_.Heal();
   for (std::size_t group = 0; group < groups.size(); ++group)
-    for (const std::size_t machine : groups[group]) links_.Side(NodeOf(machine), static_cast<int>(group));
+    for (const std::size_t machine : groups[group])
+      links_.AssignSide(NodeOf(machine), static_cast<int>(group));
   partitioned_ = true;
 }
 
@@ -63,13 +64,13 @@
   faults.delay = Milliseconds(conditions.delay_ms.value_or(0));
   faults.spread = Milliseconds(conditions.spread_ms.value_or(0));
   faults.bandwidth = conditions.rate.value_or(0);
-  links_.usual() = faults;
+  links_.default_faults() = faults;
   degraded_ = faults.loss + faults.garble > kMaxHarmlessLoss ||
               faults.delay + faults.spread > gossip_period_ / kHarmlessDelayDivisor || faults.bandwidth > 0;
 }
 
 bool LinkFaultInjector::IsOpen(std::size_t from, std::size_t to) const {
-  return links_.Open(NodeOf(from), NodeOf(to));
+  return links_.IsOpen(NodeOf(from), NodeOf(to));
 }
 
 bool LinkFaultInjector::AnyFault() const { return partitioned_ || degraded_ || cuts_ > 0 || flapping_ > 0; }
--- a/src/testing/fault_test/relay.cpp
+++ b/src/testing/fault_test/relay.cpp
@@ -79,10 +79,10 @@
   return {host - kBindNetwork, port == port_ + 1 ? 1 : 0};
 }
 
-bool Relay::IsOpen(std::size_t from, std::size_t to) const { return links_.Open(NodeOf(from), NodeOf(to)); }
+bool Relay::IsOpen(std::size_t from, std::size_t to) const { return links_.IsOpen(NodeOf(from), NodeOf(to)); }
 
 runtime::Duration Relay::TransferTime(std::size_t from, std::size_t to, std::size_t bytes) const {
-  const simulation::LinkFaults& faults = links_.Of(NodeOf(from), NodeOf(to));
+  const simulation::LinkFaults& faults = links_.FaultsOf(NodeOf(from), NodeOf(to));
   if (faults.bandwidth <= 0) return faults.delay;
   const std::chrono::duration<double> sending(static_cast<double>(bytes) / faults.bandwidth);
   return faults.delay + std::chrono::duration_cast<runtime::Duration>(sending);
--- a/src/testing/simulation/lease_fleet.cpp
+++ b/src/testing/simulation/lease_fleet.cpp
@@ -106,7 +106,7 @@
   proxy.holder.HandleGrant(Local(proxy), *event.grant);
   const bool prepared = proxy.holder.latest_version() <= proxy.holder.prepared_version();
   if (prepared || proxy.fetching_version != 0) return;
-  if (!links().Open(static_cast<Node>(event.proxy), static_cast<Node>(event.voter))) return;
+  if (!links().IsOpen(static_cast<Node>(event.proxy), static_cast<Node>(event.voter))) return;
   proxy.fetching_version = proxy.holder.latest_version();
   ScheduledEvent fetched;
   fetched.at = now() + proxy.fetch_delay;
--- a/src/testing/simulation/peer_fleet.cpp
+++ b/src/testing/simulation/peer_fleet.cpp
@@ -199,8 +199,8 @@
     }
     case Kind::kStream: {
       Running& other = processes_[h.from];
-      if (other.view == nullptr || !links_.Open(other.machine, r.machine) ||
-          !links_.Open(r.machine, other.machine))
+      if (other.view == nullptr || !links_.IsOpen(other.machine, r.machine) ||
+          !links_.IsOpen(r.machine, other.machine))
         return;
       const auto message = peer_transport::Decode(kFleet, h.bytes, peer_transport::kMaxStreamMessageBytes);
       if (!message) return;
--- a/tests/config_replica_test.cpp
+++ b/tests/config_replica_test.cpp
@@ -137,7 +137,7 @@
     fleet.Commit(5, 0, "one");
     const std::size_t leader = fleet.Elect();
     for (std::size_t i = 0; i < 7; ++i)
-      fleet.links().Side(static_cast<Node>(i), i == leader || i > 4 ? 0 : 1);
+      fleet.links().AssignSide(static_cast<Node>(i), i == leader || i > 4 ? 0 : 1);
     const std::string a = fleet.Propose(6, 1, "a"), b = fleet.Propose(4, 1, "b");
     fleet.RunFor(5s);
     fleet.links().Heal();
@@ -164,7 +164,7 @@
       switch (below(9)) {
         case 0:
           for (std::size_t p = 0; p < 7; ++p)
-            fleet.links().Side(static_cast<Node>(p), static_cast<int>(below(2)));
+            fleet.links().AssignSide(static_cast<Node>(p), static_cast<int>(below(2)));
           break;
         case 1:
           fleet.links().Heal();
@@ -183,9 +183,9 @@
           fleet.links().Cut(static_cast<Node>(proxy), static_cast<Node>(below(7)), true);
           break;
         case 7:
-          fleet.links().usual().loss = 0.05 * static_cast<double>(below(6));
-          fleet.links().usual().duplicate = 0.05 * static_cast<double>(below(6));
-          fleet.links().usual().spread = Instant(1ms) * static_cast<int>(below(500));
+          fleet.links().default_faults().loss = 0.05 * static_cast<double>(below(6));
+          fleet.links().default_faults().duplicate = 0.05 * static_cast<double>(below(6));
+          fleet.links().default_faults().spread = Instant(1ms) * static_cast<int>(below(500));
           break;
         default:
           fleet.SlowDisk(proxy, Instant(1ms) * static_cast<int>(below(300)));
@@ -197,7 +197,7 @@
       fleet.RunFor(Instant(1ms) * static_cast<int>(below(1500)));
     }
     fleet.links().Heal();
-    fleet.links().usual() = {};
+    fleet.links().default_faults() = {};
     for (std::size_t p = 0; p < 7; ++p) {
       fleet.SlowDisk(p, 2ms);
       if (!fleet.IsRunning(p)) fleet.Restart(p);
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -181,7 +181,7 @@
 TEST(Gossip, LateOrLossyMember_IsNeverDeclaredFailed) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     World world(50, seed);
-    world.fleet.links().usual().loss = 0.02;
+    world.fleet.links().default_faults().loss = 0.02;
     std::mt19937_64 random(seed);
     for (int i = 0; i < 60; ++i) {  // one member of 50 is repeatedly late by up to three periods
       world.fleet.Pause(
@@ -201,8 +201,10 @@
     for (const Instant length : {Instant(2s), Instant(60s)}) {
       World world(24, seed);
       const int sides = 2 + static_cast<int>(seed % 2);
-      for (simulation::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % sides);
-      if (seed % 3 == 0) world.fleet.links().Side(5, 0), world.fleet.links().Side(5, 1);  // a bridge
+      for (simulation::Node i = 0; i < 24; ++i)
+        world.fleet.links().AssignSide(i, static_cast<int>(i) % sides);
+      if (seed % 3 == 0)
+        world.fleet.links().AssignSide(5, 0), world.fleet.links().AssignSide(5, 1);  // a bridge
       world.fleet.RunFor(length / 2);
       world.fleet.Kill(3);
       world.fleet.Leave(4);
@@ -318,10 +320,10 @@
   world.fleet.RunFor(kPeriod);
   world.fleet.Kill(crashing);
   EXPECT_LE(world.PeriodsToConverge(), 15);
-  world.fleet.links().usual().cut = true;
+  world.fleet.links().default_faults().cut = true;
   world.fleet.Leave(4);
   world.fleet.RunFor(2 * kPeriod);
-  world.fleet.links().usual().cut = false;
+  world.fleet.links().default_faults().cut = false;
   EXPECT_LE(world.PeriodsToConverge(), 20);
   EXPECT_EQ(world.false_failures, 0);
 }
@@ -355,7 +357,7 @@
 TEST(Gossip, SameSeed_SendsTheSameBytes) {
   const auto run = [](std::uint64_t seed) {
     World world(24, seed);
-    world.fleet.links().usual().loss = 0.1;
+    world.fleet.links().default_faults().loss = 0.1;
     world.fleet.Kill(3);
     world.fleet.RunFor(10s);
     return world.fleet.trace();
@@ -388,13 +390,14 @@
           if (world.fleet.is_running(last)) world.fleet.Pause(last, Duration(1ms) * below(4000));
           break;
         case 4:
-          for (simulation::Node n = 0; n < 12; ++n) world.fleet.links().Side(n, static_cast<int>(below(3)));
+          for (simulation::Node n = 0; n < 12; ++n)
+            world.fleet.links().AssignSide(n, static_cast<int>(below(3)));
           break;
         case 5:
-          world.fleet.links().usual().loss = 0.02 * below(10);
-          world.fleet.links().usual().duplicate = 0.1;
-          world.fleet.links().usual().garble = 0.02;
-          world.fleet.links().usual().spread = 100ms;
+          world.fleet.links().default_faults().loss = 0.02 * below(10);
+          world.fleet.links().default_faults().duplicate = 0.1;
+          world.fleet.links().default_faults().garble = 0.02;
+          world.fleet.links().default_faults().spread = 100ms;
           break;
         default:
           world.fleet.links().Heal();
@@ -402,7 +405,7 @@
       world.fleet.RunFor(Duration(1ms) * below(2000));
     }
     world.fleet.links().Heal();
-    world.fleet.links().usual() = {};
+    world.fleet.links().default_faults() = {};
     EXPECT_LE(world.PeriodsToConverge(200), 60) << "seed " << seed;
     world.fleet.RunFor(30 * kPeriod);
     EXPECT_TRUE(world.fleet.Converged()) << "seed " << seed;
@@ -477,7 +480,7 @@
        for (simulation::Node i = 0; i < 8; ++i) fleet.Start(i, "n" + std::to_string(i), {0});
        fleet.RunFor(20 * kPeriod);
        // The seed crashes before the partition heals.
-       for (simulation::Node i = 0; i < 8; ++i) fleet.links().Side(i, i < 4 ? 0 : 1);
+       for (simulation::Node i = 0; i < 8; ++i) fleet.links().AssignSide(i, i < 4 ? 0 : 1);
        fleet.Kill(0);
        fleet.RunFor(60 * kPeriod);
        fleet.links().Heal();
@@ -498,7 +501,7 @@
     {"verification of failure claims", &SafetyChecks::claim_verification,
      [](const SafetyChecks& safety_checks) {
        World world(24, 1, safety_checks);
-       for (simulation::Node i = 0; i < 24; ++i) world.fleet.links().Side(i, static_cast<int>(i) % 2);
+       for (simulation::Node i = 0; i < 24; ++i) world.fleet.links().AssignSide(i, static_cast<int>(i) % 2);
        world.fleet.RunFor(60 * kPeriod);
        world.fleet.links().Heal();
        world.events.clear();
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -155,7 +155,7 @@
       switch (below(8)) {
         case 0:
           for (std::size_t p = 0; p < 7; ++p)
-            fleet.links().Side(static_cast<simulation::Node>(p), static_cast<int>(below(2)));
+            fleet.links().AssignSide(static_cast<simulation::Node>(p), static_cast<int>(below(2)));
           break;
         case 1:
           fleet.links().Heal();
@@ -174,8 +174,8 @@
                             true);
           break;
         case 6:
-          fleet.links().usual().loss = 0.05 * static_cast<double>(below(6));
-          fleet.links().usual().spread = Instant(1ms) * static_cast<int>(below(800));
+          fleet.links().default_faults().loss = 0.05 * static_cast<double>(below(6));
+          fleet.links().default_faults().spread = Instant(1ms) * static_cast<int>(below(800));
           break;
         default:
           fleet.SetFetchDelay(proxy, Instant(1ms) * static_cast<int>(below(600)));
@@ -231,7 +231,7 @@
        TestFleet fleet(1, safety_checks);
        const std::size_t leader = *fleet.voters().Leader();
        for (std::size_t p = 0; p < 7; ++p)
-         fleet.links().Side(static_cast<simulation::Node>(p), p == leader || p > 4 ? 0 : 1);
+         fleet.links().AssignSide(static_cast<simulation::Node>(p), p == leader || p > 4 ? 0 : 1);
        for (int i = 0; i < 8; ++i) {
          fleet.RunFor(500ms);
          if (const auto other = fleet.voters().Leader(); other && *other != leader) fleet.Propose();
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -116,7 +116,7 @@
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Cluster cluster(seed, {}, 5, 3);
     std::mt19937_64 random(seed);
-    cluster.links().usual().loss = 0.1;
+    cluster.links().default_faults().loss = 0.1;
     // D and E replace B and C.
     struct VoterChange {
       const char* id;
@@ -137,7 +137,7 @@
         cluster.RunFor(100ms);
       }
     }
-    cluster.links().usual().loss = 0;
+    cluster.links().default_faults().loss = 0;
     cluster.RunFor(5s);
     const std::size_t leader = cluster.Elect();
     EXPECT_EQ(cluster.raft(leader).voters(), (std::vector<NodeId>{"A", "D", "E"})) << "seed " << seed;
@@ -195,9 +195,9 @@
                               static_cast<simulation::Node>(below(members)), true);
           break;
         case 5:
-          cluster.links().usual().loss = 0.05 * static_cast<double>(below(8));
-          cluster.links().usual().duplicate = 0.2;
-          cluster.links().usual().spread = Instant(1ms) * static_cast<int>(below(300));
+          cluster.links().default_faults().loss = 0.05 * static_cast<double>(below(8));
+          cluster.links().default_faults().duplicate = 0.2;
+          cluster.links().default_faults().spread = Instant(1ms) * static_cast<int>(below(300));
           break;
         case 6:
           cluster.Stall(member, Instant(1ms) * static_cast<int>(below(3000)));
@@ -216,7 +216,7 @@
       cluster.RunFor(Instant(1ms) * static_cast<int>(below(800)));
     }
     cluster.links().Heal();
-    cluster.links().usual() = {};
+    cluster.links().default_faults() = {};
     for (std::size_t i = 0; i < members; ++i) {
       if (!cluster.IsRunning(i)) cluster.Restart(i);
       cluster.SlowDisk(i, 2ms);
