--- a/src/testing/benchmark/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -27,7 +27,7 @@
 Totals TotalsOf(const ConfigReplicaFleet& fleet, std::size_t leader) {
   Totals totals;
   for (std::size_t i = 0; i < fleet.size(); ++i) {
-    const ConfigReplicaFleet::Sent& sent = fleet.sent(i);
+    const ConfigReplicaFleet::SendTotals& sent = fleet.sent(i);
     totals.bytes += static_cast<double>(sent.bytes);
     if (i != leader) totals.others_us += sent.processor_us;
   }
@@ -61,7 +61,7 @@
   setup.seed = plan.seed;
   setup.voters = plan.voters;
   setup.proxies = plan.members;
-  setup.timed = true;
+  setup.measure_processor_time = true;
   return setup;
 }
 
@@ -109,8 +109,8 @@
   fleet.RunFor(2s);
   MeasureCalm(fleet, plan, *leader, cost);
   MeasureChanges(fleet, plan, *leader, cost);
-  cost.contradiction_ms = InSeconds(fleet.contradiction()) * 1e3;
-  cost.stale_acts = fleet.stale();
+  cost.contradiction_ms = InSeconds(fleet.longest_contradiction()) * 1e3;
+  cost.stale_acts = fleet.stale_uses();
   return cost;
 }
 
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -54,20 +54,21 @@
   machines_.resize(plan.proxies);
   for (std::size_t i = 0; i < plan.proxies; ++i) {
     Machine& m = machines_[i];
-    m.sync = plan.sync;
-    m.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
-    m.origin = raft::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
+    m.sync_duration = plan.sync_duration;
+    m.clock_rate = 1 + plan.max_clock_drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
+    m.clock_origin = raft::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
     Restart(i);
   }
 }
 
-raft::Time ConfigReplicaFleet::Local(const Machine& m) const {
-  return m.origin + Instant(static_cast<Instant::rep>(static_cast<double>(now_.count()) * m.rate));
+raft::Time ConfigReplicaFleet::LocalTime(const Machine& m) const {
+  return m.clock_origin +
+         Instant(static_cast<Instant::rep>(static_cast<double>(now_.count()) * m.clock_rate));
 }
 
 void ConfigReplicaFleet::Push(Instant at, std::size_t machine, ScheduledEvent::Kind kind,
                               std::uint64_t incarnation) {
-  queue_.push({at, order_++, machine, incarnation, kind, 0, nullptr});
+  events_.push({at, next_event_order_++, machine, incarnation, kind, 0, nullptr});
 }
 
 void ConfigReplicaFleet::Crash(std::size_t i) {
@@ -92,11 +93,11 @@
   ++m.incarnation;
   m.active_version = 0;
   m.replica = std::make_unique<replicated_config::ConfigReplica>(
-      ReplicaOptionsOf(i), InstanceOf(i), DocumentChecksOf(NameOf(i)), random_(), Local(m));
+      ReplicaOptionsOf(i), InstanceOf(i), DocumentChecksOf(NameOf(i)), random_(), LocalTime(m));
   const bool votes = i < plan_.voters || m.disk.store != 0;
   if (votes) {
     if (m.disk.store == 0) m.disk.store = random_() | 1;
-    m.replica->OnStoreOpened(Local(m), {m.disk.store, m.disk.bootstrap_voters, m.disk.persistent_state});
+    m.replica->OnStoreOpened(LocalTime(m), {m.disk.store, m.disk.bootstrap_voters, m.disk.persistent_state});
   }
   HandleOutputs(i);
 }
@@ -113,7 +114,7 @@
 
 std::optional<std::size_t> ConfigReplicaFleet::Leader() const {
   for (std::size_t i = 0; i < machines_.size(); ++i)
-    if (IsRunning(i) && machines_[i].replica->Leads(Local(machines_[i]))) return i;
+    if (IsRunning(i) && machines_[i].replica->Leads(LocalTime(machines_[i]))) return i;
   return std::nullopt;
 }
 
@@ -121,20 +122,21 @@
                                         Instant timeout) {
   Machine& m = machines_[at];
   replicated_config::ConfigChange change;
-  change.id = "c" + std::to_string(++ids_);
+  change.id = "c" + std::to_string(++last_request_number_);
   change.base_version = from;
   change.document = text;
   change.author = NameOf(at);
   proposed_[change.id] = text;
   if (m.replica == nullptr) return change.id;
-  m.replica->ProposeChange(Local(m), change, Local(m) + timeout);
+  m.replica->ProposeChange(LocalTime(m), change, LocalTime(m) + timeout);
   HandleOutputs(at);
   return change.id;
 }
 
 void ConfigReplicaFleet::ChangeVoters(std::size_t at, const std::string& who, bool in) {
   Machine& m = machines_[at];
-  m.replica->ChangeVoters(Local(m), {"v" + std::to_string(++ids_), who, in}, Local(m) + 5s);
+  m.replica->ChangeVoters(LocalTime(m), {"v" + std::to_string(++last_request_number_), who, in},
+                          LocalTime(m) + 5s);
   HandleOutputs(at);
 }
 
@@ -142,25 +144,25 @@
                                      const replicated_config::Message& message) {
   static const std::size_t kFrameBytes = FrameBytes();
   const auto bytes = std::make_shared<const std::string>(replicated_config::Encode(message));
-  ++message_count_;
+  ++messages_sent_;
   ++machines_[from].sent.messages;
   machines_[from].sent.bytes += bytes->size() + kFrameBytes;
-  links_.Send(now_, static_cast<Node>(from), static_cast<Node>(to), *bytes,
-              [&](Instant at, const std::string& b) {
-                queue_.push({at, order_++, to, 0, ScheduledEvent::Kind::kMessage, InstanceOf(from),
-                             b == *bytes ? bytes : std::make_shared<const std::string>(b)});
-              });
+  links_.Send(
+      now_, static_cast<Node>(from), static_cast<Node>(to), *bytes, [&](Instant at, const std::string& b) {
+        events_.push({at, next_event_order_++, to, 0, ScheduledEvent::Kind::kMessage, InstanceOf(from),
+                      b == *bytes ? bytes : std::make_shared<const std::string>(b)});
+      });
 }
 
 void ConfigReplicaFleet::HandleDocument(std::size_t i, const replicated_config::DocumentReceived& received) {
-  const auto [it, fresh] = documents_.try_emplace(received.version, received.document);
-  if (!fresh && it->second != received.document)
+  const auto [it, inserted] = documents_.try_emplace(received.version, received.document);
+  if (!inserted && it->second != received.document)
     violations_.push_back("version " + std::to_string(received.version) + " has two different documents");
   Machine& m = machines_[i];
   if (received.document.starts_with("not for " + NameOf(i)))
     m.replica->MarkIncompatible(received.version);
   else
-    m.replica->MarkPrepared(Local(m), received.version);
+    m.replica->MarkPrepared(LocalTime(m), received.version);
 }
 
 void ConfigReplicaFleet::HandleOutput(std::size_t i, replicated_config::ConfigReplicaOutput& output) {
@@ -170,9 +172,9 @@
     if (to && *to != i) SendEncoded(i, *to, send->message);
   } else if (std::holds_alternative<replicated_config::Persist>(output) ||
              std::holds_alternative<replicated_config::PersistBootstrapVoters>(output)) {
-    const Instant begun = m.pending_writes.empty() ? now_ : std::max(now_, m.pending_writes.back().first);
-    Push(begun + m.sync, i, ScheduledEvent::Kind::kSynced, m.incarnation);
-    m.pending_writes.emplace_back(begun + m.sync, std::move(output));
+    const Instant start = m.pending_writes.empty() ? now_ : std::max(now_, m.pending_writes.back().first);
+    Push(start + m.sync_duration, i, ScheduledEvent::Kind::kSynced, m.incarnation);
+    m.pending_writes.emplace_back(start + m.sync_duration, std::move(output));
   } else if (const auto* received = std::get_if<replicated_config::DocumentReceived>(&output)) {
     HandleDocument(i, *received);
   } else if (const auto* activated = std::get_if<replicated_config::VersionActivated>(&output)) {
@@ -195,8 +197,8 @@
   const Machine& m = machines_[i];
   const raft::Time due = m.replica->NextDeadline();
   if (due == raft::kNever) return;
-  const auto at =
-      Instant(static_cast<Instant::rep>(static_cast<double>((due - m.origin).count()) / m.rate) + 1);
+  const auto at = Instant(
+      static_cast<Instant::rep>(static_cast<double>((due - m.clock_origin).count()) / m.clock_rate) + 1);
   Push(std::max(at, now_ + 1us), i, ScheduledEvent::Kind::kStep, m.incarnation);
 }
 
@@ -217,9 +219,9 @@
 }
 
 void ConfigReplicaFleet::HandleTimed(const ScheduledEvent& event) {
-  const double begun = ProcessorMicroseconds();
+  const double start = ProcessorMicroseconds();
   Handle(event);
-  machines_[event.machine].sent.processor_us += ProcessorMicroseconds() - begun;
+  machines_[event.machine].sent.processor_us += ProcessorMicroseconds() - start;
 }
 
 void ConfigReplicaFleet::Handle(const ScheduledEvent& event) {
@@ -228,18 +230,18 @@
   if (m.stalled_until > now_ && event.kind != ScheduledEvent::Kind::kSynced) {
     ScheduledEvent later = event;
     later.at = m.stalled_until;
-    later.order = order_++;
-    queue_.push(std::move(later));
+    later.order = next_event_order_++;
+    events_.push(std::move(later));
     return;
   }
   switch (event.kind) {
     case ScheduledEvent::Kind::kStep:
-      if (m.replica->NextDeadline() > Local(m)) return;  // the step was rescheduled
-      m.replica->Tick(Local(m));
+      if (m.replica->NextDeadline() > LocalTime(m)) return;  // the step was rescheduled
+      m.replica->Tick(LocalTime(m));
       break;
     case ScheduledEvent::Kind::kMessage:
       if (const auto message = replicated_config::DecodeMessage(*event.bytes))
-        m.replica->Receive(Local(m), event.from, *message);
+        m.replica->Receive(LocalTime(m), event.from, *message);
       break;
     case ScheduledEvent::Kind::kSynced:
       if (m.pending_writes.empty() || m.pending_writes.front().first > now_) return;
@@ -255,10 +257,10 @@
   m.pending_writes.erase(m.pending_writes.begin());
   if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
     ApplyUpdate(persist->update, m.disk.persistent_state);
-    m.replica->OnPersisted(Local(m), persist->update.sequence);
+    m.replica->OnPersisted(LocalTime(m), persist->update.sequence);
   } else if (const auto* bootstrap = std::get_if<replicated_config::PersistBootstrapVoters>(&output)) {
     m.disk.bootstrap_voters = bootstrap->bootstrap_voters;
-    m.replica->OnBootstrapVotersPersisted(Local(m));
+    m.replica->OnBootstrapVotersPersisted(LocalTime(m));
   }
 }
 
@@ -266,11 +268,11 @@
   const Instant until = now_ + span;
   while (now_ < until) {
     const Instant tick = std::min(until, now_ + kTick);
-    while (!queue_.empty() && queue_.top().at <= tick) {
-      const ScheduledEvent event = queue_.top();
-      queue_.pop();
+    while (!events_.empty() && events_.top().at <= tick) {
+      const ScheduledEvent event = events_.top();
+      events_.pop();
       now_ = std::max(now_, event.at);
-      if (plan_.timed)
+      if (plan_.measure_processor_time)
         HandleTimed(event);
       else
         Handle(event);
@@ -283,7 +285,7 @@
 std::optional<Version> ConfigReplicaFleet::UsableVersion(std::size_t i) const {
   const Machine& m = machines_[i];
   if (m.replica == nullptr || m.stalled_until > now_) return std::nullopt;
-  const auto version = m.replica->UsableVersion(Local(m));
+  const auto version = m.replica->UsableVersion(LocalTime(m));
   return version && *version == m.active_version ? version : std::nullopt;
 }
 
@@ -292,7 +294,7 @@
   std::size_t leaders = 0;
   for (std::size_t i = 0; i < machines_.size(); ++i) {
     const Machine& m = machines_[i];
-    if (IsRunning(i) && m.stalled_until <= now_ && m.replica->Leads(Local(m))) ++leaders;
+    if (IsRunning(i) && m.stalled_until <= now_ && m.replica->Leads(LocalTime(m))) ++leaders;
     if (const auto version = UsableVersion(i)) usable.push_back(*version);
   }
   if (leaders > 1) violations_.push_back("two replicas lead at the same time");
--- a/src/testing/simulation/config_replica_fleet.h
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -30,10 +30,10 @@
     replicated_config::LeaseOptions lease_options;
     raft::Options log;
     replicated_config::ConfigReplicaSafetyChecks safety_checks;
-    double drift = 0.005;                                   // maximum relative error of a clock's rate
-    Instant sync = std::chrono::milliseconds(2);            // duration of a disk sync
+    double max_clock_drift = 0.005;                         // maximum relative error of a clock's rate
+    Instant sync_duration = std::chrono::milliseconds(2);   // of each disk
     Instant stale_limit = std::chrono::milliseconds(1200);  // limit T in docs/agreement.md
-    bool timed = false;                                     // measures the processor time of each machine
+    bool measure_processor_time = false;                    // of each machine
   };
   explicit ConfigReplicaFleet(const Plan& plan);
 
@@ -48,11 +48,11 @@
   };
   Disk& disk(std::size_t i) { return machines_[i].disk; }
   void Stall(std::size_t i, Instant span);
-  void SlowDisk(std::size_t i, Instant sync) { machines_[i].sync = sync; }
+  void SlowDisk(std::size_t i, Instant sync_duration) { machines_[i].sync_duration = sync_duration; }
   // Closes the voter's store and drops its pending writes: the voter steps down. A restart opens the store
   // again.
   void BreakDisk(std::size_t i);
-  void Rate(std::size_t i, double rate) { machines_[i].rate = rate; }
+  void SetClockRate(std::size_t i, double clock_rate) { machines_[i].clock_rate = clock_rate; }
   void RunFor(Instant span);
 
   // A document that begins with "not for " and a machine's name is incompatible with that machine; a document
@@ -72,15 +72,15 @@
   Instant now() const { return now_; }
 
   // See VersionUseRecorder.
-  Instant contradiction() const { return version_uses_.longest_contradiction(); }
-  std::uint64_t stale() const { return version_uses_.stale_uses(); }
+  Instant longest_contradiction() const { return version_uses_.longest_contradiction(); }
+  std::uint64_t stale_uses() const { return version_uses_.stale_uses(); }
   const std::vector<std::string>& violations() const { return violations_; }
-  std::uint64_t messages() const { return message_count_; }
-  struct Sent {
+  std::uint64_t messages_sent() const { return messages_sent_; }
+  struct SendTotals {
     std::uint64_t messages = 0, bytes = 0;  // including frames
-    double processor_us = 0;                // of the replica and the message codec; 0 unless `timed`
+    double processor_us = 0;  // of the replica and the message codec; 0 unless `measure_processor_time`
   };
-  const Sent& sent(std::size_t i) const { return machines_[i].sent; }
+  const SendTotals& sent(std::size_t i) const { return machines_[i].sent; }
   std::size_t size() const { return machines_.size(); }
 
  private:
@@ -88,12 +88,12 @@
     std::unique_ptr<replicated_config::ConfigReplica> replica;
     Disk disk;
     std::vector<std::pair<Instant, replicated_config::ConfigReplicaOutput>> pending_writes;
-    double rate = 1;
-    raft::Time origin{};
-    Instant stalled_until{}, sync{};
+    double clock_rate = 1;
+    raft::Time clock_origin{};
+    Instant stalled_until{}, sync_duration{};
     std::uint64_t incarnation = 0;
     replicated_config::Version active_version = 0;
-    Sent sent;
+    SendTotals sent;
   };
   struct ScheduledEvent {
     Instant at{};
@@ -109,7 +109,7 @@
   };
 
   replicated_config::ConfigReplicaOptions ReplicaOptionsOf(std::size_t i) const;
-  raft::Time Local(const Machine& m) const;
+  raft::Time LocalTime(const Machine& m) const;
   replicated_config::Instance InstanceOf(std::size_t i) const {
     return instances_per_incarnation_ * machines_[i].incarnation + i + 1;
   }
@@ -132,9 +132,9 @@
   std::mt19937_64 random_;
   Links links_;
   Instant now_{};
-  std::uint64_t order_ = 0, message_count_ = 0, ids_ = 0;
+  std::uint64_t next_event_order_ = 0, messages_sent_ = 0, last_request_number_ = 0;
   replicated_config::Instance instances_per_incarnation_ = 1000;  // distance of a machine's instances
-  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> events_;
   std::vector<Machine> machines_;
   std::map<std::string, replicated_config::ChangeOutcome> outcomes_;
   std::map<replicated_config::Version, std::string> documents_;  // the first text seen of each version
--- a/src/testing/simulation/lease_fleet.cpp
+++ b/src/testing/simulation/lease_fleet.cpp
@@ -15,11 +15,11 @@
   RaftCluster::Plan out;
   out.seed = plan.seed;
   out.members = out.initial_voters = plan.voters;
-  out.max_clock_drift = plan.drift;
+  out.max_clock_drift = plan.max_clock_drift;
   return out;
 }
 
-Version Number(const std::string& data) { return std::strtoull(data.c_str() + 4, nullptr, 10); }
+Version VersionOf(const std::string& data) { return std::strtoull(data.c_str() + 4, nullptr, 10); }
 
 }  // namespace
 
@@ -28,8 +28,9 @@
   leaders_.assign(plan.voters, Leader(plan.lease_options));
   for (std::size_t i = 0; i < plan.proxies; ++i) {
     Proxy& proxy = proxies_.emplace_back(plan.lease_options);
-    proxy.rate = 1 + plan.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
-    proxy.origin = replicated_config::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
+    proxy.clock_rate = 1 + plan.max_clock_drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
+    proxy.clock_origin =
+        replicated_config::Time(Instant(static_cast<Instant::rep>(random_() % 1'000'000'000'000)));
     proxy.renew_at = Instant(static_cast<Instant::rep>(random_() % 250'000'000));
     proxy.fetch_delay = plan.fetch_delay;
   }
@@ -37,20 +38,20 @@
     if (entry.kind != raft::EntryKind::kData) return;
     Leader& leader = leaders_[i];
     Version& version = entry.data.starts_with("doc") ? leader.latest_version : leader.active_version;
-    version = std::max(version, Number(entry.data));
+    version = std::max(version, VersionOf(entry.data));
   };
 }
 
-replicated_config::Time LeaseFleet::Local(const Proxy& proxy) const {
-  return proxy.origin +
-         Instant(static_cast<Instant::rep>(static_cast<double>(voters_.now().count()) * proxy.rate));
+replicated_config::Time LeaseFleet::LocalTime(const Proxy& proxy) const {
+  return proxy.clock_origin +
+         Instant(static_cast<Instant::rep>(static_cast<double>(voters_.now().count()) * proxy.clock_rate));
 }
 
 std::optional<Version> LeaseFleet::Propose() {
   const auto leader = voters_.Leader();
   if (!leader) return std::nullopt;
-  voters_.Propose(*leader, "doc " + std::to_string(++proposed_));
-  return proposed_;
+  voters_.Propose(*leader, "doc " + std::to_string(++last_proposed_version_));
+  return last_proposed_version_;
 }
 
 void LeaseFleet::Stall(std::size_t proxy, Instant span) {
@@ -92,8 +93,8 @@
   response.grant = grant;
   const auto deliver = [&](Instant at, const std::string&) {
     response.at = at;
-    response.order = order_++;
-    queue_.push(response);
+    response.order = next_event_order_++;
+    events_.push(response);
   };
   if (voter == machine)
     deliver(now(), {});
@@ -103,17 +104,17 @@
 
 void LeaseFleet::HandleGrant(const ScheduledEvent& event) {
   Proxy& proxy = proxies_[event.proxy];
-  proxy.holder.HandleGrant(Local(proxy), *event.grant);
+  proxy.holder.HandleGrant(LocalTime(proxy), *event.grant);
   const bool prepared = proxy.holder.latest_version() <= proxy.holder.prepared_version();
   if (prepared || proxy.fetching_version != 0) return;
   if (!links().IsOpen(static_cast<Node>(event.proxy), static_cast<Node>(event.voter))) return;
   proxy.fetching_version = proxy.holder.latest_version();
   ScheduledEvent fetched;
   fetched.at = now() + proxy.fetch_delay;
-  fetched.order = order_++;
+  fetched.order = next_event_order_++;
   fetched.proxy = event.proxy;
   fetched.fetched_version = proxy.fetching_version;
-  queue_.push(fetched);
+  events_.push(fetched);
 }
 
 void LeaseFleet::Handle(const ScheduledEvent& event) {
@@ -122,8 +123,8 @@
   if (proxy.stalled_until > now()) {
     ScheduledEvent later = event;
     later.at = proxy.stalled_until;
-    later.order = order_++;
-    queue_.push(later);
+    later.order = next_event_order_++;
+    events_.push(later);
     return;
   }
   if (event.fetched_version > 0) {
@@ -139,18 +140,18 @@
   for (std::size_t p = 0; p < proxies_.size(); ++p) {
     Proxy& proxy = proxies_[p];
     if (proxy.stalled_until > now()) continue;
-    proxy.holder.Tick(Local(proxy));
+    proxy.holder.Tick(LocalTime(proxy));
     if (proxy.renew_at > now()) continue;
     proxy.renew_at = now() + plan_.lease_options.renewal_interval;
     ScheduledEvent request;
     request.proxy = p;
-    request.renewal = proxy.holder.RequestRenewal(Local(proxy));
+    request.renewal = proxy.holder.RequestRenewal(LocalTime(proxy));
     for (std::size_t v = 0; v < plan_.voters; ++v) {
       request.voter = v;
       const auto deliver = [&](Instant at, const std::string&) {
         request.at = at;
-        request.order = order_++;
-        queue_.push(request);
+        request.order = next_event_order_++;
+        events_.push(request);
       };
       if (v == p)
         deliver(now(), {});
@@ -169,17 +170,17 @@
     // missed.
     ObserveUse();
     RequestRenewals();
-    while (!queue_.empty() && queue_.top().at <= now()) {
-      const ScheduledEvent event = queue_.top();
-      queue_.pop();
+    while (!events_.empty() && events_.top().at <= now()) {
+      const ScheduledEvent event = events_.top();
+      events_.pop();
       Handle(event);
     }
   }
 }
 
 std::optional<Version> LeaseFleet::UsableVersion(std::size_t proxy) const {
-  const Proxy& one = proxies_[proxy];
-  return one.stalled_until > now() ? std::nullopt : one.holder.UsableVersion(Local(one));
+  const Proxy& state = proxies_[proxy];
+  return state.stalled_until > now() ? std::nullopt : state.holder.UsableVersion(LocalTime(state));
 }
 
 void LeaseFleet::ObserveUse() {
@@ -187,7 +188,7 @@
   for (std::size_t p = 0; p < proxies_.size(); ++p) {
     if (const auto version = UsableVersion(p)) usable.push_back(*version);
     const Proxy& proxy = proxies_[p];
-    const bool has_lease = Local(proxy) < proxy.holder.lease_expiry() && proxy.stalled_until <= now();
+    const bool has_lease = LocalTime(proxy) < proxy.holder.lease_expiry() && proxy.stalled_until <= now();
     if (has_lease && proxy.holder.prepared_version() < proxy.holder.active_version())
       ++uses_without_document_;
   }
--- a/src/testing/simulation/lease_fleet.h
+++ b/src/testing/simulation/lease_fleet.h
@@ -25,7 +25,7 @@
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
     replicated_config::LeaseOptions lease_options;
-    double drift = 0.005;                                   // maximum relative error of a clock's rate
+    double max_clock_drift = 0.005;                         // maximum relative error of a clock's rate
     Instant fetch_delay = std::chrono::milliseconds(20);    // duration of fetching a document
     Instant stale_limit = std::chrono::milliseconds(1200);  // limit T in docs/agreement.md
   };
@@ -38,7 +38,7 @@
   void CrashVoter(std::size_t i) { voters_.Crash(i); }
   void RestartVoter(std::size_t i);
   void SetFetchDelay(std::size_t proxy, Instant span) { proxies_[proxy].fetch_delay = span; }
-  void Rate(std::size_t proxy, double rate) { proxies_[proxy].rate = rate; }
+  void SetClockRate(std::size_t proxy, double clock_rate) { proxies_[proxy].clock_rate = clock_rate; }
   void RunFor(Instant span);
   RaftCluster& voters() { return voters_; }
   Links& links() { return voters_.links(); }
@@ -47,10 +47,10 @@
   std::optional<replicated_config::Version> UsableVersion(std::size_t proxy) const;
   const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
   // Returns the longest time for which two proxies could act on different versions.
-  Instant contradiction() const { return version_uses_.longest_contradiction(); }
+  Instant longest_contradiction() const { return version_uses_.longest_contradiction(); }
   // Returns the number of observations of a proxy that could act on a version more than `stale_limit` after a
   // later version was first usable.
-  std::uint64_t stale() const { return version_uses_.stale_uses(); }
+  std::uint64_t stale_uses() const { return version_uses_.stale_uses(); }
   // Returns the number of observations of a running proxy that had a lease but not the document of the active
   // version.
   std::uint64_t uses_without_document() const { return uses_without_document_; }
@@ -61,8 +61,8 @@
   struct Proxy {
     explicit Proxy(const replicated_config::LeaseOptions& lease_options) : holder(lease_options) {}
     replicated_config::LeaseHolder holder;
-    double rate = 1;
-    replicated_config::Time origin{};
+    double clock_rate = 1;
+    replicated_config::Time clock_origin{};
     Instant stalled_until{}, renew_at{}, fetch_delay{};
     replicated_config::Version fetching_version = 0;
   };
@@ -84,7 +84,7 @@
     }
   };
 
-  replicated_config::Time Local(const Proxy& proxy) const;
+  replicated_config::Time LocalTime(const Proxy& proxy) const;
   void Handle(const ScheduledEvent& event);
   void RunLeaderDuties(std::size_t i);
   void ObserveUse();
@@ -95,11 +95,11 @@
   Plan plan_;
   RaftCluster voters_;
   std::mt19937_64 random_;
-  std::uint64_t order_ = 0, uses_without_document_ = 0;
-  replicated_config::Version proposed_ = 0;
+  std::uint64_t next_event_order_ = 0, uses_without_document_ = 0;
+  replicated_config::Version last_proposed_version_ = 0;
   std::vector<Proxy> proxies_;
   std::vector<Leader> leaders_;
-  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> events_;
   VersionUseRecorder version_uses_;
 };
 
--- a/tests/config_replica_test.cpp
+++ b/tests/config_replica_test.cpp
@@ -81,7 +81,7 @@
     return out;
   }
   bool InvariantsHold() const {
-    return contradiction() <= kMaxContradiction && stale() == 0 && violations().empty();
+    return longest_contradiction() <= kMaxContradiction && stale_uses() == 0 && violations().empty();
   }
 };
 
@@ -93,7 +93,7 @@
     fleet.Commit((seed + 3) % 7, 1, "two");
     EXPECT_LE(fleet.now() - since, Instant(700ms)) << seed;
     EXPECT_EQ(fleet.DocumentAt(6, 2), "two");
-    EXPECT_LE(fleet.contradiction(), Instant(300ms)) << "a renewal interval and a delivery";
+    EXPECT_LE(fleet.longest_contradiction(), Instant(300ms)) << "a renewal interval and a delivery";
     EXPECT_TRUE(fleet.violations().empty());
   }
 }
@@ -123,7 +123,7 @@
       EXPECT_EQ(outcome.status, ChangeStatus::kUnknown) << after;
     }
     EXPECT_TRUE(fleet.AllUse(now)) << after << ": the change is active on some proxies only";
-    EXPECT_TRUE(fleet.InvariantsHold()) << after << " " << fleet.contradiction().count();
+    EXPECT_TRUE(fleet.InvariantsHold()) << after << " " << fleet.longest_contradiction().count();
   }
   EXPECT_GT(committed, 50) << "the proposer retries a change under its id at the next leader";
   RecordProperty("unknown", unknown);
@@ -211,8 +211,8 @@
       const std::string stored = fleet.DocumentAt(0, outcome.version);
       if (!stored.empty()) EXPECT_EQ(stored, texts.at(id)) << seed << ": a committed change is lost";
     }
-    EXPECT_LE(fleet.contradiction(), kMaxContradiction) << seed;
-    EXPECT_EQ(fleet.stale(), 0u) << seed;
+    EXPECT_LE(fleet.longest_contradiction(), kMaxContradiction) << seed;
+    EXPECT_EQ(fleet.stale_uses(), 0u) << seed;
     EXPECT_TRUE(fleet.violations().empty())
         << seed << " " << (fleet.violations().empty() ? "" : fleet.violations().front());
   }
@@ -328,9 +328,9 @@
 
 TEST(ConfigReplica, IdleFleet_SendsFewMessagesPerSecond) {
   TestFleet fleet(1, {}, 30);
-  const std::uint64_t before = fleet.messages();
+  const std::uint64_t before = fleet.messages_sent();
   fleet.RunFor(10s);
-  EXPECT_LT(static_cast<double>(fleet.messages() - before) / 10 / 30, 12);
+  EXPECT_LT(static_cast<double>(fleet.messages_sent() - before) / 10 / 30, 12);
 }
 
 // ---- The state machine ----
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -120,7 +120,8 @@
     const Instant since = fleet.now();
     fleet.ProposeAndWait();
     EXPECT_LE(fleet.now() - since, Instant(700ms)) << "to announce, prepare and activate: seed " << seed;
-    EXPECT_LE(fleet.contradiction(), Instant(300ms)) << "a renewal interval and a delivery: seed " << seed;
+    EXPECT_LE(fleet.longest_contradiction(), Instant(300ms))
+        << "a renewal interval and a delivery: seed " << seed;
     EXPECT_EQ(fleet.uses_without_document(), 0u);
   }
 }
@@ -142,7 +143,7 @@
   fleet.links().Heal();
   fleet.RunFor(2s);
   EXPECT_TRUE(fleet.ActiveEverywhere(2));
-  EXPECT_LE(fleet.contradiction(), kMaxContradiction);
+  EXPECT_LE(fleet.longest_contradiction(), kMaxContradiction);
 }
 
 TEST(LeaseFleet, RandomFaults_ContradictionStaysBounded) {
@@ -183,8 +184,8 @@
       fleet.Propose();
       fleet.RunFor(Instant(1ms) * static_cast<int>(below(1500)));
     }
-    EXPECT_LE(fleet.contradiction(), kMaxContradiction) << "seed " << seed;
-    EXPECT_EQ(fleet.stale(), 0u) << "seed " << seed;
+    EXPECT_LE(fleet.longest_contradiction(), kMaxContradiction) << "seed " << seed;
+    EXPECT_EQ(fleet.stale_uses(), 0u) << "seed " << seed;
     EXPECT_TRUE(fleet.voters().violations().empty()) << "seed " << seed;
   }
 }
@@ -199,7 +200,7 @@
 };
 
 bool InvariantsHold(const LeaseFleet& fleet) {
-  return fleet.contradiction() <= kMaxContradiction && fleet.stale() == 0 &&
+  return fleet.longest_contradiction() <= kMaxContradiction && fleet.stale_uses() == 0 &&
          fleet.uses_without_document() == 0;
 }
 
@@ -211,7 +212,7 @@
        fleet.RunFor(2s);
        fleet.Propose();
        fleet.RunFor(4s);  // the process is resumed, and acts before any of its timers has run
-       return fleet.stale() == 0 && fleet.contradiction() <= kMaxContradiction;
+       return fleet.stale_uses() == 0 && fleet.longest_contradiction() <= kMaxContradiction;
      }},
     {"a lease runs from its request", &LeaseSafetyChecks::start_at_request,
      [](const LeaseSafetyChecks& safety_checks) {
