--- a/src/testing/simulation/peer_fleet.cpp
+++ b/src/testing/simulation/peer_fleet.cpp
@@ -19,31 +19,34 @@
 
 PeerFleet::PeerFleet(const Options& options) : options_(options), random_(options.seed), links_(random_()) {}
 
-PeerAddress PeerFleet::AddressOf(Node machine, bool second) {
-  return {0x7f020000u + machine, static_cast<std::uint16_t>(kPort + (second ? 1 : 0))};
+PeerAddress PeerFleet::AddressOf(Node machine, bool use_second_address) {
+  return {0x7f020000u + machine, static_cast<std::uint16_t>(kPort + (use_second_address ? 1 : 0))};
 }
 
 Time PeerFleet::LocalTime(const Running& r, Instant at) const {
-  return r.origin + Duration(static_cast<Duration::rep>(static_cast<double>(at.count()) * r.rate));
+  return r.clock_origin +
+         Duration(static_cast<Duration::rep>(static_cast<double>(at.count()) * r.clock_rate));
 }
 
 // Rounds up so that no process is woken before its deadline.
 Instant PeerFleet::TrueTime(const Running& r, Time local) const {
-  return Instant(static_cast<Instant::rep>(static_cast<double>((local - r.origin).count()) / r.rate) + 1);
+  return Instant(
+      static_cast<Instant::rep>(static_cast<double>((local - r.clock_origin).count()) / r.clock_rate) + 1);
 }
 
 void PeerFleet::Schedule(Instant at, Kind kind, Process process, Process from, std::string bytes) {
-  queue_.push({at, order_++, kind, process, from, std::move(bytes)});
+  events_.push({at, next_event_order_++, kind, process, from, std::move(bytes)});
 }
 
-Process PeerFleet::Start(Node machine, const std::string& name, const std::vector<Node>& seeds, bool second) {
+Process PeerFleet::Start(Node machine, const std::string& name, const std::vector<Node>& seeds,
+                         bool use_second_address) {
   const Process p = processes_.size();
   Running& r = processes_.emplace_back();
   r.id = random_() | 1;
   r.machine = machine;
-  r.address = AddressOf(machine, second);
-  r.rate = 1 + options_.drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
-  r.origin = Time(Duration(static_cast<Duration::rep>(random_() % 1'000'000'000'000)));
+  r.address = AddressOf(machine, use_second_address);
+  r.clock_rate = 1 + options_.max_clock_drift * (2 * static_cast<double>(random_() >> 11) * 0x1.0p-53 - 1);
+  r.clock_origin = Time(Duration(static_cast<Duration::rep>(random_() % 1'000'000'000'000)));
   Settings settings = options_.settings;
   for (const Node seed : seeds) settings.seeds.push_back(AddressOf(seed, false));
   MemberRecord self;
@@ -54,7 +57,7 @@
   self.phase = Phase::kServing;
   r.view = std::make_unique<MembershipView>(settings, self, random_(), LocalTime(r, now_));
   by_address_[r.address] = p;
-  ids_[r.id] = p;
+  by_id_[r.id] = p;
   ++live_count_;
   DispatchOutputs(p);
   return p;
@@ -122,8 +125,8 @@
 }
 
 std::optional<Process> PeerFleet::process_of(InstanceId id) const {
-  const auto it = ids_.find(id);
-  return it == ids_.end() ? std::nullopt : std::optional(it->second);
+  const auto it = by_id_.find(id);
+  return it == by_id_.end() ? std::nullopt : std::optional(it->second);
 }
 
 void PeerFleet::CountSent(Process process, std::size_t bytes) {
@@ -173,65 +176,67 @@
   }
 }
 
-void PeerFleet::Handle(ScheduledEvent& h) {
-  Running& r = processes_[h.process];
+void PeerFleet::Handle(ScheduledEvent& event) {
+  Running& r = processes_[event.process];
   if (r.view == nullptr) return;
-  if (h.kind == Kind::kStep && h.at != r.step_at) return;  // the step was rescheduled
+  if (event.kind == Kind::kStep && event.at != r.step_at) return;  // the step was rescheduled
   if (r.paused_until > now_) {  // a paused process handles its events later, in order
-    if (h.kind == Kind::kStream && r.paused_until - now_ > kStreamTimeout) return;
-    if (h.kind == Kind::kStep) r.step_at = r.paused_until;
-    Schedule(r.paused_until, h.kind, h.process, h.from, std::move(h.bytes));
+    if (event.kind == Kind::kStream && r.paused_until - now_ > kStreamTimeout) return;
+    if (event.kind == Kind::kStep) r.step_at = r.paused_until;
+    Schedule(r.paused_until, event.kind, event.process, event.from, std::move(event.bytes));
     return;
   }
   const Time local = LocalTime(r, now_);
-  switch (h.kind) {
+  switch (event.kind) {
     case Kind::kEnd:
-      return Kill(h.process);
+      return Kill(event.process);
     case Kind::kStep:
       r.step_at = Instant::max();
       r.view->Tick(local);
       break;
     case Kind::kDatagram: {
-      const auto message = peer_transport::Decode(kFleet, h.bytes, kMaxDatagramBytes);
+      const auto message = peer_transport::Decode(kFleet, event.bytes, kMaxDatagramBytes);
       if (!message || !std::holds_alternative<Datagram>(*message)) return;
       r.view->Receive(local, std::get<Datagram>(*message));
       break;
     }
     case Kind::kStream: {
-      Running& other = processes_[h.from];
-      if (other.view == nullptr || !links_.IsOpen(other.machine, r.machine) ||
-          !links_.IsOpen(r.machine, other.machine))
+      Running& initiator = processes_[event.from];
+      if (initiator.view == nullptr || !links_.IsOpen(initiator.machine, r.machine) ||
+          !links_.IsOpen(r.machine, initiator.machine))
         return;
-      const auto message = peer_transport::Decode(kFleet, h.bytes, peer_transport::kMaxStreamMessageBytes);
+      const auto message =
+          peer_transport::Decode(kFleet, event.bytes, peer_transport::kMaxStreamMessageBytes);
       if (!message) return;
       const auto* request = std::get_if<SyncRequest>(&*message);
-      if (request == nullptr || other.paused_until > now_) return;
+      if (request == nullptr || initiator.paused_until > now_) return;
       // The three messages of a state sync are delivered at the same time; the fault tests on real sockets
       // cover interrupted syncs.
-      const std::string answer = peer_transport::Encode(kFleet, r.view->HandleSyncRequest(local, *request));
-      CountSyncSent(h.process, answer.size());
-      Trace(h.process, answer);
-      const auto answered = peer_transport::Decode(kFleet, answer, peer_transport::kMaxStreamMessageBytes);
-      if (!answered) break;  // too long for a stream message: the sync is abandoned
-      const SyncEntries last =
-          other.view->HandleSyncResponse(LocalTime(other, now_), std::get<SyncEntries>(*answered));
-      const std::string closing = peer_transport::Encode(kFleet, last);
-      CountSyncSent(h.from, closing.size());
-      Trace(h.from, closing);
-      r.view->FinishSync(local, last);
-      DispatchOutputs(h.from);
+      const std::string response = peer_transport::Encode(kFleet, r.view->HandleSyncRequest(local, *request));
+      CountSyncSent(event.process, response.size());
+      Trace(event.process, response);
+      const auto decoded_response =
+          peer_transport::Decode(kFleet, response, peer_transport::kMaxStreamMessageBytes);
+      if (!decoded_response) break;  // too long for a stream message: the sync is abandoned
+      const SyncEntries final_entries = initiator.view->HandleSyncResponse(
+          LocalTime(initiator, now_), std::get<SyncEntries>(*decoded_response));
+      const std::string final_message = peer_transport::Encode(kFleet, final_entries);
+      CountSyncSent(event.from, final_message.size());
+      Trace(event.from, final_message);
+      r.view->FinishSync(local, final_entries);
+      DispatchOutputs(event.from);
       break;
     }
   }
-  DispatchOutputs(h.process);
+  DispatchOutputs(event.process);
 }
 
 void PeerFleet::RunTo(Instant until) {
-  while (!queue_.empty() && queue_.top().at <= until) {
-    ScheduledEvent h = queue_.top();
-    queue_.pop();
-    now_ = std::max(now_, h.at);
-    Handle(h);
+  while (!events_.empty() && events_.top().at <= until) {
+    ScheduledEvent event = events_.top();
+    events_.pop();
+    now_ = std::max(now_, event.at);
+    Handle(event);
   }
   now_ = until;
 }
--- a/src/testing/simulation/peer_fleet.h
+++ b/src/testing/simulation/peer_fleet.h
@@ -30,7 +30,7 @@
   struct Options {
     std::uint64_t seed = 1;
     gossip::Settings settings;
-    double drift = 0.01;  // maximum relative error of a clock's rate
+    double max_clock_drift = 0.01;  // maximum relative error of a clock's rate
   };
   struct ObservedEvent {  // an event that the view of a process reports
     Instant at{};
@@ -44,9 +44,10 @@
 
   explicit PeerFleet(const Options& options);
 
-  // Starts a process on the machine's first address or, if `second`, on its second address next to a running
-  // process. `seeds` are machines.
-  Process Start(Node machine, const std::string& name, const std::vector<Node>& seeds, bool second = false);
+  // Starts a process on the machine's first address or, if `use_second_address`, on its second address next
+  // to a running process. `seeds` are machines.
+  Process Start(Node machine, const std::string& name, const std::vector<Node>& seeds,
+                bool use_second_address = false);
   // Makes all running processes members of each other's views.
   void IntroduceAll();
   // Like IntroduceAll; in addition, each process receives a datagram from every other process.
@@ -102,14 +103,14 @@
     gossip::InstanceId id = gossip::kNoInstance;
     Node machine = 0;
     gossip::PeerAddress address;
-    double rate = 1;
-    gossip::Time origin{};
+    double clock_rate = 1;
+    gossip::Time clock_origin{};
     Instant paused_until{};
     Instant step_at = Instant::max();
     SendTotals sent;
   };
 
-  static gossip::PeerAddress AddressOf(Node machine, bool second);
+  static gossip::PeerAddress AddressOf(Node machine, bool use_second_address);
   gossip::Time LocalTime(const Running& r, Instant at) const;
   Instant TrueTime(const Running& r, gossip::Time local) const;
   void Schedule(Instant at, Kind kind, Process process, Process from = 0, std::string bytes = {});
@@ -123,11 +124,11 @@
   std::mt19937_64 random_;
   Links links_;
   Instant now_{};
-  std::uint64_t order_ = 0, trace_ = 0;
-  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  std::uint64_t next_event_order_ = 0, trace_ = 0;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> events_;
   std::deque<Running> processes_;
   std::map<gossip::PeerAddress, Process> by_address_;
-  std::map<gossip::InstanceId, Process> ids_;
+  std::map<gossip::InstanceId, Process> by_id_;
   std::size_t live_count_ = 0;
 };
 
--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -7,11 +7,11 @@
 namespace lemoncroft::simulation {
 namespace {
 
-constexpr Engine kMachine = 1;       // the engine's `Fleet` has only this machine
-constexpr double kKnee = 1.5;        // threads per core above which throughput falls
-constexpr double kThrash = 0.6;      // relative slowdown at twice the threshold
-constexpr double kSpill = 2.5;       // additional work of a query without memory, relative to its work
-constexpr double kSwapSlowdown = 6;  // slowdown when twice the engine's memory is in use
+constexpr Engine kMachine = 1;              // the engine's `Fleet` has only this machine
+constexpr double kOverloadThreshold = 1.5;  // threads per core above which throughput falls
+constexpr double kOverloadPenalty = 0.6;    // relative slowdown at twice the threshold
+constexpr double kSpillExtraWork = 2.5;     // additional work of a query without memory, relative to its work
+constexpr double kSwapSlowdown = 6;         // slowdown when twice the engine's memory is in use
 constexpr std::size_t kMaxSnapshots = 8;
 
 double Seconds(Nanos time) { return static_cast<double>(time) / 1e9; }
@@ -19,70 +19,74 @@
 }  // namespace
 
 QueryEngine::QueryEngine(EngineTraits traits, Nanos started_at)
-    : traits_(std::move(traits)), started_at_(started_at), fleet_(kKnee, kThrash), idle_since_(started_at) {
+    : traits_(std::move(traits)),
+      started_at_(started_at),
+      fleet_(kOverloadThreshold, kOverloadPenalty),
+      idle_since_(started_at) {
   fleet_.Add(kMachine, traits_.cores, traits_.speed);
   next_snapshot_ = started_at;
 }
 
-double QueryEngine::Wanted(const QueryPlan& plan) const {
-  const bool told = traits_.honors_memory_grants && plan.grant_mb > 0;
-  return std::min(told ? plan.grant_mb : plan.own_grant_mb, traits_.memory_mb);
+double QueryEngine::RequestedMemory(const QueryPlan& plan) const {
+  const bool use_grant = traits_.honors_memory_grants && plan.grant_mb > 0;
+  return std::min(use_grant ? plan.grant_mb : plan.own_grant_mb, traits_.memory_mb);
 }
 
-double QueryEngine::Granted() const {
+double QueryEngine::GrantedMemory() const {
   double sum = 0;
-  for (const auto& [key, resident] : residents_) sum += resident.granted;
+  for (const auto& [key, query] : active_queries_) sum += query.granted;
   return sum;
 }
 
-void QueryEngine::Admit(Resident& resident) {
-  const double wanted = Wanted(resident.plan);
-  const double left = std::max(0.0, traits_.memory_mb - Granted());
-  resident.granted =
-      traits_.memory_shortage_policy == MemoryShortagePolicy::kTrim ? std::min(wanted, left) : wanted;
-  resident.admitted = true;
-  const double need = std::max(1e-9, resident.plan.memory_mb);
-  const double missing = 1 - std::min(1.0, resident.granted / need);
-  resident.work = resident.plan.work * (1 + kSpill * missing);
+void QueryEngine::Admit(ActiveQuery& query) {
+  const double requested = RequestedMemory(query.plan);
+  const double available = std::max(0.0, traits_.memory_mb - GrantedMemory());
+  query.granted = traits_.memory_shortage_policy == MemoryShortagePolicy::kTrim
+                      ? std::min(requested, available)
+                      : requested;
+  query.admitted = true;
+  const double need = std::max(1e-9, query.plan.memory_mb);
+  const double missing = 1 - std::min(1.0, query.granted / need);
+  query.work = query.plan.work * (1 + kSpillExtraWork * missing);
 }
 
 // Admits queries by priority and then by arrival. If queries queue for memory, no query overtakes the first
 // one.
 void QueryEngine::AdmitWaiting() {
-  std::vector<Resident*> line;
-  for (auto& [key, resident] : residents_)
-    if (!resident.admitted) line.push_back(&resident);
-  std::sort(line.begin(), line.end(), [](const Resident* a, const Resident* b) {
+  std::vector<ActiveQuery*> queue;
+  for (auto& [key, query] : active_queries_)
+    if (!query.admitted) queue.push_back(&query);
+  std::sort(queue.begin(), queue.end(), [](const ActiveQuery* a, const ActiveQuery* b) {
     if (a->plan.priority != b->plan.priority) return a->plan.priority > b->plan.priority;
-    return a->turn < b->turn;
+    return a->arrival_order < b->arrival_order;
   });
-  for (Resident* first : line) {
-    const double granted = Granted();
-    const bool fits = granted == 0 || granted + Wanted(first->plan) <= traits_.memory_mb;
+  for (ActiveQuery* first : queue) {
+    const double granted = GrantedMemory();
+    const bool fits = granted == 0 || granted + RequestedMemory(first->plan) <= traits_.memory_mb;
     if (traits_.memory_shortage_policy == MemoryShortagePolicy::kQueue && !fits) return;
     Admit(*first);
   }
 }
 
-bool QueryEngine::Blocked(const Resident& resident) const {
-  if (!resident.plan.holds_tables && !resident.plan.blocked_by_loads) return false;
-  return std::any_of(residents_.begin(), residents_.end(), [&](const auto& entry) {
-    const Resident& other = entry.second;
-    return other.running && other.plan.holds_tables && other.plan.tables == resident.plan.tables;
+bool QueryEngine::Blocked(const ActiveQuery& query) const {
+  if (!query.plan.holds_tables && !query.plan.blocked_by_loads) return false;
+  return std::any_of(active_queries_.begin(), active_queries_.end(), [&](const auto& entry) {
+    const ActiveQuery& other = entry.second;
+    return other.running && other.plan.holds_tables && other.plan.table_group == query.plan.table_group;
   });
 }
 
 void QueryEngine::RunAdmitted() {
-  std::vector<Resident*> waiting;
-  for (auto& [key, resident] : residents_)
-    if (resident.admitted && !resident.running) waiting.push_back(&resident);
+  std::vector<ActiveQuery*> waiting;
+  for (auto& [key, query] : active_queries_)
+    if (query.admitted && !query.running) waiting.push_back(&query);
   std::sort(waiting.begin(), waiting.end(),
-            [](const Resident* a, const Resident* b) { return a->turn < b->turn; });
-  for (Resident* resident : waiting) {
-    if (Blocked(*resident)) continue;
-    const QueryPlan& plan = resident->plan;
+            [](const ActiveQuery* a, const ActiveQuery* b) { return a->arrival_order < b->arrival_order; });
+  for (ActiveQuery* query : waiting) {
+    if (Blocked(*query)) continue;
+    const QueryPlan& plan = query->plan;
     const int priority = traits_.honors_priorities ? plan.priority : 1;
-    resident->running = fleet_.Start({plan.key, kMachine, plan.threads, priority, resident->work, 0});
+    query->running = fleet_.Start({plan.key, kMachine, plan.threads, priority, query->work, 0});
   }
 }
 
@@ -94,39 +98,38 @@
   }
   if (traits_.memory_shortage_policy != MemoryShortagePolicy::kSwap) return speed;
   double in_use = 0;
-  for (const auto& [key, resident] : residents_)
-    in_use += std::min(resident.granted, resident.plan.memory_mb);
+  for (const auto& [key, query] : active_queries_) in_use += std::min(query.granted, query.plan.memory_mb);
   const double over = std::clamp(in_use / traits_.memory_mb - 1, 0.0, 1.0);
   return speed / (1 + (kSwapSlowdown - 1) * over);
 }
 
-void QueryEngine::Rearrange(Nanos now) {
+void QueryEngine::ReassignResources(Nanos now) {
   AdmitWaiting();
   RunAdmitted();
   fleet_.SetSpeed(kMachine, SpeedAt(now));
 }
 
 bool QueryEngine::Start(Nanos now, const QueryPlan& plan) {
-  if (residents_.size() >= traits_.sessions) return false;
-  Resident resident;
-  resident.plan = plan;
-  resident.turn = turns_++;
-  residents_.emplace(plan.key, resident);
-  Rearrange(now);
+  if (active_queries_.size() >= traits_.sessions) return false;
+  ActiveQuery query;
+  query.plan = plan;
+  query.arrival_order = next_arrival_order_++;
+  active_queries_.emplace(plan.key, query);
+  ReassignResources(now);
   return true;
 }
 
 bool QueryEngine::Stop(Nanos now, const AttemptKey& key) {
-  if (residents_.erase(key) == 0) return false;
+  if (active_queries_.erase(key) == 0) return false;
   fleet_.Stop(key);
   if (idle()) idle_since_ = now;
-  Rearrange(now);
+  ReassignResources(now);
   return true;
 }
 
 void QueryEngine::SetPriority(const AttemptKey& key, int priority) {
-  const auto it = residents_.find(key);
-  if (it == residents_.end()) return;
+  const auto it = active_queries_.find(key);
+  if (it == active_queries_.end()) return;
   it->second.plan.priority = priority;
   if (traits_.honors_priorities) fleet_.SetPriority(key, priority);
 }
@@ -134,39 +137,39 @@
 void QueryEngine::Advance(Nanos now, std::vector<FinishedAttempt>& out) {
   const std::size_t first = out.size();
   fleet_.Advance(Seconds(now), out);
-  for (std::size_t i = first; i < out.size(); ++i) residents_.erase(out[i].key);
+  for (std::size_t i = first; i < out.size(); ++i) active_queries_.erase(out[i].key);
   if (out.size() > first && idle()) idle_since_ = now;
-  Rearrange(now);
+  ReassignResources(now);
   TakeSnapshots(now);
 }
 
-float QueryEngine::Value(ReportField field) const {
+float QueryEngine::ValueOf(ReportField field) const {
   double waiting = 0, threads = 0;
-  for (const auto& [key, resident] : residents_) {
-    waiting += !resident.admitted;
-    threads += resident.running ? resident.plan.threads : 0;
+  for (const auto& [key, query] : active_queries_) {
+    waiting += !query.admitted;
+    threads += query.running ? query.plan.threads : 0;
   }
   switch (field) {
     case ReportField::kInflight:
-      return static_cast<float>(residents_.size());
+      return static_cast<float>(active_queries_.size());
     case ReportField::kQueue:
       return static_cast<float>(waiting);
     case ReportField::kUtil:
       return static_cast<float>(std::min(1.0, threads / traits_.cores));
     case ReportField::kX0:
-      return static_cast<float>(Granted() / traits_.memory_mb);
+      return static_cast<float>(GrantedMemory() / traits_.memory_mb);
     default:
       return 0;
   }
 }
 
 void QueryEngine::TakeSnapshots(Nanos now) {
-  if (traits_.report_every <= 0 || now < next_snapshot_) return;
-  while (next_snapshot_ <= now) next_snapshot_ += traits_.report_every;
+  if (traits_.report_interval <= 0 || now < next_snapshot_) return;
+  while (next_snapshot_ <= now) next_snapshot_ += traits_.report_interval;
   Snapshot snapshot;
   snapshot.at = now;
   for (const ReportField field : traits_.report_fields)
-    snapshot.report.values.at(snapshot.report.count++) = Value(field);
+    snapshot.report.values.at(snapshot.report.count++) = ValueOf(field);
   snapshots_.push_back(snapshot);
   if (snapshots_.size() > kMaxSnapshots) snapshots_.pop_front();
 }
@@ -179,8 +182,8 @@
 }
 
 double QueryEngine::Progress(const AttemptKey& key) const {
-  const auto it = residents_.find(key);
-  if (it == residents_.end() || !it->second.running) return 0;
+  const auto it = active_queries_.find(key);
+  if (it == active_queries_.end() || !it->second.running) return 0;
   return 1 - fleet_.RemainingWork(key) / std::max(1e-9, it->second.work);
 }
 
--- a/src/testing/simulation/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -36,7 +36,7 @@
   bool honors_priorities = true;
   double slow_start_initial_share = 1;  // share of `speed` at the start
   Nanos slow_start_duration = 0;        // time from the start until the engine has its full speed
-  Nanos report_every = 0;
+  Nanos report_interval = 0;
   Nanos report_delay = 0;
   std::vector<ReportField> report_fields;
 };
@@ -50,7 +50,7 @@
   double own_grant_mb = 0;  // that the engine grants by its own estimate
   double grant_mb = 0;      // that the sender grants; 0: own_grant_mb applies
   int priority = 1;
-  std::uint32_t tables = 0;
+  std::uint32_t table_group = 0;
   bool holds_tables = false;
   bool blocked_by_loads = false;
 };
@@ -67,13 +67,13 @@
 
   LoadReport Report(Nanos now) const;            // the newest report that has arrived; empty before the first
   double Progress(const AttemptKey& key) const;  // completed share of the attempt's work
-  bool idle() const { return residents_.empty(); }
+  bool idle() const { return active_queries_.empty(); }
   Nanos idle_since() const { return idle_since_; }  // valid only while the engine is idle
 
  private:
-  struct Resident {
+  struct ActiveQuery {
     QueryPlan plan;
-    std::uint64_t turn = 0;  // arrival order
+    std::uint64_t arrival_order = 0;
     double granted = 0;
     double work = 0;  // core-seconds, including the additional work of spilling
     bool admitted = false;
@@ -84,22 +84,22 @@
     LoadReport report;
   };
 
-  double Wanted(const QueryPlan& plan) const;
-  double Granted() const;  // memory granted to all admitted queries
+  double RequestedMemory(const QueryPlan& plan) const;
+  double GrantedMemory() const;  // memory granted to all admitted queries
   void AdmitWaiting();
-  void Admit(Resident& resident);
-  bool Blocked(const Resident& resident) const;
+  void Admit(ActiveQuery& query);
+  bool Blocked(const ActiveQuery& query) const;
   void RunAdmitted();
-  void Rearrange(Nanos now);
+  void ReassignResources(Nanos now);
   double SpeedAt(Nanos now) const;
-  float Value(ReportField field) const;
+  float ValueOf(ReportField field) const;
   void TakeSnapshots(Nanos now);
 
   EngineTraits traits_;
   Nanos started_at_ = 0;
   Fleet fleet_;
-  std::map<AttemptKey, Resident> residents_;
-  std::uint64_t turns_ = 0;
+  std::map<AttemptKey, ActiveQuery> active_queries_;
+  std::uint64_t next_arrival_order_ = 0;
   Nanos idle_since_ = 0;
   Nanos next_snapshot_ = 0;
   std::deque<Snapshot> snapshots_;
--- a/src/testing/simulation/simulated_disk.cpp
+++ b/src/testing/simulation/simulated_disk.cpp
@@ -19,9 +19,9 @@
 
 Handle& Of(sqlite3_file* file) { return *reinterpret_cast<Handle*>(file); }
 
-void Put(std::string& bytes, std::size_t at, const std::string& what) {
-  if (bytes.size() < at + what.size()) bytes.resize(at + what.size(), '\0');
-  bytes.replace(at, what.size(), what);
+void Put(std::string& bytes, std::size_t at, const std::string& data) {
+  if (bytes.size() < at + data.size()) bytes.resize(at + data.size(), '\0');
+  bytes.replace(at, data.size(), data);
 }
 
 void ApplyWrite(std::string& bytes, const SimulatedDisk::File::PendingWrite& write) {
@@ -37,13 +37,13 @@
   return SQLITE_OK;
 }
 
-int Read(sqlite3_file* file, void* into, int size, sqlite3_int64 at) {
+int Read(sqlite3_file* file, void* out, int size, sqlite3_int64 at) {
   const std::string& bytes = (*Of(file).file)->current;
   const auto from = static_cast<std::size_t>(at), wanted = static_cast<std::size_t>(size);
-  const std::size_t there = from >= bytes.size() ? 0 : std::min(wanted, bytes.size() - from);
-  std::memcpy(into, bytes.data() + std::min(from, bytes.size()), there);
-  if (there == wanted) return SQLITE_OK;
-  std::memset(static_cast<char*>(into) + there, 0, wanted - there);
+  const std::size_t available = from >= bytes.size() ? 0 : std::min(wanted, bytes.size() - from);
+  std::memcpy(out, bytes.data() + std::min(from, bytes.size()), available);
+  if (available == wanted) return SQLITE_OK;
+  std::memset(static_cast<char*>(out) + available, 0, wanted - available);
   return SQLITE_IOERR_SHORT_READ;
 }
 
@@ -137,8 +137,8 @@
   return disk.files().erase(path) > 0 ? SQLITE_OK : SQLITE_IOERR_DELETE_NOENT;
 }
 
-int Access(sqlite3_vfs* vfs, const char* path, int, int* there) {
-  *there = DiskOf(vfs).files().contains(path) ? 1 : 0;
+int Access(sqlite3_vfs* vfs, const char* path, int, int* exists) {
+  *exists = DiskOf(vfs).files().contains(path) ? 1 : 0;
   return SQLITE_OK;
 }
 
@@ -199,16 +199,16 @@
 void SimulatedDisk::Crash(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   for (auto& [name, file] : files_) {
-    auto fresh = std::make_shared<File>();
-    fresh->synced = file->synced;
+    auto recovered = std::make_shared<File>();
+    recovered->synced = file->synced;
     std::vector<File::PendingWrite> pending = std::move(file->unsynced);
     std::shuffle(pending.begin(), pending.end(), random);
     pending.resize(pending.empty() ? 0 : random() % (pending.size() + 1));
     if (!pending.empty() && !pending.back().truncate && !pending.back().bytes.empty())
       pending.back().bytes.resize(random() % pending.back().bytes.size());
-    for (const File::PendingWrite& write : pending) ApplyWrite(fresh->synced, write);
-    fresh->current = fresh->synced;
-    file = std::move(fresh);
+    for (const File::PendingWrite& write : pending) ApplyWrite(recovered->synced, write);
+    recovered->current = recovered->synced;
+    file = std::move(recovered);
   }
   fail_from_ = UINT64_MAX;
   capacity_ = UINT64_MAX;
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -399,7 +399,7 @@
     plan.own_grant_mb = std::min(plan.own_grant_mb, most);
     plan.grant_mb = std::min(active.grant.grant_mb, most);
     plan.priority = active.grant.priority;
-    plan.tables = active.request.table_group;
+    plan.table_group = active.request.table_group;
     plan.holds_tables = c.holds_tables;
     plan.blocked_by_loads = c.blocked_by_loads;
     return plan;
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -229,7 +229,7 @@
     traits.honors_priorities = s.honors_priorities;
     traits.slow_start_initial_share = s.slow_start_initial_share;
     traits.slow_start_duration = s.slow_start_duration;
-    traits.report_every = 400 * kMs;
+    traits.report_interval = 400 * kMs;
     traits.report_delay = 150 * kMs;
     traits.report_fields = s.report_fields;
     site.traits.push_back(traits);
--- a/src/testing/simulation/store_workload.cpp
+++ b/src/testing/simulation/store_workload.cpp
@@ -33,10 +33,10 @@
     std::erase_if(contents.log, [&](const auto& e) { return e.first <= *batch.compact_through; });
 }
 
-bool SameContents(const StoreContents& read, const StoreContents& wanted) {
-  StoreContents plain = read;
-  std::erase_if(plain.records, [](const auto& r) { return r.first.starts_with("@"); });
-  return plain.records == wanted.records && plain.log == wanted.log;
+bool SameContents(const StoreContents& read, const StoreContents& expected) {
+  StoreContents without_store_records = read;
+  std::erase_if(without_store_records.records, [](const auto& r) { return r.first.starts_with("@"); });
+  return without_store_records.records == expected.records && without_store_records.log == expected.log;
 }
 
 int RunWorkload(const SimulatedDisk& disk) {
@@ -59,8 +59,8 @@
   if (!read) return read.error().ToString();
   // The batch that the crash interrupted may or may not have been stored.
   const auto index = static_cast<std::size_t>(durable);
-  const bool interrupted_is_there = durable < kWorkloadBatches && SameContents(*read, states[index + 1]);
-  if (!SameContents(*read, states[index]) && !interrupted_is_there)
+  const bool interrupted_batch_stored = durable < kWorkloadBatches && SameContents(*read, states[index + 1]);
+  if (!SameContents(*read, states[index]) && !interrupted_batch_stored)
     return "the contents of the store differ from the batches reported as durable";
   if (const auto written = database.Write(WorkloadBatch(durable)); !written)
     return written.error().ToString();
@@ -89,12 +89,12 @@
       const int durable = RunWorkload(disk);
       disk.Crash(static_cast<std::uint64_t>(variant));
       ++result.crashes;
-      const std::string wrong = CheckAfterCrash(disk, states, durable);
-      if (wrong.empty()) continue;
+      const std::string failure = CheckAfterCrash(disk, states, durable);
+      if (failure.empty()) continue;
       if (result.failures++ == 0)
         result.first_failure = "operation " + std::to_string(operation) + ", variant " +
                                std::to_string(variant) +
-                               ", batches reported as durable: " + std::to_string(durable) + ": " + wrong;
+                               ", batches reported as durable: " + std::to_string(durable) + ": " + failure;
     }
   }
   return result;
--- a/src/testing/simulation/store_workload.h
+++ b/src/testing/simulation/store_workload.h
@@ -17,7 +17,7 @@
 // Applies a batch to contents in memory, as the reference for the store.
 void ApplyBatch(const storage::WriteBatch& batch, storage::StoreContents& contents);
 // Returns true if the contents are equal, except for the records that the store itself adds.
-bool SameContents(const storage::StoreContents& read, const storage::StoreContents& wanted);
+bool SameContents(const storage::StoreContents& read, const storage::StoreContents& expected);
 // Opens a store and writes the batches in order until one fails. Returns the number of batches that the store
 // reported as durable.
 int RunWorkload(const SimulatedDisk& disk);
