--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -18,13 +18,13 @@
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1000 * kMs;
 constexpr Nanos kStart = 1000 * kSecond;  // start of the day on the deciders' clock
-constexpr Nanos kLongAgo = 0;             // start time of the engines that are warm from the beginning
+constexpr Nanos kWarmEngineStart = 0;     // start time of the engines that are warm from the beginning
 constexpr Nanos kAttemptDeadlineMargin = 30 * kMs;  // an attempt ends this long before the client's deadline
 constexpr Nanos kIdleCheckInterval = 100 * kMs;
 constexpr Nanos kMaxListDelay = 500 * kMs;  // until a change of the endpoint list reaches every gateway
 constexpr Nanos kDrainAt = 10 * kSecond;    // one engine begins to drain
-constexpr Nanos kGoneAt = 15 * kSecond;     // the engine is removed
-constexpr Nanos kBackAt = 17 * kSecond;     // the engine starts again, cold
+constexpr Nanos kRemoveAt = 15 * kSecond;   // the engine is removed
+constexpr Nanos kRestartAt = 17 * kSecond;  // the engine starts again, cold
 constexpr Nanos kReportsStopAt = 10 * kSecond;
 constexpr double kWorkDeviation = 0.7;                 // standard deviation of the logarithm of the work
 constexpr double kMemoryDeviation = 0.4;               // likewise, of the memory
@@ -76,7 +76,7 @@
     result_.classes.resize(site.settings.classes.size());
     ChooseTableGroups();
     for (std::size_t i = 0; i < site.engines.size(); ++i)
-      engines_.push_back(std::make_unique<QueryEngine>(site.traits[i], kLongAgo));
+      engines_.push_back(std::make_unique<QueryEngine>(site.traits[i], kWarmEngineStart));
     for (int i = 0; i < site.settings.gateway_count; ++i) AddGateway(i, seed, decider);
     if (site.restarted) PlanRestart();
   }
@@ -97,7 +97,7 @@
   }
 
  private:
-  struct Proxy {
+  struct SimulatedGateway {
     std::unique_ptr<Decider> decider;
     std::vector<Event> events;
   };
@@ -117,7 +117,7 @@
     double memory_mb = 0;
     ResourceGrant grant;
     std::vector<Attempt> attempts;
-    bool over = false;  // it has a response, or its client has left
+    bool finished = false;  // it has a response, or its client has left
   };
 
   // ---- Setup ----
@@ -132,17 +132,17 @@
     table_groups_ = std::max(kMinTableGroups, static_cast<std::uint32_t>(loads / kLoadsPerTableGroup));
   }
 
-  void AddGateway(int number, std::uint64_t seed, const DeciderFactory& decider) {
+  void AddGateway(int index, std::uint64_t seed, const DeciderFactory& decider) {
     Settings settings = site_.settings;
-    settings.gateway_index = number;
-    settings.zone = site_.engines[static_cast<std::size_t>(number) % site_.engines.size()].zone;
-    Proxy proxy;
-    proxy.decider = decider(settings, seed + 1 + static_cast<std::uint64_t>(number));
-    gateways_.push_back(std::move(proxy));
-    SendList(number, ListKind::kFull, site_.engines);
+    settings.gateway_index = index;
+    settings.zone = site_.engines[static_cast<std::size_t>(index) % site_.engines.size()].zone;
+    SimulatedGateway gateway;
+    gateway.decider = decider(settings, seed + 1 + static_cast<std::uint64_t>(index));
+    gateways_.push_back(std::move(gateway));
+    SendEndpointList(index, ListKind::kFull, site_.engines);
   }
 
-  void SendList(int gateway, ListKind kind, const std::vector<EngineEntry>& entries) {
+  void SendEndpointList(int gateway, ListKind kind, const std::vector<EngineEntry>& entries) {
     const auto list = std::make_shared<const std::vector<EngineEntry>>(entries);
     gateways_[static_cast<std::size_t>(gateway)].events.push_back(EngineList{kind, list});
     checker_.EndpointsListed(now_, gateway, entries);
@@ -157,27 +157,27 @@
   // ---- The engine that restarts ----
 
   void PlanRestart() {
-    Schedule(kStart + kDrainAt, [this] { Announce(Readiness::kDraining, 0); });
-    Schedule(kStart + kGoneAt, [this] {
+    Schedule(kStart + kDrainAt, [this] { AnnounceReadiness(Readiness::kDraining, 0); });
+    Schedule(kStart + kRemoveAt, [this] {
       ResetAttemptsAt(RestartedId());
-      Announce(Readiness::kRemoved, 0);
+      AnnounceReadiness(Readiness::kRemoved, 0);
     });
-    Schedule(kStart + kBackAt, [this] {
+    Schedule(kStart + kRestartAt, [this] {
       engines_[*site_.restarted] = std::make_unique<QueryEngine>(site_.traits[*site_.restarted], now_);
       restarted_engine_up_ = true;
-      Announce(Readiness::kReady, now_);
+      AnnounceReadiness(Readiness::kReady, now_);
     });
   }
 
   EngineId RestartedId() const { return site_.engines[*site_.restarted].engine; }
 
-  void Announce(Readiness readiness, Nanos started_at) {
+  void AnnounceReadiness(Readiness readiness, Nanos started_at) {
     EngineEntry entry = site_.engines[*site_.restarted];
     entry.readiness = readiness;
     entry.started_at = started_at;
     for (int i = 0; i < site_.settings.gateway_count; ++i) {
       const Nanos delay = kMaxListDelay * (i + 1) / site_.settings.gateway_count;
-      Schedule(now_ + delay, [this, i, entry] { SendList(i, ListKind::kChange, {entry}); });
+      Schedule(now_ + delay, [this, i, entry] { SendEndpointList(i, ListKind::kChange, {entry}); });
     }
   }
 
@@ -191,13 +191,13 @@
 
   // ---- Time ----
 
-  void Schedule(Nanos time, std::function<void()> what) { timeline_.emplace(time, std::move(what)); }
+  void Schedule(Nanos time, std::function<void()> callback) { timeline_.emplace(time, std::move(callback)); }
 
   void RunTimeline() {
     while (!timeline_.empty() && timeline_.begin()->first <= now_) {
-      const std::function<void()> what = std::move(timeline_.begin()->second);
+      const std::function<void()> callback = std::move(timeline_.begin()->second);
       timeline_.erase(timeline_.begin());
-      what();
+      callback();
     }
   }
 
@@ -217,10 +217,10 @@
 
   // ---- Clients ----
 
-  double Normal() { return std::normal_distribution<>()(random_); }
-  double Chance() { return Uniform(random_()); }
-  double Spread(double mean, double deviation) {
-    return mean * std::exp(deviation * Normal() - deviation * deviation / 2);
+  double DrawNormal() { return std::normal_distribution<>()(random_); }
+  double DrawUniform() { return Uniform(random_()); }
+  double DrawLogNormal(double mean, double deviation) {
+    return mean * std::exp(deviation * DrawNormal() - deviation * deviation / 2);
   }
 
   void SubmitArrivals() {
@@ -229,7 +229,7 @@
   }
 
   std::uint16_t PickClass() {
-    double pick = Chance();
+    double pick = DrawUniform();
     for (std::size_t i = 0; i + 1 < site_.traffic.size(); ++i) {
       if (pick < site_.traffic[i].share) return static_cast<std::uint16_t>(i);
       pick -= site_.traffic[i].share;
@@ -239,14 +239,14 @@
 
   void Estimate(ActiveRequest& active) {
     const bool rough = site_.estimates == EstimateQuality::kRough;
-    const double off_work =
-        std::exp((rough ? kRoughWorkEstimateDeviation : kGoodEstimateDeviation) * Normal());
-    const double off_memory =
-        std::exp((rough ? kRoughMemoryEstimateDeviation : kGoodEstimateDeviation) * Normal());
+    const double work_error =
+        std::exp((rough ? kRoughWorkEstimateDeviation : kGoodEstimateDeviation) * DrawNormal());
+    const double memory_error =
+        std::exp((rough ? kRoughMemoryEstimateDeviation : kGoodEstimateDeviation) * DrawNormal());
     if (site_.estimates == EstimateQuality::kNone) return;
     const ClassTraffic& traffic = site_.traffic[active.request.class_id];
-    active.request.estimated_work = ToNanos(active.work * off_work * (rough ? traffic.work_bias : 1));
-    active.request.estimated_memory_mb = active.memory_mb * off_memory * (rough ? traffic.memory_bias : 1);
+    active.request.estimated_work = ToNanos(active.work * work_error * (rough ? traffic.work_bias : 1));
+    active.request.estimated_memory_mb = active.memory_mb * memory_error * (rough ? traffic.memory_bias : 1);
   }
 
   void SubmitRequest() {
@@ -257,10 +257,10 @@
     active.request.class_id = PickClass();
     const ClassSettings& c = site_.settings.classes[active.request.class_id];
     const ClassTraffic& traffic = site_.traffic[active.request.class_id];
-    active.work = Spread(traffic.work, kWorkDeviation);
-    active.memory_mb = Spread(traffic.memory_mb, kMemoryDeviation);
+    active.work = DrawLogNormal(traffic.work, kWorkDeviation);
+    active.memory_mb = DrawLogNormal(traffic.memory_mb, kMemoryDeviation);
     Estimate(active);
-    active.request.client_timeout = ToNanos(Seconds(c.client_timeout) * (0.8 + 0.2 * Chance()));
+    active.request.client_timeout = ToNanos(Seconds(c.client_timeout) * (0.8 + 0.2 * DrawUniform()));
     active.deadline = now_ + active.request.client_timeout;
     active.request.table_group = static_cast<std::uint32_t>(random_() % table_groups_);
     const std::uint64_t tenants = std::max<std::uint64_t>(1, site_.settings.tenants.size());
@@ -270,51 +270,51 @@
     if (c.in_order) active.request.ordering_key = 1 + pick % site_.keys;
     active.gateway = static_cast<int>((c.in_order ? active.request.ordering_key : pick) % gateways);
     active.grant.id = id;
-    const bool leaves = Chance() < kAbandonedShare;
-    const Nanos leaves_after = ToNanos(Chance() * Seconds(c.latency_objective));
-    if (leaves) Schedule(now_ + leaves_after, [this, id] { Abandon(id); });
+    const bool abandons = DrawUniform() < kAbandonedShare;
+    const Nanos abandons_after = ToNanos(DrawUniform() * Seconds(c.latency_objective));
+    if (abandons) Schedule(now_ + abandons_after, [this, id] { Abandon(id); });
     Schedule(active.deadline + 2 * site_.settings.tick, [this, id] { TimeOut(id); });
     ++result_.classes[active.request.class_id].submitted;
     checker_.Submitted(now_, active.gateway, active.request);
-    Post(active, active.request);
+    PostEvent(active, active.request);
   }
 
-  void Post(const ActiveRequest& active, Event event) {
+  void PostEvent(const ActiveRequest& active, Event event) {
     gateways_[static_cast<std::size_t>(active.gateway)].events.push_back(std::move(event));
   }
 
   void Abandon(RequestId id) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || it->second.over) return;
+    if (it == requests_.end() || it->second.finished) return;
     ++result_.classes[it->second.request.class_id].abandoned;
     checker_.Abandoned(now_, id);
-    Post(it->second, RequestCancelled{id});
-    Finish(id);
+    PostEvent(it->second, RequestCancelled{id});
+    FinishRequest(id);
   }
 
   void TimeOut(RequestId id) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || it->second.over) return;
+    if (it == requests_.end() || it->second.finished) return;
     checker_.TimedOut(now_, id);
-    Post(it->second, RequestCancelled{id});
-    Finish(id);
+    PostEvent(it->second, RequestCancelled{id});
+    FinishRequest(id);
   }
 
   // Cancels the attempts that are still in flight, as a proxy does.
-  void Finish(RequestId id) {
+  void FinishRequest(RequestId id) {
     ActiveRequest& active = requests_.at(id);
-    active.over = true;
-    std::vector<int> out;
+    active.finished = true;
+    std::vector<int> in_flight;
     for (std::size_t n = 0; n < active.attempts.size(); ++n)
-      if (active.attempts[n].in_flight) out.push_back(static_cast<int>(n));
-    for (const int number : out)
-      EndAttempt(id, number, Outcome::kCancelled);  // the last one erases the request
-    ForgetIfOver(id);
+      if (active.attempts[n].in_flight) in_flight.push_back(static_cast<int>(n));
+    for (const int attempt : in_flight)
+      EndAttempt(id, attempt, Outcome::kCancelled);  // the last one erases the request
+    EraseIfFinished(id);
   }
 
-  void ForgetIfOver(RequestId id) {
+  void EraseIfFinished(RequestId id) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || !it->second.over) return;
+    if (it == requests_.end() || !it->second.finished) return;
     for (const Attempt& a : it->second.attempts)
       if (a.in_flight) return;
     requests_.erase(it);
@@ -324,17 +324,17 @@
 
   void StepGateways() {
     for (std::size_t i = 0; i < gateways_.size(); ++i) {
-      Proxy& proxy = gateways_[i];
-      if (proxy.events.empty()) continue;
-      const std::vector<Event> events = std::exchange(proxy.events, {});
+      SimulatedGateway& gateway = gateways_[i];
+      if (gateway.events.empty()) continue;
+      const std::vector<Event> events = std::exchange(gateway.events, {});
       std::vector<Action> actions;
-      proxy.decider->Step(now_, events, actions);
+      gateway.decider->Step(now_, events, actions);
       for (const Action& action : actions)
-        std::visit([this, i](const auto& a) { CarryOut(static_cast<int>(i), a); }, action);
+        std::visit([this, i](const auto& a) { Apply(static_cast<int>(i), a); }, action);
     }
   }
 
-  void CarryOut(int, const ResourceGrant& grant) {
+  void Apply(int, const ResourceGrant& grant) {
     checker_.Granted(now_, grant);
     const auto it = requests_.find(grant.id);
     if (it == requests_.end()) return;
@@ -345,59 +345,59 @@
     }
   }
 
-  void CarryOut(int, const Send& send) {
+  void Apply(int, const Send& send) {
     checker_.Sent(now_, send);
     const auto it = requests_.find(send.id);
-    if (it == requests_.end() || it->second.over) return;
+    if (it == requests_.end() || it->second.finished) return;
     ActiveRequest& active = it->second;
-    const int number = static_cast<int>(active.attempts.size());
+    const int attempt = static_cast<int>(active.attempts.size());
     ++result_.classes[active.request.class_id].attempts;
-    active.attempts.push_back({send.engine, now_, true, FaultOf(send.id, number)});
+    active.attempts.push_back({send.engine, now_, true, FaultOf(send.id, attempt)});
     const Nanos last = std::max(now_, active.deadline - kAttemptDeadlineMargin);
     const Nanos until = send.timeout > 0 ? std::min(last, now_ + send.timeout) : last;
     const RequestId id = send.id;
-    Schedule(until, [this, id, number] { EndAttempt(id, number, Outcome::kTimeout); });
-    StartAttempt(active, number);
+    Schedule(until, [this, id, attempt] { EndAttempt(id, attempt, Outcome::kTimeout); });
+    StartAttempt(active, attempt);
   }
 
-  void StartAttempt(ActiveRequest& active, int number) {
+  void StartAttempt(ActiveRequest& active, int attempt) {
     const RequestId id = active.request.id;
-    const Attempt& a = active.attempts[static_cast<std::size_t>(number)];
+    const Attempt& a = active.attempts[static_cast<std::size_t>(attempt)];
     const bool down = !restarted_engine_up_ && site_.restarted && a.engine == RestartedId();
     if (down || a.fault == Fault::kConnectFailed)
       return Schedule(now_ + kConnectFailedAfter,
-                      [this, id, number] { EndAttempt(id, number, Outcome::kConnectFailed); });
+                      [this, id, attempt] { EndAttempt(id, attempt, Outcome::kConnectFailed); });
     if (a.fault == Fault::kError)
-      return Schedule(now_ + kErrorAfter, [this, id, number] { EndAttempt(id, number, Outcome::kError); });
+      return Schedule(now_ + kErrorAfter, [this, id, attempt] { EndAttempt(id, attempt, Outcome::kError); });
     if (a.fault == Fault::kReset)
-      Schedule(now_ + kResetAfter, [this, id, number] { EndAttempt(id, number, Outcome::kReset); });
-    if (!engines_[a.engine - 1]->Start(now_, PlanOf(active, number)))
+      Schedule(now_ + kResetAfter, [this, id, attempt] { EndAttempt(id, attempt, Outcome::kReset); });
+    if (!engines_[a.engine - 1]->Start(now_, QueryPlanOf(active, attempt)))
       return Schedule(now_ + site_.settings.tick,
-                      [this, id, number] { EndAttempt(id, number, Outcome::kFull); });
-    if (site_.settings.progress_interval > 0) ScheduleProgressNotice(id, number);
+                      [this, id, attempt] { EndAttempt(id, attempt, Outcome::kFull); });
+    if (site_.settings.progress_interval > 0) ScheduleProgressNotice(id, attempt);
   }
 
-  bool Discarded(const ActiveRequest& active, int number) const {
+  bool IsDiscarded(const ActiveRequest& active, int attempt) const {
     if (site_.settings.classes[active.request.class_id].effect != Effect::kKeyed) return false;
-    return std::any_of(active.attempts.begin(), active.attempts.begin() + number, [](const Attempt& a) {
+    return std::any_of(active.attempts.begin(), active.attempts.begin() + attempt, [](const Attempt& a) {
       return a.fault != Fault::kConnectFailed && a.fault != Fault::kError && a.outcome != Outcome::kFull;
     });
   }
 
-  QueryPlan PlanOf(const ActiveRequest& active, int number) const {
+  QueryPlan QueryPlanOf(const ActiveRequest& active, int attempt) const {
     const ClassSettings& c = site_.settings.classes[active.request.class_id];
     QueryPlan plan;
-    plan.key = {active.request.id, number};
+    plan.key = {active.request.id, attempt};
     plan.threads = c.threads;
-    plan.work = Discarded(active, number) ? kDiscardedWork : active.work;
+    plan.work = IsDiscarded(active, attempt) ? kDiscardedWork : active.work;
     plan.memory_mb = active.memory_mb;
     const double usual = kDefaultGrantFactor * site_.traffic[active.request.class_id].memory_mb;
     const double estimate = active.request.estimated_memory_mb;
     plan.own_grant_mb = estimate > 0 ? kGrantMargin * estimate : usual;
-    const double most =
+    const double max_grant =
         site_.settings.max_grant_share * site_.traits[active.attempts.back().engine - 1].memory_mb;
-    plan.own_grant_mb = std::min(plan.own_grant_mb, most);
-    plan.grant_mb = std::min(active.grant.grant_mb, most);
+    plan.own_grant_mb = std::min(plan.own_grant_mb, max_grant);
+    plan.grant_mb = std::min(active.grant.grant_mb, max_grant);
     plan.priority = active.grant.priority;
     plan.table_group = active.request.table_group;
     plan.holds_tables = c.holds_tables;
@@ -405,25 +405,26 @@
     return plan;
   }
 
-  void ScheduleProgressNotice(RequestId id, int number) {
-    Schedule(now_ + site_.settings.progress_interval, [this, id, number] {
+  void ScheduleProgressNotice(RequestId id, int attempt) {
+    Schedule(now_ + site_.settings.progress_interval, [this, id, attempt] {
       const auto it = requests_.find(id);
-      if (it == requests_.end() || !it->second.attempts[static_cast<std::size_t>(number)].in_flight) return;
-      const Attempt& a = it->second.attempts[static_cast<std::size_t>(number)];
-      const double done = engines_[a.engine - 1]->Progress({id, number});
-      const double noise = 1 + kProgressNoise * (2 * NoticeDraw(id, number) - 1);
-      Post(it->second, ProgressNotice{id, number, NoticeKind::kProgress, std::clamp(done * noise, 0.0, 1.0)});
-      ScheduleProgressNotice(id, number);
+      if (it == requests_.end() || !it->second.attempts[static_cast<std::size_t>(attempt)].in_flight) return;
+      const Attempt& a = it->second.attempts[static_cast<std::size_t>(attempt)];
+      const double done = engines_[a.engine - 1]->Progress({id, attempt});
+      const double noise = 1 + kProgressNoise * (2 * NoticeDraw(id, attempt) - 1);
+      PostEvent(it->second,
+                ProgressNotice{id, attempt, NoticeKind::kProgress, std::clamp(done * noise, 0.0, 1.0)});
+      ScheduleProgressNotice(id, attempt);
     });
   }
 
   // Does not use the clients' generator, so that the clients behave the same with every decider.
-  double NoticeDraw(RequestId id, int number) const {
-    return Uniform(subset::Mix(subset::Mix(id * 64 + static_cast<std::uint64_t>(number)) ^
+  double NoticeDraw(RequestId id, int attempt) const {
+    return Uniform(subset::Mix(subset::Mix(id * 64 + static_cast<std::uint64_t>(attempt)) ^
                                static_cast<std::uint64_t>(now_)));
   }
 
-  void CarryOut(int, const Cancel& cancel) {
+  void Apply(int, const Cancel& cancel) {
     checker_.Cancelled(now_, cancel);
     const auto it = requests_.find(cancel.id);
     if (it == requests_.end()) return;
@@ -431,81 +432,82 @@
     EndAttempt(cancel.id, cancel.attempt, Outcome::kCancelled);
   }
 
-  void CarryOut(int, const RejectRequest& rejection) {
+  void Apply(int, const RejectRequest& rejection) {
     checker_.Rejected(now_, rejection);
     const auto it = requests_.find(rejection.id);
-    if (it == requests_.end() || it->second.over) return;
+    if (it == requests_.end() || it->second.finished) return;
     ++result_.classes[it->second.request.class_id].rejected;
-    Finish(rejection.id);
+    FinishRequest(rejection.id);
   }
 
-  void CarryOut(int, const FailRequest& fail) {
+  void Apply(int, const FailRequest& fail) {
     checker_.Failed(now_, fail);
     const auto it = requests_.find(fail.id);
-    if (it == requests_.end() || it->second.over) return;
+    if (it == requests_.end() || it->second.finished) return;
     ++result_.classes[it->second.request.class_id].failed;
-    Finish(fail.id);
+    FinishRequest(fail.id);
   }
 
-  void CarryOut(int gateway, const WakeAt& wake) {
+  void Apply(int gateway, const WakeAt& wake) {
     Schedule(wake.at, [this, gateway, token = wake.token] {
       gateways_[static_cast<std::size_t>(gateway)].events.push_back(TimerFired{token});
     });
   }
 
-  void CarryOut(int gateway, const Probe& probe) {
+  void Apply(int gateway, const Probe& probe) {
     checker_.Probed(now_, probe);
     ++result_.probes;
     ProbeEnded probed;
     probed.engine = probe.engine;
     probed.elapsed = site_.settings.tick;
-    const bool there = restarted_engine_up_ || !site_.restarted || probe.engine != RestartedId();
-    if (there && site_.reports != ReportWay::kNone) probed.load_report = ReportOf(probe.engine, true);
-    probed.outcome = there ? Outcome::kOk : Outcome::kConnectFailed;
+    const bool engine_up = restarted_engine_up_ || !site_.restarted || probe.engine != RestartedId();
+    if (engine_up && site_.reports != ReportWay::kNone) probed.load_report = ReportOf(probe.engine, true);
+    probed.outcome = engine_up ? Outcome::kOk : Outcome::kConnectFailed;
     Schedule(now_ + probed.elapsed, [this, gateway, probed] {
       gateways_[static_cast<std::size_t>(gateway)].events.push_back(probed);
     });
   }
 
-  void CarryOut(int, const auto&) {}  // other actions, such as log lines, have no effect here
+  void Apply(int, const auto&) {}  // other actions, such as log lines, have no effect here
 
   LoadReport ReportOf(EngineId engine, bool probe) const {
     const bool stopped = site_.reports == ReportWay::kStops && now_ > kStart + kReportsStopAt;
-    const bool unasked = site_.reports == ReportWay::kProbesOnly && !probe;
-    if (site_.reports == ReportWay::kNone || site_.reports == ReportWay::kNever || stopped || unasked)
+    const bool not_requested = site_.reports == ReportWay::kProbesOnly && !probe;
+    if (site_.reports == ReportWay::kNone || site_.reports == ReportWay::kNever || stopped || not_requested)
       return {};
     return engines_[engine - 1]->Report(now_);
   }
 
   // ---- The end of an attempt ----
 
-  void EndAttempt(RequestId id, int number, Outcome outcome) {
+  void EndAttempt(RequestId id, int attempt, Outcome outcome) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || number < 0) return;
+    if (it == requests_.end() || attempt < 0) return;
     ActiveRequest& active = it->second;
-    if (static_cast<std::size_t>(number) >= active.attempts.size()) return;
-    Attempt& a = active.attempts[static_cast<std::size_t>(number)];
+    if (static_cast<std::size_t>(attempt) >= active.attempts.size()) return;
+    Attempt& a = active.attempts[static_cast<std::size_t>(attempt)];
     if (!a.in_flight) return;
     a.in_flight = false;
     a.outcome = outcome;
-    if (outcome == Outcome::kReset || site_.cancel_honoured) engines_[a.engine - 1]->Stop(now_, {id, number});
-    const bool served = outcome == Outcome::kOk && !active.over;
+    if (outcome == Outcome::kReset || site_.cancel_honoured)
+      engines_[a.engine - 1]->Stop(now_, {id, attempt});
+    const bool served = outcome == Outcome::kOk && !active.finished;
     AttemptEnded end;
     end.id = id;
-    end.attempt = number;
+    end.attempt = attempt;
     end.engine = a.engine;
     end.outcome = outcome;
     end.elapsed = now_ - a.sent_at;
-    end.request_finished = served || active.over;
+    end.request_finished = served || active.finished;
     if (outcome == Outcome::kOk && site_.settings.reports_cost) {
       end.work = ToNanos(active.work);
       end.memory_mb = active.memory_mb;
     }
     if (outcome == Outcome::kOk) end.load_report = ReportOf(a.engine, false);
-    checker_.Ended(now_, id, number, outcome);
-    Post(active, end);
+    checker_.Ended(now_, id, attempt, outcome);
+    PostEvent(active, end);
     if (served) CompleteServed(id);
-    ForgetIfOver(id);
+    EraseIfFinished(id);
   }
 
   void CompleteServed(RequestId id) {
@@ -516,7 +518,7 @@
         c.latency_objective + ToNanos(c.latency_objective_stretch * active.work / c.threads);
     ClassResult& counts = result_.classes[active.request.class_id];
     (now_ - active.submitted_at <= latency_objective ? counts.in_time : counts.late) += 1;
-    Finish(id);
+    FinishRequest(id);
   }
 
   void CheckIdle() {
@@ -525,7 +527,8 @@
       if (engines_[i]->idle()) idle.push_back({site_.engines[i].engine, engines_[i]->idle_since()});
     if (idle.empty()) return;
     std::vector<std::vector<EngineId>> avoided;
-    for (const Proxy& proxy : gateways_) avoided.push_back(proxy.decider->EjectedEngines(now_));
+    for (const SimulatedGateway& gateway : gateways_)
+      avoided.push_back(gateway.decider->EjectedEngines(now_));
     checker_.CheckIdle(now_, idle, avoided);
   }
 
@@ -535,7 +538,7 @@
   std::mt19937_64 random_;  // draws the clients' requests
   SiteInvariantChecker checker_;
   std::vector<std::unique_ptr<QueryEngine>> engines_;  // element i is engine i + 1
-  std::vector<Proxy> gateways_;
+  std::vector<SimulatedGateway> gateways_;
   std::multimap<Nanos, std::function<void()>> timeline_;
   std::map<RequestId, ActiveRequest> requests_;
   RequestId next_id_ = 1;
