--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -78,12 +78,12 @@
     for (std::size_t i = 0; i < site.engines.size(); ++i)
       engines_.push_back(std::make_unique<QueryEngine>(site.traits[i], kWarmEngineStart));
     for (int i = 0; i < site.settings.gateway_count; ++i) AddGateway(i, seed, decider);
-    if (site.restarted) PlanRestart();
+    if (site.restarted_engine) PlanRestart();
   }
 
   DayResult Run() {
     const Nanos longest = LongestDeadline();
-    for (now_ = kStart; now_ < kStart + length_ || checker_.open() > 0; now_ += site_.settings.tick) {
+    for (now_ = kStart; now_ < kStart + length_ || checker_.open_count() > 0; now_ += site_.settings.tick) {
       if (now_ > kStart + length_ + longest + kSecond) break;
       AdvanceEngines();
       RunTimeline();
@@ -91,7 +91,7 @@
       StepGateways();
       if ((now_ - kStart) % kIdleCheckInterval == 0) CheckIdle();
     }
-    result_.violation_count = checker_.count();
+    result_.violation_count = checker_.violation_count();
     result_.violations = checker_.violations();
     return result_;
   }
@@ -163,16 +163,17 @@
       AnnounceReadiness(Readiness::kRemoved, 0);
     });
     Schedule(kStart + kRestartAt, [this] {
-      engines_[*site_.restarted] = std::make_unique<QueryEngine>(site_.traits[*site_.restarted], now_);
+      engines_[*site_.restarted_engine] =
+          std::make_unique<QueryEngine>(site_.traits[*site_.restarted_engine], now_);
       restarted_engine_up_ = true;
       AnnounceReadiness(Readiness::kReady, now_);
     });
   }
 
-  EngineId RestartedId() const { return site_.engines[*site_.restarted].engine; }
+  EngineId RestartedId() const { return site_.engines[*site_.restarted_engine].engine; }
 
   void AnnounceReadiness(Readiness readiness, Nanos started_at) {
-    EngineEntry entry = site_.engines[*site_.restarted];
+    EngineEntry entry = site_.engines[*site_.restarted_engine];
     entry.readiness = readiness;
     entry.started_at = started_at;
     for (int i = 0; i < site_.settings.gateway_count; ++i) {
@@ -267,7 +268,7 @@
     active.request.tenant = static_cast<std::uint16_t>(random_() % tenants);
     const std::uint64_t pick = random_();
     const auto gateways = static_cast<std::uint64_t>(site_.settings.gateway_count);
-    if (c.in_order) active.request.ordering_key = 1 + pick % site_.keys;
+    if (c.in_order) active.request.ordering_key = 1 + pick % site_.ordering_keys;
     active.gateway = static_cast<int>((c.in_order ? active.request.ordering_key : pick) % gateways);
     active.grant.id = id;
     const bool abandons = DrawUniform() < kAbandonedShare;
@@ -363,7 +364,7 @@
   void StartAttempt(ActiveRequest& active, int attempt) {
     const RequestId id = active.request.id;
     const Attempt& a = active.attempts[static_cast<std::size_t>(attempt)];
-    const bool down = !restarted_engine_up_ && site_.restarted && a.engine == RestartedId();
+    const bool down = !restarted_engine_up_ && site_.restarted_engine && a.engine == RestartedId();
     if (down || a.fault == Fault::kConnectFailed)
       return Schedule(now_ + kConnectFailedAfter,
                       [this, id, attempt] { EndAttempt(id, attempt, Outcome::kConnectFailed); });
@@ -460,8 +461,9 @@
     ProbeEnded probed;
     probed.engine = probe.engine;
     probed.elapsed = site_.settings.tick;
-    const bool engine_up = restarted_engine_up_ || !site_.restarted || probe.engine != RestartedId();
-    if (engine_up && site_.reports != ReportWay::kNone) probed.load_report = ReportOf(probe.engine, true);
+    const bool engine_up = restarted_engine_up_ || !site_.restarted_engine || probe.engine != RestartedId();
+    if (engine_up && site_.reports != ReportDelivery::kNone)
+      probed.load_report = ReportOf(probe.engine, true);
     probed.outcome = engine_up ? Outcome::kOk : Outcome::kConnectFailed;
     Schedule(now_ + probed.elapsed, [this, gateway, probed] {
       gateways_[static_cast<std::size_t>(gateway)].events.push_back(probed);
@@ -471,9 +473,10 @@
   void Apply(int, const auto&) {}  // other actions, such as log lines, have no effect here
 
   LoadReport ReportOf(EngineId engine, bool probe) const {
-    const bool stopped = site_.reports == ReportWay::kStops && now_ > kStart + kReportsStopAt;
-    const bool not_requested = site_.reports == ReportWay::kProbesOnly && !probe;
-    if (site_.reports == ReportWay::kNone || site_.reports == ReportWay::kNever || stopped || not_requested)
+    const bool stopped = site_.reports == ReportDelivery::kStops && now_ > kStart + kReportsStopAt;
+    const bool not_requested = site_.reports == ReportDelivery::kProbesOnly && !probe;
+    if (site_.reports == ReportDelivery::kNone || site_.reports == ReportDelivery::kNever || stopped ||
+        not_requested)
       return {};
     return engines_[engine - 1]->Report(now_);
   }
@@ -489,7 +492,7 @@
     if (!a.in_flight) return;
     a.in_flight = false;
     a.outcome = outcome;
-    if (outcome == Outcome::kReset || site_.cancel_honoured)
+    if (outcome == Outcome::kReset || site_.cancel_stops_work)
       engines_[a.engine - 1]->Stop(now_, {id, attempt});
     const bool served = outcome == Outcome::kOk && !active.finished;
     AttemptEnded end;
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -7,9 +7,9 @@
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1000 * kMs;
-constexpr std::size_t kMaxViolationsKept = 12;
+constexpr std::size_t kMaxStoredViolations = 12;
 constexpr Nanos kMaxIdleWait = 2 * kSecond;  // of a request while an engine that may run it is idle
-constexpr Nanos kAnswerSlack = 10 * kMs;     // two ticks after the deadline
+constexpr Nanos kResponseSlack = 10 * kMs;   // two ticks after the deadline
 
 bool MayHaveRun(Outcome outcome) {
   return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
@@ -29,10 +29,10 @@
   return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
 }
 
-void SiteInvariantChecker::AddViolation(Nanos now, RequestId id, const std::string& what) {
-  ++count_;
-  if (violations_.size() >= kMaxViolationsKept) return;
-  std::string text = "at " + std::to_string(now / kMs) + " ms: " + what;
+void SiteInvariantChecker::AddViolation(Nanos now, RequestId id, const std::string& description) {
+  ++violation_count_;
+  if (violations_.size() >= kMaxStoredViolations) return;
+  std::string text = "at " + std::to_string(now / kMs) + " ms: " + description;
   if (id != 0) text += " (request " + std::to_string(id) + ")";
   if (const auto it = requests_.find(id); it != requests_.end())
     text += " of class " + std::to_string(it->second.request.class_id) + " at gateway " +
@@ -41,10 +41,10 @@
 }
 
 SiteInvariantChecker::ActiveRequest* SiteInvariantChecker::FindRequest(Nanos now, RequestId id,
-                                                                       const char* what) {
+                                                                       const char* description) {
   const auto it = requests_.find(id);
   if (it != requests_.end()) return &it->second;
-  AddViolation(now, id, std::string(what) + " for a request that has ended or was never submitted");
+  AddViolation(now, id, std::string(description) + " for a request that has ended or was never submitted");
   return nullptr;
 }
 
@@ -53,9 +53,9 @@
   for (const EngineEntry& entry : entries) {
     state.listed[entry.engine] = entry;
     if (entry.readiness == Readiness::kReady)
-      state.barred_since.erase(entry.engine);
+      state.unavailable_since.erase(entry.engine);
     else
-      state.barred_since.try_emplace(entry.engine, now);
+      state.unavailable_since.try_emplace(entry.engine, now);
   }
 }
 
@@ -68,7 +68,7 @@
   open_[request.id] = gateway;
   GatewayState& state = gateways_[static_cast<std::size_t>(gateway)];
   state.submitted.push_back(now);
-  if (Ordered(active)) state.keys[request.ordering_key].order.push_back(request.id);
+  if (IsOrdered(active)) state.ordering_key_queues[request.ordering_key].order.push_back(request.id);
 }
 
 void SiteInvariantChecker::Sent(Nanos now, const Send& send) {
@@ -78,14 +78,15 @@
   CheckAttempts(now, *active);
   CheckRepeat(now, *active, send.engine);
   CheckOrder(now, *active);
-  CheckPlace(now, *active, send.engine);
+  CheckPlacement(now, *active, send.engine);
   if (!active->attempts.empty()) CheckBudget(now, *active);
   active->attempts.push_back({send.engine, now});
 }
 
 void SiteInvariantChecker::CheckAttempts(Nanos now, const ActiveRequest& active) {
-  const auto most = static_cast<std::size_t>(std::max(1, site_.settings.max_attempts));
-  if (active.attempts.size() >= most) AddViolation(now, active.request.id, "more attempts than allowed");
+  const auto max_attempts = static_cast<std::size_t>(std::max(1, site_.settings.max_attempts));
+  if (active.attempts.size() >= max_attempts)
+    AddViolation(now, active.request.id, "more attempts than allowed");
   if (!site_.settings.may_hedge && active.HasAttemptInFlight())
     AddViolation(now, active.request.id, "two attempts in flight at once without hedging");
 }
@@ -93,13 +94,13 @@
 void SiteInvariantChecker::CheckRepeat(Nanos now, const ActiveRequest& active, EngineId engine) {
   const ClassSettings& c = Class(active);
   if (c.effect == Effect::kSafe) return;
-  for (const Attempt& before : active.attempts) {
-    if (!before.may_have_run) continue;
+  for (const Attempt& previous : active.attempts) {
+    if (!previous.may_have_run) continue;
     if (c.effect == Effect::kUnsafe)
       return AddViolation(now, active.request.id, "a repeat of an unsafe request that may have run");
-    if (now > before.sent_at + c.repeat_window)
+    if (now > previous.sent_at + c.repeat_window)
       return AddViolation(now, active.request.id, "a repeat of a keyed request after its repeat window");
-    if (!SameGroup(active, before.engine, engine))
+    if (!SameGroup(active, previous.engine, engine))
       return AddViolation(now, active.request.id, "a repeat of a keyed request outside its repeat group");
   }
 }
@@ -114,42 +115,42 @@
 }
 
 void SiteInvariantChecker::CheckOrder(Nanos now, const ActiveRequest& active) {
-  if (!Ordered(active)) return;
-  const KeyQueue& line =
-      gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
-  if (line.order.empty() || line.order.front() != active.request.id)
+  if (!IsOrdered(active)) return;
+  const OrderingKeyQueue& queue =
+      gateways_[static_cast<std::size_t>(active.gateway)].ordering_key_queues[active.request.ordering_key];
+  if (queue.order.empty() || queue.order.front() != active.request.id)
     AddViolation(now, active.request.id,
                  "an attempt before an earlier request with the same ordering key has ended");
-  if (now < line.settle_until)
+  if (now < queue.pause_until)
     AddViolation(now, active.request.id, "an attempt during the pause of its ordering key");
 }
 
-void SiteInvariantChecker::CheckPlace(Nanos now, const ActiveRequest& active, EngineId engine) {
-  const std::vector<EngineId>& allowed = site_.may_take[active.request.class_id];
+void SiteInvariantChecker::CheckPlacement(Nanos now, const ActiveRequest& active, EngineId engine) {
+  const std::vector<EngineId>& allowed = site_.allowed_engines[active.request.class_id];
   if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end())
     AddViolation(now, active.request.id, "an attempt on an engine that the placement of the class forbids");
   const GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
   if (!state.listed.contains(engine))
     AddViolation(now, active.request.id, "an attempt on an engine that is not listed");
-  const auto barred = state.barred_since.find(engine);
-  if (barred != state.barred_since.end() && now > barred->second + site_.settings.drain_grace)
+  const auto unavailable = state.unavailable_since.find(engine);
+  if (unavailable != state.unavailable_since.end() && now > unavailable->second + site_.settings.drain_grace)
     AddViolation(now, active.request.id, "an attempt on an engine that is draining or removed");
 }
 
-std::size_t SiteInvariantChecker::BudgetLeft(Nanos now, GatewayState& gateway) const {
+std::size_t SiteInvariantChecker::RemainingBudget(Nanos now, GatewayState& gateway) const {
   const RetryBudgetSettings& budget = *site_.settings.retry_budget;
   const Nanos from = now - budget.window;
   while (!gateway.submitted.empty() && gateway.submitted.front() <= from) gateway.submitted.pop_front();
   while (!gateway.retries.empty() && gateway.retries.front() <= from) gateway.retries.pop_front();
   const double allowed = budget.free + budget.ratio * static_cast<double>(gateway.submitted.size());
-  const double left = allowed - static_cast<double>(gateway.retries.size());
-  return left < 1 ? 0 : static_cast<std::size_t>(left);
+  const double remaining = allowed - static_cast<double>(gateway.retries.size());
+  return remaining < 1 ? 0 : static_cast<std::size_t>(remaining);
 }
 
 void SiteInvariantChecker::CheckBudget(Nanos now, const ActiveRequest& active) {
   if (!site_.settings.retry_budget) return;
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
-  if (BudgetLeft(now, state) == 0)
+  if (RemainingBudget(now, state) == 0)
     AddViolation(now, active.request.id, "a further attempt beyond the retry budget");
   state.retries.push_back(now);
 }
@@ -162,22 +163,23 @@
   ended.in_flight = false;
   ended.may_have_run = MayHaveRun(outcome);
   active.waiting_since = now;
-  if (Ordered(active) && MayStillRun(outcome)) {
-    KeyQueue& line = gateways_[static_cast<std::size_t>(active.gateway)].keys[active.request.ordering_key];
-    line.settle_until = now + site_.settings.ordering_key_pause;
+  if (IsOrdered(active) && MayStillRun(outcome)) {
+    OrderingKeyQueue& queue =
+        gateways_[static_cast<std::size_t>(active.gateway)].ordering_key_queues[active.request.ordering_key];
+    queue.pause_until = now + site_.settings.ordering_key_pause;
   }
-  ForgetIfOver(now, id);
+  EraseIfFinished(now, id);
 }
 
-void SiteInvariantChecker::ForgetIfOver(Nanos now, RequestId id) {
+void SiteInvariantChecker::EraseIfFinished(Nanos now, RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.has_response || it->second.HasAttemptInFlight()) return;
-  if (Ordered(it->second)) {
-    auto& keys = gateways_[static_cast<std::size_t>(it->second.gateway)].keys;
-    KeyQueue& line = keys[it->second.request.ordering_key];
-    std::erase(line.order, id);
-    if (!line.order.empty())
-      requests_.at(line.order.front()).waiting_since = std::max(now, line.settle_until);
+  if (IsOrdered(it->second)) {
+    auto& ordering_key_queues = gateways_[static_cast<std::size_t>(it->second.gateway)].ordering_key_queues;
+    OrderingKeyQueue& queue = ordering_key_queues[it->second.request.ordering_key];
+    std::erase(queue.order, id);
+    if (!queue.order.empty())
+      requests_.at(queue.order.front()).waiting_since = std::max(now, queue.pause_until);
   }
   requests_.erase(it);
 }
@@ -202,14 +204,14 @@
 void SiteInvariantChecker::RecordResponse(Nanos now, RequestId id, ActiveRequest& active) {
   if (active.has_response) return AddViolation(now, id, "a second response");
   active.has_response = true;
-  if (now > active.deadline + kAnswerSlack) AddViolation(now, id, "a response after the deadline");
+  if (now > active.deadline + kResponseSlack) AddViolation(now, id, "a response after the deadline");
   open_.erase(id);
 }
 
 void SiteInvariantChecker::Served(Nanos now, RequestId id) {
   if (ActiveRequest* active = FindRequest(now, id, "a served response"); active != nullptr) {
     RecordResponse(now, id, *active);
-    ForgetIfOver(now, id);
+    EraseIfFinished(now, id);
   }
 }
 
@@ -225,13 +227,13 @@
   if (rejection.retry_after > site_.settings.max_retry_after)
     AddViolation(now, rejection.id, "a retry-after beyond the maximum");
   RecordResponse(now, rejection.id, *active);
-  ForgetIfOver(now, rejection.id);
+  EraseIfFinished(now, rejection.id);
 }
 
 void SiteInvariantChecker::Failed(Nanos now, const FailRequest& fail) {
   if (ActiveRequest* active = FindRequest(now, fail.id, "a failure"); active != nullptr) {
     RecordResponse(now, fail.id, *active);
-    ForgetIfOver(now, fail.id);
+    EraseIfFinished(now, fail.id);
   }
 }
 
@@ -240,7 +242,7 @@
   if (it == requests_.end()) return;
   it->second.has_response = true;
   open_.erase(id);
-  ForgetIfOver(now, id);
+  EraseIfFinished(now, id);
 }
 
 void SiteInvariantChecker::TimedOut(Nanos now, RequestId id) {
@@ -252,17 +254,18 @@
 // Returns true if the ordering key or the retry budget prevents an attempt.
 bool SiteInvariantChecker::IsHeldBack(Nanos now, const ActiveRequest& active) {
   GatewayState& state = gateways_[static_cast<std::size_t>(active.gateway)];
-  if (Ordered(active) && state.keys[active.request.ordering_key].order.front() != active.request.id)
+  if (IsOrdered(active) &&
+      state.ordering_key_queues[active.request.ordering_key].order.front() != active.request.id)
     return true;
-  return !active.attempts.empty() && site_.settings.retry_budget && BudgetLeft(now, state) == 0;
+  return !active.attempts.empty() && site_.settings.retry_budget && RemainingBudget(now, state) == 0;
 }
 
 bool SiteInvariantChecker::MayRunOn(Nanos now, const ActiveRequest& active, EngineId engine) {
-  const std::vector<EngineId>& allowed = site_.may_take[active.request.class_id];
+  const std::vector<EngineId>& allowed = site_.allowed_engines[active.request.class_id];
   if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end()) return false;
-  for (const Attempt& before : active.attempts)
-    if (before.may_have_run && Class(active).effect == Effect::kKeyed &&
-        !SameGroup(active, before.engine, engine))
+  for (const Attempt& previous : active.attempts)
+    if (previous.may_have_run && Class(active).effect == Effect::kKeyed &&
+        !SameGroup(active, previous.engine, engine))
       return false;
   const auto& listed = gateways_[static_cast<std::size_t>(active.gateway)].listed;
   const auto it = listed.find(engine);
--- a/src/testing/simulation/site_invariant_checker.h
+++ b/src/testing/simulation/site_invariant_checker.h
@@ -46,9 +46,9 @@
   void CheckIdle(Nanos now, const std::vector<IdleEngine>& idle,
                  const std::vector<std::vector<EngineId>>& avoided);
 
-  bool Open(RequestId id) const { return open_.contains(id); }
-  std::size_t open() const { return open_.size(); }
-  std::size_t count() const { return count_; }
+  bool IsOpen(RequestId id) const { return open_.contains(id); }
+  std::size_t open_count() const { return open_.size(); }
+  std::size_t violation_count() const { return violation_count_; }
   const std::vector<std::string>& violations() const { return violations_; }  // the first violations
 
  private:
@@ -68,33 +68,33 @@
     bool idle_reported = false;
     bool HasAttemptInFlight() const;
   };
-  struct KeyQueue {
+  struct OrderingKeyQueue {
     std::deque<RequestId> order;
-    Nanos settle_until = 0;
+    Nanos pause_until = 0;
   };
   struct GatewayState {
     std::map<EngineId, EngineEntry> listed;
-    std::map<EngineId, Nanos> barred_since;  // start of the time in which it is not ready
+    std::map<EngineId, Nanos> unavailable_since;  // start of the time in which it is not ready
     std::deque<Nanos> submitted, retries;
-    std::map<std::uint64_t, KeyQueue> keys;
+    std::map<std::uint64_t, OrderingKeyQueue> ordering_key_queues;
   };
 
-  void AddViolation(Nanos now, RequestId id, const std::string& what);
-  ActiveRequest* FindRequest(Nanos now, RequestId id, const char* what);
+  void AddViolation(Nanos now, RequestId id, const std::string& description);
+  ActiveRequest* FindRequest(Nanos now, RequestId id, const char* description);
   const ClassSettings& Class(const ActiveRequest& active) const {
     return site_.settings.classes[active.request.class_id];
   }
-  bool Ordered(const ActiveRequest& active) const {
+  bool IsOrdered(const ActiveRequest& active) const {
     return Class(active).in_order && active.request.ordering_key != 0;
   }
   void RecordResponse(Nanos now, RequestId id, ActiveRequest& active);
-  void ForgetIfOver(Nanos now, RequestId id);  // if the request has a response and no attempt in flight
+  void EraseIfFinished(Nanos now, RequestId id);  // if the request has a response and no attempt in flight
   bool SameGroup(const ActiveRequest& active, EngineId a, EngineId b) const;
-  std::size_t BudgetLeft(Nanos now, GatewayState& gateway) const;
+  std::size_t RemainingBudget(Nanos now, GatewayState& gateway) const;
   void CheckAttempts(Nanos now, const ActiveRequest& active);
   void CheckRepeat(Nanos now, const ActiveRequest& active, EngineId engine);
   void CheckOrder(Nanos now, const ActiveRequest& active);
-  void CheckPlace(Nanos now, const ActiveRequest& active, EngineId engine);
+  void CheckPlacement(Nanos now, const ActiveRequest& active, EngineId engine);
   void CheckBudget(Nanos now, const ActiveRequest& active);
   bool IsHeldBack(Nanos now, const ActiveRequest& active);
   bool MayRunOn(Nanos now, const ActiveRequest& active, EngineId engine);
@@ -103,7 +103,7 @@
   std::vector<GatewayState> gateways_;
   std::map<RequestId, ActiveRequest> requests_;  // until they have a response and no attempt in flight
   std::map<RequestId, int> open_;                // requests without a response, and their gateways
-  std::size_t count_ = 0;
+  std::size_t violation_count_ = 0;
   std::vector<std::string> violations_;
 };
 
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -11,17 +11,17 @@
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1000 * kMs;
-constexpr int kCandidates = 20;     // candidates for each shape that is chosen
-constexpr double kKeyLoad = 0.1;    // share of the time during which requests of an ordering key run
-constexpr double kMemoryUse = 0.4;  // mean share of an engine's memory in use at full load
+constexpr int kCandidates = 20;                  // candidates for each shape that is chosen
+constexpr double kOrderingKeyUtilization = 0.1;  // share of the time during which requests of a key run
+constexpr double kMemoryUse = 0.4;               // mean share of an engine's memory in use at full load
 constexpr double kMemoryPerCoreMb = 2048;
-constexpr double kWorkBiasMost = 1.3;    // maximum of |log2| of the ratio of rough estimates to the work
-constexpr double kMemoryBiasMost = 0.5;  // likewise, to the memory
-constexpr double kQuotaMargin = 2;       // ratio of a tenant's quota to its mean rate
-constexpr double kRestartMost = 0.25;    // maximum share of the restarting engine in a class's cores
-constexpr int kPlacedPerCell = 2;        // engines of a zone in one cell
+constexpr double kMaxWorkBiasLog2 = 1.3;     // maximum of |log2| of the ratio of rough estimates to the work
+constexpr double kMaxMemoryBiasLog2 = 0.5;   // likewise, to the memory
+constexpr double kQuotaMargin = 2;           // ratio of a tenant's quota to its mean rate
+constexpr double kMaxRestartedShare = 0.25;  // maximum share of the restarting engine in a class's cores
+constexpr int kEnginesPerCell = 2;           // engines of a zone in one cell
 
-const std::vector<DimensionInfo>& Table() {
+const std::vector<DimensionInfo>& DimensionTable() {
   static const std::vector<DimensionInfo> kTable = {
       {"mix", {"one class", "light and heavy", "three classes"}},
       {"marked class", {"lightest", "heaviest"}},  // the class that order, effect and placement apply to
@@ -52,7 +52,7 @@
   return kTable;
 }
 
-std::size_t Values(std::size_t dimension) { return Table()[dimension].values.size(); }
+std::size_t ValueCount(std::size_t dimension) { return DimensionTable()[dimension].values.size(); }
 
 // ---- Pairwise drawing ----
 
@@ -65,39 +65,40 @@
 };
 using Pair = std::pair<Choice, Choice>;  // the choice of the lower dimension comes first
 
-Pair Ordered(Choice a, Choice b) { return a.dimension < b.dimension ? Pair{a, b} : Pair{b, a}; }
+Pair OrderedPair(Choice a, Choice b) { return a.dimension < b.dimension ? Pair{a, b} : Pair{b, a}; }
 
 std::set<Pair> AllPairs() {
   std::set<Pair> pairs;
   for (std::size_t a = 0; a < kDimensions; ++a)
     for (std::size_t b = a + 1; b < kDimensions; ++b)
-      for (std::size_t x = 0; x < Values(a); ++x)
-        for (std::size_t y = 0; y < Values(b); ++y) pairs.insert({{a, x}, {b, y}});
+      for (std::size_t x = 0; x < ValueCount(a); ++x)
+        for (std::size_t y = 0; y < ValueCount(b); ++y) pairs.insert({{a, x}, {b, y}});
   return pairs;
 }
 
-std::size_t CountIn(const std::set<Pair>& open, const std::vector<Choice>& chosen, Choice next) {
-  return static_cast<std::size_t>(std::count_if(
-      chosen.begin(), chosen.end(), [&](Choice other) { return open.contains(Ordered(other, next)); }));
+std::size_t CountUncovered(const std::set<Pair>& uncovered, const std::vector<Choice>& chosen, Choice next) {
+  return static_cast<std::size_t>(std::count_if(chosen.begin(), chosen.end(), [&](Choice other) {
+    return uncovered.contains(OrderedPair(other, next));
+  }));
 }
 
-// Returns one shape that starts with an open pair; each further dimension takes the value that closes the
-// most pairs.
-std::vector<Choice> Candidate(const std::set<Pair>& open, std::mt19937_64& random) {
-  const Pair start = *std::next(open.begin(), static_cast<std::ptrdiff_t>(random() % open.size()));
+// Returns one shape that starts with an uncovered pair; each further dimension takes the value that covers
+// the most pairs.
+std::vector<Choice> DrawCandidate(const std::set<Pair>& uncovered, std::mt19937_64& random) {
+  const Pair start = *std::next(uncovered.begin(), static_cast<std::ptrdiff_t>(random() % uncovered.size()));
   std::vector<Choice> chosen = {start.first, start.second};
   std::vector<std::size_t> rest;
   for (std::size_t d = 0; d < kDimensions; ++d)
     if (d != start.first.dimension && d != start.second.dimension) rest.push_back(d);
   std::shuffle(rest.begin(), rest.end(), random);
   for (const std::size_t dimension : rest) {
-    const std::size_t offset = random() % Values(dimension);
+    const std::size_t offset = random() % ValueCount(dimension);
     Choice best;
-    std::size_t most = 0;
-    for (std::size_t i = 0; i < Values(dimension); ++i) {
-      const Choice next{dimension, (i + offset) % Values(dimension)};
-      const std::size_t closed = CountIn(open, chosen, next);
-      if (i == 0 || closed > most) best = next, most = closed;
+    std::size_t max_covered = 0;
+    for (std::size_t i = 0; i < ValueCount(dimension); ++i) {
+      const Choice next{dimension, (i + offset) % ValueCount(dimension)};
+      const std::size_t covered = CountUncovered(uncovered, chosen, next);
+      if (i == 0 || covered > max_covered) best = next, max_covered = covered;
     }
     chosen.push_back(best);
   }
@@ -107,7 +108,7 @@
 std::vector<Pair> PairsOf(const std::vector<Choice>& chosen) {
   std::vector<Pair> pairs;
   for (std::size_t i = 0; i < chosen.size(); ++i)
-    for (std::size_t j = i + 1; j < chosen.size(); ++j) pairs.push_back(Ordered(chosen[i], chosen[j]));
+    for (std::size_t j = i + 1; j < chosen.size(); ++j) pairs.push_back(OrderedPair(chosen[i], chosen[j]));
   return pairs;
 }
 
@@ -123,7 +124,7 @@
   double memory;  // relative to the other classes
 };
 
-std::vector<ClassPlan> Mix(const SiteShape& shape) {
+std::vector<ClassPlan> ClassPlans(const SiteShape& shape) {
   if (shape.Is(Dimension::kMix, "one class")) return {{1, 0.25, 1, kSecond, 6 * kSecond, 1, 1}};
   if (shape.Is(Dimension::kMix, "light and heavy"))
     return {{0.85, 0.15, 1, 800 * kMs, 5 * kSecond, 1, 0.5},
@@ -133,11 +134,11 @@
           {0.05, 2.5, 4, 6 * kSecond, 25 * kSecond, 12, 1.5}};
 }
 
-int Number(const SiteShape& shape, Dimension dimension) {
+int NumberOf(const SiteShape& shape, Dimension dimension) {
   return std::stoi(std::string(shape.value(dimension)));
 }
 
-std::vector<ReportField> Fields(const SiteShape& shape) {
+std::vector<ReportField> ReportFieldsOf(const SiteShape& shape) {
   if (shape.Is(Dimension::kReports, "none")) return {};
   if (shape.Is(Dimension::kReportFields, "util")) return {ReportField::kUtil};
   if (shape.Is(Dimension::kReportFields, "queue, inflight"))
@@ -145,18 +146,18 @@
   return {ReportField::kInflight, ReportField::kX0, ReportField::kX1};
 }
 
-void MarkClass(const SiteShape& shape, ClassSettings& marked) {
-  marked.in_order = shape.Is(Dimension::kOrder, "by key");
+void ConfigureMarkedClass(const SiteShape& shape, ClassSettings& marked) {
+  marked.in_order = shape.Is(Dimension::kOrdering, "by key");
   marked.effect = static_cast<Effect>(shape.at(Dimension::kEffect));
-  marked.repeat_group = static_cast<RepeatGroup>(shape.at(Dimension::kGroup));
+  marked.repeat_group = static_cast<RepeatGroup>(shape.at(Dimension::kRepeatGroup));
   marked.repeat_window = marked.effect == Effect::kKeyed ? 2 * kSecond : 0;
-  if (shape.Is(Dimension::kBound, "zone")) marked.zones = {0};
-  if (shape.Is(Dimension::kBound, "kind")) marked.kinds = {0};
+  if (shape.Is(Dimension::kPlacement, "zone")) marked.zones = {0};
+  if (shape.Is(Dimension::kPlacement, "kind")) marked.kinds = {0};
 }
 
-std::vector<ClassSettings> Classes(const SiteShape& shape) {
+std::vector<ClassSettings> ClassSettingsOf(const SiteShape& shape) {
   std::vector<ClassSettings> classes;
-  for (const ClassPlan& plan : Mix(shape)) {
+  for (const ClassPlan& plan : ClassPlans(shape)) {
     ClassSettings c;
     c.latency_objective = plan.latency_objective;
     c.latency_objective_stretch = 2;
@@ -171,16 +172,17 @@
     classes.back().holds_tables = true;
     classes.back().blocked_by_loads = false;
   }
-  MarkClass(shape, shape.Is(Dimension::kMarked, "lightest") ? classes.front() : classes.back());
+  ConfigureMarkedClass(shape,
+                       shape.Is(Dimension::kMarkedClass, "lightest") ? classes.front() : classes.back());
   return classes;
 }
 
 Settings SettingsOf(const SiteShape& shape) {
   Settings s;
-  s.gateway_count = Number(shape, Dimension::kGateways);
+  s.gateway_count = NumberOf(shape, Dimension::kGateways);
   s.tick = 5 * kMs;
-  s.classes = Classes(shape);
-  s.report_fields = Fields(shape);
+  s.classes = ClassSettingsOf(shape);
+  s.report_fields = ReportFieldsOf(shape);
   s.reports_in_responses = !s.report_fields.empty() && !shape.Is(Dimension::kReports, "in probes only");
   s.over_quota_weight_share = 0.2;
   s.drain_grace = 250 * kMs;
@@ -189,36 +191,37 @@
   s.overload_factor = 4;
   s.overload_window = 2 * kSecond;
   s.ordering_key_pause = 300 * kMs;
-  if (shape.Is(Dimension::kBudget, "present")) s.retry_budget = RetryBudgetSettings{2, 0.01, 10 * kSecond};
+  if (shape.Is(Dimension::kRetryBudget, "present"))
+    s.retry_budget = RetryBudgetSettings{2, 0.01, 10 * kSecond};
   s.may_cancel = !shape.Is(Dimension::kCancel, "not allowed");
   s.may_probe = shape.Is(Dimension::kProbes, "allowed");
-  s.may_hedge = shape.Is(Dimension::kCopies, "allowed");
-  s.may_send_retry_after = shape.Is(Dimension::kAdvice, "allowed");
-  s.max_attempts = Number(shape, Dimension::kAttempts);
+  s.may_hedge = shape.Is(Dimension::kHedging, "allowed");
+  s.may_send_retry_after = shape.Is(Dimension::kRetryAfter, "allowed");
+  s.max_attempts = NumberOf(shape, Dimension::kAttempts);
   s.max_retry_after = kSecond;
   s.connect_timeout = 250 * kMs;
   s.honors_memory_grants = shape.Is(Dimension::kGrants, "heeded");
   s.honors_priorities = shape.Is(Dimension::kPriorities, "heeded");
   s.max_grant_share = 0.5;
-  s.memory_shortage_policy = static_cast<MemoryShortagePolicy>(shape.at(Dimension::kMemoryShort));
-  s.progress_interval = shape.Is(Dimension::kNotes, "each second") ? kSecond : 0;
+  s.memory_shortage_policy = static_cast<MemoryShortagePolicy>(shape.at(Dimension::kMemoryShortage));
+  s.progress_interval = shape.Is(Dimension::kProgressNotices, "each second") ? kSecond : 0;
   s.reports_cost = shape.Is(Dimension::kCosts, "told");
   return s;
 }
 
-std::vector<KindSettings> Kinds() { return {{8, 8 * kMemoryPerCoreMb}, {16, 16 * kMemoryPerCoreMb}}; }
+std::vector<KindSettings> EngineKinds() { return {{8, 8 * kMemoryPerCoreMb}, {16, 16 * kMemoryPerCoreMb}}; }
 
 void AddEngines(Site& site) {
-  const int engines = Number(site.shape, Dimension::kEngines);
-  const int zones = Number(site.shape, Dimension::kZones);
+  const int engines = NumberOf(site.shape, Dimension::kEngines);
+  const int zones = NumberOf(site.shape, Dimension::kZones);
   const Settings& s = site.settings;
   for (int i = 0; i < engines; ++i) {
     EngineEntry entry;
     entry.engine = static_cast<EngineId>(i + 1);
     entry.zone = static_cast<std::uint16_t>(i % zones);
     entry.kind = i % 3 == 0 ? 1 : 0;
-    const int placed = i / zones / kPlacedPerCell;  // number of the cell within its zone
-    entry.cell = static_cast<std::uint16_t>(placed * zones + entry.zone);
+    const int cell_in_zone = i / zones / kEnginesPerCell;
+    entry.cell = static_cast<std::uint16_t>(cell_in_zone * zones + entry.zone);
     site.engines.push_back(entry);
     EngineTraits traits;
     traits.cores = s.kinds[entry.kind].cores;
@@ -244,11 +247,11 @@
     std::vector<EngineId> engines;
     for (const EngineEntry& e : site.engines)
       if (within(c.zones, e.zone) && within(c.kinds, e.kind)) engines.push_back(e.engine);
-    site.may_take.push_back(engines);
+    site.allowed_engines.push_back(engines);
   }
 }
 
-double Cores(const Site& site, const std::vector<EngineId>& engines) {
+double TotalCores(const Site& site, const std::vector<EngineId>& engines) {
   double sum = 0;
   for (const EngineId id : engines) sum += site.traits[id - 1].cores;
   return sum;
@@ -257,20 +260,20 @@
 // The memory of a class follows from Little's law: at full load the running queries need, on average,
 // kMemoryUse of an engine's memory.
 void AddTraffic(Site& site, std::mt19937_64& random) {
-  const std::vector<ClassPlan> mix = Mix(site.shape);
+  const std::vector<ClassPlan> plans = ClassPlans(site.shape);
   double work = 0, memory = 0;  // of a mean request: work, and memory times run time
-  for (const ClassPlan& plan : mix) {
+  for (const ClassPlan& plan : plans) {
     work += plan.share * plan.work;
     memory += plan.share * plan.work / plan.threads * plan.memory;
   }
-  std::uniform_real_distribution<> lie(-1, 1);
-  for (const ClassPlan& plan : mix) {
+  std::uniform_real_distribution<> draw_bias(-1, 1);
+  for (const ClassPlan& plan : plans) {
     ClassTraffic t;
     t.share = plan.share;
     t.work = plan.work;
     t.memory_mb = kMemoryUse * kMemoryPerCoreMb * work / memory * plan.memory;
-    t.work_bias = std::exp2(kWorkBiasMost * lie(random));
-    t.memory_bias = std::exp2(kMemoryBiasMost * lie(random));
+    t.work_bias = std::exp2(kMaxWorkBiasLog2 * draw_bias(random));
+    t.memory_bias = std::exp2(kMaxMemoryBiasLog2 * draw_bias(random));
     site.traffic.push_back(t);
   }
 }
@@ -280,28 +283,28 @@
 double WorkPerCore(const Site& site, EngineId engine) {
   double sum = 0;
   for (std::size_t i = 0; i < site.traffic.size(); ++i) {
-    const std::vector<EngineId>& allowed = site.may_take[i];
+    const std::vector<EngineId>& allowed = site.allowed_engines[i];
     if (std::find(allowed.begin(), allowed.end(), engine) == allowed.end()) continue;
-    sum += site.traffic[i].share * site.traffic[i].work / Cores(site, allowed);
+    sum += site.traffic[i].share * site.traffic[i].work / TotalCores(site, allowed);
   }
   return sum;
 }
 
 // `load` is the load of the busiest engine.
 void SetRate(Site& site, double load) {
-  double most = 0;
-  for (const EngineEntry& e : site.engines) most = std::max(most, WorkPerCore(site, e.engine));
-  site.rate = load / most;
+  double max_work = 0;
+  for (const EngineEntry& e : site.engines) max_work = std::max(max_work, WorkPerCore(site, e.engine));
+  site.rate = load / max_work;
   for (std::size_t i = 0; i < site.traffic.size(); ++i) {
     const ClassSettings& c = site.settings.classes[i];
     if (!c.in_order) continue;
-    const double under_way = site.rate * site.traffic[i].share * site.traffic[i].work / c.threads;
-    site.keys = static_cast<std::uint64_t>(std::max(4.0, under_way / kKeyLoad));
+    const double running = site.rate * site.traffic[i].share * site.traffic[i].work / c.threads;
+    site.ordering_keys = static_cast<std::uint64_t>(std::max(4.0, running / kOrderingKeyUtilization));
   }
 }
 
 void AddTenants(Site& site) {
-  const int tenants = Number(site.shape, Dimension::kTenants);
+  const int tenants = NumberOf(site.shape, Dimension::kTenants);
   const double quota = tenants > 1 ? kQuotaMargin * site.rate / tenants : 0;
   site.settings.tenants.assign(static_cast<std::size_t>(tenants), TenantSettings{quota});
 }
@@ -309,24 +312,27 @@
 // Chooses an engine without which the day stays calm: it is a small part of the cores that each class may
 // use.
 void ChooseRestarted(Site& site) {
-  for (std::size_t i = 0; i < site.engines.size() && !site.restarted; ++i) {
+  for (std::size_t i = 0; i < site.engines.size() && !site.restarted_engine; ++i) {
     bool small = true;
-    for (const auto& engines : site.may_take) {
+    for (const auto& engines : site.allowed_engines) {
       const bool in = std::find(engines.begin(), engines.end(), site.engines[i].engine) != engines.end();
-      small = small && (!in || site.traits[i].cores <= kRestartMost * Cores(site, engines));
+      small = small && (!in || site.traits[i].cores <= kMaxRestartedShare * TotalCores(site, engines));
     }
-    if (small) site.restarted = i;
+    if (small) site.restarted_engine = i;
   }
 }
 
 }  // namespace
 
-const DimensionInfo& Info(Dimension dimension) { return Table().at(static_cast<std::size_t>(dimension)); }
+const DimensionInfo& Info(Dimension dimension) {
+  return DimensionTable().at(static_cast<std::size_t>(dimension));
+}
 
-bool SiteShape::Is(Dimension dimension, std::string_view wanted) const {
+bool SiteShape::Is(Dimension dimension, std::string_view expected) const {
   const auto& values = Info(dimension).values;
-  const auto it = std::find(values.begin(), values.end(), wanted);
-  if (it == values.end()) throw std::out_of_range("the dimension has no such value: " + std::string(wanted));
+  const auto it = std::find(values.begin(), values.end(), expected);
+  if (it == values.end())
+    throw std::out_of_range("the dimension has no such value: " + std::string(expected));
   return at(dimension) == static_cast<std::size_t>(it - values.begin());
 }
 
@@ -341,19 +347,19 @@
 
 std::vector<SiteShape> DrawPairwise(std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  std::set<Pair> open = AllPairs();
+  std::set<Pair> uncovered = AllPairs();
   std::vector<SiteShape> shapes;
-  while (!open.empty()) {
+  while (!uncovered.empty()) {
     std::vector<Choice> best;
-    std::size_t most = 0;
+    std::size_t max_covered = 0;
     for (int i = 0; i < kCandidates; ++i) {
-      const std::vector<Choice> candidate = Candidate(open, random);
+      const std::vector<Choice> candidate = DrawCandidate(uncovered, random);
       const std::vector<Pair> pairs = PairsOf(candidate);
-      const auto closed = static_cast<std::size_t>(
-          std::count_if(pairs.begin(), pairs.end(), [&](const Pair& pair) { return open.contains(pair); }));
-      if (closed > most) best = candidate, most = closed;
+      const auto covered = static_cast<std::size_t>(std::count_if(
+          pairs.begin(), pairs.end(), [&](const Pair& pair) { return uncovered.contains(pair); }));
+      if (covered > max_covered) best = candidate, max_covered = covered;
     }
-    for (const Pair& pair : PairsOf(best)) open.erase(pair);
+    for (const Pair& pair : PairsOf(best)) uncovered.erase(pair);
     SiteShape shape;
     for (const Choice& choice : best) shape.Set(static_cast<Dimension>(choice.dimension), choice.value);
     shapes.push_back(shape);
@@ -366,16 +372,16 @@
   Site site;
   site.shape = shape;
   site.settings = SettingsOf(shape);
-  site.settings.kinds = Kinds();
+  site.settings.kinds = EngineKinds();
   AddEngines(site);
   AddPlacement(site);
   AddTraffic(site, random);
   SetRate(site, load);
   AddTenants(site);
   ChooseRestarted(site);
-  site.reports = static_cast<ReportWay>(shape.at(Dimension::kReports));
+  site.reports = static_cast<ReportDelivery>(shape.at(Dimension::kReports));
   site.estimates = static_cast<EstimateQuality>(shape.at(Dimension::kEstimates));
-  site.cancel_honoured = !shape.Is(Dimension::kCancel, "allowed, work goes on");
+  site.cancel_stops_work = !shape.Is(Dimension::kCancel, "allowed, work goes on");
   return site;
 }
 
--- a/src/testing/simulation/site_shapes.h
+++ b/src/testing/simulation/site_shapes.h
@@ -21,26 +21,26 @@
 
 enum class Dimension : std::size_t {
   kMix,
-  kMarked,
-  kOrder,
+  kMarkedClass,
+  kOrdering,
   kEffect,
-  kGroup,
-  kBound,
+  kRepeatGroup,
+  kPlacement,
   kLoads,
-  kBudget,
-  kCopies,
-  kAdvice,
+  kRetryBudget,
+  kHedging,
+  kRetryAfter,
   kAttempts,
   kReports,
   kReportFields,
   kEstimates,
   kCosts,
-  kMemoryShort,
+  kMemoryShortage,
   kGrants,
   kPriorities,
   kProbes,
   kCancel,
-  kNotes,
+  kProgressNotices,
   kTenants,
   kZones,
   kEngines,
@@ -80,7 +80,7 @@
   double memory_bias = 1;  // likewise, of the memory
 };
 
-enum class ReportWay { kNone, kAnswers, kProbesOnly, kNever, kStops };
+enum class ReportDelivery { kNone, kResponses, kProbesOnly, kNever, kStops };
 enum class EstimateQuality { kGood, kRough, kNone };
 
 struct Site {
@@ -89,13 +89,13 @@
   std::vector<EngineEntry> engines;
   std::vector<EngineTraits> traits;  // of each engine
   std::vector<ClassTraffic> traffic;
-  std::vector<std::vector<EngineId>> may_take;  // for each class, the engines that its placement allows
-  double rate = 0;                              // requests per second, over all gateways
-  std::uint64_t keys = 1;                       // number of ordering keys of the classes in order
-  ReportWay reports = ReportWay::kNone;
+  std::vector<std::vector<EngineId>> allowed_engines;  // for each class, by its placement
+  double rate = 0;                                     // requests per second, over all gateways
+  std::uint64_t ordering_keys = 1;                     // number of ordering keys of the classes in order
+  ReportDelivery reports = ReportDelivery::kNone;
   EstimateQuality estimates = EstimateQuality::kGood;
-  bool cancel_honoured = true;
-  std::optional<std::size_t> restarted;  // the engine that drains and restarts cold during the day
+  bool cancel_stops_work = true;
+  std::optional<std::size_t> restarted_engine;  // the engine that drains and restarts cold during the day
 };
 
 // `load` is the utilization of the busiest engine's cores if each class is spread over the engines that its
