--- a/src/testing/model_check/lease_world.h
+++ b/src/testing/model_check/lease_world.h
@@ -7,8 +7,8 @@
 // expired, and knows all committed entries. The invariant checked in each state is that no holder acts on an
 // older version for longer than a lease after the successor of that version was activated. LeaseBudget bounds
 // the search.
-#ifndef LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
-#define LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
+#ifndef LEMONCROFT_TESTING_MODEL_CHECK_LEASE_WORLD_H_
+#define LEMONCROFT_TESTING_MODEL_CHECK_LEASE_WORLD_H_
 
 #include <array>
 #include <string>
@@ -21,7 +21,7 @@
 
 struct LeaseBudget {
   int ticks = 9, renewals = 4, versions = 2, elections = 1, duplicates = 1, crashes = 1;
-  std::size_t in_transit = 3;
+  std::size_t max_in_flight = 3;
 };
 
 class LeaseWorld {
@@ -30,8 +30,8 @@
 
   LeaseWorld(const replicated_config::LeaseSafetyChecks& safety_checks, const LeaseBudget& budget);
 
-  void Next(std::vector<LeaseWorld>& into) const;
-  std::string Wrong() const { return wrong_; }
+  void AppendSuccessors(std::vector<LeaseWorld>& successors) const;
+  std::string Violation() const { return violation_; }
   std::string Canonical() const;  // the smaller of the state's texts under both orders of the holders
 
  private:
@@ -47,10 +47,12 @@
     replicated_config::LeaseGrant granted;
   };
 
-  replicated_config::Time At() const { return replicated_config::Time(std::chrono::hours(1) + now_ * kTick); }
+  replicated_config::Time Now() const {
+    return replicated_config::Time(std::chrono::hours(1) + now_ * kTick);
+  }
   bool Leads(std::size_t leader) const { return now_ < leaders_[leader].lease_until; }
   void Deliver(const InTransitMessage& message);
-  void Learn();  // updates the committed versions that the current leaders know
+  void UpdateLeaders();  // updates the committed versions that the current leaders know
   void Check();
   std::string TextOf(std::size_t holder) const;
 
@@ -58,7 +60,7 @@
   static constexpr int kLeaseTicks = 4;
 
   replicated_config::LeaseOptions options_;
-  LeaseBudget remaining_;
+  LeaseBudget remaining_budget_;
   int now_ = 0;
   std::vector<replicated_config::LeaseHolder> holders_;
   std::array<int, kHolders> renewals_{};
@@ -68,12 +70,12 @@
   std::vector<InTransitMessage> messages_;
   replicated_config::Version latest_version_ = 0, active_version_ = 0;
   std::vector<int> activated_at_;  // tick at which each version was activated, from version 0 on
-  std::string wrong_;
+  std::string violation_;
 };
 
 SearchResult SearchLeases(const replicated_config::LeaseSafetyChecks& safety_checks,
-                          const LeaseBudget& budget, std::uint64_t most);
+                          const LeaseBudget& budget, std::uint64_t max_states);
 
 }  // namespace lemoncroft::model_check
 
-#endif  // LEMONCROFT_TESTING_MODEL_CHECK_CHECK_LEASE_WORLD_H_
+#endif  // LEMONCROFT_TESTING_MODEL_CHECK_LEASE_WORLD_H_
--- a/src/testing/model_check/raft_model.cpp
+++ b/src/testing/model_check/raft_model.cpp
@@ -122,9 +122,10 @@
     const std::vector<Entry>& a = members_[i].raft.log();
     const std::vector<Entry>& b = other.raft.log();
     bool matched = false;
-    for (std::size_t at = std::min(a.size(), b.size()); at-- > 0;) {
-      if (a[at].term == b[at].term) matched = true;
-      if (matched && a[at] != b[at]) violation_ = "two logs match at an index and differ before it";
+    for (std::size_t position = std::min(a.size(), b.size()); position-- > 0;) {
+      if (a[position].term == b[position].term) matched = true;
+      if (matched && a[position] != b[position])
+        violation_ = "two logs match at an index and differ before it";
     }
   }
 }
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -36,23 +36,23 @@
   std::vector<EngineId> EjectedEngines(Nanos) const override { return {}; }
 
  private:
-  struct KeyQueue {
+  struct OrderingKeyQueue {
     std::vector<RequestId> order;
-    Nanos settled_at = 0;
+    Nanos pause_until = 0;
   };
 
-  bool Ordered(const Request& r) const {
+  bool IsOrdered(const Request& r) const {
     return settings_.classes[r.class_id].in_order && r.ordering_key != 0;
   }
 
   void On(const EngineList& list) {
-    for (const EngineEntry& entry : *list.entries) listed_[entry.engine] = entry;
+    for (const EngineEntry& entry : *list.entries) engines_[entry.engine] = entry;
   }
 
   void On(const Request& request) {
     requests_[request.id] = request;
-    if (!Ordered(request)) return Forward(request);
-    KeyQueue& queue = key_queues_[request.ordering_key];
+    if (!IsOrdered(request)) return Forward(request);
+    OrderingKeyQueue& queue = ordering_key_queues_[request.ordering_key];
     queue.order.push_back(request.id);
     if (queue.order.size() == 1) ForwardFirst(request.ordering_key);
   }
@@ -65,8 +65,8 @@
   }
 
   // If an attempt is in flight, its AttemptEnded event follows and removes the request.
-  void On(const RequestCancelled& gone) {
-    if (!in_flight_.contains(gone.id)) Remove(gone.id, false);
+  void On(const RequestCancelled& cancelled) {
+    if (!in_flight_.contains(cancelled.id)) Remove(cancelled.id, false);
   }
 
   void On(const TimerFired& timer) { ForwardFirst(timer.token); }
@@ -78,40 +78,43 @@
     const Request request = it->second;
     requests_.erase(it);
     if (const auto sent = in_flight_.find(id); sent != in_flight_.end()) {
-      threads_[sent->second] -= settings_.classes[request.class_id].threads;
+      threads_in_use_[sent->second] -= settings_.classes[request.class_id].threads;
       in_flight_.erase(sent);
     }
-    if (!Ordered(request)) return;
-    KeyQueue& queue = key_queues_[request.ordering_key];
+    if (!IsOrdered(request)) return;
+    OrderingKeyQueue& queue = ordering_key_queues_[request.ordering_key];
     std::erase(queue.order, id);
-    if (may_still_run) queue.settled_at = now_ + settings_.ordering_key_pause;
+    if (may_still_run) queue.pause_until = now_ + settings_.ordering_key_pause;
     ForwardFirst(request.ordering_key);
   }
 
   void ForwardFirst(std::uint64_t key) {
-    KeyQueue& queue = key_queues_[key];
+    OrderingKeyQueue& queue = ordering_key_queues_[key];
     if (queue.order.empty() || in_flight_.contains(queue.order.front())) return;
-    if (now_ < queue.settled_at) return actions_->push_back(WakeAt{queue.settled_at, key});
+    if (now_ < queue.pause_until) return actions_->push_back(WakeAt{queue.pause_until, key});
     Forward(requests_.at(queue.order.front()));
   }
 
   void Forward(const Request& request) {
-    const ClassSettings& c = settings_.classes[request.class_id];
-    const auto within = [](const std::vector<std::uint16_t>& places, std::uint16_t place) {
-      return places.empty() || std::find(places.begin(), places.end(), place) != places.end();
+    const ClassSettings& settings = settings_.classes[request.class_id];
+    const auto allows = [](const std::vector<std::uint16_t>& allowed, std::uint16_t value) {
+      return allowed.empty() || std::find(allowed.begin(), allowed.end(), value) != allowed.end();
     };
     EngineId best = 0;
     double least_load = 0;
-    for (const auto& [id, e] : listed_) {
-      if (e.readiness != Readiness::kReady || !within(c.zones, e.zone) || !within(c.kinds, e.kind)) continue;
-      const double load = (threads_[id] + c.threads + Uniform(random_())) / settings_.kinds[e.kind].cores;
+    for (const auto& [id, e] : engines_) {
+      if (e.readiness != Readiness::kReady || !allows(settings.zones, e.zone) ||
+          !allows(settings.kinds, e.kind))
+        continue;
+      const double load =
+          (threads_in_use_[id] + settings.threads + Uniform(random_())) / settings_.kinds[e.kind].cores;
       if (best == 0 || load < least_load) {
         best = id;
         least_load = load;
       }
     }
     in_flight_[request.id] = best;
-    threads_[best] += c.threads;
+    threads_in_use_[best] += settings.threads;
     actions_->push_back(Send{request.id, best});
   }
 
@@ -119,11 +122,11 @@
   std::mt19937_64 random_;
   Nanos now_ = 0;
   std::vector<Action>* actions_ = nullptr;
-  std::map<EngineId, EngineEntry> listed_;
+  std::map<EngineId, EngineEntry> engines_;
   std::map<RequestId, Request> requests_;
   std::map<RequestId, EngineId> in_flight_;
-  std::map<EngineId, double> threads_;  // used by this gateway's requests in flight
-  std::map<std::uint64_t, KeyQueue> key_queues_;
+  std::map<EngineId, double> threads_in_use_;  // used by this gateway's requests in flight
+  std::map<std::uint64_t, OrderingKeyQueue> ordering_key_queues_;
 };
 
 }  // namespace
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -318,7 +318,7 @@
                                                          .elections = 0,
                                                          .duplicates = 0,
                                                          .crashes = 0,
-                                                         .in_transit = 1};
+                                                         .max_in_flight = 1};
   model_check::LeaseBudget budget_with_election = budget_without_election;
   budget_with_election.elections = 1;
   const std::tuple<const char*, bool LeaseSafetyChecks::*, model_check::LeaseBudget> cases[] = {
