--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -82,7 +82,7 @@
   replicated_config::ConfigReplicaOptions options;
   options.self = NameOf(i);
   for (std::size_t v = 0; v < plan_.voters; ++v) options.initial_voters.push_back(NameOf(v));
-  options.raft_options = plan_.log;
+  options.raft_options = plan_.raft_options;
   options.lease = plan_.lease_options;
   options.safety_checks = plan_.safety_checks;
   return options;
@@ -118,12 +118,12 @@
   return std::nullopt;
 }
 
-std::string ConfigReplicaFleet::Propose(std::size_t at, Version from, const std::string& text,
+std::string ConfigReplicaFleet::Propose(std::size_t at, Version base_version, const std::string& text,
                                         Instant timeout) {
   Machine& m = machines_[at];
   replicated_config::ConfigChange change;
   change.id = "c" + std::to_string(++last_request_number_);
-  change.base_version = from;
+  change.base_version = base_version;
   change.document = text;
   change.author = NameOf(at);
   proposed_[change.id] = text;
@@ -133,9 +133,9 @@
   return change.id;
 }
 
-void ConfigReplicaFleet::ChangeVoters(std::size_t at, const std::string& who, bool in) {
+void ConfigReplicaFleet::ChangeVoters(std::size_t at, const std::string& name, bool add) {
   Machine& m = machines_[at];
-  m.replica->ChangeVoters(LocalTime(m), {"v" + std::to_string(++last_request_number_), who, in},
+  m.replica->ChangeVoters(LocalTime(m), {"v" + std::to_string(++last_request_number_), name, add},
                           LocalTime(m) + 5s);
   HandleOutputs(at);
 }
--- a/src/testing/simulation/config_replica_fleet.h
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -28,7 +28,7 @@
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
     replicated_config::LeaseOptions lease_options;
-    raft::Options log;
+    raft::Options raft_options;
     replicated_config::ConfigReplicaSafetyChecks safety_checks;
     double max_clock_drift = 0.005;                         // maximum relative error of a clock's rate
     Instant sync_duration = std::chrono::milliseconds(2);   // of each disk
@@ -57,9 +57,9 @@
 
   // A document that begins with "not for " and a machine's name is incompatible with that machine; a document
   // that begins with "wrong" is invalid. Returns the ID of the change.
-  std::string Propose(std::size_t at, replicated_config::Version from, const std::string& text,
+  std::string Propose(std::size_t at, replicated_config::Version base_version, const std::string& text,
                       Instant timeout = std::chrono::seconds(3));
-  void ChangeVoters(std::size_t at, const std::string& who, bool in);
+  void ChangeVoters(std::size_t at, const std::string& name, bool add);
   const std::map<std::string, replicated_config::ChangeOutcome>& outcomes() const { return outcomes_; }
 
   std::optional<std::size_t> Leader() const;
--- a/src/testing/simulation/deciders.cpp
+++ b/src/testing/simulation/deciders.cpp
@@ -96,25 +96,25 @@
   }
 
   void Forward(const Request& request) {
-    const ClassSettings& settings = settings_.classes[request.class_id];
+    const ClassSettings& class_settings = settings_.classes[request.class_id];
     const auto allows = [](const std::vector<std::uint16_t>& allowed, std::uint16_t value) {
       return allowed.empty() || std::find(allowed.begin(), allowed.end(), value) != allowed.end();
     };
     EngineId best = 0;
     double least_load = 0;
     for (const auto& [id, e] : engines_) {
-      if (e.readiness != Readiness::kReady || !allows(settings.zones, e.zone) ||
-          !allows(settings.kinds, e.kind))
+      if (e.readiness != Readiness::kReady || !allows(class_settings.zones, e.zone) ||
+          !allows(class_settings.kinds, e.kind))
         continue;
       const double load =
-          (threads_in_use_[id] + settings.threads + Uniform(random_())) / settings_.kinds[e.kind].cores;
+          (threads_in_use_[id] + class_settings.threads + Uniform(random_())) / settings_.kinds[e.kind].cores;
       if (best == 0 || load < least_load) {
         best = id;
         least_load = load;
       }
     }
     in_flight_[request.id] = best;
-    threads_in_use_[best] += settings.threads;
+    threads_in_use_[best] += class_settings.threads;
     actions_->push_back(Send{request.id, best});
   }
 
--- a/src/testing/simulation/deciders.h
+++ b/src/testing/simulation/deciders.h
@@ -16,7 +16,7 @@
 
 namespace lemoncroft::simulation {
 
-// Has the interface of a Gateway, as far as a simulated day uses it.
+// The part of a Gateway's interface that a simulated day uses.
 class Decider {
  public:
   virtual ~Decider() = default;
--- a/src/testing/simulation/query_engine.cpp
+++ b/src/testing/simulation/query_engine.cpp
@@ -110,7 +110,7 @@
 }
 
 bool QueryEngine::Start(Nanos now, const QueryPlan& plan) {
-  if (active_queries_.size() >= traits_.sessions) return false;
+  if (active_queries_.size() >= traits_.max_sessions) return false;
   ActiveQuery query;
   query.plan = plan;
   query.arrival_order = next_arrival_order_++;
--- a/src/testing/simulation/query_engine.h
+++ b/src/testing/simulation/query_engine.h
@@ -30,7 +30,7 @@
   double cores = 8;
   double speed = 1;
   double memory_mb = 16384;
-  std::size_t sessions = 64;
+  std::size_t max_sessions = 64;
   MemoryShortagePolicy memory_shortage_policy = MemoryShortagePolicy::kTrim;
   bool honors_memory_grants = true;
   bool honors_priorities = true;
--- a/src/testing/simulation/simulated_disk.cpp
+++ b/src/testing/simulation/simulated_disk.cpp
@@ -39,11 +39,11 @@
 
 int Read(sqlite3_file* file, void* out, int size, sqlite3_int64 at) {
   const std::string& bytes = (*Of(file).file)->current;
-  const auto from = static_cast<std::size_t>(at), wanted = static_cast<std::size_t>(size);
-  const std::size_t available = from >= bytes.size() ? 0 : std::min(wanted, bytes.size() - from);
+  const auto from = static_cast<std::size_t>(at), requested = static_cast<std::size_t>(size);
+  const std::size_t available = from >= bytes.size() ? 0 : std::min(requested, bytes.size() - from);
   std::memcpy(out, bytes.data() + std::min(from, bytes.size()), available);
-  if (available == wanted) return SQLITE_OK;
-  std::memset(static_cast<char*>(out) + available, 0, wanted - available);
+  if (available == requested) return SQLITE_OK;
+  std::memset(static_cast<char*>(out) + available, 0, requested - available);
   return SQLITE_IOERR_SHORT_READ;
 }
 
--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -127,7 +127,7 @@
     for (std::size_t i = 0; i < site_.traffic.size(); ++i) {
       const ClassTraffic& t = site_.traffic[i];
       const ClassSettings& c = site_.settings.classes[i];
-      if (c.holds_tables) loads += site_.rate * t.share * t.work / c.threads;
+      if (c.holds_tables) loads += site_.request_rate * t.share * t.work / c.threads;
     }
     table_groups_ = std::max(kMinTableGroups, static_cast<std::uint32_t>(loads / kLoadsPerTableGroup));
   }
@@ -225,7 +225,7 @@
   }
 
   void SubmitArrivals() {
-    const double mean = site_.rate * Seconds(site_.settings.tick);
+    const double mean = site_.request_rate * Seconds(site_.settings.tick);
     for (int n = std::poisson_distribution<int>(mean)(random_); n > 0; --n) SubmitRequest();
   }
 
@@ -239,12 +239,12 @@
   }
 
   void Estimate(ActiveRequest& active) {
-    const bool rough = site_.estimates == EstimateQuality::kRough;
+    const bool rough = site_.estimate_quality == EstimateQuality::kRough;
     const double work_error =
         std::exp((rough ? kRoughWorkEstimateDeviation : kGoodEstimateDeviation) * DrawNormal());
     const double memory_error =
         std::exp((rough ? kRoughMemoryEstimateDeviation : kGoodEstimateDeviation) * DrawNormal());
-    if (site_.estimates == EstimateQuality::kNone) return;
+    if (site_.estimate_quality == EstimateQuality::kNone) return;
     const ClassTraffic& traffic = site_.traffic[active.request.class_id];
     active.request.estimated_work = ToNanos(active.work * work_error * (rough ? traffic.work_bias : 1));
     active.request.estimated_memory_mb = active.memory_mb * memory_error * (rough ? traffic.memory_bias : 1);
@@ -462,7 +462,7 @@
     probed.engine = probe.engine;
     probed.elapsed = site_.settings.tick;
     const bool engine_up = restarted_engine_up_ || !site_.restarted_engine || probe.engine != RestartedId();
-    if (engine_up && site_.reports != ReportDelivery::kNone)
+    if (engine_up && site_.report_delivery != ReportDelivery::kNone)
       probed.load_report = ReportOf(probe.engine, true);
     probed.outcome = engine_up ? Outcome::kOk : Outcome::kConnectFailed;
     Schedule(now_ + probed.elapsed, [this, gateway, probed] {
@@ -473,10 +473,10 @@
   void Apply(int, const auto&) {}  // other actions, such as log lines, have no effect here
 
   LoadReport ReportOf(EngineId engine, bool probe) const {
-    const bool stopped = site_.reports == ReportDelivery::kStops && now_ > kStart + kReportsStopAt;
-    const bool not_requested = site_.reports == ReportDelivery::kProbesOnly && !probe;
-    if (site_.reports == ReportDelivery::kNone || site_.reports == ReportDelivery::kNever || stopped ||
-        not_requested)
+    const bool stopped = site_.report_delivery == ReportDelivery::kStops && now_ > kStart + kReportsStopAt;
+    const bool not_requested = site_.report_delivery == ReportDelivery::kProbesOnly && !probe;
+    if (site_.report_delivery == ReportDelivery::kNone || site_.report_delivery == ReportDelivery::kNever ||
+        stopped || not_requested)
       return {};
     return engines_[engine - 1]->Report(now_);
   }
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -226,7 +226,7 @@
     EngineTraits traits;
     traits.cores = s.kinds[entry.kind].cores;
     traits.memory_mb = s.kinds[entry.kind].memory_mb;
-    traits.sessions = static_cast<std::size_t>(8 * traits.cores);
+    traits.max_sessions = static_cast<std::size_t>(8 * traits.cores);
     traits.memory_shortage_policy = s.memory_shortage_policy;
     traits.honors_memory_grants = s.honors_memory_grants;
     traits.honors_priorities = s.honors_priorities;
@@ -294,18 +294,18 @@
 void SetRate(Site& site, double load) {
   double max_work = 0;
   for (const EngineEntry& e : site.engines) max_work = std::max(max_work, WorkPerCore(site, e.engine));
-  site.rate = load / max_work;
+  site.request_rate = load / max_work;
   for (std::size_t i = 0; i < site.traffic.size(); ++i) {
     const ClassSettings& c = site.settings.classes[i];
     if (!c.in_order) continue;
-    const double running = site.rate * site.traffic[i].share * site.traffic[i].work / c.threads;
+    const double running = site.request_rate * site.traffic[i].share * site.traffic[i].work / c.threads;
     site.ordering_keys = static_cast<std::uint64_t>(std::max(4.0, running / kOrderingKeyUtilization));
   }
 }
 
 void AddTenants(Site& site) {
   const int tenants = NumberOf(site.shape, Dimension::kTenants);
-  const double quota = tenants > 1 ? kQuotaMargin * site.rate / tenants : 0;
+  const double quota = tenants > 1 ? kQuotaMargin * site.request_rate / tenants : 0;
   site.settings.tenants.assign(static_cast<std::size_t>(tenants), TenantSettings{quota});
 }
 
@@ -379,8 +379,8 @@
   SetRate(site, load);
   AddTenants(site);
   ChooseRestarted(site);
-  site.reports = static_cast<ReportDelivery>(shape.at(Dimension::kReports));
-  site.estimates = static_cast<EstimateQuality>(shape.at(Dimension::kEstimates));
+  site.report_delivery = static_cast<ReportDelivery>(shape.at(Dimension::kReports));
+  site.estimate_quality = static_cast<EstimateQuality>(shape.at(Dimension::kEstimates));
   site.cancel_stops_work = !shape.Is(Dimension::kCancel, "allowed, work goes on");
   return site;
 }
--- a/src/testing/simulation/site_shapes.h
+++ b/src/testing/simulation/site_shapes.h
@@ -90,10 +90,10 @@
   std::vector<EngineTraits> traits;  // of each engine
   std::vector<ClassTraffic> traffic;
   std::vector<std::vector<EngineId>> allowed_engines;  // for each class, by its placement
-  double rate = 0;                                     // requests per second, over all gateways
+  double request_rate = 0;                             // requests per second, sum of all gateways
   std::uint64_t ordering_keys = 1;                     // number of ordering keys of the classes in order
-  ReportDelivery reports = ReportDelivery::kNone;
-  EstimateQuality estimates = EstimateQuality::kGood;
+  ReportDelivery report_delivery = ReportDelivery::kNone;
+  EstimateQuality estimate_quality = EstimateQuality::kGood;
   bool cancel_stops_work = true;
   std::optional<std::size_t> restarted_engine;  // the engine that drains and restarts cold during the day
 };
