--- a/src/testing/simulation/site_day.cpp
+++ b/src/testing/simulation/site_day.cpp
@@ -82,9 +82,9 @@
   }
 
   DayResult Run() {
-    const Nanos longest = LongestDeadline();
+    const Nanos longest_timeout = LongestClientTimeout();
     for (now_ = kStart; now_ < kStart + length_ || checker_.open_count() > 0; now_ += site_.settings.tick) {
-      if (now_ > kStart + length_ + longest + kSecond) break;
+      if (now_ > kStart + length_ + longest_timeout + kSecond) break;
       AdvanceEngines();
       RunTimeline();
       if (now_ < kStart + length_) SubmitArrivals();
@@ -148,10 +148,11 @@
     checker_.EndpointsListed(now_, gateway, entries);
   }
 
-  Nanos LongestDeadline() const {
-    Nanos longest = 0;
-    for (const ClassSettings& c : site_.settings.classes) longest = std::max(longest, c.client_timeout);
-    return longest;
+  Nanos LongestClientTimeout() const {
+    Nanos longest_timeout = 0;
+    for (const ClassSettings& c : site_.settings.classes)
+      longest_timeout = std::max(longest_timeout, c.client_timeout);
+    return longest_timeout;
   }
 
   // ---- The engine that restarts ----
@@ -412,7 +413,7 @@
       if (it == requests_.end() || !it->second.attempts[static_cast<std::size_t>(attempt)].in_flight) return;
       const Attempt& a = it->second.attempts[static_cast<std::size_t>(attempt)];
       const double done = engines_[a.engine - 1]->Progress({id, attempt});
-      const double noise = 1 + kProgressNoise * (2 * NoticeDraw(id, attempt) - 1);
+      const double noise = 1 + kProgressNoise * (2 * DrawNotice(id, attempt) - 1);
       PostEvent(it->second,
                 ProgressNotice{id, attempt, NoticeKind::kProgress, std::clamp(done * noise, 0.0, 1.0)});
       ScheduleProgressNotice(id, attempt);
@@ -420,7 +421,7 @@
   }
 
   // Does not use the clients' generator, so that the clients behave the same with every decider.
-  double NoticeDraw(RequestId id, int attempt) const {
+  double DrawNotice(RequestId id, int attempt) const {
     return Uniform(subset::Mix(subset::Mix(id * 64 + static_cast<std::uint64_t>(attempt)) ^
                                static_cast<std::uint64_t>(now_)));
   }
--- a/src/testing/simulation/site_invariant_checker.cpp
+++ b/src/testing/simulation/site_invariant_checker.cpp
@@ -8,7 +8,7 @@
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1000 * kMs;
 constexpr std::size_t kMaxStoredViolations = 12;
-constexpr Nanos kMaxIdleWait = 2 * kSecond;  // of a request while an engine that may run it is idle
+constexpr Nanos kMaxIdleWait = 2 * kSecond;  // limit for a request while an engine that may run it is idle
 constexpr Nanos kResponseSlack = 10 * kMs;   // two ticks after the deadline
 
 bool MayHaveRun(Outcome outcome) {
--- a/src/testing/simulation/site_shapes.cpp
+++ b/src/testing/simulation/site_shapes.cpp
@@ -119,7 +119,7 @@
   double work;  // mean, core-seconds
   int threads;
   Nanos latency_objective;
-  Nanos deadline;
+  Nanos client_timeout;
   double priority_weight;
   double memory;  // relative to the other classes
 };
@@ -161,7 +161,7 @@
     ClassSettings c;
     c.latency_objective = plan.latency_objective;
     c.latency_objective_stretch = 2;
-    c.client_timeout = plan.deadline;
+    c.client_timeout = plan.client_timeout;
     c.priority_weight = plan.priority_weight;
     c.late_weight_share = 0.3;
     c.threads = plan.threads;
