--- a/src/testing/simulation/links.h
+++ b/src/testing/simulation/links.h
@@ -41,7 +41,7 @@
   const LinkFaults& FaultsOf(Node from, Node to) const;
   bool IsOpen(Node from, Node to) const;                // false if the link is cut or partitioned
   void Garble(Node from, Node to, std::string& bytes);  // flips one bit, with probability `garble`
-  // Calls `arrives(at, bytes)` for each copy of the message that arrives.
+  // Calls `deliver(at, bytes)` for each copy of the message that arrives.
   template <typename F>
   void Send(Instant now, Node from, Node to, const std::string& bytes, F&& deliver) {
     const LinkFaults& faults = FaultsOf(from, to);
