--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Events and actions are logged one a line at level trace. Tests compare these lines.
+// Events and actions are logged at level trace, one per line. Tests compare these lines with a stored trace,
+// so that the texts are fixed.
 void Trace(const Event& event) {
   std::visit(Overloaded{
                  [](const EngineList& list) {
@@ -22,7 +23,7 @@
                    spdlog::trace("told ended {}.{} outcome {} finished {} work {}", ended.id, ended.attempt,
                                  static_cast<int>(ended.outcome), ended.request_finished, ended.work);
                  },
-                 [](const RequestCancelled& gone) { spdlog::trace("told gone {}", gone.id); },
+                 [](const RequestCancelled& cancelled) { spdlog::trace("told gone {}", cancelled.id); },
                  [](const auto&) {},
              },
              event);
@@ -62,9 +63,9 @@
       const runtime::Time next_timer = timers_.empty() ? runtime::kNever : timers_.top().first;
       co_await runtime::Waiter(loop_, &events_pending_, next_timer);
     }
-    const runtime::Time stepped = runtime::Now();
+    const runtime::Time step_time = runtime::Now();
     Step();
-    co_await loop_.SleepUntil(stepped + tick_);
+    co_await loop_.SleepUntil(step_time + tick_);
   }
 }
 
@@ -79,7 +80,7 @@
   const runtime::Time now = runtime::Now();
   CollectFiredTimers(now);
   std::vector<Event> events;
-  events.swap(events_);  // actions may post events for the next step
+  events.swap(events_);  // applying the actions may post events for the next step
   actions_.clear();
   gateway_.Step(clock_.At(now), events, actions_);
   if (spdlog::should_log(spdlog::level::trace)) {
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -16,10 +16,10 @@
 using codec::Json;
 
 constexpr std::uint16_t kMaxNumber = std::numeric_limits<std::uint16_t>::max();
-constexpr std::size_t kMaxUnlistedNames = 1024;  // further names share one number
+constexpr std::size_t kMaxUnlistedNames = 1024;  // further names share a single number
 
-// The modification time of a file that this process wrote for a return may be this much later than the
-// return.
+// When an engine is returned to service, this process writes a file. The modification time of the file may be
+// later than the return by up to this duration.
 constexpr Nanos kFileTimeTolerance = 1'000'000'000;
 
 std::string TextOr(const Json& json, const std::string& absent) {
@@ -33,9 +33,8 @@
 
 }  // namespace
 
-// The decision module ranks engines by their ids, which therefore have to be the same at every proxy and
-// after every restart: an id is the FNV-1a hash of the name. On a collision the later name takes the next
-// free id.
+// The decision module ranks engines by id, so ids must be the same in every proxy and after every restart.
+// Therefore an id is the FNV-1a hash of the name. On a collision, the later name gets the next free id.
 EngineId EndpointDirectory::IdOf(const std::string& name) {
   if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
   EngineId id = 2166136261u;
@@ -46,20 +45,22 @@
   return id;
 }
 
-// A name that the settings don't list gets a number of its own from the upper end of the range: under a
-// listed number the engine would be sent requests that are bound to another zone or kind.
+// A name that the settings don't list gets its own number from the upper end of the range. With a listed
+// number, the engine would be sent requests that are bound to another zone or kind.
 std::uint16_t EndpointDirectory::NumberOf(const std::string& name, const std::vector<std::string>& names,
                                           const char* what) {
-  if (name.empty() && names.size() <= 1) return 0;  // not announced, and there is at most one
+  if (name.empty() && names.size() <= 1) return 0;  // not announced, and at most one name is listed
   const auto it = std::find(names.begin(), names.end(), settings::ListItem(name));
   if (it != names.end()) return static_cast<std::uint16_t>(it - names.begin());
   if (unlisted_names_.size() >= kMaxUnlistedNames && !unlisted_names_.contains(name))
     return static_cast<std::uint16_t>(kMaxNumber - kMaxUnlistedNames);
   const auto number = static_cast<std::uint16_t>(kMaxNumber - unlisted_names_.size());
-  const auto [known, fresh] = unlisted_names_.try_emplace(name, number);
-  if (fresh)
-    spdlog::warn("control feed: the settings list no {} '{}': it gets no class that is bound to listed ones",
-                 what, name);
+  const auto [known, is_new] = unlisted_names_.try_emplace(name, number);
+  if (is_new)
+    spdlog::warn(
+        "control feed: the settings list no {} '{}'; its engines get no requests that are bound to listed "
+        "ones",
+        what, name);
   return known->second;
 }
 
@@ -77,13 +78,13 @@
   const Json& events = document[feed::kEvents];
   if (!events.Is(Json::Kind::kArray)) return false;
   for (const Json& event : events.items) {
-    const std::int64_t n = event[feed::kRevision].Integer(-1);
-    if (n <= last_event_) continue;
-    last_event_ = n;
+    const std::int64_t revision = event[feed::kRevision].Integer(-1);
+    if (revision <= last_revision_) continue;
+    last_revision_ = revision;
     if (!event[feed::kUpdate].Is(Json::Kind::kObject)) continue;  // an event of another kind
     if (auto list = ApplyEvent(event[feed::kUpdate])) on_update(std::move(*list));
   }
-  last_event_ = std::max(last_event_, document[feed::kRevision].Integer(last_event_));
+  last_revision_ = std::max(last_revision_, document[feed::kRevision].Integer(last_revision_));
   return true;
 }
 
@@ -107,48 +108,49 @@
   std::unordered_set<EngineId> listed_ids;
   listed_ids.reserve(listed.size());
   for (const EngineEntry& entry : listed) listed_ids.insert(entry.engine);
-  std::vector<EngineId> left;
+  std::vector<EngineId> removed;
   for (const auto& [id, endpoint] : endpoints_) {
-    if (!listed_ids.contains(id)) left.push_back(id);
+    if (!listed_ids.contains(id)) removed.push_back(id);
   }
-  for (const EngineId id : left) Remove(id);
+  for (const EngineId id : removed) Remove(id);
 }
 
 std::optional<EngineEntry> EndpointDirectory::ApplyEndpoint(const Json& json) {
   const std::string& name = json[feed::kName].text;
   const std::string& state = json[feed::kState].text;
   if (name.empty()) {
-    spdlog::warn("control feed: an entry without an id is skipped");
+    spdlog::warn("control feed: skipping an entry without an id");
     return std::nullopt;
   }
-  // Fields that an entry leaves out keep their value: a drain must not be missed for lack of an address.
+  // Fields that an entry omits keep their value, so that a drain takes effect even if its entry has no
+  // address.
   const Endpoint* known = Find(IdOf(name));
   const std::string host_port =
       known != nullptr ? TextOr(json[feed::kAddress], known->host_port) : json[feed::kAddress].text;
   const auto address = runtime::Address::Parse(host_port);
-  if (!address && state != feed::kStateGone) {
-    spdlog::warn("control feed: {} has no usable address and is skipped", name);
+  if (!address && state != feed::kStateRemoved) {
+    spdlog::warn("control feed: skipping the entry of {}, which has no valid address", name);
     if (known == nullptr) Remove(IdOf(name));
     return std::nullopt;
   }
   EngineEntry entry;
   entry.engine = IdOf(name);
   entry.weight = json[feed::kWeight].Number(known != nullptr ? known->advertised.weight : 1);
-  // An unknown state counts as draining: no new requests may go to a draining engine.
-  entry.readiness = state == feed::kStateReady  ? Readiness::kReady
-                    : state == feed::kStateGone ? Readiness::kRemoved
-                                                : Readiness::kDraining;
+  // An unknown state is treated as draining: a draining engine gets no new requests.
+  entry.readiness = state == feed::kStateReady     ? Readiness::kReady
+                    : state == feed::kStateRemoved ? Readiness::kRemoved
+                                                   : Readiness::kDraining;
   const std::string kind = TextOr(json[feed::kMachineKind], known != nullptr ? known->kind : std::string());
   const std::string zone = TextOr(json[feed::kZone], known != nullptr ? known->zone : std::string());
   entry.kind = NumberOf(kind, site_->kinds, "machine kind");
   entry.zone = NumberOf(zone, site_->zones, "zone");
   entry.cell =
       static_cast<std::uint16_t>(json[feed::kCell].Integer(known != nullptr ? known->advertised.cell : 0));
-  const Json& up_since = json[feed::kStartedAt];
+  const Json& start_time = json[feed::kStartedAt];
   entry.started_at = known != nullptr ? known->advertised.started_at : 0;
-  if (up_since.Is(Json::Kind::kNumber)) {
+  if (start_time.Is(Json::Kind::kNumber)) {
     entry.started_at = decision::ModuleClock::AtUnix(
-        std::chrono::milliseconds(std::max<std::int64_t>(0, up_since.Integer())));
+        std::chrono::milliseconds(std::max<std::int64_t>(0, start_time.Integer())));
   }
   if (entry.readiness == Readiness::kRemoved) {
     Remove(entry.engine);
@@ -179,8 +181,8 @@
 }
 
 void EndpointDirectory::ApplyEjections(EngineEntry& entry, const std::string& id) const {
-  if (ejected_.contains(id)) entry.readiness = Readiness::kExcluded;
-  if (const auto it = returned_.find(id); it != returned_.end())
+  if (manually_ejected_.contains(id)) entry.readiness = Readiness::kExcluded;
+  if (const auto it = returned_at_.find(id); it != returned_at_.end())
     entry.started_at = std::max(entry.started_at, it->second);
 }
 
@@ -201,52 +203,53 @@
 
 discovery::ManualEjectionResult EndpointDirectory::Eject(const std::string& id,
                                                          const UpdateCallback& on_update) {
-  if (ejected_.contains(id)) return ManualEjectionResult::kDone;
+  if (manually_ejected_.contains(id)) return ManualEjectionResult::kDone;
   if (!ids_.contains(id)) return ManualEjectionResult::kUnknownEngine;
-  if (ejected_.size() >= kMaxEjectedEngines) return ManualEjectionResult::kTooMany;
-  ejected_.insert(id);
+  if (manually_ejected_.size() >= kMaxEjectedEngines) return ManualEjectionResult::kTooMany;
+  manually_ejected_.insert(id);
   PublishEndpoint(id, false, on_update);
   return ManualEjectionResult::kDone;
 }
 
 discovery::ManualEjectionResult EndpointDirectory::ReturnToService(const std::string& id, UnixTime at,
                                                                    const UpdateCallback& on_update) {
-  if (ejected_.erase(id) == 0)
+  if (manually_ejected_.erase(id) == 0)
     return ids_.contains(id) ? ManualEjectionResult::kDone : ManualEjectionResult::kUnknownEngine;
-  if (ids_.contains(id)) returned_[id] = NanosOf(at);
+  if (ids_.contains(id)) returned_at_[id] = NanosOf(at);
   PublishEndpoint(id, true, on_update);
   return ManualEjectionResult::kDone;
 }
 
 void EndpointDirectory::ImportEjections(const std::set<std::string>& ejected,
-                                        const std::map<std::string, UnixTime>& returned,
+                                        const std::map<std::string, UnixTime>& returned_at,
                                         const UpdateCallback& on_update) {
   for (const std::string& id : ejected) {
-    if (ejected_.size() < kMaxEjectedEngines && ejected_.insert(id).second)
+    if (manually_ejected_.size() < kMaxEjectedEngines && manually_ejected_.insert(id).second)
       PublishEndpoint(id, false, on_update);
   }
   const auto time = [&](const std::string& id) {
-    const auto it = returned.find(id);
-    return it == returned.end() ? std::chrono::system_clock::now() : it->second;
+    const auto it = returned_at.find(id);
+    return it == returned_at.end() ? std::chrono::system_clock::now() : it->second;
   };
-  for (const std::string& id : std::set<std::string>(ejected_)) {
+  for (const std::string& id : std::set<std::string>(manually_ejected_)) {
     if (!ejected.contains(id)) ReturnToService(id, time(id), on_update);
   }
   // Engines that were ejected and returned before this process saw the ejection.
-  for (const auto& [id, at] : returned) {
+  for (const auto& [id, at] : returned_at) {
     const Nanos since = NanosOf(at);
     if (has_complete_list_ && !ids_.contains(id)) continue;
-    if (ejected_.contains(id) || (returned_.contains(id) && since <= returned_[id] + kFileTimeTolerance))
+    if (manually_ejected_.contains(id) ||
+        (returned_at_.contains(id) && since <= returned_at_[id] + kFileTimeTolerance))
       continue;
-    returned_[id] = since;
+    returned_at_[id] = since;
     PublishEndpoint(id, true, on_update);
   }
 }
 
-std::size_t EndpointDirectory::CountEjected(const std::vector<EngineId>& avoided) const {
-  const std::unordered_set<EngineId> avoided_ids(avoided.begin(), avoided.end());
+std::size_t EndpointDirectory::CountEjected(const std::vector<EngineId>& outliers) const {
+  const std::unordered_set<EngineId> outlier_ids(outliers.begin(), outliers.end());
   return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& m) {
-    return ejected_.contains(m.second.name) || avoided_ids.contains(m.first);
+    return manually_ejected_.contains(m.second.name) || outlier_ids.contains(m.first);
   }));
 }
 
@@ -254,11 +257,11 @@
   if (endpoints_.erase(engine) > 0 && on_incarnation_ended) on_incarnation_ended(engine);
 }
 
-// Engines are replaced all the time, so nothing may be kept of one that has left.
+// Engines are replaced continually, so no data of a removed engine may be retained.
 void EndpointDirectory::Remove(EngineId engine) {
   EndIncarnation(engine);
   if (const auto it = names_.find(engine); it != names_.end()) {
-    returned_.erase(it->second);
+    returned_at_.erase(it->second);
     ids_.erase(it->second);
     names_.erase(it);
   }
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -13,16 +13,16 @@
 using namespace std::chrono_literals;
 using runtime::IoResult;
 
-// Requests to a draining engine must stop within 250 ms of the feed's event. A connection that died silently
-// has to be detected and replaced within that time, as has one to a feed that was down.
+// Requests to a draining engine must stop within 250 ms of the feed's event. Within that time, a connection
+// that was lost silently must be detected and replaced, and a feed that was down must be reconnected.
 constexpr auto kLongPollTimeout = 150ms;
-constexpr auto kLongPollGrace = 60ms;  // then a silent feed counts as lost
+constexpr auto kLongPollGrace = 60ms;  // after this, a silent feed is treated as lost
 constexpr auto kConnectTimeout = 150ms;
-// Exponential, with jitter: hundreds of proxies reconnect when a feed comes back.
+// Exponential backoff with jitter, because hundreds of proxies reconnect when a feed becomes available again.
 constexpr runtime::Duration kMinBackoff = 10ms, kMaxBackoff = 80ms;
-// For the rest of an answer that has begun: a list of thousands of engines takes longer than the grace.
-constexpr auto kAnswerTimeout = 3s;
-constexpr codec::HttpParser::Limits kAnswerLimits{std::size_t{16} << 10, std::size_t{8} << 20};
+// For the rest of a response that has begun: a list of thousands of engines takes longer than the grace.
+constexpr auto kResponseTimeout = 3s;
+constexpr codec::HttpParser::Limits kResponseLimits{std::size_t{16} << 10, std::size_t{8} << 20};
 
 }  // namespace
 
@@ -33,16 +33,16 @@
     if (host_port_.empty()) {
       co_await loop_.SleepUntil(runtime::kNever, &address_changed);
     } else {
-      has_answered_on_connection_ = false;
+      has_response_on_connection_ = false;
       co_await WatchOnce(address_changed);
       backoff_ =
-          has_answered_on_connection_ ? kMinBackoff : std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
+          has_response_on_connection_ ? kMinBackoff : std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
       co_await loop_.Sleep(WithJitter(backoff_), &address_changed);
     }
   }
 }
 
-// Between half of `backoff` and all of it.
+// Returns a duration between half of `backoff` and `backoff`.
 runtime::Duration EndpointWatch::WithJitter(runtime::Duration backoff) {
   return backoff / 2 + runtime::Duration(std::uniform_int_distribution<runtime::Duration::rep>(
                            0, (backoff / 2).count())(random_));
@@ -57,37 +57,37 @@
 runtime::Task<> EndpointWatch::WatchOnce(runtime::Cancellation& address_changed) {
   const std::string host_port = host_port_;
   const auto address = runtime::Address::Parse(host_port);
-  if (!address) co_return;  // the configuration is checked for this
+  if (!address) co_return;  // the check of the configuration rules this out
   std::unique_ptr<runtime::Socket> socket;
   const IoResult up =
       co_await Connect(loop_, *address, runtime::Now() + kConnectTimeout, &address_changed, socket);
   if (up != IoResult::kOk) {
-    spdlog::debug("control feed: no connection to {}", host_port);
+    spdlog::debug("control feed: cannot connect to {}", host_port);
     co_return;
   }
-  http::Connection connection(std::move(socket), host_port, kAnswerLimits);
+  http::Connection connection(std::move(socket), host_port, kResponseLimits);
   for (;;) {
     codec::HttpRequest request;
     request.method = "GET";
-    request.path = feed::kEventsPathPrefix + std::to_string(directory_.last_event()) +
+    request.path = feed::kEventsPathPrefix + std::to_string(directory_.last_revision()) +
                    "&wait=" + std::to_string(kLongPollTimeout.count());
     codec::HttpResponse response;
     const runtime::Time begin_by = runtime::Now() + kLongPollTimeout + kLongPollGrace;
     IoResult io = co_await connection.Send(request, begin_by, &address_changed);
     if (io == IoResult::kOk)
-      io = co_await connection.Receive(begin_by, begin_by + kAnswerTimeout, &address_changed, response);
+      io = co_await connection.Receive(begin_by, begin_by + kResponseTimeout, &address_changed, response);
     if (io != IoResult::kOk || response.status != 200) {
-      spdlog::info("control feed: connection lost after event {}", directory_.last_event());
+      spdlog::info("control feed: connection lost after event {}", directory_.last_revision());
       co_return;
     }
     bool readable = false;
     try {
       readable = directory_.Apply(codec::Json::Parse(response.body), on_update_);
     } catch (const codec::JsonError& e) {
-      spdlog::warn("control feed: {}", e.what());
+      spdlog::warn("control feed: cannot parse the response: {}", e.what());
     }
-    has_answered_ = has_answered_ || readable;
-    has_answered_on_connection_ = has_answered_on_connection_ || readable;
+    has_response_ = has_response_ || readable;
+    has_response_on_connection_ = has_response_on_connection_ || readable;
     if (!readable || !connection.Reusable()) co_return;
   }
 }
--- a/src/frontend/frame_server.cpp
+++ b/src/frontend/frame_server.cpp
@@ -17,7 +17,7 @@
 constexpr auto kNoDescriptorsPause = 20ms;
 constexpr int kAcceptsPerTurn = 16;
 constexpr auto kMinAgeToEvictUnused = 30ms;  // the first request may be on its way until then
-constexpr auto kCapacityTimeout = 500ms;     // for a new connection when all are busy
+constexpr auto kCapacityTimeout = 500ms;     // of a new connection while all others are busy
 constexpr auto kCapacityRetryInterval = 10ms;
 constexpr auto kRejectionLogInterval = 10s;
 constexpr std::size_t kSpareConnectionsDivisor = 16;  // a sixteenth of the limit
@@ -33,7 +33,7 @@
 
 Task<> FrameServer::AcceptConnections() {
   for (int accepted = 1;; ++accepted) {
-    if (stop_accepting_.cancelled() && queue_ == Queue::kLeaveQueued) break;
+    if (stop_accepting_.cancelled() && backlog_policy_ == BacklogPolicy::kLeaveQueued) break;
     std::unique_ptr<runtime::Socket> socket;
     const IoResult io = co_await listener_->Accept(socket, &stop_accepting_);
     if (io == IoResult::kCancelled) break;
@@ -61,18 +61,18 @@
   capacity_available_.Notify();
 }
 
-void FrameServer::StopAccepting(Queue queue) {
-  queue_ = queue;
+void FrameServer::StopAccepting(BacklogPolicy backlog_policy) {
+  backlog_policy_ = backlog_policy;
   stop_accepting_.Cancel();
 }
 
 // ---- Capacity ----
 
-// Connections beyond the limit would take descriptors from those to engines. Some are evicted ahead of need,
-// since a closed connection lingers.
+// Connections beyond the limit would use descriptors that connections to engines need. Some are evicted ahead
+// of need, because an evicted connection occupies its descriptor until its lingering close has ended.
 Task<> FrameServer::WaitForCapacity() {
   const runtime::Time deadline = Now() + kCapacityTimeout;
-  if (connections() + SpareConnections() >= context_.limits.connections) EvictConnection();
+  if (CountOpenConnections() + SpareConnections() >= context_.limits.max_connections) EvictConnection();
   while (!HasCapacity() && Now() < deadline && !stop_accepting_.cancelled()) {
     const runtime::Time retry_at = std::min(deadline, Now() + kCapacityRetryInterval);
     co_await runtime::Waiter(loop_, &capacity_available_, retry_at, &stop_accepting_);
@@ -81,10 +81,10 @@
 }
 
 std::size_t FrameServer::SpareConnections() const {
-  return context_.limits.connections / kSpareConnectionsDivisor;
+  return context_.limits.max_connections / kSpareConnectionsDivisor;
 }
 
-std::size_t FrameServer::connections() {
+std::size_t FrameServer::CountOpenConnections() {
   std::erase_if(connections_, [](const auto& weak) { return weak.expired(); });
   return connections_.size();
 }
@@ -111,7 +111,7 @@
 }
 
 // Clients that open a connection for each request leave hundreds of idle ones behind. The protocol lets a
-// proxy close a connection without open requests, however short it has been idle.
+// proxy close a connection without open requests, no matter how briefly it has been idle.
 void FrameServer::EvictConnection() {
   const EvictionCandidates found = FindEvictionCandidates();
   if (found.lingering) return found.lingering->StopLingering();
@@ -123,8 +123,8 @@
 void FrameServer::LogRejectedConnection() {
   ++rejected_connections_;
   if (Now() - rejection_logged_at_ < kRejectionLogInterval) return;
-  spdlog::warn("clients: {} connections rejected so far, all {} are busy", rejected_connections_,
-               context_.limits.connections);
+  spdlog::warn("clients: rejected {} connections so far; all {} allowed connections are in use",
+               rejected_connections_, context_.limits.max_connections);
   rejection_logged_at_ = Now();
 }
 
@@ -140,12 +140,12 @@
 void FrameServer::CloseIdleConnections() {
   for (const auto& weak : connections_) {
     const ConnectionPtr connection = weak.lock();
-    // The client may believe a partial frame accepted: its rest is waited for.
+    // The client may regard a partially sent frame as accepted, so the server waits for the rest of it.
     if (connection && !connection->HasPartialFrame()) connection->CloseIfIdle();
   }
 }
 
-bool FrameServer::flushed() const {
+bool FrameServer::IsFlushed() const {
   return std::all_of(connections_.begin(), connections_.end(), [](const auto& weak) {
     const ConnectionPtr connection = weak.lock();
     return !connection || connection->IsFlushed();
--- a/src/frontend/request_parser.cpp
+++ b/src/frontend/request_parser.cpp
@@ -18,10 +18,10 @@
 
 constexpr std::size_t kRequestIdDigits = 16;
 constexpr std::size_t kMaxIdempotencyKeyBytes = 128;
-// Numbers out of all proportion would pass for a load that no engine has.
-constexpr double kMaxWorkFactor = 100;    // times the class's deadline
+// Larger numbers are rejected, since they would pass for a load that no engine can have.
+constexpr double kMaxWorkFactor = 100;    // times the class's client timeout
 constexpr double kMaxMemoryFactor = 16;   // times the largest engine's memory
-constexpr double kMaxTimeoutFactor = 10;  // times the class's deadline
+constexpr double kMaxTimeoutFactor = 10;  // times the class's client timeout
 
 struct Estimates {
   double timeout_ms = 0;
@@ -29,13 +29,13 @@
   double memory_mb = 0;
 };
 
-// Request ids become part of a path on the engines' side.
+// Request ids become part of a path in the requests to engines.
 bool IsRequestId(std::string_view text) {
   const auto is_digit = [](unsigned char c) { return std::isxdigit(c) != 0; };
   return text.size() == kRequestIdDigits && std::all_of(text.begin(), text.end(), is_digit);
 }
 
-// Idempotency keys become a header's value there.
+// Idempotency keys become the value of a header in the requests to engines.
 bool IsIdempotencyKey(std::string_view text) {
   const auto is_allowed = [](unsigned char c) { return std::isalnum(c) != 0 || c == '-' || c == '_'; };
   return !text.empty() && text.size() <= kMaxIdempotencyKeyBytes &&
@@ -50,8 +50,9 @@
   return value;
 }
 
-// `max` 0: no bound is known.
-std::optional<double> NumberOr(std::string_view text, double default_value, double max) {
+// Returns `default_value` for an empty text, and nothing for an invalid number or one above `max`. A `max` of
+// 0 means that no bound is known.
+std::optional<double> ParseNumberOr(std::string_view text, double default_value, double max) {
   const std::optional<double> value = text.empty() ? std::optional(default_value) : ParseNumber(text);
   if (max > 0 && value > max) return std::nullopt;
   return value;
@@ -65,11 +66,12 @@
 
 std::optional<Estimates> ParseEstimates(const codec::Fields& fields, const ClassSettings& request_class,
                                         const settings::Site& settings) {
-  const double deadline_ms = static_cast<double>(request_class.client_timeout) / 1e6;
+  const double client_timeout_ms = static_cast<double>(request_class.client_timeout) / 1e6;
   const double max_memory_mb = kMaxMemoryFactor * LargestEngineMemoryMb(settings);
-  const auto timeout = NumberOr(fields.Get(kFieldTimeoutMs), deadline_ms, kMaxTimeoutFactor * deadline_ms);
-  const auto cpu = NumberOr(fields.Get(kFieldEstimatedCpuMs), 0, kMaxWorkFactor * deadline_ms);
-  const auto memory = NumberOr(fields.Get(kFieldEstimatedMemoryMb), 0, max_memory_mb);
+  const auto timeout =
+      ParseNumberOr(fields.Get(kFieldTimeoutMs), client_timeout_ms, kMaxTimeoutFactor * client_timeout_ms);
+  const auto cpu = ParseNumberOr(fields.Get(kFieldEstimatedCpuMs), 0, kMaxWorkFactor * client_timeout_ms);
+  const auto memory = ParseNumberOr(fields.Get(kFieldEstimatedMemoryMb), 0, max_memory_mb);
   if (!timeout || !cpu || !memory) return std::nullopt;
   return Estimates{*timeout, *cpu, *memory};
 }
@@ -117,9 +119,11 @@
   if (!tenant) return tl::unexpected(RequestError::kUnknownTenant);
   if (!IsRequestId(fields.Get(kFieldRequestId))) return tl::unexpected(RequestError::kInvalidRequestId);
   const ClassSettings& request_class = settings.module.classes[*class_id];
-  const std::string_view key = fields.Get(kFieldIdempotencyKey);
-  const bool has_key = !key.empty() || request_class.effect == Effect::kKeyed;
-  if (has_key && !IsIdempotencyKey(key)) return tl::unexpected(RequestError::kInvalidIdempotencyKey);
+  const std::string_view idempotency_key = fields.Get(kFieldIdempotencyKey);
+  const bool has_or_needs_idempotency_key =
+      !idempotency_key.empty() || request_class.effect == Effect::kKeyed;
+  if (has_or_needs_idempotency_key && !IsIdempotencyKey(idempotency_key))
+    return tl::unexpected(RequestError::kInvalidIdempotencyKey);
   const std::string_view ordering_key = fields.Get(kFieldOrderingKey);
   if (!ordering_key.empty() && !codec::IsValidOrderingKey(ordering_key))
     return tl::unexpected(RequestError::kInvalidOrderingKey);
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -22,10 +22,10 @@
 using runtime::Task;
 using runtime::Time;
 
-constexpr auto kControlFeedTimeout = 1000ms;  // for its first response, and for a valid lease
+constexpr auto kControlFeedTimeout = 1000ms;  // for its first response and for a valid lease
 constexpr auto kReadinessPollInterval = 5ms;
-constexpr auto kProcessRegistryInterval = 100ms;  // between two publications of this process's usage
-constexpr int kProcessesAtStart = 2;              // this one and its predecessor
+constexpr auto kProcessRegistryInterval = 100ms;  // between two publications of the usage
+constexpr int kProcessesAtStart = 2;              // this process and its predecessor
 
 int DescriptorNumber(const std::string& text) {
   int number = -1;
@@ -37,7 +37,7 @@
 
 hot_restart::ConnectionUsage OwnUsage(const Operations& operations, ReloadableState& state) {
   hot_restart::ConnectionUsage own;
-  own.clients = static_cast<std::uint32_t>(state.server.connections());
+  own.clients = static_cast<std::uint32_t>(state.server.CountOpenConnections());
   own.engines = static_cast<std::uint32_t>(state.engines.pool().open_connections());
   own.serving = operations.phase() == Operations::Phase::kServing;
   return own;
@@ -56,12 +56,13 @@
   std::unique_ptr<hot_restart::ProcessRegistry> registry;
   if (tmpdir != nullptr) registry = std::make_unique<hot_restart::ProcessRegistry>(tmpdir);
   if (registry == nullptr || !registry->registered())
-    spdlog::warn("$TMPDIR can't be used: processes that take each other's place don't see each other");
-  // With a replicated configuration manual ejections are part of that.
+    spdlog::warn("$TMPDIR cannot be used: the processes of a hot restart do not see each other");
+  // If there is a replicated configuration, manual ejections are part of it.
   if (tmpdir != nullptr && !operator_file.replicated_config)
     operations.EnableEjectionStore(
         tmpdir, decision::ToDuration(site.module.slow_start_duration + site.module.overload_window));
-  // Before the endpoint list: the predecessor may just have sent an engine in slow start all that it takes.
+  // This comes before the first endpoint list, because the predecessor may just have sent as many requests to
+  // an engine in slow start as that engine can take.
   if (registry && registry->ReadPeers().usage.serving > 0) broker.SetProcessCount(kProcessesAtStart);
   return registry;
 }
@@ -69,13 +70,13 @@
 Task<> AcceptOnceReady(runtime::Loop& loop, const discovery::EndpointDirectory& directory,
                        const discovery::EndpointWatch& endpoint_watch, frontend::FrameServer& server,
                        Operations& operations) {
-  const Time until = Now() + kControlFeedTimeout;
-  // The endpoint list of the configuration may be old, so the control feed is heard first.
-  const auto waits = [&] {
-    return (endpoint_watch.enabled() && !endpoint_watch.has_answered()) ||
+  const Time deadline = Now() + kControlFeedTimeout;
+  // The endpoint list in the configuration may be out of date, so that the control feed is read first.
+  const auto must_wait = [&] {
+    return (endpoint_watch.enabled() && !endpoint_watch.has_response()) ||
            (operations.has_valid_lease && !operations.has_valid_lease());
   };
-  while (!directory.has_complete_list() || (waits() && Now() < until))
+  while (!directory.has_complete_list() || (must_wait() && Now() < deadline))
     co_await loop.Sleep(kReadinessPollInterval);
   server.Start();
   operations.set_phase(Operations::Phase::kServing);
@@ -84,23 +85,23 @@
 
 Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
                             const Operations& operations, ReloadableState& state) {
-  const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);  // a reload doesn't change them
-  std::size_t known_peers = 0;
-  int known_process_count = 0;  // 0: the broker hasn't been told yet
+  const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);  // a reload does not change them
+  std::size_t last_peer_count = 0;
+  int last_process_count = 0;  // 0: not passed to the broker yet
   for (;; co_await loop.Sleep(kProcessRegistryInterval)) {
     const hot_restart::ConnectionUsage own = OwnUsage(operations, state);
     registry.Publish(own);
     const hot_restart::PeerProcesses others = registry.ReadPeers();
     const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
-    state.server.set_connections(share.clients);
+    state.server.set_max_connections(share.clients);
     state.engines.pool().set_max_connections(share.engines);
     const int process_count = hot_restart::ProcessCount(own, others);
-    if (std::exchange(known_process_count, process_count) != process_count)
+    if (std::exchange(last_process_count, process_count) != process_count)
       state.broker.SetProcessCount(process_count);
-    if (std::exchange(known_peers, others.processes) == others.processes) continue;
+    if (std::exchange(last_peer_count, others.processes) == others.processes) continue;
     spdlog::info(
         "{} other processes of this proxy live: at most {} connections to clients, {} to engines now",
-        known_peers, share.clients, share.engines);
+        last_peer_count, share.clients, share.engines);
   }
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -33,49 +33,52 @@
   return options.inherited_listener.empty() ? ListenerOwnership::kExclusive : ListenerOwnership::kShared;
 }
 
-// Another process may run beside one that inherited its socket at any time, and memory can't be handed back
-// at once.
+// Returns this process's part of the proxy's memory. A process that inherited its listening socket gets half:
+// another process may run beside it at any time, and memory cannot be returned at once.
 std::size_t ProcessMemoryMb(const Config& config, ListenerOwnership ownership) {
   return ownership == ListenerOwnership::kShared ? config.memory_mb / 2 : config.memory_mb;
 }
 
 std::unique_ptr<runtime::Listener> MakeListener(runtime::Loop& loop, const Config& config,
-                                                runtime::Descriptor inherited) {
-  return inherited ? std::make_unique<runtime::Listener>(loop, std::move(inherited))
-                   : std::make_unique<runtime::Listener>(loop, config.listen);
+                                                runtime::Descriptor inherited_socket) {
+  return inherited_socket ? std::make_unique<runtime::Listener>(loop, std::move(inherited_socket))
+                          : std::make_unique<runtime::Listener>(loop, config.listen_address);
 }
 
-std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& file) {
-  return file.admission_queue ? file.admission_queue->queue.max_waiting
-                              : broker::Broker::Limits().max_requests;
+std::size_t DefaultMaxOpenRequests(const operator_config::OperatorFile& operator_file) {
+  return operator_file.admission_queue ? operator_file.admission_queue->queue.max_waiting
+                                       : broker::Broker::Limits().max_requests;
 }
 
-// Tells the fleet of this process's phase, and has telemetry list the fleet's metrics.
+// Announces this process's phases to the fleet, and adds the fleet's metrics to telemetry.
 void ConnectFleet(Fleet& fleet, const std::unique_ptr<ReplicatedConfigService>& service,
                   Operations& operations) {
   operations.on_phase = [&fleet](Operations::Phase phase) { fleet.SetPhase(phase); };
   operations.AddMetrics([&fleet, &service] {
     auto metrics = fleet.Metrics();
     if (service == nullptr) return metrics;
-    const auto more = service->Metrics();
-    metrics.insert(metrics.end(), more.begin(), more.end());
+    const auto config_metrics = service->Metrics();
+    metrics.insert(metrics.end(), config_metrics.begin(), config_metrics.end());
     return metrics;
   });
 }
 
-// `service`: where RunProxy will keep the replicated configuration's service; null as yet.
+// `service` is the pointer that RunProxy sets later, if there is a replicated configuration; it is still
+// null.
 std::unique_ptr<Fleet> StartFleet(runtime::Loop& loop, const operator_config::FleetSettings& settings,
                                   const Config& config, broker::Broker& broker, Operations& operations,
                                   const std::unique_ptr<ReplicatedConfigService>& service) {
-  auto fleet = std::make_unique<Fleet>(
-      loop, settings, config.name, config.seed,
-      [&broker](const gossip::ServingRank& own) { broker.SetFleetSize(own.serving_count, own.rank); });
+  auto fleet = std::make_unique<Fleet>(loop, settings, config.name, config.seed,
+                                       [&broker](const gossip::ServingRank& own_rank) {
+                                         broker.SetFleetSize(own_rank.serving_count, own_rank.rank);
+                                       });
   ConnectFleet(*fleet, service, operations);
   fleet->Start();
   return fleet;
 }
 
-// Starts what the operator's file says of the admission queue, except the queue itself.
+// Applies the operator's settings of the admission queue to everything but the queue itself: the wait
+// notices, the state file and the settings for reloads.
 void StartQueueReports(runtime::Loop& loop, const operator_config::AdmissionQueueSettings& settings,
                        ReloadableState& state) {
   state.server.set_wait_notices_enabled(settings.report_estimates);
@@ -111,7 +114,7 @@
   return service;
 }
 
-// Accepts clients: at once, or in place of another process once this one is ready.
+// Starts to accept clients: at once, or, if this process replaces another one, once it is ready.
 void StartServing(runtime::Loop& loop, ListenerOwnership ownership,
                   const hot_restart::ProcessRegistry* registry, Operations& operations,
                   ReloadableState& state) {
@@ -125,28 +128,29 @@
   if (registry != nullptr) loop.Spawn(ShareLimitsWithPeers(loop, *registry, operations, state));
 }
 
-// Returns null if the configuration names no address for operators.
+// Returns null if the configuration has no address for operators.
 std::unique_ptr<admin::Listener> StartAdminListener(runtime::Loop& loop, const Config& config,
                                                     Operations& operations,
                                                     ReplicatedConfigService* service) {
-  if (!config.management) return nullptr;
+  if (!config.admin_address) return nullptr;
   auto listener = std::make_unique<admin::Listener>(
-      loop, *config.management,
-      [&operations](const admin::Command& call) { return operations.Answer(call); });
+      loop, *config.admin_address,
+      [&operations](const admin::Command& command) { return operations.HandleCommand(command); });
   if (service != nullptr)
-    listener->follow_up = [service](admin::Command call, admin::Reply reply) {
-      return service->ReplicateManualEjection(std::move(call), std::move(reply));
+    listener->follow_up = [service](admin::Command command, admin::Reply reply) {
+      return service->ReplicateManualEjection(std::move(command), std::move(reply));
     };
   loop.Spawn(listener->Run());
   return listener;
 }
 
-// Reloads at each SIGHUP; any other signal that is handled ends the proxy. Signals that arrive during a
-// reload are read in the next turn; after the one that ends the proxy none is read.
+// Reloads the files at each SIGHUP; any other handled signal ends the proxy. Signals that arrive during a
+// reload are read in the next turn of the loop. No signal is read after the one that ends the proxy.
 runtime::Task<> HandleSignals(runtime::Loop& loop, SignalReader& signals, const StartupOptions& options,
                               ReloadableState& state, Operations& operations, Fleet* fleet) {
-  // No `while (co_await ...)`: built so by GCC 12.2, this coroutine never reads a signal. The compiler seems
-  // to keep the condition's value where the coroutine's frame has its resume pointer.
+  // This loop must not be a `while (co_await ...)`: compiled that way by GCC 12.2, the coroutine never reads
+  // a signal. The compiler seems to store the value of the condition where the coroutine frame has its resume
+  // pointer.
   for (int signal = co_await signals.Next(); signal == SIGHUP; signal = co_await signals.Next()) {
     Reload(options, state);
     loop.Spawn(FreeRetiredNumbers(loop, state));
@@ -159,16 +163,17 @@
 
 }  // namespace
 
-// Parts are constructed in the order of their dependence and destroyed in reverse; nothing uses `state`, to
-// which callbacks of earlier parts refer, once the loop has ended. The order of the calls in
-// between is part of the contract too: each part knows its classes, settings and callbacks before the first
-// endpoint list and the first client.
+// Each part is constructed after the parts that it depends on and destroyed before them. Callbacks of earlier
+// parts refer to `state`, but nothing uses it once the loop has ended. The order of the calls between the
+// constructions matters too: each part has its classes, settings and callbacks before the first endpoint list
+// and the first client.
 int RunProxy(Config config, const StartupOptions& options) {
   BlockHandledSignals();
   std::signal(SIGPIPE, SIG_IGN);
   const ListenerOwnership ownership = OwnershipOf(options);
-  const bool inherits = ownership == ListenerOwnership::kShared;
-  auto inherited = inherits ? InheritListener(options.inherited_listener) : runtime::Descriptor();
+  const bool inherits_listener = ownership == ListenerOwnership::kShared;
+  auto inherited_socket =
+      inherits_listener ? InheritListener(options.inherited_listener) : runtime::Descriptor();
   runtime::Loop loop;
   SignalReader signals(loop);
   settings::ActiveSettings active_settings(config.site);
@@ -179,12 +184,12 @@
   backend::Engines engines(loop, directory, PoolLimits(config),
                            decision::ToDuration(active_settings->module.connect_timeout), counters);
   engines.set_report_fields(active_settings->report_fields);
-  const operator_config::OperatorFile file = ReadOperatorSettings(options, *active_settings);
-  const std::size_t max_open = DefaultMaxOpenRequests(file);
+  const operator_config::OperatorFile operator_file = ReadOperatorSettings(options, *active_settings);
+  const std::size_t max_open_requests = DefaultMaxOpenRequests(operator_file);
   broker::Broker broker(loop, active_settings, config.seed, engines, counters,
-                        RequestLimits(config, memory_mb, max_open));
-  if (file.admission_queue) broker.EnableAdmissionQueue(file.admission_queue->queue);
-  frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited)), active_settings,
+                        RequestLimits(config, memory_mb, max_open_requests));
+  if (operator_file.admission_queue) broker.EnableAdmissionQueue(operator_file.admission_queue->queue);
+  frontend::FrameServer server(loop, MakeListener(loop, config, std::move(inherited_socket)), active_settings,
                                broker, counters, ClientLimits(config, memory_mb));
   directory.on_incarnation_ended = [&](EngineId engine) { engines.pool().CloseIdle(engine); };
   const auto on_endpoint_update = [&](EngineList list) {
@@ -193,14 +198,16 @@
   };
   Operations operations(loop, directory, broker, counters, on_endpoint_update);
   std::unique_ptr<hot_restart::ProcessRegistry> registry;
-  if (inherits) registry = JoinPeerProcesses(file, *active_settings, operations, broker);
+  if (inherits_listener) registry = JoinPeerProcesses(operator_file, *active_settings, operations, broker);
 
   std::unique_ptr<Fleet> fleet;
   std::unique_ptr<ReplicatedConfigService> service;
-  if (file.fleet) fleet = StartFleet(loop, *file.fleet, config, broker, operations, service);
-  if (!directory.Apply(std::exchange(config.known, {}), on_endpoint_update))
-    spdlog::warn("the configuration knows no list of engines");
-  discovery::EndpointWatch endpoint_watch(loop, directory, config.feed, on_endpoint_update, config.seed);
+  if (operator_file.fleet)
+    fleet = StartFleet(loop, *operator_file.fleet, config, broker, operations, service);
+  if (!directory.Apply(std::exchange(config.known_events, {}), on_endpoint_update))
+    spdlog::warn("the configuration has no list of engines");
+  discovery::EndpointWatch endpoint_watch(loop, directory, config.control_feed_address, on_endpoint_update,
+                                          config.seed);
   ReloadableState state{.config = config,
                         .active_settings = active_settings,
                         .server = server,
@@ -210,20 +217,20 @@
                         .endpoint_watch = endpoint_watch,
                         .counters = counters,
                         .on_endpoint_update = on_endpoint_update,
-                        .max_open_requests_cap = max_open,
+                        .max_open_requests_cap = max_open_requests,
                         .queue_state_file = {},
                         .own_queue_settings = {},
                         .fleet_settings = fleet ? &fleet->settings() : nullptr};
-  if (file.admission_queue) StartQueueReports(loop, *file.admission_queue, state);
-  if (file.replicated_config)
-    service = StartReplicatedConfig(loop, *fleet, *file.replicated_config, state, operations);
+  if (operator_file.admission_queue) StartQueueReports(loop, *operator_file.admission_queue, state);
+  if (operator_file.replicated_config)
+    service = StartReplicatedConfig(loop, *fleet, *operator_file.replicated_config, state, operations);
   loop.Spawn(endpoint_watch.Run());
   loop.Spawn(engines.pool().CloseExpired());
   broker.Start();
   StartServing(loop, ownership, registry.get(), operations, state);
   const auto admin_listener = StartAdminListener(loop, config, operations, service.get());
   loop.Spawn(HandleSignals(loop, signals, options, state, operations, fleet.get()));
-  spdlog::info("{} listens on {}", config.name, config.listen_text);
+  spdlog::info("{} listens on {}", config.name, config.listen_address_text);
   loop.Run();
   return 0;
 }
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kRetiredNumbersInterval = 1s;  // between two looks whether requests still use them
+constexpr auto kRetiredNumbersInterval = 1s;  // between two checks of the numbers in use
 
 void ApplySettings(ReloadableState& state, settings::Migration migration) {
   settings::ActiveSettings& active = state.active_settings;
@@ -30,13 +30,13 @@
     if (!class_id.empty()) state.counters.AddClass(class_id);
 }
 
-// This proxy's own settings with the overrides of the replicated configuration's active version.
+// Returns this proxy's own settings with the overrides of the active version of the replicated configuration.
 settings::Site WithReplicatedConfig(const ReloadableState& state, const settings::Site& own) {
   if (state.replicated_config_service == nullptr) return own;
   return replicated_config::ApplyDocument(state.replicated_config_service->document(), own);
 }
 
-// `document`: the overrides to apply; null: none.
+// `document` has the overrides to apply; null: no overrides.
 void ApplyQueueSettings(ReloadableState& state, const replicated_config::Document* document) {
   if (!state.own_queue_settings) return;
   state.broker.admission_queue()->Configure(
@@ -44,58 +44,62 @@
                           : replicated_config::ApplyDocument(*document, *state.own_queue_settings));
 }
 
-Config LoadReloadableConfig(const std::string& path, const Config& in_force) {
+Config LoadReloadableConfig(const std::string& path, const Config& current) {
   Config config = LoadConfig(path);
   try {
-    CheckFigures(config);
-    CheckShape(config, in_force);
+    CheckSettings(config);
+    CheckShape(config, current);
   } catch (const ConfigError& e) {
     throw ConfigError(path + ": " + e.what());
   }
   return config;
 }
 
-// Throws ConfigError if the operator's file switches a part on or off, which only a start can do.
+// Throws ConfigError if the operator's file enables or disables a part, which requires a restart.
 void CheckSamePartsEnabled(const std::string& path, const operator_config::OperatorFile& file,
                            const ReloadableState& state) {
   if (file.admission_queue.has_value() != (state.broker.admission_queue() != nullptr))
-    throw ConfigError(path + ": waiting is switched on and off by a restart only");
+    throw ConfigError(path + ": waiting can be enabled or disabled only by a restart");
   if (file.fleet.has_value() != (state.fleet_settings != nullptr))
-    throw ConfigError(path + ": fleet is switched on and off by a restart only");
+    throw ConfigError(path + ": fleet can be enabled or disabled only by a restart");
   if (file.replicated_config.has_value() != (state.replicated_config_service != nullptr))
-    throw ConfigError(path + ": rules are switched on and off by a restart only");
+    throw ConfigError(path + ": rules can be enabled or disabled only by a restart");
 }
 
-// Throws ConfigError if the active version of the replicated configuration doesn't fit the new settings.
+// Throws ConfigError if the active version of the replicated configuration cannot be applied to the new
+// settings.
 void CheckReplicatedConfigFits(const ReloadableState& state, const settings::Site& site,
                                const operator_config::OperatorFile& file) {
   if (state.replicated_config_service == nullptr) return;
   const auto compatible = state.replicated_config_service->CheckCompatible(
       site, file.admission_queue ? &file.admission_queue->queue : nullptr);
-  if (!compatible) throw ConfigError("the rules in force can't be carried: " + compatible.error().Text());
+  if (!compatible)
+    throw ConfigError("the active version of the rules cannot be applied: " + compatible.error().Text());
 }
 
-// Only a start changes these.
-void WarnAboutStartOnlySettings(const Config& now, const Config& before) {
+// Logs a warning for each changed setting that takes effect only at a start.
+void WarnAboutStartOnlySettings(const Config& config, const Config& previous) {
   const std::pair<const char*, bool> parts[] = {
-      {fields::kName, now.name == before.name},
-      {fields::kListenAddress, now.listen_text == before.listen_text},
-      {fields::kAdminAddress, now.management_text == before.management_text},
-      {fields::kLimits, now.memory_mb == before.memory_mb && now.sockets == before.sockets}};
+      {fields::kName, config.name == previous.name},
+      {fields::kListenAddress, config.listen_address_text == previous.listen_address_text},
+      {fields::kAdminAddress, config.admin_address_text == previous.admin_address_text},
+      {fields::kLimits,
+       config.memory_mb == previous.memory_mb && config.max_descriptors == previous.max_descriptors}};
   for (const auto& [part, same] : parts)
-    if (!same) spdlog::warn("configuration: {} changes by a start only; it stays as it was", part);
+    if (!same)
+      spdlog::warn("configuration: {} changes take effect only at a restart; the old value stays", part);
 }
 
-void ApplyOperatorSettings(ReloadableState& state, operator_config::AdmissionQueueSettings waiting) {
-  state.own_queue_settings = std::move(waiting.queue);
+void ApplyOperatorSettings(ReloadableState& state, operator_config::AdmissionQueueSettings queue_settings) {
+  state.own_queue_settings = std::move(queue_settings.queue);
   ApplyQueueSettings(state, state.replicated_config_service == nullptr
                                 ? nullptr
                                 : &state.replicated_config_service->document());
-  state.server.set_wait_notices_enabled(waiting.report_estimates);
-  state.queue_state_file = std::move(waiting.state_file);
+  state.server.set_wait_notices_enabled(queue_settings.report_estimates);
+  state.queue_state_file = std::move(queue_settings.state_file);
 }
 
-// Throws for files that can't be used, and changes nothing then.
+// Throws an exception, and changes nothing, if one of the files cannot be used.
 void ReloadOrThrow(const StartupOptions& options, ReloadableState& state) {
   Config config = LoadReloadableConfig(options.config_path, state.config);
   settings::Migration migration = MigrateSettings(
@@ -103,10 +107,12 @@
   operator_config::OperatorFile file = ReadOperatorSettings(options, migration.site);
   CheckSamePartsEnabled(options.operator_path, file, state);
   if (file.replicated_config && *file.replicated_config != state.replicated_config_service->settings())
-    spdlog::warn("{}: rules changes by a restart only; it stays as it was", options.operator_path);
+    spdlog::warn("{}: rules changes take effect only at a restart; the old settings stay",
+                 options.operator_path);
   CheckReplicatedConfigFits(state, config.site, file);
   if (file.fleet && *file.fleet != *state.fleet_settings)
-    spdlog::warn("{}: fleet changes by a restart only; it stays as it was", options.operator_path);
+    spdlog::warn("{}: fleet changes take effect only at a restart; the old settings stay",
+                 options.operator_path);
   WarnAboutStartOnlySettings(config, state.config);
   LogFindings(config);
 
@@ -115,10 +121,10 @@
     ApplyOperatorSettings(state, std::move(*file.admission_queue));
     spdlog::info("operator's file read again: {}", options.operator_path);
   }
-  state.directory.Apply(std::exchange(config.known, {}), state.on_endpoint_update);
+  state.directory.Apply(std::exchange(config.known_events, {}), state.on_endpoint_update);
   spdlog::info("configuration read again: {} classes, control feed at {}", config.site.classes.size(),
-               config.feed);
-  state.endpoint_watch.ChangeAddress(config.feed);
+               config.control_feed_address);
+  state.endpoint_watch.ChangeAddress(config.control_feed_address);
   state.config = std::move(config);
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -18,7 +18,7 @@
 constexpr Nanos kDefaultConnectTimeout = 250'000'000;
 constexpr double kMaxTime = 9e17;  // nanoseconds
 constexpr double kMaxCount = 1e6;
-constexpr double kMaxPosition = 65535;
+constexpr double kMaxIndex = 65535;
 constexpr double kMaxThreadsPerQuery = 1e4;
 constexpr const char *kTrue = "true", *kFalse = "false";
 
@@ -26,16 +26,16 @@
 
 Pairs Pairs::FromLines(std::string_view text) {
   Pairs pairs;
-  std::size_t line_no = 0;
+  std::size_t line_number = 0;
   while (!text.empty()) {
-    ++line_no;
+    ++line_number;
     const std::size_t end = text.find('\n');
     const std::string_view line = text.substr(0, end);
     text = end == std::string_view::npos ? std::string_view() : text.substr(end + 1);
     if (line.empty()) continue;
     const std::size_t eq = line.find('=');
     if (eq == std::string_view::npos) {
-      throw SettingsError("line " + std::to_string(line_no) + " is not path=value");
+      throw SettingsError("line " + std::to_string(line_number) + " is not path=value");
     }
     pairs.Set(std::string(line.substr(0, eq)), std::string(line.substr(eq + 1)));
   }
@@ -58,20 +58,20 @@
 
 Nanos Pairs::Time(const std::string& key) const {
   const double v = Number(key);
-  if (v < 0 || v > kMaxTime) Unreadable(key, Text(key));
+  if (v < 0 || v > kMaxTime) ThrowInvalid(key, Text(key));
   return static_cast<Nanos>(v);
 }
 
 int Pairs::Count(const std::string& key, int absent) const {
   const double v = Number(key, absent);
-  if (v < 0 || v > kMaxCount || v != std::floor(v)) Unreadable(key, Text(key));
+  if (v < 0 || v > kMaxCount || v != std::floor(v)) ThrowInvalid(key, Text(key));
   return static_cast<int>(v);
 }
 
 bool Pairs::Flag(const std::string& key) const {
   if (!Has(key)) return false;
   const std::string v = Text(key);
-  if (v != kTrue && v != kFalse) Unreadable(key, v);
+  if (v != kTrue && v != kFalse) ThrowInvalid(key, v);
   return v == kTrue;
 }
 
@@ -92,26 +92,26 @@
   return out;
 }
 
-std::vector<std::uint16_t> Pairs::Positions(const std::string& key,
-                                            const std::vector<std::string>& names) const {
+std::vector<std::uint16_t> Pairs::Indices(const std::string& key,
+                                          const std::vector<std::string>& names) const {
   std::vector<std::uint16_t> out;
   for (const std::string& item : List(key)) {
     auto it = std::find(names.begin(), names.end(), item);
     double v = it != names.end() ? static_cast<double>(it - names.begin()) : ToNumber(key, item);
-    if (v < 0 || v > kMaxPosition || v != std::floor(v)) Unreadable(key, item);
+    if (v < 0 || v > kMaxIndex || v != std::floor(v)) ThrowInvalid(key, item);
     out.push_back(static_cast<std::uint16_t>(v));
   }
   return out;
 }
 
-void Pairs::Unreadable(const std::string& key, const std::string& value) {
+void Pairs::ThrowInvalid(const std::string& key, const std::string& value) {
   throw SettingsError("unreadable value '" + value + "' of " + key);
 }
 
 double Pairs::ToNumber(const std::string& key, const std::string& text) {
   double v = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) Unreadable(key, text);
+  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) ThrowInvalid(key, text);
   return v;
 }
 
@@ -124,12 +124,12 @@
   ClassSettings c;
   c.latency_objective = in.Time(path(f::kLatencyObjective));
   c.latency_objective_stretch = in.Number(path(f::kLatencyObjectiveStretch));
-  c.client_timeout = in.Time(path(f::kDeadline));
-  // Without an objective, any response in time earns its weight.
+  c.client_timeout = in.Time(path(f::kClientTimeout));
+  // Without an objective, every response before the client's timeout earns the full weight.
   if (c.latency_objective == 0 && c.latency_objective_stretch <= 0) c.latency_objective = c.client_timeout;
   c.priority_weight = in.Number(path(f::kPriorityWeight), 1);
   c.late_weight_share = in.Number(path(f::kLateWeightShare));
-  // An unknown word is taken as the strictest one.
+  // An unknown value is treated as the strictest one.
   c.effect = in.OneOf<Effect>(path(f::kEffect),
                               {{f::kEffectSafe, Effect::kSafe},
                                {f::kEffectKeyed, Effect::kKeyed},
@@ -143,12 +143,12 @@
   c.repeat_window = in.Time(path(f::kRepeatWindow));
   c.in_order = in.Flag(path(f::kInOrder));
   c.streaming = in.Flag(path(f::kStreaming));
-  c.zones = in.Positions(path(f::kBoundZones), zones);
-  c.kinds = in.Positions(path(f::kBoundMachineKinds), kinds);
+  c.zones = in.Indices(path(f::kBoundZones), zones);
+  c.kinds = in.Indices(path(f::kBoundMachineKinds), kinds);
   return c;
 }
 
-// Lists with a value for each class; a shorter one leaves the defaults of the others.
+// Parses the lists with a value for each class. Classes beyond the end of a list keep their defaults.
 void ParseClassResources(const Pairs& in, Settings& s) {
   const std::vector<double> threads = in.Numbers(fields::kThreads);
   const std::vector<std::string> holds = in.List(fields::kHoldsTables);
@@ -172,40 +172,40 @@
   s.honors_priorities = in.Flag(fields::kHonorsPriorities);
   s.max_grant_share = in.Number(fields::kMaxGrantShare, 1);
   s.memory_shortage_policy =
-      in.OneOf<MemoryShortagePolicy>(fields::kMemoryShort,
-                                     {{fields::kMemoryShortQueue, MemoryShortagePolicy::kQueue},
-                                      {fields::kMemoryShortTrim, MemoryShortagePolicy::kTrim},
-                                      {fields::kMemoryShortSwap, MemoryShortagePolicy::kSwap}},
+      in.OneOf<MemoryShortagePolicy>(fields::kMemoryShortagePolicy,
+                                     {{fields::kMemoryShortageQueue, MemoryShortagePolicy::kQueue},
+                                      {fields::kMemoryShortageTrim, MemoryShortagePolicy::kTrim},
+                                      {fields::kMemoryShortageSwap, MemoryShortagePolicy::kSwap}},
                                      MemoryShortagePolicy::kTrim, MemoryShortagePolicy::kTrim);
   s.progress_interval = in.Time(fields::kProgressInterval);
   s.reports_cost = in.Flag(fields::kReportsCost);
 }
 
-// Cores decide how much an engine is sent. A kind without them gets the least of the other kinds or, if none
-// has any, enough for the query with the most threads.
+// Sets the cores of kinds without a value: to the fewest cores of the other kinds or, if no kind has a value,
+// to the threads of the class with the most. The number of cores limits the load that an engine is sent.
 void FillCores(Settings& s, std::size_t kinds) {
   s.kinds.resize(std::max(s.kinds.size(), kinds));
-  double least = 0;
+  double fewest = 0;
   for (const KindSettings& kind : s.kinds)
-    if (kind.cores > 0) least = least > 0 ? std::min(least, kind.cores) : kind.cores;
-  const bool any_given = least > 0;
+    if (kind.cores > 0) fewest = fewest > 0 ? std::min(fewest, kind.cores) : kind.cores;
+  const bool any_given = fewest > 0;
   for (const ClassSettings& c : s.classes)
-    if (!any_given) least = std::max(least, static_cast<double>(c.threads));
+    if (!any_given) fewest = std::max(fewest, static_cast<double>(c.threads));
   for (KindSettings& kind : s.kinds)
-    if (!(kind.cores > 0)) kind.cores = least;
+    if (!(kind.cores > 0)) kind.cores = fewest;
 }
 
-// Numbers zones or kinds that a class is bound to and that the settings don't list behind those that they do:
-// the endpoint list may have engines under such a name.
+// Appends the zones or kinds that a class is bound to but that the settings don't list. The endpoint list may
+// contain engines with such a name.
 void AddUnlistedNames(const Pairs& in, const std::string& key, std::vector<std::string>& names) {
   for (const std::string& item : in.List(key)) {
-    const bool position =
+    const bool is_index =
         !item.empty() && std::all_of(item.begin(), item.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (!position && std::find(names.begin(), names.end(), item) == names.end()) names.push_back(item);
+    if (!is_index && std::find(names.begin(), names.end(), item) == names.end()) names.push_back(item);
   }
 }
 
-ReportField ToField(const std::string& name) {
+ReportField ToReportField(const std::string& name) {
   static constexpr std::pair<const char*, ReportField> kFields[] = {
       {fields::kReportInflight, ReportField::kInflight},
       {"queue", ReportField::kQueue},
@@ -254,8 +254,9 @@
 
 void ParseReports(const Pairs& in, Site& site) {
   site.report_fields = in.List(fields::kReportFields);
-  for (const std::string& field : site.report_fields) site.module.report_fields.push_back(ToField(field));
-  site.module.reports_in_responses = in.Text(fields::kReportSource) == fields::kReportsInAnswers;
+  for (const std::string& field : site.report_fields)
+    site.module.report_fields.push_back(ToReportField(field));
+  site.module.reports_in_responses = in.Text(fields::kReportSource) == fields::kReportsInResponses;
 }
 
 void ParseGuarantees(const Pairs& in, Settings& s) {
@@ -264,7 +265,7 @@
   s.slow_start_duration = in.Time(fields::kSlowStartDuration);
   s.overload_factor = in.Number(fields::kOverloadFactor);
   s.overload_window = in.Time(fields::kOverloadWindow);
-  s.ordering_key_pause = in.Time(fields::kOrderSettle);
+  s.ordering_key_pause = in.Time(fields::kOrderingKeyPause);
   s.must_ask_within = in.Time(fields::kMustAskWithin);
   if (in.Has(fields::kRetryBudgetWindow)) {
     s.retry_budget =
@@ -277,7 +278,7 @@
   s.may_cancel = in.Flag(fields::kMayCancel);
   s.may_probe = in.Flag(fields::kMayProbe);
   s.may_hedge = in.Flag(fields::kMayHedge);
-  s.may_message_peers = in.Flag(fields::kMayMessage);
+  s.may_message_peers = in.Flag(fields::kMayMessagePeers);
   s.may_send_retry_after = in.Flag(fields::kMaySendRetryAfter);
   s.max_attempts = in.Count(fields::kMaxAttempts, 1);
   s.max_retry_after = in.Time(fields::kMaxRetryAfter);
@@ -285,7 +286,7 @@
   if (s.connect_timeout == 0) s.connect_timeout = kDefaultConnectTimeout;
 }
 
-// The length of the shortest list that has a value for each class; `classes` without such a list.
+// Returns the length of the shortest of the lists with a value for each class, or `classes` if there is none.
 std::size_t ShortestClassList(const Pairs& in, std::size_t classes) {
   std::size_t shortest = classes;
   for (const char* list : {fields::kThreads, fields::kHoldsTables, fields::kBlockedByLoads})
@@ -315,10 +316,10 @@
   s.cross_zone_price = in.Number(fields::kCrossZonePrice);
   ParseEngines(in, s);
   FillCores(s, site.kinds.size());
-  site.per_class = ShortestClassList(in, site.classes.size());
-  site.answer_slack = in.Time(fields::kAnswerSlack);
+  site.shortest_class_list = ShortestClassList(in, site.classes.size());
+  site.response_slack = in.Time(fields::kResponseSlack);
   site.keepalive = in.Time(fields::kKeepalive);
-  site.max_open = in.Count(fields::kMaxOpen);
+  site.max_open_requests = in.Count(fields::kMaxOpenRequests);
   return site;
 }
 
--- a/src/testing/fault_test/proxy_processes.cpp
+++ b/src/testing/fault_test/proxy_processes.cpp
@@ -20,10 +20,10 @@
 constexpr auto kServingPollInterval = 10ms;
 // Texts of the proxy's log.
 constexpr const char* kServingText = "serving in place of";
-// Preloaded into a proxy whose wall clock is to jump.
+// Preloaded into each proxy of a trial with jumps of the wall clock.
 constexpr const char* kWallClockLibrary = "liblemoncroft_wall_clock.so";
 
-std::string Milliseconds(Duration span) {
+std::string FormatMilliseconds(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + "ms";
 }
 
@@ -100,7 +100,7 @@
 
 ProxyProcess* ProxyProcesses::FindRunning(const std::string& name) {
   const auto it = std::find_if(processes_.rbegin(), processes_.rend(), [&](const auto& process) {
-    return process->name == name && !HasEnded(*process) && process->child->Running();
+    return process->name == name && !HasEnded(*process) && process->child->IsRunning();
   });
   return it == processes_.rend() ? nullptr : it->get();
 }
@@ -133,7 +133,7 @@
 
 void ProxyProcesses::Stall(ProxyProcess& process, Duration duration) {
   process.child->Signal(SIGSTOP);
-  // The end is corrected when the process is resumed; until then it counts as stalled.
+  // The end is corrected when the process is resumed; until then the process counts as stalled.
   MutableRecordOf(process).stalls.emplace_back(Now(), Now() + duration + 1s);
   loop_.Spawn(ResumeAfter(&process, duration));
 }
@@ -152,7 +152,7 @@
 
 Task<> ProxyProcesses::TerminateOnceServing(ProxyProcess* predecessor, ProxyProcess* successor) {
   const Time deadline = Now() + kStartTimeout;
-  while (!successor->serves && Now() < deadline && successor->child->Running())
+  while (!successor->serves && Now() < deadline && successor->child->IsRunning())
     co_await loop_.Sleep(kServingPollInterval);
   if (successor->serves) Terminate(*predecessor);
 }
@@ -161,19 +161,20 @@
   for (Time due = Now() + kWatchInterval;; due = Now() + kWatchInterval) {
     co_await loop_.SleepUntil(due);
     if (Now() - due > trial_.gossip_period / 2)
-      findings_.void_reasons.push_back("the fault tester ran " + Milliseconds(Now() - due) + " late");
+      findings_.void_reasons.push_back("the loop of the fault tester ran " + FormatMilliseconds(Now() - due) +
+                                       " late");
     for (const auto& process : processes_) CheckEnded(*process);
   }
 }
 
 void ProxyProcesses::CheckEnded(ProxyProcess& process) {
   ProcessRecord& record = MutableRecordOf(process);
-  if (record.ended || process.child->Running()) return;
+  if (record.ended || process.child->IsRunning()) return;
   record.ended = Now();
   const int status = *process.child->exit_status();
   if (!record.termination_requested || !WIFEXITED(status) || WEXITSTATUS(status) != 0)
-    findings_.violations.push_back(
-        record.label + " ended by itself or not well, as waitpid tells: " + std::to_string(status));
+    findings_.violations.push_back(record.label + " ended unexpectedly or with an error, wait status " +
+                                   std::to_string(status));
 }
 
 }  // namespace lemoncroft::fault_test
--- a/src/testing/fault_test/trial_series.cpp
+++ b/src/testing/fault_test/trial_series.cpp
@@ -35,7 +35,7 @@
   Measurements measurements;
 };
 
-double Greatest(const std::vector<double>& values) {
+double Maximum(const std::vector<double>& values) {
   return values.empty() ? 0 : *std::max_element(values.begin(), values.end());
 }
 
@@ -52,16 +52,16 @@
   to.files_contradiction_ms = std::max(to.files_contradiction_ms, measurements.files_contradiction_ms);
 }
 
-// One attempt at a trial that has ended.
+// A completed attempt to run a trial.
 struct Attempt {
   const Trial& trial;
   const TrialRunner& runner;
   const TrialOutcome& outcome;
   bool last = false;
 
-  bool voided() const { return !outcome.void_reasons.empty(); }
-  bool passed() const { return outcome.violations.empty() && !voided(); }
-  bool counts() const { return !voided() || last; }
+  bool is_void() const { return !outcome.void_reasons.empty(); }
+  bool passed() const { return outcome.violations.empty() && !is_void(); }
+  bool is_final() const { return !is_void() || last; }
 };
 
 void AddToSummary(const Attempt& attempt, Summary& summary) {
@@ -83,24 +83,22 @@
 
 void PrintResult(const Attempt& attempt) {
   const TrialOutcome& outcome = attempt.outcome;
-  std::printf("%s  %s: settled in %.0f ms, crashes known in %.0f ms at most\n",
+  std::printf("%s  %s: settled in %.0f ms, crashes detected in at most %.0f ms\n",
               attempt.passed() ? "passed" : "FAILED", attempt.trial.name.c_str(), outcome.settle_ms,
-              Greatest(outcome.detect_ms));
+              Maximum(outcome.detect_ms));
   for (const std::string& violation : outcome.violations) std::printf("        %s\n", violation.c_str());
-  if (attempt.voided())
+  if (attempt.is_void())
     std::printf("        void %d times: %s\n", kMaxAttempts, outcome.void_reasons.front().c_str());
   if (attempt.trial.voters.empty()) return;
   const LeaseCheckResult& leases = attempt.runner.lease_result();
-  std::printf(
-      "        %llu acts, contradictions of %.0f ms at most; %zu calls "
-      "of operators\n",
-      static_cast<unsigned long long>(leases.actions), leases.max_contradiction_ms,
-      attempt.runner.leases().operations.size());
+  std::printf("        %llu actions, contradictions of at most %.0f ms; %zu operator calls\n",
+              static_cast<unsigned long long>(leases.actions), leases.max_contradiction_ms,
+              attempt.runner.leases().operations.size());
 }
 
 std::string CreateFolder(const std::string& parent) {
   std::string folder = parent + "/lemoncroft-trial-XXXXXX";
-  if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder for a trial");
+  if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("cannot create a folder for a trial");
   return folder;
 }
 
@@ -111,14 +109,14 @@
   TrialRunner runner(trial, options.program, folder);
   const TrialOutcome outcome = runner.Run();
   const Attempt attempt{trial, runner, outcome, last};
-  if (options.verbose || (!attempt.passed() && attempt.counts()))
+  if (options.verbose || (!attempt.passed() && attempt.is_final()))
     std::fputs(runner.history().ToText(runner.started()).c_str(), stdout);
   std::error_code ignored;
   if (attempt.passed() && options.keep.empty())
     std::filesystem::remove_all(folder, ignored);
   else
     std::printf("  logs: %s\n", folder.c_str());
-  if (!attempt.counts()) {
+  if (!attempt.is_final()) {
     ++summary.voided;
     std::printf("void    %s: %s\n", trial.name.c_str(), outcome.void_reasons.front().c_str());
     return AttemptResult::kRepeat;
@@ -146,7 +144,8 @@
   return ReadTrials(path, text.str());
 }
 
-// The default gossip period and one crash late on: for what the membership view costs.
+// A trial with the default gossip period and one late crash, which measures the cost of the membership
+// view.
 Trial CalmTrial(std::size_t proxies) {
   Trial trial;
   trial.name = "a calm fleet";
@@ -178,8 +177,8 @@
                              {"trials_failed", summary.failed},
                              {"real_void", summary.voided},
                              {"real_settle_ms", summary.settle_ms},
-                             {"real_detect_ms", Greatest(summary.detect_ms)},
-                             {"real_join_ms", Greatest(summary.join_ms)},
+                             {"real_detect_ms", Maximum(summary.detect_ms)},
+                             {"real_join_ms", Maximum(summary.join_ms)},
                              {"contradiction_ms_max", summary.contradiction_ms},
                              {"stale_acts", summary.stale_actions},
                              {"acts", summary.actions},
@@ -190,8 +189,8 @@
                              {"gap_ms", measurements.gap_ms},
                              {"cut_shares", measurements.cut_shares},
                              {"files_contradiction_ms", measurements.files_contradiction_ms},
-                             {"cpu_percent", Greatest(measurements.cpu_percent)},
-                             {"turn_us_p99", Greatest(measurements.turn_us)}};
+                             {"cpu_percent", Maximum(measurements.cpu_percent)},
+                             {"turn_us_p99", Maximum(measurements.turn_us)}};
   std::printf("%s\n", json.dump().c_str());
 }
 
