--- a/src/testing/simulation/lease_fleet.h
+++ b/src/testing/simulation/lease_fleet.h
@@ -1,8 +1,8 @@
-// A simulated fleet of LeaseHolders in virtual time, with a Raft log among voters and a LeaseGrantor at each.
-// It records which proxy could act on which version when.
+// Simulates a fleet of LeaseHolders in virtual time, with a Raft log among voters and a LeaseGrantor at each
+// voter. Records which versions the proxies can act on, and when.
 //
-// Deterministic for a seed. Owner: one test or measurement. The first machines are the voters. Versions have
-// no documents here, only numbers. All times are true time.
+// Deterministic for a seed. The first machines are the voters. Versions are only numbers and have no
+// documents. All times are true time, not the time of a machine's own clock.
 #ifndef LEMONCROFT_TESTING_SIMULATION_LEASE_FLEET_H_
 #define LEMONCROFT_TESTING_SIMULATION_LEASE_FLEET_H_
 
@@ -25,19 +25,20 @@
     std::uint64_t seed = 1;
     std::size_t voters = 3, proxies = 7;
     replicated_config::LeaseOptions lease_options;
-    double drift = 0.005;                                   // of each clock from true time
-    Instant fetch_delay = std::chrono::milliseconds(20);    // of a document
-    Instant stale_limit = std::chrono::milliseconds(1200);  // T of docs/agreement.md
+    double max_clock_drift = 0.005;                         // maximum relative error of a clock's rate
+    Instant fetch_delay = std::chrono::milliseconds(20);    // duration of fetching a document
+    Instant stale_limit = std::chrono::milliseconds(1200);  // limit T in docs/agreement.md
   };
   explicit LeaseFleet(const Plan& plan);
 
-  // Proposes a version at the leader. Returns it, or nullopt where nobody leads.
+  // Proposes a version at the leader and returns the version, or nullopt if there is no leader.
   std::optional<replicated_config::Version> Propose();
-  void Stall(std::size_t proxy, Instant span);  // and the voter on the same machine
+  // Stalls the proxy and the voter on the same machine, if there is one.
+  void Stall(std::size_t proxy, Instant span);
   void CrashVoter(std::size_t i) { voters_.Crash(i); }
   void RestartVoter(std::size_t i);
   void SetFetchDelay(std::size_t proxy, Instant span) { proxies_[proxy].fetch_delay = span; }
-  void Rate(std::size_t proxy, double rate) { proxies_[proxy].rate = rate; }
+  void SetClockRate(std::size_t proxy, double clock_rate) { proxies_[proxy].clock_rate = clock_rate; }
   void RunFor(Instant span);
   RaftCluster& voters() { return voters_; }
   Links& links() { return voters_.links(); }
@@ -45,21 +46,23 @@
 
   std::optional<replicated_config::Version> UsableVersion(std::size_t proxy) const;
   const replicated_config::LeaseHolder& holder(std::size_t proxy) const { return proxies_[proxy].holder; }
-  // The longest time for which two proxies could act on different versions.
-  Instant contradiction() const { return version_uses_.longest_contradiction(); }
-  // Number of instants at which a proxy could act on a version more than `stale_limit` after a later one was
-  // first usable.
-  std::uint64_t stale() const { return version_uses_.stale_uses(); }
-  // Number of instants at which a running proxy had a lease but not the document of the active version.
+  // Returns the longest time for which two proxies could act on different versions.
+  Instant longest_contradiction() const { return version_uses_.longest_contradiction(); }
+  // Returns the number of observations of a proxy that could act on a version more than `stale_limit` after a
+  // later version was first usable.
+  std::uint64_t stale_uses() const { return version_uses_.stale_uses(); }
+  // Returns the number of observations of a running proxy that had a lease but not the document of the active
+  // version.
   std::uint64_t uses_without_document() const { return uses_without_document_; }
+  // Returns true if every proxy can act on exactly this version.
   bool ActiveEverywhere(replicated_config::Version version) const;
 
  private:
   struct Proxy {
     explicit Proxy(const replicated_config::LeaseOptions& lease_options) : holder(lease_options) {}
     replicated_config::LeaseHolder holder;
-    double rate = 1;
-    replicated_config::Time origin{};
+    double clock_rate = 1;
+    replicated_config::Time clock_origin{};
     Instant stalled_until{}, renew_at{}, fetch_delay{};
     replicated_config::Version fetching_version = 0;
   };
@@ -81,7 +84,7 @@
     }
   };
 
-  replicated_config::Time Local(const Proxy& proxy) const;
+  replicated_config::Time LocalTime(const Proxy& proxy) const;
   void Handle(const ScheduledEvent& event);
   void RunLeaderDuties(std::size_t i);
   void ObserveUse();
@@ -92,11 +95,11 @@
   Plan plan_;
   RaftCluster voters_;
   std::mt19937_64 random_;
-  std::uint64_t order_ = 0, uses_without_document_ = 0;
-  replicated_config::Version proposed_ = 0;
+  std::uint64_t next_event_order_ = 0, uses_without_document_ = 0;
+  replicated_config::Version last_proposed_version_ = 0;
   std::vector<Proxy> proxies_;
   std::vector<Leader> leaders_;
-  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> events_;
   VersionUseRecorder version_uses_;
 };
 
--- a/tests/config_replica_test.cpp
+++ b/tests/config_replica_test.cpp
@@ -81,7 +81,7 @@
     return out;
   }
   bool InvariantsHold() const {
-    return contradiction() <= kMaxContradiction && stale() == 0 && violations().empty();
+    return longest_contradiction() <= kMaxContradiction && stale_uses() == 0 && violations().empty();
   }
 };
 
@@ -93,7 +93,7 @@
     fleet.Commit((seed + 3) % 7, 1, "two");
     EXPECT_LE(fleet.now() - since, Instant(700ms)) << seed;
     EXPECT_EQ(fleet.DocumentAt(6, 2), "two");
-    EXPECT_LE(fleet.contradiction(), Instant(300ms)) << "a renewal interval and a delivery";
+    EXPECT_LE(fleet.longest_contradiction(), Instant(300ms)) << "a renewal interval and a delivery";
     EXPECT_TRUE(fleet.violations().empty());
   }
 }
@@ -123,7 +123,7 @@
       EXPECT_EQ(outcome.status, ChangeStatus::kUnknown) << after;
     }
     EXPECT_TRUE(fleet.AllUse(now)) << after << ": the change is active on some proxies only";
-    EXPECT_TRUE(fleet.InvariantsHold()) << after << " " << fleet.contradiction().count();
+    EXPECT_TRUE(fleet.InvariantsHold()) << after << " " << fleet.longest_contradiction().count();
   }
   EXPECT_GT(committed, 50) << "the proposer retries a change under its id at the next leader";
   RecordProperty("unknown", unknown);
@@ -137,7 +137,7 @@
     fleet.Commit(5, 0, "one");
     const std::size_t leader = fleet.Elect();
     for (std::size_t i = 0; i < 7; ++i)
-      fleet.links().Side(static_cast<Node>(i), i == leader || i > 4 ? 0 : 1);
+      fleet.links().AssignSide(static_cast<Node>(i), i == leader || i > 4 ? 0 : 1);
     const std::string a = fleet.Propose(6, 1, "a"), b = fleet.Propose(4, 1, "b");
     fleet.RunFor(5s);
     fleet.links().Heal();
@@ -164,7 +164,7 @@
       switch (below(9)) {
         case 0:
           for (std::size_t p = 0; p < 7; ++p)
-            fleet.links().Side(static_cast<Node>(p), static_cast<int>(below(2)));
+            fleet.links().AssignSide(static_cast<Node>(p), static_cast<int>(below(2)));
           break;
         case 1:
           fleet.links().Heal();
@@ -183,9 +183,9 @@
           fleet.links().Cut(static_cast<Node>(proxy), static_cast<Node>(below(7)), true);
           break;
         case 7:
-          fleet.links().usual().loss = 0.05 * static_cast<double>(below(6));
-          fleet.links().usual().duplicate = 0.05 * static_cast<double>(below(6));
-          fleet.links().usual().spread = Instant(1ms) * static_cast<int>(below(500));
+          fleet.links().default_faults().loss = 0.05 * static_cast<double>(below(6));
+          fleet.links().default_faults().duplicate = 0.05 * static_cast<double>(below(6));
+          fleet.links().default_faults().spread = Instant(1ms) * static_cast<int>(below(500));
           break;
         default:
           fleet.SlowDisk(proxy, Instant(1ms) * static_cast<int>(below(300)));
@@ -197,7 +197,7 @@
       fleet.RunFor(Instant(1ms) * static_cast<int>(below(1500)));
     }
     fleet.links().Heal();
-    fleet.links().usual() = {};
+    fleet.links().default_faults() = {};
     for (std::size_t p = 0; p < 7; ++p) {
       fleet.SlowDisk(p, 2ms);
       if (!fleet.IsRunning(p)) fleet.Restart(p);
@@ -211,8 +211,8 @@
       const std::string stored = fleet.DocumentAt(0, outcome.version);
       if (!stored.empty()) EXPECT_EQ(stored, texts.at(id)) << seed << ": a committed change is lost";
     }
-    EXPECT_LE(fleet.contradiction(), kMaxContradiction) << seed;
-    EXPECT_EQ(fleet.stale(), 0u) << seed;
+    EXPECT_LE(fleet.longest_contradiction(), kMaxContradiction) << seed;
+    EXPECT_EQ(fleet.stale_uses(), 0u) << seed;
     EXPECT_TRUE(fleet.violations().empty())
         << seed << " " << (fleet.violations().empty() ? "" : fleet.violations().front());
   }
@@ -328,9 +328,9 @@
 
 TEST(ConfigReplica, IdleFleet_SendsFewMessagesPerSecond) {
   TestFleet fleet(1, {}, 30);
-  const std::uint64_t before = fleet.messages();
+  const std::uint64_t before = fleet.messages_sent();
   fleet.RunFor(10s);
-  EXPECT_LT(static_cast<double>(fleet.messages() - before) / 10 / 30, 12);
+  EXPECT_LT(static_cast<double>(fleet.messages_sent() - before) / 10 / 30, 12);
 }
 
 // ---- The state machine ----
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -120,7 +120,8 @@
     const Instant since = fleet.now();
     fleet.ProposeAndWait();
     EXPECT_LE(fleet.now() - since, Instant(700ms)) << "to announce, prepare and activate: seed " << seed;
-    EXPECT_LE(fleet.contradiction(), Instant(300ms)) << "a renewal interval and a delivery: seed " << seed;
+    EXPECT_LE(fleet.longest_contradiction(), Instant(300ms))
+        << "a renewal interval and a delivery: seed " << seed;
     EXPECT_EQ(fleet.uses_without_document(), 0u);
   }
 }
@@ -142,7 +143,7 @@
   fleet.links().Heal();
   fleet.RunFor(2s);
   EXPECT_TRUE(fleet.ActiveEverywhere(2));
-  EXPECT_LE(fleet.contradiction(), kMaxContradiction);
+  EXPECT_LE(fleet.longest_contradiction(), kMaxContradiction);
 }
 
 TEST(LeaseFleet, RandomFaults_ContradictionStaysBounded) {
@@ -155,7 +156,7 @@
       switch (below(8)) {
         case 0:
           for (std::size_t p = 0; p < 7; ++p)
-            fleet.links().Side(static_cast<simulation::Node>(p), static_cast<int>(below(2)));
+            fleet.links().AssignSide(static_cast<simulation::Node>(p), static_cast<int>(below(2)));
           break;
         case 1:
           fleet.links().Heal();
@@ -174,8 +175,8 @@
                             true);
           break;
         case 6:
-          fleet.links().usual().loss = 0.05 * static_cast<double>(below(6));
-          fleet.links().usual().spread = Instant(1ms) * static_cast<int>(below(800));
+          fleet.links().default_faults().loss = 0.05 * static_cast<double>(below(6));
+          fleet.links().default_faults().spread = Instant(1ms) * static_cast<int>(below(800));
           break;
         default:
           fleet.SetFetchDelay(proxy, Instant(1ms) * static_cast<int>(below(600)));
@@ -183,8 +184,8 @@
       fleet.Propose();
       fleet.RunFor(Instant(1ms) * static_cast<int>(below(1500)));
     }
-    EXPECT_LE(fleet.contradiction(), kMaxContradiction) << "seed " << seed;
-    EXPECT_EQ(fleet.stale(), 0u) << "seed " << seed;
+    EXPECT_LE(fleet.longest_contradiction(), kMaxContradiction) << "seed " << seed;
+    EXPECT_EQ(fleet.stale_uses(), 0u) << "seed " << seed;
     EXPECT_TRUE(fleet.voters().violations().empty()) << "seed " << seed;
   }
 }
@@ -199,7 +200,7 @@
 };
 
 bool InvariantsHold(const LeaseFleet& fleet) {
-  return fleet.contradiction() <= kMaxContradiction && fleet.stale() == 0 &&
+  return fleet.longest_contradiction() <= kMaxContradiction && fleet.stale_uses() == 0 &&
          fleet.uses_without_document() == 0;
 }
 
@@ -211,7 +212,7 @@
        fleet.RunFor(2s);
        fleet.Propose();
        fleet.RunFor(4s);  // the process is resumed, and acts before any of its timers has run
-       return fleet.stale() == 0 && fleet.contradiction() <= kMaxContradiction;
+       return fleet.stale_uses() == 0 && fleet.longest_contradiction() <= kMaxContradiction;
      }},
     {"a lease runs from its request", &LeaseSafetyChecks::start_at_request,
      [](const LeaseSafetyChecks& safety_checks) {
@@ -231,7 +232,7 @@
        TestFleet fleet(1, safety_checks);
        const std::size_t leader = *fleet.voters().Leader();
        for (std::size_t p = 0; p < 7; ++p)
-         fleet.links().Side(static_cast<simulation::Node>(p), p == leader || p > 4 ? 0 : 1);
+         fleet.links().AssignSide(static_cast<simulation::Node>(p), p == leader || p > 4 ? 0 : 1);
        for (int i = 0; i < 8; ++i) {
          fleet.RunFor(500ms);
          if (const auto other = fleet.voters().Leader(); other && *other != leader) fleet.Propose();
@@ -317,7 +318,7 @@
                                                          .elections = 0,
                                                          .duplicates = 0,
                                                          .crashes = 0,
-                                                         .in_transit = 1};
+                                                         .max_in_flight = 1};
   model_check::LeaseBudget budget_with_election = budget_without_election;
   budget_with_election.elections = 1;
   const std::tuple<const char*, bool LeaseSafetyChecks::*, model_check::LeaseBudget> cases[] = {
