--- a/src/codec/frame.cpp
+++ b/src/codec/frame.cpp
@@ -45,11 +45,11 @@
   if (rest.size() < kLengthBytes) return Result::kNeedMore;
   const std::size_t length = ReadLittleEndian(rest.substr(0, kLengthBytes));
   // The length is checked before the rest arrives, so that an invalid length can't make the buffer grow.
-  if (length < kMinFrameBytes || length > kMaxFrameBytes) return Result::kBadLength;
+  if (length < kMinFrameLength || length > kMaxFrameLength) return Result::kBadLength;
   if (rest.size() < kLengthBytes + length) return Result::kNeedMore;
   frame.type = static_cast<std::uint8_t>(rest[kTypeOffset]);
   frame.stream = ReadLittleEndian(rest.substr(kStreamOffset, kStreamBytes));
-  frame.payload = rest.substr(kPayloadOffset, length - kMinFrameBytes);
+  frame.payload = rest.substr(kPayloadOffset, length - kMinFrameLength);
   read_bytes_ += kLengthBytes + length;
   return Result::kFrame;
 }
@@ -83,7 +83,7 @@
 }
 
 void WriteFrame(std::string& out, std::uint8_t type, std::uint32_t stream, std::string_view payload) {
-  AppendLittleEndian(out, kMinFrameBytes + payload.size(), kLengthBytes);
+  AppendLittleEndian(out, kMinFrameLength + payload.size(), kLengthBytes);
   out.push_back(static_cast<char>(type));
   AppendLittleEndian(out, stream, kStreamBytes);
   out.append(payload);
--- a/src/codec/frame.h
+++ b/src/codec/frame.h
@@ -17,8 +17,8 @@
 namespace lemoncroft::codec {
 
 // Bounds of a frame's length field, which covers the type, the stream and the payload.
-inline constexpr std::size_t kMinFrameBytes = 5;
-inline constexpr std::size_t kMaxFrameBytes = 262'144;
+inline constexpr std::size_t kMinFrameLength = 5;
+inline constexpr std::size_t kMaxFrameLength = 262'144;
 
 enum FrameType : std::uint8_t {
   // Sent by clients. The payload of a request contains fields and a statement; other payloads carry no data.
