--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -92,7 +92,7 @@
   KdlNode ParseNode(int depth) {
     if (++node_count_ > kMaxKdlNodes) input_.Fail("too many nodes");
     KdlNode node;
-    node.place = input_.position();
+    node.position = input_.position();
     node.type = ParseAnnotation();
     node.name = ParseString("a node name");
     bool has_children = false;
@@ -128,7 +128,7 @@
 
   // Parses an argument or a property and adds it to `node`, unless a slashdash comments it out.
   void ParseEntry(KdlNode& node, bool is_commented_out) {
-    const KdlPosition place = input_.position();
+    const KdlPosition position = input_.position();
     KdlValue value = ParseValue();
     if (value.kind == KdlValue::Kind::kString && value.type.empty() && SkipEqualsSign()) {
       std::string name = std::move(value.text);
@@ -138,7 +138,7 @@
       node.properties.emplace_back(std::move(name), std::move(value));
       return;
     }
-    value.place = place;
+    value.position = position;
     if (!is_commented_out) node.arguments.push_back(std::move(value));
   }
 
@@ -168,7 +168,7 @@
 
   KdlValue ParseValue() {
     KdlValue value;
-    value.place = input_.position();
+    value.position = input_.position();
     value.type = ParseAnnotation();
     const char32_t c = input_.Peek();
     const char32_t first_digit = c == '+' || c == '-' ? input_.Peek(1) : c;
@@ -195,7 +195,7 @@
       value.text = "#" + word;
       value.number = word == "nan" ? std::numeric_limits<double>::quiet_NaN() : word == "inf" ? inf : -inf;
     } else if (word != "null") {
-      throw KdlError(value.place, "#" + word + " is not a keyword");
+      throw KdlError(value.position, "#" + word + " is not a keyword");
     }
   }
 
@@ -209,7 +209,7 @@
     const int base = NumberBase(digits);
     const bool is_valid =
         base == 10 ? ParseDecimal(digits, value.number) : ParseInteger(digits.substr(2), base, value.number);
-    if (!is_valid) throw KdlError(value.place, "'" + value.text + "' is not a number");
+    if (!is_valid) throw KdlError(value.position, "'" + value.text + "' is not a number");
     if (is_negative) value.number = -value.number;
   }
 
@@ -224,7 +224,7 @@
 
   // Parses a string of any form. `expected` describes the string in the error if there is none.
   std::string ParseString(const char* expected) {
-    const KdlPosition place = input_.position();
+    const KdlPosition position = input_.position();
     std::size_t hashes = 0;
     while (input_.Peek(hashes) == '#') ++hashes;
     if (input_.Peek(hashes) == '"') {
@@ -233,38 +233,38 @@
     }
     std::string word = hashes > 0 ? std::string() : ParseWord();
     if (word.empty()) input_.Fail(std::string("expected ") + expected);
-    CheckBareWord(word, place);
+    CheckBareWord(word, position);
     return word;
   }
 
   // Throws KdlError for a bare word that looks like a number or a keyword.
-  static void CheckBareWord(const std::string& word, KdlPosition place) {
+  static void CheckBareWord(const std::string& word, KdlPosition position) {
     std::string_view start = word;
     if (start.front() == '+' || start.front() == '-') start.remove_prefix(1);
     if (start.size() > 1 && start.front() == '.') start.remove_prefix(1);
     if (!start.empty() && IsKdlDigit(static_cast<unsigned char>(start.front())))
-      throw KdlError(place, "'" + word + "' looks like a number: put it in quotes");
+      throw KdlError(position, "'" + word + "' looks like a number: put it in quotes");
     for (const char* keyword : {"true", "false", "null", "inf", "-inf", "nan"}) {
       if (word == keyword)
-        throw KdlError(place, word + " is a keyword: write #" + word + ", or put the string in quotes");
+        throw KdlError(position, word + " is a keyword: write #" + word + ", or put the string in quotes");
     }
   }
 
   // Parses a quoted string, which is a raw string if it follows one or more number signs.
   std::string ParseQuoted(std::size_t hashes) {
-    const KdlPosition place = input_.position();
+    const KdlPosition position = input_.position();
     if (input_.Peek(1) == '"' && input_.Peek(2) == '"') {
       input_.Skip(kMultiLineQuotes);
       if (!input_.SkipNewline())
         input_.Fail("missing newline after the opening quotes of a multi-line string");
-      return ParseMultiLine(hashes, place);
+      return ParseMultiLine(hashes, position);
     }
     input_.Next();
     std::string out;
     for (;;) {
       if (SkipClosing(1, hashes)) return out;
       const char32_t c = input_.Peek();
-      if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(place, "unterminated string");
+      if (c == kKdlEnd || IsKdlNewline(c)) throw KdlError(position, "unterminated string");
       if (c == '\\' && hashes == 0) {
         ParseEscape(out);
       } else {
@@ -282,11 +282,11 @@
     return true;
   }
 
-  std::string ParseMultiLine(std::size_t hashes, KdlPosition place) {
+  std::string ParseMultiLine(std::size_t hashes, KdlPosition position) {
     MultiLineString text;
     while (!SkipClosing(kMultiLineQuotes.size(), hashes)) {
       const char32_t c = input_.Peek();
-      if (c == kKdlEnd) throw KdlError(place, "unterminated multi-line string");
+      if (c == kKdlEnd) throw KdlError(position, "unterminated multi-line string");
       if (input_.SkipNewline()) {
         text.StartLine();
       } else if (c == '\\' && hashes == 0) {
@@ -298,13 +298,13 @@
         AppendUtf8(text.lines.back(), input_.Next());
       }
     }
-    return JoinWithoutIndentation(text, place);
+    return JoinWithoutIndentation(text, position);
   }
 
   // The white space before the closing quotes is the indentation of every line that is not blank.
-  static std::string JoinWithoutIndentation(const MultiLineString& text, KdlPosition place) {
+  static std::string JoinWithoutIndentation(const MultiLineString& text, KdlPosition position) {
     if (!text.is_blank.back())
-      throw KdlError(place, "the closing quotes of a multi-line string must be on a line of their own");
+      throw KdlError(position, "the closing quotes of a multi-line string must be on a line of their own");
     const std::string& indentation = text.lines.back();
     std::string out;
     for (std::size_t i = 0; i + 1 < text.lines.size(); ++i) {
@@ -312,14 +312,14 @@
       if (text.is_blank[i]) continue;
       const std::string& line = text.lines[i];
       if (!line.starts_with(indentation))
-        throw KdlError(place, "a line is indented less than the closing quotes of its multi-line string");
+        throw KdlError(position, "a line is indented less than the closing quotes of its multi-line string");
       out += line.substr(indentation.size());
     }
     return out;
   }
 
   void ParseEscape(std::string& out) {
-    const KdlPosition place = input_.position();
+    const KdlPosition position = input_.position();
     input_.Next();
     const char32_t c = input_.Peek();
     if (IsKdlSpace(c) || IsKdlNewline(c)) {
@@ -334,12 +334,12 @@
       out += kEscapedCharacters[known];
       return;
     }
-    if (c != 'u' || !input_.Skip(U"{")) throw KdlError(place, "unknown escape sequence");
-    AppendUtf8(out, ParseCodePoint(place));
+    if (c != 'u' || !input_.Skip(U"{")) throw KdlError(position, "unknown escape sequence");
+    AppendUtf8(out, ParseCodePoint(position));
   }
 
   // Parses the hexadecimal digits of an escape \u{...} and its closing brace.
-  char32_t ParseCodePoint(KdlPosition place) {
+  char32_t ParseCodePoint(KdlPosition position) {
     char32_t point = 0;
     int digits = 0;
     bool is_valid = true;
@@ -351,7 +351,7 @@
     }
     const bool is_scalar = point <= 0x10ffff && (point < 0xd800 || point > 0xdfff);
     if (!is_valid || digits < 1 || digits > kMaxEscapeDigits || !is_scalar || !input_.Skip(U"}"))
-      throw KdlError(place, "invalid Unicode escape");
+      throw KdlError(position, "invalid Unicode escape");
     return point;
   }
 
@@ -401,14 +401,14 @@
 
   // Skips the rest of a block comment after its opening. Block comments nest.
   void SkipRestOfComment() {
-    const KdlPosition place = input_.position();
+    const KdlPosition position = input_.position();
     for (int depth = 1; depth > 0;) {
       if (input_.Skip(U"/*")) {
         ++depth;
       } else if (input_.Skip(U"*/")) {
         --depth;
       } else if (input_.Next() == kKdlEnd) {
-        throw KdlError(place, "unterminated comment");
+        throw KdlError(position, "unterminated comment");
       }
     }
   }
--- a/src/codec/kdl.h
+++ b/src/codec/kdl.h
@@ -39,7 +39,7 @@
   std::string text;  // the characters of a string, or the literal of a number
   double number = 0;
   bool boolean = false;
-  KdlPosition place;
+  KdlPosition position;
 };
 
 struct KdlNode {
@@ -47,7 +47,7 @@
   std::vector<KdlValue> arguments;
   std::vector<std::pair<std::string, KdlValue>> properties;  // only the last one of each name
   std::vector<KdlNode> children;
-  KdlPosition place;
+  KdlPosition position;
 };
 
 inline constexpr std::size_t kMaxKdlBytes = 1 << 20;
--- a/src/operator_config/fields.cpp
+++ b/src/operator_config/fields.cpp
@@ -54,11 +54,11 @@
 }  // namespace
 
 void Faults::AddAt(const KdlNode& node, std::string message) {
-  faults_.push_back({node.place, node.name, "", std::move(message)});
+  faults_.push_back({node.position, node.name, "", std::move(message)});
 }
 
 void Faults::AddAt(const KdlNode& node, const KdlValue& value, std::string message) {
-  faults_.push_back({value.place, node.name, value.text, std::move(message)});
+  faults_.push_back({value.position, node.name, value.text, std::move(message)});
 }
 
 bool ParseDuration(const std::string& text, admission_queue::Duration& out) {
--- a/src/operator_config/fields.h
+++ b/src/operator_config/fields.h
@@ -21,8 +21,8 @@
 class Faults {
  public:
   // Adds a fault that concerns no single key, such as a contradiction.
-  void Add(codec::KdlPosition place, std::string message) {
-    faults_.push_back({place, "", "", std::move(message)});
+  void Add(codec::KdlPosition position, std::string message) {
+    faults_.push_back({position, "", "", std::move(message)});
   }
   // Adds a fault of a node, or of one of its arguments. The message must identify the node or argument
   // itself.
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -18,8 +18,8 @@
 std::string FormatFaults(const std::string& path, const std::vector<Fault>& faults) {
   std::string text;
   for (const Fault& fault : faults) {
-    text += (text.empty() ? "" : "\n") + path + ":" + std::to_string(fault.place.line) + ":" +
-            std::to_string(fault.place.column) + ": " + fault.text;
+    text += (text.empty() ? "" : "\n") + path + ":" + std::to_string(fault.position.line) + ":" +
+            std::to_string(fault.position.column) + ": " + fault.text;
   }
   return text;
 }
@@ -53,7 +53,7 @@
 
 OperatorFile LoadOperatorFile(const std::string& path, const settings::Site& site) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw OperatorError(path, {{.place = {}, .key = {}, .value = {}, .text = "cannot be read"}});
+  if (!file) throw OperatorError(path, {{.position = {}, .key = {}, .value = {}, .text = "cannot be read"}});
   std::ostringstream text;
   text << file.rdbuf();
   return ReadOperatorFile(path, text.str(), site);
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -23,7 +23,7 @@
 
 // An error in a file.
 struct Fault {
-  codec::KdlPosition place;
+  codec::KdlPosition position;
   std::string key;    // of the node; empty if the fault concerns no single key
   std::string value;  // as written in the file; empty if the fault concerns no single value
   std::string text;   // the complete message
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -56,7 +56,7 @@
     if (errors_.all().empty()) return std::move(document_);
     InvalidDocument invalid;
     for (const operator_config::Fault& fault : errors_.all())
-      invalid.faults.push_back({fault.place.line, fault.place.column, fault.text});
+      invalid.faults.push_back({fault.position.line, fault.position.column, fault.text});
     return tl::unexpected(std::move(invalid));
   }
 
@@ -69,7 +69,7 @@
   int ParseInteger(const KdlNode& n, double min, double max) {
     double value = min;
     operator_config::ReadNumber(n, min, max, value, errors_);
-    if (value != std::floor(value)) errors_.Add(n.place, n.name + ": expected a whole number");
+    if (value != std::floor(value)) errors_.Add(n.position, n.name + ": expected a whole number");
     return static_cast<int>(value);
   }
   std::size_t ParseSize(const KdlNode& n, double max) {
@@ -95,9 +95,9 @@
     std::string name;
     operator_config::ReadText(header, name, errors_);
     if (!IsValidName(name))
-      errors_.Add(n.place, n.name + ": a name is 1 to 128 plain characters without blanks");
+      errors_.Add(n.position, n.name + ": a name is 1 to 128 plain characters without blanks");
     const auto [it, inserted] = out.try_emplace(name);
-    if (!inserted) errors_.Add(n.place, n.name + " '" + name + "': given twice");
+    if (!inserted) errors_.Add(n.position, n.name + " '" + name + "': given twice");
     return it->second;
   }
   template <typename E, std::size_t N>
@@ -106,16 +106,16 @@
     operator_config::ReadText(n, name, errors_);
     for (std::size_t i = 0; i < N; ++i)
       if (name == names[i]) return static_cast<E>(i);
-    errors_.Add(n.place, n.name + ": '" + name + "' is none of those there are");
+    errors_.Add(n.position, n.name + ": '" + name + "' is none of those there are");
     return std::nullopt;
   }
   void ParseNames(const KdlNode& n, std::set<std::string>& out) {
-    if (!n.properties.empty() || !n.children.empty()) errors_.Add(n.place, n.name + ": takes names alone");
+    if (!n.properties.empty() || !n.children.empty()) errors_.Add(n.position, n.name + ": takes names alone");
     for (const KdlValue& value : n.arguments) {
       if (value.kind != KdlValue::Kind::kString || !IsValidName(value.text))
-        errors_.Add(value.place, n.name + ": a name is 1 to 128 plain characters without blanks");
+        errors_.Add(value.position, n.name + ": a name is 1 to 128 plain characters without blanks");
       else if (!out.insert(value.text).second)
-        errors_.Add(value.place, n.name + ": '" + value.text + "' is given twice");
+        errors_.Add(value.position, n.name + ": '" + value.text + "' is given twice");
     }
   }
   void ParseClass(const KdlNode& node) {
@@ -154,10 +154,10 @@
       else if (name == "ratio" && is_number)
         budget.ratio = value.number;
       else if (name != "over" || !is_span)
-        errors_.Add(value.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
+        errors_.Add(value.position, "further-attempts: expected free=N ratio=N over=\"TIME\"");
     }
     if (budget.window <= 0s || !node.arguments.empty() || !node.children.empty())
-      errors_.Add(node.place, "further-attempts: expected free=N ratio=N over=\"TIME\"");
+      errors_.Add(node.position, "further-attempts: expected free=N ratio=N over=\"TIME\"");
     document_.retry_budget = budget;
   }
   void ParseIsolationPolicy(const KdlNode& node) {
@@ -171,10 +171,10 @@
         {}, errors_);
     const IsolationPolicy& policy = document_.isolation;
     if (policy.classes.empty() || policy.engines.empty())
-      errors_.Add(node.place, "cut-off: name the classes that go on and the engines that they go on at");
+      errors_.Add(node.position, "cut-off: name the classes that go on and the engines that they go on at");
     for (const std::string& engine : policy.engines)
       if (document_.ejected_engines.contains(engine))
-        errors_.Add(node.place, "cut-off: engine '" + engine + "' is out by hand");
+        errors_.Add(node.position, "cut-off: engine '" + engine + "' is out by hand");
   }
 
   Document document_;
--- a/src/testing/fault_test/script.cpp
+++ b/src/testing/fault_test/script.cpp
@@ -110,7 +110,7 @@
   for (const auto& [name, value] : node.properties) {
     const LinkConditionWord* word = FindLinkCondition(name);
     if (word == nullptr || action.type != ActionType::kSetLinkConditions)
-      faults.Add(value.place, "'" + name + "' is not known here");
+      faults.Add(value.position, "'" + name + "' is not known here");
     else
       action.link_conditions.*word->condition = value.number;
   }
@@ -121,19 +121,19 @@
   action.at = at;
   const ActionWord* word = FindAction(node.name);
   if (word == nullptr) {
-    faults.Add(node.place, "'" + node.name + "' is no action");
+    faults.Add(node.position, "'" + node.name + "' is no action");
     return action;
   }
   action.type = word->type;
   std::vector<KdlValue> arguments = node.arguments;
   if (word->last == LastArgument::kDuration) {
     if (arguments.empty() || !operator_config::ParseDuration(arguments.back().text, action.duration))
-      faults.Add(node.place, node.name + ": its last argument is a time, such as \"500ms\"");
+      faults.Add(node.position, node.name + ": its last argument is a time, such as \"500ms\"");
     if (!arguments.empty()) arguments.pop_back();
   }
   for (const KdlValue& value : arguments) action.names.push_back(value.text);
   if (word->names != kAnyNumber && action.names.size() != static_cast<std::size_t>(word->names))
-    faults.Add(node.place, node.name + ": takes " + std::to_string(word->names) + " names");
+    faults.Add(node.position, node.name + ": takes " + std::to_string(word->names) + " names");
   ReadLinkConditions(node, action, faults);
   return action;
 }
@@ -141,7 +141,7 @@
 void ReadActions(const KdlNode& node, std::vector<Action>& actions, operator_config::Faults& faults) {
   Duration at{};
   if (node.arguments.size() != 1 || !operator_config::ParseDuration(node.arguments[0].text, at))
-    return faults.Add(node.place, "at: expected a time, such as \"2s\"");
+    return faults.Add(node.position, "at: expected a time, such as \"2s\"");
   for (const KdlNode& child : node.children) actions.push_back(ReadAction(child, at, faults));
 }
 
@@ -245,7 +245,7 @@
       if (node.name == kTrialWord)
         trials.push_back(ReadTrial(node, faults));
       else
-        faults.Add(node.place, "expected trial");
+        faults.Add(node.position, "expected trial");
     }
   } catch (const codec::KdlError& e) {
     throw ScriptError(path + ": " + e.what());
