--- a/src/hot_restart/process_limits.cpp
+++ b/src/hot_restart/process_limits.cpp
@@ -15,12 +15,12 @@
 
 }  // namespace
 
-int ProcessCount(const ConnectionUsage& own, const PeerProcesses& others) {
+int ProcessCount(const ConnectionUsage& own, const OtherProcesses& others) {
   return own.serving > 0 ? static_cast<int>(others.usage.serving) + 1 : 1;
 }
 
 ProcessLimits DivideLimits(const ProxyLimits& limits, const ConnectionUsage& own,
-                           const PeerProcesses& others) {
+                           const OtherProcesses& others) {
   if (others.processes == 0) {
     const std::size_t engines =
         SaturatingSubtract(limits.descriptors, limits.clients + limits.reserved_per_process);
--- a/src/hot_restart/process_limits.h
+++ b/src/hot_restart/process_limits.h
@@ -18,7 +18,7 @@
 };
 
 // The other live processes of this proxy.
-struct PeerProcesses {
+struct OtherProcesses {
   std::size_t processes = 0;
   ConnectionUsage usage;  // summed over them
 };
@@ -38,13 +38,13 @@
 
 // Returns the number of processes between which rate budgets are divided: those that accept clients,
 // including this one. Returns 1 for a process that does not serve (starting or draining).
-[[nodiscard]] int ProcessCount(const ConnectionUsage& own, const PeerProcesses& others);
+[[nodiscard]] int ProcessCount(const ConnectionUsage& own, const OtherProcesses& others);
 
 // Returns the connections that this process may have open. A single process gets all of them. One of several
 // gets those that the others do not use, but at least a minimum; the limit for engines reserves descriptors
 // for clients that may still connect.
 [[nodiscard]] ProcessLimits DivideLimits(const ProxyLimits& limits, const ConnectionUsage& own,
-                                         const PeerProcesses& others);
+                                         const OtherProcesses& others);
 
 }  // namespace lemoncroft::hot_restart
 
--- a/src/hot_restart/process_registry.cpp
+++ b/src/hot_restart/process_registry.cpp
@@ -42,20 +42,20 @@
   static_cast<void>(!::pwrite(file_.get(), &usage, sizeof usage, SlotOffset(slot_)));
 }
 
-PeerProcesses ProcessRegistry::ReadPeers() const {
-  PeerProcesses peers;
+OtherProcesses ProcessRegistry::ReadOthers() const {
+  OtherProcesses others;
   for (int slot = 0; file_ && slot < kMaxProcesses; ++slot) {
     if (slot == slot_) continue;
     struct flock lock = SlotLock(slot);
     if (::fcntl(file_.get(), F_OFD_GETLK, &lock) != 0 || lock.l_type == F_UNLCK) continue;
-    ++peers.processes;
+    ++others.processes;
     ConnectionUsage usage;
     if (::pread(file_.get(), &usage, sizeof usage, SlotOffset(slot)) != sizeof usage) continue;
-    peers.usage.clients += std::min(usage.clients, kMaxConnections);
-    peers.usage.engines += std::min(usage.engines, kMaxConnections);
-    peers.usage.serving += usage.serving == 1;
+    others.usage.clients += std::min(usage.clients, kMaxConnections);
+    others.usage.engines += std::min(usage.engines, kMaxConnections);
+    others.usage.serving += usage.serving == 1;
   }
-  return peers;
+  return others;
 }
 
 }  // namespace lemoncroft::hot_restart
--- a/src/hot_restart/process_registry.h
+++ b/src/hot_restart/process_registry.h
@@ -30,7 +30,7 @@
   void Publish(const ConnectionUsage& usage) const;
 
   // Reads the slots of the other live processes.
-  [[nodiscard]] PeerProcesses ReadPeers() const;
+  [[nodiscard]] OtherProcesses ReadOthers() const;
 
  private:
   runtime::Descriptor file_;
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -49,7 +49,7 @@
   return runtime::AdoptListeningSocket(DescriptorNumber(descriptor_number));
 }
 
-std::unique_ptr<hot_restart::ProcessRegistry> JoinPeerProcesses(
+std::unique_ptr<hot_restart::ProcessRegistry> JoinOtherProcesses(
     const operator_config::OperatorFile& operator_file, const settings::Site& site, Operations& operations,
     broker::Broker& broker) {
   const char* tmpdir = std::getenv("TMPDIR");
@@ -63,7 +63,7 @@
         tmpdir, decision::ToDuration(site.module.slow_start_duration + site.module.overload_window));
   // This comes before the first endpoint list, because the predecessor may just have sent as many requests to
   // an engine in slow start as that engine can take.
-  if (registry && registry->ReadPeers().usage.serving > 0) broker.SetProcessCount(kProcessesAtStart);
+  if (registry && registry->ReadOthers().usage.serving > 0) broker.SetProcessCount(kProcessesAtStart);
   return registry;
 }
 
@@ -83,25 +83,25 @@
   spdlog::info("serving in place of another process");
 }
 
-Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
-                            const Operations& operations, ReloadableState& state) {
+Task<> ShareLimitsWithOtherProcesses(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
+                                     const Operations& operations, ReloadableState& state) {
   const hot_restart::ProxyLimits limits = ProxyLimitsOf(state.config);  // a reload does not change them
-  std::size_t last_peer_count = 0;
+  std::size_t last_other_count = 0;
   int last_process_count = 0;  // 0: not passed to the broker yet
   for (;; co_await loop.Sleep(kProcessRegistryInterval)) {
     const hot_restart::ConnectionUsage own = OwnUsage(operations, state);
     registry.Publish(own);
-    const hot_restart::PeerProcesses others = registry.ReadPeers();
+    const hot_restart::OtherProcesses others = registry.ReadOthers();
     const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
     state.server.set_max_connections(share.clients);
     state.engines.pool().set_max_connections(share.engines);
     const int process_count = hot_restart::ProcessCount(own, others);
     if (std::exchange(last_process_count, process_count) != process_count)
       state.broker.SetProcessCount(process_count);
-    if (std::exchange(last_peer_count, others.processes) == others.processes) continue;
+    if (std::exchange(last_other_count, others.processes) == others.processes) continue;
     spdlog::info(
         "{} other processes of this proxy live: at most {} connections to clients, {} to engines now",
-        last_peer_count, share.clients, share.engines);
+        last_other_count, share.clients, share.engines);
   }
 }
 
--- a/src/proxy/hot_restart.h
+++ b/src/proxy/hot_restart.h
@@ -29,7 +29,7 @@
 // Registers this process with the other processes of the proxy. Imports the manual ejections that these have
 // stored, unless they are part of a replicated configuration. Must be called before the first endpoint list
 // is applied. Returns null if $TMPDIR is not set.
-std::unique_ptr<hot_restart::ProcessRegistry> JoinPeerProcesses(
+std::unique_ptr<hot_restart::ProcessRegistry> JoinOtherProcesses(
     const operator_config::OperatorFile& operator_file, const settings::Site& site, Operations& operations,
     broker::Broker& broker);
 
@@ -41,8 +41,9 @@
 
 // Publishes this process's connection usage and adapts its limits to the usage of the other processes, until
 // the loop ends.
-runtime::Task<> ShareLimitsWithPeers(runtime::Loop& loop, const hot_restart::ProcessRegistry& registry,
-                                     const Operations& operations, ReloadableState& state);
+runtime::Task<> ShareLimitsWithOtherProcesses(runtime::Loop& loop,
+                                              const hot_restart::ProcessRegistry& registry,
+                                              const Operations& operations, ReloadableState& state);
 
 }  // namespace lemoncroft::proxy
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -125,7 +125,7 @@
   }
   loop.Spawn(AcceptOnceReady(loop, state.directory, state.endpoint_watch, state.server, operations));
   if (state.replicated_config_service == nullptr) loop.Spawn(operations.WatchEjectionStore());
-  if (registry != nullptr) loop.Spawn(ShareLimitsWithPeers(loop, *registry, operations, state));
+  if (registry != nullptr) loop.Spawn(ShareLimitsWithOtherProcesses(loop, *registry, operations, state));
 }
 
 // Returns null if the configuration has no address for operators.
@@ -198,7 +198,7 @@
   };
   Operations operations(loop, directory, broker, counters, on_endpoint_update);
   std::unique_ptr<hot_restart::ProcessRegistry> registry;
-  if (inherits_listener) registry = JoinPeerProcesses(operator_file, *active_settings, operations, broker);
+  if (inherits_listener) registry = JoinOtherProcesses(operator_file, *active_settings, operations, broker);
 
   std::unique_ptr<Fleet> fleet;
   std::unique_ptr<ReplicatedConfigService> service;
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -107,26 +107,26 @@
 TEST_F(HotRestart, ProcessRegistry_CountsLiveProcesses) {
   ProcessRegistry one(dir_);
   ASSERT_TRUE(one.registered());
-  EXPECT_EQ(one.ReadPeers().processes, 0u);
+  EXPECT_EQ(one.ReadOthers().processes, 0u);
   {
     const ProcessRegistry other(dir_);
     other.Publish({7, 9, 1});
-    EXPECT_EQ(one.ReadPeers().processes, 1u);
-    EXPECT_EQ(one.ReadPeers().usage.clients, 7u);
-    EXPECT_EQ(one.ReadPeers().usage.engines, 9u);
-    EXPECT_EQ(one.ReadPeers().usage.serving, 1u);
+    EXPECT_EQ(one.ReadOthers().processes, 1u);
+    EXPECT_EQ(one.ReadOthers().usage.clients, 7u);
+    EXPECT_EQ(one.ReadOthers().usage.engines, 9u);
+    EXPECT_EQ(one.ReadOthers().usage.serving, 1u);
     const ProcessRegistry third(dir_);
-    EXPECT_EQ(one.ReadPeers().processes, 2u);
-    EXPECT_EQ(third.ReadPeers().usage.clients, 7u);
+    EXPECT_EQ(one.ReadOthers().processes, 2u);
+    EXPECT_EQ(third.ReadOthers().usage.clients, 7u);
   }
-  EXPECT_EQ(one.ReadPeers().processes, 0u) << "the slots of ended processes must not count";
+  EXPECT_EQ(one.ReadOthers().processes, 0u) << "the slots of ended processes must not count";
 }
 
 TEST_F(HotRestart, ProcessRegistry_WithoutAFile_SeesNoProcess) {
   const ProcessRegistry registry(dir_ / "nowhere");
   EXPECT_FALSE(registry.registered());
   registry.Publish({1, 1});
-  EXPECT_EQ(registry.ReadPeers().processes, 0u);
+  EXPECT_EQ(registry.ReadOthers().processes, 0u);
 }
 
 }  // namespace
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -265,15 +265,15 @@
     lock.l_len = 1;
     ASSERT_EQ(::fcntl(other.get(), F_OFD_SETLK, &lock), 0);
     const hot_restart::ProcessRegistry registry(folder.path());
-    const hot_restart::PeerProcesses peers = registry.ReadPeers();
-    EXPECT_EQ(peers.processes, 1u);
-    EXPECT_EQ(peers.usage.clients, 5u);
-    EXPECT_EQ(peers.usage.engines, 1027u);
-    EXPECT_EQ(peers.usage.serving, 1u);
+    const hot_restart::OtherProcesses others = registry.ReadOthers();
+    EXPECT_EQ(others.processes, 1u);
+    EXPECT_EQ(others.usage.clients, 5u);
+    EXPECT_EQ(others.usage.engines, 1027u);
+    EXPECT_EQ(others.usage.serving, 1u);
     registry.Publish({1, 2, 0});
     EXPECT_EQ(Hex(BytesOf(path).substr(kSlotBytes)), "010000000200000000000000") << "the next slot";
   }
-  EXPECT_EQ(hot_restart::ProcessRegistry(folder.path()).ReadPeers().processes, 0u)
+  EXPECT_EQ(hot_restart::ProcessRegistry(folder.path()).ReadOthers().processes, 0u)
       << "no process holds a lock";
 }
 
