--- a/src/hot_restart/process_limits.cpp
+++ b/src/hot_restart/process_limits.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-int ProcessCount(const ConnectionUsage& own, const OtherProcesses& others) {
+int RateBudgetDivisor(const ConnectionUsage& own, const OtherProcesses& others) {
   return own.serving > 0 ? static_cast<int>(others.usage.serving) + 1 : 1;
 }
 
--- a/src/hot_restart/process_limits.h
+++ b/src/hot_restart/process_limits.h
@@ -38,7 +38,7 @@
 
 // Returns the number of processes between which rate budgets are divided: those that accept clients,
 // including this one. Returns 1 for a process that does not serve (starting or draining).
-[[nodiscard]] int ProcessCount(const ConnectionUsage& own, const OtherProcesses& others);
+[[nodiscard]] int RateBudgetDivisor(const ConnectionUsage& own, const OtherProcesses& others);
 
 // Returns the connections that this process may have open. A single process gets all of them. One of several
 // gets those that the others do not use, but at least a minimum; the limit for engines reserves descriptors
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -95,7 +95,7 @@
     const hot_restart::ProcessLimits share = DivideLimits(limits, own, others);
     state.server.set_max_connections(share.clients);
     state.engines.pool().set_max_connections(share.engines);
-    const int process_count = hot_restart::ProcessCount(own, others);
+    const int process_count = hot_restart::RateBudgetDivisor(own, others);
     if (std::exchange(last_process_count, process_count) != process_count)
       state.broker.SetProcessCount(process_count);
     if (std::exchange(last_other_count, others.processes) == others.processes) continue;
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -19,8 +19,8 @@
 using hot_restart::ConnectionUsage;
 using hot_restart::DivideLimits;
 using hot_restart::EjectionStore;
-using hot_restart::ProcessCount;
 using hot_restart::ProcessRegistry;
+using hot_restart::RateBudgetDivisor;
 
 class HotRestart : public testing::Test {
  public:
@@ -98,10 +98,10 @@
 
 TEST(ProcessLimits, RateBudgets_AreDividedBetweenServingProcesses) {
   const ConnectionUsage serving{1, 1, 1}, draining{1, 1, 0};
-  EXPECT_EQ(ProcessCount(serving, {}), 1);
-  EXPECT_EQ(ProcessCount(serving, {1, serving}), 2);
-  EXPECT_EQ(ProcessCount(serving, {1, draining}), 1) << "a draining process accepts no new clients";
-  EXPECT_EQ(ProcessCount(draining, {1, serving}), 1);
+  EXPECT_EQ(RateBudgetDivisor(serving, {}), 1);
+  EXPECT_EQ(RateBudgetDivisor(serving, {1, serving}), 2);
+  EXPECT_EQ(RateBudgetDivisor(serving, {1, draining}), 1) << "a draining process accepts no new clients";
+  EXPECT_EQ(RateBudgetDivisor(draining, {1, serving}), 1);
 }
 
 TEST_F(HotRestart, ProcessRegistry_CountsLiveProcesses) {
