--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -13,15 +13,15 @@
 
 }  // namespace
 
-void MembershipView::AdjustLocalHealth(int delta) {
+void MembershipView::AdjustLocalHealthScore(int delta) {
   if (settings_.safety_checks.local_health)
-    local_health_ = std::clamp(local_health_ + delta, 0, kMaxLocalHealth);
+    local_health_score_ = std::clamp(local_health_score_ + delta, 0, kMaxLocalHealthScore);
 }
 
 // Probes one confirmed member, as in SWIM, and up to kUnconfirmedProbesPerPeriod unconfirmed ones. Forged
 // members then neither delay the probes of confirmed members nor stay in the table for long.
 void MembershipView::StartNextProbes(Time now) {
-  next_probe_ = now + settings_.probe_interval * (1 + local_health_);
+  next_probe_ = now + settings_.probe_interval * (1 + local_health_score_);
   if (left_) return;
   if (const auto id = NextInRound(probe_round_, true)) StartProbe(now, *members_.Find(*id), std::nullopt);
   for (std::size_t i = 0; i < kUnconfirmedProbesPerPeriod; ++i)
@@ -54,8 +54,8 @@
   probe.target = member.record.id;
   probe.address = member.record.address;
   probe.incarnation = member.record.incarnation;
-  probe.indirect_at = now + Periods(kAckTimeoutPeriods * (1 + local_health_));
-  probe.deadline = now + settings_.probe_interval * (1 + local_health_);
+  probe.indirect_at = now + Periods(kAckTimeoutPeriods * (1 + local_health_score_));
+  probe.deadline = now + settings_.probe_interval * (1 + local_health_score_);
   probe.verifies_claim = claim.has_value();
   std::vector<MemberUpdate> leading_updates;
   if (claim) {
@@ -102,7 +102,7 @@
 
 void MembershipView::HandleProbeTimeout(Time now, const Probe& probe) {
   // Relaying members answer with an Ack or a Nack. If none did, this proxy itself may be unreachable.
-  if (probe.indirect_probes > 0 && probe.nacks == 0) AdjustLocalHealth(+1);
+  if (probe.indirect_probes > 0 && probe.nacks == 0) AdjustLocalHealthScore(+1);
   const Member* member = members_.Find(probe.target);
   if (member == nullptr || !member->is_live() || member->record.incarnation > probe.incarnation) return;
   ApplySuspect(now, probe.target, probe.incarnation, members_.self(), false);
@@ -149,7 +149,7 @@
       it != probes_.end() &&
       (it->second.target == ack.target || !settings_.safety_checks.ping_target_check)) {
     probes_.erase(it);
-    AdjustLocalHealth(-1);
+    AdjustLocalHealthScore(-1);
     return;
   }
   if (const auto it = relayed_probes_.find(ack.sequence);
--- a/src/gossip/member_state.cpp
+++ b/src/gossip/member_state.cpp
@@ -221,7 +221,7 @@
   changed.incarnation = incarnation + 1;
   members_.Replace(changed);
   broadcasts_.Push({Status::kAlive, changed, kNoInstance});
-  AdjustLocalHealth(+1);
+  AdjustLocalHealthScore(+1);
   EmitEvent(EventType::kRefutedOwn, changed);
 }
 
--- a/src/gossip/membership_view.cpp
+++ b/src/gossip/membership_view.cpp
@@ -85,7 +85,7 @@
   if (!settings_.safety_checks.pause_detection) return;
   const Duration lateness = now - expected_call_;
   if (lateness <= Periods(kPauseThresholdPeriods)) return;
-  AdjustLocalHealth(+1);
+  AdjustLocalHealthScore(+1);
   probes_.clear();
   relayed_probes_.clear();
   failure_claims_.clear();
--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -109,8 +109,8 @@
   // Names under which several instances have served for at least kNameConflictPeriods.
   std::vector<std::string> name_conflicts() const;
   // Lifeguard's local health; 0 is healthy. The probe interval and timeouts are multiplied by
-  // 1 + local_health().
-  int local_health() const { return local_health_; }
+  // 1 + local_health_score().
+  int local_health_score() const { return local_health_score_; }
   // The number of messages and updates that were well formed but not credible, or exceeded a limit.
   std::uint64_t rejected() const { return rejected_; }
   std::size_t queued_updates() const { return broadcasts_.size(); }
@@ -165,7 +165,7 @@
   void CheckProbeTimeouts(Time now);
   void HandleProbeTimeout(Time now, const Probe& probe);
   void VerifyFailureClaims(Time now);
-  void AdjustLocalHealth(int delta);
+  void AdjustLocalHealthScore(int delta);
   void Handle(Time now, const Datagram& d, const Ping& ping);
   void Handle(Time now, const Datagram& d, const PingRequest& request);
   void Handle(Time now, const Datagram& d, const Ack& ack);
@@ -229,7 +229,7 @@
   Time expected_call_;  // the latest time at which the next call was expected
   int call_depth_ = 0;  // nested public calls
   std::uint64_t period_count_ = 0;
-  int local_health_ = 0;
+  int local_health_score_ = 0;
   std::uint64_t rejected_ = 0;
   bool left_ = false;
   std::optional<Time> first_contact_;
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -45,7 +45,7 @@
 inline constexpr std::size_t kMaxProbes = 32;                  // pending at a time
 inline constexpr std::size_t kMaxRelayedProbes = 64;           // pending on behalf of other members
 inline constexpr std::size_t kUnconfirmedProbesPerPeriod = 3;  // of members without direct contact
-inline constexpr int kMaxLocalHealth = 8;
+inline constexpr int kMaxLocalHealthScore = 8;
 inline constexpr double kPauseThresholdPeriods = 1;  // a call that is later than this indicates a pause
 
 // ---- Suspicion ----
--- a/src/proxy/fleet.cpp
+++ b/src/proxy/fleet.cpp
@@ -108,7 +108,7 @@
           {"fleet.failed", view.members().failed().size()},
           {"fleet.serving", static_cast<std::uint64_t>(view.serving_rank().serving_count)},
           {"fleet.differing", view.diverged_count()},
-          {"fleet.health", static_cast<std::uint64_t>(view.local_health())},
+          {"fleet.health", static_cast<std::uint64_t>(view.local_health_score())},
           {"fleet.sent", link_metrics.sent},
           {"fleet.sent_bytes", link_metrics.sent_bytes},
           {"fleet.unsent", link_metrics.send_failures},
--- a/src/proxy/fleet_state.cpp
+++ b/src/proxy/fleet_state.cpp
@@ -111,7 +111,7 @@
                       {"failed", table.failed().size()},
                       {"serving", serving_rank.serving_count},
                       {"place", serving_rank.rank},
-                      {"health", view.local_health()},
+                      {"health", view.local_health_score()},
                       {"views_differ", view.diverged_count()},
                       {"turn_us_p99", link.turn_durations().Percentile(0.99)},
                       {"contested", view.name_conflicts()},
