--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -108,8 +108,9 @@
   ServingRank serving_rank() const;
   // Names under which several instances have served for at least kNameConflictPeriods.
   std::vector<std::string> name_conflicts() const;
-  // Lifeguard's local health; 0 is healthy. The probe interval and timeouts are multiplied by
-  // 1 + local_health_score().
+  // Lifeguard's measure of this proxy's own health: 0 is healthy, a higher value is worse. The interval of
+  // this proxy's probes and both of their timeouts, for the Ack and for the complete probe, are multiplied by
+  // 1 + local_health_score(); no other timeout is.
   int local_health_score() const { return local_health_score_; }
   // The number of messages and updates that were well formed but not credible, or exceeded a limit.
   std::uint64_t rejected() const { return rejected_; }
@@ -175,8 +176,8 @@
 
   // ---- Member state (member_state.cpp) ----
   //
-  // `direct`: the record came from the member itself. `bulk`: the update is part of a large state sync,
-  // whose entries are not gossiped further.
+  // `direct`: the record came from the member itself. `bulk`: the update is part of a large state sync, of
+  // which failures and leaves are gossiped further, but alive and suspect entries are not.
 
   void ApplyUpdate(Time now, const MemberUpdate& update, bool bulk);
   void ApplyAlive(Time now, const MemberRecord& record, bool direct, bool bulk);
--- a/src/gossip/state_sync.cpp
+++ b/src/gossip/state_sync.cpp
@@ -9,8 +9,9 @@
 namespace lemoncroft::gossip {
 namespace {
 
-constexpr std::size_t kMaxRebroadcastEntries = 64;  // the entries of a larger sync are not gossiped further
-constexpr std::size_t kMaxSyncEntries = 8192;       // in one message
+// Alive and suspect entries of a larger sync are not gossiped further.
+constexpr std::size_t kMaxRebroadcastEntries = 64;
+constexpr std::size_t kMaxSyncEntries = 8192;  // in one message
 
 }  // namespace
 
