--- a/src/codec/kdl.cpp
+++ b/src/codec/kdl.cpp
@@ -386,8 +386,8 @@
   void SkipLineContinuation() {
     input_.Next();
     while (IsKdlSpace(input_.Peek()) || input_.Skip(U"/*")) {
-      // White space directly after "/*" is taken for white space of the continuation, which makes such a
-      // comment an error.
+      // Deviation from KDL: white space directly after "/*" is consumed as part of the continuation, so the
+      // comment is not recognised.
       if (IsKdlSpace(input_.Peek())) {
         input_.Next();
       } else {
--- a/src/codec/kdl.h
+++ b/src/codec/kdl.h
@@ -1,7 +1,8 @@
 // Parses KDL 2.0, the document language of the operator's file, into a tree of nodes.
 //
-// The parser supports the complete language: type annotations; bare, quoted, raw and multi-line strings;
-// numbers in four bases; keywords; slashdash and nested comments; line continuations. The text must be UTF-8.
+// The parser supports type annotations; bare, quoted, raw and multi-line strings; numbers in four bases;
+// keywords; slashdash and nested comments; and line continuations. This is the complete language, except that
+// a block comment within a line continuation must not begin with white space. The text must be UTF-8.
 // Every node and value has its position in the text, so that callers can report semantic errors with it.
 //
 // The parser performs no I/O, keeps no state between calls and reports errors as KdlError. Callers are
--- a/src/codec/msgpack_reader.h
+++ b/src/codec/msgpack_reader.h
@@ -57,8 +57,8 @@
   const msgpack::object* end_;
 };
 
-// The largest sizes that are unpacked. `text` limits elements of type str, and `bytes` limits elements of
-// type bin.
+// The largest sizes that are unpacked: `list` limits the elements of an array, `text` the bytes of a str,
+// `bytes` the bytes of a bin, and `depth` the nesting.
 struct MsgpackLimits {
   std::size_t list = 16384, text = 256, bytes = 0, depth = 8;
 };
--- a/src/codec/statement.cpp
+++ b/src/codec/statement.cpp
@@ -18,7 +18,7 @@
 // An identifier in a statement.
 struct Identifier {
   std::string_view text;      // without quotes
-  bool is_qualifier = false;  // a dot follows, as after a schema
+  bool is_qualifier = false;  // a dot follows, as after the name of a schema
 };
 
 // Scans the identifiers of a statement and skips strings and comments.
@@ -92,7 +92,8 @@
   std::size_t position_ = 0;
 };
 
-// Returns the table group in the name of a schema, or nullopt if it has none.
+// Returns the number in a schema's name of the form NAME_NUMBER, or nullopt if the name has another form or
+// NAME is kSchemaWithoutGroup.
 std::optional<std::uint32_t> ParseTableGroup(std::string_view schema) {
   const std::size_t underscore = schema.rfind('_');
   if (underscore == std::string_view::npos || underscore == 0) return std::nullopt;
--- a/src/codec/statement.h
+++ b/src/codec/statement.h
@@ -7,8 +7,8 @@
 
 namespace lemoncroft::codec {
 
-// Returns the number after the last underscore in the name of the first schema that has one (17 in
-// sales_17.orders), or 0 if no schema has one. Strings, comments and the schema `staging` are ignored.
+// Returns the number in the first qualifier (an identifier before a dot) of the form NAME_NUMBER: 17 for
+// sales_17.orders. Returns 0 if there is none. Qualifiers staging_NUMBER, strings and comments are ignored.
 std::uint32_t TableGroup(std::string_view statement);
 
 }  // namespace lemoncroft::codec
