--- a/src/hot_restart/ejection_store.h
+++ b/src/hot_restart/ejection_store.h
@@ -1,4 +1,4 @@
-// Stores the engines that an operator has ejected as files in $TMPDIR. The files outlive a process and are
+// Stores, as files in $TMPDIR, which engines an operator has ejected. The files outlive a process and are
 // shared by the processes that replace each other in a hot restart.
 //
 // Each engine has one file per state. The files are empty, and each is created or removed in one step, so
@@ -7,7 +7,7 @@
 // version of this format, which is shared with other versions of the program. Calls block for the time of a
 // few local file operations. A store is used by one thread; several processes may use the same folder. Times
 // are Unix time. A change that cannot be written takes effect in this process only. If the folder cannot be
-// read, Read returns nullopt, and the state read before stays valid.
+// read or does not exist yet, Read returns nullopt, and the state read before stays valid.
 #ifndef LEMONCROFT_HOT_RESTART_EJECTION_STORE_H_
 #define LEMONCROFT_HOT_RESTART_EJECTION_STORE_H_
 
@@ -35,12 +35,13 @@
 
   explicit EjectionStore(const std::filesystem::path& tmpdir) : folder_(tmpdir / "lemoncroft-hand-1") {}
 
-  // Store that the engine was ejected or returned to service now. The modification time of a file is the time
-  // of the return. Return false if the change could not be stored.
+  // Store that the engine was ejected or returned to service now. The modification time of a return's file is
+  // the time of the return. Return false if the change could not be stored.
   [[nodiscard]] bool SaveEjection(const std::string& engine_id) const;
   [[nodiscard]] bool SaveReturn(const std::string& engine_id) const;
 
-  // Reads the complete store. Returns nullopt if the folder cannot be read completely.
+  // Reads the complete store. Returns nullopt if the folder does not exist yet, has more than kMaxFiles files
+  // or cannot be read completely.
   [[nodiscard]] std::optional<ManualEjections> Read() const;
 
   // Returns true if the store may have changed since the last call. Costs one stat call.
--- a/src/hot_restart/process_limits.h
+++ b/src/hot_restart/process_limits.h
@@ -14,7 +14,8 @@
 struct ConnectionUsage {
   std::uint32_t clients = 0;  // connections of clients
   std::uint32_t engines = 0;  // connections to engines
-  std::uint32_t serving = 0;  // 1: accepts clients; 0: starting or draining
+  // 1: accepts clients; 0: starting or draining. In a sum, the number of processes that accept clients.
+  std::uint32_t serving = 0;
 };
 
 // The other live processes of this proxy.
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -5,8 +5,8 @@
 // connection pool and the watch of the control feed. The class is not thread-safe; it is used on the event
 // loop's thread.
 //
-// Errors are runtime::Io values. kClosed is also returned for a response that can't be parsed, after which
-// the connection is not reusable, and for a request whose head can't be written.
+// Errors are runtime::IoResult values. kClosed is also returned for a response that can't be parsed, after
+// which the connection is not reusable, and for a request whose head can't be written.
 #ifndef LEMONCROFT_HTTP_CONNECTION_H_
 #define LEMONCROFT_HTTP_CONNECTION_H_
 
--- a/src/peer_transport/frame.cpp
+++ b/src/peer_transport/frame.cpp
@@ -20,6 +20,7 @@
 static_assert(gossip::kMaxSyncBytes + (std::size_t{16} << 10) < kMaxStreamMessageBytes,
               "a stream message needs space for the sender and the bucket sums");
 
+// Limits on the elements of an array, the bytes of a text, the bytes of binary data, and the nesting.
 constexpr codec::MsgpackLimits kMsgpackLimits{16384, 256, kMaxStreamMessageBytes, 8};
 
 // Message kinds. The values are part of the wire format and must not change.
--- a/src/peer_transport/frame.h
+++ b/src/peer_transport/frame.h
@@ -41,7 +41,7 @@
 enum class Subsystem : std::uint8_t {
   kReplicatedConfig = 0,  // messages of the replicated configuration
   kOperatorCall = 1,      // a call of an operator; the response is sent on the same stream
-  kEndpointLists = 2,     // endpoint lists
+  kEndpointLists = 2,     // reserved; no proxy sends it
 };
 // A message of a subsystem, opaque to this layer.
 struct AppMessage {
--- a/src/peer_transport/link.cpp
+++ b/src/peer_transport/link.cpp
@@ -37,7 +37,8 @@
   std::size_t index = 0;
 };
 
-// Binds the first address that is free for both sockets. Another process of this proxy may use one.
+// Binds the first address that is free for both sockets. Other processes of this proxy may use the earlier
+// ones.
 BoundSockets Bind(runtime::Loop& loop, const std::vector<gossip::PeerAddress>& listen) {
   for (std::size_t i = 0;; ++i) {
     try {
@@ -201,7 +202,8 @@
   std::string frame;
   while (frame.size() < size)
     if (co_await socket.Read(frame, size - frame.size(), deadline) != IoResult::kOk) {
-      // The error metrics have always counted a frame that ends after exactly this many bytes as too long.
+      // Kept for compatibility of the error metrics: a frame of which exactly four bytes were read counts as
+      // too long.
       const bool counts_as_too_long = frame.size() == kLengthBytes;
       co_return tl::make_unexpected(counts_as_too_long ? StreamError::kFrameTooLong : StreamError::kClosed);
     }
--- a/src/peer_transport/link.h
+++ b/src/peer_transport/link.h
@@ -26,15 +26,17 @@
 struct LinkOptions {
   std::string fleet;
   std::string name, zone;
-  // Of equal size. The first free address of `listen` is bound; `advertise` has the announced one at its
-  // index.
+  // Of equal size. The first free address of `listen` is bound. advertise[i] is announced when listen[i] is
+  // bound.
   std::vector<gossip::PeerAddress> listen, advertise;
   gossip::Settings membership;
 };
 
 // Counters since the start.
 struct LinkMetrics {
-  std::uint64_t sent = 0, sent_bytes = 0, send_failures = 0;  // datagrams
+  // Gossip datagrams, without application messages.
+  std::uint64_t sent = 0, sent_bytes = 0, send_failures = 0;
+  // Datagrams of any content, and the state syncs that this proxy initiated, by their outcome.
   std::uint64_t received = 0, syncs = 0, syncs_failed = 0;
   std::uint64_t sync_bytes = 0;                              // sent as initiator and as responder
   std::uint64_t app_messages = 0, app_messages_dropped = 0;  // passed to Send(); of these, not sent
@@ -60,8 +62,10 @@
 
 // The reason for which no frame was read from a stream.
 enum class StreamError : std::uint8_t {
-  kClosed,        // the stream ended or failed, or the deadline passed
-  kFrameTooLong,  // the frame's length exceeds kMaxStreamMessageBytes
+  kClosed,  // the stream ended or failed, or the deadline passed
+  // The frame's length exceeds kMaxStreamMessageBytes. For compatibility of the error metrics, this is also
+  // the error if reading stops after exactly four bytes of the frame.
+  kFrameTooLong,
 };
 
 // The reason for which a call to a peer has no response.
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -31,11 +31,13 @@
   kTimeout,    // the deadline has passed
   kCancelled,  // the Cancellation was cancelled
   kRefused,    // no process listens at the address
+  // The process or the system lacks descriptors or memory (EMFILE, ENFILE, ENOMEM, ENOBUFS), socket() failed
+  // for any reason, or epoll cannot watch the descriptor.
   kNoDescriptors,
 };
 
-// One connection, which is closed when the socket is destroyed. See lingering_close.h for a close that
-// ensures that the last bytes arrive.
+// One connection, which is closed when the socket is destroyed. See lingering_close.h for a close that gives
+// the last bytes time to arrive.
 class Socket {
  public:
   // Throws std::system_error if the loop can't watch the descriptor.
@@ -67,8 +69,8 @@
   Descriptor fd_;
 };
 
-// Opens a connection to `to`. `out` is set only on kOk; kClosed means that the address is unreachable.
-// `from`: the local host to connect from, at any of its ports.
+// Opens a connection to `to`. `out` is set only on kOk; kClosed means that `to` is unreachable or that `from`
+// cannot be bound. `from`: the local host to connect from, at any of its ports.
 Task<IoResult> Connect(Loop& loop, Address to, Time deadline, Cancellation* cancel,
                        std::unique_ptr<Socket>& out, std::optional<Address> from = std::nullopt);
 
@@ -83,8 +85,7 @@
   Listener(Loop& loop, const Address& address);  // throws std::system_error
   Listener(Loop& loop, Descriptor listening);    // a non-blocking socket, as from AdoptListeningSocket()
   ~Listener();
-  // Waits for a connection. Returns kOk, kCancelled, or kNoDescriptors if the process or the system has no
-  // descriptors left.
+  // Waits for a connection. Returns kOk, kCancelled or kNoDescriptors.
   Task<IoResult> Accept(std::unique_ptr<Socket>& out, Cancellation* cancel = nullptr);
   Address address() const;  // as bound
 
--- a/src/storage/database.h
+++ b/src/storage/database.h
@@ -2,8 +2,8 @@
 //
 // Calls block on the disk and therefore belong on a dedicated thread. A batch whose Write succeeded survives
 // any crash; a batch that a crash interrupts is applied completely or not at all. Every record and log entry
-// has a checksum of its name and value. If a checksum does not match, Open fails with kDamaged and returns no
-// contents. No call terminates the process.
+// has a checksum of its name and value. If a checksum does not match or a log entry is missing between two
+// others, Open fails with kDamaged and returns no contents. No call terminates the process.
 //
 // A Database is used by one thread, and a store is open in one process at a time; a second process gets
 // kLocked. Sizes are in bytes, and log indices start at 1. Errors are reported as StoreError. The store uses
@@ -28,8 +28,11 @@
   kNone,
   kLocked,   // another process has the store open
   kForeign,  // the store has another owner or format version, or the file is not a store
-  kDamaged,  // a checksum does not match, or SQLite reports corruption
-  kFailed,   // the disk is full, read-only or failing, or a limit of this header was exceeded
+  kDamaged,  // a checksum does not match, the log has a gap, or SQLite reports corruption
+  // Any other error of SQLite, such as a full, read-only or failing disk; a batch that exceeds a limit of
+  // this header, or has a record without a name or a log entry without an index; a store that is not open;
+  // or, from a Worker, a batch after one that failed.
+  kFailed,
 };
 // Returns the name of a code for log lines and status pages.
 const char* NameOf(StoreErrorCode code);
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-// State that the Worker and its thread share. `mutex` guards all members except the last three.
+// State that the Worker and its thread share.
 struct Worker::Shared {
   struct Request {
     bool is_open = false;  // true for Open, false for Write
@@ -36,12 +36,13 @@
   std::mutex mutex;
   std::condition_variable request_available;
   std::condition_variable thread_ended;
-  std::deque<Request> requests;
-  std::deque<Completion> completions;
-  bool stopping = false;
-  bool closed = false;
-  runtime::Descriptor completion_event;  // an eventfd, readable while completions wait
-
+  std::deque<Request> requests;        // guarded by `mutex`
+  std::deque<Completion> completions;  // guarded by `mutex`
+  bool stopping = false;               // guarded by `mutex`
+  bool closed = false;                 // guarded by `mutex`
+  // An eventfd, readable while completions wait. Set before the thread starts and not changed after that;
+  // reads and writes of it are guarded by `mutex`.
+  runtime::Descriptor completion_event;
   const std::string path;
   // Used only by the thread.
   Database database;
--- a/src/storage/worker.h
+++ b/src/storage/worker.h
@@ -1,10 +1,10 @@
 // Runs a Database on a dedicated thread for an owner on the event loop, so that no disk operation blocks the
 // loop.
 //
-// Batches are written in the order of the calls, and NextCompletion reports each one once, in the same order.
-// The queue is bounded: Write rejects a batch if the queue is full. After a batch fails, later batches fail
-// without being written until Open succeeds, because a later batch must not be durable when an earlier one is
-// not.
+// Batches are written in the order of the calls, and NextCompletion reports each one once, in the same order,
+// except those that Open drops. The queue is bounded: Write rejects a batch if the queue is full. After a
+// batch fails, later batches fail without being written until Open succeeds, because a later batch must not
+// be durable when an earlier one is not.
 //
 // A Worker is owned by one object on the loop. The destructor waits at most kCloseTimeout for the thread; a
 // thread that a slow disk blocks for longer ends by itself. Errors are reported as StoreError. See
