--- a/src/gossip/membership_view.h
+++ b/src/gossip/membership_view.h
@@ -108,9 +108,10 @@
   ServingRank serving_rank() const;
   // Names under which several instances have served for at least kNameConflictPeriods.
   std::vector<std::string> name_conflicts() const;
-  // Lifeguard's local health; 0 is healthy. The probe interval and timeouts are multiplied by
-  // 1 + local_health().
-  int local_health() const { return local_health_; }
+  // Lifeguard's measure of this proxy's own health: 0 is healthy, a higher value is worse. The interval of
+  // this proxy's probes and both of their timeouts, for the Ack and for the complete probe, are multiplied by
+  // 1 + local_health_score(); no other timeout is.
+  int local_health_score() const { return local_health_score_; }
   // The number of messages and updates that were well formed but not credible, or exceeded a limit.
   std::uint64_t rejected() const { return rejected_; }
   std::size_t queued_updates() const { return broadcasts_.size(); }
@@ -165,7 +166,7 @@
   void CheckProbeTimeouts(Time now);
   void HandleProbeTimeout(Time now, const Probe& probe);
   void VerifyFailureClaims(Time now);
-  void AdjustLocalHealth(int delta);
+  void AdjustLocalHealthScore(int delta);
   void Handle(Time now, const Datagram& d, const Ping& ping);
   void Handle(Time now, const Datagram& d, const PingRequest& request);
   void Handle(Time now, const Datagram& d, const Ack& ack);
@@ -175,8 +176,8 @@
 
   // ---- Member state (member_state.cpp) ----
   //
-  // `direct`: the record came from the member itself. `bulk`: the update is part of a large state sync,
-  // whose entries are not gossiped further.
+  // `direct`: the record came from the member itself. `bulk`: the update is part of a large state sync, of
+  // which failures and leaves are gossiped further, but alive and suspect entries are not.
 
   void ApplyUpdate(Time now, const MemberUpdate& update, bool bulk);
   void ApplyAlive(Time now, const MemberRecord& record, bool direct, bool bulk);
@@ -229,7 +230,7 @@
   Time expected_call_;  // the latest time at which the next call was expected
   int call_depth_ = 0;  // nested public calls
   std::uint64_t period_count_ = 0;
-  int local_health_ = 0;
+  int local_health_score_ = 0;
   std::uint64_t rejected_ = 0;
   bool left_ = false;
   std::optional<Time> first_contact_;
--- a/src/hot_restart/process_limits.h
+++ b/src/hot_restart/process_limits.h
@@ -14,11 +14,12 @@
 struct ConnectionUsage {
   std::uint32_t clients = 0;  // connections of clients
   std::uint32_t engines = 0;  // connections to engines
-  std::uint32_t serving = 0;  // 1: accepts clients; 0: starting or draining
+  // 1: accepts clients; 0: starting or draining. In a sum, the number of processes that accept clients.
+  std::uint32_t serving = 0;
 };
 
 // The other live processes of this proxy.
-struct PeerProcesses {
+struct OtherProcesses {
   std::size_t processes = 0;
   ConnectionUsage usage;  // summed over them
 };
@@ -38,13 +39,13 @@
 
 // Returns the number of processes between which rate budgets are divided: those that accept clients,
 // including this one. Returns 1 for a process that does not serve (starting or draining).
-[[nodiscard]] int ProcessCount(const ConnectionUsage& own, const PeerProcesses& others);
+[[nodiscard]] int RateBudgetDivisor(const ConnectionUsage& own, const OtherProcesses& others);
 
 // Returns the connections that this process may have open. A single process gets all of them. One of several
 // gets those that the others do not use, but at least a minimum; the limit for engines reserves descriptors
 // for clients that may still connect.
 [[nodiscard]] ProcessLimits DivideLimits(const ProxyLimits& limits, const ConnectionUsage& own,
-                                         const PeerProcesses& others);
+                                         const OtherProcesses& others);
 
 }  // namespace lemoncroft::hot_restart
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -19,8 +19,8 @@
 using hot_restart::ConnectionUsage;
 using hot_restart::DivideLimits;
 using hot_restart::EjectionStore;
-using hot_restart::ProcessCount;
 using hot_restart::ProcessRegistry;
+using hot_restart::RateBudgetDivisor;
 
 class HotRestart : public testing::Test {
  public:
@@ -98,35 +98,35 @@
 
 TEST(ProcessLimits, RateBudgets_AreDividedBetweenServingProcesses) {
   const ConnectionUsage serving{1, 1, 1}, draining{1, 1, 0};
-  EXPECT_EQ(ProcessCount(serving, {}), 1);
-  EXPECT_EQ(ProcessCount(serving, {1, serving}), 2);
-  EXPECT_EQ(ProcessCount(serving, {1, draining}), 1) << "a draining process accepts no new clients";
-  EXPECT_EQ(ProcessCount(draining, {1, serving}), 1);
+  EXPECT_EQ(RateBudgetDivisor(serving, {}), 1);
+  EXPECT_EQ(RateBudgetDivisor(serving, {1, serving}), 2);
+  EXPECT_EQ(RateBudgetDivisor(serving, {1, draining}), 1) << "a draining process accepts no new clients";
+  EXPECT_EQ(RateBudgetDivisor(draining, {1, serving}), 1);
 }
 
 TEST_F(HotRestart, ProcessRegistry_CountsLiveProcesses) {
   ProcessRegistry one(dir_);
   ASSERT_TRUE(one.registered());
-  EXPECT_EQ(one.ReadPeers().processes, 0u);
+  EXPECT_EQ(one.ReadOthers().processes, 0u);
   {
     const ProcessRegistry other(dir_);
     other.Publish({7, 9, 1});
-    EXPECT_EQ(one.ReadPeers().processes, 1u);
-    EXPECT_EQ(one.ReadPeers().usage.clients, 7u);
-    EXPECT_EQ(one.ReadPeers().usage.engines, 9u);
-    EXPECT_EQ(one.ReadPeers().usage.serving, 1u);
+    EXPECT_EQ(one.ReadOthers().processes, 1u);
+    EXPECT_EQ(one.ReadOthers().usage.clients, 7u);
+    EXPECT_EQ(one.ReadOthers().usage.engines, 9u);
+    EXPECT_EQ(one.ReadOthers().usage.serving, 1u);
     const ProcessRegistry third(dir_);
-    EXPECT_EQ(one.ReadPeers().processes, 2u);
-    EXPECT_EQ(third.ReadPeers().usage.clients, 7u);
+    EXPECT_EQ(one.ReadOthers().processes, 2u);
+    EXPECT_EQ(third.ReadOthers().usage.clients, 7u);
   }
-  EXPECT_EQ(one.ReadPeers().processes, 0u) << "the slots of ended processes must not count";
+  EXPECT_EQ(one.ReadOthers().processes, 0u) << "the slots of ended processes must not count";
 }
 
 TEST_F(HotRestart, ProcessRegistry_WithoutAFile_SeesNoProcess) {
   const ProcessRegistry registry(dir_ / "nowhere");
   EXPECT_FALSE(registry.registered());
   registry.Publish({1, 1});
-  EXPECT_EQ(registry.ReadPeers().processes, 0u);
+  EXPECT_EQ(registry.ReadOthers().processes, 0u);
 }
 
 }  // namespace
