--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -113,7 +113,7 @@
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
   // For each class, the number of the former class whose estimates it starts with; -1 = none.
-  std::vector<int> inherits_estimates_from;
+  std::vector<int> former_class;
 };
 
 // The number of processes that act for this gateway: several during a hot restart. Budgets of the gateway as
--- a/src/admission_queue/admission_queue.cpp
+++ b/src/admission_queue/admission_queue.cpp
@@ -163,7 +163,7 @@
   if (!ended) return;
   next_step_ = std::min(next_step_, now);
   const auto it = requests_.find(id);
-  if (it == requests_.end()) tenants_[ended->tenant].threads -= ended->threads;
+  if (it == requests_.end()) tenants_[ended->tenant].reserved_threads -= ended->threads;
   if (it != requests_.end()) --it->second.running_attempts;
   if (it == requests_.end() || reported_work <= Work::zero()) return;
   const Request& r = it->second;
@@ -180,7 +180,7 @@
   if (!r.dispatched) RemoveFromQueue(r);
   if (r.dispatched && !r.started) RemoveFromDispatched(id, r);
   if (r.dispatched)
-    tenants_[r.tenant].threads += (r.running_attempts - 1) * settings_.classes[r.class_id].threads;
+    tenants_[r.tenant].reserved_threads += (r.running_attempts - 1) * settings_.classes[r.class_id].threads;
   if (r.dispatched) threads_by_lane_[LaneOf(r.class_id)] -= settings_.classes[r.class_id].threads;
   if (r.charged > Work::zero()) ledger_.Charge(r.tenant, -r.charged);  // it never started
   requests_.erase(it);
@@ -208,7 +208,7 @@
 void AdmissionQueue::RunPeriodicUpdate(Time now) {
   const Duration window = now - last_update_;
   last_update_ = now;
-  running_.ChargeOverruns(now);
+  running_.ChargeWorkDone(now);
   const double cores = AvailableCores();
   for (LaneState& lane : lanes_) {
     lane.rate_meter.EndWindow(window, lane.had_waiting, fleet_cores_ > 0 ? cores : 0);
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -50,7 +50,7 @@
   struct SubmitResult {
     std::optional<Reject> rejected;
     WaitEstimate estimate;
-    Time dispatch_deadline{};  // the request is dispatched or rejected by this time
+    Time latest_start{};  // the request is dispatched or rejected by this time
   };
   // Queues a request or rejects it. After a rejection, the id of the request is unknown to the queue. The id
   // must not be in use by an open request.
@@ -82,7 +82,7 @@
     double cores = 0;            // this proxy's share of the budget
     double charged_seconds = 0;  // core-seconds, in total
     double start_tag = 0;        // seconds
-    int threads = 0;
+    int running_threads = 0;     // of running attempts
     std::size_t waiting = 0;
     Work waiting_work{};
     Duration longest_wait{};  // greatest estimate for a new request of any class
@@ -93,7 +93,7 @@
     double fleet_cores = 0, scale = 1;       // scale: factor applied to all budgets, at most 1
     std::array<double, 2> dispatch_rate{};   // core-seconds per second, heavy and light
     std::array<double, 2> estimate_error{};  // mean error of the logarithm of the wait, heavy and light
-    std::size_t waiting = 0, dispatched = 0, running = 0;
+    std::size_t waiting = 0, dispatched_not_started = 0, running = 0;
     int overrun_threads = 0;
   };
   // Returns a summary for the state file.
@@ -123,7 +123,8 @@
     std::vector<RateEstimator> arrival_rates;  // core-seconds per second, by class
     std::array<Work, kLanes> waiting_work{};
     std::array<std::size_t, kLanes> waiting_count{};
-    int threads = 0;  // reserved by dispatched requests, or used by attempts that outlive their request
+    int reserved_threads =
+        0;  // reserved by dispatched requests, or used by attempts that outlive their request
     std::uint64_t submitted = 0, dispatched = 0, rejected = 0;
     std::size_t size() const { return waiting_count[0] + waiting_count[1]; }
   };
--- a/src/admission_queue/dispatch.cpp
+++ b/src/admission_queue/dispatch.cpp
@@ -51,8 +51,8 @@
 // A request reserves its threads from dispatch to completion, also between two attempts, so that they are
 // available to a retry. Attempts that outlive their request occupy their threads until they end.
 bool AdmissionQueue::HasThreads(TenantId t, ClassId class_id) const {
-  if (tenants_[t].threads == 0) return true;  // a request that needs more may run alone
-  return ledger_.WithinThreadCap(t, tenants_[t].threads + settings_.classes[class_id].threads);
+  if (tenants_[t].reserved_threads == 0) return true;  // a request that needs more may run alone
+  return ledger_.WithinThreadCap(t, tenants_[t].reserved_threads + settings_.classes[class_id].threads);
 }
 
 std::optional<TenantId> AdmissionQueue::NextTenant(Lane lane) const {
@@ -101,7 +101,7 @@
   r.charged = r.work;
   ledger_.Charge(r.tenant, r.work);
   ++tenant.dispatched;
-  tenant.threads += settings_.classes[class_id].threads;
+  tenant.reserved_threads += settings_.classes[class_id].threads;
   state.dispatched.push_back(id);
   threads_by_lane_[lane] += settings_.classes[class_id].threads;
   if (lane == kHeavy) {
--- a/src/admission_queue/fair_share_ledger.cpp
+++ b/src/admission_queue/fair_share_ledger.cpp
@@ -8,7 +8,7 @@
 namespace {
 // A tenant may always be this far ahead: a heavy request is charged in full when it is dispatched, and must
 // not delay the light requests of the same tenant.
-constexpr double kMinLead = 1.0;  // seconds
+constexpr double kMinMaxLead = 1.0;  // seconds
 }  // namespace
 
 double FairShareLedger::Configure(const std::vector<TenantBudget>& tenants, double budget_share,
@@ -67,7 +67,9 @@
   return account.max_threads == 0 || threads <= account.max_threads;
 }
 
-double FairShareLedger::MaxLead(TenantId tenant) const { return std::max(kMinLead, accounts_[tenant].burst); }
+double FairShareLedger::MaxLead(TenantId tenant) const {
+  return std::max(kMinMaxLead, accounts_[tenant].burst);
+}
 
 bool FairShareLedger::WithinMaxLead(TenantId tenant) const {
   return accounts_[tenant].start_tag <= virtual_time_ + MaxLead(tenant);
--- a/src/admission_queue/running_attempts.cpp
+++ b/src/admission_queue/running_attempts.cpp
@@ -44,7 +44,7 @@
   return ended;
 }
 
-void RunningAttempts::ChargeOverruns(Time now) {
+void RunningAttempts::ChargeWorkDone(Time now) {
   for (auto& [key, a] : attempts_) {
     const Work work_done = EstimatedWorkDone(a, now);
     if (work_done > a.start.charged) {
--- a/src/admission_queue/running_attempts.h
+++ b/src/admission_queue/running_attempts.h
@@ -41,7 +41,7 @@
   std::optional<Start> End(RequestId id, int attempt, Work reported_work, bool may_have_run, Time now);
 
   // Charges running attempts for work beyond their charge. Called once per update interval.
-  void ChargeOverruns(Time now);
+  void ChargeWorkDone(Time now);
 
   // Returns the expected time until the first of a tenant's attempts ends, or zero if no attempt is running.
   // An attempt past its expected run time is assumed to run for another half of the time that it has run so
--- a/src/admission_queue/state.cpp
+++ b/src/admission_queue/state.cpp
@@ -17,7 +17,7 @@
   for (const Lane lane : {kHeavy, kLight}) {
     state.dispatch_rate[lane] = lanes_[lane].rate_meter.PerSecond(AvailableCores());
     state.estimate_error[lane] = lanes_[lane].accuracy.mean_error();
-    state.dispatched += lanes_[lane].dispatched.size();
+    state.dispatched_not_started += lanes_[lane].dispatched.size();
   }
   for (TenantId t = 0; t < tenants_.size(); ++t) {
     const TenantQueue& tenant = tenants_[t];
@@ -27,7 +27,7 @@
     summary.cores = account.cores;
     summary.charged_seconds = Seconds(account.charged);
     summary.start_tag = account.start_tag;
-    summary.threads = account.threads;
+    summary.running_threads = account.threads;
     summary.waiting = tenant.size();
     summary.waiting_work = tenant.waiting_work[kHeavy] + tenant.waiting_work[kLight];
     for (ClassId k = 0; k < tenant.class_queues.size() && account.cores > 0; ++k) {
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -38,12 +38,11 @@
   module_host_.Post(std::move(list));
 }
 
-void Broker::ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests) {
+void Broker::ApplySettings(std::vector<int> former_class, std::size_t max_requests) {
   limits_.max_requests = max_requests;
   const auto site = site_.snapshot();
   if (queue_) queue_->set_kinds(site->module.kinds);
-  module_host_.ApplySettings(
-      {std::shared_ptr<const Settings>(site, &site->module), std::move(inherits_estimates_from)});
+  module_host_.ApplySettings({std::shared_ptr<const Settings>(site, &site->module), std::move(former_class)});
 }
 
 void Broker::SetFleetSize(int proxy_count, int proxy_index) {
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -70,9 +70,9 @@
 
   // Applies a new endpoint list or a change to it.
   void UpdateEndpoints(EngineList list);
-  // Applies the active settings after a change. `inherits_estimates_from` has the same meaning as in
+  // Applies the active settings after a change. `former_class` has the same meaning as in
   // SettingsChanged; `max_requests` replaces Limits::max_requests.
-  void ApplySettings(std::vector<int> inherits_estimates_from, std::size_t max_requests);
+  void ApplySettings(std::vector<int> former_class, std::size_t max_requests);
   // Sets the number of processes that share this proxy's budgets during a hot restart.
   void SetProcessCount(int process_count) { module_host_.Post(ProcessCount{process_count}); }
   // Sets the number of serving proxies, and the 0-based index of this proxy among them.
--- a/src/decision/constants.h
+++ b/src/decision/constants.h
@@ -38,10 +38,10 @@
 
 // ---- Weights in moving means ----
 
-inline constexpr double kFastWeight = 0.1;    // for latency ratios and reported load
-inline constexpr double kSlowWeight = 0.03;   // for the mix of running requests, per second run
-inline constexpr double kMaxMixWeight = 0.3;  // for the mix of running requests, at most
-inline constexpr double kHungWeight = 0.02;   // for an engine's share of hung light attempts
+inline constexpr double kFastWeight = 0.1;           // for latency ratios and reported load
+inline constexpr double kMixWeightPerSecond = 0.03;  // for the mix of running requests, per second run
+inline constexpr double kMaxMixWeight = 0.3;         // for the mix of running requests, at most
+inline constexpr double kHungWeight = 0.02;          // for an engine's share of hung light attempts
 inline constexpr double kFleetHungWeight = kHungWeight / 4;  // for the fleet's share of hung light attempts
 inline constexpr double kMaxLatencyRatio = 20;               // upper bound of one sample
 // The sample of a hung attempt, as a multiple of its engine's latency ratio.
@@ -54,7 +54,7 @@
 inline constexpr double kBrokenConnectionWeight = 0.4;  // a lost connection, or an engine without a response
 inline constexpr double kLostResponseWeight = 0.05;     // a response that was lost on the way
 
-inline constexpr std::size_t kMaxEnginesInError = 3;  // a request is ended after errors at this many engines
+inline constexpr std::size_t kMaxErrors = 3;  // a request is ended after errors at this many engines
 inline constexpr Nanos kFullBackoff = 500 * kMillisecond;  // for an engine that reports itself full
 inline constexpr double kMaxEjectedShare = 0.5;            // of the listed engines
 // An ejection time is multiplied by a random factor between kMinEjectionJitter and
@@ -92,7 +92,7 @@
 inline constexpr int kMaxRunawayCancels = 2;
 // After a runaway cancel, a request whose projected duration exceeds this share of the former projection is
 // heavy itself.
-inline constexpr double kHeavyProjectionShare = 0.4;
+inline constexpr double kLargeProjectionShare = 0.4;
 inline constexpr double kMinProgress = 0.002;     // least share of the work that a projection assumes as done
 inline constexpr double kProjectionMargin = 0.9;  // share of the projected remaining time that is counted on
 // An attempt runs this long before its request is ended because its projection misses the deadline.
--- a/src/decision/limits/concurrency_limit.cpp
+++ b/src/decision/limits/concurrency_limit.cpp
@@ -25,27 +25,27 @@
   ++period_.responses;
 }
 
-void ConcurrencyLimit::Adjust(double seed, const Pressure& pressure, double uniform, Nanos now) {
-  Step(seed, pressure, static_cast<double>(now - period_start_) / kNanosPerSecond);
+void ConcurrencyLimit::Adjust(double seed, const UnmetDemand& unmet_demand, double uniform, Nanos now) {
+  Step(seed, unmet_demand, static_cast<double>(now - period_start_) / kNanosPerSecond);
   period_start_ = now;
   period_length_ = static_cast<Nanos>(kPeriod * (1 + kPeriodJitter * (2 * uniform - 1)));
   period_ = Period();
 }
 
-void ConcurrencyLimit::Step(double seed, const Pressure& pressure, double seconds) {
+void ConcurrencyLimit::Step(double seed, const UnmetDemand& unmet_demand, double seconds) {
   const double step = std::max(kMinStep, seed * kStepShare);
   const double throughput = period_.work / seconds;
   const double latency = period_.responses > 0 ? period_.latency / period_.responses : last_latency_;
   const bool gained = throughput >= last_throughput_ * (1 + kChangeThreshold);
   const bool slower = last_latency_ > 0 && latency > last_latency_ * (1 + kChangeThreshold);
-  const double floor = !pressure.objective_missed && !period_.full ? seed : kMinThreads;
+  const double floor = !unmet_demand.objective_missed && !period_.full ? seed : kMinThreads;
   if (raised_ && (!gained || period_.full)) {  // reverts a raise without a gain, even with requests pending
     threads_ = std::max(kMinThreads, threads_ - step);
     raised_ = false;
-  } else if (pressure.had_pending && !period_.full) {
+  } else if (unmet_demand.had_pending && !period_.full) {
     threads_ += step;
     raised_ = true;
-  } else if (!pressure.had_pending || !(pressure.objective_missed || slower)) {
+  } else if (!unmet_demand.had_pending || !(unmet_demand.objective_missed || slower)) {
     threads_ = std::max(floor, threads_ - step);
   }
   last_throughput_ = throughput;
--- a/src/decision/limits/concurrency_limit.h
+++ b/src/decision/limits/concurrency_limit.h
@@ -13,7 +13,7 @@
 namespace lemoncroft::limits {
 
 // Signs of overload since the last adjustment of limits, over all engines.
-struct Pressure {
+struct UnmetDemand {
   bool had_pending = false;       // requests remained pending
   bool objective_missed = false;  // a pending request missed its latency objective
 };
@@ -38,7 +38,7 @@
   }
   // Adjusts the limit and starts the next period. `seed` is the limit to fall back to. `uniform`, a random
   // number from 0 to 1, varies the length of the next period, so that gateways don't adjust in step.
-  void Adjust(double seed, const Pressure& pressure, double uniform, Nanos now);
+  void Adjust(double seed, const UnmetDemand& unmet_demand, double uniform, Nanos now);
 
   double threads() const { return threads_; }
 
@@ -52,7 +52,7 @@
 
   static constexpr int kMaxPeriodResponses = 100;  // this many responses also complete a period
 
-  void Step(double seed, const Pressure& pressure, double seconds);
+  void Step(double seed, const UnmetDemand& unmet_demand, double seconds);
 
   double threads_ = 0;
   Nanos period_start_ = 0;
--- a/src/decision/limits/sent_load.h
+++ b/src/decision/limits/sent_load.h
@@ -29,12 +29,12 @@
     recent_ += charge.work;
   }
 
-  // `may_still_run`: the attempt ended without a response, and the engine may act on a cancellation late or
+  // `adds_backlog`: the attempt ended without a response, and the engine may act on a cancellation late or
   // never. Its work is then added to the backlog.
-  void RecordEnd(const AttemptCharge& charge, bool may_still_run) {
+  void RecordEnd(const AttemptCharge& charge, bool adds_backlog) {
     threads_[charge.light] -= charge.threads;
     memory_mb_ -= charge.memory_mb;
-    if (may_still_run) backlog_ += charge.work;
+    if (adds_backlog) backlog_ += charge.work;
   }
 
   // Advances the time by `seconds`. The engine works off the backlog at `rate`, in thread seconds per second.
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -44,7 +44,7 @@
 
 // ---- Settings ----
 
-void Scheduler::ApplySettings(const std::vector<int>& inherits_estimates_from) {
+void Scheduler::ApplySettings(const std::vector<int>& former_class) {
   ApplyFleetSize();
   report_layout_ = reports::ReportLayout::FromSettings(settings_);
   quotas_.resize(settings_.tenants.size());
@@ -52,13 +52,13 @@
   loads_block_readers_ =
       std::any_of(settings_.classes.begin(), settings_.classes.end(),
                   [](const ClassSettings& class_settings) { return class_settings.blocked_by_loads; });
-  InheritEstimates(inherits_estimates_from);
+  InheritEstimates(former_class);
 }
 
-void Scheduler::InheritEstimates(const std::vector<int>& inherits_estimates_from) {
+void Scheduler::InheritEstimates(const std::vector<int>& former_class) {
   const std::vector<ClassEstimates> before = std::exchange(estimates_, {});
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-    const int former = i < inherits_estimates_from.size() ? inherits_estimates_from[i] : -1;
+    const int former = i < former_class.size() ? former_class[i] : -1;
     if (former >= 0 && static_cast<std::size_t>(former) < before.size()) {
       estimates_.push_back(before[static_cast<std::size_t>(former)]);
       continue;
@@ -74,8 +74,8 @@
 void Scheduler::Handle(const SettingsChanged& change) {
   if (!change.settings) return;
   settings_ = *change.settings;
-  ApplySettings(change.inherits_estimates_from);
-  RebuildOrderingKeyQueues(change.inherits_estimates_from);
+  ApplySettings(change.former_class);
+  RebuildOrderingKeyQueues(change.former_class);
   // Ends requests that wait for a retry which is no longer allowed.
   std::vector<RequestId> exhausted;
   for (const auto& [key, group] : pending_.groups())
@@ -142,7 +142,7 @@
   engine.cores = kind.cores > 0 ? kind.cores : 1;
   engine.memory_mb = kind.memory_mb;
   if (!added && !restarted) return;
-  engine.concurrency_limit.Start(SeedConcurrencyLimit(engine), now_);
+  engine.concurrency_limit.Start(ConcurrencyLimitSeed(engine), now_);
   // A previous process or a second process of this gateway may have spent the budget of the last window.
   const Nanos accrue_from = std::max({entry.started_at, now_ - settings_.overload_window, first_step_at_});
   engine.slow_start.AccrueFrom(process_count_ > 1 ? now_ : accrue_from);
@@ -163,7 +163,7 @@
       serving.empty() ? 1 : static_cast<double>(chosen.size()) / static_cast<double>(serving.size());
 }
 
-double Scheduler::SeedConcurrencyLimit(const EngineState& engine) const {
+double Scheduler::ConcurrencyLimitSeed(const EngineState& engine) const {
   return std::max(1.0,
                   limits::ConcurrencyLimit::kSeedThreadsPerCore * engine.cores / settings_.gateway_count);
 }
@@ -180,7 +180,7 @@
   credit_.Advance(seconds, fleet, credit_.started() ? 0 : RandomUniform());
   constexpr double kMinLoad = 0.1;
   const double load = credit_.load() * GatewaysPerEngine();
-  preferred_load_factor_ =
+  preferred_work_share_per_core_ =
       std::max(kMinPreferredLoadFactor, 1 / std::max(kMinLoad, load)) / std::max(1.0, fleet.subset_cores);
 }
 
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -77,12 +77,12 @@
   void Handle(const TimerFired&) {}
 
   // ---- Settings and endpoint list ----
-  void ApplySettings(const std::vector<int>& inherits_estimates_from);
-  void InheritEstimates(const std::vector<int>& inherits_estimates_from);
+  void ApplySettings(const std::vector<int>& former_class);
+  void InheritEstimates(const std::vector<int>& former_class);
   void ApplyFleetSize();
   void ApplyEntry(const EngineEntry& entry);
   void ChooseSubset();
-  double SeedConcurrencyLimit(const EngineState& engine) const;
+  double ConcurrencyLimitSeed(const EngineState& engine) const;
   // Returns the mean number of gateways that send to one engine.
   double GatewaysPerEngine() const;
 
@@ -100,7 +100,7 @@
   void AddPending(RequestState& request);
   void RemovePending(const RequestState& request);
   double CurrentPriorityWeight(const RequestState& request) const;
-  void RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from);
+  void RebuildOrderingKeyQueues(const std::vector<int>& former_class);
   // Makes the first request with the ordering key pending, unless the key is paused.
   void AdvanceOrderingKey(std::uint64_t key);
   void RemoveFromOrderingKey(const RequestState& request);
@@ -163,7 +163,7 @@
   void DispatchPending();
   // Sends pending requests of one group and appends them to `sent`.
   void DispatchGroup(const PendingRequests::Group& group, std::vector<RequestId>& sent);
-  bool AllManuallyEjected() const;
+  bool NoEngineServesAndOneIsManuallyEjected() const;
   bool RetryBudgetAllows(const RequestState& request);
   // Returns the latest time at which a retry may be sent without risk of a double effect.
   Nanos RetryDeadline(const RequestState& request) const;
@@ -276,11 +276,12 @@
   double heaviest_class_work_ = 0;     // mean work, in thread seconds
   double best_heavy_weight_rate_ = 0;  // among the classes that aren't light
   double recent_work_ = 0;             // work sent recently, in thread seconds
-  double preferred_load_factor_ = 0;   // share of the recent work allowed per core of a preferred engine
+  double preferred_work_share_per_core_ =
+      0;  // share of the recent work allowed per core of a preferred engine
 
   // The pressure since the last adjustment of concurrency limits.
-  limits::Pressure pressure_;
-  Nanos pressure_reset_at_ = 0;
+  limits::UnmetDemand unmet_demand_;
+  Nanos unmet_demand_reset_at_ = 0;
 
   Nanos next_probe_at_ = -kSecond;
   Nanos next_silent_probe_at_ = -kSecond;
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -105,9 +105,9 @@
   const double remaining = (projected - elapsed) * kProjectionMargin;
   const bool misses_deadline = now_ + FromSeconds(remaining) > request->deadline;
   const bool runaway = misses_deadline || projected > ExpectedSeconds(*request) * kRunawayFactorProgress;
-  const bool request_is_heavy =
-      request->runaway_cancels > 0 && projected > kHeavyProjectionShare * request->projected_seconds;
-  if (runaway && !request_is_heavy && CancelAndRetry(*request)) {
+  const bool needs_much_work =
+      request->runaway_cancels > 0 && projected > kLargeProjectionShare * request->projected_seconds;
+  if (runaway && !needs_much_work && CancelAndRetry(*request)) {
     request->projected_seconds = projected;
   } else if (misses_deadline && elapsed > kMinSecondsBeforeAbandoning) {
     RejectOrFail(*request);
@@ -135,8 +135,7 @@
 void Scheduler::RetryOrEnd(RequestState& request) {
   const Nanos run = FromSeconds(request.work / request.threads);
   const bool in_time = now_ < request.deadline - kResponseMargin - run;
-  const bool exhausted =
-      request.attempts >= settings_.max_attempts || request.failed_on.size() >= kMaxEnginesInError;
+  const bool exhausted = request.attempts >= settings_.max_attempts || request.failed_on.size() >= kMaxErrors;
   if (!in_time || exhausted || !MayRetryNow(request)) return RejectOrFail(request);
   request.late = request.late || now_ > request.objective_at;
   Enqueue(request);
--- a/src/decision/scheduler_deadlines.cpp
+++ b/src/decision/scheduler_deadlines.cpp
@@ -41,7 +41,7 @@
 // The request continues to wait, with the priority weight of a late request, only if its class earns enough
 // for late responses, or as an exploratory request. Otherwise it is ended at once.
 void Scheduler::OnLatestStartPassed(RequestState& request) {
-  pressure_.objective_missed = true;
+  unmet_demand_.objective_missed = true;
   const bool waits = !request.late && Class(request).late_weight_share >= kMinLateWeightShare;
   if (request.phase == RequestPhase::kPending) RemovePending(request);
   if (now_ >= RetryDeadline(request)) return RejectOrFail(request);
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -9,11 +9,11 @@
 void Scheduler::DispatchPending() {
   for (const std::uint64_t key : ordering_key_queues_.TakeResumed(now_)) AdvanceOrderingKey(key);
   if (pending_.empty()) return;
-  if (AllManuallyEjected()) return RejectOrFailAllPending();
+  if (NoEngineServesAndOneIsManuallyEjected()) return RejectOrFailAllPending();
   std::vector<RequestId> sent;
   for (const auto& [key, group] : pending_.groups()) DispatchGroup(group, sent);
   for (RequestId id : sent) RemovePending(requests_.at(id));
-  if (!pending_.empty()) pressure_.had_pending = true;
+  if (!pending_.empty()) unmet_demand_.had_pending = true;
 }
 
 void Scheduler::DispatchGroup(const PendingRequests::Group& group, std::vector<RequestId>& sent) {
@@ -34,7 +34,7 @@
 
 // Returns true if no engine serves and at least one is manually ejected. Requests don't wait then, since it
 // is unknown when an operator will include an engine again.
-bool Scheduler::AllManuallyEjected() const {
+bool Scheduler::NoEngineServesAndOneIsManuallyEjected() const {
   bool any_ejected = false;
   for (const auto& [id, engine] : engines_) {
     if (engine.Serving()) return false;
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -27,7 +27,7 @@
 void Scheduler::RecordUsage(const RequestState& request) {
   const double seconds = ToSeconds(now_ - request.sent_at);
   credit_.Settle(request.reserved_credit, seconds * request.threads);
-  const double weight = std::min(kMaxMixWeight, kSlowWeight * seconds);
+  const double weight = std::min(kMaxMixWeight, kMixWeightPerSecond * seconds);
   running_mix_.Record(request.work, request.threads, request.charge.memory_mb, weight);
 }
 
@@ -137,12 +137,12 @@
 
 void Scheduler::AdjustConcurrencyLimits() {
   for (auto& [id, engine] : engines_) {
-    if (!engine.concurrency_limit.PeriodComplete(pressure_.had_pending, now_)) continue;
-    engine.concurrency_limit.Adjust(SeedConcurrencyLimit(engine), pressure_, RandomUniform(), now_);
+    if (!engine.concurrency_limit.PeriodComplete(unmet_demand_.had_pending, now_)) continue;
+    engine.concurrency_limit.Adjust(ConcurrencyLimitSeed(engine), unmet_demand_, RandomUniform(), now_);
   }
-  if (now_ - pressure_reset_at_ < limits::ConcurrencyLimit::kPeriod) return;
-  pressure_ = limits::Pressure();
-  pressure_reset_at_ = now_;
+  if (now_ - unmet_demand_reset_at_ < limits::ConcurrencyLimit::kPeriod) return;
+  unmet_demand_ = limits::UnmetDemand();
+  unmet_demand_reset_at_ = now_;
 }
 
 }  // namespace lemoncroft::decision
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -75,11 +75,11 @@
 // ---- Ordering keys ----
 
 // Open requests of a class that now has ordering keys are queued too, so that later requests wait for them.
-void Scheduler::RebuildOrderingKeyQueues(const std::vector<int>& inherits_estimates_from) {
+void Scheduler::RebuildOrderingKeyQueues(const std::vector<int>& former_class) {
   std::set<RequestId> ordered;  // in the order of arrival
   for (auto& [id, request] : requests_) {
-    for (std::size_t i = 0; i < inherits_estimates_from.size() && request.spec.ordering_key != 0; ++i) {
-      const bool successor = inherits_estimates_from[i] == request.spec.class_id;
+    for (std::size_t i = 0; i < former_class.size() && request.spec.ordering_key != 0; ++i) {
+      const bool successor = former_class[i] == request.spec.class_id;
       request.ordered = request.ordered || (settings_.classes[i].in_order && successor);
     }
     if (request.ordered) ordered.insert(id);
--- a/src/decision/scheduler_selection.cpp
+++ b/src/decision/scheduler_selection.cpp
@@ -126,7 +126,7 @@
 // Consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2018): a preferred engine gets at
 // most a bounded multiple of its part of this gateway's recent work.
 bool Scheduler::PreferredEngineHasRoom(const EngineState& engine, double work) const {
-  return engine.sent_load.recent() + work <= preferred_load_factor_ * recent_work_ * engine.cores;
+  return engine.sent_load.recent() + work <= preferred_work_share_per_core_ * recent_work_ * engine.cores;
 }
 
 double Scheduler::ExpectedDelay(const RequestState& request, const EngineState& engine) const {
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -20,7 +20,7 @@
 void ApplySettings(ReloadableState& state, settings::Migration migration) {
   settings::ActiveSettings& active = state.active_settings;
   active.Replace(std::move(migration.site));
-  state.broker.ApplySettings(std::move(migration.inherits_estimates_from),
+  state.broker.ApplySettings(std::move(migration.former_class),
                              MaxOpenRequests(*active, state.max_open_requests_cap));
   state.directory.RenumberKindsAndZones(state.on_endpoint_update);
   state.engines.set_connect_timeout(decision::ToDuration(active->module.connect_timeout));
--- a/src/settings/migration.cpp
+++ b/src/settings/migration.cpp
@@ -101,7 +101,7 @@
 void MigrateClasses(const Site& from, const Site& to, const ReferencedNumbers& referenced,
                     const ZoneAndKindNumbers& new_numbers, Migration& migration) {
   Site& site = migration.site;
-  std::vector<int>& inherits_from = migration.inherits_estimates_from;
+  std::vector<int>& inherits_from = migration.former_class;
   std::vector<ClassSettings> added = to.module.classes;
   for (ClassSettings& settings : added) {
     Renumber(settings.zones, new_numbers.zones);
--- a/src/settings/migration.h
+++ b/src/settings/migration.h
@@ -23,7 +23,7 @@
 struct Migration {
   Site site;  // the new settings, renumbered
   // For each class, the number of the former class whose estimates it starts with; -1: none.
-  std::vector<int> inherits_estimates_from;
+  std::vector<int> former_class;
 };
 
 // Renumbers the classes, tenants, kinds and zones of `to`. A class with the same name and values keeps its
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -137,7 +137,7 @@
   };
   struct Query {
     std::size_t tenant = 0, class_id = 0;
-    double work = 0, estimated_work = 0, submitted_at = 0, deadline = 0, dispatch_deadline = 0;
+    double work = 0, estimated_work = 0, submitted_at = 0, deadline = 0, latest_start = 0;
     bool started = false, waiting = true, retry = false;
     int priority = 1, sent = 0;
     std::vector<ReportedEstimate> estimates;
@@ -212,7 +212,7 @@
         return;
       }
       q.estimates.push_back({now_, admission_queue::Seconds(taken.estimate.wait)});
-      q.dispatch_deadline = admission_queue::Seconds(taken.dispatch_deadline.time_since_epoch());
+      q.latest_start = admission_queue::Seconds(taken.latest_start.time_since_epoch());
     } else {
       q.estimates.push_back({now_, mean_waits_[q.class_id]});
     }
@@ -226,7 +226,7 @@
   void CheckDispatchBound(const Query& q, bool dispatched) {
     double& last = last_dispatched_[q.tenant][q.class_id != 0];
     const bool overtaken = dispatched && last - q.submitted_at > 2 * std::log10(12.0) + kTickSeconds;
-    if (now_ > q.dispatch_deadline + kTickSeconds || overtaken) ++result_.bound_violations;
+    if (now_ > q.latest_start + kTickSeconds || overtaken) ++result_.bound_violations;
     if (dispatched) last = std::max(last, q.submitted_at);
   }
 
--- a/tests/admission_queue_test.cpp
+++ b/tests/admission_queue_test.cpp
@@ -26,7 +26,7 @@
   struct Query {
     QueuedRequest request;
     double work = 0, submitted = 0, started = -1;
-    Time dispatch_deadline{};
+    Time latest_start{};
     int completions = 0;  // number of rejections, cancellations and ends; must be 1 in the end
   };
 
@@ -54,7 +54,7 @@
       ++rejected_on_submit;
       return result;
     }
-    queries[last_id] = {request, work * actual_ratio, now, -1, result.dispatch_deadline, 0};
+    queries[last_id] = {request, work * actual_ratio, now, -1, result.latest_start, 0};
     estimates[last_id] = result.estimate;
     return result;
   }
@@ -455,7 +455,7 @@
   queue.OnRequestCompleted(2, At(3));  // cancelled between dispatch and first attempt
   EXPECT_DOUBLE_EQ(charged(), 3.5);
   EXPECT_EQ(queue.open_requests(), 0u);
-  EXPECT_EQ(queue.Describe(At(9)).tenants[0].threads, 0);
+  EXPECT_EQ(queue.Describe(At(9)).tenants[0].running_threads, 0);
 }
 
 // Cancelled requests, waiting or running, must not stay open, and must be charged the work that was done.
@@ -504,7 +504,8 @@
   int max_threads_seen = 0;
   setup.before_tick = [&] {
     if (setup.EveryTicks(10)) setup.Submit(0, 1, 2, 10);
-    max_threads_seen = std::max(max_threads_seen, setup.queue.Describe(At(setup.now)).tenants[0].threads);
+    max_threads_seen =
+        std::max(max_threads_seen, setup.queue.Describe(At(setup.now)).tenants[0].running_threads);
   };
   setup.Run(10);
   EXPECT_EQ(max_threads_seen, 6);
@@ -608,12 +609,12 @@
     setup.Run(60);
     for (const auto& [id, q] : setup.queries) {
       RC_ASSERT(q.completions == 1);
-      RC_ASSERT(q.started < 0 || At(q.started) <= q.dispatch_deadline + 20ms);
+      RC_ASSERT(q.started < 0 || At(q.started) <= q.latest_start + 20ms);
     }
     RC_ASSERT(setup.queue.open_requests() == 0u);
     RC_ASSERT(setup.queue.waiting() == 0u);
     for (const auto& tenant : setup.queue.Describe(At(setup.now)).tenants) {
-      RC_ASSERT(tenant.threads == 0);
+      RC_ASSERT(tenant.running_threads == 0);
       RC_ASSERT(tenant.charged_seconds >= 0);
       RC_ASSERT(tenant.waiting == 0u);
     }
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -26,7 +26,7 @@
   int engines = 8;
   double load = 0.7;            // share of all cores
   bool skewed = false;          // a tenth of the gateways gets half of the traffic
-  Nanos restart_at = -1;        // 70 % of the gateways restart this long after the cold engine; -1 = none
+  Nanos restart_delay = -1;     // 70 % of the gateways restart this long after the cold engine; -1 = none
   double work_factor = 1;       // multiplies the work of each request
   double budget_factor = 4;     // multiple of its current capacity that a cold engine may be sent
   bool all_cold = false;        // all engines restart, so that no warm engine is left
@@ -100,7 +100,7 @@
   Outcomes Run() {
     for (Nanos now = kStart; now < engine_restart_at_ + plan_.length; now += kTick) {
       if (now == engine_restart_at_) RestartEngines(now);
-      if (plan_.restart_at >= 0 && now == engine_restart_at_ + plan_.restart_at) {
+      if (plan_.restart_delay >= 0 && now == engine_restart_at_ + plan_.restart_delay) {
         for (int i = 0; i < plan_.gateways * 7 / 10; ++i) StartGateway(i);
       }
       for (SimulatedGateway& simulated : gateways_) StepGateway(simulated, now);
@@ -243,7 +243,7 @@
         for (const double load : loads) {
           plan.all_cold = all_cold;
           plan.skewed = skewed;
-          plan.restart_at = restart;
+          plan.restart_delay = restart;
           plan.load = load;
           ++plan.seed;
           const Outcomes outcomes = FleetSimulation(plan).Run();
@@ -287,7 +287,7 @@
       plan.all_cold = true;
       plan.skewed = skewed;
       plan.length = 2500 * kMs;
-      plan.restart_at = restart;
+      plan.restart_delay = restart;
       const Outcomes outcomes = FleetSimulation(plan).Run();
       EXPECT_LE(outcomes.max_budget_use, 1) << restart << " " << skewed;
     }
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -52,15 +52,15 @@
   const auto before = host.sends.size();
   // 8 s: the circuit breaker opens twice for 4 s, each time followed by one attempt.
   SendWithHungEngine(host, 1000, 400);
-  int late_attempts = 0;
+  int attempts_after_ejection = 0;
   for (std::size_t i = before; i < host.sends.size(); ++i)
-    late_attempts += host.sends[i].engine == kHungEngine;
-  EXPECT_LE(late_attempts, 5);
+    attempts_after_ejection += host.sends[i].engine == kHungEngine;
+  EXPECT_LE(attempts_after_ejection, 5);
 }
 
 // The work of an abandoned attempt may continue, so that its engine is loaded although no attempt is in
 // flight there.
-TEST(HungEngine, AbandonedWork_CountsAsLoadOfEngine) {
+TEST(AbandonedAttempt, RemainingWork_CountsAsLoadOfEngine) {
   Host host(WithoutReports());
   host.DeliverList(Engines(1));
   for (RequestId id = 1; id <= 4; ++id) host.Step({MakeRequest(id, 0, 5 * kSecond, 2 * kSecond)});
@@ -80,7 +80,7 @@
 }
 
 // All gateways prefer the same engines for a table group, and each knows only its own part of their load.
-TEST(HungEngine, PreferredEngine_IsPreferredOnlyUpToItsCapacity) {
+TEST(PreferredEngine, RequestsOfOneTableGroup_AreSentOnlyUpToItsCapacity) {
   // After the warm-up, the demand that a gateway assumes at its start has no effect.
   constexpr int kRequests = 1000, kWarmUpRequests = 3000;
   Settings settings = WithoutReports();
--- a/tests/gateway_capacity_test.cpp
+++ b/tests/gateway_capacity_test.cpp
@@ -131,7 +131,7 @@
 }
 
 // Engines admit requests beyond their memory, and then all of their requests make no progress.
-TEST(LoadReports, EngineWithAllMemoryGranted_GetsNoRequest) {
+TEST(LoadReports, EngineWithTooMuchMemoryGranted_GetsNoRequest) {
   Settings s = WithReports();
   s.memory_shortage_policy = MemoryShortagePolicy::kSwap;
   Host host(s);
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -41,7 +41,7 @@
   for (const Host::Sent& s : host.sends) EXPECT_EQ(s.engine, s.id <= 10 ? 2u : 3u);
 }
 
-TEST(EndpointList, AllEnginesManuallyEjected_RequestsAreRejectedAtOnce) {
+TEST(EndpointList, NoEngineServesAndOneIsManuallyEjected_RequestsAreRejectedAtOnce) {
   Host host(DefaultSettings());
   EngineEntry ejected = ReadyEngine(1), draining = ReadyEngine(2);
   ejected.readiness = Readiness::kExcluded;
@@ -196,7 +196,7 @@
   EXPECT_EQ(host.Attempts(100), 1);
 }
 
-TEST(EngineChoice, LessLoadedEngine_GetsMoreRequests) {
+TEST(EngineChoice, EqualEngines_ShareRequestsEvenly) {
   Host host(DefaultSettings());
   host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   for (RequestId id = 1; id <= 40; ++id) host.Step({MakeRequest(id)});
--- a/tests/gateway_health_test.cpp
+++ b/tests/gateway_health_test.cpp
@@ -97,15 +97,15 @@
   for (const int one_in : {5, 1}) {
     Host host(DefaultSettings());
     host.DeliverList({ReadyEngine(1), ReadyEngine(2), ReadyEngine(3), ReadyEngine(4)});
-    int late_requests = 0;
+    int requests_in_second_half = 0;
     for (RequestId id = 1; id <= 200; ++id) {
       host.Step({MakeRequest(id)});
-      late_requests += id > 100 && host.engine_of[id] == 1;
+      requests_in_second_half += id > 100 && host.engine_of[id] == 1;
       if (host.engine_of[id] == 1 && id % one_in == 0) host.EndAttempt(id, Outcome::kLost);
       host.EndAttempt(id, Outcome::kOk);
       host.now += 2 * kMs;
     }
-    EXPECT_EQ(late_requests > 10, one_in == 5) << late_requests;
+    EXPECT_EQ(requests_in_second_half > 10, one_in == 5) << requests_in_second_half;
   }
 }
 
--- a/tests/settings_migration_test.cpp
+++ b/tests/settings_migration_test.cpp
@@ -29,7 +29,7 @@
   const auto next = MigrateSettings(SiteOf({{"a", 1}, {"b", 2}}, {"x", "y"}),
                                     SiteOf({{"c", 3}, {"b", 2}, {"a", 1}}, {"y", "z", "x"}), {});
   EXPECT_EQ(next.site.classes, (Names{"a", "b", "c"}));
-  EXPECT_EQ(next.inherits_estimates_from, (std::vector<int>{0, 1, -1}));
+  EXPECT_EQ(next.former_class, (std::vector<int>{0, 1, -1}));
   EXPECT_EQ(next.site.tenants, (Names{"x", "y", "z"}));
 }
 
@@ -38,14 +38,14 @@
   EXPECT_EQ(next.site.classes, (Names{"", "a"}));
   EXPECT_EQ(next.site.module.classes[0].client_timeout, 1);
   EXPECT_EQ(next.site.module.classes[1].client_timeout, 9);
-  EXPECT_EQ(next.inherits_estimates_from, (std::vector<int>{0, 0}))
+  EXPECT_EQ(next.former_class, (std::vector<int>{0, 0}))
       << "the changed class inherits the estimates of the former class";
   EXPECT_FALSE(next.site.ClassOf(""));
   EXPECT_EQ(next.site.ClassOf("a"), 1);
   // Without requests in flight, the number is available to a new class.
   const auto later = MigrateSettings(next.site, SiteOf({{"b", 2}, {"a", 9}}), {{1}, {0}});
   EXPECT_EQ(later.site.classes, (Names{"b", "a"}));
-  EXPECT_EQ(later.inherits_estimates_from, (std::vector<int>{-1, 1}));
+  EXPECT_EQ(later.former_class, (std::vector<int>{-1, 1}));
 }
 
 TEST(MigrateSettings, ManyReloads_KeepTheNumbersBounded) {
