--- a/include/lemoncroft/gateway.h
+++ b/include/lemoncroft/gateway.h
@@ -41,7 +41,7 @@
 
 // A client's request has arrived.
 struct Request {
-  RequestId id = 0;
+  RequestId id = 0;  // increases with each request that the host receives; orders requests by arrival
   std::uint16_t class_id = 0;
   std::uint16_t tenant = 0;        // kNoTenant on a site without tenants
   std::uint64_t ordering_key = 0;  // 0 = none
@@ -65,7 +65,8 @@
   LoadReport load_report;
 };
 
-// A streamed response has begun to reach the client. The attempt is no longer cancelled as a runaway.
+// A streamed response has begun to reach the client. The attempt is no longer cancelled by its runaway
+// timeout; a progress notice may still lead to its cancellation.
 struct StreamStarted {
   RequestId id = 0;
   int attempt = 0;
@@ -112,7 +113,8 @@
 // another class.
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
-  // For each class, the number of the former class whose estimates it starts with; -1 = none.
+  // For each class, the number of the class that it replaces; -1 = none. The class starts with the estimates
+  // of that class. If it is in_order, the open requests of that class are ordered too.
   std::vector<int> former_class;
 };
 
@@ -131,7 +133,7 @@
 };
 
 // The time for decisions about the request has passed, shortly before the client's timeout. The request is
-// ended, and its running attempts are cancelled.
+// ended. Its attempt in flight is cancelled if Settings::may_cancel is set.
 struct DeadlineReached {
   RequestId id = 0;
 };
--- a/include/lemoncroft/types.h
+++ b/include/lemoncroft/types.h
@@ -25,6 +25,8 @@
 enum class RepeatGroup { kAll, kZone, kCell };
 // What an engine does with a query whose memory grant is too small.
 enum class MemoryShortagePolicy { kQueue, kTrim, kSwap };
+// The fields of a load report. The module reads kInflight, the number of requests in flight, and kX0, the
+// share of the engine's memory that is granted.
 enum class ReportField { kInflight, kQueue, kUtil, kLatencyMs, kQps, kEps, kX0, kX1, kOther };
 
 // kExcluded: ejected manually by an operator, and treated like a draining engine until the operator includes
@@ -44,7 +46,7 @@
 
 // The outcome of an attempt. kLost: the attempt may have run, but its response was lost or corrupted on the
 // way, although the engine is alive. kNotSent: the attempt certainly did not run, through no fault of the
-// engine: it never left this process, or its time was over before the engine would have started it.
+// engine: it never left this process, or the engine dropped it as expired before starting it.
 enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent, kLost };
 
 inline constexpr std::size_t kMaxReportFields = 4;
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -9,10 +9,12 @@
 // is served first (fair_share_ledger.h).
 //
 // Bounds: A request is dispatched or rejected by its latest start: its deadline minus its expected run time,
-// or its submission time plus the max_wait of its class if that is earlier. See docs/admission_queue.md.
+// or its submission time plus the max_wait of its class if that is earlier. The latest start of an admitted
+// request is raised to 100 ms after its submission, or to its deadline if that is earlier. See
+// docs/admission_queue.md.
 //
-// Not thread-safe: must be used by a single thread. Every submitted request leaves the queue in exactly one
-// way: by its first OnAttemptStarted, by a Reject or by OnRequestCompleted.
+// Not thread-safe: must be used by a single thread. An admitted request waits until a Dispatch, a Reject or
+// OnRequestCompleted, and stays open until a Reject or OnRequestCompleted.
 #ifndef LEMONCROFT_ADMISSION_QUEUE_ADMISSION_QUEUE_H_
 #define LEMONCROFT_ADMISSION_QUEUE_ADMISSION_QUEUE_H_
 
@@ -43,7 +45,7 @@
   // A tenant past the end of the new list loses its budget, and its waiting requests are rejected by later
   // calls of Step.
   void Configure(Settings settings, Time now);
-  // Sets the total number of cores of all ready engines of the fleet.
+  // Sets the total number of cores of all ready engines, the fleet.
   void SetFleetCores(double cores, Time now);
 
   // The outcome of Submit.
@@ -53,7 +55,8 @@
     Time latest_start{};  // the request is dispatched or rejected by this time
   };
   // Queues a request or rejects it. After a rejection, the id of the request is unknown to the queue. The id
-  // must not be in use by an open request.
+  // must not be in use by an open request; a request with such an id is rejected with kNoBudget, like one of
+  // an unknown tenant or class, and the open request remains.
   SubmitResult Submit(const QueuedRequest& request, Time now);
 
   // Reports that an attempt of a dispatched request has started. `priority` is the value sent to the engine,
@@ -74,7 +77,8 @@
   // Returns the current estimate of a request, or nothing once its first attempt has started.
   std::optional<WaitEstimate> EstimateWait(RequestId id, Time now);
   // Returns the delay after which a rejected request should retry: the upper bound of the estimated wait of a
-  // new request of its tenant and class.
+  // new request of its tenant and class, but at least 50 ms and at most max_retry_after, if that is set.
+  // Returns max_retry_after for an unknown tenant or class.
   Duration RetryAfter(TenantId tenant, ClassId class_id, Time now);
 
   struct TenantState {
@@ -82,11 +86,11 @@
     double cores = 0;            // this proxy's share of the budget
     double charged_seconds = 0;  // core-seconds, in total
     double start_tag = 0;        // seconds
-    int running_threads = 0;     // of running attempts
+    int running_threads = 0;
     std::size_t waiting = 0;
     Work waiting_work{};
     Duration longest_wait{};  // greatest estimate for a new request of any class
-    std::uint64_t submitted = 0, dispatched = 0, rejected = 0;
+    std::uint64_t submitted = 0, dispatched = 0, rejected = 0;  // in total
   };
   struct State {
     std::vector<TenantState> tenants;
@@ -123,8 +127,7 @@
     std::vector<RateEstimator> arrival_rates;  // core-seconds per second, by class
     std::array<Work, kLanes> waiting_work{};
     std::array<std::size_t, kLanes> waiting_count{};
-    int reserved_threads =
-        0;  // reserved by dispatched requests, or used by attempts that outlive their request
+    int reserved_threads = 0;  // by dispatched requests and by attempts that outlive their request
     std::uint64_t submitted = 0, dispatched = 0, rejected = 0;
     std::size_t size() const { return waiting_count[0] + waiting_count[1]; }
   };
--- a/src/admission_queue/fair_share_ledger.cpp
+++ b/src/admission_queue/fair_share_ledger.cpp
@@ -6,8 +6,8 @@
 namespace lemoncroft::admission_queue {
 
 namespace {
-// A tenant may always be this far ahead: a heavy request is charged in full when it is dispatched, and must
-// not delay the light requests of the same tenant.
+// Lower bound of the maximum lead of a tenant: a heavy request is charged in full when it is dispatched, and
+// must not delay the light requests of the same tenant.
 constexpr double kMinMaxLead = 1.0;  // seconds
 }  // namespace
 
--- a/src/admission_queue/reviews.cpp
+++ b/src/admission_queue/reviews.cpp
@@ -82,8 +82,9 @@
 }
 
 // A request that wants updates is reviewed more often as its start approaches. Any other request is reviewed
-// after its expected start or when half of its slack has passed, whichever is later: it can't be late before.
-// Changes of the fleet or the budgets put all waiting requests into the backlog instead.
+// a quarter of its wait after its expected start or when half of its slack has passed, whichever is later: it
+// can't be late before. Each is reviewed at its latest start if that is earlier. Changes of the fleet or the
+// budgets put all waiting requests into the backlog instead.
 void AdmissionQueue::ScheduleReview(RequestId id, Request& r, Time now, Duration wait) {
   const Duration slack = r.latest_start - now - wait;
   const Duration delay = r.wants_updates ? wait / 3 : std::max(wait + wait / 4, slack / 2);
--- a/src/admission_queue/running_attempts.cpp
+++ b/src/admission_queue/running_attempts.cpp
@@ -5,7 +5,7 @@
 namespace lemoncroft::admission_queue {
 
 namespace {
-constexpr double kOverrunRatio = 1.5;     // work done over estimated work, above which an attempt overruns
+constexpr double kOverrunRatio = 1.5;     // work done over expected work, above which an attempt overruns
 constexpr double kSlowdownWeight = 0.01;  // minimum weight of the newest response
 constexpr double kMaxSlowdown = 50;       // limits the effect of a hung response
 }  // namespace
--- a/src/admission_queue/running_attempts.h
+++ b/src/admission_queue/running_attempts.h
@@ -40,7 +40,9 @@
   // attempt, or nothing if the attempt isn't known, so that a repeated call charges nothing.
   std::optional<Start> End(RequestId id, int attempt, Work reported_work, bool may_have_run, Time now);
 
-  // Charges running attempts for work beyond their charge. Called once per update interval.
+  // Charges running attempts for the work that they are estimated to have done beyond their charge, and marks
+  // attempts that have done more than kOverrunRatio times their expected work as overrunning. Called once per
+  // update interval.
   void ChargeWorkDone(Time now);
 
   // Returns the expected time until the first of a tenant's attempts ends, or zero if no attempt is running.
@@ -48,7 +50,7 @@
   // far, since run times are heavy-tailed.
   Duration TimeUntilFirstEnd(TenantId tenant, Time now) const;
 
-  // The threads of attempts that are far past their expected run time.
+  // The threads of attempts that are estimated to have done far more than their expected work.
   int overrun_threads() const { return overrun_threads_; }
   int threads() const { return threads_; }
   std::size_t size() const { return attempts_.size(); }
--- a/src/admission_queue/types.cpp
+++ b/src/admission_queue/types.cpp
@@ -16,7 +16,7 @@
     case RejectReason::kNone:
       return "none";
     case RejectReason::kNoBudget:
-      return "the tenant has no budget";
+      return "the tenant or class is unknown, or the tenant has no budget";
     case RejectReason::kClassBarred:
       return "the tenant may not use the class";
     case RejectReason::kTenantQueueFull:
--- a/src/admission_queue/types.h
+++ b/src/admission_queue/types.h
@@ -70,6 +70,7 @@
   bool wants_updates = false;  // the client is notified of revised estimates
 };
 
+// kNoBudget: the tenant has no budget, the tenant or class is unknown, or the id is in use.
 enum class RejectReason { kNone, kNoBudget, kClassBarred, kTenantQueueFull, kQueueFull, kTooLate };
 // Returns a text for the log.
 const char* Description(RejectReason reason);
--- a/src/admission_queue/wait_estimation.cpp
+++ b/src/admission_queue/wait_estimation.cpp
@@ -152,6 +152,7 @@
 Duration AdmissionQueue::RawWait(const Request& r, Time now) {
   const Lane lane = LaneOf(r.class_id);
   LaneState& state = lanes_[lane];
+  // While no engine is ready, the wait is one that makes the request late.
   if (fleet_cores_ <= 0) return r.latest_start - r.submitted_at + 1s;
   const double dispatch_rate = state.rate_meter.PerSecond(AvailableCores());
   if (r.dispatched) return FromSeconds(Seconds(state.dispatched_work) / 2 / dispatch_rate);
--- a/src/decision/constants.h
+++ b/src/decision/constants.h
@@ -19,16 +19,18 @@
 // Past this, an engine that runs nothing of this gateway takes no first heavy request.
 inline constexpr double kCrowdedThreadsPerCore = 1.5;
 inline constexpr double kPressureLatencyRatio = 2.5;  // past this latency ratio, concurrency limits apply
-// Past this mean latency ratio, the fleet counts as slow.
+// Past this mean latency ratio of all engines, the fleet of engines counts as slow.
 inline constexpr double kSlowFleetLatencyRatio = 1.3;
 inline constexpr double kMaxHeavyMemoryShare = 0.85;  // of an engine's memory, granted to heavy requests
-// Grant of a request without an estimate, as a multiple of its usual need.
+// An engine takes requests without a memory estimate while it reports at most this share of its memory as
+// granted; for heavy requests, the share is multiplied by kMaxHeavyMemoryShare. It exceeds 1 because the
+// grant of a request without an estimate is this multiple of its usual need.
 inline constexpr double kUnestimatedGrantFactor = 1.5;
 // A class is light if its mean work is at most this share of that of the heaviest class.
 inline constexpr double kLightWorkShare = 0.25;
 inline constexpr double kMinRelativeSpeed = 0.08;  // lower bound of an engine's speed relative to the fleet's
 
-// ---- Health checks of engines whose load is unknown ----
+// ---- Probes for load reports ----
 
 // Other engines are probed while fewer candidates than this have a known load.
 inline constexpr std::size_t kMinEnginesWithKnownLoad = 2;
@@ -54,7 +56,7 @@
 inline constexpr double kBrokenConnectionWeight = 0.4;  // a lost connection, or an engine without a response
 inline constexpr double kLostResponseWeight = 0.05;     // a response that was lost on the way
 
-inline constexpr std::size_t kMaxErrors = 3;  // a request is ended after errors at this many engines
+inline constexpr std::size_t kMaxErrors = 3;  // a request is ended after this many attempts with errors
 inline constexpr Nanos kFullBackoff = 500 * kMillisecond;  // for an engine that reports itself full
 inline constexpr double kMaxEjectedShare = 0.5;            // of the listed engines
 // An ejection time is multiplied by a random factor between kMinEjectionJitter and
@@ -78,6 +80,9 @@
 
 // ---- Runaway attempts: cancelled, and retried at another engine ----
 
+// The spread of a class is exp(kRunawayDeviations * d), where d is the mean error of the log of the expected
+// work. The runaway timeout is the expected duration times kRunawaySpreadFactor times the spread.
+
 // Bounds of the runaway timeout, as multiples of the expected duration.
 inline constexpr double kMinRunawayFactor = 2.5;
 inline constexpr double kMaxRunawayFactor = 8;
@@ -86,12 +91,13 @@
 // An attempt whose duration, projected from its progress, exceeds this multiple of the expected duration is a
 // runaway.
 inline constexpr double kRunawayFactorProgress = 5;
-inline constexpr double kRunawayDeviations = 2.5;    // deviations of the log of the work that a spread covers
-inline constexpr double kRunawaySpreadFactor = 1.5;  // runaway timeout over that spread
-// Most runaway cancels of one request. If its next attempt is a runaway too, the request itself is heavy.
+inline constexpr double kRunawayDeviations = 2.5;    // mean errors that the spread covers
+inline constexpr double kRunawaySpreadFactor = 1.5;  // margin of the runaway timeout over the spread
+// Most runaway cancels of one request. If its next attempt is a runaway too, the request itself needs much
+// work.
 inline constexpr int kMaxRunawayCancels = 2;
-// After a runaway cancel, a request whose projected duration exceeds this share of the former projection is
-// heavy itself.
+// After a runaway cancel, a request whose projected duration exceeds this share of the former projection
+// needs much work itself.
 inline constexpr double kLargeProjectionShare = 0.4;
 inline constexpr double kMinProgress = 0.002;     // least share of the work that a projection assumes as done
 inline constexpr double kProjectionMargin = 0.9;  // share of the projected remaining time that is counted on
@@ -114,7 +120,8 @@
 // ---- Pending requests ----
 
 inline constexpr int kMaxFailedPlacements = 4;  // of one group of pending requests in one step
-// Exploratory requests of one class, at most, per latency objective of the class.
+// A class may send an exploratory request if it has sent no attempt within 1/kExplorationsPerObjective of its
+// latency objective.
 inline constexpr int kExplorationsPerObjective = 4;
 // Requests whose late_weight_share is less than this don't wait past their latency objectives.
 inline constexpr double kMinLateWeightShare = 0.15;
--- a/src/decision/estimates/class_estimates.cpp
+++ b/src/decision/estimates/class_estimates.cpp
@@ -66,6 +66,8 @@
   // The time divided by the relative work scatters less than the time itself.
   const double ratio =
       LearnSlowdown(response.time / RelativeWork(response.estimated_work), response.exploratory);
+  // Without reported work, the slowdown is the time divided by the relative work. At its best, it is taken as
+  // the work of a request with an average estimate.
   mean_work_ = best_slowdown_;
   LearnTime(response.estimated_work, std::max(response.time, 1e-4));
   if (response.estimated_memory_mb > 0) {
@@ -85,8 +87,9 @@
   LearnRegression(std::log(estimate), log_work, weight);
 }
 
-// Only the slope of the regression is used if the work isn't reported. Its level is that of the slowdown: if
-// each were learnt from times divided by the other, both would drift.
+// Only the slope of the regression is used if the work isn't reported. The level is taken from the slowdown.
+// Learning the level from times divided by the slowdown, and the slowdown from times divided by the level,
+// would let both drift.
 void ClassEstimates::LearnTime(double estimate, double time) {
   const double log_difference = std::log(time / RelativeWork(estimate)) - mean_log_time_;
   if (responses_ == 1) mean_log_time_ += log_difference;
--- a/src/decision/limits/capacity_credit.cpp
+++ b/src/decision/limits/capacity_credit.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kDemandTimeConstantSeconds = 8;  // of the average of demand
-// The credit is limited to the gateway's part over this time, or to the work of as many requests of the
-// heaviest class if that is more.
+// Credit and debt are limited to this many seconds of the gateway's part, or to the work of this many
+// requests of the heaviest class if that is more.
 constexpr double kMaxCreditSeconds = 2;
 
 }  // namespace
--- a/src/decision/limits/capacity_credit.h
+++ b/src/decision/limits/capacity_credit.h
@@ -2,8 +2,9 @@
 // seconds, grows with the gateway's own demand and is charged for what its attempts take.
 //
 // With many gateways, each gateway's part of an engine's concurrency limit is less than one request. The
-// limit can therefore only hold over the whole fleet and over time. A gateway without credit waits after a
-// burst of its own, even if engines have spare capacity.
+// limit can therefore only hold over all engines and over time. After a burst, the heavy requests of a
+// gateway without credit wait, even if engines have spare capacity. The scheduler makes exceptions for some
+// requests and engines (Scheduler::BypassesCredit and Scheduler::CreditAllows).
 //
 // The decision module has one CapacityCredit for each gateway. It reads no clock: `Advance` is passed the
 // elapsed time. Demand is in thread seconds per second.
@@ -12,12 +13,12 @@
 
 namespace lemoncroft::limits {
 
-// The gateway's current view of the fleet.
+// The gateway's current view of the fleet of engines.
 struct FleetCapacity {
   double listed_cores = 0;
   double subset_cores = 0;         // of the engines in the gateway's subset
-  int gateways = 1;                // number of gateways that share the fleet
-  double latency_ratio = 1;        // mean of recent responses
+  int gateways = 1;                // number of gateways that share the engines
+  double latency_ratio = 1;        // mean of recent responses of all engines
   double heaviest_class_work = 0;  // mean work of the heaviest class
 };
 
@@ -43,7 +44,8 @@
 
   // Returns the gateway's demand divided by the cores of its subset.
   double load() const { return load_; }
-  // Returns the gateway's share of the fleet's usual traffic, from 0 to 1.
+  // Returns the gateway's demand divided by the cores of its subset and by the latency ratio of the fleet, at
+  // most 1. Used as an estimate of the gateway's share of the fleet's traffic.
   double demand_share() const { return demand_share_; }
 
  private:
--- a/src/decision/limits/concurrency_limit.h
+++ b/src/decision/limits/concurrency_limit.h
@@ -12,7 +12,7 @@
 
 namespace lemoncroft::limits {
 
-// Signs of overload since the last adjustment of limits, over all engines.
+// Signs that the engines together don't meet the demand, in the current interval of kPeriod.
 struct UnmetDemand {
   bool had_pending = false;       // requests remained pending
   bool objective_missed = false;  // a pending request missed its latency objective
@@ -36,8 +36,10 @@
     const bool long_enough = had_pending && length >= period_length_;
     return length > 0 && (long_enough || period_.responses >= kMaxPeriodResponses);
   }
-  // Adjusts the limit and starts the next period. `seed` is the limit to fall back to. `uniform`, a random
-  // number from 0 to 1, varies the length of the next period, so that gateways don't adjust in step.
+  // Adjusts the limit and starts the next period. `seed` sets the size of a step. Unless a raise is reverted,
+  // it is also the lower bound of the limit while no latency objective is missed and the engine isn't full.
+  // `uniform`, a random number from 0 to 1, varies the length of the next period, so that gateways don't
+  // adjust in step.
   void Adjust(double seed, const UnmetDemand& unmet_demand, double uniform, Nanos now);
 
   double threads() const { return threads_; }
--- a/src/decision/limits/sent_load.h
+++ b/src/decision/limits/sent_load.h
@@ -30,7 +30,7 @@
   }
 
   // `adds_backlog`: the attempt ended without a response, and the engine may act on a cancellation late or
-  // never. Its work is then added to the backlog.
+  // never. The work of the attempt is then added to the backlog.
   void RecordEnd(const AttemptCharge& charge, bool adds_backlog) {
     threads_[charge.light] -= charge.threads;
     memory_mb_ -= charge.memory_mb;
--- a/src/decision/limits/slow_start_budget.h
+++ b/src/decision/limits/slow_start_budget.h
@@ -26,9 +26,10 @@
   return settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * grown;
 }
 
-// Returns the charge of a request of `work` for which random arrivals exceed `budget` only beyond
-// `deviations` standard deviations. Of a budget b, requests of work w may use x b, where x + z sqrt(x w / b)
-// = 1 and z is the number of standard deviations.
+// Returns the charge of a request of `work`. It is larger than `work`, so that a budget filled with charges
+// is exceeded only by random arrivals more than `deviations` standard deviations above the mean. The charge
+// is work / x, where x is the share of the budget that may be used on average: x + deviations * sqrt(x * work
+// / budget) = 1.
 inline double ChargeWithMargin(double work, double budget, double deviations) {
   constexpr double kMinBudget = 1e-6;
   const double spread = deviations * deviations * work / std::max(kMinBudget, budget);
--- a/src/decision/request_state.h
+++ b/src/decision/request_state.h
@@ -33,7 +33,7 @@
   int attempts = 0;
   int runaway_cancels = 0;
   double projected_seconds = 0;     // duration projected from progress before the last runaway cancel
-  std::vector<EngineId> failed_on;  // engines that responded with an error
+  std::vector<EngineId> failed_on;  // engine of each attempt that ended with an error; may repeat
   Nanos may_have_run_at = -1;       // send time of the first attempt that may have run; -1 = none
   EngineEntry may_have_run_on;      // the engine of that attempt
 
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -2,7 +2,8 @@
 // which memory and priority; when an attempt is cancelled; and when a request is ended without a response
 // from an engine.
 //
-// While an engine is under pressure, the number of threads at it is limited (limits::ConcurrencyLimit).
+// While an engine is under pressure (UnderPressure), the number of threads at it is limited
+// (limits::ConcurrencyLimit).
 // Requests beyond the limit stay pending here, ordered by priority weight. docs/design.md describes the
 // design and its sources.
 //
@@ -105,7 +106,7 @@
   void AdvanceOrderingKey(std::uint64_t key);
   void RemoveFromOrderingKey(const RequestState& request);
   // Ends the request without a response from an engine. It is rejected if no attempt can have had an effect
-  // or repeats do no harm; otherwise it fails. An attempt in flight is cancelled.
+  // or repeats do no harm; otherwise it fails. An attempt in flight is cancelled if the settings permit it.
   void RejectOrFail(RequestState& request);
   // Removes the request's state, or retains it until the outcome of an attempt in flight.
   void Finish(RequestState& request);
@@ -121,7 +122,8 @@
   Nanos LatestStart(const RequestState& request) const;
   void OnLatestStartPassed(RequestState& request);
   // Returns true if the request may be sent as an exploratory request, although the recent latency of its
-  // class rules out its objective. At most one request of a class may, in an interval.
+  // class rules out its objective. At most one request of a class may within 1/kExplorationsPerObjective of
+  // its latency objective, and none within that time after an attempt of the class.
   bool TakeExploration(const RequestState& request);
 
   // ---- Admission: the conditions under which an engine may take a request now ----
@@ -134,6 +136,7 @@
   bool BypassesCredit(const RequestState& request) const;
   bool CreditAllows(const RequestState& request, const EngineState& engine) const;
   bool MemoryAllows(const RequestState& request, const EngineState& engine) const;
+  // Returns true if the concurrency limit applies to the engine for this request.
   bool UnderPressure(const RequestState& request, const EngineState& engine) const;
   bool ConcurrencyAllows(const RequestState& request, const EngineState& engine) const;
   bool InSlowStart(const EngineState& engine) const;
@@ -178,8 +181,8 @@
   Nanos RunawayTimeout(const RequestState& request) const;
   Nanos KeyedRunawayTimeout(const RequestState& request, double factor) const;
   double RunawayFactor(const RequestState& request) const;
-  // Returns the latest time at which an attempt with an idempotency key can be cancelled so that its retry is
-  // still recognised as a repeat.
+  // Returns the latest time for which the cancel of an attempt with an idempotency key is scheduled, so that
+  // its retry is still recognised as a repeat. MayCancelAndRetry accepts a check that runs somewhat later.
   Nanos LastSafeCancel(const RequestState& request) const;
   bool MayCancelAndRetry(const RequestState& request) const;
   // Returns true if the attempt was cancelled.
@@ -240,7 +243,7 @@
   // Configuration.
   Settings settings_;
   reports::ReportLayout report_layout_;
-  std::optional<FleetSize> fleet_size_;  // none: as in the settings
+  std::optional<FleetSize> fleet_size_;  // of gateways; none: as in the settings
   int process_count_ = 1;                // divisor of budgets
   bool loads_block_readers_ = false;     // true if a class waits for loads of its table group
 
@@ -253,19 +256,21 @@
   // Engines.
   std::map<EngineId, EngineState> engines_;
   subset::RankingCache<EngineState> rankings_;
-  double subset_share_ = 1;          // share of the serving engines that are in the subset
-  int max_gateways_per_engine_ = 1;  // that have the same engine in their subsets
+  double subset_share_ = 1;  // share of the serving engines that are in the subset
+  // Most gateways that have the same engine in their subsets. Holds for subsets by membership rank; an
+  // estimate for subsets by hash.
+  int max_gateways_per_engine_ = 1;
   bool any_engine_reported_ = false;
   double mean_other_requests_ = 0;  // mean number of requests of other gateways at an engine
-  double fleet_latency_ratio_ = 1;
-  double fleet_hung_share_ = 0;
+  double fleet_latency_ratio_ = 1;  // recent mean over all engines
+  double fleet_hung_share_ = 0;     // of the light attempts at all engines
 
   // Requests.
   std::unordered_map<RequestId, RequestState> requests_;  // iterated only into ordered sets
   PendingRequests pending_;
   limits::OrderingKeyQueues ordering_key_queues_;
   RequestTimers timers_;
-  std::vector<Nanos> last_attempt_at_;  // by class
+  std::vector<Nanos> last_attempt_at_;  // of the last attempt or TakeExploration, by class
   limits::RetryBudget retries_;
   std::vector<limits::TokenBucket> quotas_;  // by tenant
 
@@ -279,7 +284,7 @@
   double preferred_work_share_per_core_ =
       0;  // share of the recent work allowed per core of a preferred engine
 
-  // The pressure since the last adjustment of concurrency limits.
+  // Over all engines, in the current interval of ConcurrencyLimit::kPeriod.
   limits::UnmetDemand unmet_demand_;
   Nanos unmet_demand_reset_at_ = 0;
 
--- a/src/decision/scheduler_admission.cpp
+++ b/src/decision/scheduler_admission.cpp
@@ -45,7 +45,9 @@
   return IsLight(request) && WeightRate(request.spec.class_id) >= best_heavy_weight_rate_;
 }
 
-// Without credit, a heavy request needs an idle engine or, without load reports, a fleet that isn't slow.
+// Without credit, a request may be sent only in these cases: it is a load whose class earns at least as much
+// per thread second as any heavy class; the engine sends no load reports and the fleet of engines isn't slow;
+// the engine has no recent load report and can be probed first; or the engine is idle.
 bool Scheduler::CreditAllows(const RequestState& request, const EngineState& engine) const {
   if (credit_.HasCredit()) return true;
   if (Class(request).holds_tables && WeightRate(request.spec.class_id) >= best_heavy_weight_rate_)
--- a/src/decision/scheduler_attempts.cpp
+++ b/src/decision/scheduler_attempts.cpp
@@ -12,7 +12,8 @@
   return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
 
-// Returns true if the engine may still be running the attempt.
+// Returns true if the engine may still be running the attempt. If the request is ordered, its ordering key is
+// then paused.
 bool MayStillRun(Outcome outcome) {
   return MayHaveRun(outcome) && outcome != Outcome::kOk && outcome != Outcome::kError;
 }
@@ -30,7 +31,8 @@
 // ---- Runaway attempts ----
 
 // An attempt that runs far longer than its request should need is cancelled and retried at another engine, as
-// long as the retry can end in time. In an overload, this wastes work.
+// long as the retry can end in time. The work of the cancelled attempt is lost, which costs most in an
+// overload.
 void Scheduler::CheckRunaway(RequestState& request) {
   const Nanos timeout = RunawayTimeout(request);
   if (timeout <= 0) return;
@@ -66,6 +68,10 @@
   return std::clamp(kRunawaySpreadFactor * spread, kMinRunawayFactor, max_factor);
 }
 
+// The time from this cancel to the end of the repeat window covers the pause of the ordering key, the
+// response margin and four timer intervals. The check that cancels may use two of these intervals
+// (MayCancelAndRetry); the other two remain for the outcome of the cancelled attempt and the step that sends
+// the retry.
 Nanos Scheduler::LastSafeCancel(const RequestState& request) const {
   const Nanos first_sent_at = request.may_have_run_at >= 0 ? request.may_have_run_at : request.sent_at;
   const Nanos window_end = first_sent_at + Class(request).repeat_window;
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -32,8 +32,8 @@
   }
 }
 
-// Returns true if no engine serves and at least one is manually ejected. Requests don't wait then, since it
-// is unknown when an operator will include an engine again.
+// Returns true if no engine serves and at least one listed engine is manually ejected; the others may be
+// draining. Requests don't wait then, since it is unknown when an operator will include an engine again.
 bool Scheduler::NoEngineServesAndOneIsManuallyEjected() const {
   bool any_ejected = false;
   for (const auto& [id, engine] : engines_) {
--- a/src/decision/scheduler_learning.cpp
+++ b/src/decision/scheduler_learning.cpp
@@ -16,6 +16,7 @@
   engine.in_flight.erase(request.spec.id);
   RecordUsage(request);
   const Outcome outcome = end.outcome;
+  // An attempt that ended with kReset may still run (MayStillRun), but adds no backlog.
   const bool adds_backlog =
       outcome == Outcome::kCancelled || outcome == Outcome::kTimeout || outcome == Outcome::kLost;
   engine.sent_load.RecordEnd(request.charge, adds_backlog);
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -33,7 +33,8 @@
 }
 
 // Each gateway gets an equal part of a tenant's quota. While the number of gateways isn't known from the
-// membership view, the part depends on the gateway's share of the fleet's usual traffic.
+// membership view, the part is the gateway's demand share (CapacityCredit::demand_share) divided by the
+// assumed load of the fleet, at most 1.
 bool Scheduler::IsOverQuota(const Request& spec) {
   if (spec.tenant >= quotas_.size()) return false;
   const double quota_per_s = settings_.tenants[spec.tenant].quota_per_s;
@@ -76,7 +77,7 @@
 
 // Open requests of a class that now has ordering keys are queued too, so that later requests wait for them.
 void Scheduler::RebuildOrderingKeyQueues(const std::vector<int>& former_class) {
-  std::set<RequestId> ordered;  // in the order of arrival
+  std::set<RequestId> ordered;  // in the order of arrival, which is that of the ids
   for (auto& [id, request] : requests_) {
     for (std::size_t i = 0; i < former_class.size() && request.spec.ordering_key != 0; ++i) {
       const bool successor = former_class[i] == request.spec.class_id;
@@ -130,7 +131,7 @@
 }
 
 void Scheduler::Handle(const Shutdown&) {
-  std::set<RequestId> open;  // in the order of arrival
+  std::set<RequestId> open;  // in the order of arrival, which is that of the ids
   for (const auto& [id, request] : requests_)
     if (request.phase != RequestPhase::kDone) open.insert(id);
   for (RequestId id : open) RejectOrFail(requests_.at(id));
--- a/src/decision/subset/subset.h
+++ b/src/decision/subset/subset.h
@@ -1,8 +1,8 @@
 // The subset of the engines that one of many gateways sends to. It is small enough that the gateway learns
 // the load of its engines and keeps connections to them. docs/design.md gives the reasons.
 //
-// Gateways that pass the same engines get subsets that are spread evenly. Fewer than one gateway counts as
-// one.
+// Gateways must pass the same engines. Their subsets are then spread evenly by membership rank, and by hash
+// only on average. Fewer than one gateway counts as one.
 #ifndef LEMONCROFT_SUBSET_SUBSET_H_
 #define LEMONCROFT_SUBSET_SUBSET_H_
 
@@ -38,7 +38,8 @@
 std::vector<EngineId> SubsetByMembershipRank(const std::vector<EngineId>& engines, int gateways,
                                              int gateway_index);
 
-// Returns the maximum number of gateways that have the same engine in their windows.
+// Returns an upper bound of the number of gateways that have the same engine in their windows. It doesn't
+// hold for subsets by hash.
 int MaxGatewaysPerEngine(std::size_t engines, int gateways);
 
 }  // namespace lemoncroft::subset
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -75,7 +75,8 @@
 
 struct Outcomes {
   // Work that the observed engine gets in any overload window during its slow start, in requests of mean
-  // work, divided by what it may get: at most 1 if the fleet keeps to N + 2 sqrt(N) + 2.
+  // work, divided by what it may get: at most 1 if all gateways together send at most N + 2 sqrt(N) + 2,
+  // where N is the number of such requests in the engine's budget for one overload window.
   double max_budget_use = 0;
   double sent = 0;  // total work sent to it, in requests of mean work
 };
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -1,4 +1,6 @@
-// A hung engine accepts attempts, responds to none, and may continue to work after a cancellation.
+// Load of engines that a gateway can't see in its attempts in flight: a hung engine accepts attempts,
+// responds to none, and may continue to work after a cancellation; a preferred engine is used by other
+// gateways too.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -48,7 +48,7 @@
   draining.readiness = Readiness::kDraining;
   host.DeliverList({draining});
   host.Step({MakeRequest(1)});
-  EXPECT_FALSE(host.rejected.contains(1)) << "engines of the feed are added and removed without an operator";
+  EXPECT_FALSE(host.rejected.contains(1)) << "a draining engine may be replaced without an operator";
   host.DeliverList({ejected}, ListKind::kChange);
   EXPECT_TRUE(host.rejected.contains(1));
   host.Step({MakeRequest(2)});
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -173,6 +173,8 @@
     int min_count = gateways, max_count = 0;
     for (const auto& [id, count] : sharing)
       min_count = std::min(min_count, count), max_count = std::max(max_count, count);
+    // Up to 25 gateways, each subset contains all engines. For more gateways, the check leaves room above the
+    // difference of at most one that SubsetByMembershipRank promises.
     EXPECT_LE(max_count - min_count,
               gateways <= 25 ? 0 : static_cast<int>(subset::SubsetSize(80, gateways) / 5 + 1))
         << gateways;
