--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -281,8 +281,8 @@
   double heaviest_class_work_ = 0;     // mean work, in thread seconds
   double best_heavy_weight_rate_ = 0;  // among the classes that aren't light
   double recent_work_ = 0;             // work sent recently, in thread seconds
-  double preferred_work_share_per_core_ =
-      0;  // share of the recent work allowed per core of a preferred engine
+  // Share of the recent work that a preferred engine may get, per core.
+  double preferred_work_share_per_core_ = 0;
 
   // Over all engines, in the current interval of ConcurrencyLimit::kPeriod.
   limits::UnmetDemand unmet_demand_;
