--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -26,7 +26,7 @@
   int engines = 8;
   double load = 0.7;            // share of all cores
   bool skewed = false;          // a tenth of the gateways gets half of the traffic
-  Nanos restart_at = -1;        // 70 % of the gateways restart this long after the cold engine; -1 = none
+  Nanos restart_delay = -1;     // 70 % of the gateways restart this long after the cold engine; -1 = none
   double work_factor = 1;       // multiplies the work of each request
   double budget_factor = 4;     // multiple of its current capacity that a cold engine may be sent
   bool all_cold = false;        // all engines restart, so that no warm engine is left
@@ -75,7 +75,8 @@
 
 struct Outcomes {
   // Work that the observed engine gets in any overload window during its slow start, in requests of mean
-  // work, divided by what it may get: at most 1 if the fleet keeps to N + 2 sqrt(N) + 2.
+  // work, divided by what it may get: at most 1 if all gateways together send at most N + 2 sqrt(N) + 2,
+  // where N is the number of such requests in the engine's budget for one overload window.
   double max_budget_use = 0;
   double sent = 0;  // total work sent to it, in requests of mean work
 };
@@ -100,7 +101,7 @@
   Outcomes Run() {
     for (Nanos now = kStart; now < engine_restart_at_ + plan_.length; now += kTick) {
       if (now == engine_restart_at_) RestartEngines(now);
-      if (plan_.restart_at >= 0 && now == engine_restart_at_ + plan_.restart_at) {
+      if (plan_.restart_delay >= 0 && now == engine_restart_at_ + plan_.restart_delay) {
         for (int i = 0; i < plan_.gateways * 7 / 10; ++i) StartGateway(i);
       }
       for (SimulatedGateway& simulated : gateways_) StepGateway(simulated, now);
@@ -243,7 +244,7 @@
         for (const double load : loads) {
           plan.all_cold = all_cold;
           plan.skewed = skewed;
-          plan.restart_at = restart;
+          plan.restart_delay = restart;
           plan.load = load;
           ++plan.seed;
           const Outcomes outcomes = FleetSimulation(plan).Run();
@@ -287,7 +288,7 @@
       plan.all_cold = true;
       plan.skewed = skewed;
       plan.length = 2500 * kMs;
-      plan.restart_at = restart;
+      plan.restart_delay = restart;
       const Outcomes outcomes = FleetSimulation(plan).Run();
       EXPECT_LE(outcomes.max_budget_use, 1) << restart << " " << skewed;
     }
--- a/tests/engine_jam_test.cpp
+++ b/tests/engine_jam_test.cpp
@@ -1,4 +1,6 @@
-// A hung engine accepts attempts, responds to none, and may continue to work after a cancellation.
+// Load of engines that a gateway can't see in its attempts in flight: a hung engine accepts attempts,
+// responds to none, and may continue to work after a cancellation; a preferred engine is used by other
+// gateways too.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -52,15 +54,15 @@
   const auto before = host.sends.size();
   // 8 s: the circuit breaker opens twice for 4 s, each time followed by one attempt.
   SendWithHungEngine(host, 1000, 400);
-  int late_attempts = 0;
+  int attempts_after_ejection = 0;
   for (std::size_t i = before; i < host.sends.size(); ++i)
-    late_attempts += host.sends[i].engine == kHungEngine;
-  EXPECT_LE(late_attempts, 5);
+    attempts_after_ejection += host.sends[i].engine == kHungEngine;
+  EXPECT_LE(attempts_after_ejection, 5);
 }
 
 // The work of an abandoned attempt may continue, so that its engine is loaded although no attempt is in
 // flight there.
-TEST(HungEngine, AbandonedWork_CountsAsLoadOfEngine) {
+TEST(AbandonedAttempt, RemainingWork_CountsAsLoadOfEngine) {
   Host host(WithoutReports());
   host.DeliverList(Engines(1));
   for (RequestId id = 1; id <= 4; ++id) host.Step({MakeRequest(id, 0, 5 * kSecond, 2 * kSecond)});
@@ -80,7 +82,7 @@
 }
 
 // All gateways prefer the same engines for a table group, and each knows only its own part of their load.
-TEST(HungEngine, PreferredEngine_IsPreferredOnlyUpToItsCapacity) {
+TEST(PreferredEngine, RequestsOfOneTableGroup_AreSentOnlyUpToItsCapacity) {
   // After the warm-up, the demand that a gateway assumes at its start has no effect.
   constexpr int kRequests = 1000, kWarmUpRequests = 3000;
   Settings settings = WithoutReports();
--- a/tests/gateway_dispatch_test.cpp
+++ b/tests/gateway_dispatch_test.cpp
@@ -41,14 +41,14 @@
   for (const Host::Sent& s : host.sends) EXPECT_EQ(s.engine, s.id <= 10 ? 2u : 3u);
 }
 
-TEST(EndpointList, AllEnginesManuallyEjected_RequestsAreRejectedAtOnce) {
+TEST(EndpointList, NoEngineServesAndOneIsManuallyEjected_RequestsAreRejectedAtOnce) {
   Host host(DefaultSettings());
   EngineEntry ejected = ReadyEngine(1), draining = ReadyEngine(2);
   ejected.readiness = Readiness::kExcluded;
   draining.readiness = Readiness::kDraining;
   host.DeliverList({draining});
   host.Step({MakeRequest(1)});
-  EXPECT_FALSE(host.rejected.contains(1)) << "engines of the feed are added and removed without an operator";
+  EXPECT_FALSE(host.rejected.contains(1)) << "a draining engine may be replaced without an operator";
   host.DeliverList({ejected}, ListKind::kChange);
   EXPECT_TRUE(host.rejected.contains(1));
   host.Step({MakeRequest(2)});
@@ -196,7 +196,7 @@
   EXPECT_EQ(host.Attempts(100), 1);
 }
 
-TEST(EngineChoice, LessLoadedEngine_GetsMoreRequests) {
+TEST(EngineChoice, EqualEngines_ShareRequestsEvenly) {
   Host host(DefaultSettings());
   host.DeliverList({ReadyEngine(1), ReadyEngine(2)});
   for (RequestId id = 1; id <= 40; ++id) host.Step({MakeRequest(id)});
