--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -41,7 +41,7 @@
   kEntryTooLarge,
   // A membership change is in progress, the leader has not committed an entry of its term yet, or the change
   // would remove the last voter.
-  kChangeInProgress,
+  kChangeNotPossible,
 };
 
 // The proposal is committed if the entry that is committed at `index` has the term `term`.
--- a/src/raft/raft_membership.cpp
+++ b/src/raft/raft_membership.cpp
@@ -26,7 +26,7 @@
   if (is_voter == add) return {ProposalError::kNone, voters_index_, hard_state_.term};
   const bool may_change = AreVotersCommitted() && TermAt(commit_index_) == hard_state_.term;
   if (!may_change && options_.safety_checks.single_membership_change)
-    return {ProposalError::kChangeInProgress, 0, 0};
+    return {ProposalError::kChangeNotPossible, 0, 0};
   return add ? AddVoter(now, id) : RemoveVoter(now, id);
 }
 
@@ -42,7 +42,7 @@
 ProposalResult Raft::RemoveVoter(Time now, const NodeId& id) {
   std::vector<NodeId> voters = voters_;
   std::erase(voters, id);
-  if (voters.empty()) return {ProposalError::kChangeInProgress, 0, 0};
+  if (voters.empty()) return {ProposalError::kChangeNotPossible, 0, 0};
   AppendAsLeader(now, {0, 0, EntryKind::kVoters, {}, std::move(voters)});
   SendNewEntries();
   return {ProposalError::kNone, last_index(), hard_state_.term};
