--- a/src/replicated_config/notification_pacer.h
+++ b/src/replicated_config/notification_pacer.h
@@ -30,12 +30,12 @@
   // last published one; `members` is the number of members of the fleet.
   bool ShouldNotify(Time now, bool changed, std::size_t members) {
     if (!changed) {
-      publish_at_.reset();
+      notify_at_.reset();
       return false;
     }
-    if (!publish_at_) publish_at_ = now + DrawDelay(members);
-    if (now < *publish_at_) return false;
-    publish_at_.reset();
+    if (!notify_at_) notify_at_ = now + DrawDelay(members);
+    if (now < *notify_at_) return false;
+    notify_at_.reset();
     return true;
   }
 
@@ -50,7 +50,7 @@
   }
 
   std::mt19937_64 random_;
-  std::optional<Time> publish_at_;
+  std::optional<Time> notify_at_;
 };
 
 }  // namespace lemoncroft::replicated_config
