--- a/src/replicated_config/config_state_machine.cpp
+++ b/src/replicated_config/config_state_machine.cpp
@@ -50,7 +50,7 @@
         if (in.Enum(EntryKind::kActivate) == EntryKind::kActivate) {
           const auto version = in.Take<std::uint64_t>();
           if (version <= latest_version_) active_version_ = std::max(active_version_, version);
-          DropOldVersions();
+          EnforceLimits();
           return std::nullopt;
         }
         ChangeOutcome out;
@@ -71,14 +71,14 @@
           versions_[latest_version_] = std::move(record);
         }
         if (outcomes_.insert_or_assign(out.id, out).second) outcome_order_.push_back(out.id);
-        DropOldVersions();
+        EnforceLimits();
         return out;
       });
   return outcome.value_or(std::nullopt);
 }
 
 // Drops the oldest outcomes and versions first, but never the active version or the latest one.
-void ConfigStateMachine::DropOldVersions() {
+void ConfigStateMachine::EnforceLimits() {
   for (; outcome_order_.size() > kMaxOutcomes; outcome_order_.pop_front())
     outcomes_.erase(outcome_order_.front());
   std::size_t bytes = 0;
--- a/src/replicated_config/config_state_machine.h
+++ b/src/replicated_config/config_state_machine.h
@@ -96,7 +96,7 @@
   bool operator==(const ConfigStateMachine& other) const { return Snapshot() == other.Snapshot(); }
 
  private:
-  void DropOldVersions();
+  void EnforceLimits();
 
   StateMachineSafetyChecks safety_checks_;
   Version latest_version_ = 0, active_version_ = 0;
