--- a/src/proxy/replicated_config_service.cpp
+++ b/src/proxy/replicated_config_service.cpp
@@ -37,7 +37,7 @@
 replicated_config::ConfigReplicaOptions ReplicatedConfigService::ReplicaOptionsOf(
     const operator_config::ReplicatedConfigSettings& settings, const std::string& name) {
   replicated_config::ConfigReplicaOptions options;
-  options.self = name;
+  options.name = name;
   options.initial_voters = settings.voters;
   options.lease.duration = settings.lease;
   options.lease.renewal_interval = settings.renewal_interval;
@@ -169,7 +169,7 @@
     const auto* name = std::get_if<raft::NodeId>(&send->to);
     const gossip::Member* to =
         name != nullptr ? FindProcess(*name)
-                        : fleet_.view().members().Find(std::get<replicated_config::Instance>(send->to));
+                        : fleet_.view().members().Find(std::get<replicated_config::InstanceId>(send->to));
     if (to != nullptr)
       fleet_.link().Send(to->record.address, peer_transport::Subsystem::kReplicatedConfig,
                          replicated_config::Encode(send->message));
@@ -370,7 +370,7 @@
 }
 
 void ReplicatedConfigService::UpdatePeers() {
-  std::vector<replicated_config::Instance> others;
+  std::vector<replicated_config::InstanceId> others;
   const gossip::MemberTable& members = fleet_.view().members();
   for (const auto& [id, member] : members.all())
     if (member.status == gossip::Status::kAlive && id != members.self()) others.push_back(id);
--- a/src/replicated_config/config_replica.cpp
+++ b/src/replicated_config/config_replica.cpp
@@ -13,26 +13,26 @@
 
 }  // namespace
 
-ConfigReplica::ConfigReplica(ConfigReplicaOptions options, Instance self, DocumentChecks checks,
+ConfigReplica::ConfigReplica(ConfigReplicaOptions options, InstanceId self_instance, DocumentChecks checks,
                              std::uint64_t seed, Time now)
     : options_(std::move(options)),
-      self_(self),
+      self_instance_(self_instance),
       document_checks_(std::move(checks)),
       random_(seed),
       holder_(options_.lease),
       next_renewal_at_(now),
       voters_(options_.initial_voters),
-      admission_(options_.self, options_.initial_voters, options_.safety_checks.admission),
+      admission_(options_.name, options_.initial_voters, options_.safety_checks.admission),
       state_machine_(options_.safety_checks.state_machine),
       grantor_(options_.lease) {}
 
 std::vector<ConfigReplicaOutput> ConfigReplica::TakeOutputs() { return std::exchange(outputs_, {}); }
 
-void ConfigReplica::Send(const std::variant<NodeId, Instance>& to, MessageBody body) {
-  Message message{options_.self, std::move(body)};
+void ConfigReplica::Send(const std::variant<NodeId, InstanceId>& to, MessageBody body) {
+  Message message{options_.name, std::move(body)};
   const auto* name = std::get_if<NodeId>(&to);
-  const auto* instance = std::get_if<Instance>(&to);
-  if ((name != nullptr && *name == options_.self) || (instance != nullptr && *instance == self_))
+  const auto* instance = std::get_if<InstanceId>(&to);
+  if ((name != nullptr && *name == options_.name) || (instance != nullptr && *instance == self_instance_))
     messages_to_self_.push_back(std::move(message));
   else
     outputs_.push_back(SendMessage{to, std::move(message)});
@@ -48,8 +48,8 @@
   for (const auto& [id, request] : pending_requests_)
     next = std::min({next, request.next_attempt, request.deadline});
   const auto& state = admission_.state();
-  if (state &&
-      (*state == VoterAdmission::State::kQueryingVoters || *state == VoterAdmission::State::kEmptyStore))
+  if (state && (*state == VoterAdmission::State::kQueryingVoters ||
+                *state == VoterAdmission::State::kAwaitingOperator))
     next = std::min(next, next_hello_at_);
   if (raft_) next = std::min(next, raft_->NextDeadline());
   if (in_flight_change_ && !in_flight_change_->proposed) next = std::min(next, in_flight_change_->deadline);
@@ -65,7 +65,7 @@
   DispatchPendingOutputs(now);
 }
 
-void ConfigReplica::Receive(Time now, Instance from, const Message& message) {
+void ConfigReplica::Receive(Time now, InstanceId from, const Message& message) {
   std::visit([&](const auto& body) { Handle(now, from, message, body); }, message.body);
   DispatchPendingOutputs(now);
 }
@@ -83,7 +83,7 @@
     std::vector<Message> messages = std::exchange(messages_to_self_, {});
     if (messages.empty()) break;
     for (const Message& message : messages)
-      std::visit([&](const auto& body) { Handle(now, self_, message, body); }, message.body);
+      std::visit([&](const auto& body) { Handle(now, self_instance_, message, body); }, message.body);
   }
   DrainRaftOutputs(now);
   FetchMissingDocuments(now);
--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -43,18 +43,18 @@
 
 namespace lemoncroft::replicated_config {
 
-// The rules that safety depends on. Mutation tests disable one at a time, except for wait_for_settled_log,
+// The rules that safety depends on. Mutation tests disable one at a time, except for wait_for_commit_in_term,
 // which has no mutation test yet.
 struct ConfigReplicaSafetyChecks {
-  bool wait_for_settled_log = true;  // a leader grants leases once it has committed an entry of its term
-  bool validate_on_holders = true;   // lease holders validate a change before it is proposed
-  bool expire_laggards = true;       // a holder that prepares a version too late gets no more grants
+  bool wait_for_commit_in_term = true;  // a leader grants leases once it has committed an entry of its term
+  bool validate_on_holders = true;      // lease holders validate a change before it is proposed
+  bool expire_laggards = true;          // a holder that prepares a version too late gets no more grants
   StateMachineSafetyChecks state_machine;
   AdmissionSafetyChecks admission;
 };
 
 struct ConfigReplicaOptions {
-  raft::NodeId self;
+  raft::NodeId name;
   std::vector<raft::NodeId> initial_voters;  // the voters named in the operator's file
   raft::Options raft_options;
   LeaseOptions lease;
@@ -82,7 +82,7 @@
 // Asks the host to send a message to one process or, by name, to the current process of a voter. The message
 // may be lost.
 struct SendMessage {
-  std::variant<raft::NodeId, Instance> to;
+  std::variant<raft::NodeId, InstanceId> to;
   Message message;
 };
 // The document of a version was received. The host validates it and calls MarkPrepared or MarkIncompatible.
@@ -109,15 +109,15 @@
 
 class ConfigReplica {
  public:
-  ConfigReplica(ConfigReplicaOptions options, Instance self, DocumentChecks checks, std::uint64_t seed,
-                raft::Time now);
+  ConfigReplica(ConfigReplicaOptions options, InstanceId self_instance, DocumentChecks checks,
+                std::uint64_t seed, raft::Time now);
 
   // Runs the timers that are due. The host calls it at NextDeadline.
   void Tick(raft::Time now);
   // Returns the time at which Tick must be called next.
   raft::Time NextDeadline() const;
   // Handles a message from the process `from`.
-  void Receive(raft::Time now, Instance from, const Message& message);
+  void Receive(raft::Time now, InstanceId from, const Message& message);
   // Returns the outputs since the last call, in order.
   std::vector<ConfigReplicaOutput> TakeOutputs();
 
@@ -139,7 +139,7 @@
   void TransferLeadership(raft::Time now);
 
   // Sets the other live processes of the fleet. The replica may fetch documents from them.
-  void SetPeers(std::vector<Instance> peers) { peers_ = std::move(peers); }
+  void SetPeers(std::vector<InstanceId> peers) { peers_ = std::move(peers); }
 
   // The host's responses to DocumentReceived.
   void MarkPrepared(raft::Time now, Version version);
@@ -158,7 +158,7 @@
   // Returns true if this voter is the leader and may grant leases at `now`.
   bool Leads(raft::Time now) const {
     return raft_ && raft_->HoldsLeaderLease(now) &&
-           (raft_->HasCommittedInTerm() || !options_.safety_checks.wait_for_settled_log);
+           (raft_->HasCommittedInTerm() || !options_.safety_checks.wait_for_commit_in_term);
   }
   const raft::NodeId& leader() const { return leader_; }  // empty if unknown
   // Leader only: returns the live lease holders as "name/instance", with the version that each has prepared.
@@ -175,10 +175,10 @@
   // Leader only: a change that lease holders validate before it is proposed.
   struct InFlightChange {
     ConfigChange change;
-    std::set<Instance> pending_validators;  // the holders that have not accepted the change yet
-    Time deadline{};                        // of the validation
+    std::set<InstanceId> pending_validators;  // the holders that have not accepted the change yet
+    Time deadline{};                          // of the validation
     bool proposed = false;
-    std::set<Instance> reply_to;
+    std::set<InstanceId> reply_to;
   };
   struct ChangeRejection {
     ChangeStatus status = ChangeStatus::kRejected;
@@ -186,7 +186,7 @@
   };
   struct InFlightVoterChange {
     VoterChange change;
-    Instance reply_to = 0;
+    InstanceId reply_to = 0;
     std::uint64_t store_id = 0;  // the added store; no other store of this voter is admitted
   };
 
@@ -204,7 +204,7 @@
 
   // Shared by all roles (config_replica.cpp).
   void EmitLogEvent(bool warn, std::string text) { outputs_.push_back(LogEvent{warn, std::move(text)}); }
-  void Send(const std::variant<raft::NodeId, Instance>& to, MessageBody body);
+  void Send(const std::variant<raft::NodeId, InstanceId>& to, MessageBody body);
   // Sends to the leader if it is known, otherwise to each voter in turn.
   void SendToLeader(MessageBody body);
   // Processes Raft's outputs and this replica's messages to itself until none remain, but at most
@@ -217,18 +217,18 @@
   void RenewLease(Time now);
   void StoreDocument(Version version, const std::string& document);
   void FetchMissingDocuments(Time now);
-  void Handle(Time now, Instance from, const Message& message, const LeaseResponse& body);
-  void Handle(Time now, Instance from, const Message& message, const NotLeader& body);
-  void Handle(Time now, Instance from, const Message& message, const DocumentRequest& body);
-  void Handle(Time now, Instance from, const Message& message, const DocumentResponse& body);
-  void Handle(Time now, Instance from, const Message& message, const ValidateRequest& body);
+  void Handle(Time now, InstanceId from, const Message& message, const LeaseResponse& body);
+  void Handle(Time now, InstanceId from, const Message& message, const NotLeader& body);
+  void Handle(Time now, InstanceId from, const Message& message, const DocumentRequest& body);
+  void Handle(Time now, InstanceId from, const Message& message, const DocumentResponse& body);
+  void Handle(Time now, InstanceId from, const Message& message, const ValidateRequest& body);
 
   // Requests of operators (config_replica_requests.cpp).
   void SubmitRequest(Time now, const std::string& id, MessageBody body, Time deadline);
   void RetryRequests(Time now);
   void CompleteRequest(const ChangeOutcome& outcome, std::optional<ReadResponse> read = std::nullopt);
-  void Handle(Time now, Instance from, const Message& message, const ProposalResult& body);
-  void Handle(Time now, Instance from, const Message& message, const ReadResponse& body);
+  void Handle(Time now, InstanceId from, const Message& message, const ChangeResult& body);
+  void Handle(Time now, InstanceId from, const Message& message, const ReadResponse& body);
 
   // Voter (config_replica_voter.cpp).
   void RunAdmission(Time now);
@@ -237,33 +237,33 @@
   void ApplyCommitted(const raft::Entry& entry);
   void CompactLog();
   void SendDeferredMessages(Time now);
-  void Handle(Time now, Instance from, const Message& message, const RaftMessage& body);
-  void Handle(Time now, Instance from, const Message& message, const StoreHello& body);
-  void Handle(Time now, Instance from, const Message& message, const StoreHelloResponse& body);
-  void Handle(Time now, Instance from, const Message& message, const AdmitVoter& body);
+  void Handle(Time now, InstanceId from, const Message& message, const RaftMessage& body);
+  void Handle(Time now, InstanceId from, const Message& message, const StoreHello& body);
+  void Handle(Time now, InstanceId from, const Message& message, const StoreHelloResponse& body);
+  void Handle(Time now, InstanceId from, const Message& message, const AdmitVoter& body);
 
   // Leader (config_replica_leader.cpp).
   void RunLeaderDuties(Time now);
   void BeginLeadership(Time now);
   void EndLeadership();
-  void ActivateLatestVersion(Time now);
+  void ProposeActivation(Time now);
   tl::expected<void, ChangeRejection> CheckProposal(Time now, const ConfigChange& change) const;
   tl::expected<void, DocumentRejection> CheckAgainstUsableVersions(Time now,
                                                                    const std::string& document) const;
-  tl::expected<std::set<Instance>, ChangeRejection> FindValidators(Time now,
-                                                                   const std::string& document) const;
+  tl::expected<std::set<InstanceId>, ChangeRejection> FindValidators(Time now,
+                                                                     const std::string& document) const;
   void ProposeInFlight(Time now);
   void AdvanceVoterChange(Time now);
   void AbandonInFlight();
-  void SendOutcome(const std::set<Instance>& to, const ChangeOutcome& outcome);
-  void Handle(Time now, Instance from, const Message& message, const LeaseRequest& body);
-  void Handle(Time now, Instance from, const Message& message, const ProposeRequest& body);
-  void Handle(Time now, Instance from, const Message& message, const ValidateResponse& body);
-  void Handle(Time now, Instance from, const Message& message, const VoterChange& body);
-  void Handle(Time now, Instance from, const Message& message, const ReadRequest& body);
+  void SendOutcome(const std::set<InstanceId>& to, const ChangeOutcome& outcome);
+  void Handle(Time now, InstanceId from, const Message& message, const LeaseRequest& body);
+  void Handle(Time now, InstanceId from, const Message& message, const ProposeRequest& body);
+  void Handle(Time now, InstanceId from, const Message& message, const ValidateResponse& body);
+  void Handle(Time now, InstanceId from, const Message& message, const VoterChange& body);
+  void Handle(Time now, InstanceId from, const Message& message, const ReadRequest& body);
 
   ConfigReplicaOptions options_;
-  Instance self_;
+  InstanceId self_instance_;
   DocumentChecks document_checks_;
   std::mt19937_64 random_;
   std::vector<ConfigReplicaOutput> outputs_;
@@ -279,7 +279,7 @@
   bool leader_hint_is_fresh_ = false;  // a NotLeader response has named leader_ since the last renewal
   std::vector<raft::NodeId> voters_;   // as of the last grant
   std::size_t next_voter_ = 0;
-  std::vector<Instance> peers_;
+  std::vector<InstanceId> peers_;
   std::size_t fetch_attempts_ = 0;
   Time next_fetch_at_{};
   std::map<std::string, PendingRequest> pending_requests_;
@@ -305,7 +305,7 @@
   std::optional<InFlightChange> in_flight_change_;
   std::optional<InFlightVoterChange> in_flight_voter_change_;
   Time next_admit_message_at_{};
-  std::map<Instance, HolderInfo> holder_info_;
+  std::map<InstanceId, HolderInfo> holder_info_;
 };
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/config_replica_holder.cpp
+++ b/src/replicated_config/config_replica_holder.cpp
@@ -33,14 +33,14 @@
   return version && documents_.IsPrepared(*version) ? version : std::nullopt;
 }
 
-void ConfigReplica::Handle(Time now, Instance, const Message& message, const LeaseResponse& body) {
+void ConfigReplica::Handle(Time now, InstanceId, const Message& message, const LeaseResponse& body) {
   last_grant_at_ = now;
   leader_ = message.sender;
   if (!body.voters.empty()) voters_ = body.voters;
   holder_.HandleGrant(now, body.grant);
 }
 
-void ConfigReplica::Handle(Time now, Instance, const Message& message, const NotLeader& body) {
+void ConfigReplica::Handle(Time now, InstanceId, const Message& message, const NotLeader& body) {
   if (body.leader_hint.empty() || body.leader_hint == message.sender) {
     if (leader_ == message.sender) leader_.clear();
     return;
@@ -97,19 +97,19 @@
   incompatible_version_ = std::max(incompatible_version_, version);
 }
 
-void ConfigReplica::Handle(Time, Instance from, const Message&, const DocumentRequest& body) {
+void ConfigReplica::Handle(Time, InstanceId from, const Message&, const DocumentRequest& body) {
   if (const std::string* document = FindDocument(body.version))
     Send(from, DocumentResponse{body.version, *document});
 }
 
-void ConfigReplica::Handle(Time now, Instance, const Message&, const DocumentResponse& body) {
+void ConfigReplica::Handle(Time now, InstanceId, const Message&, const DocumentResponse& body) {
   const bool wanted = body.version == holder_.active_version() || body.version == holder_.latest_version();
   if (!wanted || documents_.IsPrepared(body.version) || body.document.size() > kMaxDocumentBytes) return;
   next_fetch_at_ = now;
   StoreDocument(body.version, body.document);
 }
 
-void ConfigReplica::Handle(Time, Instance from, const Message&, const ValidateRequest& body) {
+void ConfigReplica::Handle(Time, InstanceId from, const Message&, const ValidateRequest& body) {
   const auto checked = document_checks_.check_compatible(body.document);
   Send(from, ValidateResponse{body.id, checked ? std::string() : checked.error().reason});
 }
--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -20,8 +20,10 @@
 constexpr int kClockRateMarginDivisor = 50;  // 1/50 of a duration exceeds the allowed clock rate difference
 constexpr std::size_t kMaxHolderInfo = 8192;
 
-std::string HolderKey(Instance instance) { return std::to_string(instance); }
-Instance InstanceOf(const std::string& holder_key) { return std::strtoull(holder_key.c_str(), nullptr, 10); }
+std::string HolderKey(InstanceId instance) { return std::to_string(instance); }
+InstanceId InstanceOf(const std::string& holder_key) {
+  return std::strtoull(holder_key.c_str(), nullptr, 10);
+}
 
 bool Contains(const std::vector<NodeId>& names, const NodeId& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
@@ -38,7 +40,7 @@
   }
   for (const auto& [version, record] : state_machine_.versions())
     if (version < state_machine_.active_version()) superseded_at_.try_emplace(version, now);
-  ActivateLatestVersion(now);
+  ProposeActivation(now);
   if (in_flight_change_ && !in_flight_change_->proposed &&
       (in_flight_change_->pending_validators.empty() || now >= in_flight_change_->deadline))
     ProposeInFlight(now);
@@ -76,19 +78,19 @@
   return out;
 }
 
-void ConfigReplica::Handle(Time now, Instance from, const Message&, const ReadRequest& body) {
+void ConfigReplica::Handle(Time now, InstanceId from, const Message&, const ReadRequest& body) {
   if (Leads(now))
     return Send(from, ReadResponse{body.id, state_machine_.latest_version(), state_machine_.active_version(),
                                    raft_->voters()});
-  if (from != self_) Send(from, NotLeader{raft_ ? raft_->leader() : leader_});
+  if (from != self_instance_) Send(from, NotLeader{raft_ ? raft_->leader() : leader_});
 }
 
 // ---- Leases and activation ----
 
-void ConfigReplica::Handle(Time now, Instance from, const Message& message, const LeaseRequest& body) {
+void ConfigReplica::Handle(Time now, InstanceId from, const Message& message, const LeaseRequest& body) {
   if (!Leads(now)) {
     const NodeId& other = raft_ ? raft_->leader() : leader_;
-    if (from != self_) Send(from, NotLeader{other == options_.self ? NodeId() : other});
+    if (from != self_instance_) Send(from, NotLeader{other == options_.name ? NodeId() : other});
     return;
   }
   if (holder_info_.size() >= kMaxHolderInfo) holder_info_.clear();
@@ -107,7 +109,7 @@
 }
 
 // Activates the latest version once all live lease holders have prepared it.
-void ConfigReplica::ActivateLatestVersion(Time now) {
+void ConfigReplica::ProposeActivation(Time now) {
   const Version latest_version = state_machine_.latest_version();
   if (latest_version <= std::max(state_machine_.active_version(), activating_version_)) return;
   if (!grantor_.MayActivate(now, Leads(now), latest_version)) return;
@@ -117,19 +119,19 @@
 
 // ---- Changes of the configuration ----
 
-void ConfigReplica::Handle(Time now, Instance from, const Message&, const ProposeRequest& body) {
+void ConfigReplica::Handle(Time now, InstanceId from, const Message&, const ProposeRequest& body) {
   if (!Leads(now)) {
     const NodeId& other = raft_ ? raft_->leader() : leader_;
-    if (from != self_) Send(from, NotLeader{other == options_.self ? NodeId() : other});
+    if (from != self_instance_) Send(from, NotLeader{other == options_.name ? NodeId() : other});
     return;
   }
   const ConfigChange& change = body.change;
   const auto reject = [&](ChangeRejection rejection) {
-    Send(from, ProposalResult{{change.id, rejection.status, state_machine_.latest_version(),
-                               std::move(rejection.reason)}});
+    Send(from, ChangeResult{{change.id, rejection.status, state_machine_.latest_version(),
+                             std::move(rejection.reason)}});
   };
   if (const ChangeOutcome* known = state_machine_.FindOutcome(change.id))
-    return Send(from, ProposalResult{*known});
+    return Send(from, ChangeResult{*known});
   if (in_flight_change_ && in_flight_change_->change.id == change.id) {
     in_flight_change_->reply_to.insert(from);
     return;
@@ -147,7 +149,7 @@
   in_flight.deadline = now + kValidationTimeout;
   in_flight.pending_validators = std::move(*validators);
   in_flight_change_ = std::move(in_flight);
-  for (const Instance holder : in_flight_change_->pending_validators)
+  for (const InstanceId holder : in_flight_change_->pending_validators)
     Send(holder, ValidateRequest{change.id, change.document});
 }
 
@@ -187,18 +189,18 @@
 
 // Returns the live lease holders that must validate a document, or a rejection if this proxy or one of them
 // is already known to be unable to apply it.
-tl::expected<std::set<Instance>, ConfigReplica::ChangeRejection> ConfigReplica::FindValidators(
+tl::expected<std::set<InstanceId>, ConfigReplica::ChangeRejection> ConfigReplica::FindValidators(
     Time now, const std::string& document) const {
-  std::set<Instance> validators;
+  std::set<InstanceId> validators;
   if (!options_.safety_checks.validate_on_holders) return validators;
   const std::uint64_t format = document_checks_.required_format(document);
   if (auto checked = document_checks_.check_compatible(document); !checked)
     return tl::unexpected(ChangeRejection{ChangeStatus::kRejected,
-                                          options_.self + " can't carry it: " + checked.error().reason});
+                                          options_.name + " can't carry it: " + checked.error().reason});
   for (const auto& [key, prepared] : grantor_.LiveHolders(now)) {
-    const Instance holder = InstanceOf(key);
+    const InstanceId holder = InstanceOf(key);
     const auto info = holder_info_.find(holder);
-    if (holder == self_ || info == holder_info_.end()) continue;
+    if (holder == self_instance_ || info == holder_info_.end()) continue;
     if (info->second.format < format)
       return tl::unexpected(ChangeRejection{ChangeStatus::kRejected,
                                             info->second.name + " can't carry it: its program reads format " +
@@ -209,7 +211,7 @@
   return validators;
 }
 
-void ConfigReplica::Handle(Time, Instance from, const Message& message, const ValidateResponse& body) {
+void ConfigReplica::Handle(Time, InstanceId from, const Message& message, const ValidateResponse& body) {
   if (!in_flight_change_ || in_flight_change_->change.id != body.id || in_flight_change_->proposed) return;
   if (body.reason.empty()) {
     in_flight_change_->pending_validators.erase(from);
@@ -232,8 +234,8 @@
   if (proposed.error != raft::ProposalError::kNone) in_flight_change_.reset();
 }
 
-void ConfigReplica::SendOutcome(const std::set<Instance>& to, const ChangeOutcome& outcome) {
-  for (const Instance instance : to) Send(instance, ProposalResult{outcome});
+void ConfigReplica::SendOutcome(const std::set<InstanceId>& to, const ChangeOutcome& outcome) {
+  for (const InstanceId instance : to) Send(instance, ChangeResult{outcome});
 }
 
 // ---- Changes of the voters ----
@@ -244,7 +246,7 @@
   const VoterChange& wanted = in_flight_voter_change_->change;
   if (Contains(raft_->voters(), wanted.voter) == wanted.add && raft_->AreVotersCommitted()) {
     Send(in_flight_voter_change_->reply_to,
-         ProposalResult{{wanted.id, ChangeStatus::kCommitted, state_machine_.latest_version(), {}}});
+         ChangeResult{{wanted.id, ChangeStatus::kCommitted, state_machine_.latest_version(), {}}});
     EmitLogEvent(false, "voter " + wanted.voter + (wanted.add ? " is added" : " is removed"));
     in_flight_voter_change_.reset();
     return;
@@ -256,19 +258,19 @@
     Send(wanted.voter, AdmitVoter{in_flight_voter_change_->store_id});
 }
 
-void ConfigReplica::Handle(Time now, Instance from, const Message&, const VoterChange& body) {
+void ConfigReplica::Handle(Time now, InstanceId from, const Message&, const VoterChange& body) {
   if (!Leads(now)) {
-    if (from != self_) Send(from, NotLeader{raft_ ? raft_->leader() : leader_});
+    if (from != self_instance_) Send(from, NotLeader{raft_ ? raft_->leader() : leader_});
     return;
   }
   const auto reject = [&](std::string reason) {
-    Send(from, ProposalResult{
+    Send(from, ChangeResult{
                    {body.id, ChangeStatus::kRejected, state_machine_.latest_version(), std::move(reason)}});
   };
   if (Contains(raft_->voters(), body.voter) == body.add && raft_->AreVotersCommitted())
-    return Send(from, ProposalResult{{body.id, ChangeStatus::kCommitted, state_machine_.latest_version(),
-                                      body.add ? "it votes already" : "it has no vote"}});
-  if (body.add && !admission_.UnadmittedStoreId(body.voter))
+    return Send(from, ChangeResult{{body.id, ChangeStatus::kCommitted, state_machine_.latest_version(),
+                                    body.add ? "it votes already" : "it has no vote"}});
+  if (body.add && !admission_.LastEmptyStoreId(body.voter))
     return reject(body.voter + " has not told of an empty store: is it running, with a `store`?");
   if (!body.add && raft_->voters().size() == 1) return reject("it is the last voter");
   if (in_flight_voter_change_ && in_flight_voter_change_->change.id != body.id)
@@ -276,7 +278,7 @@
   raft_->ChangeVoters(now, body.voter, body.add);
   if (!in_flight_voter_change_)
     in_flight_voter_change_ =
-        InFlightVoterChange{body, from, admission_.UnadmittedStoreId(body.voter).value_or(0)};
+        InFlightVoterChange{body, from, admission_.LastEmptyStoreId(body.voter).value_or(0)};
   in_flight_voter_change_->reply_to = from;
   next_admit_message_at_ = now;
 }
--- a/src/replicated_config/config_replica_requests.cpp
+++ b/src/replicated_config/config_replica_requests.cpp
@@ -56,11 +56,11 @@
   if (pending_requests_.erase(outcome.id) > 0) outputs_.push_back(RequestCompleted{outcome, std::move(read)});
 }
 
-void ConfigReplica::Handle(Time, Instance, const Message&, const ProposalResult& body) {
+void ConfigReplica::Handle(Time, InstanceId, const Message&, const ChangeResult& body) {
   CompleteRequest(body.outcome);
 }
 
-void ConfigReplica::Handle(Time, Instance, const Message&, const ReadResponse& body) {
+void ConfigReplica::Handle(Time, InstanceId, const Message&, const ReadResponse& body) {
   CompleteRequest({body.id, ChangeStatus::kCommitted, body.latest_version, {}}, body);
 }
 
--- a/src/replicated_config/config_replica_voter.cpp
+++ b/src/replicated_config/config_replica_voter.cpp
@@ -12,8 +12,9 @@
 namespace {
 
 constexpr Duration kHelloInterval = 200ms;
-constexpr Duration kEmptyStoreHelloInterval = 1000ms;  // while the voter waits for an operator to add it
-constexpr Duration kVoterAdmissionTimeout = 1000ms;    // then a majority without objections suffices
+constexpr Duration kAwaitingOperatorHelloInterval =
+    1000ms;                                          // while the voter waits for an operator to add it
+constexpr Duration kVoterAdmissionTimeout = 1000ms;  // then a majority without objections suffices
 // A log that exceeds one of these limits is compacted into a snapshot.
 constexpr std::size_t kMaxLogEntries = 96;
 constexpr std::uint64_t kMaxLogBytes = std::uint64_t{1} << 20;
@@ -67,7 +68,7 @@
   if (*state == State::kBootstrapping) return;
   if (*state == State::kAdmitted) return StartVoting(now);
   if (*state == State::kStaleStore || now < next_hello_at_) return;
-  next_hello_at_ = now + (*state == State::kQueryingVoters ? kHelloInterval : kEmptyStoreHelloInterval);
+  next_hello_at_ = now + (*state == State::kQueryingVoters ? kHelloInterval : kAwaitingOperatorHelloInterval);
   for (const NodeId& other : admission_.other_voters()) Send(other, admission_.hello());
 }
 
@@ -89,20 +90,20 @@
     admission_.Close();
     return;
   }
-  raft_ = std::make_unique<raft::Raft>(options_.raft_options, options_.self, std::move(restored_state_),
+  raft_ = std::make_unique<raft::Raft>(options_.raft_options, options_.name, std::move(restored_state_),
                                        random_(), now);
   restored_state_ = {};
-  EmitLogEvent(false, "voter " + options_.self + " takes part, term " + std::to_string(raft_->term()) +
+  EmitLogEvent(false, "voter " + options_.name + " takes part, term " + std::to_string(raft_->term()) +
                           ", log up to " + std::to_string(raft_->last_index()));
 }
 
-void ConfigReplica::Handle(Time, Instance from, const Message& message, const StoreHello& body) {
+void ConfigReplica::Handle(Time, InstanceId from, const Message& message, const StoreHello& body) {
   if (processes_.IsReplaced(from)) return;
   processes_.Replace(message.sender, from);
   if (admission_.state()) Send(from, admission_.AnswerHello(message.sender, body));
 }
 
-void ConfigReplica::Handle(Time now, Instance, const Message& message, const StoreHelloResponse& body) {
+void ConfigReplica::Handle(Time now, InstanceId, const Message& message, const StoreHelloResponse& body) {
   using State = VoterAdmission::State;
   const auto before = admission_.state();
   admission_.HandleResponse(message.sender, body);
@@ -110,7 +111,7 @@
   if (before == after) return;
   if (after == State::kBootstrapping)
     outputs_.push_back(PersistBootstrapVoters{admission_.bootstrap_voters()});
-  if (after == State::kEmptyStore)
+  if (after == State::kAwaitingOperator)
     EmitLogEvent(
         true,
         "this store is empty, and the fleet was bootstrapped without it: it does not vote until an operator "
@@ -123,7 +124,7 @@
   RunAdmission(now);
 }
 
-void ConfigReplica::Handle(Time, Instance, const Message&, const AdmitVoter& body) {
+void ConfigReplica::Handle(Time, InstanceId, const Message&, const AdmitVoter& body) {
   const auto before = admission_.state();
   admission_.HandleAdmitVoter(body);
   if (before != admission_.state()) outputs_.push_back(PersistBootstrapVoters{admission_.bootstrap_voters()});
@@ -147,7 +148,7 @@
     return true;
   });
   for (DeferredMessage& deferred : ready) {
-    if (deferred.to == options_.self)
+    if (deferred.to == options_.name)
       raft_->Receive(now, deferred.to, deferred.message);
     else
       Send(deferred.to, RaftMessage{std::move(deferred.message)});
@@ -196,7 +197,7 @@
   raft_->Compact(raft_->commit_index(), state_machine_.Snapshot());
 }
 
-void ConfigReplica::Handle(Time now, Instance from, const Message& message, const RaftMessage& body) {
+void ConfigReplica::Handle(Time now, InstanceId from, const Message& message, const RaftMessage& body) {
   if (!raft_ || processes_.IsReplaced(from)) return;
   processes_.Observe(message.sender, from);
   admission_.ObserveRaftMessage(message.sender, body.message);
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -46,7 +46,7 @@
   v(e.change.id), v(e.change.base_version), v(e.change.document), v(e.change.author),
       v(e.change.proposed_at_unix_ms);
 }
-template <typename V, MaybeConst<ProposalResult> E>
+template <typename V, MaybeConst<ChangeResult> E>
 void VisitFields(V& v, E& e) {
   v(e.outcome.id), v(e.outcome.status), v(e.outcome.version), v(e.outcome.reason);
 }
--- a/src/replicated_config/messages.h
+++ b/src/replicated_config/messages.h
@@ -58,7 +58,7 @@
   ConfigChange change;
 };
 // From the leader to the proxy that sent a ProposeRequest or a VoterChange: the final outcome.
-struct ProposalResult {
+struct ChangeResult {
   ChangeOutcome outcome;
 };
 
@@ -71,7 +71,7 @@
   std::string id, reason;  // `reason` is empty if the holder can apply the document
 };
 
-// From a proxy to the leader: adds or removes a voter. The response is a ProposalResult.
+// From a proxy to the leader: adds or removes a voter. The response is a ChangeResult.
 struct VoterChange {
   std::string id;
   raft::NodeId voter;
@@ -97,15 +97,15 @@
 };
 // The responder's opinion about the store of the voter that sent a StoreHello.
 enum class StoreOpinion : std::uint8_t {
-  kEmptyStore,      // the responder's store is empty, too
-  kNoObjection,     // the responder knows no reason to exclude the store
-  kStaleStore,      // the store has acknowledged more to the responder than it contains now
-  kBootstrapVoter,  // the fleet was bootstrapped with this store
-  kUnknownStore,    // the fleet was bootstrapped without this store
+  kResponderNotBootstrapped,  // the responder's store is not bootstrapped either
+  kNoObjection,               // the responder knows no reason to exclude the store
+  kStaleStore,                // the store has acknowledged more to the responder than it contains now
+  kBootstrapVoter,            // the fleet was bootstrapped with this store
+  kUnknownStore,              // the fleet was bootstrapped without this store
 };
 struct StoreHelloResponse {
   std::uint64_t in_reply_to_store_id = 0, store_id = 0;
-  StoreOpinion opinion = StoreOpinion::kEmptyStore;
+  StoreOpinion opinion = StoreOpinion::kResponderNotBootstrapped;
   std::map<raft::NodeId, std::uint64_t> bootstrap_voters;  // store ids by voter; set with kBootstrapVoter
 };
 
@@ -116,7 +116,7 @@
 
 using MessageBody =
     std::variant<RaftMessage, LeaseRequest, LeaseResponse, NotLeader, DocumentRequest, DocumentResponse,
-                 ProposeRequest, ProposalResult, ValidateRequest, ValidateResponse, VoterChange, ReadRequest,
+                 ProposeRequest, ChangeResult, ValidateRequest, ValidateResponse, VoterChange, ReadRequest,
                  ReadResponse, StoreHello, StoreHelloResponse, AdmitVoter>;
 struct Message {
   raft::NodeId sender;  // the name of the sending proxy
--- a/src/replicated_config/voter_admission.cpp
+++ b/src/replicated_config/voter_admission.cpp
@@ -6,7 +6,7 @@
 namespace lemoncroft::replicated_config {
 
 namespace {
-constexpr std::size_t kMaxTrackedStores = 64;  // bounds unadmitted_stores_ and acknowledged_
+constexpr std::size_t kMaxTrackedStores = 64;  // bounds last_empty_store_ids_ and acknowledged_
 }
 
 void VoterAdmission::Open(std::uint64_t store_id, BootstrapVoters bootstrap_voters,
@@ -35,8 +35,8 @@
   response.in_reply_to_store_id = hello.store_id;
   response.store_id = hello_.store_id;
   if (!hello.bootstrapped &&
-      (unadmitted_stores_.contains(from) || unadmitted_stores_.size() < kMaxTrackedStores)) {
-    unadmitted_stores_[from] = hello.store_id;
+      (last_empty_store_ids_.contains(from) || last_empty_store_ids_.size() < kMaxTrackedStores)) {
+    last_empty_store_ids_[from] = hello.store_id;
     acknowledged_.erase(from);  // these acknowledgements were by another store
   }
   const auto bootstrap = bootstrap_voters_.find(from);
@@ -47,7 +47,7 @@
                         (hello.term == it->second.term && hello.last_index < it->second.match_index));
     response.opinion = stale ? StoreOpinion::kStaleStore : StoreOpinion::kNoObjection;
   } else if (bootstrap_voters_.empty()) {
-    response.opinion = StoreOpinion::kEmptyStore;
+    response.opinion = StoreOpinion::kResponderNotBootstrapped;
   } else if (bootstrap != bootstrap_voters_.end() && bootstrap->second == hello.store_id) {
     response.opinion = StoreOpinion::kBootstrapVoter;
     response.bootstrap_voters = bootstrap_voters_;
@@ -59,7 +59,7 @@
 
 void VoterAdmission::HandleResponse(const raft::NodeId& from, const StoreHelloResponse& response) {
   const bool awaiting_responses =
-      state_ && (*state_ == State::kQueryingVoters || *state_ == State::kEmptyStore);
+      state_ && (*state_ == State::kQueryingVoters || *state_ == State::kAwaitingOperator);
   if (!awaiting_responses || response.in_reply_to_store_id != hello_.store_id ||
       !other_voters_.contains(from))
     return;
@@ -80,7 +80,7 @@
     bootstrap_voters_ = response.bootstrap_voters;
     state_ = State::kBootstrapping;
   } else if (response.opinion == StoreOpinion::kUnknownStore) {
-    state_ = State::kEmptyStore;
+    state_ = State::kAwaitingOperator;
     if (!safety_checks_.exclude_empty_store) {
       bootstrap_voters_ = {{self_, hello_.store_id}};
       state_ = State::kBootstrapping;
@@ -89,7 +89,7 @@
     BootstrapVoters empty_stores = {{self_, hello_.store_id}};
     for (const raft::NodeId& name : initial_voters_) {
       const auto it = responses_.find(name);
-      if (it != responses_.end() && it->second.opinion == StoreOpinion::kEmptyStore)
+      if (it != responses_.end() && it->second.opinion == StoreOpinion::kResponderNotBootstrapped)
         empty_stores[name] = it->second.store_id;
     }
     const bool is_initial_voter =
@@ -117,7 +117,7 @@
 
 void VoterAdmission::HandleAdmitVoter(const AdmitVoter& admission) {
   if (!state_ || hello_.bootstrapped || admission.store_id != hello_.store_id) return;
-  if (*state_ != State::kQueryingVoters && *state_ != State::kEmptyStore) return;
+  if (*state_ != State::kQueryingVoters && *state_ != State::kAwaitingOperator) return;
   bootstrap_voters_ = {{self_, hello_.store_id}};
   state_ = State::kBootstrapping;
 }
@@ -148,9 +148,9 @@
   if (acknowledged_.size() > kMaxTrackedStores) acknowledged_.erase(acknowledged_.begin());
 }
 
-std::optional<std::uint64_t> VoterAdmission::UnadmittedStoreId(const raft::NodeId& name) const {
-  const auto it = unadmitted_stores_.find(name);
-  return it == unadmitted_stores_.end() ? std::nullopt : std::optional(it->second);
+std::optional<std::uint64_t> VoterAdmission::LastEmptyStoreId(const raft::NodeId& name) const {
+  const auto it = last_empty_store_ids_.find(name);
+  return it == last_empty_store_ids_.end() ? std::nullopt : std::optional(it->second);
 }
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -35,10 +35,10 @@
  public:
   enum class State {
     kQueryingVoters,
-    kBootstrapping,  // the voter may vote once bootstrap_voters() is persisted
-    kAdmitted,       // the voter may vote
-    kEmptyStore,     // the store is empty but the fleet is bootstrapped: an operator has to add the voter
-    kStaleStore,     // the store contains less than it acknowledged: it has to be replaced
+    kBootstrapping,     // the voter may vote once bootstrap_voters() is persisted
+    kAdmitted,          // the voter may vote
+    kAwaitingOperator,  // the store is empty but the fleet is bootstrapped: an operator has to add the voter
+    kStaleStore,        // the store contains less than it acknowledged: it has to be replaced
   };
 
   VoterAdmission(raft::NodeId self, std::vector<raft::NodeId> initial_voters,
@@ -73,7 +73,7 @@
   // stale.
   void ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message);
   // Returns the id of the store with which a node that is not admitted last sent a hello.
-  std::optional<std::uint64_t> UnadmittedStoreId(const raft::NodeId& name) const;
+  std::optional<std::uint64_t> LastEmptyStoreId(const raft::NodeId& name) const;
 
  private:
   struct Acknowledged {
@@ -92,7 +92,7 @@
   std::set<raft::NodeId> other_voters_;
   std::map<raft::NodeId, StoreHelloResponse> responses_;
   std::map<raft::NodeId, Acknowledged> acknowledged_;
-  std::map<raft::NodeId, std::uint64_t> unadmitted_stores_;
+  std::map<raft::NodeId, std::uint64_t> last_empty_store_ids_;
 };
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/voter_processes.h
+++ b/src/replicated_config/voter_processes.h
@@ -15,16 +15,16 @@
 
 namespace lemoncroft::replicated_config {
 
-using Instance = std::uint64_t;  // identifies one process of the fleet
+using InstanceId = std::uint64_t;  // identifies one process of the fleet
 
 class VoterProcesses {
  public:
   // Returns true if a later process of the same voter has sent a StoreHello.
-  bool IsReplaced(Instance instance) const { return replaced_.contains(instance); }
+  bool IsReplaced(InstanceId instance) const { return replaced_.contains(instance); }
   // Records a process that has sent a Raft message, unless a process of this voter is already known.
-  void Observe(const raft::NodeId& voter, Instance instance) { current_.try_emplace(voter, instance); }
+  void Observe(const raft::NodeId& voter, InstanceId instance) { current_.try_emplace(voter, instance); }
   // Records a process that has opened its store. It replaces the voter's earlier process.
-  void Replace(const raft::NodeId& voter, Instance instance) {
+  void Replace(const raft::NodeId& voter, InstanceId instance) {
     const auto [it, first] = current_.try_emplace(voter, instance);
     if (first || it->second == instance) return;
     if (replaced_.size() >= kMaxReplaced) replaced_.clear();
@@ -34,8 +34,8 @@
  private:
   static constexpr std::size_t kMaxReplaced = 4096;
 
-  std::map<raft::NodeId, Instance> current_;
-  std::set<Instance> replaced_;
+  std::map<raft::NodeId, InstanceId> current_;
+  std::set<InstanceId> replaced_;
 };
 
 }  // namespace lemoncroft::replicated_config
--- a/src/testing/benchmark/socket_fleet.cpp
+++ b/src/testing/benchmark/socket_fleet.cpp
@@ -52,7 +52,7 @@
 
 replicated_config::ConfigReplicaOptions ReplicaOptionsOf(const SocketFleetPlan& plan, std::size_t i) {
   replicated_config::ConfigReplicaOptions terms;
-  terms.self = NameOf(i);
+  terms.name = NameOf(i);
   for (std::size_t voter = 0; voter < plan.voters; ++voter) terms.initial_voters.push_back(NameOf(voter));
   return terms;
 }
@@ -133,9 +133,10 @@
     }
   }
 
-  const gossip::Member* Reach(const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
+  const gossip::Member* Reach(const std::variant<raft::NodeId, replicated_config::InstanceId>& to) const {
     const gossip::MemberTable& members = view().members();
-    if (const auto* instance = std::get_if<replicated_config::Instance>(&to)) return members.Find(*instance);
+    if (const auto* instance = std::get_if<replicated_config::InstanceId>(&to))
+      return members.Find(*instance);
     for (const auto& [id, member] : members.all())
       if (member.record.name == std::get<raft::NodeId>(to)) return &member;
     return nullptr;
--- a/src/testing/simulation/config_replica_fleet.cpp
+++ b/src/testing/simulation/config_replica_fleet.cpp
@@ -77,7 +77,7 @@
 
 replicated_config::ConfigReplicaOptions ConfigReplicaFleet::ReplicaOptionsOf(std::size_t i) const {
   replicated_config::ConfigReplicaOptions options;
-  options.self = NameOf(i);
+  options.name = NameOf(i);
   for (std::size_t v = 0; v < plan_.voters; ++v) options.initial_voters.push_back(NameOf(v));
   options.raft_options = plan_.log;
   options.lease = plan_.lease_options;
@@ -199,18 +199,18 @@
 }
 
 std::optional<std::size_t> ConfigReplicaFleet::MachineOf(
-    const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
+    const std::variant<raft::NodeId, replicated_config::InstanceId>& to) const {
   std::size_t machine = machines_.size();
   if (const auto* name = std::get_if<raft::NodeId>(&to)) {
     if (!name->empty()) std::from_chars(name->data() + 1, name->data() + name->size(), machine);
   } else {
-    machine = static_cast<std::size_t>((std::get<replicated_config::Instance>(to) - 1) %
+    machine = static_cast<std::size_t>((std::get<replicated_config::InstanceId>(to) - 1) %
                                        instances_per_incarnation_);
   }
   if (machine >= machines_.size()) return std::nullopt;
   const bool same = std::holds_alternative<raft::NodeId>(to)
                         ? std::get<raft::NodeId>(to) == NameOf(machine)
-                        : std::get<replicated_config::Instance>(to) == InstanceOf(machine);
+                        : std::get<replicated_config::InstanceId>(to) == InstanceOf(machine);
   return same ? std::optional(machine) : std::nullopt;
 }
 
--- a/src/testing/simulation/config_replica_fleet.h
+++ b/src/testing/simulation/config_replica_fleet.h
@@ -97,7 +97,7 @@
     std::size_t machine = 0;
     std::uint64_t incarnation = 0;  // 0: any
     enum class Kind { kStep, kMessage, kSynced } kind = Kind::kStep;
-    replicated_config::Instance from = 0;
+    replicated_config::InstanceId from = 0;
     std::shared_ptr<const std::string> bytes;
     bool operator>(const ScheduledEvent& other) const {
       return at != other.at ? at > other.at : order > other.order;
@@ -106,12 +106,12 @@
 
   replicated_config::ConfigReplicaOptions ReplicaOptionsOf(std::size_t i) const;
   raft::Time Local(const Machine& m) const;
-  replicated_config::Instance InstanceOf(std::size_t i) const {
+  replicated_config::InstanceId InstanceOf(std::size_t i) const {
     return instances_per_incarnation_ * machines_[i].incarnation + i + 1;
   }
   // The machine whose process now has that name or instance.
   std::optional<std::size_t> MachineOf(
-      const std::variant<raft::NodeId, replicated_config::Instance>& to) const;
+      const std::variant<raft::NodeId, replicated_config::InstanceId>& to) const;
   void Push(Instant at, std::size_t machine, ScheduledEvent::Kind kind, std::uint64_t incarnation);
   void Handle(const ScheduledEvent& event);
   void HandleTimed(const ScheduledEvent& event);
@@ -129,7 +129,7 @@
   Links links_;
   Instant now_{};
   std::uint64_t order_ = 0, message_count_ = 0, ids_ = 0;
-  replicated_config::Instance instances_per_incarnation_ = 1000;  // distance of a machine's instances
+  replicated_config::InstanceId instances_per_incarnation_ = 1000;  // distance of a machine's instances
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
   std::vector<Machine> machines_;
   std::map<std::string, replicated_config::ChangeOutcome> outcomes_;
