--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+// In order: elements per array, bytes per text, bytes per binary field, and depth of nesting.
 constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, kMaxSnapshotBytes, 8};
 
 // The encoded fields of each type, in order. New fields may only be appended.
--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -13,6 +13,7 @@
 
 namespace lemoncroft::raft {
 
+// The maximum size of each binary field that is decoded, such as the data of a snapshot.
 inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{960} << 10;
 
 std::string Encode(const Message& message);
--- a/src/raft/raft.cpp
+++ b/src/raft/raft.cpp
@@ -83,9 +83,9 @@
   outputs_.push_back(StorageUpdate{last_sequence_, hard_state_, snapshot_.index, log_, true, snapshot_});
 }
 
-// A leader sends entries while its own write of them is still pending (thesis, section 10.2.1);
-// durable_index_ excludes them from its own contribution to commit quorums. All other messages wait for all
-// earlier updates.
+// A leader's entries and snapshots wait only for the update with its vote (vote_sequence_), not for its own
+// write of them (thesis, section 10.2.1); durable_index_ excludes entries that are not durable from its own
+// contribution to commit quorums. All other messages wait for all earlier updates.
 void Raft::Send(const NodeId& to, Message message) {
   const bool replicates = std::holds_alternative<AppendEntriesRequest>(message) ||
                           std::holds_alternative<InstallSnapshotRequest>(message);
--- a/src/raft/raft.h
+++ b/src/raft/raft.h
@@ -44,7 +44,8 @@
   kChangeNotPossible,
 };
 
-// The proposal is committed if the entry that is committed at `index` has the term `term`.
+// The proposal is committed if the entry that is committed at `index` has the term `term`. ChangeVoters
+// states where its result differs.
 struct ProposalResult {
   ProposalError error = ProposalError::kNone;
   Index index = 0;
@@ -69,8 +70,10 @@
 
   // Appends an entry to the log if this node is the leader.
   ProposalResult Propose(Time now, std::string data);
-  // Adds or removes one voter. A node to be added first catches up as a learner, without a vote; the
-  // membership change is appended once it has, and the `index` of the result is 0 until then.
+  // Adds or removes one voter. If the newest voters already include or exclude `id` as requested, `index` is
+  // that of the membership entry or snapshot which they come from, and its term may differ from `term`. A
+  // node to be added first catches up as a learner, without a vote; the membership change is appended once it
+  // has. In that case `index` is 0 and the index of the change is not reported.
   ProposalResult ChangeVoters(Time now, const NodeId& id, bool add);
   // Steps down in favor of the voter with the highest match index. Does nothing if this node is not the
   // leader or there is no other voter.
@@ -104,8 +107,10 @@
  private:
   // The leader's view of another node's log.
   struct Progress {
-    Index match_index = 0;          // the last index up to which the logs are known to agree
-    Index last_sent_index = 0;      // the last entry sent since the last heartbeat; it may have been lost
+    Index match_index = 0;  // the last index up to which the logs are known to agree
+    // New entries are sent from the one after this index. Sending advances it, a heartbeat resets it to
+    // match_index, and a rejection sets it to the follower's hint, but not below match_index.
+    Index last_sent_index = 0;
     std::uint64_t acked_round = 0;  // the newest heartbeat round that the node has acknowledged
   };
   // A storage update that is not durable yet.
@@ -115,8 +120,12 @@
     Index last_index = 0;  // the last index of the log after the update
   };
   enum class AppendMode {
-    kNewEntries,  // sends the entries after the last sent one; sends nothing if there are none
-    kHeartbeat,   // sends the entries after the last acknowledged one, or a message without entries
+    // Sends the entries after last_sent_index. Sends nothing if there are none, or if the follower needs
+    // entries that were compacted.
+    kNewEntries,
+    // Sends the entries after match_index, or a message without entries if there are none. Sends the snapshot
+    // instead if the follower needs entries that were compacted.
+    kHeartbeat,
   };
 
   std::size_t Majority() const { return voters_.size() / 2 + 1; }
--- a/src/raft/raft_election.cpp
+++ b/src/raft/raft_election.cpp
@@ -115,8 +115,8 @@
   return request.last_term != last_term ? request.last_term > last_term : request.last_index >= last_index();
 }
 
-// Returns true if a leader may still hold a lease that relies on this node's acknowledgement (thesis, section
-// 4.2.3).
+// Returns true if the request must be refused because another leader, or this node as the leader, may still
+// hold a lease (thesis, section 4.2.3). Requests of a leadership transfer are never refused for this reason.
 bool Raft::DisturbsLeader(Time now, const VoteRequest& request) const {
   if (request.leadership_transfer || !options_.safety_checks.leader_stickiness) return false;
   const Time contact = role_ == Role::kLeader ? last_quorum_contact_ : last_leader_contact_;
--- a/src/raft/types.h
+++ b/src/raft/types.h
@@ -5,7 +5,8 @@
 //
 // References: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), called
 // "paper" in comments; Ongaro, "Consensus: Bridging Theory and Practice" (2014), called "thesis": sections
-// 3.10 (leadership transfer), 4.1 (single-server membership changes), 6.4 (leader lease) and 9.6 (pre-vote).
+// 3.10 (leadership transfer), 4.1 (single-server membership changes), 4.2.3 (disruptive servers), 6.4 (leader
+// lease), 9.6 (pre-vote) and 10.2.1 (writing to the leader's disk in parallel).
 #ifndef LEMONCROFT_RAFT_TYPES_H_
 #define LEMONCROFT_RAFT_TYPES_H_
 
@@ -158,7 +159,8 @@
   bool commit_current_term_only = true;  // only entries of the leader's term are committed by counting
   bool require_up_to_date_log = true;    // a candidate's log must be at least as up to date as the voter's
   bool single_vote_per_term = true;      // a voter votes for at most one candidate in a term
-  bool pre_vote = true;                  // an election starts only after a quorum grants a pre-vote
+  // An election starts only after a quorum grants a pre-vote, except after a leadership transfer.
+  bool pre_vote = true;
   // A voter grants no vote within the minimum election timeout after its last contact with a leader.
   bool leader_stickiness = true;
   bool vote_delay_after_restart = true;    // a restart counts as contact with a leader
--- a/src/request/client_request.h
+++ b/src/request/client_request.h
@@ -14,7 +14,7 @@
 
 namespace lemoncroft::request {
 
-// The fields that are forwarded to an engine byte by byte as the client sent them.
+// The fields that are forwarded to an engine byte for byte as the client sent them.
 struct ForwardedFields {
   std::string request_id;  // chosen by the client; unique among the requests in flight
   std::string class_name;
@@ -60,8 +60,8 @@
   runtime::Duration upper_bound{};  // `wait` plus the recent estimation error
 };
 
-// Receives the response to one request. Front ends implement it; the request owns it until the request
-// completes.
+// Receives the response to one request. Front ends implement it; the broker's ActiveRequest owns it until
+// the request completes.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
