--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(LeaseHolder, ClockRatesBeyondBound_NoUsableVersion) {
+TEST(LeaseHolder, ClockRates_OnlyBeyondBoundNoUsableVersion) {
   for (const double rate : {1.005, 1.1, 0.9}) {
     LeaseHolder holder{LeaseOptions()};
     holder.MarkPrepared(1);
--- a/tests/raft_test.cpp
+++ b/tests/raft_test.cpp
@@ -302,7 +302,7 @@
   options.max_batch_entries = 1;
   ManualCluster cluster(options);
   cluster.Fire("A", "B", 2);   // A leads term 1; its entry reaches no other voter
-  cluster.Fire("C", "B", 2);   // B has voted in that term
+  cluster.Fire("C", "B", 2);   // C is not elected: B has already voted in term 1
   cluster.Fire("C", "B", 2);   // C leads term 2 and appends an entry of its own
   cluster.Fire("A", "B", 2);   // A learns of term 2
   cluster.Fire("A", "B", 2);   // A leads term 3
