--- a/src/replicated_config/config_replica.h
+++ b/src/replicated_config/config_replica.h
@@ -46,15 +46,18 @@
 // The rules that safety depends on. Mutation tests disable one at a time, except for wait_for_commit_in_term,
 // which has no mutation test yet.
 struct ConfigReplicaSafetyChecks {
-  bool wait_for_commit_in_term = true;  // a leader grants leases once it has committed an entry of its term
-  bool validate_on_holders = true;      // lease holders validate a change before it is proposed
-  bool expire_laggards = true;          // a holder that prepares a version too late gets no more grants
+  // A leader grants leases only once it has committed an entry of its term.
+  bool wait_for_commit_in_term = true;
+  bool validate_on_holders = true;  // lease holders validate a change before it is proposed
+  // While the latest version is not active yet, a holder that cannot prepare it, or has not prepared it in
+  // time, gets no grant until it has.
+  bool expire_laggards = true;
   StateMachineSafetyChecks state_machine;
   AdmissionSafetyChecks admission;
 };
 
 struct ConfigReplicaOptions {
-  raft::NodeId name;
+  raft::NodeId name;                         // of this proxy
   std::vector<raft::NodeId> initial_voters;  // the voters named in the operator's file
   raft::Options raft_options;
   LeaseOptions lease;
@@ -205,10 +208,11 @@
   // Shared by all roles (config_replica.cpp).
   void EmitLogEvent(bool warn, std::string text) { outputs_.push_back(LogEvent{warn, std::move(text)}); }
   void Send(const std::variant<raft::NodeId, InstanceId>& to, MessageBody body);
-  // Sends to the leader if it is known, otherwise to each voter in turn.
+  // Sends to the leader if it is known, otherwise to the next voter in rotation.
   void SendToLeader(MessageBody body);
-  // Processes Raft's outputs and this replica's messages to itself until none remain, but at most
-  // kMaxDispatchRounds times. Called at the end of each public call that may cause outputs.
+  // Processes Raft's outputs, runs the leader's duties and handles this replica's messages to itself until no
+  // messages remain, but at most kMaxDispatchRounds times. Then fetches missing documents and reports changes
+  // of the lease. Called at the end of each public call that may cause outputs.
   void DispatchPendingOutputs(Time now);
   // Reports a new active version and a change of LeaseHolder::clock_rates_differ.
   void ReportLeaseChanges();
--- a/src/replicated_config/config_replica_holder.cpp
+++ b/src/replicated_config/config_replica_holder.cpp
@@ -77,7 +77,8 @@
     }
     if (now < next_fetch_at_) return;
     next_fetch_at_ = now + kFetchRetryInterval;
-    // Alternates between voters and other proxies, to spread the load of large fleets.
+    // Alternates between the leader, or the next voter if the leader is unknown, and a random peer, to spread
+    // the load of large fleets.
     if (++fetch_attempts_ % 2 == 1 || peers_.empty())
       SendToLeader(DocumentRequest{wanted});
     else
--- a/src/replicated_config/config_replica_leader.cpp
+++ b/src/replicated_config/config_replica_leader.cpp
@@ -54,13 +54,13 @@
   AbandonInFlight();
   grantor_.BeginLeadership(now, leading_term_);
   superseded_at_.clear();
-  EmitLogEvent(false, "became the leader in term " + std::to_string(leading_term_));
+  EmitLogEvent(false, "this voter became the leader in term " + std::to_string(leading_term_));
 }
 
 void ConfigReplica::EndLeadership() {
   if (std::exchange(leading_term_, 0) == 0) return;
   AbandonInFlight();
-  EmitLogEvent(false, "is no longer the leader");
+  EmitLogEvent(false, "this voter is no longer the leader");
 }
 
 // Drops the changes in flight. Their proposers retry at the next leader.
@@ -108,7 +108,7 @@
   if (grant) Send(from, LeaseResponse{*grant, raft_->voters()});
 }
 
-// Activates the latest version once all live lease holders have prepared it.
+// Proposes to activate the latest version once all live lease holders have prepared it.
 void ConfigReplica::ProposeActivation(Time now) {
   const Version latest_version = state_machine_.latest_version();
   if (latest_version <= std::max(state_machine_.active_version(), activating_version_)) return;
@@ -163,7 +163,7 @@
     return rejected("a document of " + std::to_string(change.document.size()) +
                     " bytes is too long: at most " + std::to_string(kMaxDocumentBytes));
   if (change.id.empty() || change.id.size() > kMaxChangeIdBytes || change.author.size() > kMaxAuthorBytes)
-    return rejected("a change needs an id, and names of at most 64 bytes");
+    return rejected("a change must have an id, and its id and author must not exceed 64 bytes");
   if (auto checked = CheckAgainstUsableVersions(now, change.document); !checked)
     return rejected(std::move(checked.error().reason));
   return {};
@@ -269,10 +269,11 @@
   };
   if (Contains(raft_->voters(), body.voter) == body.add && raft_->AreVotersCommitted())
     return Send(from, ChangeResult{{body.id, ChangeStatus::kCommitted, state_machine_.latest_version(),
-                                    body.add ? "it votes already" : "it has no vote"}});
+                                    body.add ? "the node is already a voter" : "the node is not a voter"}});
   if (body.add && !admission_.LastEmptyStoreId(body.voter))
-    return reject(body.voter + " has not told of an empty store: is it running, with a `store`?");
-  if (!body.add && raft_->voters().size() == 1) return reject("it is the last voter");
+    return reject(body.voter +
+                  " has not reported an empty store; check that it is running and has a `store`");
+  if (!body.add && raft_->voters().size() == 1) return reject("the last voter cannot be removed");
   if (in_flight_voter_change_ && in_flight_voter_change_->change.id != body.id)
     return;  // the proposer retries
   raft_->ChangeVoters(now, body.voter, body.add);
--- a/src/replicated_config/config_replica_requests.cpp
+++ b/src/replicated_config/config_replica_requests.cpp
@@ -30,7 +30,7 @@
 void ConfigReplica::SubmitRequest(Time now, const std::string& id, MessageBody body, Time deadline) {
   if (pending_requests_.size() >= kMaxPendingRequests) {
     outputs_.push_back(
-        RequestCompleted{{id, ChangeStatus::kRejected, 0, "too many changes are asked for at once"}, {}});
+        RequestCompleted{{id, ChangeStatus::kRejected, 0, "too many requests of operators are pending"}, {}});
     return;
   }
   pending_requests_[id] = {std::move(body), deadline, now};
@@ -42,8 +42,7 @@
   std::vector<ChangeOutcome> late;
   for (auto& [id, request] : pending_requests_) {
     if (now >= request.deadline) {
-      late.push_back(
-          {id, ChangeStatus::kUnknown, holder_.latest_version(), "no leader of the voters answered in time"});
+      late.push_back({id, ChangeStatus::kUnknown, holder_.latest_version(), "no leader responded in time"});
     } else if (now >= request.next_attempt) {
       request.next_attempt = now + kRequestRetryInterval;
       SendToLeader(request.body);
--- a/src/replicated_config/config_state_machine.cpp
+++ b/src/replicated_config/config_state_machine.cpp
@@ -9,6 +9,7 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 using Reader = codec::MsgpackReader;
+// In order: elements per array, bytes per text, bytes per binary field, and depth of nesting.
 constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, kMaxStoredDocumentBytes + kMaxDocumentBytes, 8};
 
 enum class EntryKind : std::uint8_t { kChange = 0, kActivate = 1 };
@@ -77,7 +78,8 @@
   return outcome.value_or(std::nullopt);
 }
 
-// Drops the oldest outcomes and versions first, but never the active version or the latest one.
+// Drops outcomes and versions that exceed the limits, oldest first, but never the active version or the
+// latest one.
 void ConfigStateMachine::EnforceLimits() {
   for (; outcome_order_.size() > kMaxOutcomes; outcome_order_.pop_front())
     outcomes_.erase(outcome_order_.front());
@@ -87,13 +89,14 @@
     const bool exceeds_limit = bytes > kMaxStoredDocumentBytes || versions_.size() > kMaxVersions;
     if (!exceeds_limit) break;
     if (it->first >= active_version_) {
-      ++it;  // this is the active version, or a version that may become active
+      ++it;  // only versions before the active one are dropped here
       continue;
     }
     bytes -= it->second.document.size();
     it = versions_.erase(it);
   }
-  // Versions between the active and the latest one are never activated.
+  // If the versions still exceed a limit, those between the active and the latest one are dropped, too. They
+  // are normally skipped, since a leader activates only the latest version.
   while ((bytes > kMaxStoredDocumentBytes || versions_.size() > kMaxVersions) && versions_.size() > 2) {
     const auto it = std::next(versions_.begin());
     if (it->first == latest_version_) break;
--- a/src/replicated_config/config_state_machine.h
+++ b/src/replicated_config/config_state_machine.h
@@ -24,7 +24,7 @@
 namespace lemoncroft::replicated_config {
 
 inline constexpr std::size_t kMaxDocumentBytes = std::size_t{256} << 10;  // per version
-// The limit for all versions together. Above it the oldest inactive versions are dropped.
+// The limit for the documents of all versions together. Above it the oldest inactive versions are dropped.
 inline constexpr std::size_t kMaxStoredDocumentBytes = std::size_t{768} << 10;
 inline constexpr std::size_t kMaxVersions = 64, kMaxOutcomes = 512;
 inline constexpr std::size_t kMaxChangeIdBytes = 64, kMaxAuthorBytes = 64;
@@ -52,8 +52,10 @@
 struct ChangeOutcome {
   std::string id;
   ChangeStatus status = ChangeStatus::kUnknown;
-  Version version = 0;  // with kCommitted the version of the change, otherwise the latest version
-  std::string reason;   // shown to operators; empty if the status is sufficient
+  // Of a committed configuration change, its version; otherwise the latest version that the responder knows,
+  // or 0.
+  Version version = 0;
+  std::string reason;  // shown to operators; empty if the status is sufficient
 };
 
 // One committed version.
--- a/src/replicated_config/document.cpp
+++ b/src/replicated_config/document.cpp
@@ -52,7 +52,9 @@
     for (const std::size_t count : {document_.classes.size(), document_.tenants.size(),
                                     document_.teams.size(), document_.ejected_engines.size()})
       if (count > kMaxNames)
-        errors_.Add({}, std::to_string(count) + " of one kind: at most " + std::to_string(kMaxNames));
+        errors_.Add({}, std::to_string(count) +
+                            " names of one kind (`class`, `tenant`, `team` or `out`): at most " +
+                            std::to_string(kMaxNames));
     if (errors_.all().empty()) return std::move(document_);
     InvalidDocument invalid;
     for (const operator_config::Fault& fault : errors_.all())
@@ -106,11 +108,11 @@
     operator_config::ReadText(n, name, errors_);
     for (std::size_t i = 0; i < N; ++i)
       if (name == names[i]) return static_cast<E>(i);
-    errors_.Add(n.place, n.name + ": '" + name + "' is none of those there are");
+    errors_.Add(n.place, n.name + ": '" + name + "' is none of those allowed");
     return std::nullopt;
   }
   void ParseNames(const KdlNode& n, std::set<std::string>& out) {
-    if (!n.properties.empty() || !n.children.empty()) errors_.Add(n.place, n.name + ": takes names alone");
+    if (!n.properties.empty() || !n.children.empty()) errors_.Add(n.place, n.name + ": expects only names");
     for (const KdlValue& value : n.arguments) {
       if (value.kind != KdlValue::Kind::kString || !IsValidName(value.text))
         errors_.Add(value.place, n.name + ": a name is 1 to 128 plain characters without blanks");
@@ -171,7 +173,7 @@
         {}, errors_);
     const IsolationPolicy& policy = document_.isolation;
     if (policy.classes.empty() || policy.engines.empty())
-      errors_.Add(node.place, "cut-off: name the classes that go on and the engines that they go on at");
+      errors_.Add(node.place, "cut-off: expects at least one class and one engine");
     for (const std::string& engine : policy.engines)
       if (document_.ejected_engines.contains(engine))
         errors_.Add(node.place, "cut-off: engine '" + engine + "' is out by hand");
--- a/src/replicated_config/lease.h
+++ b/src/replicated_config/lease.h
@@ -61,7 +61,9 @@
   Version active_version = 0;  // the version that the lease is for
   Version latest_version = 0;  // the latest committed version, to be prepared; at least active_version
   Duration leader_clock{};     // time since the leadership started; used to compare clock rates
-  std::uint64_t leadership_epoch = 0;  // all leader_clock values of one epoch come from the same clock
+  // Identifies the leadership; in a ConfigReplica it is the leader's Raft term. All leader_clock values of
+  // one epoch come from the same clock.
+  std::uint64_t leadership_epoch = 0;
 };
 
 // One proxy's lease.
@@ -77,7 +79,8 @@
   void MarkPrepared(Version version);
 
   // Returns the version that the holder may act on at `now` (0 before the first version). Returns nullopt
-  // without a valid lease, without the version's document, or while the clock rates differ.
+  // without a valid lease, while the clock rates differ, or if no version as new as the active one is
+  // prepared. Whether the active version itself is prepared is checked by ConfigReplica::UsableVersion.
   std::optional<Version> UsableVersion(Time now) const;
   // The active version as of the last grant, even if the lease has expired.
   Version active_version() const { return active_version_; }
@@ -123,13 +126,14 @@
   // have expired.
   void BeginLeadership(Time now, std::uint64_t leadership_epoch);
   // Records and returns a lease for the holder `from`, or returns nullopt if none may be granted. `leads`
-  // means that the leader holds its own Raft lease at `now`.
+  // means that the caller is the leader, holds its Raft lease at `now` and has committed an entry of its
+  // term.
   std::optional<LeaseGrant> HandleRenewal(Time now, bool leads, const std::string& from,
                                           const LeaseRenewal& renewal, Version active_version,
                                           Version latest_version);
   // Returns true if `version` may be activated: every holder of a live lease has prepared it, the leases of
-  // earlier leaders have expired, and `leads` is true (see HandleRenewal). The leader calls this for each
-  // renewal while a version is pending, so the cost does not grow with the number of holders.
+  // earlier leaders have expired, and `leads` is true (see HandleRenewal). The leader calls this after every
+  // event while a version is pending; therefore the cost must not grow with the number of holders.
   bool MayActivate(Time now, bool leads, Version version) const;
   // The live holders that have not prepared `version`, with the version that each has prepared.
   std::map<std::string, Version> UnpreparedHolders(Time now, Version version) const;
--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+// In order: elements per array, bytes per text, bytes per binary field, and depth of nesting.
 constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
 
 template <typename V, MaybeConst<RaftMessage> E>
--- a/src/replicated_config/messages.h
+++ b/src/replicated_config/messages.h
@@ -1,9 +1,9 @@
 // The messages between proxies about the replicated configuration, and their encoding. Raft's own messages
 // are sent inside RaftMessage.
 //
-// The order of MessageBody's alternatives and of their fields is the wire format. Times are durations by the
-// sender's monotonic clock. Decoding is bounded; messages that are incomplete, malformed or of an unknown
-// kind are rejected.
+// The order of MessageBody's alternatives and of their fields is the wire format. Later versions may append
+// fields. Times are durations by the sender's monotonic clock. Decoding is bounded; messages that are
+// incomplete, malformed or of an unknown kind are rejected.
 //
 // Design: docs/agreement.md.
 #ifndef LEMONCROFT_REPLICATED_CONFIG_MESSAGES_H_
@@ -57,7 +57,7 @@
 struct ProposeRequest {
   ConfigChange change;
 };
-// From the leader to the proxy that sent a ProposeRequest or a VoterChange: the final outcome.
+// From the leader to the proxy that sent a ProposeRequest or a VoterChange: the final outcome of the change.
 struct ChangeResult {
   ChangeOutcome outcome;
 };
@@ -100,8 +100,8 @@
   kResponderNotBootstrapped,  // the responder's store is not bootstrapped either
   kNoObjection,               // the responder knows no reason to exclude the store
   kStaleStore,                // the store has acknowledged more to the responder than it contains now
-  kBootstrapVoter,            // the fleet was bootstrapped with this store
-  kUnknownStore,              // the fleet was bootstrapped without this store
+  kBootstrapVoter,            // the store is among the responder's bootstrap voters
+  kUnknownStore,              // the store is not among the responder's bootstrap voters
 };
 struct StoreHelloResponse {
   std::uint64_t in_reply_to_store_id = 0, store_id = 0;
@@ -124,7 +124,8 @@
 };
 
 std::string Encode(const Message& message);
-// Returns nullopt unless `bytes` is exactly one complete, well-formed message.
+// Returns nullopt unless `bytes` starts with a well-formed array that starts with all fields of one message.
+// Later fields are ignored.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
 }  // namespace lemoncroft::replicated_config
--- a/src/replicated_config/notification_pacer.h
+++ b/src/replicated_config/notification_pacer.h
@@ -1,9 +1,9 @@
 // Spreads over time the notifications of events that occur at all members of a fleet at once, such as the
-// activation of a version or the expiry of leases. Without a delay, every member would broadcast to all
-// others at the same time.
+// activation of a version or the expiry of leases. Without a delay, every member would notify all others at
+// the same time.
 //
-// A fleet publishes one notification per kMeanNotificationInterval on average, however often its state
-// changes; each member publishes only its newest state. The class does no I/O, reads no clock and is
+// A fleet sends at most one notification per kMeanNotificationInterval on average, however often its state
+// changes; each member sends only its newest state. The class does no I/O, reads no clock and is
 // deterministic for a seed.
 //
 // Not thread-safe.
@@ -26,8 +26,10 @@
  public:
   explicit NotificationPacer(std::uint64_t seed) : random_(seed) {}
 
-  // Returns true if the member must publish its state now. `changed` means that the state differs from the
-  // last published one; `members` is the number of members of the fleet.
+  // Returns true if the member must notify the others of its state now. `changed` means that the state
+  // differs from that of the last notification; `members` is the number of members of the fleet. Call this
+  // function periodically: it keeps the delay that it has drawn between calls, until it returns true or
+  // `changed` is false.
   bool ShouldNotify(Time now, bool changed, std::size_t members) {
     if (!changed) {
       notify_at_.reset();
@@ -41,7 +43,7 @@
 
  private:
   // Returns a delay drawn uniformly between zero and twice the mean, so that members whose states change
-  // together publish at different times.
+  // together send their notifications at different times.
   Duration DrawDelay(std::size_t members) {
     const double mean =
         std::chrono::duration<double>(kMeanNotificationInterval).count() * static_cast<double>(members);
--- a/src/replicated_config/voter_admission.h
+++ b/src/replicated_config/voter_admission.h
@@ -23,7 +23,8 @@
 
 namespace lemoncroft::replicated_config {
 
-using BootstrapVoters = std::map<raft::NodeId, std::uint64_t>;  // store ids by voter
+// Store ids by voter. A voter that an operator has added has only its own store here.
+using BootstrapVoters = std::map<raft::NodeId, std::uint64_t>;
 
 // The rules that safety depends on. Mutation tests disable one at a time; everywhere else all are true.
 struct AdmissionSafetyChecks {
@@ -72,7 +73,9 @@
   // Records what another voter acknowledges to this process, to detect later that the store of that voter is
   // stale.
   void ObserveRaftMessage(const raft::NodeId& from, const raft::Message& message);
-  // Returns the id of the store with which a node that is not admitted last sent a hello.
+  // Returns the id of the last store with which `name` sent a hello before that store had voted. The store
+  // may have been admitted since. Returns nullopt if there was no such hello, or if too many other nodes had
+  // sent one.
   std::optional<std::uint64_t> LastEmptyStoreId(const raft::NodeId& name) const;
 
  private:
