--- a/src/replicated_config/messages.cpp
+++ b/src/replicated_config/messages.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+// In order: elements per array, bytes per text, bytes per binary field, and depth of nesting.
 constexpr codec::MsgpackLimits kDecodingLimits{4096, 128, raft::kMaxSnapshotBytes + 4096, 8};
 
 template <typename V, MaybeConst<RaftMessage> E>
@@ -46,7 +47,7 @@
   v(e.change.id), v(e.change.base_version), v(e.change.document), v(e.change.author),
       v(e.change.proposed_at_unix_ms);
 }
-template <typename V, MaybeConst<ProposalResult> E>
+template <typename V, MaybeConst<ChangeResult> E>
 void VisitFields(V& v, E& e) {
   v(e.outcome.id), v(e.outcome.status), v(e.outcome.version), v(e.outcome.reason);
 }
