--- a/src/testing/benchmark/admission_queue_cost.cpp
+++ b/src/testing/benchmark/admission_queue_cost.cpp
@@ -23,8 +23,8 @@
 constexpr auto kRunTime = std::chrono::milliseconds(100);
 constexpr admission_queue::Duration kStep = std::chrono::milliseconds(1);
 
-// Submits requests of all tenants and classes. Each dispatched request starts at once and ends some steps
-// later, so that the queue length stays constant.
+// Submits requests of all tenants and classes. Each dispatched request starts immediately and ends after
+// kRunTime. The caller replaces dispatched requests, which keeps the queue length constant.
 class SteadyLoad {
  public:
   SteadyLoad(std::size_t depth, bool wants_updates, std::uint64_t seed)
@@ -43,7 +43,7 @@
                                           .wants_updates = wants_updates_},
                                          now_);
     if (submitted.rejected) {
-      std::fprintf(stderr, "rejected: %s, estimate %.1f s, dispatch rate %.1f, %zu waiting\n",
+      std::fprintf(stderr, "request rejected: %s, retry after %.1f s, dispatch rate %.1f, %zu waiting\n",
                    Description(submitted.rejected->reason),
                    admission_queue::Seconds(submitted.rejected->retry_after),
                    queue_.Describe(now_).dispatch_rate[0], waiting());
@@ -108,7 +108,7 @@
       static_cast<double>(filled.uordblks + filled.hblkhd - before.uordblks - before.hblkhd) /
       static_cast<double>(depth);
   for (int step = 0; step < kWarmUpSteps; ++step) load.Step();
-  // The least of several rounds: other load on the machine only adds.
+  // The minimum over several rounds, because other load on the machine can only increase the time.
   for (int round = 0; round < kRounds; ++round) {
     const std::size_t ended = load.ended();
     const auto from = std::chrono::steady_clock::now();
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -28,7 +28,7 @@
 constexpr int kParallelRuns = 3, kTrialsPerRun = 14;
 constexpr double kStatedContradictionMs = 1200;
 
-// The fault tests that are measured, on seven proxies.
+// The measured fault tests. Each runs seven proxies.
 constexpr const char* kChanges = R"(trial "changes, no faults" {
   proxies 7; voters "n1" "n2" "n3"; load 20; changes 2; each-once #true; seed SEED
   at "20s" { heal }
@@ -77,7 +77,7 @@
   return one;
 }
 
-// Runs the random fault tests, several in parallel; returns their outputs.
+// Runs the random fault tests in parallel processes and returns their outputs.
 std::vector<std::string> PlayRandomTrials(const AgreementPlan& plan) {
   std::vector<std::string> outputs(kParallelRuns);
   {
@@ -94,7 +94,7 @@
   return outputs;
 }
 
-// Sums over fault tests; a test without a result counts as the worst.
+// Totals over fault tests. A fault test without a result counts as the worst case.
 struct TrialSums {
   double contradiction_ms = 0, stale_acts = 0, histories = 0, not_linearizable = 0, inconclusive = 0,
          acts = 0;
@@ -144,7 +144,7 @@
   out["independent_files"] = {{"contradiction_ms_max", files.value("files_contradiction_ms", 0.0)}};
 }
 
-// The processor time of the leases of a hundred proxies, in percent of one core per proxy.
+// Returns the processor time of the leases in a fleet of 100 proxies, in percent of one core per proxy.
 double LeaseCostPercent(std::uint64_t seed) {
   ConfigReplicaFleet::Plan plan;
   plan.seed = seed;
--- a/src/testing/benchmark/agreement.h
+++ b/src/testing/benchmark/agreement.h
@@ -1,7 +1,8 @@
-// Measures the replicated configuration: on real processes with the fault-test program, in virtual time, by a
-// state search, on a disk that fails at each operation, and against proxies with independent files.
+// Benchmark of the replicated configuration: with the fault test program on real processes, in virtual time,
+// by a state search, on a disk that fails at each operation, and in comparison with proxies that each read a
+// configuration file of their own.
 //
-// Owner: the command line. Units: milliseconds, fractions.
+// Units: milliseconds and fractions.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_AGREEMENT_H_
 #define LEMONCROFT_TESTING_BENCHMARK_AGREEMENT_H_
 
@@ -13,11 +14,12 @@
 
 struct AgreementPlan {
   std::uint64_t seed = 1;
-  bool real = true;
-  std::string trial;  // the program that plays trials
-  std::uint64_t states = 1'000'000;
+  bool real = true;                  // false: no real processes
+  std::string trial;                 // path of the fault test program
+  std::uint64_t states = 1'000'000;  // upper limit of each state search
 };
 
+// Runs the benchmark and returns its metrics.
 nlohmann::ordered_json MeasureAgreement(const AgreementPlan& plan);
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/allocated_bytes.h
+++ b/src/testing/benchmark/allocated_bytes.h
@@ -1,11 +1,11 @@
-// How much memory the process has allocated and not freed, by the allocator's own figures.
+// The memory that the process has allocated and not yet freed, as reported by the allocator.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_ALLOCATED_BYTES_H_
 #define LEMONCROFT_TESTING_BENCHMARK_ALLOCATED_BYTES_H_
 
 #if defined(__SANITIZE_ADDRESS__)
 #include <cstddef>
 
-// Of the sanitizer's run-time library; GCC ships no header for it.
+// Defined in the sanitizer's runtime library; GCC ships no header that declares it.
 extern "C" std::size_t __sanitizer_get_current_allocated_bytes();
 #else
 #include <malloc.h>
@@ -13,7 +13,8 @@
 
 namespace lemoncroft::benchmark {
 
-// Bytes in use. AddressSanitizer has an allocator of its own, of which mallinfo2 knows nothing.
+// Returns the number of bytes in use. AddressSanitizer replaces the allocator, and mallinfo2 doesn't cover
+// the replacement.
 inline double AllocatedBytes() {
 #if defined(__SANITIZE_ADDRESS__)
   return static_cast<double>(__sanitizer_get_current_allocated_bytes());
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -16,10 +16,10 @@
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kTickNanos = 5 * kMs;
-constexpr double kCores = 12;  // of an engine
+constexpr double kCores = 12;  // of each engine
 
 struct ClassProfile {
-  double share, work;  // of the requests; mean seconds on one core
+  double share, work;  // fraction of the requests; mean work in core-seconds
   int threads;
 };
 constexpr ClassProfile kClassProfiles[] = {{0.80, 0.12, 1}, {0.14, 2.0, 2}, {0.06, 3.0, 2}};
@@ -51,7 +51,7 @@
   return s;
 }
 
-// A gateway whose engines serve each attempt in the time of its work, without queueing.
+// Drives a gateway with simulated engines that serve every attempt without queueing or slowdown.
 class DecisionLoad {
  public:
   explicit DecisionLoad(const DecisionPlan& plan)
@@ -88,7 +88,7 @@
     bool operator>(const Running& other) const { return ends > other.ends; }
   };
   struct Open {
-    double work = 0;  // seconds on one core
+    double work = 0;  // core-seconds
     int threads = 1;
     int attempts = 0;
   };
@@ -145,7 +145,7 @@
   void On(const RejectRequest& reject) { EndRejected(reject.id); }
   void On(const FailRequest& fail) { EndRejected(fail.id); }
   void On(const WakeAt& wake) { wake_at_ = wake.at; }
-  void On(const auto&) {}  // no more than its cost matters here
+  void On(const auto&) {}  // ignored; only the cost of the decision matters here
 
   void EndRejected(RequestId id) { rejected_ += open_.erase(id); }
 
--- a/src/testing/benchmark/heartbeats.cpp
+++ b/src/testing/benchmark/heartbeats.cpp
@@ -12,7 +12,8 @@
 constexpr double kMaxLatePeriods = 3, kLateIntervalPeriods = 6;
 constexpr double kSecondsPerHour = 3600;
 
-// All members send to all others once a period, each at a phase of its own. Times are in periods.
+// Every member sends one heartbeat per period to all others, at a random phase within the period. Times are
+// in periods.
 class HeartbeatSimulation {
  public:
   explicit HeartbeatSimulation(const HeartbeatPlan& plan)
@@ -105,7 +106,7 @@
   std::vector<double> phase_, late_until_, crashed_at_;  // by member
   std::vector<std::vector<double>> last_heard_;          // by observer and subject
   std::vector<std::vector<bool>> declared_failed_;       // by observer and subject
-  std::vector<std::vector<double>> detection_delays_;    // by crashed member, of each observer
+  std::vector<std::vector<double>> detection_delays_;    // by crashed member, one entry per observer
   std::size_t crashed_ = 0;
   std::uint64_t false_failures_ = 0, sent_ = 0;
 };
--- a/src/testing/benchmark/heartbeats.h
+++ b/src/testing/benchmark/heartbeats.h
@@ -1,7 +1,7 @@
-// The baseline of the membership benchmark: all-to-all heartbeats, a member is declared failed after four
-// missed ones.
+// The baseline of the membership benchmark: all-to-all heartbeats. A member that misses four heartbeats is
+// declared failed.
 //
-// In virtual time; deterministic for a seed. Units: periods and bytes.
+// The simulation runs in virtual time and is deterministic for a seed. Units: periods and bytes.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_HEARTBEATS_H_
 #define LEMONCROFT_TESTING_BENCHMARK_HEARTBEATS_H_
 
@@ -12,7 +12,8 @@
 namespace lemoncroft::benchmark {
 
 struct HeartbeatResult {
-  std::vector<double> detect, known_all;  // periods per crash until the first and the last member knows
+  // By crash: periods until the first and until the last member detects it.
+  std::vector<double> detect, known_all;
   double false_failures_per_hour = 0;
   double bytes_per_s = 0, messages_per_s = 0;  // sent by one member
 };
@@ -22,8 +23,8 @@
   std::size_t members = 128;
   std::size_t crashes = 10;
   double loss = 0;
-  std::size_t late = 0;  // members that are repeatedly late by up to three periods
-  double periods = 40;   // between crashes, or in total without crashes
+  std::size_t late = 0;  // number of members that are repeatedly delayed by up to three periods
+  double periods = 40;   // between crashes; total duration if there are no crashes
   double period_s = 0.25, bytes = 150;
 };
 
--- a/src/testing/benchmark/main.cpp
+++ b/src/testing/benchmark/main.cpp
@@ -1,4 +1,5 @@
-// lemoncroft_measure: plays a measurement and prints its figures, the last line as one JSON object.
+// lemoncroft_measure: runs a benchmark and prints its results. The last line of the output is one JSON
+// object.
 #include <CLI/CLI.hpp>
 #include <cstdint>
 #include <cstdio>
@@ -93,7 +94,7 @@
   std::printf("%s\n", out.dump().c_str());
 }
 
-// What the sub-commands share.
+// Options that several subcommands share.
 struct CommonOptions {
   std::uint64_t seed = 1;
   bool json = false;
@@ -101,11 +102,11 @@
 };
 
 void AddCommonOptions(CLI::App& command, CommonOptions& options) {
-  command.add_option("--seed", options.seed, "of all that is drawn")->capture_default_str();
+  command.add_option("--seed", options.seed, "seed of the random number generators")->capture_default_str();
 }
 
 void AddOutputOption(CLI::App& command, CommonOptions& options) {
-  command.add_flag("--json", options.json, "the JSON object alone");
+  command.add_flag("--json", options.json, "print only the JSON object");
 }
 
 std::string FaultTestProgram(const char* own_path) {
@@ -113,9 +114,10 @@
 }
 
 void AddWaiting(CLI::App& app, CommonOptions& options, double& seconds) {
-  CLI::App* command = app.add_subcommand("waiting", "replay a day's load ahead of the admission queue");
+  CLI::App* command =
+      app.add_subcommand("waiting", "admission queue: replay a day's load and measure the cost per request");
   AddCommonOptions(*command, options);
-  command->add_option("--seconds", seconds, "of the replay")
+  command->add_option("--seconds", seconds, "duration of the replayed day")
       ->capture_default_str()
       ->check(CLI::Range(60, 7200));
   AddOutputOption(*command, options);
@@ -123,10 +125,10 @@
 }
 
 void AddPeers(CLI::App& app, CommonOptions& options, const std::string& fault_test_program) {
-  CLI::App* command =
-      app.add_subcommand("peers", "the view of the fleet, in virtual time and on real processes");
+  CLI::App* command = app.add_subcommand(
+      "peers", "membership: failure detection and traffic, in virtual time and on real processes");
   AddCommonOptions(*command, options);
-  command->add_flag("--virtual", options.virtual_only, "no real processes");
+  command->add_flag("--virtual", options.virtual_only, "skip the fault tests on real processes");
   AddOutputOption(*command, options);
   command->callback([&] {
     RunPeers({.seed = options.seed, .real = !options.virtual_only, .trial = fault_test_program},
@@ -136,10 +138,11 @@
 
 void AddAgreement(CLI::App& app, CommonOptions& options, std::uint64_t& states,
                   const std::string& fault_test_program) {
-  CLI::App* command = app.add_subcommand("agreement", "the rules that a fleet agrees on");
+  CLI::App* command =
+      app.add_subcommand("agreement", "replicated configuration: fault tests, state search and crash tests");
   AddCommonOptions(*command, options);
-  command->add_option("--states", states, "that are searched")->capture_default_str();
-  command->add_flag("--virtual", options.virtual_only, "no real processes");
+  command->add_option("--states", states, "upper limit of each state search")->capture_default_str();
+  command->add_flag("--virtual", options.virtual_only, "skip the fault tests on real processes");
   AddOutputOption(*command, options);
   command->callback([&] {
     Print(lemoncroft::benchmark::MeasureAgreement({.seed = options.seed,
@@ -151,10 +154,10 @@
 }
 
 void AddScale(CLI::App& app, CommonOptions& options, std::size_t& max_members) {
-  CLI::App* command = app.add_subcommand("scale", "what control costs a fleet of up to 4,000 proxies");
+  CLI::App* command = app.add_subcommand("scale", "control plane: cost in fleets of up to 4,000 proxies");
   AddCommonOptions(*command, options);
-  command->add_option("--most", max_members, "members of the largest fleet")->capture_default_str();
-  command->add_flag("--virtual", options.virtual_only, "no sockets");
+  command->add_option("--most", max_members, "size of the largest fleet")->capture_default_str();
+  command->add_flag("--virtual", options.virtual_only, "skip the runs on sockets");
   AddOutputOption(*command, options);
   command->callback([&] {
     Print(lemoncroft::benchmark::MeasureScale(
@@ -166,7 +169,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Measurements of lemoncroft", "lemoncroft_measure");
+  CLI::App app("Benchmarks of lemoncroft", "lemoncroft_measure");
   app.require_subcommand(1);
   const std::string fault_test_program = FaultTestProgram(argv[0]);
   CommonOptions options;
--- a/src/testing/benchmark/peers.cpp
+++ b/src/testing/benchmark/peers.cpp
@@ -27,10 +27,10 @@
 constexpr std::array<std::size_t, 3> kSizes = {16, 128, 1024};
 constexpr double kNeverKnownPeriods = 1e3;
 constexpr double kMaxLatePeriods = 3, kLateIntervalPeriods = 6;
-constexpr int kMaxSettlePeriods = 40;  // that a fleet is observed after a partition heals
+constexpr int kMaxSettlePeriods = 40;  // observation time after a partition heals
 constexpr int kParallelRuns = 4, kTrialsPerRun = 10;
 
-// A fleet whose members have known each other for twenty periods.
+// A simulated fleet that has run for twenty periods since its members were introduced to each other.
 struct SettledFleet {
   explicit SettledFleet(std::size_t n, std::uint64_t seed) : fleet({seed, {}, 0.01}) {
     for (Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1, 2});
@@ -51,7 +51,8 @@
   }
   void Run(double periods) { fleet.RunFor(Periods(periods)); }
 
-  // Periods from now until all views agree; kMaxSettlePeriods if they still differ then.
+  // Runs the fleet for kMaxSettlePeriods and returns the periods until all views agree; kMaxSettlePeriods if
+  // they still differ at the end.
   double SettledAfter() {
     const Instant since = fleet.now();
     double last = 0;
@@ -112,7 +113,8 @@
 
 IdleTraffic PlayIdle(std::size_t n, double seconds, std::uint64_t seed) {
   SettledFleet world(n, seed);
-  // Until all have been in direct contact: members known indirectly are probed three a period.
+  // Waits until all members have been in direct contact: each member probes three indirectly known members
+  // per period.
   world.Run(40 + static_cast<double>(n) / 3);
   std::uint64_t bytes = 0, messages = 0;
   const auto count = [&] {
@@ -164,7 +166,7 @@
 
 std::string OutputOf(const std::string& command) {
   FILE* pipe = ::popen(command.c_str(), "r");
-  if (pipe == nullptr) throw std::runtime_error("cannot start " + command);
+  if (pipe == nullptr) throw std::runtime_error("cannot run command: " + command);
   std::string out;
   char bytes[4096];
   for (std::size_t n = 0; (n = std::fread(bytes, 1, sizeof bytes, pipe)) > 0;) out.append(bytes, n);
@@ -183,7 +185,8 @@
 
 namespace {
 
-// Random fault tests, several runs in parallel; then an idle fleet of sixteen alone, for its cost.
+// Runs random fault tests in parallel processes. Then measures the cost of an idle fleet of sixteen, without
+// other load.
 ordered_json PlayReal(const PeersPlan& plan) {
   std::vector<std::string> outputs(kParallelRuns);
   {
@@ -203,7 +206,7 @@
   for (const std::string& output : outputs) {
     const ordered_json one = LastLine(output);
     trials += one.value("trials", 0.0);
-    failed += one.value("trials_failed", 1.0);  // a run without a result has failed
+    failed += one.value("trials_failed", 1.0);  // a run without a result counts as failed
     voided += one.value("real_void", 0.0);
     settle = std::max(settle, one.value("real_settle_ms", 0.0));
     detect = std::max(detect, one.value("real_detect_ms", 0.0));
@@ -239,7 +242,7 @@
   return out;
 }
 
-// By size, as kSizes.
+// The arrays have one entry per size in kSizes.
 struct SimulatedResults {
   std::array<Crashes, kSizes.size()> crashes;
   std::array<double, kSizes.size()> settle_periods{};
@@ -259,7 +262,8 @@
   results.heartbeats = Heartbeats(seed);
 }
 
-// A fleet of sixteen has only a few members that can crash in one simulation.
+// Adds the crashes of further simulations, because in a fleet of sixteen only a few members can crash in one
+// simulation.
 void PlayMoreCrashesOfSmallFleet(std::uint64_t seed, Crashes& crashes) {
   for (std::uint64_t more = 1; more <= 4; ++more) {
     const Crashes again = PlayCrashes(kSizes[kSmall], 12, seed + more);
@@ -271,7 +275,7 @@
 SimulatedResults PlaySimulations(std::uint64_t seed) {
   SimulatedResults results;
   {
-    // The simulations are independent of each other; four threads beside this one.
+    // The simulations are independent of each other; four threads run in parallel to this one.
     std::jthread small([&] { PlaySmallFleets(seed, results); });
     std::jthread crashes([&] { results.crashes[kLarge] = PlayCrashes(kSizes[kLarge], 5, seed); });
     std::jthread idle([&] { results.idle[kLarge] = PlayIdle(kSizes[kLarge], 10, seed); });
--- a/src/testing/benchmark/peers.h
+++ b/src/testing/benchmark/peers.h
@@ -1,7 +1,8 @@
-// Benchmark of the membership protocol: in virtual time with up to 1,024 members, on real processes with the
-// fault tests, and against all-to-all heartbeats.
+// Benchmark of the membership protocol: in virtual time with up to 1,024 members, with the fault test program
+// on real processes, and in comparison with all-to-all heartbeats.
 //
-// Deterministic for a seed in virtual time. Units: protocol periods, unless a name says otherwise.
+// The results in virtual time are deterministic for a seed. Units: protocol periods, unless a name says
+// otherwise.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_PEERS_H_
 #define LEMONCROFT_TESTING_BENCHMARK_PEERS_H_
 
@@ -20,9 +21,10 @@
 // Runs the benchmark and returns its metrics.
 nlohmann::ordered_json MeasurePeers(const PeersPlan& plan);
 
-// Returns a program's output; throws std::runtime_error if it cannot be started.
+// Runs a shell command and returns its standard output. Throws std::runtime_error if the shell cannot be
+// started.
 std::string OutputOf(const std::string& command);
-// Parses the last line of a text as a JSON object; an empty object if it is none.
+// Parses the last line of `text` as a JSON object. Returns an empty object if the line is not a JSON object.
 nlohmann::ordered_json LastLine(const std::string& text);
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/percentile.h
+++ b/src/testing/benchmark/percentile.h
@@ -8,7 +8,8 @@
 
 namespace lemoncroft::benchmark {
 
-// Returns the value at `fraction` (0 to 1) of the sorted values, without interpolation; 0 if there are none.
+// Returns the value at `fraction` (0 to 1) of the sorted values, without interpolation; 0 if `values` is
+// empty.
 inline double Percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
--- a/src/testing/benchmark/scale.cpp
+++ b/src/testing/benchmark/scale.cpp
@@ -26,10 +26,10 @@
 constexpr std::array<std::size_t, 3> kEngineCounts = {8, 2048, 4400};
 constexpr std::size_t kTargetMembers = 4000;
 
-// The load of a day, and the targets for what the control plane may take of a proxy.
+// The load of one day, and the targets for the resources that the control plane may use on one proxy.
 constexpr double kChangesPerDay = 23'000, kReplacedPerDay = 2900, kSecondsPerDay = 86'400;
 constexpr double kStatementsPerSecond = 400;
-constexpr double kFluxShare = 0.1;  // of the members that are replaced in a minute of flux
+constexpr double kFluxShare = 0.1;  // fraction of the members that is replaced per minute of churn
 constexpr double kMaxCorePercent = 2.9;
 constexpr double kMaxMemoryMb = 128;
 constexpr double kMaxBytesPerSecond = 22'000;
@@ -37,7 +37,7 @@
 constexpr double kMaxInForceMs = 6000;
 constexpr double kMaxContradictionMs = 1200;
 constexpr double kMaxVirtualDeviationPercent = 20;
-constexpr double kViewBytesPerMember = 700;  // upper estimate of the memory of one member in one view
+constexpr double kViewBytesPerMember = 700;  // upper estimate of the memory for one member in one view
 
 double HalfOfMemory() {
   return static_cast<double>(::sysconf(_SC_PHYS_PAGES)) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 2;
@@ -47,7 +47,8 @@
   return static_cast<double>(members) * static_cast<double>(members) * kViewBytesPerMember <= HalfOfMemory();
 }
 
-// The results by name, some of them for each size of the fleet, and the targets that were missed.
+// The results by name, or by name and size, and the targets that were missed. The size is a number of members
+// or of engines.
 class Metrics {
  public:
   void Put(const char* name, double value) { out_[name] = value; }
@@ -76,7 +77,7 @@
 void MeasureViewSizes(const ScalePlan& plan, Metrics& metrics) {
   for (const std::size_t members : kSizes) {
     if (members > plan.max_members || !FitsMemory(members)) continue;
-    std::fprintf(stderr, "scale: the view of %zu members\n", members);
+    std::fprintf(stderr, "scale: measuring the membership view with %zu members\n", members);
     ViewPlan view;
     view.seed = plan.seed;
     view.members = members;
@@ -100,7 +101,7 @@
   double contradiction = 0, stale = 0;
   for (const std::size_t members : kSizes) {
     if (members > plan.max_members) continue;
-    std::fprintf(stderr, "scale: the leases of %zu members\n", members);
+    std::fprintf(stderr, "scale: measuring the leases with %zu members\n", members);
     LeasePlan leases;
     leases.seed = plan.seed;
     leases.members = members;
@@ -123,7 +124,7 @@
 
 void MeasureDecisionCosts(const ScalePlan& plan, Metrics& metrics) {
   for (const std::size_t engines : kEngineCounts) {
-    std::fprintf(stderr, "scale: decisions before %zu engines\n", engines);
+    std::fprintf(stderr, "scale: measuring decisions with %zu engines\n", engines);
     DecisionPlan alone;
     alone.seed = plan.seed;
     alone.engines = engines;
@@ -141,7 +142,7 @@
   std::size_t largest = 0, voided = 0;
   for (const std::size_t members : kSocketSizes) {
     if (members > plan.max_members) continue;
-    std::fprintf(stderr, "scale: %zu hollow proxies on sockets\n", members);
+    std::fprintf(stderr, "scale: measuring %zu proxies on sockets\n", members);
     SocketFleetPlan hollow;
     hollow.seed = plan.seed;
     hollow.members = members;
@@ -168,8 +169,8 @@
   if (off >= 0) metrics.Put("virtual_vs_sockets_percent", off);
 }
 
-// Derives what one of kTargetMembers proxies spends from the measured metrics of that size; leaves the totals
-// out if one of those is absent.
+// Derives the total cost of one proxy in a fleet of kTargetMembers from the metrics of that size. Omits the
+// totals if the view or the leases were not measured at that size.
 void DeriveTotals(Metrics& metrics) {
   if (!metrics.Has("view_bytes_per_s", kTargetMembers) || !metrics.Has("lease_bytes_per_s", kTargetMembers))
     return;
--- a/src/testing/benchmark/scale.h
+++ b/src/testing/benchmark/scale.h
@@ -1,10 +1,10 @@
-// Benchmark of the control plane's cost in fleets of up to thousands of proxies: membership, leases,
-// documents and decisions, in virtual time at all sizes and on loopback sockets at those that one process can
-// hold.
+// Benchmark of the cost of the control plane in fleets of up to thousands of proxies: membership, leases,
+// documents and decisions. It runs in virtual time at all sizes, and on loopback sockets at the sizes that
+// fit into one process.
 //
-// Sizes that would take more than half of the machine's memory are skipped, and the metrics of inconclusive
-// runs on sockets left out; a target whose metric is absent is named in `aims_missed`. Called by the command
-// line. Units are part of the metrics' names. docs/CAPACITY.md has the results.
+// Sizes that would need more than half of the machine's memory are skipped, and the metrics of inconclusive
+// runs on sockets are omitted. A target whose metric is absent is listed in `aims_missed`. The names of the
+// metrics include the units. docs/CAPACITY.md contains the results.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_SCALE_H_
 #define LEMONCROFT_TESTING_BENCHMARK_SCALE_H_
 
@@ -20,6 +20,7 @@
   bool sockets = true;
 };
 
+// Runs the benchmark and returns its metrics.
 nlohmann::ordered_json MeasureScale(const ScalePlan& plan);
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -15,11 +15,11 @@
 constexpr Instant kFirstLeaseTimeout = 30s, kChangeTimeout = 20s, kPollInterval = 5ms;
 constexpr Instant kPauseAfterChange = 500ms;
 constexpr double kTimedOutMs = 1e9;
-constexpr std::size_t kProposerStride = 7919;  // a prime: changes come from all over the fleet
+constexpr std::size_t kProposerStride = 7919;  // a prime, so that the proposers are spread over the fleet
 
 double InSeconds(Instant span) { return std::chrono::duration<double>(span).count(); }
 
-// Bytes sent and processor time used since the start.
+// Bytes sent and processor time used since the start of the simulation.
 struct Totals {
   double bytes = 0, leader_bytes = 0, leader_us = 0, others_us = 0;
 };
--- a/src/testing/benchmark/scale_leases.h
+++ b/src/testing/benchmark/scale_leases.h
@@ -1,7 +1,7 @@
-// Measures what leases and documents cost at a fleet's size, in virtual time: bytes, the leader's processor
-// time, and how long a change takes until it is active everywhere.
+// Measures the cost of leases and documents in a fleet of a given size, in virtual time: bytes, the leader's
+// processor time, and the time until a change is active at all members.
 //
-// Contract: deterministic for a seed, except for processor time. Not modelled: that processing takes time.
+// All results except the processor time are deterministic for a seed. Processing takes no virtual time.
 // Units: bytes of frames without UDP, TCP and IP headers; milliseconds; percent of one core.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_SCALE_LEASES_H_
 #define LEMONCROFT_TESTING_BENCHMARK_SCALE_LEASES_H_
@@ -18,20 +18,20 @@
   std::size_t members = 125, voters = 7;
   std::size_t changes = 5;
   std::size_t document_bytes = 1000;
-  std::chrono::nanoseconds delay = std::chrono::microseconds(200);   // of each link, one way,
-  std::chrono::nanoseconds spread = std::chrono::microseconds(300);  // and up to so much more
+  std::chrono::nanoseconds delay = std::chrono::microseconds(200);   // minimum one-way delay of a link
+  std::chrono::nanoseconds spread = std::chrono::microseconds(300);  // maximum additional delay
   double calm_seconds = 10;
 };
 
 struct LeaseCost {
-  bool began = false;                                         // all had a lease in time
-  double bytes_per_s = 0;                                     // calm, a member
-  double leader_bytes_per_s = 0;                              // calm
-  double leader_core_percent = 0, leader_change_percent = 0;  // calm; while changes are under way
-  double member_core_percent = 0;                             // calm, the mean of those that don't lead
-  double bytes_per_change = 0;         // of all together, beyond what a calm time of that length costs
-  double leader_bytes_per_change = 0;  // likewise, of the leader alone
-  std::vector<double> in_force_ms;     // from the proposal until all act on it; 1e9: not within the patience
+  bool began = false;             // all members obtained a lease before the timeout
+  double bytes_per_s = 0;         // per member, without changes
+  double leader_bytes_per_s = 0;  // without changes
+  double leader_core_percent = 0, leader_change_percent = 0;  // without changes; during changes
+  double member_core_percent = 0;      // without changes, mean over all members except the leader
+  double bytes_per_change = 0;         // of all members, beyond the cost of the same time without changes
+  double leader_bytes_per_change = 0;  // the same for the leader alone
+  std::vector<double> in_force_ms;     // from the proposal until all members use the change; 1e9: timed out
   double contradiction_ms = 0;
   std::uint64_t stale_acts = 0;
 };
--- a/src/testing/benchmark/scale_view.cpp
+++ b/src/testing/benchmark/scale_view.cpp
@@ -20,7 +20,7 @@
 using simulation::Process;
 
 constexpr std::size_t kSeeds = 3;
-constexpr double kSettleTimeoutSeconds = 60;  // seconds
+constexpr double kSettleTimeoutSeconds = 60;
 constexpr Instant kAttributeCheckInterval = std::chrono::milliseconds(50);
 
 Instant Seconds(double seconds) { return Instant(static_cast<Instant::rep>(seconds * 1e9)); }
@@ -39,7 +39,7 @@
   return settings;
 }
 
-// Sums over all members since the start.
+// Totals over all members since the start of the simulation.
 struct Totals {
   double messages = 0, bytes = 0, datagram_bytes = 0, syncs = 0;
 };
@@ -56,8 +56,8 @@
   return totals;
 }
 
-// Replaces all members but the seeds, one at a time at a constant rate. Old processes leave and crash in
-// turn; a new one starts on the same machine a second later.
+// Replaces members other than the seeds, one at a time at a constant rate. Old processes leave and crash
+// alternately; a new process starts on the same machine one second later.
 class Replacer {
  public:
   Replacer(PeerFleet& fleet, std::size_t members, double per_second)
@@ -90,7 +90,7 @@
   void EndNext() {
     next_ += interval_;
     const Node machine =
-        static_cast<Node>(kSeeds + replaced_ * kStride % (members_ - kSeeds));  // all over the fleet
+        static_cast<Node>(kSeeds + replaced_ * kStride % (members_ - kSeeds));  // spread over the fleet
     ++replaced_;
     if (std::any_of(starts_.begin(), starts_.end(), [&](const Start& s) { return s.machine == machine; }))
       return;
@@ -114,12 +114,12 @@
   PeerFleet& fleet_;
   std::size_t members_, replaced_ = 0;
   Instant interval_, next_;
-  std::vector<Process> processes_by_machine_;  // by machine
+  std::vector<Process> processes_by_machine_;
   std::vector<Start> starts_;
 };
 
-// Runs `play`. Returns what each member sent per second meanwhile; `core_percent` receives its share of a
-// core.
+// Runs `play`. Returns the mean rates per second and member during that time, and stores the mean processor
+// time per member in `core_percent`.
 template <typename Play>
 Totals RatesDuring(PeerFleet& fleet, std::size_t members, double& core_percent, const Play& play) {
   const Totals before = TotalsOf(fleet);
@@ -135,7 +135,8 @@
           (after.syncs - before.syncs) / member_seconds};
 }
 
-// Every proxy publishes its version at each change, paced as in the replicated configuration's service.
+// Lets every proxy publish its version at each change. With `pace_attributes`, the proxies delay this as
+// the service of the replicated configuration does.
 void PublishAttributes(PeerFleet& fleet, const ViewPlan& plan) {
   const Instant begun = fleet.now(), until = begun + Seconds(plan.attribute_seconds);
   std::vector<replicated_config::NotificationPacer> paces;
@@ -156,7 +157,8 @@
   }
 }
 
-// Bytes sent since `before` by the busiest of the processes that have run throughout.
+// Returns the bytes sent since `before` by the process that sent most. Only processes that were started
+// before that and are still running count.
 double BusiestBytes(const PeerFleet& fleet, const std::vector<std::uint64_t>& before) {
   std::uint64_t most = 0;
   for (Process p = 0; p < before.size(); ++p)
--- a/src/testing/benchmark/scale_view.h
+++ b/src/testing/benchmark/scale_view.h
@@ -1,8 +1,8 @@
-// Benchmark of what the membership protocol costs one member of a large fleet, in virtual time: bytes,
-// processor time, memory.
+// Benchmark of the cost of the membership protocol for one member of a large fleet, in virtual time: bytes,
+// processor time and memory.
 //
-// Deterministic for a seed except for processor time and memory. Units: bytes of the frames that a member
-// sends, without UDP and IP headers; percent of one core.
+// All results except processor time and memory are deterministic for a seed. Units: bytes of the frames that
+// a member sends, without UDP and IP headers; percent of one core.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_SCALE_VIEW_H_
 #define LEMONCROFT_TESTING_BENCHMARK_SCALE_VIEW_H_
 
@@ -15,22 +15,22 @@
   std::uint64_t seed = 1;
   std::size_t members = 125;
   double calm_seconds = 20;
-  double flux_warm_seconds = 10, flux_seconds = 10;  // replacements go on during both; the second is counted
-  double replaced_per_minute = 0.1;                  // of all members
-  double attribute_seconds = 8;                      // in which all members tell attributes, and how often:
-  double attribute_interval_seconds = 3.76;
-  bool pace_attributes = true;  // replicated_config::TellPace
+  double flux_warm_seconds = 10, flux_seconds = 10;  // members are replaced in both; the second is measured
+  double replaced_per_minute = 0.1;                  // fraction of all members
+  double attribute_seconds = 8;                      // during which all members publish attributes
+  double attribute_interval_seconds = 3.76;          // between changes of the attributes
+  bool pace_attributes = true;                       // with replicated_config::NotificationPacer
 };
 
 struct ViewCost {
-  double bytes_per_s = 0, datagram_bytes_per_s = 0, messages_per_s = 0;  // calm, a member
-  double core_percent = 0;                                               // calm, a member
+  double bytes_per_s = 0, datagram_bytes_per_s = 0, messages_per_s = 0;  // per member, idle
+  double core_percent = 0;                                               // per member, idle
   double flux_bytes_per_s = 0, flux_exchanges_per_s = 0, flux_core_percent = 0;
-  double flux_busiest_bytes_per_s = 0;                           // of the member that sent most in flux
-  double attribute_bytes_per_s = 0, attribute_core_percent = 0;  // while each tells a new attribute so often
-  double bytes_per_member = 0;             // of memory, for each member in each view, by the allocator
-  double memory_share_kept_after_end = 0;  // part of that memory that is still in use when all views are gone
-  double settled_after_s = -1;             // from the last replacement until all views agree; -1: not in time
+  double flux_busiest_bytes_per_s = 0;                           // of the member that sent most during churn
+  double attribute_bytes_per_s = 0, attribute_core_percent = 0;  // while attributes change
+  double bytes_per_member = 0;                                   // allocated memory per member and view
+  double memory_share_kept_after_end = 0;  // part of that memory still in use after all views are destroyed
+  double settled_after_s = -1;             // from the last replacement until all views agree; -1: timed out
   std::size_t replaced = 0;
 };
 
--- a/src/testing/benchmark/socket_fleet.cpp
+++ b/src/testing/benchmark/socket_fleet.cpp
@@ -27,7 +27,7 @@
                             kLagCheckInterval = 10ms;
 constexpr runtime::Duration kChangeTimeout = 10s, kPauseAfterChange = 500ms;
 constexpr double kTimedOutMs = 1e9;
-constexpr int kFirstPort = 20'000, kPorts = 10'000;  // below those that the system gives out
+constexpr int kFirstPort = 20'000, kPorts = 10'000;  // below the ephemeral port range
 
 std::string NameOf(std::size_t i) { return "h" + std::to_string(i); }
 gossip::PeerAddress AddressOf(const SocketFleetPlan& plan, std::size_t i) {
@@ -64,7 +64,8 @@
           [](const std::string&) { return replicated_config::Duration(); }};
 }
 
-// One proxy without clients and engines, wired as in proxy::Fleet and proxy::ReplicatedConfigService.
+// A proxy without clients and engines. The link and the replica are connected as in proxy::Fleet and
+// proxy::ReplicatedConfigService.
 class BareProxy {
  public:
   BareProxy(runtime::Loop& loop, const SocketFleetPlan& plan, std::size_t i)
@@ -145,12 +146,12 @@
   peer_transport::Link link_;
   replicated_config::ConfigReplica replica_;
   std::uint64_t store_;
-  std::uint64_t peers_as_of_ = 0;  // the members's changes when the keeper was told its peers
+  std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last call of SetPeers
   runtime::ConditionVariable timer_changed_;
   Time timer_deadline_ = runtime::kNever;
 };
 
-// What all members have sent, and the processor time used, by now.
+// Bytes sent by all members and processor time used since the start.
 struct Totals {
   double datagram_bytes = 0, sync_bytes = 0, app_message_bytes = 0, processor_us = 0;
 };
@@ -252,7 +253,7 @@
   const SocketFleetPlan& plan_;
   SocketFleetCost cost_;
   bool measured_ = false;
-  runtime::Loop loop_;  // Run() ends its tasks before the proxies that they work on go
+  runtime::Loop loop_;  // Run() ends its tasks before the proxies that they use are destroyed
   std::vector<std::unique_ptr<BareProxy>> proxies_;
 };
 
--- a/src/testing/benchmark/socket_fleet.h
+++ b/src/testing/benchmark/socket_fleet.h
@@ -1,10 +1,10 @@
 // Benchmark of the control plane on real sockets: membership, replicated configuration and peer transport of
-// many proxies in one process, each on a loopback address of its own, without clients and engines.
+// many proxies in one process. Each proxy has its own loopback address; there are no clients and no engines.
 //
-// Blocks the calling thread; all waits are bounded. A run whose event loop was late by more than kMaxLoopLag
-// while measured is inconclusive: neither passed nor failed. Voters keep their logs in memory. Units: bytes
-// of frames that a member sends; milliseconds; percent of one core. Errors: std::system_error if an address
-// can't be bound.
+// Blocks the calling thread; all waits are bounded. A run is inconclusive (neither passed nor failed) if its
+// event loop lagged by more than kMaxLoopLag during the measurement. Voters store their logs in memory.
+// Throws std::system_error if an address can't be bound. Units: bytes of the frames that a member sends;
+// milliseconds; percent of one core.
 #ifndef LEMONCROFT_TESTING_BENCHMARK_SOCKET_FLEET_H_
 #define LEMONCROFT_TESTING_BENCHMARK_SOCKET_FLEET_H_
 
@@ -20,23 +20,24 @@
 struct SocketFleetPlan {
   std::uint64_t seed = 1;
   std::size_t members = 125, voters = 7;
-  std::uint16_t port = 0;                    // of all, each on an address of its own; 0: by this process's id
-  std::chrono::seconds client_timeout{120};  // until all know all by a datagram of each, and have a lease
-  std::chrono::seconds calm{10};             // measured
-  std::size_t changes = 3;                   // of a document, one after another
-  std::chrono::milliseconds blocked_for{0};  // the loop is held so long while it is measured, by a test
+  std::uint16_t port = 0;  // of all proxies; 0: derived from the process ID
+  // Time limit until all views agree without unconfirmed members, and all members have a lease.
+  std::chrono::seconds client_timeout{120};
+  std::chrono::seconds calm{10};             // duration of the measurement without changes
+  std::size_t changes = 3;                   // number of sequential document changes
+  std::chrono::milliseconds blocked_for{0};  // blocks the event loop during the measurement; set by a test
   std::size_t document_bytes = 1000;
 };
 
 struct SocketFleetCost {
-  bool settled = false;          // within the timeout
-  bool is_inconclusive = false;  // the loop was late
-  double longest_lag_ms = 0;     // of the loop, while measured
+  bool settled = false;          // before the timeout
+  bool is_inconclusive = false;  // longest_lag_ms exceeds kMaxLoopLag
+  double longest_lag_ms = 0;     // of the event loop during the measurement
   double settled_after_s = 0;
-  double datagram_bytes_per_s = 0, view_bytes_per_s = 0, lease_bytes_per_s = 0;  // calm, a member
-  double core_percent = 0;                                                       // calm, a member
-  double bytes_per_member = 0;      // of memory, for each member at each proxy, all that a proxy has included
-  std::vector<double> in_force_ms;  // from the proposal until all act on it; 1e9: not in time
+  double datagram_bytes_per_s = 0, view_bytes_per_s = 0, lease_bytes_per_s = 0;  // per member, idle
+  double core_percent = 0;                                                       // per member, idle
+  double bytes_per_member = 0;      // memory of all proxies per member and proxy, not only of the views
+  std::vector<double> in_force_ms;  // from the proposal until all members use the change; 1e9: timed out
 };
 
 SocketFleetCost MeasureSocketFleet(const SocketFleetPlan& plan);
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -23,16 +23,16 @@
 
 constexpr double kTickSeconds = 0.005;
 constexpr double kLongWaitSeconds = 0.2;
-constexpr std::array<double, 4> kBudgetShares = {0.4, 0.3, 0.2, 0.1};  // of the fleet
-constexpr double kWorkSpread = 0.6;           // deviation of the logarithm of the work
-constexpr double kEstimateSpread = 0.2;       // likewise of estimates
-constexpr double kBadPlanProbability = 0.05;  // of reports' attempts
+constexpr std::array<double, 4> kBudgetShares = {0.4, 0.3, 0.2, 0.1};  // of the fleet's cores, by tenant
+constexpr double kWorkSpread = 0.6;           // standard deviation of the logarithm of the work
+constexpr double kEstimateSpread = 0.2;       // the same for the estimation error
+constexpr double kBadPlanProbability = 0.05;  // for each attempt of a report
 constexpr double kMinBadPlanFactor = 10, kMaxBadPlanFactor = 23;
 constexpr double kMaxTables = 40;
-constexpr double kTypicalRunSeconds = 4;  // seconds that a heavy query usually runs
+constexpr double kTypicalRunSeconds = 4;  // typical run time of a heavy query
 
 struct ClassProfile {
-  double fraction;  // of the requests
+  double fraction;  // of all requests
   double work;      // mean, core-seconds
   int threads;
   double timeout;  // seconds
@@ -156,7 +156,7 @@
   double LognormalFactor(double deviation) {  // mean 1
     return boost::random::lognormal_distribution<double>(-deviation * deviation / 2, deviation)(random_);
   }
-  // Offered load relative to the fleet: rises from 0.6 to 1.4 and falls again.
+  // Returns the offered load relative to the fleet's capacity. It rises from 0.6 to 1.4 and falls again.
   double RelativeLoadAt(double at) const {
     const double x = at / options_.seconds;
     const double hill = x < 0.3 ? x / 0.3 : x < 0.6 ? 1 : std::max(0.0, 1 - (x - 0.6) / 0.25);
@@ -220,9 +220,9 @@
     if (!options_.use_admission_queue) SendToModule(id);
   }
 
-  // Counts a request that leaves the queue after its dispatch deadline, or after one of its tenant and lane
-  // that was submitted later by more than the greatest ageing credit (the greatest ratio of weights here is
-  // 12).
+  // Counts a violation if a request leaves the queue after its dispatch deadline, or after a request of the
+  // same tenant and lane that was submitted later by more than the greatest ageing credit (the greatest ratio
+  // of priority weights is 12 here).
   void CheckDispatchBound(const Query& q, bool dispatched) {
     double& last = last_dispatched_[q.tenant][q.class_id != 0];
     const bool overtaken = dispatched && last - q.submitted_at > 2 * std::log10(12.0) + kTickSeconds;
@@ -230,7 +230,7 @@
     if (dispatched) last = std::max(last, q.submitted_at);
   }
 
-  // Half of the requests rejected for the first time are retried after the time given.
+  // Schedules a retry after `later` seconds for half of the requests that are rejected for the first time.
   void ScheduleRetry(const Query& q, double later) {
     if (q.retry || last_id_ % 2 == 0 || now_ + later >= options_.seconds) return;
     arrivals_.push({now_ + later, q.tenant, q.class_id, q.work, true, false});
@@ -378,7 +378,7 @@
     CheckDeadline(q);
   }
 
-  // Called when a wait ends, in whichever way.
+  // Counts a request whose wait ended after its deadline. Called when a wait ends, whatever the reason.
   void CheckDeadline(const Query& q) {
     if (now_ > q.deadline + kTickSeconds) ++result_.past_deadline;
   }
@@ -417,7 +417,8 @@
     std::array<std::size_t, kBudgetShares.size()> waiting{};
     for (const auto& [id, q] : queries_) waiting[q.tenant] += !q.started && q.class_id != 0;
     const bool all = std::all_of(waiting.begin(), waiting.end(), [](std::size_t n) { return n > 0; });
-    // Requests already running when the last tenant begins to wait were started under other shares.
+    // The first kTypicalRunSeconds don't count: requests that are already running when the last tenant begins
+    // to wait were started under other shares.
     if (!all) all_waiting_since_ = -1;
     if (all && all_waiting_since_ < 0) all_waiting_since_ = now_;
     const bool counts = all && now_ - all_waiting_since_ >= kTypicalRunSeconds;
@@ -450,7 +451,7 @@
   }
 
   WorkloadReplayOptions options_;
-  pcg32 random_, plan_random_;  // separate streams: outcomes do not change arrivals
+  pcg32 random_, plan_random_;  // separate streams, so that outcomes don't influence arrivals
   Gateway gateway_;
   simulation::Fleet fleet_;
   std::unique_ptr<admission_queue::AdmissionQueue> queue_;
