--- a/src/testing/benchmark/admission_queue_cost.cpp
+++ b/src/testing/benchmark/admission_queue_cost.cpp
@@ -27,15 +27,15 @@
 // kRunTime. The caller replaces dispatched requests, which keeps the queue length constant.
 class SteadyLoad {
  public:
-  SteadyLoad(std::size_t depth, bool wants_updates, std::uint64_t seed)
-      : random_(seed, 3), queue_(MakeSettings(depth)), wants_updates_(wants_updates) {
+  SteadyLoad(std::size_t queue_length, bool wants_updates, std::uint64_t seed)
+      : random_(seed, 3), queue_(MakeSettings(queue_length)), wants_updates_(wants_updates) {
     queue_.SetFleetCores(1000, now_);
   }
 
   void Submit() {
     boost::random::uniform_int_distribution<std::uint32_t> tenant(0, 3), class_id(0, 2);
     boost::random::uniform_real_distribution<double> work(0.01, 0.3);
-    const auto submitted = queue_.Submit({.id = ++last_,
+    const auto submitted = queue_.Submit({.id = ++last_id_,
                                           .tenant = tenant(random_),
                                           .class_id = class_id(random_),
                                           .estimated_work = admission_queue::FromSeconds(work(random_)),
@@ -53,8 +53,8 @@
 
   void Step() {
     now_ += kStep;
-    while (!running_.empty() && done_ < running_.size() && running_[done_].second <= now_) {
-      const admission_queue::RequestId id = running_[done_++].first;
+    while (!running_.empty() && ended_ < running_.size() && running_[ended_].second <= now_) {
+      const admission_queue::RequestId id = running_[ended_++].first;
       queue_.OnAttemptEnded(id, 0, std::chrono::milliseconds(100), true, now_);
       queue_.OnRequestCompleted(id, now_);
     }
@@ -70,10 +70,10 @@
   }
 
   std::size_t waiting() const { return queue_.waiting(); }
-  std::size_t ended() const { return done_; }
+  std::size_t ended() const { return ended_; }
 
  private:
-  static admission_queue::Settings MakeSettings(std::size_t depth) {
+  static admission_queue::Settings MakeSettings(std::size_t queue_length) {
     admission_queue::Settings s;
     for (int t = 0; t < 4; ++t)
       s.tenants.push_back({.name = std::to_string(t), .cores = 100, .barred_classes = {}});
@@ -82,7 +82,7 @@
                            .priority_weight = 1.0 + k,
                            .default_work = std::chrono::milliseconds(100)});
     }
-    s.max_waiting = 4 * depth;
+    s.max_waiting = 4 * queue_length;
     return s;
   }
 
@@ -90,23 +90,24 @@
   admission_queue::AdmissionQueue queue_;
   bool wants_updates_;
   admission_queue::Time now_{std::chrono::seconds(1)};
-  admission_queue::RequestId last_ = 0;
+  admission_queue::RequestId last_id_ = 0;
   std::vector<std::pair<admission_queue::RequestId, admission_queue::Time>> running_;
-  std::size_t done_ = 0;
+  std::size_t ended_ = 0;
   std::vector<admission_queue::Decision> decisions_;
 };
 
 }  // namespace
 
-AdmissionQueueCost MeasureAdmissionQueueCost(std::size_t depth, bool wants_updates, std::uint64_t seed) {
+AdmissionQueueCost MeasureAdmissionQueueCost(std::size_t queue_length, bool wants_updates,
+                                             std::uint64_t seed) {
   const auto before = mallinfo2();
-  SteadyLoad load(depth, wants_updates, seed);
-  while (load.waiting() < depth) load.Submit();
+  SteadyLoad load(queue_length, wants_updates, seed);
+  while (load.waiting() < queue_length) load.Submit();
   const auto filled = mallinfo2();
   AdmissionQueueCost cost;
   cost.bytes_per_request =
       static_cast<double>(filled.uordblks + filled.hblkhd - before.uordblks - before.hblkhd) /
-      static_cast<double>(depth);
+      static_cast<double>(queue_length);
   for (int step = 0; step < kWarmUpSteps; ++step) load.Step();
   // The minimum over several rounds, because other load on the machine can only increase the time.
   for (int round = 0; round < kRounds; ++round) {
@@ -114,7 +115,7 @@
     const auto from = std::chrono::steady_clock::now();
     std::size_t submitted = 0;
     while (submitted < kRequestsPerRound) {
-      for (; load.waiting() < depth && submitted < kRequestsPerRound; ++submitted) load.Submit();
+      for (; load.waiting() < queue_length && submitted < kRequestsPerRound; ++submitted) load.Submit();
       load.Step();
     }
     const std::chrono::duration<double, std::micro> spent = std::chrono::steady_clock::now() - from;
--- a/src/testing/benchmark/agreement.cpp
+++ b/src/testing/benchmark/agreement.cpp
@@ -26,14 +26,14 @@
 using namespace std::chrono_literals;
 
 constexpr int kParallelRuns = 3, kTrialsPerRun = 14;
-constexpr double kStatedContradictionMs = 1200;
+constexpr double kDocumentedMaxContradictionMs = 1200;
 
 // The measured fault tests. Each runs seven proxies.
-constexpr const char* kChanges = R"(trial "changes, no faults" {
+constexpr const char* kChangesTest = R"(trial "changes, no faults" {
   proxies 7; voters "n1" "n2" "n3"; load 20; changes 2; each-once #true; seed SEED
   at "20s" { heal }
 })";
-constexpr const char* kLeaders = R"(trial "voters are killed in turn, changes at every moment" {
+constexpr const char* kLeaderFailuresTest = R"(trial "voters are killed in turn, changes at every moment" {
   proxies 7; voters "n1" "n2" "n3"; load 20; changes 15; seed SEED
   at "3s" { kill "n1" }
   at "6s" { start "n1" }
@@ -43,7 +43,7 @@
   at "18s" { start "n3" }
   at "21s" { heal }
 })";
-constexpr const char* kCuts = R"(trial "a minority is cut off, whoever leads" {
+constexpr const char* kPartitionsTest = R"(trial "a minority is cut off, whoever leads" {
   proxies 7; voters "n1" "n2" "n3"; load 40; changes 2; seed SEED
   at "3s" { part "n1 n4 n5" "n2 n3 n6 n7" }
   at "13s" { heal }
@@ -52,7 +52,7 @@
   at "27s" { part "n3 n4 n7" "n1 n2 n5 n6" }
   at "37s" { heal }
 })";
-constexpr const char* kFiles = R"(trial "each its own file" {
+constexpr const char* kIndependentFilesTest = R"(trial "each its own file" {
   proxies 7; load 20; files #true; seed SEED
   at "3s" { part "n1 n4 n5" "n2 n3 n6 n7" }
   at "8s" { heal }
@@ -64,31 +64,31 @@
   return json.contains(name) ? json.at(name).get<std::vector<double>>() : std::vector<double>();
 }
 
-ordered_json Play(const AgreementPlan& plan, std::string text, ordered_json& sum) {
+ordered_json RunFaultTest(const AgreementPlan& plan, std::string text, ordered_json& sum) {
   const std::string file = "/tmp/lemoncroft-measure-" + std::to_string(::getpid()) + ".kdl";
   text.replace(text.find("SEED"), 4, std::to_string(plan.seed));
   std::ofstream(file) << text;
-  const std::string output = OutputOf(plan.trial + " " + file);
+  const std::string output = CommandOutput(plan.fault_test_program + " " + file);
   std::remove(file.c_str());
-  ordered_json one = LastLine(output);
-  if (one.value("trials_failed", 1.0) > 0) std::fputs(output.c_str(), stderr);
-  sum["trials"] = sum.value("trials", 0.0) + one.value("trials", 0.0);
-  sum["trials_failed"] = sum.value("trials_failed", 0.0) + one.value("trials_failed", 1.0);
-  return one;
+  ordered_json result = ParseLastLine(output);
+  if (result.value("trials_failed", 1.0) > 0) std::fputs(output.c_str(), stderr);
+  sum["trials"] = sum.value("trials", 0.0) + result.value("trials", 0.0);
+  sum["trials_failed"] = sum.value("trials_failed", 0.0) + result.value("trials_failed", 1.0);
+  return result;
 }
 
 // Runs the random fault tests in parallel processes and returns their outputs.
-std::vector<std::string> PlayRandomTrials(const AgreementPlan& plan) {
+std::vector<std::string> RunRandomFaultTests(const AgreementPlan& plan) {
   std::vector<std::string> outputs(kParallelRuns);
   {
     std::vector<std::jthread> runs;
     runs.reserve(kParallelRuns);
     for (int i = 0; i < kParallelRuns; ++i)
       runs.emplace_back([&, i] {
-        outputs[static_cast<std::size_t>(i)] =
-            OutputOf(plan.trial + " --rules --random " +
-                     std::to_string(plan.seed * 1000 + static_cast<std::uint64_t>(i * kTrialsPerRun) + 1) +
-                     " --count " + std::to_string(kTrialsPerRun) + " --proxies 7");
+        outputs[static_cast<std::size_t>(i)] = CommandOutput(
+            plan.fault_test_program + " --rules --random " +
+            std::to_string(plan.seed * 1000 + static_cast<std::uint64_t>(i * kTrialsPerRun) + 1) +
+            " --count " + std::to_string(kTrialsPerRun) + " --proxies 7");
       });
   }
   return outputs;
@@ -96,40 +96,40 @@
 
 // Totals over fault tests. A fault test without a result counts as the worst case.
 struct TrialSums {
-  double contradiction_ms = 0, stale_acts = 0, histories = 0, not_linearizable = 0, inconclusive = 0,
-         acts = 0;
+  double contradiction_ms = 0, stale_uses = 0, histories = 0, not_linearizable = 0, inconclusive = 0,
+         uses = 0;
 
   void Add(const ordered_json& trial) {
     contradiction_ms = std::max(contradiction_ms, trial.value("contradiction_ms_max", 1e9));
-    stale_acts += trial.value("stale_acts", 1e9);
+    stale_uses += trial.value("stale_acts", 1e9);
     histories += trial.value("histories", 0.0);
     not_linearizable += trial.value("not_linearizable", 1.0);
     inconclusive += trial.value("real_void", 0.0);
-    acts += trial.value("acts", 0.0);
+    uses += trial.value("acts", 0.0);
   }
 };
 
-void PlayReal(const AgreementPlan& plan, ordered_json& out) {
-  const std::vector<std::string> outputs = PlayRandomTrials(plan);
+void RunFaultTests(const AgreementPlan& plan, ordered_json& out) {
+  const std::vector<std::string> outputs = RunRandomFaultTests(plan);
   ordered_json sum = ordered_json::object();
-  const ordered_json changes = Play(plan, kChanges, sum);
-  const ordered_json leaders = Play(plan, kLeaders, sum);
-  const ordered_json cuts = Play(plan, kCuts, sum);
-  const ordered_json files = Play(plan, kFiles, sum);
+  const ordered_json changes = RunFaultTest(plan, kChangesTest, sum);
+  const ordered_json leaders = RunFaultTest(plan, kLeaderFailuresTest, sum);
+  const ordered_json cuts = RunFaultTest(plan, kPartitionsTest, sum);
+  const ordered_json files = RunFaultTest(plan, kIndependentFilesTest, sum);
   TrialSums sums;
   double trials = sum.value("trials", 0.0), failed = sum.value("trials_failed", 0.0);
   for (const std::string& output : outputs) {
-    const ordered_json one = LastLine(output);
-    sums.Add(one);
-    trials += one.value("trials", 0.0);
-    failed += one.value("trials_failed", 1.0);
-    if (one.value("trials_failed", 1.0) > 0) std::fputs(output.c_str(), stderr);
+    const ordered_json result = ParseLastLine(output);
+    sums.Add(result);
+    trials += result.value("trials", 0.0);
+    failed += result.value("trials_failed", 1.0);
+    if (result.value("trials_failed", 1.0) > 0) std::fputs(output.c_str(), stderr);
   }
-  for (const ordered_json* one : {&changes, &leaders, &cuts}) sums.Add(*one);
+  for (const ordered_json* result : {&changes, &leaders, &cuts}) sums.Add(*result);
   out["contradiction_ms_max"] = sums.contradiction_ms;
-  out["contradiction_ms_stated"] = kStatedContradictionMs;
-  out["stale_acts"] = sums.stale_acts;
-  out["acts"] = sums.acts;
+  out["contradiction_ms_stated"] = kDocumentedMaxContradictionMs;
+  out["stale_acts"] = sums.stale_uses;
+  out["acts"] = sums.uses;
   out["linearizable"] = sums.not_linearizable == 0 ? 1 : 0;
   out["histories"] = sums.histories;
   out["trials"] = trials;
@@ -161,16 +161,16 @@
 
 ordered_json MeasureAgreement(const AgreementPlan& plan) {
   ordered_json out = {{"measurement", "agreement"}, {"seed", plan.seed}};
-  if (plan.real) PlayReal(plan, out);
+  if (plan.run_fault_tests) RunFaultTests(plan, out);
   const model_check::SearchResult found = model_check::SearchRaftModel(
-      {}, {.elections = 3, .proposals = 2, .crashes = 1, .duplicates = 1, .heartbeats = 1}, plan.states);
-  const model_check::SearchResult leases = model_check::SearchLeases({}, {}, plan.states);
+      {}, {.elections = 3, .proposals = 2, .crashes = 1, .duplicates = 1, .heartbeats = 1}, plan.max_states);
+  const model_check::SearchResult leases = model_check::SearchLeases({}, {}, plan.max_states);
   out["states"] = found.states + leases.states;
   out["states_of_log"] = found.states;
   out["states_of_leases"] = leases.states;
   out["states_bad"] = (found.violation.empty() ? 0 : 1) + (leases.violation.empty() ? 0 : 1);
-  for (const std::string& broken : {found.violation, leases.violation})
-    if (!broken.empty()) out["states_broken"] = broken;
+  for (const std::string& violation : {found.violation, leases.violation})
+    if (!violation.empty()) out["states_broken"] = violation;
   const simulation::CrashTestResult points = simulation::CrashAtEachOperation(3);
   out["crash_points"] = points.crashes;
   out["crash_points_bad"] = points.failures;
--- a/src/testing/benchmark/agreement.h
+++ b/src/testing/benchmark/agreement.h
@@ -14,9 +14,9 @@
 
 struct AgreementPlan {
   std::uint64_t seed = 1;
-  bool real = true;                  // false: no real processes
-  std::string trial;                 // path of the fault test program
-  std::uint64_t states = 1'000'000;  // upper limit of each state search
+  bool run_fault_tests = true;           // false: no real processes
+  std::string fault_test_program;        // path of the fault test program
+  std::uint64_t max_states = 1'000'000;  // upper limit of each state search
 };
 
 // Runs the benchmark and returns its metrics.
--- a/src/testing/benchmark/decisions.cpp
+++ b/src/testing/benchmark/decisions.cpp
@@ -26,7 +26,7 @@
 
 double MeanWork() {
   double mean = 0;
-  for (const ClassProfile& of : kClassProfiles) mean += of.share * of.work;
+  for (const ClassProfile& profile : kClassProfiles) mean += profile.share * profile.work;
   return mean;
 }
 
@@ -34,14 +34,14 @@
   Settings s;
   s.gateway_count = plan.gateways;
   s.tick = kTickNanos;
-  for (const ClassProfile& of : kClassProfiles) {
+  for (const ClassProfile& profile : kClassProfiles) {
     ClassSettings c;
     c.latency_objective = 3000 * kMs;
     c.latency_objective_stretch = 2.5;
     c.client_timeout = 10'000 * kMs;
-    c.priority_weight = of.work > 1 ? 10 : 1;
+    c.priority_weight = profile.work > 1 ? 10 : 1;
     c.late_weight_share = 0.3;
-    c.threads = of.threads;
+    c.threads = profile.threads;
     s.classes.push_back(c);
   }
   s.kinds = {{kCores, 24576}};
@@ -66,10 +66,12 @@
     spent_us_ = 0;
   }
 
-  void Play(std::size_t requests) {
+  void Run(std::size_t requests) {
     for (const std::size_t until = submitted_ + requests; submitted_ < until;) {
       now_ += kTickNanos;
-      for (due_ += rate_ * static_cast<double>(kTickNanos) / 1e9; due_ >= 1; due_ -= 1) SubmitRequest();
+      for (due_requests_ += rate_ * static_cast<double>(kTickNanos) / 1e9; due_requests_ >= 1;
+           due_requests_ -= 1)
+        SubmitRequest();
       EndAttempts();
       if (!events_.empty() || now_ >= wake_at_) Step();
     }
@@ -82,12 +84,12 @@
   std::size_t rejected() const { return rejected_; }
 
  private:
-  struct Running {
+  struct RunningAttempt {
     Nanos ends = 0;
     AttemptEnded end;
-    bool operator>(const Running& other) const { return ends > other.ends; }
+    bool operator>(const RunningAttempt& other) const { return ends > other.ends; }
   };
-  struct Open {
+  struct OpenRequest {
     double work = 0;  // core-seconds
     int threads = 1;
     int attempts = 0;
@@ -101,12 +103,12 @@
     double draw = Draw();
     while (r.class_id + 1u < std::size(kClassProfiles) && draw >= kClassProfiles[r.class_id].share)
       draw -= kClassProfiles[r.class_id++].share;
-    const ClassProfile& of = kClassProfiles[r.class_id];
+    const ClassProfile& profile = kClassProfiles[r.class_id];
     r.client_timeout = 10'000 * kMs;
     r.table_group = static_cast<std::uint32_t>(random_() % plan_.table_groups);
-    const double work = of.work * std::exponential_distribution<>(1)(random_);
+    const double work = profile.work * std::exponential_distribution<>(1)(random_);
     r.estimated_work = std::max<Nanos>(kMs, static_cast<Nanos>(work * 1e9));
-    open_[r.id] = {work, of.threads, 0};
+    open_[r.id] = {work, profile.threads, 0};
     events_.push_back(r);
   }
 
@@ -131,7 +133,7 @@
   void On(const Send& send) {
     const auto it = open_.find(send.id);
     if (it == open_.end()) return;
-    Open& open = it->second;
+    OpenRequest& open = it->second;
     AttemptEnded end;
     end.id = send.id;
     end.attempt = open.attempts++;
@@ -153,22 +155,22 @@
   std::mt19937_64 random_;
   Gateway gateway_;
   Nanos now_ = 1000 * 1000 * kMs, wake_at_ = kNoLimit;
-  double rate_ = 0, due_ = 0, spent_us_ = 0;
+  double rate_ = 0, due_requests_ = 0, spent_us_ = 0;
   std::size_t submitted_ = 0, served_ = 0, rejected_ = 0, steps_ = 0;
   std::vector<Event> events_;
   std::vector<Action> actions_;
-  std::unordered_map<RequestId, Open> open_;
-  std::priority_queue<Running, std::vector<Running>, std::greater<>> running_;
+  std::unordered_map<RequestId, OpenRequest> open_;
+  std::priority_queue<RunningAttempt, std::vector<RunningAttempt>, std::greater<>> running_;
 };
 
 }  // namespace
 
 DecisionCost MeasureDecisionCost(const DecisionPlan& plan) {
   DecisionLoad load(plan);
-  load.Play(plan.requests);
+  load.Run(plan.requests);
   const double spent = load.spent_us();
   const std::size_t steps = load.steps(), submitted = load.submitted();
-  load.Play(plan.requests);
+  load.Run(plan.requests);
   const double requests = static_cast<double>(load.submitted() - submitted);
   const double ended = static_cast<double>(load.served() + load.rejected());
   return {(load.spent_us() - spent) / requests, static_cast<double>(load.steps() - steps) / requests,
--- a/src/testing/benchmark/heartbeats.cpp
+++ b/src/testing/benchmark/heartbeats.cpp
@@ -52,7 +52,7 @@
 
   void DelayLateMembers(double now) {
     if (std::fmod(now, kLateIntervalPeriods) >= 1) return;
-    for (std::size_t i = 0; i < plan_.late; ++i)
+    for (std::size_t i = 0; i < plan_.late_members; ++i)
       late_until_[plan_.members - 1 - i] = now + kMaxLatePeriods * Draw();
   }
 
@@ -90,13 +90,13 @@
     for (const std::vector<double>& delays : detection_delays_) {
       if (delays.empty()) continue;
       const auto [first, last] = std::minmax_element(delays.begin(), delays.end());
-      result.detect.push_back(*first);
-      result.known_all.push_back(*last);
+      result.first_detection_periods.push_back(*first);
+      result.last_detection_periods.push_back(*last);
     }
     const double seconds = duration_ * plan_.period_s;
     result.false_failures_per_hour = static_cast<double>(false_failures_) * kSecondsPerHour / seconds;
     result.messages_per_s = static_cast<double>(sent_) / static_cast<double>(plan_.members) / seconds;
-    result.bytes_per_s = result.messages_per_s * plan_.bytes;
+    result.bytes_per_s = result.messages_per_s * plan_.heartbeat_bytes;
     return result;
   }
 
@@ -113,6 +113,6 @@
 
 }  // namespace
 
-HeartbeatResult PlayHeartbeats(const HeartbeatPlan& plan) { return HeartbeatSimulation(plan).Run(); }
+HeartbeatResult SimulateHeartbeats(const HeartbeatPlan& plan) { return HeartbeatSimulation(plan).Run(); }
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/heartbeats.h
+++ b/src/testing/benchmark/heartbeats.h
@@ -13,7 +13,7 @@
 
 struct HeartbeatResult {
   // By crash: periods until the first and until the last member detects it.
-  std::vector<double> detect, known_all;
+  std::vector<double> first_detection_periods, last_detection_periods;
   double false_failures_per_hour = 0;
   double bytes_per_s = 0, messages_per_s = 0;  // sent by one member
 };
@@ -23,12 +23,12 @@
   std::size_t members = 128;
   std::size_t crashes = 10;
   double loss = 0;
-  std::size_t late = 0;  // number of members that are repeatedly delayed by up to three periods
-  double periods = 40;   // between crashes; total duration if there are no crashes
-  double period_s = 0.25, bytes = 150;
+  std::size_t late_members = 0;  // number of members that are repeatedly delayed by up to three periods
+  double periods = 40;           // between crashes; total duration if there are no crashes
+  double period_s = 0.25, heartbeat_bytes = 150;
 };
 
-HeartbeatResult PlayHeartbeats(const HeartbeatPlan& plan);
+HeartbeatResult SimulateHeartbeats(const HeartbeatPlan& plan);
 
 }  // namespace lemoncroft::benchmark
 
--- a/src/testing/benchmark/main.cpp
+++ b/src/testing/benchmark/main.cpp
@@ -29,10 +29,10 @@
           {"refused_while_waiting", r.rejected_waiting},
           {"failed", r.failed},
           {"estimates", r.estimates},
-          {"within_25", Share(r.within, r.estimates)},
-          {"within_25_first", Share(r.first_estimates_within, r.first_estimates)},
-          {"within_25_waited", Share(r.long_waits_within, r.long_waits)},
-          {"waited", r.long_waits},
+          {"within_25", Share(r.accurate_estimates, r.estimates)},
+          {"within_25_first", Share(r.accurate_first_estimates, r.first_estimates)},
+          {"within_25_waited", Share(r.accurate_long_wait_estimates, r.long_wait_estimates)},
+          {"waited", r.long_wait_estimates},
           {"past_give_up", r.past_deadline},
           {"share_error", r.share_error},
           {"shared_seconds", r.shared_seconds},
@@ -131,24 +131,26 @@
   command->add_flag("--virtual", options.virtual_only, "skip the fault tests on real processes");
   AddOutputOption(*command, options);
   command->callback([&] {
-    RunPeers({.seed = options.seed, .real = !options.virtual_only, .trial = fault_test_program},
+    RunPeers({.seed = options.seed,
+              .run_fault_tests = !options.virtual_only,
+              .fault_test_program = fault_test_program},
              options.json);
   });
 }
 
-void AddAgreement(CLI::App& app, CommonOptions& options, std::uint64_t& states,
+void AddAgreement(CLI::App& app, CommonOptions& options, std::uint64_t& max_states,
                   const std::string& fault_test_program) {
   CLI::App* command =
       app.add_subcommand("agreement", "replicated configuration: fault tests, state search and crash tests");
   AddCommonOptions(*command, options);
-  command->add_option("--states", states, "upper limit of each state search")->capture_default_str();
+  command->add_option("--states", max_states, "upper limit of each state search")->capture_default_str();
   command->add_flag("--virtual", options.virtual_only, "skip the fault tests on real processes");
   AddOutputOption(*command, options);
   command->callback([&] {
     Print(lemoncroft::benchmark::MeasureAgreement({.seed = options.seed,
-                                                   .real = !options.virtual_only,
-                                                   .trial = fault_test_program,
-                                                   .states = states}),
+                                                   .run_fault_tests = !options.virtual_only,
+                                                   .fault_test_program = fault_test_program,
+                                                   .max_states = max_states}),
           options.json);
   });
 }
@@ -174,11 +176,11 @@
   const std::string fault_test_program = FaultTestProgram(argv[0]);
   CommonOptions options;
   double replay_seconds = 1200;
-  std::uint64_t states = lemoncroft::benchmark::AgreementPlan().states;
+  std::uint64_t max_states = lemoncroft::benchmark::AgreementPlan().max_states;
   std::size_t max_members = lemoncroft::benchmark::ScalePlan().max_members;
   AddWaiting(app, options, replay_seconds);
   AddPeers(app, options, fault_test_program);
-  AddAgreement(app, options, states, fault_test_program);
+  AddAgreement(app, options, max_states, fault_test_program);
   AddScale(app, options, max_members);
   CLI11_PARSE(app, argc, argv);
   return 0;
--- a/src/testing/benchmark/peers.cpp
+++ b/src/testing/benchmark/peers.cpp
@@ -25,7 +25,7 @@
 namespace {
 
 constexpr std::array<std::size_t, 3> kSizes = {16, 128, 1024};
-constexpr double kNeverKnownPeriods = 1e3;
+constexpr double kUndetectedPeriods = 1e3;
 constexpr double kMaxLatePeriods = 3, kLateIntervalPeriods = 6;
 constexpr int kMaxSettlePeriods = 40;  // observation time after a partition heals
 constexpr int kParallelRuns = 4, kTrialsPerRun = 10;
@@ -36,11 +36,11 @@
     for (Node i = 0; i < n; ++i) fleet.Start(i, "n" + std::to_string(i), {0, 1, 2});
     fleet.IntroduceAll();
     Run(20);
-    fleet.on_event = [this](const PeerFleet::ObservedEvent& seen) {
-      if (seen.event.type != EventType::kFailed) return;
-      const auto about = fleet.process_of(seen.event.record.id);
-      if (about && fleet.is_running(*about)) ++wrong;
-      if (about && *about == watched) failed_at.push_back(seen.at);
+    fleet.on_event = [this](const PeerFleet::ObservedEvent& observed) {
+      if (observed.event.type != EventType::kFailed) return;
+      const auto subject = fleet.process_of(observed.event.record.id);
+      if (subject && fleet.is_running(*subject)) ++false_failures;
+      if (subject && *subject == watched) failed_at.push_back(observed.at);
     };
   }
   Instant Periods(double count) const {
@@ -64,16 +64,16 @@
   }
 
   PeerFleet fleet;
-  int wrong = 0;
+  int false_failures = 0;
   Process watched = 0;
   std::vector<Instant> failed_at;
 };
 
 struct Crashes {
-  std::vector<double> detect, known_all;
+  std::vector<double> first_detection_periods, last_detection_periods;
 };
 
-Crashes PlayCrashes(std::size_t n, std::size_t count, std::uint64_t seed) {
+Crashes SimulateCrashes(std::size_t n, std::size_t count, std::uint64_t seed) {
   SettledFleet world(n, seed);
   std::mt19937_64 random(seed);
   Crashes out;
@@ -85,16 +85,16 @@
     world.fleet.Kill(world.watched);
     world.Run(30);
     if (world.failed_at.size() < world.fleet.live_count()) {
-      out.known_all.push_back(kNeverKnownPeriods);
+      out.last_detection_periods.push_back(kUndetectedPeriods);
       continue;
     }
-    out.detect.push_back(world.InPeriods(world.failed_at.front() - at));
-    out.known_all.push_back(world.InPeriods(world.failed_at.back() - at));
+    out.first_detection_periods.push_back(world.InPeriods(world.failed_at.front() - at));
+    out.last_detection_periods.push_back(world.InPeriods(world.failed_at.back() - at));
   }
   return out;
 }
 
-double PlayPartitions(std::size_t n, std::size_t count, std::uint64_t seed) {
+double SimulatePartitions(std::size_t n, std::size_t count, std::uint64_t seed) {
   double worst = 0;
   for (std::size_t i = 0; i < count; ++i) {
     SettledFleet world(n, seed + i);
@@ -111,7 +111,7 @@
   double bytes_per_s = 0, messages_per_s = 0;
 };
 
-IdleTraffic PlayIdle(std::size_t n, double seconds, std::uint64_t seed) {
+IdleTraffic SimulateIdleFleet(std::size_t n, double seconds, std::uint64_t seed) {
   SettledFleet world(n, seed);
   // Waits until all members have been in direct contact: each member probes three indirectly known members
   // per period.
@@ -128,9 +128,9 @@
   const std::uint64_t bytes_before = bytes, messages_before = messages;
   world.fleet.RunFor(Instant(static_cast<Instant::rep>(seconds * 1e9)));
   count();
-  const double part = seconds * static_cast<double>(n);
-  return {static_cast<double>(bytes - bytes_before) / part,
-          static_cast<double>(messages - messages_before) / part};
+  const double member_seconds = seconds * static_cast<double>(n);
+  return {static_cast<double>(bytes - bytes_before) / member_seconds,
+          static_cast<double>(messages - messages_before) / member_seconds};
 }
 
 double FalseFailuresPerHour(std::size_t n, double seconds, std::uint64_t seed) {
@@ -145,7 +145,7 @@
     }
     world.Run(kLateIntervalPeriods);
   }
-  return world.wrong * 3600 / seconds;
+  return world.false_failures * 3600 / seconds;
 }
 
 bool IsDeterministic(std::uint64_t seed) {
@@ -160,11 +160,13 @@
   return first == second;
 }
 
-std::string OfSize(const char* name, std::size_t n) { return std::string(name) + "_" + std::to_string(n); }
+std::string MetricNameForSize(const char* name, std::size_t n) {
+  return std::string(name) + "_" + std::to_string(n);
+}
 
 }  // namespace
 
-std::string OutputOf(const std::string& command) {
+std::string CommandOutput(const std::string& command) {
   FILE* pipe = ::popen(command.c_str(), "r");
   if (pipe == nullptr) throw std::runtime_error("cannot run command: " + command);
   std::string out;
@@ -174,7 +176,7 @@
   return out;
 }
 
-ordered_json LastLine(const std::string& text) {
+ordered_json ParseLastLine(const std::string& text) {
   const std::size_t end = text.find_last_not_of('\n');
   if (end == std::string::npos) return ordered_json::object();
   const std::size_t from = text.rfind('\n', end);
@@ -187,56 +189,56 @@
 
 // Runs random fault tests in parallel processes. Then measures the cost of an idle fleet of sixteen, without
 // other load.
-ordered_json PlayReal(const PeersPlan& plan) {
+ordered_json RunFaultTests(const PeersPlan& plan) {
   std::vector<std::string> outputs(kParallelRuns);
   {
     std::vector<std::jthread> runs;
     runs.reserve(kParallelRuns);
     for (int i = 0; i < kParallelRuns; ++i)
       runs.emplace_back([&, i] {
-        outputs[static_cast<std::size_t>(i)] =
-            OutputOf(plan.trial + " --random " +
-                     std::to_string(plan.seed * 1000 + static_cast<std::uint64_t>(i * kTrialsPerRun) + 1) +
-                     " --count " + std::to_string(kTrialsPerRun) + " --proxies 6");
+        outputs[static_cast<std::size_t>(i)] = CommandOutput(
+            plan.fault_test_program + " --random " +
+            std::to_string(plan.seed * 1000 + static_cast<std::uint64_t>(i * kTrialsPerRun) + 1) +
+            " --count " + std::to_string(kTrialsPerRun) + " --proxies 6");
       });
   }
-  double trials = 0, failed = 0, voided = 0, settle = 0, detect = 0, join = 0;
-  outputs.push_back(OutputOf(plan.trial + " --calm 16"));
-  const ordered_json calm = LastLine(outputs.back());
+  double trials = 0, failed = 0, inconclusive = 0, settle = 0, detect = 0, join = 0;
+  outputs.push_back(CommandOutput(plan.fault_test_program + " --calm 16"));
+  const ordered_json idle_fleet = ParseLastLine(outputs.back());
   for (const std::string& output : outputs) {
-    const ordered_json one = LastLine(output);
-    trials += one.value("trials", 0.0);
-    failed += one.value("trials_failed", 1.0);  // a run without a result counts as failed
-    voided += one.value("real_void", 0.0);
-    settle = std::max(settle, one.value("real_settle_ms", 0.0));
-    detect = std::max(detect, one.value("real_detect_ms", 0.0));
-    join = std::max(join, one.value("real_join_ms", 0.0));
-    if (one.value("trials_failed", 1.0) > 0) std::fputs(output.c_str(), stderr);
+    const ordered_json result = ParseLastLine(output);
+    trials += result.value("trials", 0.0);
+    failed += result.value("trials_failed", 1.0);  // a run without a result counts as failed
+    inconclusive += result.value("real_void", 0.0);
+    settle = std::max(settle, result.value("real_settle_ms", 0.0));
+    detect = std::max(detect, result.value("real_detect_ms", 0.0));
+    join = std::max(join, result.value("real_join_ms", 0.0));
+    if (result.value("trials_failed", 1.0) > 0) std::fputs(output.c_str(), stderr);
   }
   return {{"real_join_ms", join},
           {"real_detect_ms", detect},
           {"real_settle_ms", settle},
-          {"real_void", voided},
+          {"real_void", inconclusive},
           {"trials", trials},
           {"trials_failed", failed},
-          {"loop_stall_us_p99", calm.value("turn_us_p99", 0.0)},
-          {"cost_percent", calm.value("cpu_percent", 0.0)}};
+          {"loop_stall_us_p99", idle_fleet.value("turn_us_p99", 0.0)},
+          {"cost_percent", idle_fleet.value("cpu_percent", 0.0)}};
 }
 
-ordered_json Heartbeats(std::uint64_t seed) {
+ordered_json MeasureHeartbeats(std::uint64_t seed) {
   ordered_json out;
   for (const std::size_t n : kSizes) {
-    const HeartbeatResult crashes =
-        PlayHeartbeats({.seed = seed, .members = n, .crashes = n > 500 ? std::size_t{2} : std::size_t{10}});
-    out[OfSize("known_all_periods_p99", n)] = Percentile(crashes.known_all, 0.99);
-    out[OfSize("bytes_per_s", n)] = crashes.bytes_per_s;
-    out[OfSize("messages_per_s", n)] = crashes.messages_per_s;
+    const HeartbeatResult crashes = SimulateHeartbeats(
+        {.seed = seed, .members = n, .crashes = n > 500 ? std::size_t{2} : std::size_t{10}});
+    out[MetricNameForSize("known_all_periods_p99", n)] = Percentile(crashes.last_detection_periods, 0.99);
+    out[MetricNameForSize("bytes_per_s", n)] = crashes.bytes_per_s;
+    out[MetricNameForSize("messages_per_s", n)] = crashes.messages_per_s;
     if (n != 128) continue;
-    out["detect_periods_p50"] = Percentile(crashes.detect, 0.5);
-    out["detect_periods_p99"] = Percentile(crashes.detect, 0.99);
+    out["detect_periods_p50"] = Percentile(crashes.first_detection_periods, 0.5);
+    out["detect_periods_p99"] = Percentile(crashes.first_detection_periods, 0.99);
     out["false_failures_per_hour"] =
-        PlayHeartbeats(
-            {.seed = seed, .members = n, .crashes = 0, .loss = 0.02, .late = n / 50, .periods = 1200})
+        SimulateHeartbeats(
+            {.seed = seed, .members = n, .crashes = 0, .loss = 0.02, .late_members = n / 50, .periods = 1200})
             .false_failures_per_hour;
   }
   return out;
@@ -253,37 +255,41 @@
 
 constexpr std::size_t kSmall = 0, kMedium = 1, kLarge = 2;  // indices in kSizes
 
-void PlaySmallFleets(std::uint64_t seed, SimulatedResults& results) {
+void SimulateSmallFleets(std::uint64_t seed, SimulatedResults& results) {
   for (const std::size_t i : {kSmall, kMedium}) {
-    results.crashes[i] = PlayCrashes(kSizes[i], i == kSmall ? 12 : 60, seed);
-    results.settle_periods[i] = PlayPartitions(kSizes[i], 8, seed);
-    results.idle[i] = PlayIdle(kSizes[i], 60, seed);
+    results.crashes[i] = SimulateCrashes(kSizes[i], i == kSmall ? 12 : 60, seed);
+    results.settle_periods[i] = SimulatePartitions(kSizes[i], 8, seed);
+    results.idle[i] = SimulateIdleFleet(kSizes[i], 60, seed);
   }
-  results.heartbeats = Heartbeats(seed);
+  results.heartbeats = MeasureHeartbeats(seed);
 }
 
 // Adds the crashes of further simulations, because in a fleet of sixteen only a few members can crash in one
 // simulation.
-void PlayMoreCrashesOfSmallFleet(std::uint64_t seed, Crashes& crashes) {
+void SimulateMoreCrashesOfSmallFleet(std::uint64_t seed, Crashes& crashes) {
   for (std::uint64_t more = 1; more <= 4; ++more) {
-    const Crashes again = PlayCrashes(kSizes[kSmall], 12, seed + more);
-    crashes.detect.insert(crashes.detect.end(), again.detect.begin(), again.detect.end());
-    crashes.known_all.insert(crashes.known_all.end(), again.known_all.begin(), again.known_all.end());
+    const Crashes further = SimulateCrashes(kSizes[kSmall], 12, seed + more);
+    crashes.first_detection_periods.insert(crashes.first_detection_periods.end(),
+                                           further.first_detection_periods.begin(),
+                                           further.first_detection_periods.end());
+    crashes.last_detection_periods.insert(crashes.last_detection_periods.end(),
+                                          further.last_detection_periods.begin(),
+                                          further.last_detection_periods.end());
   }
 }
 
-SimulatedResults PlaySimulations(std::uint64_t seed) {
+SimulatedResults RunSimulations(std::uint64_t seed) {
   SimulatedResults results;
   {
     // The simulations are independent of each other; four threads run in parallel to this one.
-    std::jthread small([&] { PlaySmallFleets(seed, results); });
-    std::jthread crashes([&] { results.crashes[kLarge] = PlayCrashes(kSizes[kLarge], 5, seed); });
-    std::jthread idle([&] { results.idle[kLarge] = PlayIdle(kSizes[kLarge], 10, seed); });
+    std::jthread small([&] { SimulateSmallFleets(seed, results); });
+    std::jthread crashes([&] { results.crashes[kLarge] = SimulateCrashes(kSizes[kLarge], 5, seed); });
+    std::jthread idle([&] { results.idle[kLarge] = SimulateIdleFleet(kSizes[kLarge], 10, seed); });
     std::jthread partitions(
-        [&] { results.settle_periods[kLarge] = PlayPartitions(kSizes[kLarge], 2, seed); });
+        [&] { results.settle_periods[kLarge] = SimulatePartitions(kSizes[kLarge], 2, seed); });
     results.false_failures_per_hour = FalseFailuresPerHour(kSizes[kMedium], 900, seed);
   }
-  PlayMoreCrashesOfSmallFleet(seed, results.crashes[kSmall]);
+  SimulateMoreCrashesOfSmallFleet(seed, results.crashes[kSmall]);
   return results;
 }
 
@@ -291,18 +297,19 @@
 
 ordered_json MeasurePeers(const PeersPlan& plan) {
   ordered_json out = {{"measurement", "peers"}, {"seed", plan.seed}};
-  SimulatedResults results = PlaySimulations(plan.seed);
-  out["detect_periods_p50"] = Percentile(results.crashes[kMedium].detect, 0.5);
-  out["detect_periods_p99"] = Percentile(results.crashes[kMedium].detect, 0.99);
+  SimulatedResults results = RunSimulations(plan.seed);
+  out["detect_periods_p50"] = Percentile(results.crashes[kMedium].first_detection_periods, 0.5);
+  out["detect_periods_p99"] = Percentile(results.crashes[kMedium].first_detection_periods, 0.99);
   for (std::size_t i = 0; i < kSizes.size(); ++i) {
-    out[OfSize("known_all_periods_p99", kSizes[i])] = Percentile(results.crashes[i].known_all, 0.99);
-    out[OfSize("settle_periods_after_heal", kSizes[i])] = results.settle_periods[i];
-    out[OfSize("bytes_per_s", kSizes[i])] = results.idle[i].bytes_per_s;
-    out[OfSize("messages_per_s", kSizes[i])] = results.idle[i].messages_per_s;
+    out[MetricNameForSize("known_all_periods_p99", kSizes[i])] =
+        Percentile(results.crashes[i].last_detection_periods, 0.99);
+    out[MetricNameForSize("settle_periods_after_heal", kSizes[i])] = results.settle_periods[i];
+    out[MetricNameForSize("bytes_per_s", kSizes[i])] = results.idle[i].bytes_per_s;
+    out[MetricNameForSize("messages_per_s", kSizes[i])] = results.idle[i].messages_per_s;
   }
   out["false_failures_per_hour"] = results.false_failures_per_hour;
   out["deterministic"] = IsDeterministic(plan.seed) ? 1 : 0;
-  if (plan.real) out.update(PlayReal(plan));
+  if (plan.run_fault_tests) out.update(RunFaultTests(plan));
   out["heartbeats_all_to_all"] = std::move(results.heartbeats);
   return out;
 }
--- a/src/testing/benchmark/peers.h
+++ b/src/testing/benchmark/peers.h
@@ -14,8 +14,8 @@
 
 struct PeersPlan {
   std::uint64_t seed = 1;
-  bool real = true;   // false: virtual time only
-  std::string trial;  // path of the fault test program
+  bool run_fault_tests = true;     // false: virtual time only
+  std::string fault_test_program;  // path of the fault test program
 };
 
 // Runs the benchmark and returns its metrics.
@@ -23,9 +23,9 @@
 
 // Runs a shell command and returns its standard output. Throws std::runtime_error if the shell cannot be
 // started.
-std::string OutputOf(const std::string& command);
+std::string CommandOutput(const std::string& command);
 // Parses the last line of `text` as a JSON object. Returns an empty object if the line is not a JSON object.
-nlohmann::ordered_json LastLine(const std::string& text);
+nlohmann::ordered_json ParseLastLine(const std::string& text);
 
 }  // namespace lemoncroft::benchmark
 
--- a/src/testing/benchmark/scale.cpp
+++ b/src/testing/benchmark/scale.cpp
@@ -29,12 +29,12 @@
 // The load of one day, and the targets for the resources that the control plane may use on one proxy.
 constexpr double kChangesPerDay = 23'000, kReplacedPerDay = 2900, kSecondsPerDay = 86'400;
 constexpr double kStatementsPerSecond = 400;
-constexpr double kFluxShare = 0.1;  // fraction of the members that is replaced per minute of churn
+constexpr double kChurnSharePerMinute = 0.1;  // fraction of the members that is replaced per minute of churn
 constexpr double kMaxCorePercent = 2.9;
 constexpr double kMaxMemoryMb = 128;
 constexpr double kMaxBytesPerSecond = 22'000;
 constexpr double kMaxControlMachines = 7;
-constexpr double kMaxInForceMs = 6000;
+constexpr double kMaxActivationMs = 6000;
 constexpr double kMaxContradictionMs = 1200;
 constexpr double kMaxVirtualDeviationPercent = 20;
 constexpr double kViewBytesPerMember = 700;  // upper estimate of the memory for one member in one view
@@ -61,8 +61,8 @@
   double Of(const char* name, std::size_t size) const {
     return out_.at(name).at(std::to_string(size)).get<double>();
   }
-  void RequireTarget(const char* name, bool good) {
-    if (!good) missed_.push_back(name);
+  void RequireTarget(const char* name, bool met) {
+    if (!met) missed_.push_back(name);
   }
   ordered_json Take() {
     out_["aims_missed"] = missed_;
@@ -81,18 +81,18 @@
     ViewPlan view;
     view.seed = plan.seed;
     view.members = members;
-    view.replaced_per_minute = kFluxShare;
+    view.replaced_per_minute = kChurnSharePerMinute;
     const ViewCost cost = MeasureView(view);
     metrics.Put("view_bytes_per_s", members, cost.bytes_per_s);
     metrics.Put("view_datagram_bytes_per_s", members, cost.datagram_bytes_per_s);
     metrics.Put("view_core_percent", members, cost.core_percent);
-    metrics.Put("view_bytes_in_flux_per_s", members, cost.flux_bytes_per_s);
-    metrics.Put("view_busiest_bytes_in_flux_per_s", members, cost.flux_busiest_bytes_per_s);
-    metrics.Put("view_exchanges_in_flux_per_s", members, cost.flux_exchanges_per_s);
-    metrics.Put("view_core_percent_in_flux", members, cost.flux_core_percent);
+    metrics.Put("view_bytes_in_flux_per_s", members, cost.churn_bytes_per_s);
+    metrics.Put("view_busiest_bytes_in_flux_per_s", members, cost.churn_busiest_bytes_per_s);
+    metrics.Put("view_exchanges_in_flux_per_s", members, cost.churn_exchanges_per_s);
+    metrics.Put("view_core_percent_in_flux", members, cost.churn_core_percent);
     metrics.Put("view_bytes_told_per_s", members, cost.attribute_bytes_per_s);
     metrics.Put("view_bytes_per_member", members, cost.bytes_per_member);
-    metrics.Put("view_kept_after_members_went", members, cost.memory_share_kept_after_end);
+    metrics.Put("view_kept_after_members_went", members, cost.memory_share_retained_after_end);
     if (cost.settled_after_s >= 0) metrics.Put("view_settled_after_s", members, cost.settled_after_s);
   }
 }
@@ -106,17 +106,17 @@
     leases.seed = plan.seed;
     leases.members = members;
     const LeaseCost cost = MeasureLeases(leases);
-    if (!cost.began) continue;
+    if (!cost.all_leased) continue;
     metrics.Put("lease_bytes_per_s", members, cost.bytes_per_s);
     metrics.Put("leader_bytes_per_s", members, cost.leader_bytes_per_s);
     metrics.Put("leader_core_percent", members, cost.leader_core_percent);
-    metrics.Put("leader_core_percent_in_changes", members, cost.leader_change_percent);
+    metrics.Put("leader_core_percent_in_changes", members, cost.leader_core_percent_in_changes);
     metrics.Put("lease_core_percent", members, cost.member_core_percent);
     metrics.Put("document_bytes_per_change", members, cost.bytes_per_change);
     metrics.Put("leader_bytes_per_change", members, cost.leader_bytes_per_change);
-    metrics.Put("change_in_force_ms_p99", members, Percentile(cost.in_force_ms, 0.99));
+    metrics.Put("change_in_force_ms_p99", members, Percentile(cost.activation_ms, 0.99));
     contradiction = std::max(contradiction, cost.contradiction_ms);
-    stale += static_cast<double>(cost.stale_acts);
+    stale += static_cast<double>(cost.stale_uses);
   }
   metrics.Put("contradiction_ms_max", contradiction);
   metrics.Put("stale_acts", stale);
@@ -138,17 +138,17 @@
 }
 
 void MeasureSocketSizes(const ScalePlan& plan, Metrics& metrics) {
-  double off = -1;
-  std::size_t largest = 0, voided = 0;
+  double deviation_percent = -1;
+  std::size_t largest = 0, inconclusive = 0;
   for (const std::size_t members : kSocketSizes) {
     if (members > plan.max_members) continue;
     std::fprintf(stderr, "scale: measuring %zu proxies on sockets\n", members);
-    SocketFleetPlan hollow;
-    hollow.seed = plan.seed;
-    hollow.members = members;
-    const SocketFleetCost cost = MeasureSocketFleet(hollow);
+    SocketFleetPlan fleet_plan;
+    fleet_plan.seed = plan.seed;
+    fleet_plan.members = members;
+    const SocketFleetCost cost = MeasureSocketFleet(fleet_plan);
     metrics.Put("sockets_longest_lag_ms", members, cost.longest_lag_ms);
-    if (cost.is_inconclusive) ++voided;
+    if (cost.is_inconclusive) ++inconclusive;
     if (cost.is_inconclusive || !cost.settled) continue;
     largest = members;
     metrics.Put("sockets_settled_after_s", members, cost.settled_after_s);
@@ -157,16 +157,17 @@
     metrics.Put("sockets_lease_bytes_per_s", members, cost.lease_bytes_per_s);
     metrics.Put("sockets_core_percent", members, cost.core_percent);
     metrics.Put("sockets_bytes_per_member", members, cost.bytes_per_member);
-    metrics.Put("sockets_change_in_force_ms_p99", members, Percentile(cost.in_force_ms, 0.99));
-    const double in_virtual =
+    metrics.Put("sockets_change_in_force_ms_p99", members, Percentile(cost.activation_ms, 0.99));
+    const double in_virtual_time =
         metrics.Of("view_bytes_per_s", members) + metrics.Of("lease_bytes_per_s", members);
     const double on_sockets = cost.view_bytes_per_s + cost.lease_bytes_per_s;
-    off = std::max(off, 100 * std::abs(in_virtual - on_sockets) / on_sockets);
+    deviation_percent =
+        std::max(deviation_percent, 100 * std::abs(in_virtual_time - on_sockets) / on_sockets);
   }
-  metrics.Put("void_runs", static_cast<double>(voided));
+  metrics.Put("void_runs", static_cast<double>(inconclusive));
   metrics.Put("hollow_members_max", static_cast<double>(largest));
   metrics.Put("hollow_processes", largest > 0 ? 1 : 0);
-  if (off >= 0) metrics.Put("virtual_vs_sockets_percent", off);
+  if (deviation_percent >= 0) metrics.Put("virtual_vs_sockets_percent", deviation_percent);
 }
 
 // Derives the total cost of one proxy in a fleet of kTargetMembers from the metrics of that size. Omits the
@@ -176,28 +177,29 @@
     return;
   const double documents = metrics.Of("document_bytes_per_change", kTargetMembers) / kTargetMembers *
                            kChangesPerDay / kSecondsPerDay;
-  const double calm = metrics.Of("view_bytes_per_s", kTargetMembers);
-  const double flux = metrics.Of("view_bytes_in_flux_per_s", kTargetMembers);
-  const double replaced_in_flux = kFluxShare * kTargetMembers / 60,
+  const double idle = metrics.Of("view_bytes_per_s", kTargetMembers);
+  const double churn = metrics.Of("view_bytes_in_flux_per_s", kTargetMembers);
+  const double replaced_in_churn = kChurnSharePerMinute * kTargetMembers / 60,
                replaced = kReplacedPerDay / kSecondsPerDay;
-  const double told = metrics.Of("view_bytes_told_per_s", kTargetMembers) - calm;
-  const double beside = documents + told + metrics.Of("lease_bytes_per_s", kTargetMembers);
-  metrics.Put("control_bytes_per_s", calm + (flux - calm) * replaced / replaced_in_flux + beside);
-  metrics.Put("control_bytes_per_s_worst_minute", flux + beside);
+  const double attributes = metrics.Of("view_bytes_told_per_s", kTargetMembers) - idle;
+  const double other = documents + attributes + metrics.Of("lease_bytes_per_s", kTargetMembers);
+  metrics.Put("control_bytes_per_s", idle + (churn - idle) * replaced / replaced_in_churn + other);
+  metrics.Put("control_bytes_per_s_worst_minute", churn + other);
   metrics.Put("control_memory_mb",
               metrics.Of("view_bytes_per_member", kTargetMembers) * kTargetMembers / 1e6);
   if (metrics.Of("leader_core_percent_in_changes", kTargetMembers) < 100)
     metrics.Put("control_machines", kMaxControlMachines);
   const std::size_t largest = static_cast<std::size_t>(metrics.Of("hollow_members_max"));
   if (largest == 0) return;
-  const double more =
+  const double view_core_growth =
       metrics.Of("view_core_percent", kTargetMembers) - metrics.Of("view_core_percent", largest);
-  metrics.Put("control_core_percent", metrics.Of("sockets_core_percent", largest) + std::max(0.0, more));
+  metrics.Put("control_core_percent",
+              metrics.Of("sockets_core_percent", largest) + std::max(0.0, view_core_growth));
 }
 
 void CheckTargets(Metrics& metrics) {
-  const auto at_most = [&](const char* name, double most) {
-    metrics.RequireTarget(name, metrics.Has(name) && metrics.Of(name) <= most);
+  const auto at_most = [&](const char* name, double limit) {
+    metrics.RequireTarget(name, metrics.Has(name) && metrics.Of(name) <= limit);
   };
   at_most("control_core_percent", kMaxCorePercent);
   at_most("control_memory_mb", kMaxMemoryMb);
@@ -206,7 +208,7 @@
   at_most("control_machines", kMaxControlMachines);
   metrics.RequireTarget("change_in_force_ms_p99",
                         metrics.Has("change_in_force_ms_p99", kTargetMembers) &&
-                            metrics.Of("change_in_force_ms_p99", kTargetMembers) < kMaxInForceMs);
+                            metrics.Of("change_in_force_ms_p99", kTargetMembers) < kMaxActivationMs);
   at_most("contradiction_ms_max", kMaxContradictionMs);
   at_most("stale_acts", 0);
   at_most("virtual_vs_sockets_percent", kMaxVirtualDeviationPercent);
--- a/src/testing/benchmark/scale_leases.cpp
+++ b/src/testing/benchmark/scale_leases.cpp
@@ -41,8 +41,8 @@
           after.leader_us - before.leader_us, after.others_us - before.others_us};
 }
 
-bool RunUntilAllUse(ConfigReplicaFleet& fleet, replicated_config::Version version, Instant client_timeout) {
-  const Instant until = fleet.now() + client_timeout;
+bool RunUntilAllUse(ConfigReplicaFleet& fleet, replicated_config::Version version, Instant timeout) {
+  const Instant until = fleet.now() + timeout;
   while (fleet.now() < until) {
     if (fleet.AllUse(version)) return true;
     fleet.RunFor(kPollInterval);
@@ -56,61 +56,61 @@
   return text;
 }
 
-ConfigReplicaFleet::Plan SetupOf(const LeasePlan& plan) {
-  ConfigReplicaFleet::Plan setup;
-  setup.seed = plan.seed;
-  setup.voters = plan.voters;
-  setup.proxies = plan.members;
-  setup.timed = true;
-  return setup;
+ConfigReplicaFleet::Plan FleetPlanOf(const LeasePlan& plan) {
+  ConfigReplicaFleet::Plan fleet_plan;
+  fleet_plan.seed = plan.seed;
+  fleet_plan.voters = plan.voters;
+  fleet_plan.proxies = plan.members;
+  fleet_plan.timed = true;
+  return fleet_plan;
 }
 
-void MeasureCalm(ConfigReplicaFleet& fleet, const LeasePlan& plan, std::size_t leader, LeaseCost& cost) {
+void MeasureIdle(ConfigReplicaFleet& fleet, const LeasePlan& plan, std::size_t leader, LeaseCost& cost) {
   const Totals before = TotalsOf(fleet, leader);
-  fleet.RunFor(Instant(static_cast<Instant::rep>(plan.calm_seconds * 1e9)));
-  const Totals calm = Difference(TotalsOf(fleet, leader), before);
+  fleet.RunFor(Instant(static_cast<Instant::rep>(plan.idle_seconds * 1e9)));
+  const Totals idle = Difference(TotalsOf(fleet, leader), before);
   const double members = static_cast<double>(plan.members);
-  cost.bytes_per_s = calm.bytes / plan.calm_seconds / members;
-  cost.leader_bytes_per_s = calm.leader_bytes / plan.calm_seconds;
-  cost.leader_core_percent = calm.leader_us / 1e4 / plan.calm_seconds;
-  cost.member_core_percent = calm.others_us / 1e4 / plan.calm_seconds / (members - 1);
+  cost.bytes_per_s = idle.bytes / plan.idle_seconds / members;
+  cost.leader_bytes_per_s = idle.leader_bytes / plan.idle_seconds;
+  cost.leader_core_percent = idle.leader_us / 1e4 / plan.idle_seconds;
+  cost.member_core_percent = idle.others_us / 1e4 / plan.idle_seconds / (members - 1);
 }
 
 void MeasureChanges(ConfigReplicaFleet& fleet, const LeasePlan& plan, std::size_t leader, LeaseCost& cost) {
   if (plan.changes == 0) return;
   const Totals before = TotalsOf(fleet, leader);
-  const Instant begun = fleet.now();
+  const Instant started_at = fleet.now();
   for (std::size_t i = 0; i < plan.changes; ++i) {
-    const Instant since = fleet.now();
+    const Instant proposed_at = fleet.now();
     fleet.Propose(i * kProposerStride % plan.members, i, DocumentOf(i, plan.document_bytes), kChangeTimeout);
-    const bool in_force = RunUntilAllUse(fleet, i + 1, kChangeTimeout);
-    cost.in_force_ms.push_back(in_force ? InSeconds(fleet.now() - since) * 1e3 : kTimedOutMs);
+    const bool activated = RunUntilAllUse(fleet, i + 1, kChangeTimeout);
+    cost.activation_ms.push_back(activated ? InSeconds(fleet.now() - proposed_at) * 1e3 : kTimedOutMs);
     fleet.RunFor(kPauseAfterChange);
   }
-  const Totals all = Difference(TotalsOf(fleet, leader), before);
-  const double seconds = InSeconds(fleet.now() - begun);
+  const Totals totals = Difference(TotalsOf(fleet, leader), before);
+  const double seconds = InSeconds(fleet.now() - started_at);
   const double changes = static_cast<double>(plan.changes);
   const double members = static_cast<double>(plan.members);
-  cost.bytes_per_change = (all.bytes - cost.bytes_per_s * members * seconds) / changes;
-  cost.leader_bytes_per_change = (all.leader_bytes - cost.leader_bytes_per_s * seconds) / changes;
-  cost.leader_change_percent = all.leader_us / 1e4 / seconds;
+  cost.bytes_per_change = (totals.bytes - cost.bytes_per_s * members * seconds) / changes;
+  cost.leader_bytes_per_change = (totals.leader_bytes - cost.leader_bytes_per_s * seconds) / changes;
+  cost.leader_core_percent_in_changes = totals.leader_us / 1e4 / seconds;
 }
 
 }  // namespace
 
 LeaseCost MeasureLeases(const LeasePlan& plan) {
-  ConfigReplicaFleet fleet(SetupOf(plan));
+  ConfigReplicaFleet fleet(FleetPlanOf(plan));
   fleet.links().usual().delay = plan.delay;
   fleet.links().usual().spread = plan.spread;
   LeaseCost cost;
-  cost.began = RunUntilAllUse(fleet, 0, kFirstLeaseTimeout);
+  cost.all_leased = RunUntilAllUse(fleet, 0, kFirstLeaseTimeout);
   const auto leader = fleet.Leader();
-  if (!cost.began || !leader) return cost;
+  if (!cost.all_leased || !leader) return cost;
   fleet.RunFor(2s);
-  MeasureCalm(fleet, plan, *leader, cost);
+  MeasureIdle(fleet, plan, *leader, cost);
   MeasureChanges(fleet, plan, *leader, cost);
   cost.contradiction_ms = InSeconds(fleet.contradiction()) * 1e3;
-  cost.stale_acts = fleet.stale();
+  cost.stale_uses = fleet.stale();
   return cost;
 }
 
--- a/src/testing/benchmark/scale_leases.h
+++ b/src/testing/benchmark/scale_leases.h
@@ -20,20 +20,20 @@
   std::size_t document_bytes = 1000;
   std::chrono::nanoseconds delay = std::chrono::microseconds(200);   // minimum one-way delay of a link
   std::chrono::nanoseconds spread = std::chrono::microseconds(300);  // maximum additional delay
-  double calm_seconds = 10;
+  double idle_seconds = 10;
 };
 
 struct LeaseCost {
-  bool began = false;             // all members obtained a lease before the timeout
+  bool all_leased = false;        // all members obtained a lease before the timeout
   double bytes_per_s = 0;         // per member, without changes
   double leader_bytes_per_s = 0;  // without changes
-  double leader_core_percent = 0, leader_change_percent = 0;  // without changes; during changes
+  double leader_core_percent = 0, leader_core_percent_in_changes = 0;  // without changes; during changes
   double member_core_percent = 0;      // without changes, mean over all members except the leader
   double bytes_per_change = 0;         // of all members, beyond the cost of the same time without changes
   double leader_bytes_per_change = 0;  // the same for the leader alone
-  std::vector<double> in_force_ms;     // from the proposal until all members use the change; 1e9: timed out
+  std::vector<double> activation_ms;   // from the proposal until all members use the change; 1e9: timed out
   double contradiction_ms = 0;
-  std::uint64_t stale_acts = 0;
+  std::uint64_t stale_uses = 0;
 };
 
 LeaseCost MeasureLeases(const LeasePlan& plan);
--- a/src/testing/benchmark/scale_view.cpp
+++ b/src/testing/benchmark/scale_view.cpp
@@ -118,14 +118,14 @@
   std::vector<Start> starts_;
 };
 
-// Runs `play`. Returns the mean rates per second and member during that time, and stores the mean processor
-// time per member in `core_percent`.
-template <typename Play>
-Totals RatesDuring(PeerFleet& fleet, std::size_t members, double& core_percent, const Play& play) {
+// Runs `workload`. Returns the mean rates per second and member during that time, and stores the mean
+// processor time per member in `core_percent`.
+template <typename Workload>
+Totals RatesDuring(PeerFleet& fleet, std::size_t members, double& core_percent, const Workload& workload) {
   const Totals before = TotalsOf(fleet);
   const Instant since = fleet.now();
   const double begun = simulation::ProcessorMicroseconds();
-  play();
+  workload();
   const double member_seconds =
       static_cast<double>(members) * std::chrono::duration<double>(fleet.now() - since).count();
   core_percent = (simulation::ProcessorMicroseconds() - begun) / 1e4 / member_seconds;
@@ -139,18 +139,18 @@
 // the service of the replicated configuration does.
 void PublishAttributes(PeerFleet& fleet, const ViewPlan& plan) {
   const Instant begun = fleet.now(), until = begun + Seconds(plan.attribute_seconds);
-  std::vector<replicated_config::NotificationPacer> paces;
-  for (Process p = 0; p < fleet.size(); ++p) paces.emplace_back(plan.seed + p);
-  std::vector<int> told(fleet.size(), 0);
+  std::vector<replicated_config::NotificationPacer> pacers;
+  for (Process p = 0; p < fleet.size(); ++p) pacers.emplace_back(plan.seed + p);
+  std::vector<int> published(fleet.size(), 0);
   while (fleet.now() < until) {
     const Instant passed = fleet.now() - begun;
     const int version = 1 + static_cast<int>(passed / Seconds(plan.attribute_interval_seconds));
     for (Process p = 0; p < fleet.size(); ++p) {
-      const bool changed = told[p] != version;
+      const bool changed = published[p] != version;
       if (!changed || (plan.pace_attributes &&
-                       !paces[p].ShouldNotify(replicated_config::Time(passed), true, fleet.live_count())))
+                       !pacers[p].ShouldNotify(replicated_config::Time(passed), true, fleet.live_count())))
         continue;
-      told[p] = version;
+      published[p] = version;
       fleet.SetAttribute(p, "rules", std::to_string(version) + "/" + std::to_string(version));
     }
     fleet.RunFor(kAttributeCheckInterval);
@@ -174,12 +174,12 @@
   return fleet;
 }
 
-void MeasureCalm(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
-  const Totals calm =
-      RatesDuring(fleet, plan.members, cost.core_percent, [&] { fleet.RunFor(Seconds(plan.calm_seconds)); });
-  cost.bytes_per_s = calm.bytes;
-  cost.datagram_bytes_per_s = calm.datagram_bytes;
-  cost.messages_per_s = calm.messages;
+void MeasureIdle(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
+  const Totals idle =
+      RatesDuring(fleet, plan.members, cost.core_percent, [&] { fleet.RunFor(Seconds(plan.idle_seconds)); });
+  cost.bytes_per_s = idle.bytes;
+  cost.datagram_bytes_per_s = idle.datagram_bytes;
+  cost.messages_per_s = idle.messages;
 }
 
 void MeasureAttributes(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
@@ -189,16 +189,16 @@
   fleet.ConvergeWithin(Seconds(kSettleTimeoutSeconds));
 }
 
-void MeasureFlux(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
+void MeasureChurn(PeerFleet& fleet, const ViewPlan& plan, ViewCost& cost) {
   Replacer replacer(fleet, plan.members, plan.replaced_per_minute * static_cast<double>(plan.members) / 60);
-  replacer.Run(plan.flux_warm_seconds);
+  replacer.Run(plan.churn_warm_seconds);
   std::vector<std::uint64_t> before;
   for (Process p = 0; p < fleet.size(); ++p) before.push_back(fleet.sent(p).bytes);
-  const Totals flux =
-      RatesDuring(fleet, plan.members, cost.flux_core_percent, [&] { replacer.Run(plan.flux_seconds); });
-  cost.flux_bytes_per_s = flux.bytes;
-  cost.flux_exchanges_per_s = flux.syncs;
-  cost.flux_busiest_bytes_per_s = BusiestBytes(fleet, before) / plan.flux_seconds;
+  const Totals churn =
+      RatesDuring(fleet, plan.members, cost.churn_core_percent, [&] { replacer.Run(plan.churn_seconds); });
+  cost.churn_bytes_per_s = churn.bytes;
+  cost.churn_exchanges_per_s = churn.syncs;
+  cost.churn_busiest_bytes_per_s = BusiestBytes(fleet, before) / plan.churn_seconds;
   cost.replaced = replacer.replaced();
   replacer.StartRemaining();
   const auto settled = fleet.ConvergeWithin(Seconds(kSettleTimeoutSeconds));
@@ -209,16 +209,17 @@
 
 ViewCost MeasureView(const ViewPlan& plan) {
   ViewCost cost;
-  const double empty = AllocatedBytes();
+  const double bytes_before = AllocatedBytes();
   std::unique_ptr<PeerFleet> fleet = StartFleet(plan);
   const double full = AllocatedBytes();
   cost.bytes_per_member =
-      (full - empty) / (static_cast<double>(plan.members) * static_cast<double>(plan.members));
-  MeasureCalm(*fleet, plan, cost);
+      (full - bytes_before) / (static_cast<double>(plan.members) * static_cast<double>(plan.members));
+  MeasureIdle(*fleet, plan, cost);
   if (plan.attribute_seconds > 0) MeasureAttributes(*fleet, plan, cost);
-  if (plan.flux_seconds > 0) MeasureFlux(*fleet, plan, cost);
+  if (plan.churn_seconds > 0) MeasureChurn(*fleet, plan, cost);
   fleet.reset();
-  cost.memory_share_kept_after_end = std::max(0.0, AllocatedBytes() - empty) / (full - empty);
+  cost.memory_share_retained_after_end =
+      std::max(0.0, AllocatedBytes() - bytes_before) / (full - bytes_before);
   return cost;
 }
 
--- a/src/testing/benchmark/scale_view.h
+++ b/src/testing/benchmark/scale_view.h
@@ -14,23 +14,24 @@
 struct ViewPlan {
   std::uint64_t seed = 1;
   std::size_t members = 125;
-  double calm_seconds = 20;
-  double flux_warm_seconds = 10, flux_seconds = 10;  // members are replaced in both; the second is measured
-  double replaced_per_minute = 0.1;                  // fraction of all members
-  double attribute_seconds = 8;                      // during which all members publish attributes
-  double attribute_interval_seconds = 3.76;          // between changes of the attributes
-  bool pace_attributes = true;                       // with replicated_config::NotificationPacer
+  double idle_seconds = 20;
+  double churn_warm_seconds = 10, churn_seconds = 10;  // members are replaced in both; the second is measured
+  double replaced_per_minute = 0.1;                    // fraction of all members
+  double attribute_seconds = 8;                        // during which all members publish attributes
+  double attribute_interval_seconds = 3.76;            // between changes of the attributes
+  bool pace_attributes = true;                         // with replicated_config::NotificationPacer
 };
 
 struct ViewCost {
   double bytes_per_s = 0, datagram_bytes_per_s = 0, messages_per_s = 0;  // per member, idle
   double core_percent = 0;                                               // per member, idle
-  double flux_bytes_per_s = 0, flux_exchanges_per_s = 0, flux_core_percent = 0;
-  double flux_busiest_bytes_per_s = 0;                           // of the member that sent most during churn
+  double churn_bytes_per_s = 0, churn_exchanges_per_s = 0, churn_core_percent = 0;
+  double churn_busiest_bytes_per_s = 0;                          // of the member that sent most during churn
   double attribute_bytes_per_s = 0, attribute_core_percent = 0;  // while attributes change
   double bytes_per_member = 0;                                   // allocated memory per member and view
-  double memory_share_kept_after_end = 0;  // part of that memory still in use after all views are destroyed
-  double settled_after_s = -1;             // from the last replacement until all views agree; -1: timed out
+  // Part of that memory that is still in use after all views are destroyed.
+  double memory_share_retained_after_end = 0;
+  double settled_after_s = -1;  // from the last replacement until all views agree; -1: timed out
   std::size_t replaced = 0;
 };
 
--- a/src/testing/benchmark/socket_fleet.cpp
+++ b/src/testing/benchmark/socket_fleet.cpp
@@ -51,10 +51,10 @@
 }
 
 replicated_config::ConfigReplicaOptions ReplicaOptionsOf(const SocketFleetPlan& plan, std::size_t i) {
-  replicated_config::ConfigReplicaOptions terms;
-  terms.self = NameOf(i);
-  for (std::size_t voter = 0; voter < plan.voters; ++voter) terms.initial_voters.push_back(NameOf(voter));
-  return terms;
+  replicated_config::ConfigReplicaOptions options;
+  options.self = NameOf(i);
+  for (std::size_t voter = 0; voter < plan.voters; ++voter) options.initial_voters.push_back(NameOf(voter));
+  return options;
 }
 
 replicated_config::DocumentChecks AcceptAllDocuments() {
@@ -113,7 +113,7 @@
 
   void ProcessOutputs() {
     const gossip::MemberTable& members = view().members();
-    if (std::exchange(peers_as_of_, members.change_count()) != members.change_count())
+    if (std::exchange(peers_change_count_, members.change_count()) != members.change_count())
       replica_.SetPeers(members.others());
     for (auto outputs = replica_.TakeOutputs(); !outputs.empty(); outputs = replica_.TakeOutputs())
       for (const replicated_config::ConfigReplicaOutput& output : outputs) ProcessOutputs(output);
@@ -121,20 +121,20 @@
   }
 
   void ProcessOutputs(const replicated_config::ConfigReplicaOutput& output) {
-    if (const auto* post = std::get_if<replicated_config::SendMessage>(&output)) {
-      if (const gossip::Member* to = Reach(post->to))
+    if (const auto* send = std::get_if<replicated_config::SendMessage>(&output)) {
+      if (const gossip::Member* to = FindMember(send->to))
         link_.Send(to->record.address, peer_transport::Subsystem::kReplicatedConfig,
-                   replicated_config::Encode(post->message));
-    } else if (const auto* keep = std::get_if<replicated_config::Persist>(&output)) {
-      replica_.OnPersisted(Now(), keep->update.sequence);
+                   replicated_config::Encode(send->message));
+    } else if (const auto* persist = std::get_if<replicated_config::Persist>(&output)) {
+      replica_.OnPersisted(Now(), persist->update.sequence);
     } else if (std::holds_alternative<replicated_config::PersistBootstrapVoters>(output)) {
       replica_.OnBootstrapVotersPersisted(Now());
-    } else if (const auto* learnt = std::get_if<replicated_config::DocumentReceived>(&output)) {
-      replica_.MarkPrepared(Now(), learnt->version);
+    } else if (const auto* document = std::get_if<replicated_config::DocumentReceived>(&output)) {
+      replica_.MarkPrepared(Now(), document->version);
     }
   }
 
-  const gossip::Member* Reach(const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
+  const gossip::Member* FindMember(const std::variant<raft::NodeId, replicated_config::Instance>& to) const {
     const gossip::MemberTable& members = view().members();
     if (const auto* instance = std::get_if<replicated_config::Instance>(&to)) return members.Find(*instance);
     for (const auto& [id, member] : members.all())
@@ -146,7 +146,7 @@
   peer_transport::Link link_;
   replicated_config::ConfigReplica replica_;
   std::uint64_t store_;
-  std::uint64_t peers_as_of_ = 0;  // change count of the member table at the last call of SetPeers
+  std::uint64_t peers_change_count_ = 0;  // change count of the member table at the last call of SetPeers
   runtime::ConditionVariable timer_changed_;
   Time timer_deadline_ = runtime::kNever;
 };
@@ -160,7 +160,7 @@
  public:
   explicit SocketFleetRun(const SocketFleetPlan& plan) : plan_(plan) {}
 
-  SocketFleetCost Play() {
+  SocketFleetCost Run() {
     loop_.Spawn(Script());
     loop_.Spawn(WatchLag());
     loop_.Run();
@@ -169,33 +169,33 @@
 
  private:
   Task<> Script() {
-    const Time begun = Now();
-    const double empty = AllocatedBytes();
+    const Time started_at = Now();
+    const double bytes_before = AllocatedBytes();
     for (std::size_t i = 0; i < plan_.members; ++i) {
       proxies_.push_back(std::make_unique<BareProxy>(loop_, plan_, i));
       proxies_.back()->Start();
       co_await loop_.Sleep(kStartInterval);
     }
-    while (!Settled() && Now() < begun + plan_.client_timeout) co_await loop_.Sleep(kSettlePollInterval);
+    while (!Settled() && Now() < started_at + plan_.settle_timeout) co_await loop_.Sleep(kSettlePollInterval);
     cost_.settled = Settled();
-    cost_.settled_after_s = SecondsOf(Now() - begun);
-    const double places = static_cast<double>(plan_.members) * static_cast<double>(plan_.members);
-    cost_.bytes_per_member = (AllocatedBytes() - empty) / places;
+    cost_.settled_after_s = SecondsOf(Now() - started_at);
+    const double view_entries = static_cast<double>(plan_.members) * static_cast<double>(plan_.members);
+    cost_.bytes_per_member = (AllocatedBytes() - bytes_before) / view_entries;
     if (cost_.settled) {
-      measured_ = true;
-      co_await MeasureCalm();
+      measuring_ = true;
+      co_await MeasureIdle();
       for (std::size_t i = 0; i < plan_.changes; ++i) co_await MeasureChange(i);
-      measured_ = false;
+      measuring_ = false;
     }
     cost_.is_inconclusive = cost_.longest_lag_ms > Milliseconds(kMaxLoopLag);
     loop_.Stop();
   }
 
-  Task<> MeasureCalm() {
+  Task<> MeasureIdle() {
     const Totals before = TotalsNow();
     const Time since = Now();
-    if (plan_.blocked_for > 0ms) std::this_thread::sleep_for(plan_.blocked_for);
-    co_await loop_.Sleep(plan_.calm);
+    if (plan_.loop_block_duration > 0ms) std::this_thread::sleep_for(plan_.loop_block_duration);
+    co_await loop_.Sleep(plan_.idle_duration);
     const Totals after = TotalsNow();
     const double member_seconds = static_cast<double>(plan_.members) * SecondsOf(Now() - since);
     cost_.datagram_bytes_per_s = (after.datagram_bytes - before.datagram_bytes) / member_seconds;
@@ -214,7 +214,7 @@
     const Time since = Now();
     proxies_[number * 7919 % proxies_.size()]->Propose(change);
     while (!AllUse(number + 1) && Now() < since + kChangeTimeout) co_await loop_.Sleep(kPollInterval);
-    cost_.in_force_ms.push_back(AllUse(number + 1) ? Milliseconds(Now() - since) : kTimedOutMs);
+    cost_.activation_ms.push_back(AllUse(number + 1) ? Milliseconds(Now() - since) : kTimedOutMs);
     co_await loop_.Sleep(kPauseAfterChange);
   }
 
@@ -222,7 +222,7 @@
     for (;;) {
       const Time due = Now() + kLagCheckInterval;
       co_await loop_.SleepUntil(due);
-      if (measured_) cost_.longest_lag_ms = std::max(cost_.longest_lag_ms, Milliseconds(Now() - due));
+      if (measuring_) cost_.longest_lag_ms = std::max(cost_.longest_lag_ms, Milliseconds(Now() - due));
     }
   }
 
@@ -252,7 +252,7 @@
   }
   const SocketFleetPlan& plan_;
   SocketFleetCost cost_;
-  bool measured_ = false;
+  bool measuring_ = false;
   runtime::Loop loop_;  // Run() ends its tasks before the proxies that they use are destroyed
   std::vector<std::unique_ptr<BareProxy>> proxies_;
 };
@@ -260,9 +260,9 @@
 }  // namespace
 
 SocketFleetCost MeasureSocketFleet(const SocketFleetPlan& plan) {
-  SocketFleetPlan own = plan;
-  if (own.port == 0) own.port = static_cast<std::uint16_t>(kFirstPort + ::getpid() % kPorts);
-  return SocketFleetRun(own).Play();
+  SocketFleetPlan resolved = plan;
+  if (resolved.port == 0) resolved.port = static_cast<std::uint16_t>(kFirstPort + ::getpid() % kPorts);
+  return SocketFleetRun(resolved).Run();
 }
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/socket_fleet.h
+++ b/src/testing/benchmark/socket_fleet.h
@@ -22,10 +22,10 @@
   std::size_t members = 125, voters = 7;
   std::uint16_t port = 0;  // of all proxies; 0: derived from the process ID
   // Time limit until all views agree without unconfirmed members, and all members have a lease.
-  std::chrono::seconds client_timeout{120};
-  std::chrono::seconds calm{10};             // duration of the measurement without changes
-  std::size_t changes = 3;                   // number of sequential document changes
-  std::chrono::milliseconds blocked_for{0};  // blocks the event loop during the measurement; set by a test
+  std::chrono::seconds settle_timeout{120};
+  std::chrono::seconds idle_duration{10};            // duration of the measurement without changes
+  std::size_t changes = 3;                           // number of sequential document changes
+  std::chrono::milliseconds loop_block_duration{0};  // blocks the loop while it is measured; set by a test
   std::size_t document_bytes = 1000;
 };
 
@@ -36,8 +36,8 @@
   double settled_after_s = 0;
   double datagram_bytes_per_s = 0, view_bytes_per_s = 0, lease_bytes_per_s = 0;  // per member, idle
   double core_percent = 0;                                                       // per member, idle
-  double bytes_per_member = 0;      // memory of all proxies per member and proxy, not only of the views
-  std::vector<double> in_force_ms;  // from the proposal until all members use the change; 1e9: timed out
+  double bytes_per_member = 0;        // memory of all proxies per member and proxy, not only of the views
+  std::vector<double> activation_ms;  // from the proposal until all members use the change; 1e9: timed out
 };
 
 SocketFleetCost MeasureSocketFleet(const SocketFleetPlan& plan);
--- a/src/testing/benchmark/workload_replay.cpp
+++ b/src/testing/benchmark/workload_replay.cpp
@@ -42,7 +42,7 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-Settings MakeSite() {
+Settings MakeSettings() {
   Settings s;
   s.tick = 5 * kMs;
   ClassSettings lookup, report, load;
@@ -78,17 +78,17 @@
       : options_(options),
         random_(options.seed, 1),
         plan_random_(options.seed, 2),
-        gateway_(MakeSite(), options.seed) {
+        gateway_(MakeSettings(), options.seed) {
     admission_queue::Settings queue;
     for (std::size_t t = 0; t < kBudgetShares.size(); ++t) {
       queue.tenants.push_back(
           {.name = "team" + std::to_string(t), .burst = std::chrono::seconds(1), .barred_classes = {}});
     }
     const char* names[] = {"lookup", "report", "chip-load"};
-    const double worths[] = {1, 10, 12};
+    const double priority_weights[] = {1, 10, 12};
     for (std::size_t k = 0; k < kClassProfiles.size(); ++k) {
       queue.classes.push_back({.name = names[k],
-                               .priority_weight = worths[k],
+                               .priority_weight = priority_weights[k],
                                .threads = kClassProfiles[k].threads,
                                .default_work = admission_queue::FromSeconds(kClassProfiles[k].work),
                                .light = k == 0});
@@ -196,23 +196,23 @@
       ++result_.retries;
     } else {
       ++result_.requests;
-      requested_weight_ += MakeSite().classes[q.class_id].priority_weight;
+      requested_weight_ += MakeSettings().classes[q.class_id].priority_weight;
     }
     if (options_.use_admission_queue) {
-      const auto taken = queue_->Submit({.id = id,
-                                         .tenant = static_cast<admission_queue::TenantId>(q.tenant),
-                                         .class_id = static_cast<admission_queue::ClassId>(q.class_id),
-                                         .estimated_work = admission_queue::FromSeconds(q.estimated_work),
-                                         .deadline = At(q.deadline),
-                                         .wants_updates = true},
-                                        At(now_));
-      if (taken.rejected) {
+      const auto submitted = queue_->Submit({.id = id,
+                                             .tenant = static_cast<admission_queue::TenantId>(q.tenant),
+                                             .class_id = static_cast<admission_queue::ClassId>(q.class_id),
+                                             .estimated_work = admission_queue::FromSeconds(q.estimated_work),
+                                             .deadline = At(q.deadline),
+                                             .wants_updates = true},
+                                            At(now_));
+      if (submitted.rejected) {
         ++result_.rejected;
-        ScheduleRetry(q, admission_queue::Seconds(taken.rejected->retry_after));
+        ScheduleRetry(q, admission_queue::Seconds(submitted.rejected->retry_after));
         return;
       }
-      q.estimates.push_back({now_, admission_queue::Seconds(taken.estimate.wait)});
-      q.dispatch_deadline = admission_queue::Seconds(taken.dispatch_deadline.time_since_epoch());
+      q.estimates.push_back({now_, admission_queue::Seconds(submitted.estimate.wait)});
+      q.dispatch_deadline = admission_queue::Seconds(submitted.dispatch_deadline.time_since_epoch());
     } else {
       q.estimates.push_back({now_, mean_waits_[q.class_id]});
     }
@@ -302,7 +302,7 @@
       work *= kMinBadPlanFactor + (kMaxBadPlanFactor - kMinBadPlanFactor) * draw(plan_random_);
     const simulation::Fleet::Load load{{send.id, attempt}, send.engine, kClassProfiles[q.class_id].threads,
                                        q.priority,         work,        q.tenant};
-    starts_[load.key] = now_;
+    start_times_[load.key] = now_;
     if (!fleet_.Start(load)) End({load.key, send.engine, now_, 0, true}, Outcome::kConnectFailed);
   }
   void Apply(const Cancel& cancel) {
@@ -334,8 +334,8 @@
     ended.outcome = outcome;
     ended.request_finished = ok;
     const auto it = queries_.find(id);
-    ended.elapsed = static_cast<Nanos>((now_ - starts_[f.key]) * 1e9);
-    starts_.erase(f.key);
+    ended.elapsed = static_cast<Nanos>((now_ - start_times_[f.key]) * 1e9);
+    start_times_.erase(f.key);
     if (ok) ended.work = static_cast<Nanos>(f.work * 1e9);
     events_.emplace_back(ended);
     if (options_.use_admission_queue) {
@@ -346,7 +346,7 @@
     const Query& q = it->second;
     ++result_.served;
     result_.retries_served += q.retry;
-    const ClassSettings c = MakeSite().classes[q.class_id];
+    const ClassSettings c = MakeSettings().classes[q.class_id];
     const double latency_objective =
         static_cast<double>(c.latency_objective) / 1e9 + c.latency_objective_stretch * q.work / c.threads;
     served_weight_ +=
@@ -357,22 +357,22 @@
 
   void RecordStart(Query& q) {
     q.started = true;
-    const double real = now_ - q.submitted_at;
-    waits_.push_back(real);
-    mean_waits_[q.class_id] += 0.1 * (real - mean_waits_[q.class_id]);
+    const double wait = now_ - q.submitted_at;
+    waits_.push_back(wait);
+    mean_waits_[q.class_id] += 0.1 * (wait - mean_waits_[q.class_id]);
     for (std::size_t i = 0; i < q.estimates.size(); ++i) {
       const double left = now_ - q.estimates[i].at;
-      const double off = std::abs(q.estimates[i].wait - left);
-      const bool good = left < kLongWaitSeconds ? off <= 0.05 : off <= 0.25 * left;
+      const double error = std::abs(q.estimates[i].wait - left);
+      const bool accurate = left < kLongWaitSeconds ? error <= 0.05 : error <= 0.25 * left;
       ++result_.estimates;
-      result_.within += good;
+      result_.accurate_estimates += accurate;
       if (left >= kLongWaitSeconds) {
-        ++result_.long_waits;
-        result_.long_waits_within += good;
+        ++result_.long_wait_estimates;
+        result_.accurate_long_wait_estimates += accurate;
       }
       if (i == 0) {
         ++result_.first_estimates;
-        result_.first_estimates_within += good;
+        result_.accurate_first_estimates += accurate;
       }
     }
     CheckDeadline(q);
@@ -407,8 +407,9 @@
       const auto engine = static_cast<std::uint32_t>(n * 3 + 1);
       fleet_.Remove(engine, ended);
       for (const simulation::Finished& f : ended) End(f, Outcome::kReset);
-      const EngineEntry gone{.engine = engine, .readiness = Readiness::kRemoved};
-      events_.push_back(EngineList{ListKind::kChange, std::make_shared<std::vector<EngineEntry>>(1, gone)});
+      const EngineEntry removed{.engine = engine, .readiness = Readiness::kRemoved};
+      events_.push_back(
+          EngineList{ListKind::kChange, std::make_shared<std::vector<EngineEntry>>(1, removed)});
       queue_->SetFleetCores(fleet_.cores(), At(now_));
     }
   }
@@ -421,13 +422,13 @@
     // to wait were started under other shares.
     if (!all) all_waiting_since_ = -1;
     if (all && all_waiting_since_ < 0) all_waiting_since_ = now_;
-    const bool counts = all && now_ - all_waiting_since_ >= kTypicalRunSeconds;
+    const bool is_counted = all && now_ - all_waiting_since_ >= kTypicalRunSeconds;
     for (std::size_t t = 0; t < kBudgetShares.size(); ++t) {
-      const double had = fleet_.consumed(t);
-      if (counts) shared_work_[t] += had - last_work_[t];
-      last_work_[t] = had;
+      const double total_work = fleet_.consumed(t);
+      if (is_counted) shared_work_[t] += total_work - last_work_[t];
+      last_work_[t] = total_work;
     }
-    if (counts) result_.shared_seconds += 10 * kTickSeconds;
+    if (is_counted) result_.shared_seconds += 10 * kTickSeconds;
   }
 
   WorkloadReplayResult Result() {
@@ -459,7 +460,7 @@
   std::uint64_t last_id_ = 0;
   std::priority_queue<Arrival> arrivals_;
   std::unordered_map<std::uint64_t, Query> queries_;
-  std::map<simulation::Key, double> starts_;
+  std::map<simulation::Key, double> start_times_;
   std::vector<Event> events_;
   std::vector<admission_queue::Decision> decisions_;
   std::vector<Nanos> wakes_;
--- a/src/testing/benchmark/workload_replay.h
+++ b/src/testing/benchmark/workload_replay.h
@@ -21,9 +21,10 @@
 
 struct WorkloadReplayResult {
   std::uint64_t requests = 0, served = 0, rejected = 0, failed = 0, rejected_waiting = 0;
-  std::uint64_t estimates = 0, within = 0, first_estimates = 0, first_estimates_within = 0;
-  std::uint64_t long_waits = 0, long_waits_within = 0;  // estimates with an actual wait of 200 ms or more
-  std::uint64_t past_deadline = 0;                      // requests that waited beyond their deadline
+  std::uint64_t estimates = 0, accurate_estimates = 0, first_estimates = 0, accurate_first_estimates = 0;
+  // Estimates whose actual wait was 200 ms or more, and those of them that were accurate.
+  std::uint64_t long_wait_estimates = 0, accurate_long_wait_estimates = 0;
+  std::uint64_t past_deadline = 0;  // requests that waited beyond their deadline
   // Requests that left the queue after the dispatch deadline, or were overtaken past the ageing credit.
   std::uint64_t bound_violations = 0;
   std::uint64_t retries = 0, retries_served = 0;  // sent after the retry-after time
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -207,17 +207,17 @@
 TEST(SmallScale, AViewOfAFewHundredKeepsItsBoundsInFlux) {
   benchmark::ViewPlan plan;
   plan.members = 300;
-  plan.calm_seconds = 10;
+  plan.idle_seconds = 10;
   plan.attribute_seconds = 0;
-  plan.flux_warm_seconds = 5;
+  plan.churn_warm_seconds = 5;
   const benchmark::ViewCost cost = benchmark::MeasureView(plan);
   EXPECT_LE(cost.bytes_per_s, 1000);
-  EXPECT_LE(cost.flux_bytes_per_s, kControlBytes);
+  EXPECT_LE(cost.churn_bytes_per_s, kControlBytes);
   EXPECT_GE(cost.settled_after_s, 0) << "views never agreed again";
   EXPECT_LE(cost.bytes_per_member, 700) << "of memory; 4,000 members in 2.8 MB";
-  EXPECT_LE(cost.memory_share_kept_after_end, 0.05);
+  EXPECT_LE(cost.memory_share_retained_after_end, 0.05);
   const benchmark::ViewCost again = benchmark::MeasureView(plan);
-  EXPECT_EQ(again.flux_bytes_per_s, cost.flux_bytes_per_s);
+  EXPECT_EQ(again.churn_bytes_per_s, cost.churn_bytes_per_s);
   EXPECT_EQ(again.settled_after_s, cost.settled_after_s);
 }
 
@@ -225,8 +225,8 @@
 TEST(SmallScale, AChangeOfRulesIsNoNewsOfEachToEach) {
   benchmark::ViewPlan plan;
   plan.members = 300;
-  plan.calm_seconds = 1;
-  plan.flux_seconds = 0;
+  plan.idle_seconds = 1;
+  plan.churn_seconds = 0;
   EXPECT_LE(benchmark::MeasureView(plan).attribute_bytes_per_s, 5000);
   plan.pace_attributes = false;
   EXPECT_GT(benchmark::MeasureView(plan).attribute_bytes_per_s, kControlBytes) << "the pace bounds nothing";
@@ -256,12 +256,12 @@
   benchmark::LeasePlan plan;
   plan.members = 300;
   const benchmark::LeaseCost cost = benchmark::MeasureLeases(plan);
-  ASSERT_TRUE(cost.began);
+  ASSERT_TRUE(cost.all_leased);
   EXPECT_LE(cost.bytes_per_s, 1000);
-  ASSERT_EQ(cost.in_force_ms.size(), plan.changes);
-  for (const double ms : cost.in_force_ms) EXPECT_LE(ms, 1000);
+  ASSERT_EQ(cost.activation_ms.size(), plan.changes);
+  for (const double ms : cost.activation_ms) EXPECT_LE(ms, 1000);
   EXPECT_LE(cost.contradiction_ms, 1200);
-  EXPECT_EQ(cost.stale_acts, 0u);
+  EXPECT_EQ(cost.stale_uses, 0u);
   EXPECT_EQ(benchmark::MeasureLeases(plan).bytes_per_change, cost.bytes_per_change);
 }
 
@@ -271,8 +271,8 @@
   benchmark::SocketFleetPlan plan;
   plan.members = 24;
   plan.voters = 3;
-  plan.client_timeout = 30s;
-  plan.calm = 2s;
+  plan.settle_timeout = 30s;
+  plan.idle_duration = 2s;
   plan.changes = 1;
   return plan;
 }
@@ -287,13 +287,13 @@
   ASSERT_TRUE(cost.settled);
   EXPECT_GT(cost.datagram_bytes_per_s, 300);
   EXPECT_LE(cost.view_bytes_per_s, 1500);
-  ASSERT_EQ(cost.in_force_ms.size(), 1u);
-  EXPECT_LE(cost.in_force_ms[0], 6000);
+  ASSERT_EQ(cost.activation_ms.size(), 1u);
+  EXPECT_LE(cost.activation_ms[0], 6000);
 }
 
 TEST(HollowFleet, ARunThatWasHeldUpIsVoid) {
   benchmark::SocketFleetPlan plan = SmallSocketFleet();
-  plan.blocked_for = 2 * benchmark::kMaxLoopLag;
+  plan.loop_block_duration = 2 * benchmark::kMaxLoopLag;
   plan.changes = 0;
   const benchmark::SocketFleetCost cost = benchmark::MeasureSocketFleet(plan);
   ASSERT_TRUE(cost.settled);
