--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,4 +1,5 @@
-// What grows with the fleet stays bounded: the leader's books, the work of a view, bytes in flux, memory.
+// Checks that costs that grow with the fleet stay bounded: the leader's lease records, the processing time of
+// the membership view, the bytes sent during churn, and the memory.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,28 +23,30 @@
 using namespace std::chrono_literals;
 using simulation::ProcessorMicroseconds;
 
-// How often more a step may cost where sixteen times as many are there: caches and trees, not walks of all.
-constexpr double kGrowthMost = 6;
+// Greatest allowed ratio of the costs of a step in fleets of 4,000 and 250. It covers cache misses and the
+// depth of trees, but not a scan of all members.
+constexpr double kMaxCostRatio = 6;
 constexpr int kRounds = 5;
 
 // ---- Leases ----
 
-// A leader that grants to so many, one of which has not prepared the version that waits.
-class BusyGrantor {
+// A leader that grants leases to `holders` members. All but one have prepared the pending version.
+class LoadedGrantor {
  public:
-  explicit BusyGrantor(int holders) : holders_(holders) {
+  explicit LoadedGrantor(int holders) : holders_(holders) {
     grantor_.BeginLeadership(now_, 1);
     now_ += 5s;
     for (int i = 0; i < holders_; ++i) Renew(i);
   }
 
-  int enforceable() const { return enforceable_; }  // how often the version that waits could be put in force
-  double MicrosecondsARenewal() {
+  // Number of times the pending version could have been activated.
+  int allowed_activations() const { return allowed_activations_; }
+  double MicrosecondsPerRenewal() {
     double least = std::numeric_limits<double>::max();
     for (int round = 0; round < kRounds; ++round) {
-      const double begun = ProcessorMicroseconds();
+      const double started_at = ProcessorMicroseconds();
       for (int i = 0; i < kRenewals; ++i) Renew(i % holders_);
-      least = std::min(least, (ProcessorMicroseconds() - begun) / kRenewals);
+      least = std::min(least, (ProcessorMicroseconds() - started_at) / kRenewals);
     }
     return least;
   }
@@ -55,25 +58,27 @@
     now_ += replicated_config::Duration(250ms) / holders_;
     const replicated_config::Version prepared = holder == 0 ? 1 : 2;
     grantor_.HandleRenewal(now_, true, std::to_string(holder), {1, prepared}, 1, 2);
-    enforceable_ += grantor_.MayActivate(now_, true, 2);
+    allowed_activations_ += grantor_.MayActivate(now_, true, 2);
   }
 
   int holders_;
   replicated_config::LeaseGrantor grantor_{replicated_config::LeaseOptions()};
   replicated_config::Time now_{1h};
-  int enforceable_ = 0;
+  int allowed_activations_ = 0;
 };
 
-TEST(LeaseGrantor, ARenewalCostsAboutTheSameHoweverManyHoldersThereAre) {
-  const double few = BusyGrantor(250).MicrosecondsARenewal();
-  BusyGrantor busy(4000);
-  const double many = busy.MicrosecondsARenewal();
-  EXPECT_EQ(busy.enforceable(), 0) << "one has not prepared it";
-  EXPECT_LE(many, kGrowthMost * few) << few << " us with 250 holders, " << many << " us with 4,000";
+// Guards against a renewal that scans the leases of all holders.
+TEST(LeaseGrantor, Renewal_SixteenTimesTheHolders_CostStaysBounded) {
+  const double few = LoadedGrantor(250).MicrosecondsPerRenewal();
+  LoadedGrantor loaded(4000);
+  const double many = loaded.MicrosecondsPerRenewal();
+  EXPECT_EQ(loaded.allowed_activations(), 0) << "one holder has not prepared the version";
+  EXPECT_LE(many, kMaxCostRatio * few) << few << " us with 250 holders, " << many << " us with 4,000";
 }
 
-// What may be put in force by the index is what may be by a walk of all books, whatever comes in between.
-TEST(LeaseGrantor, TheIndexOfBooksAgreesWithTheBooks) {
+// Guards against an index of the lease records that misses an update: MayActivate, which uses the index, must
+// agree with UnpreparedHolders, which scans the records, after any sequence of renewals.
+TEST(LeaseGrantor, MayActivate_RandomRenewals_AgreesWithScanOfLeaseRecords) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
     replicated_config::LeaseGrantor grantor{replicated_config::LeaseOptions()};
@@ -96,7 +101,8 @@
   }
 }
 
-TEST(LeaseGrantor, BooksOfHoldersThatWentAreDropped) {
+// Guards against lease records that accumulate when holders leave without a further renewal.
+TEST(LeaseGrantor, Records_HoldersLeft_AreRemoved) {
   replicated_config::LeaseGrantor grantor{replicated_config::LeaseOptions()};
   replicated_config::Time now{1h};
   grantor.BeginLeadership(now, 1);
@@ -105,7 +111,7 @@
     grantor.HandleRenewal(now, true, std::to_string(i), {1, static_cast<replicated_config::Version>(i % 3)},
                           1, 2);
   }
-  EXPECT_LE(grantor.recorded_leases(), 1100u) << "a lease of 1 s, a new holder each millisecond";
+  EXPECT_LE(grantor.recorded_leases(), 1100u) << "with leases of 1 s and a new holder every millisecond";
 }
 
 // ---- The view ----
@@ -119,12 +125,12 @@
   return record;
 }
 
-// A view of so many members, all of which gave proof of life but `unproven`.
+// A view of `members` members, all of which except the last `unconfirmed` have been in direct contact.
 class LargeView {
  public:
-  LargeView(std::size_t members, std::size_t unproven) : members_(members) {
+  LargeView(std::size_t members, std::size_t unconfirmed) : members_(members) {
     for (gossip::InstanceId id = 2; id <= members; ++id) {
-      if (id > members - unproven)
+      if (id > members - unconfirmed)
         view_.FinishSync(now_,
                          {RecordOf(2), {}, {{gossip::Status::kAlive, RecordOf(id), gossip::kNoInstance}}});
       else
@@ -133,13 +139,13 @@
     view_.TakeOutputs();
   }
 
-  // Of a period, in which a member changes what it says of itself.
-  double MicrosecondsAPeriod() {
+  // Returns the processing time of one period during which a member changes its own record.
+  double MicrosecondsPerPeriod() {
     double least = std::numeric_limits<double>::max();
     for (int round = 0; round < kRounds; ++round) {
-      const double begun = ProcessorMicroseconds();
-      for (int period = 0; period < kPeriods; ++period) PlayPeriod();
-      least = std::min(least, (ProcessorMicroseconds() - begun) / kPeriods);
+      const double started_at = ProcessorMicroseconds();
+      for (int period = 0; period < kPeriods; ++period) RunPeriod();
+      least = std::min(least, (ProcessorMicroseconds() - started_at) / kPeriods);
     }
     return least;
   }
@@ -154,18 +160,18 @@
     return settings;
   }
 
-  void PlayPeriod() {
+  void RunPeriod() {
     gossip::MemberRecord changed = RecordOf(2 + ++changes_ % 8);
     changed.incarnation = 1 + changes_;
     view_.Receive(now_, {changed, 0, gossip::Gossip{}, {}});
     for (const gossip::Time until = now_ + 250ms; now_ < until;) {
       now_ = std::min(until, std::max(now_ + 1us, view_.NextDeadline()));
       view_.Tick(now_);
-      Answer();
+      AnswerPings();
     }
   }
 
-  void Answer() {
+  void AnswerPings() {
     for (const gossip::Output& output : view_.TakeOutputs()) {
       const auto* transmit = std::get_if<gossip::Transmit>(&output);
       const auto* ping = transmit == nullptr ? nullptr : std::get_if<gossip::Ping>(&transmit->datagram.body);
@@ -180,16 +186,18 @@
   gossip::MembershipView view_{SettingsOf(), RecordOf(1), 1, now_};
 };
 
-TEST(LargeView, APeriodCostsAboutTheSameHoweverManyMembersThereAre) {
-  for (const std::size_t unproven : {0u, 5u}) {
-    const double few = LargeView(250, unproven).MicrosecondsAPeriod();
-    const double many = LargeView(4000, unproven).MicrosecondsAPeriod();
-    EXPECT_LE(many, kGrowthMost * few)
-        << few << " us with 250 members, " << many << " us with 4,000, unproven " << unproven;
+// Guards against periodic work that scans all members.
+TEST(LargeView, Period_SixteenTimesTheMembers_CostStaysBounded) {
+  for (const std::size_t unconfirmed : {0u, 5u}) {
+    const double few = LargeView(250, unconfirmed).MicrosecondsPerPeriod();
+    const double many = LargeView(4000, unconfirmed).MicrosecondsPerPeriod();
+    EXPECT_LE(many, kMaxCostRatio * few)
+        << few << " us with 250 members, " << many << " us with 4,000, unconfirmed " << unconfirmed;
   }
 }
 
-TEST(LargeView, CountsWhoServesAsAWalkOfAllMembersDoes) {
+// Guards against incrementally updated counts that differ from the member table.
+TEST(LargeView, ServingNames_IncrementalUpdates_AgreeWithScanOfAllMembers) {
   const LargeView large(300, 5);
   std::map<std::string, std::size_t> serving;
   for (const auto& [id, member] : large.view().members().all())
@@ -200,11 +208,13 @@
   EXPECT_EQ(large.view().members().unconfirmed().size(), 5u);
 }
 
-// ---- The small scale run: the same figures each time ----
+// ---- Small scale benchmarks: repeated runs give the same results ----
 
-constexpr double kControlBytes = 22'000;  // a second and proxy: the operators' target
+constexpr double kMaxControlBytesPerSecond = 22'000;  // per proxy; the operators' target
 
-TEST(SmallScale, AViewOfAFewHundredKeepsItsBoundsInFlux) {
+// Guards against a membership view whose traffic or memory exceeds its limits at rest or during churn, and
+// against one that doesn't settle afterwards.
+TEST(SmallScale, View_Churn_StaysWithinBounds) {
   benchmark::ViewPlan plan;
   plan.members = 300;
   plan.idle_seconds = 10;
@@ -212,47 +222,55 @@
   plan.churn_warm_seconds = 5;
   const benchmark::ViewCost cost = benchmark::MeasureView(plan);
   EXPECT_LE(cost.bytes_per_s, 1000);
-  EXPECT_LE(cost.churn_bytes_per_s, kControlBytes);
-  EXPECT_GE(cost.settled_after_s, 0) << "views never agreed again";
-  EXPECT_LE(cost.bytes_per_member, 700) << "of memory; 4,000 members in 2.8 MB";
+  EXPECT_LE(cost.churn_bytes_per_s, kMaxControlBytesPerSecond);
+  EXPECT_GE(cost.settled_after_s, 0) << "the views did not agree before the timeout";
+  EXPECT_LE(cost.bytes_per_member, 700) << "memory; at the limit, a view of 4,000 members needs 2.8 MB";
   EXPECT_LE(cost.memory_share_retained_after_end, 0.05);
   const benchmark::ViewCost again = benchmark::MeasureView(plan);
   EXPECT_EQ(again.churn_bytes_per_s, cost.churn_bytes_per_s);
   EXPECT_EQ(again.settled_after_s, cost.settled_after_s);
 }
 
-// Each member tells of each change of the rules that it acts on it: not all of them at once.
-TEST(SmallScale, AChangeOfRulesIsNoNewsOfEachToEach) {
+// Every member publishes the version that it uses after each change of the rules. Guards against all members
+// doing so at once, which would send an update from each member to each other one.
+TEST(SmallScale, AttributeChangesOfAllMembers_Paced_BytesStayBounded) {
   benchmark::ViewPlan plan;
   plan.members = 300;
   plan.idle_seconds = 1;
   plan.churn_seconds = 0;
   EXPECT_LE(benchmark::MeasureView(plan).attribute_bytes_per_s, 5000);
   plan.pace_attributes = false;
-  EXPECT_GT(benchmark::MeasureView(plan).attribute_bytes_per_s, kControlBytes) << "the pace bounds nothing";
+  EXPECT_GT(benchmark::MeasureView(plan).attribute_bytes_per_s, kMaxControlBytesPerSecond)
+      << "the test needs a load that exceeds the limit without pacing";
 }
 
-TEST(TellPace, TellsTheNewestOnceAndSoon) {
-  replicated_config::NotificationPacer pace(1);
+// Guards against a change that is published late, repeatedly, or not at all.
+TEST(NotificationPacer, Change_SmallFleet_IsPublishedOnceWithinTenSeconds) {
+  replicated_config::NotificationPacer pacer(1);
   replicated_config::Time now{1h};
-  EXPECT_FALSE(pace.ShouldNotify(now, false, 7));
-  int told = 0;
-  for (int beat = 0; beat < 200; ++beat, now += 50ms) told += pace.ShouldNotify(now, told == 0, 7);
-  EXPECT_EQ(told, 1) << "within ten seconds in a fleet of seven";
+  EXPECT_FALSE(pacer.ShouldNotify(now, false, 7));
+  int notifications = 0;
+  for (int step = 0; step < 200; ++step, now += 50ms)
+    notifications += pacer.ShouldNotify(now, notifications == 0, 7);
+  EXPECT_EQ(notifications, 1) << "notifications within ten seconds in a fleet of seven";
 }
 
-TEST(TellPace, AFleetTellsFourTimesASecondInTheMeanHoweverOftenChangesCome) {
+// Guards against a notification rate of the fleet that depends on how often its state changes.
+TEST(NotificationPacer, ConstantChanges_FleetPublishesFourTimesPerSecondOnAverage) {
   constexpr std::size_t kMembers = 500;
-  std::vector<replicated_config::NotificationPacer> paces;
-  for (std::size_t i = 0; i < kMembers; ++i) paces.emplace_back(i);
+  std::vector<replicated_config::NotificationPacer> pacers;
+  for (std::size_t i = 0; i < kMembers; ++i) pacers.emplace_back(i);
   replicated_config::Time now{1h};
-  int told = 0;
+  int notifications = 0;
   for (const replicated_config::Time until = now + 600s; now < until; now += 50ms)
-    for (replicated_config::NotificationPacer& pace : paces) told += pace.ShouldNotify(now, true, kMembers);
-  EXPECT_NEAR(told / 600.0, 4, 0.8);
+    for (replicated_config::NotificationPacer& pacer : pacers)
+      notifications += pacer.ShouldNotify(now, true, kMembers);
+  EXPECT_NEAR(notifications / 600.0, 4, 0.8);
 }
 
-TEST(SmallScale, LeasesOfAFewHundredAreGrantedAndChangesComeIntoForce) {
+// Guards against leases or changes that are too slow or too expensive in a fleet of 300, and against members
+// that use a version too long after a later one became usable.
+TEST(SmallScale, Leases_DocumentChanges_ActivateWithinBounds) {
   benchmark::LeasePlan plan;
   plan.members = 300;
   const benchmark::LeaseCost cost = benchmark::MeasureLeases(plan);
@@ -265,7 +283,7 @@
   EXPECT_EQ(benchmark::MeasureLeases(plan).bytes_per_change, cost.bytes_per_change);
 }
 
-// ---- Hollow proxies on sockets: what the machine makes of a run is no verdict on the program ----
+// ---- Proxies on sockets. A run that the machine delays is inconclusive. ----
 
 benchmark::SocketFleetPlan SmallSocketFleet() {
   benchmark::SocketFleetPlan plan;
@@ -277,12 +295,13 @@
   return plan;
 }
 
-TEST(HollowFleet, SettlesOnSocketsAndPutsAChangeInForce) {
-  constexpr int kRuns = 3;  // a run that the machine held up shows nothing, and is played again
+// Guards against proxies that reach agreement in virtual time but not on real sockets.
+TEST(SocketFleet, Change_SettledFleet_IsActivated) {
+  constexpr int kRuns = 3;  // an inconclusive run is repeated
   benchmark::SocketFleetCost cost = benchmark::MeasureSocketFleet(SmallSocketFleet());
   for (int run = 1; run < kRuns && cost.is_inconclusive; ++run)
     cost = benchmark::MeasureSocketFleet(SmallSocketFleet());
-  ASSERT_FALSE(cost.is_inconclusive) << "nothing is shown: the loop was late by " << cost.longest_lag_ms
+  ASSERT_FALSE(cost.is_inconclusive) << "inconclusive: the event loop was late by " << cost.longest_lag_ms
                                      << " ms";
   ASSERT_TRUE(cost.settled);
   EXPECT_GT(cost.datagram_bytes_per_s, 300);
@@ -291,7 +310,8 @@
   EXPECT_LE(cost.activation_ms[0], 6000);
 }
 
-TEST(HollowFleet, ARunThatWasHeldUpIsVoid) {
+// Guards against counting a run as valid although its event loop was blocked.
+TEST(SocketFleet, Run_EventLoopBlocked_IsInconclusive) {
   benchmark::SocketFleetPlan plan = SmallSocketFleet();
   plan.loop_block_duration = 2 * benchmark::kMaxLoopLag;
   plan.changes = 0;
