--- a/src/testing/benchmark/heartbeats.cpp
+++ b/src/testing/benchmark/heartbeats.cpp
@@ -12,7 +12,8 @@
 constexpr double kMaxLatePeriods = 3, kLateIntervalPeriods = 6;
 constexpr double kSecondsPerHour = 3600;
 
-// All members send to all others once a period, each at a phase of its own. Times are in periods.
+// Every member sends one heartbeat per period to all others, at a random phase within the period. Times are
+// in periods.
 class HeartbeatSimulation {
  public:
   explicit HeartbeatSimulation(const HeartbeatPlan& plan)
@@ -51,7 +52,7 @@
 
   void DelayLateMembers(double now) {
     if (std::fmod(now, kLateIntervalPeriods) >= 1) return;
-    for (std::size_t i = 0; i < plan_.late; ++i)
+    for (std::size_t i = 0; i < plan_.late_members; ++i)
       late_until_[plan_.members - 1 - i] = now + kMaxLatePeriods * Draw();
   }
 
@@ -89,13 +90,13 @@
     for (const std::vector<double>& delays : detection_delays_) {
       if (delays.empty()) continue;
       const auto [first, last] = std::minmax_element(delays.begin(), delays.end());
-      result.detect.push_back(*first);
-      result.known_all.push_back(*last);
+      result.first_detection_periods.push_back(*first);
+      result.last_detection_periods.push_back(*last);
     }
     const double seconds = duration_ * plan_.period_s;
     result.false_failures_per_hour = static_cast<double>(false_failures_) * kSecondsPerHour / seconds;
     result.messages_per_s = static_cast<double>(sent_) / static_cast<double>(plan_.members) / seconds;
-    result.bytes_per_s = result.messages_per_s * plan_.bytes;
+    result.bytes_per_s = result.messages_per_s * plan_.heartbeat_bytes;
     return result;
   }
 
@@ -105,13 +106,13 @@
   std::vector<double> phase_, late_until_, crashed_at_;  // by member
   std::vector<std::vector<double>> last_heard_;          // by observer and subject
   std::vector<std::vector<bool>> declared_failed_;       // by observer and subject
-  std::vector<std::vector<double>> detection_delays_;    // by crashed member, of each observer
+  std::vector<std::vector<double>> detection_delays_;    // by crashed member, one entry per observer
   std::size_t crashed_ = 0;
   std::uint64_t false_failures_ = 0, sent_ = 0;
 };
 
 }  // namespace
 
-HeartbeatResult PlayHeartbeats(const HeartbeatPlan& plan) { return HeartbeatSimulation(plan).Run(); }
+HeartbeatResult SimulateHeartbeats(const HeartbeatPlan& plan) { return HeartbeatSimulation(plan).Run(); }
 
 }  // namespace lemoncroft::benchmark
--- a/src/testing/benchmark/main.cpp
+++ b/src/testing/benchmark/main.cpp
@@ -1,4 +1,5 @@
-// lemoncroft_measure: plays a measurement and prints its figures, the last line as one JSON object.
+// lemoncroft_measure: runs a benchmark and prints its results. The last line of the output is one JSON
+// object.
 #include <CLI/CLI.hpp>
 #include <cstdint>
 #include <cstdio>
@@ -28,10 +29,10 @@
           {"refused_while_waiting", r.rejected_waiting},
           {"failed", r.failed},
           {"estimates", r.estimates},
-          {"within_25", Share(r.within, r.estimates)},
-          {"within_25_first", Share(r.first_estimates_within, r.first_estimates)},
-          {"within_25_waited", Share(r.long_waits_within, r.long_waits)},
-          {"waited", r.long_waits},
+          {"within_25", Share(r.accurate_estimates, r.estimates)},
+          {"within_25_first", Share(r.accurate_first_estimates, r.first_estimates)},
+          {"within_25_waited", Share(r.accurate_long_wait_estimates, r.long_wait_estimates)},
+          {"waited", r.long_wait_estimates},
           {"past_give_up", r.past_deadline},
           {"share_error", r.share_error},
           {"shared_seconds", r.shared_seconds},
@@ -93,7 +94,7 @@
   std::printf("%s\n", out.dump().c_str());
 }
 
-// What the sub-commands share.
+// Options that several subcommands share.
 struct CommonOptions {
   std::uint64_t seed = 1;
   bool json = false;
@@ -101,11 +102,11 @@
 };
 
 void AddCommonOptions(CLI::App& command, CommonOptions& options) {
-  command.add_option("--seed", options.seed, "of all that is drawn")->capture_default_str();
+  command.add_option("--seed", options.seed, "seed of the random number generators")->capture_default_str();
 }
 
 void AddOutputOption(CLI::App& command, CommonOptions& options) {
-  command.add_flag("--json", options.json, "the JSON object alone");
+  command.add_flag("--json", options.json, "print only the JSON object");
 }
 
 std::string FaultTestProgram(const char* own_path) {
@@ -113,9 +114,10 @@
 }
 
 void AddWaiting(CLI::App& app, CommonOptions& options, double& seconds) {
-  CLI::App* command = app.add_subcommand("waiting", "replay a day's load ahead of the admission queue");
+  CLI::App* command =
+      app.add_subcommand("waiting", "admission queue: replay a day's load and measure the cost per request");
   AddCommonOptions(*command, options);
-  command->add_option("--seconds", seconds, "of the replay")
+  command->add_option("--seconds", seconds, "duration of the replayed day")
       ->capture_default_str()
       ->check(CLI::Range(60, 7200));
   AddOutputOption(*command, options);
@@ -123,38 +125,41 @@
 }
 
 void AddPeers(CLI::App& app, CommonOptions& options, const std::string& fault_test_program) {
-  CLI::App* command =
-      app.add_subcommand("peers", "the view of the fleet, in virtual time and on real processes");
+  CLI::App* command = app.add_subcommand(
+      "peers", "membership: failure detection and traffic, in virtual time and on real processes");
   AddCommonOptions(*command, options);
-  command->add_flag("--virtual", options.virtual_only, "no real processes");
+  command->add_flag("--virtual", options.virtual_only, "skip the fault tests on real processes");
   AddOutputOption(*command, options);
   command->callback([&] {
-    RunPeers({.seed = options.seed, .real = !options.virtual_only, .trial = fault_test_program},
+    RunPeers({.seed = options.seed,
+              .run_fault_tests = !options.virtual_only,
+              .fault_test_program = fault_test_program},
              options.json);
   });
 }
 
-void AddAgreement(CLI::App& app, CommonOptions& options, std::uint64_t& states,
+void AddAgreement(CLI::App& app, CommonOptions& options, std::uint64_t& max_states,
                   const std::string& fault_test_program) {
-  CLI::App* command = app.add_subcommand("agreement", "the rules that a fleet agrees on");
+  CLI::App* command =
+      app.add_subcommand("agreement", "replicated configuration: fault tests, state search and crash tests");
   AddCommonOptions(*command, options);
-  command->add_option("--states", states, "that are searched")->capture_default_str();
-  command->add_flag("--virtual", options.virtual_only, "no real processes");
+  command->add_option("--states", max_states, "upper limit of each state search")->capture_default_str();
+  command->add_flag("--virtual", options.virtual_only, "skip the fault tests on real processes");
   AddOutputOption(*command, options);
   command->callback([&] {
     Print(lemoncroft::benchmark::MeasureAgreement({.seed = options.seed,
-                                                   .real = !options.virtual_only,
-                                                   .trial = fault_test_program,
-                                                   .states = states}),
+                                                   .run_fault_tests = !options.virtual_only,
+                                                   .fault_test_program = fault_test_program,
+                                                   .max_states = max_states}),
           options.json);
   });
 }
 
 void AddScale(CLI::App& app, CommonOptions& options, std::size_t& max_members) {
-  CLI::App* command = app.add_subcommand("scale", "what control costs a fleet of up to 4,000 proxies");
+  CLI::App* command = app.add_subcommand("scale", "control plane: cost in fleets of up to 4,000 proxies");
   AddCommonOptions(*command, options);
-  command->add_option("--most", max_members, "members of the largest fleet")->capture_default_str();
-  command->add_flag("--virtual", options.virtual_only, "no sockets");
+  command->add_option("--most", max_members, "size of the largest fleet")->capture_default_str();
+  command->add_flag("--virtual", options.virtual_only, "skip the runs on sockets");
   AddOutputOption(*command, options);
   command->callback([&] {
     Print(lemoncroft::benchmark::MeasureScale(
@@ -166,16 +171,16 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Measurements of lemoncroft", "lemoncroft_measure");
+  CLI::App app("Benchmarks of lemoncroft", "lemoncroft_measure");
   app.require_subcommand(1);
   const std::string fault_test_program = FaultTestProgram(argv[0]);
   CommonOptions options;
   double replay_seconds = 1200;
-  std::uint64_t states = lemoncroft::benchmark::AgreementPlan().states;
+  std::uint64_t max_states = lemoncroft::benchmark::AgreementPlan().max_states;
   std::size_t max_members = lemoncroft::benchmark::ScalePlan().max_members;
   AddWaiting(app, options, replay_seconds);
   AddPeers(app, options, fault_test_program);
-  AddAgreement(app, options, states, fault_test_program);
+  AddAgreement(app, options, max_states, fault_test_program);
   AddScale(app, options, max_members);
   CLI11_PARSE(app, argc, argv);
   return 0;
