--- a/src/backend/attempt.h
+++ b/src/backend/attempt.h
@@ -16,8 +16,8 @@
   // The query is abandoned at this time at the latest. The end of an exclusive attempt may be reported later,
   // once its cancellation is confirmed.
   runtime::Time deadline{};
-  // The statement must not be sent after this time: the engine would execute a repeat of it once the repeat
-  // window has passed.
+  // The statement must not be sent after this time. Set if an earlier attempt may have been executed: once
+  // the repeat window has passed, the engine would execute the statement a second time.
   runtime::Time not_after = runtime::kNever;
   double grant_mb = 0;  // memory grant; 0: the engine chooses
   int priority = 1;
--- a/src/backend/connection_pool.h
+++ b/src/backend/connection_pool.h
@@ -1,8 +1,8 @@
 // A pool of HTTP connections to the engines, which are reused between calls.
 //
-// The pool is keyed by engine id and incarnation, not by address, because a new engine may have the address
-// of an engine that has left. Connections to an incarnation that has ended are closed when they are
-// returned.
+// The pool is keyed by engine id, not by address, because a new engine may have the address of an engine that
+// has left. A connection to an incarnation that has ended is closed when it is returned; CloseIdle must be
+// called to close the idle ones.
 //
 // Engines owns and uses the pool; the code that assembles the proxy changes its limits. Every
 // PooledConnection must be destroyed before the pool. The pool is not thread-safe; it is used on the event
--- a/src/backend/engines.cpp
+++ b/src/backend/engines.cpp
@@ -65,16 +65,17 @@
 
 }  // namespace
 
-// An attempt in progress.
+// The state of an attempt in progress and of its query at the engine.
 struct Engines::Query {
   const Attempt& attempt;
   runtime::Cancellation& cancel;
   PooledConnection connection;
   codec::HttpResponse response;  // the newest
   Result result;
-  bool lost_response = false;      // a response was lost or damaged: the engine may or may not know the query
-  bool done = false;               // the engine has reported that the query is done
-  runtime::Time last_call_time{};  // the last time at which a call that keeps the query running was in flight
+  bool lost_response = false;  // a response was lost or damaged: the engine may or may not know the query
+  bool done = false;           // the engine has reported that the query is done
+  // When the submission began or failed, or the newest poll ended. kEngineAbandonTimeout counts from here.
+  runtime::Time last_call_time{};
 
   const std::string& request_id() const { return attempt.forwarded->request_id; }
   // Returns the end of `timeout` from now, or the attempt's deadline if that is earlier.
@@ -158,7 +159,6 @@
   }
 }
 
-// This process may have been stopped, since the request was submitted, for longer than its lease is valid.
 bool Engines::LeasePermits(const Attempt& attempt) const {
   return lease_fence_ == nullptr || lease_fence_->PermitAndRecordSend(attempt.forwarded->class_name,
                                                                       attempt.engine, attempt.may_have_run);
--- a/src/backend/engines.h
+++ b/src/backend/engines.h
@@ -78,6 +78,8 @@
   runtime::Task<> CancelIfRunning(Query& query, Outcome outcome);
   // Cancels a query and returns when it is certain that it no longer runs.
   runtime::Task<> CancelAndConfirm(Query& query);
+  // Checks the lease immediately before the send, and records the send if it is permitted. An earlier check
+  // is not enough: since then, this process may have been stopped for longer than its lease is valid.
   bool LeasePermits(const Attempt& attempt) const;
   void StoreLoadReport(Query& query) const;
   // Receives and discards a pending response, so that the connection can be reused.
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -80,7 +80,8 @@
 
   // Rejects all requests that are submitted from now on, because the process is about to exit.
   void RejectNewRequests() { rejects_new_requests_ = true; }
-  // Makes the decision module end all open requests in its next step.
+  // Makes the decision module reject or fail, in its next step, all open requests that were passed to it.
+  // Requests that wait in the admission queue are not affected.
   void CompleteAllRequests() { module_host_.Post(Shutdown{}); }
 
   // Returns the classes and tenants of active requests, which a change of settings must retain.
--- a/src/broker/module_host.cpp
+++ b/src/broker/module_host.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Events and actions are logged at level trace, one per line. Tests compare these lines with a stored trace,
-// so that the texts are fixed.
+// Logs the main events and actions at level trace, one per line. A test compares these lines with a stored
+// trace, so their texts must not change.
 void Trace(const Event& event) {
   std::visit(Overloaded{
                  [](const EngineList& list) {
--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -179,8 +179,8 @@
   Respond(request.class_name(), *request.sink, response);
 }
 
-// The estimate of the admission queue, if enabled, is more accurate than the longest wait that the settings
-// allow.
+// The decision module sends either no retry-after (0), which is kept, or the longest that the settings allow.
+// The admission queue, if enabled, replaces the latter by its estimate, which is more accurate.
 Duration Broker::RetryAfter(const ActiveRequest& request, const RejectRequest& reject) {
   if (!queue_ || reject.retry_after <= 0) return ToDuration(reject.retry_after);
   return queue_->RetryAfter(request.client_request.tenant, request.client_request.class_id);
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -18,8 +18,9 @@
 constexpr std::uint16_t kMaxNumber = std::numeric_limits<std::uint16_t>::max();
 constexpr std::size_t kMaxUnlistedNames = 1024;  // further names share a single number
 
-// When an engine is returned to service, this process writes a file. The modification time of the file may be
-// later than the return by up to this duration.
+// A process that returns an engine to service records this in a file, from which it later imports the return
+// like those of other processes. The modification time of the file may be later than the return by up to this
+// duration; such a time does not count as a further return, which would end the incarnation again.
 constexpr Nanos kFileTimeTolerance = 1'000'000'000;
 
 std::string TextOr(const Json& json, const std::string& absent) {
@@ -34,7 +35,8 @@
 }  // namespace
 
 // The decision module ranks engines by id, so ids must be the same in every proxy and after every restart.
-// Therefore an id is the FNV-1a hash of the name. On a collision, the later name gets the next free id.
+// Therefore an id is the FNV-1a hash of the name. On a collision, the later name gets the next free id; only
+// then may the id depend on the order of arrival, and differ between proxies.
 EngineId EndpointDirectory::IdOf(const std::string& name) {
   if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
   EngineId id = 2166136261u;
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -2,9 +2,9 @@
 // combined with the manual ejections by operators.
 //
 // Does no I/O; passes every change of the list to a callback, as the update for the decision module. A manual
-// ejection applies to the engine's id, regardless of what the feed announces. Used on the event loop's
-// thread. Times are nanoseconds of Unix time (Nanos). Entries of the feed that cannot be used are logged and
-// skipped; an engine in an unknown state gets no new requests.
+// ejection applies to the engine's name, regardless of what the feed announces. Used on the event loop's
+// thread. Times in updates are nanoseconds of Unix time (Nanos). Entries of the feed that cannot be used are
+// logged and skipped; an engine in an unknown state gets no new requests.
 #ifndef LEMONCROFT_DISCOVERY_ENDPOINT_DIRECTORY_H_
 #define LEMONCROFT_DISCOVERY_ENDPOINT_DIRECTORY_H_
 
@@ -38,7 +38,7 @@
 // The result of a manual ejection or return to service.
 enum class ManualEjectionResult {
   kDone,
-  kUnknownEngine,  // no engine has this id, listed or ejected
+  kUnknownEngine,  // no listed or ejected engine has this name
   kTooMany,        // kMaxEjectedEngines are already ejected
 };
 
@@ -109,7 +109,7 @@
   std::map<EngineId, Endpoint> endpoints_;
   std::set<std::string> manually_ejected_;               // may contain engines that are not listed
   std::map<std::string, std::uint16_t> unlisted_names_;  // zones and kinds that the settings don't list
-  std::map<std::string, Nanos> returned_at_;             // return to service of listed engines
+  std::map<std::string, Nanos> returned_at_;  // last return to service; may contain unlisted engines
   std::int64_t last_revision_ = 0;
   std::uint64_t last_incarnation_ = 0;
   bool has_complete_list_ = false;
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -2,7 +2,7 @@
 //
 // Runs as a single coroutine (Run) on the event loop's thread. Updates are passed to the callback in the
 // order of the feed. A lost or silent connection is replaced after a backoff with jitter. A document that
-// cannot be read is logged and requested again.
+// cannot be used is requested again on a new connection; only a JSON error is logged.
 #ifndef LEMONCROFT_DISCOVERY_ENDPOINT_WATCH_H_
 #define LEMONCROFT_DISCOVERY_ENDPOINT_WATCH_H_
 
--- a/src/operator_config/fields.h
+++ b/src/operator_config/fields.h
@@ -2,7 +2,7 @@
 // reported together. Also used for documents of the replicated configuration and for the scripts of the fault
 // test.
 //
-// Pure functions, apart from recording faults. On a fault, the output parameter keeps its value.
+// Pure functions, apart from recording faults. The Read functions leave `out` unchanged on a fault.
 #ifndef LEMONCROFT_OPERATOR_CONFIG_FIELDS_H_
 #define LEMONCROFT_OPERATOR_CONFIG_FIELDS_H_
 
@@ -49,7 +49,8 @@
 void ReadBlock(const std::vector<codec::KdlNode>& nodes, const NodeReaders& readers,
                const std::vector<std::string>& repeatable, Faults& faults);
 
-// Parses a number with its unit (us, ms, s, m, h), such as "250ms". Returns false for any other text.
+// Parses a number with its unit (us, ms, s, m, h), such as "250ms". Returns false for any other text; `out`
+// is then unspecified.
 [[nodiscard]] bool ParseDuration(const std::string& text, admission_queue::Duration& out);
 
 }  // namespace lemoncroft::operator_config
--- a/src/operator_config/fleet_block.cpp
+++ b/src/operator_config/fleet_block.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t kMaxListenAddresses = 2;  // one of a process, one of its successor in a hot restart
 constexpr std::size_t kMaxSeeds = 64;
 constexpr double kMaxMembers = 8192;
-// The number of probe intervals for which failed members are retained. A suspicion and its refutation take
-// several.
+// Failed members must be retained for at least this many probe intervals, because a suspicion and its
+// refutation take several.
 constexpr int kMinRetentionIntervals = 40;
 
 std::vector<gossip::PeerAddress> ReadPeerAddresses(const KdlNode& node, std::size_t max, Faults& faults) {
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -4,7 +4,7 @@
 //
 // Plain values; the only I/O is to read the file. Times are durations; cores and threads are counts.
 // OperatorError reports all faults of a file at once: unknown keys, values of the wrong kind, times without a
-// unit, contradictions.
+// unit, contradictions; if the file is not valid KDL, only the first syntax error.
 #ifndef LEMONCROFT_OPERATOR_CONFIG_OPERATOR_FILE_H_
 #define LEMONCROFT_OPERATOR_CONFIG_OPERATOR_FILE_H_
 
--- a/src/settings/migration.h
+++ b/src/settings/migration.h
@@ -26,14 +26,15 @@
   std::vector<int> inherits_estimates_from;
 };
 
-// Renumbers the classes, tenants, kinds and zones of `to`. A class with the same name and values keeps its
-// number, and so do kinds and zones. Classes and tenants in `referenced` keep their number and their old
-// values until no request refers to them. Numbers without a reference are reused.
+// Renumbers the classes, tenants, kinds and zones of `to`. A class keeps its number if its name and values
+// are unchanged; tenants, kinds and zones keep theirs if the name is unchanged. A class in `referenced` that
+// was removed or changed keeps its old number and values, next to the new ones, and so does a removed tenant.
+// Other numbers of classes and tenants are reused; those of kinds and zones never are.
 [[nodiscard]] Migration MigrateSettings(const Site& from, const Site& to,
                                         const ReferencedNumbers& referenced);
 
-// Returns the settings without retired classes and tenants, which are those that were removed while requests
-// in flight still refer to them.
+// Returns the settings without numbers that have no name: those of retired classes and tenants (removed or,
+// for a class, changed while requests in flight still refer to them) and unused ones.
 [[nodiscard]] Site RemoveRetired(const Site& site);
 
 // Returns true if the settings contain numbers of retired classes or tenants, or unused numbers.
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -2,8 +2,7 @@
 // flattens its JSON configuration to it, so that the decision module gets the same settings from both.
 //
 // Does no I/O and reads no clock. ActiveSettings is used only on the event loop's thread. The keys in
-// docs/settings.md include the units of their values. Invalid input throws SettingsError, which names the
-// path of the value.
+// docs/settings.md include the units of their values. Invalid input throws SettingsError.
 #ifndef LEMONCROFT_SETTINGS_SETTINGS_H_
 #define LEMONCROFT_SETTINGS_SETTINGS_H_
 
@@ -23,7 +22,8 @@
 
 namespace lemoncroft::settings {
 
-// A text or value that cannot be parsed. what() names the path of the value.
+// Settings that cannot be used. what() names the path of the value or, for text that is not path=value, the
+// line. An error of a migration that lacks numbers names neither.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -48,6 +48,7 @@
   const std::map<std::string, std::string>& all() const { return values_; }
   std::string Text(const std::string& key) const;
   double Number(const std::string& key, double absent = 0) const;
+  // Returns a duration.
   Nanos Time(const std::string& key) const;
   // Returns a count or an index. It is bounded, so that a wrong value can't cause unbounded work.
   int Count(const std::string& key, int absent = 0) const;
@@ -79,11 +80,11 @@
 // The settings of a site: those of the decision module, and those that only its host uses.
 struct Site {
   Settings module;  // of the decision module
-  // Names by number. An empty name stands for a class or tenant that was removed and still has requests in
-  // flight, or for an unused number.
+  // Names by number. An empty name stands for an unused number, or for a retired class or tenant: one that
+  // was removed or, for a class, changed while requests in flight still refer to it.
   std::vector<std::string> classes, tenants, zones, kinds;
   std::vector<std::string> report_fields;  // names of Settings::report_fields, in the same order
-  Nanos response_slack = 0;                // read and checked, but without effect
+  Nanos response_slack = 0;                // parsed, but without effect
   Nanos keepalive = 0;                     // idle time after which engines close connections; 0: 5 s
   std::size_t shortest_class_list = 0;     // length of the shortest of the lists with a value for each class
   int max_open_requests = 0;               // maximum number of requests in flight; 0: not specified
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -2,7 +2,7 @@
 // module's interface.
 //
 // Does no I/O. The simulator sends batches of events for many instances of the module, and gets one reply of
-// actions for each batch. Invalid input throws WireError, which describes the error and its byte offset.
+// actions for each batch. Invalid input throws WireError.
 #ifndef LEMONCROFT_SIMULATOR_ADAPTER_WIRE_H_
 #define LEMONCROFT_SIMULATOR_ADAPTER_WIRE_H_
 
@@ -22,7 +22,8 @@
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
 inline constexpr std::size_t kMaxPages = 16;
 
-// An invalid frame or settings text. what() describes the error and its position.
+// An invalid batch or settings text, or a failed read or write. Errors of a field or record end in "at byte
+// N", counted from the start of the header, of the body or, in a page, of its entries.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -197,6 +197,7 @@
   }
 }
 
+// The module never overlaps attempts, whether or not hedging is allowed.
 TEST(SettingsEffect, AttemptsOfRequest_NeverOverlap) {
   for (const bool allowed : {false, true}) {
     Settings settings = DefaultSettings();
@@ -238,8 +239,7 @@
   }
 }
 
-// Requests of a class were never sent if no engine had enough cores for their threads. An idle engine must
-// accept them nevertheless.
+// A query with more threads than any engine has cores must still be sent to an idle engine.
 TEST(SettingsEffect, QueryWithMoreThreadsThanCoresOfAnyEngine_IsServed) {
   for (const std::vector<KindSettings>& kinds :
        {std::vector<KindSettings>{{2, 16384}}, std::vector<KindSettings>{}}) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -256,7 +256,8 @@
   EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 7)).site.module.classes[1].latency_objective, 7);
 }
 
-// With too few cores, an engine would never be sent a query that uses more threads.
+// A kind without a value must not be taken as having no cores: the number of cores limits the load that an
+// engine is sent.
 TEST(Settings, KindWithoutCores_GetsFewestCoresOfOtherKinds) {
   const auto cores = [](const json& setting) {
     std::vector<double> out;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -132,6 +132,7 @@
 }
 
 TEST(ReplyWriter, ExampleOfTheProtocol_IsEncodedExactly) {
+  // The length in the example, 0x40, is replaced: its records have 0x42 bytes.
   ReplyWriter reply;
   reply.Add(3, {Send{0x0003fcd55d3a91c4, 0x03124a07, 0x04c4b400}, WakeAt{0x213362490, 0x4d}});
   reply.Add(5, {LogLine{"two servers unknown"}});
