--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -35,7 +35,7 @@
 }
 
 // Cancelled requests are not counted here but where the client cancels.
-metrics::RequestResult MetricsEndOf(ResponseStatus status) {
+metrics::RequestResult RequestResultOf(ResponseStatus status) {
   switch (status) {
     case ResponseStatus::kServed:
       return metrics::RequestResult::kServed;
@@ -171,7 +171,7 @@
 
 void Broker::Respond(const std::string& class_name, request::ResponseSink& sink,
                      const request::Response& response) {
-  counters_.CountEnded(class_name, MetricsEndOf(response.status));
+  counters_.CountEnded(class_name, RequestResultOf(response.status));
   sink.Complete(response);
 }
 
--- a/src/operator_config/admission_queue_block.cpp
+++ b/src/operator_config/admission_queue_block.cpp
@@ -16,7 +16,7 @@
 constexpr double kMaxCores = 1e6;
 constexpr double kMaxThreads = 1e7;
 constexpr double kMaxWaiting = 2e6;
-constexpr double kMinLevel = 0.1, kMaxLevel = 16;  // threads of heavy classes per core
+constexpr double kMinHeavyThreadsPerCore = 0.1, kMaxHeavyThreadsPerCore = 16;
 constexpr double kMinPriorityWeight = 1e-6, kMaxPriorityWeight = 1e6;
 
 // Returns the index in `names` of the name that is the only argument of a node; the node may have children.
@@ -146,8 +146,11 @@
   };
   const NodeReaders readers = {
       {keys::queue::kAgeing, [&](const KdlNode& n) { ReadDuration(n, 0s, 24h, queue.ageing, faults); }},
-      {keys::queue::kConcurrencyLevel,
-       [&](const KdlNode& n) { ReadNumber(n, kMinLevel, kMaxLevel, queue.heavy_threads_per_core, faults); }},
+      {keys::queue::kHeavyThreadsPerCore,
+       [&](const KdlNode& n) {
+         ReadNumber(n, kMinHeavyThreadsPerCore, kMaxHeavyThreadsPerCore, queue.heavy_threads_per_core,
+                    faults);
+       }},
       {keys::queue::kMaxWaiting,
        [&](const KdlNode& n) { ReadCount(n, kMaxWaiting, queue.max_waiting, faults); }},
       {keys::queue::kReportEstimates, [&](const KdlNode& n) { ReadFlag(n, out.report_estimates, faults); }},
--- a/src/operator_config/operator_keys.h
+++ b/src/operator_config/operator_keys.h
@@ -13,7 +13,7 @@
 // The admission queue; see docs/operating-waiting.md.
 namespace queue {
 inline constexpr const char* kAgeing = "ageing";
-inline constexpr const char* kConcurrencyLevel = "level";
+inline constexpr const char* kHeavyThreadsPerCore = "level";
 inline constexpr const char* kMaxWaiting = "most";
 inline constexpr const char* kReportEstimates = "tell-clients";
 inline constexpr const char* kStateFile = "state";
--- a/src/settings/migration.cpp
+++ b/src/settings/migration.cpp
@@ -21,11 +21,11 @@
   return numbers;
 }
 
-// Appends the names of `added` that `all` lacks. Returns the number in `all` of each name of `added`.
-Numbers AppendMissing(Names& all, const Names& added) {
+// Appends the names of `new_names` that `all` lacks. Returns the number in `all` of each name of `new_names`.
+Numbers AppendMissing(Names& all, const Names& new_names) {
   Numbers numbers;
   auto known = NumberByName(all);
-  for (const std::string& name : added) {
+  for (const std::string& name : new_names) {
     const auto [it, is_new] = known.try_emplace(name, all.size());
     if (is_new) all.push_back(name);
     numbers.push_back(static_cast<std::uint16_t>(it->second));
@@ -42,17 +42,17 @@
   }
 }
 
-// Assigns a number to each name of `added`: its former number if `is_same` returns true, otherwise the lowest
-// number that is neither assigned nor referenced. `names` contains the former names on entry and the new
-// names on return; a number without a new name has an empty one.
-Numbers AssignNumbers(Names& names, const Names& added, const std::set<std::uint16_t>& referenced,
-                      const std::function<bool(std::size_t former, std::size_t added)>& is_same) {
+// Assigns a number to each name of `new_names`: its former number if `is_same` returns true, otherwise the
+// lowest number that is neither assigned nor referenced. `names` contains the former names on entry and the
+// new names on return; a number without a new name has an empty one.
+Numbers AssignNumbers(Names& names, const Names& new_names, const std::set<std::uint16_t>& referenced,
+                      const std::function<bool(std::size_t former_index, std::size_t new_index)>& is_same) {
   const auto former_numbers = NumberByName(names);
   std::vector<bool> assigned(names.size());
-  Numbers numbers(added.size());
+  Numbers numbers(new_names.size());
   std::vector<std::size_t> without_number;
-  for (std::size_t i = 0; i < added.size(); ++i) {
-    const auto it = former_numbers.find(added[i]);
+  for (std::size_t i = 0; i < new_names.size(); ++i) {
+    const auto it = former_numbers.find(new_names[i]);
     const std::size_t former = it == former_numbers.end() ? names.size() : it->second;
     if (former < names.size() && !assigned[former] && is_same(former, i)) {
       assigned[former] = true;
@@ -76,7 +76,7 @@
   while (size > 0 && !assigned[size - 1] && !is_referenced(size - 1)) --size;
   if (size > kMaxClassesOrTenants) throw SettingsError("too many classes or tenants");
   names.assign(size, "");
-  for (std::size_t i = 0; i < added.size(); ++i) names[numbers[i]] = added[i];
+  for (std::size_t i = 0; i < new_names.size(); ++i) names[numbers[i]] = new_names[i];
   return numbers;
 }
 
@@ -102,16 +102,17 @@
                     const ZoneAndKindNumbers& new_numbers, Migration& migration) {
   Site& site = migration.site;
   std::vector<int>& inherits_from = migration.inherits_estimates_from;
-  std::vector<ClassSettings> added = to.module.classes;
-  for (ClassSettings& settings : added) {
+  std::vector<ClassSettings> new_classes = to.module.classes;
+  for (ClassSettings& settings : new_classes) {
     Renumber(settings.zones, new_numbers.zones);
     Renumber(settings.kinds, new_numbers.kinds);
   }
   const auto& former = from.module.classes;
   site.classes = from.classes;
-  const Numbers numbers = AssignNumbers(
-      site.classes, to.classes, referenced.classes,
-      [&](std::size_t from_index, std::size_t to_index) { return former[from_index] == added[to_index]; });
+  const Numbers numbers = AssignNumbers(site.classes, to.classes, referenced.classes,
+                                        [&](std::size_t from_index, std::size_t to_index) {
+                                          return former[from_index] == new_classes[to_index];
+                                        });
   site.module.classes.assign(site.classes.size(), ClassSettings());
   inherits_from.assign(site.classes.size(), -1);
   for (const std::uint16_t number : referenced.classes) {
@@ -121,7 +122,7 @@
   }
   const auto former_numbers = NumberByName(from.classes);
   for (std::size_t i = 0; i < numbers.size(); ++i) {
-    site.module.classes[numbers[i]] = added[i];
+    site.module.classes[numbers[i]] = new_classes[i];
     const auto it = former_numbers.find(to.classes[i]);
     inherits_from[numbers[i]] = it == former_numbers.end() ? -1 : static_cast<int>(it->second);
   }
--- a/src/simulator_adapter/record_codes.h
+++ b/src/simulator_adapter/record_codes.h
@@ -8,7 +8,7 @@
 namespace lemoncroft::simulator_adapter {
 
 // Records of a batch, from the simulator.
-enum class EventCode : std::uint8_t {
+enum class BatchRecordCode : std::uint8_t {
   kStart = 1,
   kEngineList = 2,
   kRequest = 3,
@@ -25,7 +25,7 @@
 };
 
 // Records of a reply, to the simulator.
-enum class ActionCode : std::uint8_t {
+enum class ReplyRecordCode : std::uint8_t {
   kSend = 1,
   kReject = 2,
   kFail = 3,
--- a/src/simulator_adapter/reply_writer.cpp
+++ b/src/simulator_adapter/reply_writer.cpp
@@ -25,48 +25,48 @@
 // Appends the record of an action.
 struct ActionWriter {
   std::string& out;
-  void PutCode(ActionCode code) const { Put(out, static_cast<std::uint8_t>(code)); }
+  void PutCode(ReplyRecordCode code) const { Put(out, static_cast<std::uint8_t>(code)); }
   void operator()(const ResourceGrant& a) const {
-    PutCode(ActionCode::kResourceGrant);
+    PutCode(ReplyRecordCode::kResourceGrant);
     Put(out, a.id);
     Put(out, static_cast<std::uint8_t>(a.priority));
     Put(out, std::bit_cast<std::uint32_t>(static_cast<float>(a.grant_mb)));
   }
   void operator()(const Send& a) const {
-    PutCode(ActionCode::kSend);
+    PutCode(ReplyRecordCode::kSend);
     Put(out, a.id);
     Put(out, a.engine);
     Put(out, a.timeout);
   }
   void operator()(const Cancel& a) const {
-    PutCode(ActionCode::kCancel);
+    PutCode(ReplyRecordCode::kCancel);
     Put(out, a.id);
     Put(out, static_cast<std::uint16_t>(a.attempt));
   }
   void operator()(const RejectRequest& a) const {
-    PutCode(ActionCode::kReject);
+    PutCode(ReplyRecordCode::kReject);
     Put(out, a.id);
     Put(out, a.retry_after);
   }
   void operator()(const FailRequest& a) const {
-    PutCode(ActionCode::kFail);
+    PutCode(ReplyRecordCode::kFail);
     Put(out, a.id);
   }
   void operator()(const WakeAt& a) const {
-    PutCode(ActionCode::kWakeAt);
+    PutCode(ReplyRecordCode::kWakeAt);
     Put(out, a.at);
     Put(out, a.token);
   }
   void operator()(const Probe& a) const {
-    PutCode(ActionCode::kProbe);
+    PutCode(ReplyRecordCode::kProbe);
     Put(out, a.engine);
   }
   void operator()(const WatchEngineList& a) const {
-    PutCode(ActionCode::kWatchList);
+    PutCode(ReplyRecordCode::kWatchList);
     Put(out, static_cast<std::uint8_t>(a.on));
   }
   void operator()(const LogLine& a) const {
-    PutCode(ActionCode::kLogLine);
+    PutCode(ReplyRecordCode::kLogLine);
     PutText(out, a.text);
   }
 };
@@ -80,7 +80,7 @@
 
 void ReplyWriter::Add(std::uint16_t instance, const std::vector<Action>& actions) {
   if (actions.empty()) return;
-  Put(bytes_, static_cast<std::uint8_t>(ActionCode::kInstance));
+  Put(bytes_, static_cast<std::uint8_t>(ReplyRecordCode::kInstance));
   Put(bytes_, instance);
   records_ += static_cast<std::uint32_t>(actions.size()) + 1;
   for (const Action& action : actions) std::visit(ActionWriter{bytes_}, action);
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -22,7 +22,7 @@
   throw WireError(what + " at byte " + std::to_string(at));
 }
 
-// Reads big-endian fields from a frame with bounds checks. `what` names the field in errors.
+// Reads big-endian fields from a batch with bounds checks. `what` names the field in errors.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -217,36 +217,36 @@
   void DecodeRecord() {
     const std::size_t at = in_.at();
     const auto code = in_.Int<std::uint8_t>("record code");
-    switch (static_cast<EventCode>(code)) {
-      case EventCode::kInstance:
+    switch (static_cast<BatchRecordCode>(code)) {
+      case BatchRecordCode::kInstance:
         return SelectInstance();
-      case EventCode::kStart:
+      case BatchRecordCode::kStart:
         return StartInstance(at);
-      case EventCode::kStop:
+      case BatchRecordCode::kStop:
         return StopInstance(at);
-      case EventCode::kPage:
+      case BatchRecordCode::kPage:
         return ReadPage(at);
-      case EventCode::kEngineList:
+      case BatchRecordCode::kEngineList:
         return AddEvent(ReadEngineList(in_, pages_, at), at);
-      case EventCode::kRequest:
+      case BatchRecordCode::kRequest:
         Current(at).events.emplace_back(ReadRequest(in_));
         return;
-      case EventCode::kStreamStarted:
+      case BatchRecordCode::kStreamStarted:
         return AddEvent(ReadStreamStarted(in_), at);
-      case EventCode::kAttemptEnded:
+      case BatchRecordCode::kAttemptEnded:
         Current(at).events.emplace_back(ReadAttemptEnded(in_));
         return;
-      case EventCode::kRequestCancelled:
+      case BatchRecordCode::kRequestCancelled:
         Current(at).events.emplace_back(RequestCancelled{in_.Int<std::uint64_t>("req")});
         return;
-      case EventCode::kTimerFired:
+      case BatchRecordCode::kTimerFired:
         Current(at).events.emplace_back(TimerFired{in_.Int<std::uint64_t>("keyBack")});
         return;
-      case EventCode::kProbeEnded:
+      case BatchRecordCode::kProbeEnded:
         return AddEvent(ReadProbeEnded(in_), at);
-      case EventCode::kPeerMessage:
+      case BatchRecordCode::kPeerMessage:
         return AddEvent(ReadPeerMessage(in_), at);
-      case EventCode::kProgressNotice:
+      case BatchRecordCode::kProgressNotice:
         return AddEvent(ReadProgressNotice(in_, at), at);
     }
     ThrowWireError("unknown record code " + std::to_string(code), at);
@@ -322,7 +322,7 @@
   out.length = in.Int<std::uint32_t>("batch length");
   out.records = in.Int<std::uint32_t>("record count");
   out.now = in.Time("clock");
-  if (out.length > kMaxFrameBytes)
+  if (out.length > kMaxBatchBytes)
     ThrowWireError("batch length out of range " + std::to_string(out.length), 0);
   if (out.records > out.length) ThrowWireError("record count out of range " + std::to_string(out.records), 4);
   return out;
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -19,7 +19,7 @@
 namespace lemoncroft::simulator_adapter {
 
 inline constexpr std::size_t kBatchHeaderBytes = 16;
-inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
+inline constexpr std::size_t kMaxBatchBytes = std::size_t{1} << 30;
 inline constexpr std::size_t kMaxPages = 16;
 
 // An invalid batch or settings text, or a failed read or write. Errors of a field or record end in "at byte
