--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -52,7 +52,7 @@
 std::uint16_t EndpointDirectory::NumberOf(const std::string& name, const std::vector<std::string>& names,
                                           const char* what) {
   if (name.empty() && names.size() <= 1) return 0;  // not announced, and at most one name is listed
-  const auto it = std::find(names.begin(), names.end(), settings::ListItem(name));
+  const auto it = std::find(names.begin(), names.end(), settings::ToListItem(name));
   if (it != names.end()) return static_cast<std::uint16_t>(it - names.begin());
   if (unlisted_names_.size() >= kMaxUnlistedNames && !unlisted_names_.contains(name))
     return static_cast<std::uint16_t>(kMaxNumber - kMaxUnlistedNames);
@@ -182,20 +182,20 @@
     on_update({ListKind::kChange, std::make_shared<const std::vector<EngineEntry>>(std::move(entries))});
 }
 
-void EndpointDirectory::ApplyEjections(EngineEntry& entry, const std::string& id) const {
-  if (manually_ejected_.contains(id)) entry.readiness = Readiness::kExcluded;
-  if (const auto it = returned_at_.find(id); it != returned_at_.end())
+void EndpointDirectory::ApplyEjections(EngineEntry& entry, const std::string& name) const {
+  if (manually_ejected_.contains(name)) entry.readiness = Readiness::kExcluded;
+  if (const auto it = returned_at_.find(name); it != returned_at_.end())
     entry.started_at = std::max(entry.started_at, it->second);
 }
 
-void EndpointDirectory::PublishEndpoint(const std::string& id, bool returned_to_service,
+void EndpointDirectory::PublishEndpoint(const std::string& name, bool returned_to_service,
                                         const UpdateCallback& on_update) {
-  const auto known = ids_.find(id);
+  const auto known = ids_.find(name);
   const auto it = known == ids_.end() ? endpoints_.end() : endpoints_.find(known->second);
   if (it == endpoints_.end()) return;
   Endpoint& endpoint = it->second;
   endpoint.effective = endpoint.advertised;
-  ApplyEjections(endpoint.effective, id);
+  ApplyEjections(endpoint.effective, name);
   if (returned_to_service) {
     endpoint.incarnation = ++last_incarnation_;
     if (on_incarnation_ended) on_incarnation_ended(it->first);
@@ -203,48 +203,48 @@
   on_update({ListKind::kChange, std::make_shared<const std::vector<EngineEntry>>(1, endpoint.effective)});
 }
 
-discovery::ManualEjectionResult EndpointDirectory::Eject(const std::string& id,
+discovery::ManualEjectionResult EndpointDirectory::Eject(const std::string& name,
                                                          const UpdateCallback& on_update) {
-  if (manually_ejected_.contains(id)) return ManualEjectionResult::kDone;
-  if (!ids_.contains(id)) return ManualEjectionResult::kUnknownEngine;
+  if (manually_ejected_.contains(name)) return ManualEjectionResult::kDone;
+  if (!ids_.contains(name)) return ManualEjectionResult::kUnknownEngine;
   if (manually_ejected_.size() >= kMaxEjectedEngines) return ManualEjectionResult::kTooMany;
-  manually_ejected_.insert(id);
-  PublishEndpoint(id, false, on_update);
+  manually_ejected_.insert(name);
+  PublishEndpoint(name, false, on_update);
   return ManualEjectionResult::kDone;
 }
 
-discovery::ManualEjectionResult EndpointDirectory::ReturnToService(const std::string& id, UnixTime at,
+discovery::ManualEjectionResult EndpointDirectory::ReturnToService(const std::string& name, UnixTime at,
                                                                    const UpdateCallback& on_update) {
-  if (manually_ejected_.erase(id) == 0)
-    return ids_.contains(id) ? ManualEjectionResult::kDone : ManualEjectionResult::kUnknownEngine;
-  if (ids_.contains(id)) returned_at_[id] = NanosOf(at);
-  PublishEndpoint(id, true, on_update);
+  if (manually_ejected_.erase(name) == 0)
+    return ids_.contains(name) ? ManualEjectionResult::kDone : ManualEjectionResult::kUnknownEngine;
+  if (ids_.contains(name)) returned_at_[name] = NanosOf(at);
+  PublishEndpoint(name, true, on_update);
   return ManualEjectionResult::kDone;
 }
 
 void EndpointDirectory::ImportEjections(const std::set<std::string>& ejected,
                                         const std::map<std::string, UnixTime>& returned_at,
                                         const UpdateCallback& on_update) {
-  for (const std::string& id : ejected) {
-    if (manually_ejected_.size() < kMaxEjectedEngines && manually_ejected_.insert(id).second)
-      PublishEndpoint(id, false, on_update);
+  for (const std::string& name : ejected) {
+    if (manually_ejected_.size() < kMaxEjectedEngines && manually_ejected_.insert(name).second)
+      PublishEndpoint(name, false, on_update);
   }
-  const auto time = [&](const std::string& id) {
-    const auto it = returned_at.find(id);
+  const auto time = [&](const std::string& name) {
+    const auto it = returned_at.find(name);
     return it == returned_at.end() ? std::chrono::system_clock::now() : it->second;
   };
-  for (const std::string& id : std::set<std::string>(manually_ejected_)) {
-    if (!ejected.contains(id)) ReturnToService(id, time(id), on_update);
+  for (const std::string& name : std::set<std::string>(manually_ejected_)) {
+    if (!ejected.contains(name)) ReturnToService(name, time(name), on_update);
   }
   // Engines that were ejected and returned before this process saw the ejection.
-  for (const auto& [id, at] : returned_at) {
+  for (const auto& [name, at] : returned_at) {
     const Nanos since = NanosOf(at);
-    if (has_complete_list_ && !ids_.contains(id)) continue;
-    if (manually_ejected_.contains(id) ||
-        (returned_at_.contains(id) && since <= returned_at_[id] + kFileTimeTolerance))
+    if (has_complete_list_ && !ids_.contains(name)) continue;
+    if (manually_ejected_.contains(name) ||
+        (returned_at_.contains(name) && since <= returned_at_[name] + kFileTimeTolerance))
       continue;
-    returned_at_[id] = since;
-    PublishEndpoint(id, true, on_update);
+    returned_at_[name] = since;
+    PublishEndpoint(name, true, on_update);
   }
 }
 
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -60,11 +60,11 @@
   void RenumberKindsAndZones(const UpdateCallback& on_update);
 
   // Ejects an engine manually until it is returned to service. Idempotent.
-  ManualEjectionResult Eject(const std::string& id, const UpdateCallback& on_update);
+  ManualEjectionResult Eject(const std::string& name, const UpdateCallback& on_update);
   // Ends a manual ejection. The engine is treated as started at `at`, so that it gets a slow start.
   // Idempotent.
-  ManualEjectionResult ReturnToService(const std::string& id, UnixTime at, const UpdateCallback& on_update);
-  bool IsEjected(const std::string& id) const { return manually_ejected_.contains(id); }
+  ManualEjectionResult ReturnToService(const std::string& name, UnixTime at, const UpdateCallback& on_update);
+  bool IsEjected(const std::string& name) const { return manually_ejected_.contains(name); }
   // Replaces the manual ejections by those of another process that serves the same clients, or of the
   // replicated configuration. `ejected` is the complete set; `returned_at` contains the times of returns to
   // service.
@@ -92,8 +92,8 @@
   std::function<void(EngineId)> on_incarnation_ended;
 
  private:
-  void ApplyEjections(EngineEntry& entry, const std::string& id) const;
-  void PublishEndpoint(const std::string& id, bool returned_to_service, const UpdateCallback& on_update);
+  void ApplyEjections(EngineEntry& entry, const std::string& name) const;
+  void PublishEndpoint(const std::string& name, bool returned_to_service, const UpdateCallback& on_update);
   std::optional<EngineList> ApplyEvent(const codec::Json& update);
   std::optional<EngineEntry> ApplyEndpoint(const codec::Json& json);
   void RemoveUnlisted(const std::vector<EngineEntry>& listed);
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -51,7 +51,7 @@
     return;
   }
   std::string joined;
-  for (const Json& item : json.items) joined += (joined.empty() ? "" : ",") + settings::ListItem(item.text);
+  for (const Json& item : json.items) joined += (joined.empty() ? "" : ",") + settings::ToListItem(item.text);
   out.Set(path, joined);
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -7,7 +7,7 @@
 
 namespace lemoncroft::settings {
 
-std::string ListItem(std::string name) {
+std::string ToListItem(std::string name) {
   std::replace_if(
       name.begin(), name.end(), [](char c) { return c == ' ' || c == ','; }, '_');
   return name;
@@ -42,42 +42,42 @@
   return pairs;
 }
 
-bool Pairs::Has(const std::string& key) const {
-  auto it = values_.find(key);
+bool Pairs::Has(const std::string& path) const {
+  auto it = values_.find(path);
   return it != values_.end() && !it->second.empty();
 }
 
-std::string Pairs::Text(const std::string& key) const {
-  auto it = values_.find(key);
+std::string Pairs::Text(const std::string& path) const {
+  auto it = values_.find(path);
   return it == values_.end() ? std::string() : it->second;
 }
 
-double Pairs::Number(const std::string& key, double absent) const {
-  return Has(key) ? ToNumber(key, Text(key)) : absent;
+double Pairs::Number(const std::string& path, double absent) const {
+  return Has(path) ? ToNumber(path, Text(path)) : absent;
 }
 
-Nanos Pairs::Time(const std::string& key) const {
-  const double v = Number(key);
-  if (v < 0 || v > kMaxTime) ThrowInvalid(key, Text(key));
+Nanos Pairs::Time(const std::string& path) const {
+  const double v = Number(path);
+  if (v < 0 || v > kMaxTime) ThrowInvalid(path, Text(path));
   return static_cast<Nanos>(v);
 }
 
-int Pairs::Count(const std::string& key, int absent) const {
-  const double v = Number(key, absent);
-  if (v < 0 || v > kMaxCount || v != std::floor(v)) ThrowInvalid(key, Text(key));
+int Pairs::Count(const std::string& path, int absent) const {
+  const double v = Number(path, absent);
+  if (v < 0 || v > kMaxCount || v != std::floor(v)) ThrowInvalid(path, Text(path));
   return static_cast<int>(v);
 }
 
-bool Pairs::Flag(const std::string& key) const {
-  if (!Has(key)) return false;
-  const std::string v = Text(key);
-  if (v != kTrue && v != kFalse) ThrowInvalid(key, v);
+bool Pairs::Flag(const std::string& path) const {
+  if (!Has(path)) return false;
+  const std::string v = Text(path);
+  if (v != kTrue && v != kFalse) ThrowInvalid(path, v);
   return v == kTrue;
 }
 
-std::vector<std::string> Pairs::List(const std::string& key) const {
+std::vector<std::string> Pairs::List(const std::string& path) const {
   std::vector<std::string> out;
-  const std::string text = Text(key);
+  const std::string text = Text(path);
   for (std::size_t from = 0; from < text.size();) {
     const std::size_t comma = std::min(text.find(',', from), text.size());
     out.push_back(text.substr(from, comma - from));
@@ -86,32 +86,32 @@
   return out;
 }
 
-std::vector<double> Pairs::Numbers(const std::string& key) const {
+std::vector<double> Pairs::Numbers(const std::string& path) const {
   std::vector<double> out;
-  for (const std::string& item : List(key)) out.push_back(ToNumber(key, item));
+  for (const std::string& item : List(path)) out.push_back(ToNumber(path, item));
   return out;
 }
 
-std::vector<std::uint16_t> Pairs::Indices(const std::string& key,
+std::vector<std::uint16_t> Pairs::Indices(const std::string& path,
                                           const std::vector<std::string>& names) const {
   std::vector<std::uint16_t> out;
-  for (const std::string& item : List(key)) {
+  for (const std::string& item : List(path)) {
     auto it = std::find(names.begin(), names.end(), item);
-    double v = it != names.end() ? static_cast<double>(it - names.begin()) : ToNumber(key, item);
-    if (v < 0 || v > kMaxIndex || v != std::floor(v)) ThrowInvalid(key, item);
+    double v = it != names.end() ? static_cast<double>(it - names.begin()) : ToNumber(path, item);
+    if (v < 0 || v > kMaxIndex || v != std::floor(v)) ThrowInvalid(path, item);
     out.push_back(static_cast<std::uint16_t>(v));
   }
   return out;
 }
 
-void Pairs::ThrowInvalid(const std::string& key, const std::string& value) {
-  throw SettingsError("unreadable value '" + value + "' of " + key);
+void Pairs::ThrowInvalid(const std::string& path, const std::string& value) {
+  throw SettingsError("unreadable value '" + value + "' of " + path);
 }
 
-double Pairs::ToNumber(const std::string& key, const std::string& text) {
+double Pairs::ToNumber(const std::string& path, const std::string& text) {
   double v = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) ThrowInvalid(key, text);
+  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) ThrowInvalid(path, text);
   return v;
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -31,7 +31,7 @@
 
 // Returns a name in the form that lists contain: spaces and commas are replaced by underscores, as in the
 // simulator's protocol.
-std::string ListItem(std::string name);
+std::string ToListItem(std::string name);
 
 // Path=value pairs with typed accessors. An accessor throws SettingsError, with the path, for a value that it
 // cannot parse.
@@ -43,36 +43,36 @@
     values_.insert_or_assign(std::move(path), std::move(value));
   }
 
-  // Returns true if the key has a non-empty value.
-  bool Has(const std::string& key) const;
+  // Returns true if the path has a non-empty value.
+  bool Has(const std::string& path) const;
   const std::map<std::string, std::string>& all() const { return values_; }
-  std::string Text(const std::string& key) const;
-  double Number(const std::string& key, double absent = 0) const;
+  std::string Text(const std::string& path) const;
+  double Number(const std::string& path, double absent = 0) const;
   // Returns a duration.
-  Nanos Time(const std::string& key) const;
+  Nanos Time(const std::string& path) const;
   // Returns a count or an index. It is bounded, so that a wrong value can't cause unbounded work.
-  int Count(const std::string& key, int absent = 0) const;
-  bool Flag(const std::string& key) const;
-  std::vector<std::string> List(const std::string& key) const;
-  std::vector<double> Numbers(const std::string& key) const;
+  int Count(const std::string& path, int absent = 0) const;
+  bool Flag(const std::string& path) const;
+  std::vector<std::string> List(const std::string& path) const;
+  std::vector<double> Numbers(const std::string& path) const;
   // Returns the indices in `names` of the items of a list; an item is one of the names or an index.
-  std::vector<std::uint16_t> Indices(const std::string& key, const std::vector<std::string>& names) const;
+  std::vector<std::uint16_t> Indices(const std::string& path, const std::vector<std::string>& names) const;
 
-  // Returns the choice with the name that is the value of `key`, `absent` if the key has no value, or
+  // Returns the choice with the name that is the value of `path`, `absent` if the path has no value, or
   // `unknown` for any other name.
   template <typename T>
-  T OneOf(const std::string& key, std::initializer_list<std::pair<const char*, T>> choices, T absent,
+  T OneOf(const std::string& path, std::initializer_list<std::pair<const char*, T>> choices, T absent,
           T unknown) const {
-    if (!Has(key)) return absent;
+    if (!Has(path)) return absent;
     for (const auto& [name, value] : choices) {
-      if (Text(key) == name) return value;
+      if (Text(path) == name) return value;
     }
     return unknown;
   }
 
  private:
-  [[noreturn]] static void ThrowInvalid(const std::string& key, const std::string& value);
-  static double ToNumber(const std::string& key, const std::string& text);
+  [[noreturn]] static void ThrowInvalid(const std::string& path, const std::string& value);
+  static double ToNumber(const std::string& path, const std::string& text);
 
   std::map<std::string, std::string> values_;
 };
