--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -77,7 +77,7 @@
     if (io == IoResult::kOk)
       io = co_await connection.Receive(begin_by, begin_by + kResponseTimeout, &address_changed, response);
     if (io != IoResult::kOk || response.status != 200) {
-      spdlog::info("control feed: connection lost after event {}", directory_.last_revision());
+      spdlog::info("control feed: no usable response after event {}", directory_.last_revision());
       co_return;
     }
     bool readable = false;
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -328,7 +328,9 @@
     const std::vector<double> cores = in_.Numbers(fields::kCores);
     const std::vector<double> memory = in_.Numbers(fields::kMemory);
     if (cores.size() < kinds || std::any_of(cores.begin(), cores.end(), [](double c) { return !(c > 0); }))
-      Warn(fields::kCores, "cores of some kinds are missing; the fewest cores of the other kinds are used");
+      Warn(fields::kCores,
+           "a kind has no value above 0; it gets the fewest cores of the other kinds or, if no kind has a "
+           "value, the most threads of any class");
     if (s.honors_memory_grants && memory.size() < kinds)
       Warn(fields::kMemory, "engines of a kind without memory choose their grants themselves");
     if (s.honors_memory_grants && !(s.max_grant_share > 0 && s.max_grant_share <= 1))
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -49,7 +49,7 @@
     return static_cast<Nanos>(value);
   }
   std::string_view Bytes(std::size_t n, const char* what) {
-    if (n > bytes_.size() - at_) ThrowWireError(std::string("truncated frame: ") + what, at_);
+    if (n > bytes_.size() - at_) ThrowWireError(std::string("truncated batch: ") + what, at_);
     std::string_view out = bytes_.substr(at_, n);
     at_ += n;
     return out;
--- a/tests/settings_effect_test.cpp
+++ b/tests/settings_effect_test.cpp
@@ -266,7 +266,8 @@
   const auto position =
       std::find_if(sends.begin(), sends.end(), [within](const Send& send) { return send.id == within; });
   EXPECT_GT(sends.size(), 6u);
-  EXPECT_LE(position - sends.begin(), 3) << "two seconds' quota of the other tenant may be served first";
+  EXPECT_LE(position - sends.begin(), 3)
+      << "at most three requests of the tenant over its quota (two seconds' quota) may be sent before it";
 }
 
 TEST(SettingsEffect, EndpointList_IsRequestedOnlyIfNotPushed) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -171,7 +171,8 @@
       {"/specifics/cpuOfKind",
        {4},
        kWarning,
-       "specifics.cpuOfKind: cores of some kinds are missing; the fewest cores of the other kinds are used"},
+       "specifics.cpuOfKind: a kind has no value above 0; it gets the fewest cores of the other kinds or, "
+       "if no kind has a value, the most threads of any class"},
       {"/specifics/ramOfKindMb",
        {8192},
        kWarning,
