--- a/src/broker/request_lifecycle.cpp
+++ b/src/broker/request_lifecycle.cpp
@@ -35,7 +35,7 @@
 }
 
 // Cancelled requests are not counted here but where the client cancels.
-metrics::RequestResult MetricsEndOf(ResponseStatus status) {
+metrics::RequestResult RequestResultOf(ResponseStatus status) {
   switch (status) {
     case ResponseStatus::kServed:
       return metrics::RequestResult::kServed;
@@ -171,7 +171,7 @@
 
 void Broker::Respond(const std::string& class_name, request::ResponseSink& sink,
                      const request::Response& response) {
-  counters_.CountEnded(class_name, MetricsEndOf(response.status));
+  counters_.CountEnded(class_name, RequestResultOf(response.status));
   sink.Complete(response);
 }
 
@@ -179,8 +179,8 @@
   Respond(request.class_name(), *request.sink, response);
 }
 
-// The estimate of the admission queue, if enabled, is more accurate than the longest wait that the settings
-// allow.
+// The decision module sends either no retry-after (0), which is kept, or the longest that the settings allow.
+// The admission queue, if enabled, replaces the latter by its estimate, which is more accurate.
 Duration Broker::RetryAfter(const ActiveRequest& request, const RejectRequest& reject) {
   if (!queue_ || reject.retry_after <= 0) return ToDuration(reject.retry_after);
   return queue_->RetryAfter(request.client_request.tenant, request.client_request.class_id);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -171,7 +171,8 @@
       {"/specifics/cpuOfKind",
        {4},
        kWarning,
-       "specifics.cpuOfKind: cores of some kinds are missing; the fewest cores of the other kinds are used"},
+       "specifics.cpuOfKind: a kind has no value above 0; it gets the fewest cores of the other kinds or, "
+       "if no kind has a value, the most threads of any class"},
       {"/specifics/ramOfKindMb",
        {8192},
        kWarning,
@@ -256,7 +257,8 @@
   EXPECT_EQ(Read(With("/requestClasses/1/promiseNs", 7)).site.module.classes[1].latency_objective, 7);
 }
 
-// With too few cores, an engine would never be sent a query that uses more threads.
+// A kind without a value must not be taken as having no cores: the number of cores limits the load that an
+// engine is sent.
 TEST(Settings, KindWithoutCores_GetsFewestCoresOfOtherKinds) {
   const auto cores = [](const json& setting) {
     std::vector<double> out;
